--- a/crates/ragwortroad_dispatch/src/address_choice.rs
+++ b/crates/ragwortroad_dispatch/src/address_choice.rs
@@ -31,7 +31,7 @@
 /// An edge that stops has to be forgotten by all callers within its grace time. Up to that, longer is
 /// better: where a registry has lost its power, each caller that asks it waits a second, and those
 /// that ask on behalf of a request with less time than that fail.
-pub fn answer_life(grace: Duration, most: Duration) -> Duration {
+pub fn answer_ttl(grace: Duration, most: Duration) -> Duration {
     // One part more is for the edge to finish what came last.
     let longest = grace / (LONGEST_KEEP + 1);
     longest.min(most).max(Duration::from_secs(1))
--- a/crates/ragwortroad_dispatch/src/admission_gate.rs
+++ b/crates/ragwortroad_dispatch/src/admission_gate.rs
@@ -6,56 +6,56 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
-    FullRank,
-    rank_share::RankShare, //
+    RequestRank,
+    admission_ratio::AdmissionRatio, //
 };
 
 /// A request that waits at a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct WaitTicket(pub u64);
+pub struct QueueTicket(pub u64);
 
 /// A request that comes to a gate.
 #[derive(Clone, Copy, Debug)]
-pub struct GateOffer {
+pub struct AdmissionRequest {
     /// Urgency.
-    pub rank: FullRank,
+    pub rank: RequestRank,
     /// Whether its caller has waited elsewhere for longer than the aim.
     pub is_late: bool,
     /// How long it can wait and still be served within its aim.
-    pub patience: Duration,
+    pub queue_timeout: Duration,
 }
 
 /// What a gate says to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GateAnswer {
+pub enum AdmissionDecision {
     /// It goes on to an endpoint, and is counted until [`AdmissionGate::leave`].
     Admitted,
-    /// It waits until the gate calls its ticket, or its patience ends.
-    Waiting(WaitTicket),
+    /// It waits until the gate calls its ticket, or its queue timeout ends.
+    Queued(QueueTicket),
 }
 
 /// Part of a route's aim for which a request waits at a gate.
 ///
 /// Engines with all places taken begin within half of an aim for most requests; what waits longer at
 /// the gate would be late.
-const WAIT_PART: u32 = 3;
+const QUEUE_TIME_DIVISOR: u32 = 3;
 
 /// How long a request of a route with this aim may wait at a gate.
-pub fn gate_patience(target: Duration, time_left: Duration) -> Duration {
-    target.min(time_left) / WAIT_PART
+pub fn max_queue_time(target: Duration, time_left: Duration) -> Duration {
+    target.min(time_left) / QUEUE_TIME_DIVISOR
 }
 
 /// Part of what the next more urgent rank is granted that each rank is granted at least.
 ///
 /// Urgent requests go first, but none starves: users see a kind of request that is never answered
 /// as broken, however unimportant it is. Two fifths keep a third rank above a seventh of the first.
-const RANK_FLOOR: f64 = 0.4;
+const RANK_FLOOR_RATIO: f64 = 0.4;
 
-/// Weight of one more second in the pace at which requests end.
-const PACE_WEIGHT: f64 = 0.5;
+/// Weight of one more second in the completion_rate at which requests end.
+const RATE_WEIGHT: f64 = 0.5;
 
-/// Time over which the pace is counted before it is averaged.
-const PACE_TIME: Duration = Duration::from_millis(500);
+/// Time over which the completion_rate is counted before it is averaged.
+const RATE_WINDOW: Duration = Duration::from_millis(500);
 
 /// Decides which requests of one service go on, wait for a moment, or are refused at one edge.
 ///
@@ -67,20 +67,20 @@
     /// Requests that may be under way.
     limit: f64,
     /// Requests that were admitted and are not over.
-    under_way: u32,
+    in_flight: u32,
     /// Requests that wait, by rank and in the order in which they came.
     ///
     /// Invariant: no queue is empty.
-    waiting: BTreeMap<TurnRank, BTreeMap<WaitTicket, WaitEntry>>,
-    shares: BTreeMap<TurnRank, RankShare>,
+    waiting: BTreeMap<QueueRank, BTreeMap<QueueTicket, QueuedRequest>>,
+    shares: BTreeMap<QueueRank, AdmissionRatio>,
     next_ticket: u64,
-    /// Requests that ended since the pace was averaged last.
-    ended: u32,
-    paced_at: ClockTime,
+    /// Requests that completed since the completion_rate was averaged last.
+    completed: u32,
+    rate_updated_at: ClockTime,
     /// Requests that end in a second.
-    pace: f64,
+    completion_rate: f64,
     /// When the gate began to refuse, if it has refused lately.
-    shedding: Option<SheddingTime>,
+    shedding: Option<SheddingPeriod>,
 }
 
 /// Whose turn it is; the least goes first.
@@ -89,21 +89,21 @@
 /// that are late already: in a long overload every caller is refused once, and if all were served in
 /// the order in which they came first, all would be late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct TurnRank {
-    rank: FullRank,
+struct QueueRank {
+    rank: RequestRank,
     is_late: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct WaitEntry {
+struct QueuedRequest {
     /// When it is of no use any more.
     until: ClockTime,
-    patience: Duration,
+    queue_timeout: Duration,
 }
 
 /// A time during which requests were refused.
 #[derive(Clone, Copy, Debug)]
-struct SheddingTime {
+struct SheddingPeriod {
     since: ClockTime,
     last: ClockTime,
 }
@@ -116,13 +116,13 @@
     pub fn new(now: ClockTime) -> Self {
         Self {
             limit: f64::INFINITY,
-            under_way: 0,
+            in_flight: 0,
             waiting: BTreeMap::new(),
             shares: BTreeMap::new(),
             next_ticket: 0,
-            ended: 0,
-            paced_at: now,
-            pace: 0.0,
+            completed: 0,
+            rate_updated_at: now,
+            completion_rate: 0.0,
             shedding: None,
         }
     }
@@ -130,46 +130,46 @@
     /// Takes how many requests may be under way.
     pub fn set_limit(&mut self, limit: f64, now: ClockTime) {
         self.limit = limit;
-        self.average_pace(now);
+        self.update_completion_rate(now);
     }
 
     /// Takes a request; whether it waits in vain is told by [`AdmissionGate::take_displaced`].
-    pub fn offer(&mut self, offer: GateOffer, now: ClockTime) -> GateAnswer {
-        let GateOffer {
+    pub fn offer(&mut self, offer: AdmissionRequest, now: ClockTime) -> AdmissionDecision {
+        let AdmissionRequest {
             rank,
             is_late,
-            patience,
+            queue_timeout,
         } = offer;
-        let rank = TurnRank { rank, is_late };
+        let rank = QueueRank { rank, is_late };
         let share = self.shares.entry(rank);
-        share.or_insert_with(|| RankShare::new(now)).offer(now);
+        share.or_insert_with(|| AdmissionRatio::new(now)).offer(now);
         if self.waiting.is_empty() && self.has_room() {
             self.admit(rank, now);
-            return GateAnswer::Admitted;
+            return AdmissionDecision::Admitted;
         }
-        let ticket = WaitTicket(self.next_ticket);
+        let ticket = QueueTicket(self.next_ticket);
         self.next_ticket += 1;
-        let entry = WaitEntry {
-            until: now.after(patience),
-            patience,
+        let entry = QueuedRequest {
+            until: now.after(queue_timeout),
+            queue_timeout,
         };
         self.waiting.entry(rank).or_default().insert(ticket, entry);
-        GateAnswer::Waiting(ticket)
+        AdmissionDecision::Queued(ticket)
     }
 
     /// An admitted request is over.
-    pub fn leave(&mut self, now: ClockTime) {
-        self.under_way = self.under_way.saturating_sub(1);
-        self.ended += 1;
-        self.average_pace(now);
+    pub fn release(&mut self, now: ClockTime) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.completed += 1;
+        self.update_completion_rate(now);
     }
 
     /// The next request that goes on, if there is room for one.
-    pub fn call_next(&mut self, now: ClockTime) -> Option<WaitTicket> {
+    pub fn admit_next(&mut self, now: ClockTime) -> Option<QueueTicket> {
         if !self.has_room() {
             return None;
         }
-        let rank = self.rank_first()?;
+        let rank = self.next_rank()?;
         let queue = self.waiting.get(&rank)?;
         let (&ticket, _) = queue.first_key_value()?;
         self.remove(ticket);
@@ -178,23 +178,23 @@
     }
 
     /// A request that waits in vain: too many go before it, or its time is over.
-    pub fn take_displaced(&mut self, now: ClockTime) -> Option<WaitTicket> {
+    pub fn shed_next(&mut self, now: ClockTime) -> Option<QueueTicket> {
         let all = self.waiting.values().flatten();
         let late = all.filter(|(_, entry)| now >= entry.until);
         let late = late.map(|(&ticket, _)| ticket).next();
-        let displaced = late.or_else(|| self.last_in_vain())?;
+        let displaced = late.or_else(|| self.last_hopeless())?;
         self.remove(displaced);
         self.note_refusal(now);
         Some(displaced)
     }
 
     /// A request has stopped waiting by itself.
-    pub fn give_up(&mut self, ticket: WaitTicket) {
+    pub fn cancel(&mut self, ticket: QueueTicket) {
         self.remove(ticket);
     }
 
     /// How long requests have been refused, up to the last one; nothing if none was lately.
-    pub fn shedding_for(&self, now: ClockTime) -> Duration {
+    pub fn shedding_duration(&self, now: ClockTime) -> Duration {
         let shedding = self.shedding.filter(|_| self.is_shedding(now));
         shedding.map_or(Duration::ZERO, |shedding| now.since(shedding.since))
     }
@@ -211,8 +211,8 @@
     }
 
     /// Requests that were admitted and are not over.
-    pub fn under_way(&self) -> u32 {
-        self.under_way
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
     /// Requests that may be under way.
@@ -221,17 +221,17 @@
     }
 
     fn has_room(&self) -> bool {
-        f64::from(self.under_way) < self.limit
+        f64::from(self.in_flight) < self.limit
     }
 
-    fn admit(&mut self, rank: TurnRank, now: ClockTime) {
-        self.under_way += 1;
+    fn admit(&mut self, rank: QueueRank, now: ClockTime) {
+        self.in_flight += 1;
         if let Some(share) = self.shares.get_mut(&rank) {
             share.admit(now);
         }
     }
 
-    fn remove(&mut self, ticket: WaitTicket) {
+    fn remove(&mut self, ticket: QueueTicket) {
         for queue in self.waiting.values_mut() {
             queue.remove(&ticket);
         }
@@ -239,8 +239,8 @@
     }
 
     /// The rank whose turn it is: the most urgent one, unless another is below its floor.
-    fn rank_first(&self) -> Option<TurnRank> {
-        let ranks: Vec<TurnRank> = self.waiting.keys().copied().collect();
+    fn next_rank(&self) -> Option<QueueRank> {
+        let ranks: Vec<QueueRank> = self.waiting.keys().copied().collect();
         let starved = ranks.iter().find(|&&rank| self.is_below_floor(rank));
         starved.or(ranks.first()).copied()
     }
@@ -248,8 +248,8 @@
     /// The rank that is refused first: the least urgent one.
     ///
     /// One request of a rank below its floor stays, so that it is there when its turn comes.
-    fn rank_last(&self) -> Option<TurnRank> {
-        let is_spared = |turn: TurnRank, queue: &BTreeMap<WaitTicket, WaitEntry>| {
+    fn shed_rank(&self) -> Option<QueueRank> {
+        let is_spared = |turn: QueueRank, queue: &BTreeMap<QueueTicket, QueuedRequest>| {
             queue.len() == 1 && self.is_below_floor(turn)
         };
         let mut ranks = self.waiting.iter().rev();
@@ -258,22 +258,22 @@
         refused.or(last).map(|(&turn, _)| turn)
     }
 
-    fn is_below_floor(&self, turn: TurnRank) -> bool {
+    fn is_below_floor(&self, turn: QueueRank) -> bool {
         let Some(share) = self.shares.get(&turn).filter(|_| !turn.is_late) else {
             return false;
         };
         let more_urgent = self.shares.range(..turn);
         let more_urgent = more_urgent.rev().find(|(turn, _)| !turn.is_late);
-        more_urgent.is_some_and(|(_, urgent)| share.ratio() < urgent.ratio() * RANK_FLOOR)
+        more_urgent.is_some_and(|(_, urgent)| share.ratio() < urgent.ratio() * RANK_FLOOR_RATIO)
     }
 
-    /// The request that would be served last, if it would be so only after its patience.
+    /// The request that would be served last, if it would be so only after its queue timeout.
     ///
-    /// At least one may wait: at an edge with few requests, the pace is a guess.
-    fn last_in_vain(&self) -> Option<WaitTicket> {
-        let rank = self.rank_last()?;
+    /// At least one may wait: at an edge with few requests, the completion_rate is a guess.
+    fn last_hopeless(&self) -> Option<QueueTicket> {
+        let rank = self.shed_rank()?;
         let (&ticket, entry) = self.waiting.get(&rank)?.last_key_value()?;
-        let in_time = self.pace * entry.patience.as_secs_f64();
+        let in_time = self.completion_rate * entry.queue_timeout.as_secs_f64();
         let most = in_time.max(1.0);
         (self.waiting() as f64 > most).then_some(ticket)
     }
@@ -281,20 +281,20 @@
     fn note_refusal(&mut self, now: ClockTime) {
         let begun = self.shedding;
         let begun = begun.filter(|shedding| now.since(shedding.last) < SHEDDING_GAP);
-        self.shedding = Some(SheddingTime {
+        self.shedding = Some(SheddingPeriod {
             since: begun.map_or(now, |shedding| shedding.since),
             last: now,
         });
     }
 
-    fn average_pace(&mut self, now: ClockTime) {
-        let elapsed = now.since(self.paced_at);
-        if elapsed < PACE_TIME {
+    fn update_completion_rate(&mut self, now: ClockTime) {
+        let elapsed = now.since(self.rate_updated_at);
+        if elapsed < RATE_WINDOW {
             return;
         }
-        let present = f64::from(self.ended) / elapsed.as_secs_f64();
-        self.pace += (present - self.pace) * PACE_WEIGHT;
-        self.ended = 0;
-        self.paced_at = now;
+        let present = f64::from(self.completed) / elapsed.as_secs_f64();
+        self.completion_rate += (present - self.completion_rate) * RATE_WEIGHT;
+        self.completed = 0;
+        self.rate_updated_at = now;
     }
 }
--- a/crates/ragwortroad_dispatch/src/rank_share.rs
+++ b/crates/ragwortroad_dispatch/src/admission_ratio.rs
@@ -10,13 +10,13 @@
 
 /// Requests of one rank lately: how many came, and how many of them were admitted.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RankShare {
+pub(crate) struct AdmissionRatio {
     offered: f64,
     admitted: f64,
     counted_at: ClockTime,
 }
 
-impl RankShare {
+impl AdmissionRatio {
     pub(crate) fn new(now: ClockTime) -> Self {
         Self {
             offered: 0.0,
--- a/crates/ragwortroad_dispatch/src/config_fault.rs
+++ b/crates/ragwortroad_dispatch/src/config_fault.rs
@@ -26,7 +26,7 @@
     #[snafu(display(
         "route '{route}' has the host and path of another one; remove one of the two"
     ))]
-    SamePlace {
+    DuplicateRoute {
         /// The later route.
         route: String,
     },
--- a/crates/ragwortroad_dispatch/src/config_fetch.rs
+++ b/crates/ragwortroad_dispatch/src/config_fetch.rs
@@ -6,7 +6,7 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
-    config_demand::ConfigDemand,
+    config_request::ConfigRequest,
     prefer_registry, //
 };
 
@@ -100,7 +100,7 @@
         own: Option<u64>,
         sources: &[ConfigSource],
         now: ClockTime,
-    ) -> Option<ConfigDemand> {
+    ) -> Option<ConfigRequest> {
         let (announced, first_at) = self.announced?;
         if own.is_some_and(|own| own >= announced) {
             return None;
@@ -125,7 +125,7 @@
         let preferred = prefer_registry(edge, sources.iter().map(|source| source.address));
         let may_wait = self.asked.is_none() && Some(chosen) != preferred;
         let is_early = may_wait && now.since(first_at) < patience;
-        (!is_early).then_some(ConfigDemand {
+        (!is_early).then_some(ConfigRequest {
             registry: chosen,
             direct: Some(chosen) == silent,
         })
--- a/crates/ragwortroad_dispatch/src/copy_queue.rs
+++ b/crates/ragwortroad_dispatch/src/copy_queue.rs
@@ -45,14 +45,14 @@
 
 impl CopyQueue {
     /// An edge needs a copy.
-    pub fn want(&mut self, edge: u64) {
+    pub fn enqueue(&mut self, edge: u64) {
         if !self.waiting.contains(&edge) && !self.direct.contains(&edge) {
             self.waiting.push_back(edge);
         }
     }
 
     /// An edge needs a copy from this registry: another edge gave it none.
-    pub fn want_direct(&mut self, edge: u64) {
+    pub fn enqueue_direct(&mut self, edge: u64) {
         self.waiting.retain(|waiting| *waiting != edge);
         if !self.direct.contains(&edge) {
             self.direct.push_back(edge);
--- a/crates/ragwortroad_dispatch/src/usual_patience.rs
+++ b/crates/ragwortroad_dispatch/src/deadline_estimate.rs
@@ -14,12 +14,12 @@
 /// A caller that was refused and comes back names the rest of its time. Nothing else tells it from
 /// a new one, and when there is not room for all, it matters who can still be served within the aim.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct UsualPatience {
+pub struct DeadlineEstimate {
     /// Seconds; nothing before the first request.
     seconds: Option<f64>,
 }
 
-impl UsualPatience {
+impl DeadlineEstimate {
     /// Notes a request with `time_left`; returns how long its caller has waited elsewhere.
     pub fn note(&mut self, time_left: Duration) -> Duration {
         let left = time_left.as_secs_f64();
--- a/crates/ragwortroad_dispatch/src/domain_drains.rs
+++ b/crates/ragwortroad_dispatch/src/domain_drains.rs
@@ -29,7 +29,7 @@
     /// The domain was in the ordered state already.
     Unchanged,
     /// The domain was changed by an order that the sender of this one did not know.
-    Overtaken,
+    Superseded,
 }
 
 /// Failure domains that operators have drained.
@@ -60,7 +60,7 @@
             return DrainOutcome::Unchanged;
         }
         if known.is_some_and(|state| state.revision > order.seen) {
-            return DrainOutcome::Overtaken;
+            return DrainOutcome::Superseded;
         }
         let state = DrainState {
             is_drained: order.is_drained,
@@ -90,7 +90,7 @@
     }
 
     /// Domains that are drained in `former` and no longer here.
-    pub fn returned_since<'a>(&'a self, former: &'a Self) -> impl Iterator<Item = &'a str> {
+    pub fn undrained_since<'a>(&'a self, former: &'a Self) -> impl Iterator<Item = &'a str> {
         former.drained().filter(|domain| !self.is_drained(domain))
     }
 }
--- a/crates/ragwortroad_dispatch/src/edge_directory.rs
+++ b/crates/ragwortroad_dispatch/src/edge_directory.rs
@@ -13,31 +13,31 @@
 
 use crate::{
     address_choice::choose_addresses,
-    edge_gathering::{
-        DirectoryGap,
-        EdgeGathering, //
+    edge_discovery::{
+        DirectoryError,
+        EdgeDiscovery, //
     },
     edge_view::EdgeView, //
 };
 
-/// Edges that callers are told of, by the word of all registries.
+/// Edges that callers are known of, by the word of all registries.
 ///
-/// An edge that any connected registry calls ready is told: a registry that is cut off from edges
+/// An edge that any connected registry calls ready is known: a registry that is cut off from edges
 /// has lost them without their being gone. Answers the loss of the registries of a whole failure
 /// domain, and of all of them for a while.
 #[derive(Debug)]
 pub struct EdgeDirectory {
-    gathering: EdgeGathering,
+    discovery: EdgeDiscovery,
     /// The last word of each registry, by where it listens.
     ///
     /// Invariant: a registry that is not connected has one only while none is connected that has
-    /// told.
-    views: BTreeMap<SocketAddr, ToldView>,
+    /// known.
+    views: BTreeMap<SocketAddr, RegistryView>,
 }
 
 /// The word of one registry.
 #[derive(Debug)]
-struct ToldView {
+struct RegistryView {
     view: EdgeView,
     is_connected: bool,
 }
@@ -46,7 +46,7 @@
     /// A directory that starts now and knows no edge.
     pub fn new(now: ClockTime) -> Self {
         Self {
-            gathering: EdgeGathering::new(now),
+            discovery: EdgeDiscovery::new(now),
             views: BTreeMap::new(),
         }
     }
@@ -54,23 +54,23 @@
     /// A registry tells what it knows.
     pub fn note_view(&mut self, registry: SocketAddr, view: EdgeView, now: ClockTime) {
         if view.edges > self.edges() {
-            self.gathering.note_joined(now);
+            self.discovery.note_joined(now);
         }
-        let told = ToldView {
+        let known = RegistryView {
             view,
             is_connected: true,
         };
-        self.views.insert(registry, told);
-        self.views.retain(|_, told| told.is_connected);
+        self.views.insert(registry, known);
+        self.views.retain(|_, known| known.is_connected);
     }
 
     /// The connection to a registry has ended.
     pub fn note_lost(&mut self, registry: SocketAddr) {
-        if let Some(told) = self.views.get_mut(&registry) {
-            told.is_connected = false;
+        if let Some(known) = self.views.get_mut(&registry) {
+            known.is_connected = false;
         }
-        if self.views.values().any(|told| told.is_connected) {
-            self.views.retain(|_, told| told.is_connected);
+        if self.views.values().any(|known| known.is_connected) {
+            self.views.retain(|_, known| known.is_connected);
         }
     }
 
@@ -80,18 +80,21 @@
         asker: IpAddr,
         most: usize,
         now: ClockTime,
-    ) -> Result<Vec<SocketAddr>, DirectoryGap> {
-        let ready = self.views.values().flat_map(|told| &told.view.ready);
+    ) -> Result<Vec<SocketAddr>, DirectoryError> {
+        let ready = self.views.values().flat_map(|known| &known.view.ready);
         let ready: BTreeSet<SocketAddr> = ready.copied().collect();
-        match self.gathering.gap(ready.len(), self.edges() as usize, now) {
-            Some(gap) => Err(gap),
+        match self
+            .discovery
+            .check_ready(ready.len(), self.edges() as usize, now)
+        {
+            Some(error) => Err(error),
             None => Ok(choose_addresses(asker, ready.into_iter().collect(), most)),
         }
     }
 
     /// Edges that the registry with most of them knows.
     fn edges(&self) -> u32 {
-        let counts = self.views.values().map(|told| told.view.edges);
+        let counts = self.views.values().map(|known| known.view.edges);
         counts.max().unwrap_or(0)
     }
 }
--- a/crates/ragwortroad_dispatch/src/edge_gathering.rs
+++ b/crates/ragwortroad_dispatch/src/edge_discovery.rs
@@ -15,22 +15,22 @@
 
 /// Why callers are not told of edges now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DirectoryGap {
+pub enum DirectoryError {
     /// This process has just started, and edges are still being found.
-    Gathering,
+    Discovering,
     /// No edge takes callers.
     NoEdge,
 }
 
 /// How far a process that has started has found the edges.
 #[derive(Clone, Copy, Debug)]
-pub struct EdgeGathering {
+pub struct EdgeDiscovery {
     started_at: ClockTime,
     /// When another edge was found last.
     joined_at: ClockTime,
 }
 
-impl EdgeGathering {
+impl EdgeDiscovery {
     /// A process that starts now.
     pub fn new(now: ClockTime) -> Self {
         Self {
@@ -45,12 +45,17 @@
     }
 
     /// Why callers are not to be told of the `ready` ones among `edges` now, if so.
-    pub fn gap(&self, ready: usize, edges: usize, now: ClockTime) -> Option<DirectoryGap> {
+    pub fn check_ready(
+        &self,
+        ready: usize,
+        edges: usize,
+        now: ClockTime,
+    ) -> Option<DirectoryError> {
         let is_new = now.since(self.started_at) < GATHER_TIME;
         let is_joined = now.since(self.joined_at) < JOIN_TIME;
         if is_new && (is_joined || ready * 2 < edges) {
-            return Some(DirectoryGap::Gathering);
+            return Some(DirectoryError::Discovering);
         }
-        (ready == 0).then_some(DirectoryGap::NoEdge)
+        (ready == 0).then_some(DirectoryError::NoEdge)
     }
 }
--- a/crates/ragwortroad_dispatch/src/endpoint_load.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_load.rs
@@ -48,12 +48,12 @@
 
 impl EndpointLoad {
     /// Notes that a request goes there.
-    pub fn begin(&mut self) {
+    pub fn start_request(&mut self) {
         self.own += 1;
     }
 
     /// Notes that a request there has ended, however it did.
-    pub fn end(&mut self) {
+    pub fn finish_request(&mut self) {
         self.own = self.own.saturating_sub(1);
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Takes a reading that came with an answer.
-    pub fn read(&mut self, reading: LoadReading, now: ClockTime) {
+    pub fn note_reading(&mut self, reading: LoadReading, now: ClockTime) {
         self.reading = Some((reading, now, self.own));
     }
 
@@ -86,30 +86,30 @@
     }
 
     /// Notes an answer that shows the endpoint well.
-    pub fn succeed(&mut self, now: ClockTime) {
+    pub fn note_success(&mut self, now: ClockTime) {
         self.failures = 0;
-        self.failing = (self.failing(now) * (1.0 - FAILURE_WEIGHT), now);
+        self.failing = (self.failure_rate(now) * (1.0 - FAILURE_WEIGHT), now);
     }
 
     /// Notes a failure that is the endpoint's own.
     ///
     /// Without the pause every edge would go on offering requests to a dead endpoint until its
     /// announcements are missed, some seconds later; with it a handful of requests meet it.
-    pub fn fail(&mut self, now: ClockTime) {
+    pub fn note_failure(&mut self, now: ClockTime) {
         let doublings = self.failures.min(4);
         let pause = (FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE);
         self.failures += 1;
-        self.note_failure(now);
+        self.raise_failure_rate(now);
         self.paused_until = now.after(pause);
     }
 
     /// Notes an answer that the endpoint spoiled while others are well.
-    pub fn stumble(&mut self, now: ClockTime) {
-        self.note_failure(now);
+    pub fn note_bad_answer(&mut self, now: ClockTime) {
+        self.raise_failure_rate(now);
     }
 
     /// Share of its requests that failed lately, from 0 to 1.
-    pub fn failing(&self, now: ClockTime) -> f64 {
+    pub fn failure_rate(&self, now: ClockTime) -> f64 {
         let (share, noted_at) = self.failing;
         let halvings = now.since(noted_at).as_secs_f64() / FAILING_HALF_LIFE.as_secs_f64();
         share * 0.5_f64.powf(halvings)
@@ -117,13 +117,13 @@
 
     /// Raises the share of failures, from what it was before it halved: one that is tried again and
     /// fails is left alone at once.
-    fn note_failure(&mut self, now: ClockTime) {
+    fn raise_failure_rate(&mut self, now: ClockTime) {
         let (share, _) = self.failing;
         self.failing = (share + FAILURE_WEIGHT * (1.0 - share), now);
     }
 
     /// Whether requests may go there.
-    pub fn is_open(&self, now: ClockTime) -> bool {
+    pub fn is_available(&self, now: ClockTime) -> bool {
         now >= self.paused_until
     }
 
--- a/crates/ragwortroad_dispatch/src/place_choice.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_selection.rs
@@ -4,12 +4,12 @@
 
 /// Figures of the choice of a place.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlaceSettings {
+pub struct SelectionSettings {
     /// An engine that has read a request's text takes it up to this multiple of the mean load.
     ///
     /// Lower spreads better, higher reads less text again. Sites bound skew at 2 and three more; the
     /// rest is room for what other edges sent a moment ago.
-    pub hold_multiple: f64,
+    pub holder_load_multiple: f64,
     /// An engine that has not read the text takes it up to this multiple.
     ///
     /// Below the other, so that new texts go where there is room and stay there.
@@ -25,23 +25,23 @@
 /// requests change.
 const HOLD_PART: f64 = 0.8;
 
-impl PlaceSettings {
+impl SelectionSettings {
     /// Figures for a site that lets no engine carry more than `bound` times the mean.
     pub fn within(bound: f64) -> Self {
         let default = Self::default();
-        let hold_multiple = (bound * HOLD_PART).max(1.0);
+        let holder_load_multiple = (bound * HOLD_PART).max(1.0);
         Self {
-            hold_multiple,
-            load_multiple: default.load_multiple.min(hold_multiple),
+            holder_load_multiple,
+            load_multiple: default.load_multiple.min(holder_load_multiple),
             ..default
         }
     }
 }
 
-impl Default for PlaceSettings {
+impl Default for SelectionSettings {
     fn default() -> Self {
         Self {
-            hold_multiple: 1.6,
+            holder_load_multiple: 1.6,
             load_multiple: 1.3,
             load_slack: 1.4,
         }
@@ -50,7 +50,7 @@
 
 /// An endpoint that may take a request.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceCandidate<'a> {
+pub struct SelectionCandidate<'a> {
     /// Whom it stands for.
     pub key: EndpointKey,
     /// Its name, the same at all edges.
@@ -60,12 +60,12 @@
     /// Requests it works on at once.
     pub slots: u32,
     /// Share of its requests that failed lately, from 0 to 1.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Whether it has read the request's shared text.
-    pub holds_text: bool,
+    pub holds_prefix: bool,
 }
 
-impl PlaceCandidate<'_> {
+impl SelectionCandidate<'_> {
     /// Whether it starts on one more request at once, by the best knowledge here.
     ///
     /// Otherwise the request queues there behind strangers, while other engines have places free.
@@ -76,9 +76,9 @@
 
 /// What matters of a request to where it goes.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceRequest {
+pub struct SelectionRequest {
     /// Key of the text that it shares with others; nothing where it shares none.
-    pub shared_text: Option<u64>,
+    pub shared_prefix: Option<u64>,
     /// A draw between 0 and 1, for choices that nothing else decides.
     pub draw: f64,
 }
@@ -98,23 +98,24 @@
 /// its order. Answers the loads of a site with many shared texts, a few of them very busy, whose
 /// engines come and go.
 pub fn choose_engine(
-    candidates: &[PlaceCandidate<'_>],
-    request: PlaceRequest,
-    settings: &PlaceSettings,
+    candidates: &[SelectionCandidate<'_>],
+    request: SelectionRequest,
+    settings: &SelectionSettings,
 ) -> Option<EndpointKey> {
     let well = well_candidates(candidates);
     let mean = mean_load(&well);
     // The bound is a multiple of the mean of all, those among them that get nothing now.
-    let highest = mean_load(candidates) * settings.hold_multiple;
-    let text = request.shared_text.unwrap_or(request.draw.to_bits());
-    let rank = |candidate: &PlaceCandidate<'_>| xxh3_64_with_seed(candidate.name.as_bytes(), text);
-    let is_below = |candidate: &PlaceCandidate<'_>, multiple: f64| {
+    let highest = mean_load(candidates) * settings.holder_load_multiple;
+    let text = request.shared_prefix.unwrap_or(request.draw.to_bits());
+    let rank =
+        |candidate: &SelectionCandidate<'_>| xxh3_64_with_seed(candidate.name.as_bytes(), text);
+    let is_below = |candidate: &SelectionCandidate<'_>, multiple: f64| {
         f64::from(candidate.load) <= (mean * multiple).min(highest) + settings.load_slack
     };
-    let holders = well.iter().filter(|candidate| candidate.holds_text);
+    let holders = well.iter().filter(|candidate| candidate.holds_prefix);
     let open: Vec<_> = holders
         .filter(|candidate| candidate.has_room())
-        .filter(|candidate| is_below(candidate, settings.hold_multiple))
+        .filter(|candidate| is_below(candidate, settings.holder_load_multiple))
         .collect();
     let holder = emptier_of_two(&open, request.draw);
     let first = || {
@@ -128,7 +129,7 @@
     chosen.map(|candidate| candidate.key)
 }
 
-fn mean_load(candidates: &[PlaceCandidate<'_>]) -> f64 {
+fn mean_load(candidates: &[SelectionCandidate<'_>]) -> f64 {
     let total: u32 = candidates.iter().map(|candidate| candidate.load).sum();
     f64::from(total) / candidates.len().max(1) as f64
 }
@@ -138,9 +139,9 @@
 /// Edges know of each other's requests a quarter of a second late. If all took the emptiest holder
 /// of a busy text, it would be the fullest by then; two drawn ones spread the rush.
 fn emptier_of_two<'a, 'b>(
-    open: &[&'a PlaceCandidate<'b>],
+    open: &[&'a SelectionCandidate<'b>],
     draw: f64,
-) -> Option<&'a PlaceCandidate<'b>> {
+) -> Option<&'a SelectionCandidate<'b>> {
     let count = open.len();
     let one = (draw * count as f64) as usize;
     let rest = (draw * count as f64).fract();
@@ -160,8 +161,8 @@
 /// no guide: all would go for the replica that was emptiest then. Near replicas are not preferred,
 /// for a domain that has one would fill it while others stand idle.
 pub fn choose_replica(
-    candidates: &[PlaceCandidate<'_>],
-    request: PlaceRequest,
+    candidates: &[SelectionCandidate<'_>],
+    request: SelectionRequest,
 ) -> Option<EndpointKey> {
     let well = well_candidates(candidates);
     let offset = (request.draw * well.len() as f64) as usize;
@@ -172,12 +173,12 @@
 }
 
 /// The candidates without those that fail often, unless all do.
-fn well_candidates<'a>(candidates: &[PlaceCandidate<'a>]) -> Vec<PlaceCandidate<'a>> {
-    are_well(candidates, |candidate| candidate.failing)
+fn well_candidates<'a>(candidates: &[SelectionCandidate<'a>]) -> Vec<SelectionCandidate<'a>> {
+    healthy_ones(candidates, |candidate| candidate.failure_rate)
 }
 
 /// Those that do not fail often, unless most do; `failing` is the share of failures of one.
-pub(crate) fn are_well<T>(all: &[T], failing: impl Fn(&T) -> f64) -> Vec<T>
+pub(crate) fn healthy_ones<T>(all: &[T], failing: impl Fn(&T) -> f64) -> Vec<T>
 where
     T: Copy,
 {
@@ -192,7 +193,7 @@
 }
 
 /// Key of a text that is made of parts, all but the last of them shared.
-pub fn shared_key(parts: &[u64]) -> Option<u64> {
+pub fn shared_prefix_key(parts: &[u64]) -> Option<u64> {
     let (_, shared) = parts.split_last()?;
     let last = shared.last()?;
     Some(*last)
--- a/crates/ragwortroad_dispatch/src/endpoint_table.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_table.rs
@@ -33,30 +33,30 @@
 /// announcements to find another one. Removing them at once would leave a site without endpoints
 /// whenever all registries restart; an endpoint that is really gone is noticed by the requests
 /// that fail there, within one of them.
-const ORPHAN_TIME: Duration = Duration::from_secs(8);
+const ORPHAN_TTL: Duration = Duration::from_secs(8);
 
 /// How long an endpoint stays known whose registry has missed its announcements.
 ///
 /// It has been silent for several intervals then; this is for one that turned to another registry
 /// a moment ago.
-const LOST_TIME: Duration = Duration::from_millis(1500);
+const LOST_TTL: Duration = Duration::from_millis(1500);
 
 /// How long it stays known that an incarnation has left; late announcements are older than that.
-const FAREWELL_MEMORY: Duration = Duration::from_secs(60);
+const GOODBYE_TTL: Duration = Duration::from_secs(60);
 
 /// What an edge knows of endpoints, merged from all registries.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     names: BTreeMap<String, EndpointKey>,
     tags: BTreeMap<EndpointTag, EndpointKey>,
-    entries: BTreeMap<EndpointKey, KnownEndpoint>,
+    entries: BTreeMap<EndpointKey, EndpointEntry>,
     next_key: u32,
 }
 
 #[derive(Debug)]
-struct KnownEndpoint {
+struct EndpointEntry {
     record: EndpointRecord,
-    /// Registries that vouch for it.
+    /// Registries that add_holder for it.
     holders: BTreeSet<SourceKey>,
     /// Since when nobody vouches for it, or it is known to be gone.
     unheld_since: Option<ClockTime>,
@@ -65,14 +65,14 @@
     /// When it is warm, by its own word.
     warm_at: ClockTime,
     /// Until when it counts as warming up whatever it said, since its domain was drained.
-    returning_until: ClockTime,
+    undrain_warmup_until: ClockTime,
 }
 
 /// What an update has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointChange {
     /// Nothing that matters to requests.
-    Same,
+    Unchanged,
     /// It is new, or started anew.
     Started(EndpointKey),
     /// It takes no new work any more.
@@ -83,28 +83,28 @@
 
 impl EndpointTable {
     /// Takes what `source` heard from an endpoint itself.
-    pub fn told(
+    pub fn apply_record(
         &mut self,
         source: SourceKey,
         record: EndpointRecord,
         now: ClockTime,
     ) -> EndpointChange {
-        self.end_former(&record, now);
+        self.retire_predecessors(&record, now);
         let Some(&key) = self.names.get(&record.name) else {
             return self.insert(source, record, now);
         };
         let Some(entry) = self.entries.get_mut(&key) else {
-            return EndpointChange::Same;
+            return EndpointChange::Unchanged;
         };
         // A registry may know of a goodbye and of fewer announcements than others: the goodbye
         // is the later word all the same.
         let same_start = record.started_ms == entry.record.started_ms;
-        let is_farewell = same_start && record.stage == EndpointStage::Gone;
-        if is_outdated(&entry.record, &record) && !is_farewell {
+        let is_goodbye = same_start && record.stage == EndpointStage::Gone;
+        if is_outdated(&entry.record, &record) && !is_goodbye {
             if same_start {
-                entry.vouch(source);
+                entry.add_holder(source);
             }
-            return EndpointChange::Same;
+            return EndpointChange::Unchanged;
         }
         let restarted = record.started_ms > entry.record.started_ms;
         let before = entry.record.stage;
@@ -119,7 +119,7 @@
             (false, true) => EndpointChange::Started(key),
             (true, true) if restarted => EndpointChange::Started(key),
             (true, true) => EndpointChange::Changed(key),
-            (false, false) => EndpointChange::Same,
+            (false, false) => EndpointChange::Unchanged,
         }
     }
 
@@ -135,23 +135,23 @@
         self.names.insert(record.name.clone(), key);
         let ready = record.stage == EndpointStage::Ready;
         let gone = record.stage == EndpointStage::Gone;
-        let entry = KnownEndpoint {
+        let entry = EndpointEntry {
             warm_at: warm_at(&record, now),
             record,
             holders: BTreeSet::from([source]),
             unheld_since: gone.then_some(now),
             is_lost: false,
-            returning_until: ClockTime::ZERO,
+            undrain_warmup_until: ClockTime::ZERO,
         };
         self.entries.insert(key, entry);
         match ready {
             true => EndpointChange::Started(key),
-            false => EndpointChange::Same,
+            false => EndpointChange::Unchanged,
         }
     }
 
     /// `source` has not heard of an endpoint for too long.
-    pub fn lost(&mut self, source: SourceKey, name: &str, now: ClockTime) {
+    pub fn mark_lost(&mut self, source: SourceKey, name: &str, now: ClockTime) {
         let key = self.names.get(name);
         if let Some(entry) = key.and_then(|key| self.entries.get_mut(key)) {
             entry.holders.remove(&source);
@@ -161,7 +161,7 @@
     }
 
     /// Another endpoint has answered at the address of this one: this incarnation is gone.
-    pub fn refute(&mut self, key: EndpointKey, now: ClockTime) {
+    pub fn mark_replaced(&mut self, key: EndpointKey, now: ClockTime) {
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.record.stage = EndpointStage::Gone;
             entry.unheld_since = Some(now);
@@ -171,16 +171,16 @@
     /// Ends what was at the address of an endpoint that has started later.
     ///
     /// An endpoint that crashed comes back at its address within a second or two under a new name.
-    /// Its former name goes on being known until announcements are missed; each request sent to it
+    /// Its predecessor name goes on being known until announcements are missed; each request sent to it
     /// meanwhile is turned down, and costs its caller one of few attempts.
-    fn end_former(&mut self, record: &EndpointRecord, now: ClockTime) {
+    fn retire_predecessors(&mut self, record: &EndpointRecord, now: ClockTime) {
         for entry in self.entries.values_mut() {
-            let former = &entry.record;
-            let is_former = former.address == record.address
-                && former.name != record.name
-                && former.started_ms < record.started_ms
-                && former.stage != EndpointStage::Gone;
-            if is_former {
+            let predecessor = &entry.record;
+            let is_predecessor = predecessor.address == record.address
+                && predecessor.name != record.name
+                && predecessor.started_ms < record.started_ms
+                && predecessor.stage != EndpointStage::Gone;
+            if is_predecessor {
                 entry.record.stage = EndpointStage::Gone;
                 entry.unheld_since = Some(now);
             }
@@ -189,33 +189,33 @@
 
     /// Takes it that the endpoints of a domain warm up until `until`: it is no longer drained, and
     /// they may have gone cold without work and have yet to say so.
-    pub fn return_domain(&mut self, domain: &str, until: ClockTime) {
+    pub fn undrain_domain(&mut self, domain: &str, until: ClockTime) {
         let entries = self.entries.values_mut();
         for entry in entries.filter(|entry| entry.record.zone == domain) {
-            entry.returning_until = until;
+            entry.undrain_warmup_until = until;
         }
     }
 
     /// Whether an endpoint warms up.
     pub fn is_warming(&self, key: EndpointKey, now: ClockTime) -> bool {
         let entry = self.entries.get(&key);
-        entry.is_some_and(|entry| now < entry.warm_at.max(entry.returning_until))
+        entry.is_some_and(|entry| now < entry.warm_at.max(entry.undrain_warmup_until))
     }
 
     /// An endpoint said goodbye at some registry.
-    pub fn said_goodbye(&mut self, name: &str, now: ClockTime) -> EndpointChange {
+    pub fn apply_goodbye(&mut self, name: &str, now: ClockTime) -> EndpointChange {
         let Some(&key) = self.names.get(name) else {
-            return EndpointChange::Same;
+            return EndpointChange::Unchanged;
         };
         let Some(entry) = self.entries.get_mut(&key) else {
-            return EndpointChange::Same;
+            return EndpointChange::Unchanged;
         };
         let was_ready = entry.record.stage == EndpointStage::Ready;
         entry.record.stage = EndpointStage::Gone;
         entry.unheld_since = Some(now);
         match was_ready {
             true => EndpointChange::Stopped(key),
-            false => EndpointChange::Same,
+            false => EndpointChange::Unchanged,
         }
     }
 
@@ -233,9 +233,9 @@
         let mut forgotten = Vec::new();
         self.entries.retain(|&key, entry| {
             let limit = match entry.record.stage {
-                EndpointStage::Gone => FAREWELL_MEMORY,
-                _ if entry.is_lost => LOST_TIME,
-                _ => ORPHAN_TIME,
+                EndpointStage::Gone => GOODBYE_TTL,
+                _ if entry.is_lost => LOST_TTL,
+                _ => ORPHAN_TTL,
             };
             let keep = entry
                 .unheld_since
@@ -286,13 +286,13 @@
     }
 }
 
-impl KnownEndpoint {
+impl EndpointEntry {
     /// A registry hears from this incarnation, though what it says of it is known already.
     ///
     /// It tells nothing more while the endpoint says the same. Left out among the holders, it would
     /// not count when the registry that had the later word misses the endpoint: one edge would give
     /// up all endpoints for good, and refuse its callers while the other edges serve theirs.
-    fn vouch(&mut self, source: SourceKey) {
+    fn add_holder(&mut self, source: SourceKey) {
         if self.record.stage == EndpointStage::Gone {
             return;
         }
--- a/crates/ragwortroad_dispatch/src/answer_patience.rs
+++ b/crates/ragwortroad_dispatch/src/first_byte_timeout.rs
@@ -14,6 +14,6 @@
 /// An endpoint can take requests and fall silent with its connections up and its health good. All
 /// that goes there would otherwise wait until its caller leaves: of four engines that held back half
 /// of their answers for five seconds, 83 callers got nothing whom others could have served.
-pub fn answer_patience(target: Duration, time_left: Duration) -> Duration {
+pub fn first_byte_timeout(target: Duration, time_left: Duration) -> Duration {
     (target * AIM_MULTIPLE).min(time_left / TIME_PART)
 }
--- a/crates/ragwortroad_dispatch/src/fleet_load.rs
+++ b/crates/ragwortroad_dispatch/src/fleet_load.rs
@@ -1,8 +1,8 @@
-use crate::place_choice::are_well;
+use crate::endpoint_selection::healthy_ones;
 
 /// One endpoint of a service, for the service's load.
 #[derive(Clone, Copy, Debug)]
-pub struct EndpointShare {
+pub struct EndpointUsage {
     /// Requests that it works on at once.
     pub slots: u32,
     /// Requests there of all edges, this one's among them.
@@ -10,7 +10,7 @@
     /// Requests of this edge there as it told them for that total.
     pub own: u32,
     /// Share of its requests that failed lately, from 0 to 1.
-    pub failing: f64,
+    pub failure_rate: f64,
 }
 
 /// What one edge knows of all requests at the endpoints of one service, at one moment.
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetLoad {
     /// Requests that the endpoints carry well together.
-    pub room: f64,
+    pub capacity: f64,
     /// Requests of all edges, this one's among them.
     pub total: u32,
     /// Requests of this edge as it told them for that total.
@@ -59,19 +59,19 @@
     ///
     /// Only endpoints that are chosen count. If the places of engines that fail were filled too, the
     /// requests for them would all queue at the others.
-    pub fn of(endpoints: &[EndpointShare], edges: u32) -> Option<Self> {
-        let well = are_well(endpoints, |endpoint| endpoint.failing);
+    pub fn of(endpoints: &[EndpointUsage], edges: u32) -> Option<Self> {
+        let well = healthy_ones(endpoints, |endpoint| endpoint.failure_rate);
         let start = Self {
             edges,
             ..Self::default()
         };
         let load = well.iter().fold(start, |sum, endpoint| Self {
-            room: sum.room + f64::from(endpoint.slots),
+            capacity: sum.capacity + f64::from(endpoint.slots),
             total: sum.total + endpoint.total,
             own: sum.own + endpoint.own,
             edges,
         });
-        (load.room > 0.0).then_some(load)
+        (load.capacity > 0.0).then_some(load)
     }
 
     /// Requests that this edge may have under way, so that all edges together fill the room.
@@ -83,7 +83,7 @@
     /// the work is done for nobody.
     pub fn own_limit(&self) -> f64 {
         let edges = f64::from(self.edges.max(1));
-        let room = self.room * FILLED_PART;
+        let room = self.capacity * FILLED_PART;
         let total = f64::from(self.total.max(self.own));
         let equal = total / edges;
         let present = equal * EQUAL_PART + f64::from(self.own) * (1.0 - EQUAL_PART);
--- a/crates/ragwortroad_dispatch/src/lib.rs
+++ b/crates/ragwortroad_dispatch/src/lib.rs
@@ -8,39 +8,39 @@
 
 mod address_choice;
 mod admission_gate;
-mod answer_patience;
-mod come_back;
-mod config_demand;
+mod admission_ratio;
 mod config_fault;
 mod config_fetch;
+mod config_request;
 mod copy_queue;
+mod deadline_estimate;
 mod domain_drains;
 mod domain_reach;
 mod edge_directory;
-mod edge_gathering;
+mod edge_discovery;
 mod edge_view;
 mod endpoint_load;
 mod endpoint_record;
+mod endpoint_selection;
 mod endpoint_table;
+mod first_byte_timeout;
 mod fleet_load;
 mod home_choice;
 mod latency_limit;
 mod load_totals;
-mod place_board;
-mod place_choice;
-mod placed_text;
-mod rank_share;
+mod location_log;
+mod pending_locations;
+mod prefix_location;
+mod prefix_source;
+mod prefix_table;
 mod registry_table;
+mod retry_after;
 mod retry_budget;
 mod route_map;
 mod send_pace;
 mod site_config;
 mod start_wait;
-mod stray_places;
-mod text_source;
-mod text_table;
 mod update_queue;
-mod usual_patience;
 mod voter_plan;
 mod warmup_pace;
 mod warmup_share;
@@ -49,29 +49,28 @@
 pub mod prelude {
     pub use crate::{
         address_choice::{
-            answer_life,
+            answer_ttl,
             choose_addresses, //
         },
         admission_gate::{
+            AdmissionDecision,
             AdmissionGate,
-            GateAnswer,
-            GateOffer,
-            WaitTicket,
-            gate_patience, //
-        },
-        answer_patience::answer_patience,
-        come_back::come_back_time,
-        config_demand::ConfigDemand,
+            AdmissionRequest,
+            QueueTicket,
+            max_queue_time, //
+        },
         config_fault::ConfigFault,
         config_fetch::{
             ConfigFetch,
             ConfigSource, //
         },
+        config_request::ConfigRequest,
         copy_queue::{
             CopyPlan,
             CopyQueue,
             CopyReferral, //
         },
+        deadline_estimate::DeadlineEstimate,
         domain_drains::{
             DomainDrains,
             DrainOrder,
@@ -79,9 +78,9 @@
         },
         domain_reach::DomainReach,
         edge_directory::EdgeDirectory,
-        edge_gathering::{
-            DirectoryGap,
-            EdgeGathering, //
+        edge_discovery::{
+            DirectoryError,
+            EdgeDiscovery, //
         },
         edge_view::EdgeView,
         endpoint_load::{
@@ -92,14 +91,23 @@
             EndpointRecord,
             EndpointStage, //
         },
+        endpoint_selection::{
+            SelectionCandidate,
+            SelectionRequest,
+            SelectionSettings,
+            choose_engine,
+            choose_replica,
+            shared_prefix_key, //
+        },
         endpoint_table::{
             EndpointChange,
             EndpointKey,
             EndpointTable,
             SourceKey, //
         },
+        first_byte_timeout::first_byte_timeout,
         fleet_load::{
-            EndpointShare,
+            EndpointUsage,
             FleetLoad,
             usable_slots, //
         },
@@ -115,40 +123,39 @@
             LoadCount,
             LoadSource,
             LoadTotals,
-            load_pace, //
-        },
-        place_board::{
-            PlaceBatch, //
-            PlaceBoard,
-            PlaceOrigin,
-            PlaceReader,
-        },
-        place_choice::{
-            PlaceCandidate,
-            PlaceRequest,
-            PlaceSettings,
-            choose_engine,
-            choose_replica,
-            shared_key, //
+            load_interval_factor, //
+        },
+        location_log::{
+            LocationBatch, //
+            LocationLog,
+            LocationOrigin,
+            LocationReader,
+        },
+        pending_locations::PendingLocations,
+        prefix_location::PrefixLocation,
+        prefix_source::{
+            PrefixSource,
+            choose_source, //
         },
-        placed_text::PlacedText,
+        prefix_table::PrefixTable,
         registry_table::{
             RegistryChange,
             RegistryTable,
-            return_warmup, //
+            undrain_warmup, //
         },
+        retry_after::retry_after_delay,
         retry_budget::{
             BudgetSettings,
             RetryBudget, //
         },
         route_map::{
             CustomerKey,
-            FullRank,
+            RequestRank,
             RouteKey,
             RouteMap, //
         },
         send_pace::{
-            SPREAD_EVERY,
+            SPREAD_INTERVAL,
             SendPace, //
         },
         site_config::{
@@ -162,19 +169,12 @@
             SiteConfig, //
         },
         start_wait::{
-            start_left,
+            remaining_start_time,
             start_wait, //
         },
-        stray_places::StrayPlaces,
-        text_source::{
-            TextSource,
-            choose_source, //
-        },
-        text_table::TextTable,
         update_queue::UpdateQueue,
-        usual_patience::UsualPatience,
         voter_plan::{
-            MemberSighting,
+            MemberStatus,
             VoterPlan,
             VoterSettings, //
         },
--- a/crates/ragwortroad_dispatch/src/load_totals.rs
+++ b/crates/ragwortroad_dispatch/src/load_totals.rs
@@ -51,7 +51,7 @@
 const EDGES_AT_FULL_PACE: u32 = 100;
 
 /// How many times rarer loads are told than by a few edges.
-pub fn load_pace(edges: u32) -> u32 {
+pub fn load_interval_factor(edges: u32) -> u32 {
     edges.div_ceil(EDGES_AT_FULL_PACE).max(1)
 }
 
@@ -126,7 +126,7 @@
 
 impl LoadTotals {
     /// Takes counts of a source that have changed.
-    pub fn take(&mut self, source: LoadSource, counts: &[LoadCount]) {
+    pub fn update(&mut self, source: LoadSource, counts: &[LoadCount]) {
         let known = self.sources.entry(source).or_default();
         for change in counts {
             let before = match change.count {
@@ -157,7 +157,7 @@
     }
 
     /// All that the other registries were told, for one that was just reached.
-    pub fn own_told(&self) -> Vec<LoadCount> {
+    pub fn own_published(&self) -> Vec<LoadCount> {
         load_counts(&self.report.told)
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// All that this registry's edges were told, for one that has just come.
-    pub fn told(&self) -> Vec<LoadCount> {
+    pub fn published(&self) -> Vec<LoadCount> {
         load_counts(&self.told)
     }
 }
--- a/crates/ragwortroad_dispatch/src/place_board.rs
+++ b/crates/ragwortroad_dispatch/src/location_log.rs
@@ -10,7 +10,7 @@
 
 use ragwortroad_types::prelude::*;
 
-use crate::PlacedText;
+use crate::PrefixLocation;
 
 /// Places remembered for edges that start; each takes some dozen bytes on a link.
 const MAX_PLACES: usize = 4000;
@@ -35,7 +35,7 @@
 
 /// Who is told places by a registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum PlaceReader {
+pub enum LocationReader {
     /// An edge that takes the registry for its home, by the number of its connection.
     Edge(u64),
     /// Another registry, which is told only what this one heard from edges itself.
@@ -44,7 +44,7 @@
 
 /// Who told a registry of places.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlaceOrigin {
+pub enum LocationOrigin {
     /// An edge, which has just placed them; the other registries are still to be told.
     Edge,
     /// Another registry, which tells all others itself.
@@ -53,11 +53,11 @@
 
 /// Places that several readers are to be told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlaceBatch {
+pub struct LocationBatch {
     /// Who.
-    pub readers: Vec<PlaceReader>,
+    pub readers: Vec<LocationReader>,
     /// What.
-    pub places: Vec<PlacedText>,
+    pub locations: Vec<PrefixLocation>,
 }
 
 /// Where edges have placed texts, as one registry knows it, and whom it has told how much.
@@ -67,15 +67,15 @@
 /// places, and none sends them to the whole fleet. Each reader is told at the pace of the link
 /// from where it has got to; one that is new starts with the oldest.
 #[derive(Debug)]
-pub struct PlaceBoard {
+pub struct LocationLog {
     /// The newest last.
-    log: VecDeque<BoardEntry>,
+    log: VecDeque<LocationEntry>,
     /// Number of the first entry of the log.
     first: u64,
     /// When each place was put into the log last.
-    noted: HashMap<PlacedText, ClockTime>,
+    noted: HashMap<PrefixLocation, ClockTime>,
     /// Number of the entry that each reader is told next.
-    readers: BTreeMap<PlaceReader, u64>,
+    readers: BTreeMap<LocationReader, u64>,
     /// When some edge was asked for all that it knows; nothing before.
     asked_at: Option<ClockTime>,
     /// Whether an edge has answered that.
@@ -86,12 +86,12 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct BoardEntry {
-    place: PlacedText,
-    origin: PlaceOrigin,
+struct LocationEntry {
+    place: PrefixLocation,
+    origin: LocationOrigin,
 }
 
-impl PlaceBoard {
+impl LocationLog {
     /// A board on which nothing is known.
     pub fn new(now: ClockTime) -> Self {
         Self {
@@ -107,14 +107,14 @@
     }
 
     /// Takes where texts were placed; what was told a moment ago is not told again.
-    pub fn take(&mut self, placed: &[PlacedText], origin: PlaceOrigin, now: ClockTime) {
+    pub fn add(&mut self, placed: &[PrefixLocation], origin: LocationOrigin, now: ClockTime) {
         for &place in placed {
             let noted_at = self.noted.get(&place);
             if noted_at.is_some_and(|noted_at| now.since(*noted_at) < SPREAD_TIME) {
                 continue;
             }
             self.noted.insert(place, now);
-            self.log.push_back(BoardEntry { place, origin });
+            self.log.push_back(LocationEntry { place, origin });
             self.is_unkept = true;
         }
         self.trim();
@@ -124,7 +124,7 @@
     ///
     /// Edges tell only what is new. A registry that has lost its disk would keep a dozen places of a
     /// thousand; after a common loss of power its edges would have all other texts read anew.
-    pub fn wants_all(&mut self, now: ClockTime) -> bool {
+    pub fn should_request_all(&mut self, now: ClockTime) -> bool {
         let is_awaited = self
             .asked_at
             .is_some_and(|asked_at| now.since(asked_at) < ASK_AGAIN);
@@ -136,14 +136,14 @@
     }
 
     /// Takes all that an edge knows: older than what was heard since, and known to the other edges.
-    pub fn take_whole(&mut self, places: Vec<PlacedText>, now: ClockTime) {
+    pub fn add_snapshot(&mut self, places: Vec<PrefixLocation>, now: ClockTime) {
         self.is_whole = true;
         self.is_unkept |= !places.is_empty();
         self.put_before(places, now);
     }
 
     /// Takes what an earlier process has kept: older than all that was heard since.
-    pub fn take_found(&mut self, found: Vec<PlacedText>, now: ClockTime) {
+    pub fn add_stored(&mut self, found: Vec<PrefixLocation>, now: ClockTime) {
         self.put_before(found, now);
         // Edges connect while the disk is read, and have been told nothing of this.
         for next in self.readers.values_mut() {
@@ -151,10 +151,10 @@
         }
     }
 
-    fn put_before(&mut self, older: Vec<PlacedText>, now: ClockTime) {
-        let origin = PlaceOrigin::Registry;
+    fn put_before(&mut self, older: Vec<PrefixLocation>, now: ClockTime) {
+        let origin = LocationOrigin::Registry;
         for place in older.into_iter().rev() {
-            self.log.push_front(BoardEntry { place, origin });
+            self.log.push_front(LocationEntry { place, origin });
             self.first -= 1;
             self.noted.entry(place).or_insert(now);
         }
@@ -171,51 +171,52 @@
     }
 
     /// Adds someone who is told all places from now on, the known ones first.
-    pub fn add_reader(&mut self, reader: PlaceReader) {
+    pub fn add_reader(&mut self, reader: LocationReader) {
         self.readers.insert(reader, self.first);
     }
 
     /// Tells someone nothing more.
-    pub fn drop_reader(&mut self, reader: PlaceReader) {
+    pub fn drop_reader(&mut self, reader: LocationReader) {
         self.readers.remove(&reader);
     }
 
     /// Number of those who are told.
-    pub fn readers(&self) -> usize {
+    pub fn reader_count(&self) -> usize {
         self.readers.len()
     }
 
     /// What is to be told now, up to `most` places to each reader, and notes that it was.
-    pub fn tell(&mut self, most: usize) -> Vec<PlaceBatch> {
+    pub fn next_batches(&mut self, most: usize) -> Vec<LocationBatch> {
         let end = self.first + self.log.len() as u64;
-        let mut groups: BTreeMap<(u64, bool), Vec<PlaceReader>> = BTreeMap::new();
+        let mut groups: BTreeMap<(u64, bool), Vec<LocationReader>> = BTreeMap::new();
         for (&reader, next) in &mut self.readers {
             let start = (*next).max(self.first);
-            let is_registry = matches!(reader, PlaceReader::Registry(_));
+            let is_registry = matches!(reader, LocationReader::Registry(_));
             *next = end.min(start + most as u64);
             if start < end {
                 groups.entry((start, is_registry)).or_default().push(reader);
             }
         }
-        let tellings = groups.into_iter().map(|((start, is_registry), readers)| {
+        let batches = groups.into_iter().map(|((start, is_registry), readers)| {
             let entries = self.log.iter().skip((start - self.first) as usize);
-            let is_due = |entry: &&BoardEntry| !is_registry || entry.origin == PlaceOrigin::Edge;
+            let is_due =
+                |entry: &&LocationEntry| !is_registry || entry.origin == LocationOrigin::Edge;
             let due = entries.take(most).filter(is_due);
-            let places = due.map(|entry| entry.place).collect();
-            PlaceBatch { readers, places }
+            let locations = due.map(|entry| entry.place).collect();
+            LocationBatch { readers, locations }
         });
-        tellings
-            .filter(|telling| !telling.places.is_empty())
+        batches
+            .filter(|batch| !batch.locations.is_empty())
             .collect()
     }
 
     /// All that is known, the newest last.
-    pub fn known(&self) -> Vec<PlacedText> {
+    pub fn known(&self) -> Vec<PrefixLocation> {
         self.log.iter().map(|entry| entry.place).collect()
     }
 
     /// All of it, where the disk lacks some and it is time.
-    pub fn due(&mut self, now: ClockTime) -> Option<Vec<PlacedText>> {
+    pub fn due_write(&mut self, now: ClockTime) -> Option<Vec<PrefixLocation>> {
         if !self.is_unkept || now < self.keep_at {
             return None;
         }
@@ -224,7 +225,7 @@
     }
 
     /// The disk has taken what was due.
-    pub fn note_kept(&mut self) {
+    pub fn note_stored(&mut self) {
         self.is_unkept = false;
     }
 }
--- a/crates/ragwortroad_dispatch/src/stray_places.rs
+++ b/crates/ragwortroad_dispatch/src/pending_locations.rs
@@ -10,16 +10,16 @@
 /// After a common restart the registries tell at once where texts were, but engines announce
 /// themselves again within a second or two. Dropped meanwhile, the places would be told in vain.
 #[derive(Debug, Default)]
-pub struct StrayPlaces {
+pub struct PendingLocations {
     /// Invariant: no text is without an engine.
     texts: HashMap<u64, Vec<EndpointTag>>,
     /// Invariant: places of all texts together.
     count: usize,
 }
 
-impl StrayPlaces {
+impl PendingLocations {
     /// Remembers a text of an engine, while there is room.
-    pub fn keep(&mut self, engine: EndpointTag, text: u64) {
+    pub fn add(&mut self, engine: EndpointTag, text: u64) {
         if self.count >= MAX_STRAYS {
             return;
         }
@@ -31,7 +31,7 @@
     }
 
     /// Whether an engine that was not heard of holds a text.
-    pub fn knows(&self, text: u64) -> bool {
+    pub fn contains(&self, text: u64) -> bool {
         self.texts.contains_key(&text)
     }
 
--- a/crates/ragwortroad_dispatch/src/text_source.rs
+++ b/crates/ragwortroad_dispatch/src/prefix_source.rs
@@ -1,7 +1,7 @@
 use crate::{
     EndpointKey,
     EngineRule,
-    place_choice::FAILING_SHARE, //
+    endpoint_selection::FAILING_SHARE, //
 };
 
 /// Tokens that an engine reads in a millisecond, at the least.
@@ -17,7 +17,7 @@
 
 /// An engine that holds a text which another one lacks.
 #[derive(Clone, Copy, Debug)]
-pub struct TextSource {
+pub struct PrefixSource {
     /// Whom it stands for.
     pub key: EndpointKey,
     /// Whether it is in the failure domain of the engine that lacks the text.
@@ -25,7 +25,7 @@
     /// Requests that are there by the best knowledge here.
     pub load: u32,
     /// Share of its requests that failed lately, from 0 to 1.
-    pub failing: f64,
+    pub failure_rate: f64,
 }
 
 /// The engine from which another one copies `tokens` of shared text, if that is worth it.
@@ -36,7 +36,7 @@
 /// sites with long shared texts whose engines come, go and fill up. A source that leaves is as good
 /// as any: it is there until its own requests are done.
 pub fn choose_source(
-    sources: &[TextSource],
+    sources: &[PrefixSource],
     tokens: u32,
     engine: &EngineRule,
 ) -> Option<EndpointKey> {
@@ -46,7 +46,7 @@
     // An engine that fails requests still has its memory; it is asked where no other one can be.
     // Domains are some milliseconds apart, which counts twice for a transfer.
     let best = sources.iter().min_by_key(|source| {
-        let is_failing = source.failing >= FAILING_SHARE;
+        let is_failing = source.failure_rate >= FAILING_SHARE;
         (is_failing, !source.is_near, source.load, source.key)
     });
     best.map(|source| source.key)
--- a/crates/ragwortroad_dispatch/src/registry_table.rs
+++ b/crates/ragwortroad_dispatch/src/registry_table.rs
@@ -18,16 +18,16 @@
 ///
 /// Endpoints announce themselves about once an interval and try the next registry where one does
 /// not answer within a second; three missed in a row, plus that second, are no accident of timing.
-const MISSED_ANNOUNCEMENTS: u32 = 3;
+const MAX_MISSED_ANNOUNCEMENTS: u32 = 3;
 
 /// Time for an endpoint to find another registry where one did not answer.
-const SEARCH_TIME: Duration = Duration::from_millis(1500);
+const FAILOVER_TIME: Duration = Duration::from_millis(1500);
 
 /// How long it stays known that an incarnation has left.
 ///
 /// An announcement can arrive seconds late; without the note it would bring an endpoint back that
 /// is gone, and requests would run into its closed port. A minute is far beyond such delays.
-const FAREWELL_MEMORY: Duration = Duration::from_secs(60);
+const GOODBYE_TTL: Duration = Duration::from_secs(60);
 
 /// Difference from the time to warm up that edges expect from which they are told of it.
 ///
@@ -37,11 +37,11 @@
 /// Announcements for which an endpoint of a domain that was drained counts as warming up.
 ///
 /// It may have gone cold without work, and says so with one of its next announcements.
-const RETURN_ANNOUNCEMENTS: u32 = 2;
+const UNDRAIN_ANNOUNCEMENTS: u32 = 2;
 
 /// Time for which an endpoint counts as warming up once its domain is no longer drained.
-pub fn return_warmup(announce_every: Duration) -> Duration {
-    announce_every * RETURN_ANNOUNCEMENTS
+pub fn undrain_warmup(announce_every: Duration) -> Duration {
+    announce_every * UNDRAIN_ANNOUNCEMENTS
 }
 
 /// What one registry heard from endpoints itself.
@@ -73,7 +73,7 @@
     }
 
     /// What edges are told now.
-    fn present(&self, now: ClockTime) -> EndpointRecord {
+    fn current_record(&self, now: ClockTime) -> EndpointRecord {
         let warming = self.warm_at.since(now);
         EndpointRecord {
             warming_ms: warming.as_millis() as u32,
@@ -131,14 +131,14 @@
             return None;
         }
         let expected = entry.warm_at.max(now);
-        let is_news = !says_the_same(&entry.record, &record);
+        let is_news = !has_same_content(&entry.record, &record);
         let latest = TableEntry::new(record.clone(), now);
         let is_cooler = latest.warm_at.since(expected) > WARMUP_TOLERANCE;
         let is_warmer = expected.since(latest.warm_at) > WARMUP_TOLERANCE;
         if !is_cooler && !is_warmer {
             let warm_at = entry.warm_at;
             *entry = TableEntry { warm_at, ..latest };
-            return is_news.then(|| RegistryChange::Told(entry.present(now)));
+            return is_news.then(|| RegistryChange::Told(entry.current_record(now)));
         }
         *entry = latest;
         Some(match is_cooler {
@@ -149,8 +149,8 @@
 
     /// Takes it that the endpoints of a domain warm up, since it is no longer drained; tells what
     /// edges must know of it.
-    pub fn return_domain(&mut self, domain: &str, now: ClockTime) -> Vec<RegistryChange> {
-        let warm_at = now.after(return_warmup(self.interval));
+    pub fn undrain_domain(&mut self, domain: &str, now: ClockTime) -> Vec<RegistryChange> {
+        let warm_at = now.after(undrain_warmup(self.interval));
         let entries = self.entries.values_mut();
         let returned = entries.filter(|entry| {
             let is_ready = entry.record.stage == EndpointStage::Ready;
@@ -158,7 +158,7 @@
         });
         let cooled = returned.map(|entry| {
             entry.warm_at = warm_at;
-            RegistryChange::Cooled(entry.present(now))
+            RegistryChange::Cooled(entry.current_record(now))
         });
         cooled.collect()
     }
@@ -167,7 +167,7 @@
     ///
     /// Edges are told also where nothing was heard of it here: another registry may have been the
     /// one it announced itself to, and requests would go on to an endpoint that has left.
-    pub fn leave(&mut self, name: &str, now: ClockTime) -> RegistryChange {
+    pub fn apply_goodbye(&mut self, name: &str, now: ClockTime) -> RegistryChange {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.record.stage = EndpointStage::Gone;
             entry.heard_at = now;
@@ -177,12 +177,12 @@
 
     /// Drops what has not been heard of for too long; tells what edges must know of it.
     pub fn expire(&mut self, now: ClockTime) -> Vec<RegistryChange> {
-        let patience = self.interval * (MISSED_ANNOUNCEMENTS + 1) + SEARCH_TIME;
+        let patience = self.interval * (MAX_MISSED_ANNOUNCEMENTS + 1) + FAILOVER_TIME;
         let mut changes = Vec::new();
         self.entries.retain(|name, entry| {
             let silent = now.since(entry.heard_at);
             if entry.record.stage == EndpointStage::Gone {
-                return silent < FAREWELL_MEMORY;
+                return silent < GOODBYE_TTL;
             }
             if silent < patience {
                 return true;
@@ -195,7 +195,9 @@
 
     /// All that an edge must know when it connects.
     pub fn records(&self, now: ClockTime) -> impl Iterator<Item = EndpointRecord> {
-        self.entries.values().map(move |entry| entry.present(now))
+        self.entries
+            .values()
+            .map(move |entry| entry.current_record(now))
     }
 }
 
@@ -208,11 +210,11 @@
     record.freshness() < known.freshness()
 }
 
-fn says_the_same(known: &EndpointRecord, record: &EndpointRecord) -> bool {
-    let renumbered = EndpointRecord {
+fn has_same_content(known: &EndpointRecord, record: &EndpointRecord) -> bool {
+    let comparable = EndpointRecord {
         sequence: known.sequence,
         warming_ms: known.warming_ms,
         ..record.clone()
     };
-    *known == renumbered
+    *known == comparable
 }
--- a/crates/ragwortroad_dispatch/src/come_back.rs
+++ b/crates/ragwortroad_dispatch/src/retry_after.rs
@@ -20,7 +20,7 @@
 /// A load that has been too much for a while will be so for about as long again, and callers come
 /// back once or twice only: one that returns too soon is refused for good. So it is sent away for as
 /// long as requests have been refused (`shedding`), within what it has left.
-pub fn come_back_time(shedding: Duration, time_left: Duration, draw: f64) -> Duration {
+pub fn retry_after_delay(shedding: Duration, time_left: Duration, draw: f64) -> Duration {
     let (least, most) = DRAWN_PARTS;
     let drawn = (LEAST_TIME + shedding).mul_f64(least + (most - least) * draw);
     let longest = time_left.mul_f64(LONGEST_PART);
--- a/crates/ragwortroad_dispatch/src/retry_budget.rs
+++ b/crates/ragwortroad_dispatch/src/retry_budget.rs
@@ -64,7 +64,7 @@
     }
 
     /// Notes a request that came for the service.
-    pub fn earn(&mut self, edges: u32, now: ClockTime) {
+    pub fn deposit(&mut self, edges: u32, now: ClockTime) {
         let elapsed = now.since(self.filled_at).as_secs_f64();
         let window = self.settings.window.as_secs_f64();
         let slack = self.slack_part(edges);
@@ -77,7 +77,7 @@
     }
 
     /// Takes one repeat out, if there is one.
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         let has_one = self.balance >= 1.0;
         if has_one {
             self.balance -= 1.0;
--- a/crates/ragwortroad_dispatch/src/route_map.rs
+++ b/crates/ragwortroad_dispatch/src/route_map.rs
@@ -18,7 +18,7 @@
 /// Operators give most customers the same rank, which hides those of the routes: without the second
 /// part a tag of half a second would take the place of a draft, and the other way round.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct FullRank {
+pub struct RequestRank {
     /// The customer's rank, or the route's where the customer has none.
     pub declared: u8,
     /// The route's rank.
@@ -87,7 +87,7 @@
     }
 
     /// Whether requests need a key at all.
-    pub fn asks_for_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         self.config.customers.is_some()
     }
 
@@ -103,8 +103,8 @@
     }
 
     /// Urgency of a request, also among requests of customers that are equally urgent.
-    pub fn full_rank(&self, route: RouteKey, customer: Option<CustomerKey>) -> FullRank {
-        FullRank {
+    pub fn request_rank(&self, route: RouteKey, customer: Option<CustomerKey>) -> RequestRank {
+        RequestRank {
             declared: self.rank(route, customer),
             route: self.route(route).rank,
         }
--- a/crates/ragwortroad_dispatch/src/send_pace.rs
+++ b/crates/ragwortroad_dispatch/src/send_pace.rs
@@ -11,16 +11,16 @@
     /// Bytes a second that the link carries.
     pub link_rate: f64,
     /// Part of the link that this kind may take in the long run.
-    pub part: f64,
+    pub link_share: f64,
     /// Time for which one message to all may fill the link.
-    pub longest_burst: Duration,
+    pub max_burst: Duration,
 }
 
 /// Time between two messages with loads, and with places of texts.
 ///
 /// An edge that does not know of a place yet finds the same one by its hash unless engines have come
 /// or gone.
-pub const SPREAD_EVERY: Duration = Duration::from_millis(200);
+pub const SPREAD_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Part of a registry's link that loads may take.
 ///
@@ -54,48 +54,48 @@
 
 impl SendPace {
     /// The pace of loads.
-    pub fn of_loads(link_rate: f64) -> Self {
+    pub fn for_loads(link_rate: f64) -> Self {
         Self {
             link_rate,
-            part: LOADS_PART,
-            longest_burst: SPREAD_BURST,
+            link_share: LOADS_PART,
+            max_burst: SPREAD_BURST,
         }
     }
 
     /// The pace of places of texts.
-    pub fn of_places(link_rate: f64) -> Self {
+    pub fn for_locations(link_rate: f64) -> Self {
         Self {
-            part: PLACES_PART,
-            ..Self::of_loads(link_rate)
+            link_share: PLACES_PART,
+            ..Self::for_loads(link_rate)
         }
     }
 
     /// The pace of whole configurations.
-    pub fn of_configs(link_rate: f64) -> Self {
+    pub fn for_configs(link_rate: f64) -> Self {
         Self {
-            part: CONFIGS_PART,
-            ..Self::of_loads(link_rate)
+            link_share: CONFIGS_PART,
+            ..Self::for_loads(link_rate)
         }
     }
 
     /// The pace of endpoints' updates that can wait.
-    pub fn of_updates(link_rate: f64) -> Self {
+    pub fn for_updates(link_rate: f64) -> Self {
         Self {
             link_rate,
-            part: UPDATES_PART,
-            longest_burst: UPDATES_BURST,
+            link_share: UPDATES_PART,
+            max_burst: UPDATES_BURST,
         }
     }
 
     /// Items that each of `receivers` may be sent at once, at `item_bytes` each; one at least.
-    pub fn items_at_once(&self, receivers: usize, item_bytes: f64) -> usize {
-        let bytes = self.link_rate * self.longest_burst.as_secs_f64();
+    pub fn max_batch_items(&self, receivers: usize, item_bytes: f64) -> usize {
+        let bytes = self.link_rate * self.max_burst.as_secs_f64();
         let items = bytes / item_bytes / receivers.max(1) as f64;
         (items as usize).max(1)
     }
 
     /// Time until the next message after one of `bytes`, all receivers together.
-    pub fn span(&self, bytes: usize) -> Duration {
-        Duration::from_secs_f64(bytes as f64 / (self.link_rate * self.part))
+    pub fn delay_after(&self, bytes: usize) -> Duration {
+        Duration::from_secs_f64(bytes as f64 / (self.link_rate * self.link_share))
     }
 }
--- a/crates/ragwortroad_dispatch/src/site_config.rs
+++ b/crates/ragwortroad_dispatch/src/site_config.rs
@@ -157,7 +157,7 @@
         for route in &self.routes {
             check_route(route, &services)?;
             if !places.insert((&route.host, &route.path_prefix)) {
-                return Err(ConfigFault::SamePlace {
+                return Err(ConfigFault::DuplicateRoute {
                     route: route.name.clone(),
                 });
             }
--- a/crates/ragwortroad_dispatch/src/update_queue.rs
+++ b/crates/ragwortroad_dispatch/src/update_queue.rs
@@ -17,7 +17,7 @@
 pub struct UpdateQueue {
     urgent: Vec<RegistryChange>,
     /// Invariant: nothing here is older than what `urgent` says of the same endpoint.
-    calm: BTreeMap<String, RegistryChange>,
+    deferrable: BTreeMap<String, RegistryChange>,
 }
 
 impl UpdateQueue {
@@ -25,11 +25,11 @@
     pub fn push(&mut self, change: RegistryChange) {
         let name = change.name().to_owned();
         // Told after the goodbye, an older announcement would bring the endpoint back.
-        self.calm.remove(&name);
+        self.deferrable.remove(&name);
         match is_urgent(&change) {
             true => self.urgent.push(change),
             false => {
-                self.calm.insert(name, change);
+                self.deferrable.insert(name, change);
             }
         }
     }
@@ -40,10 +40,10 @@
     }
 
     /// Takes up to `count` of what can wait.
-    pub fn take_calm(&mut self, count: usize) -> Vec<RegistryChange> {
+    pub fn take_deferrable(&mut self, count: usize) -> Vec<RegistryChange> {
         let mut taken = Vec::new();
         while taken.len() < count
-            && let Some((_, change)) = self.calm.pop_first()
+            && let Some((_, change)) = self.deferrable.pop_first()
         {
             taken.push(change);
         }
@@ -56,8 +56,8 @@
     }
 
     /// Whether there is something that can wait.
-    pub fn has_calm(&self) -> bool {
-        !self.calm.is_empty()
+    pub fn has_deferrable(&self) -> bool {
+        !self.deferrable.is_empty()
     }
 }
 
--- a/crates/ragwortroad_dispatch/src/voter_plan.rs
+++ b/crates/ragwortroad_dispatch/src/voter_plan.rs
@@ -10,23 +10,23 @@
     ///
     /// Longer than a restart and than an election; a voter that is only cut off for that long
     /// becomes a learner when it is back, which costs one change of members and loses nothing.
-    pub absence: Duration,
+    pub absence_timeout: Duration,
     /// Most voters; more make each change dearer and add no safety that a site asks for.
-    pub most_voters: usize,
+    pub max_voters: usize,
 }
 
 impl Default for VoterSettings {
     fn default() -> Self {
         Self {
-            absence: Duration::from_secs(5),
-            most_voters: 9,
+            absence_timeout: Duration::from_secs(5),
+            max_voters: 9,
         }
     }
 }
 
 /// A registry with a data folder, as the leader knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MemberSighting {
+pub struct MemberStatus {
     /// Identity of its data folder.
     pub member: MemberId,
     /// The VM's place: a folder that was lost leaves its node with another identity.
@@ -56,7 +56,7 @@
         &self,
         members: &MemberSet,
         leader: MemberId,
-        holders: &[MemberSighting],
+        holders: &[MemberStatus],
     ) -> Option<MemberChange> {
         self.remove_replaced(members, leader, holders)
             .or_else(|| self.add_learner(members, holders))
@@ -67,16 +67,16 @@
         &self,
         members: &MemberSet,
         leader: MemberId,
-        holders: &[MemberSighting],
+        holders: &[MemberStatus],
     ) -> Option<MemberChange> {
         let is_replaced = |record: &&MemberRecord| {
-            let newer = |holder: &&MemberSighting| {
+            let newer = |holder: &&MemberStatus| {
                 holder.node == record.node
                     && holder.member != record.member
                     && members.find(holder.member).is_none()
             };
-            let heard = |holder: &MemberSighting| {
-                holder.member == record.member && holder.silent_for < self.settings.absence
+            let heard = |holder: &MemberStatus| {
+                holder.member == record.member && holder.silent_for < self.settings.absence_timeout
             };
             record.member != leader
                 && holders.iter().any(|holder| newer(&holder))
@@ -87,9 +87,9 @@
         Some(MemberChange::Remove { member })
     }
 
-    fn add_learner(&self, members: &MemberSet, holders: &[MemberSighting]) -> Option<MemberChange> {
-        let present = |holder: &&MemberSighting| holder.silent_for < self.settings.absence;
-        let unknown = |holder: &&MemberSighting| members.find(holder.member).is_none();
+    fn add_learner(&self, members: &MemberSet, holders: &[MemberStatus]) -> Option<MemberChange> {
+        let present = |holder: &&MemberStatus| holder.silent_for < self.settings.absence_timeout;
+        let unknown = |holder: &&MemberStatus| members.find(holder.member).is_none();
         let holder = holders.iter().filter(present).find(unknown)?;
         Some(MemberChange::AddLearner {
             member: holder.member,
@@ -101,7 +101,7 @@
         &self,
         members: &MemberSet,
         leader: MemberId,
-        holders: &[MemberSighting],
+        holders: &[MemberStatus],
     ) -> Option<MemberChange> {
         let find = |member| holders.iter().find(|holder| holder.member == member);
         let learners = members.records().iter();
@@ -122,12 +122,12 @@
                 _ => MemberChange::Remove { member },
             });
         }
-        let fits = voters < self.settings.most_voters;
+        let fits = voters < self.settings.max_voters;
         let stays_odd = voters.is_multiple_of(2) || has_second;
         (fits && stays_odd).then_some(MemberChange::Promote { member: heir })
     }
 
-    fn hears(&self, holder: &MemberSighting) -> bool {
-        holder.silent_for < self.settings.absence
+    fn hears(&self, holder: &MemberStatus) -> bool {
+        holder.silent_for < self.settings.absence_timeout
     }
 }
--- a/crates/ragwortroad_dispatch/src/warmup_pace.rs
+++ b/crates/ragwortroad_dispatch/src/warmup_pace.rs
@@ -37,7 +37,7 @@
 
 impl WarmupPace {
     /// Takes a part that a registry gives to this edge.
-    pub fn take(&mut self, share: WarmupShare, now: ClockTime) {
+    pub fn add_share(&mut self, share: WarmupShare, now: ClockTime) {
         let known = self.shares.get(&share.endpoint);
         let next_at = known.map_or(now, |known| known.next_at.max(now));
         let pace = SharePace {
--- a/crates/ragwortroad_dispatch/tests/admission.rs
+++ b/crates/ragwortroad_dispatch/tests/admission.rs
@@ -9,11 +9,11 @@
 
 const PATIENCE: Duration = Duration::from_millis(200);
 
-fn offer(route: u8, is_late: bool) -> GateOffer {
-    GateOffer {
-        rank: FullRank { declared: 1, route },
+fn offer(route: u8, is_late: bool) -> AdmissionRequest {
+    AdmissionRequest {
+        rank: RequestRank { declared: 1, route },
         is_late,
-        patience: PATIENCE,
+        queue_timeout: PATIENCE,
     }
 }
 
@@ -22,22 +22,25 @@
     let mut gate = AdmissionGate::new(at(0));
     gate.set_limit(f64::from(limit), at(0));
     for _ in 0..limit {
-        assert_eq!(gate.offer(offer(0, false), at(0)), GateAnswer::Admitted);
+        assert_eq!(
+            gate.offer(offer(0, false), at(0)),
+            AdmissionDecision::Admitted
+        );
     }
     for step in 1..=250 {
-        gate.leave(at(step * 20));
+        gate.release(at(step * 20));
         assert_eq!(
             gate.offer(offer(0, false), at(step * 20)),
-            GateAnswer::Admitted
+            AdmissionDecision::Admitted
         );
     }
     gate
 }
 
-fn wait(gate: &mut AdmissionGate, offer: GateOffer, now: u64) -> WaitTicket {
+fn wait(gate: &mut AdmissionGate, offer: AdmissionRequest, now: u64) -> QueueTicket {
     match gate.offer(offer, at(now)) {
-        GateAnswer::Waiting(ticket) => ticket,
-        GateAnswer::Admitted => panic!("there is no room"),
+        AdmissionDecision::Queued(ticket) => ticket,
+        AdmissionDecision::Admitted => panic!("there is no room"),
     }
 }
 
@@ -45,19 +48,22 @@
 fn a_gate_counts_what_is_under_way() {
     let mut gate = AdmissionGate::new(at(0));
     for _ in 0..1000 {
-        assert_eq!(gate.offer(offer(2, true), at(0)), GateAnswer::Admitted);
+        assert_eq!(
+            gate.offer(offer(2, true), at(0)),
+            AdmissionDecision::Admitted
+        );
     }
-    assert_eq!(gate.under_way(), 1000);
+    assert_eq!(gate.in_flight(), 1000);
     gate.set_limit(10.0, at(1));
     let ticket = wait(&mut gate, offer(0, false), 1);
     for step in 0..990 {
-        gate.leave(at(2 + step));
-        assert_eq!(gate.call_next(at(2 + step)), None, "above the limit");
+        gate.release(at(2 + step));
+        assert_eq!(gate.admit_next(at(2 + step)), None, "above the limit");
     }
-    gate.leave(at(1000));
-    assert_eq!(gate.call_next(at(1000)), Some(ticket));
-    assert_eq!(gate.under_way(), 10);
-    assert_eq!(gate.call_next(at(1000)), None);
+    gate.release(at(1000));
+    assert_eq!(gate.admit_next(at(1000)), Some(ticket));
+    assert_eq!(gate.in_flight(), 10);
+    assert_eq!(gate.admit_next(at(1000)), None);
 }
 
 /// Guards against places that go to less urgent requests, or to late ones.
@@ -70,8 +76,8 @@
     let second = wait(&mut gate, offer(0, false), 5004);
     let mut called = Vec::new();
     for step in 0..4 {
-        gate.leave(at(5010 + step));
-        called.extend(gate.call_next(at(5010 + step)));
+        gate.release(at(5010 + step));
+        called.extend(gate.admit_next(at(5010 + step)));
     }
     // The notes are below their floor after the first draft has gone on.
     assert_eq!(called.first(), Some(&notes));
@@ -91,13 +97,13 @@
         let ticket = wait(&mut gate, offer(rank, false), now);
         waiting.insert(ticket, rank);
         if step % 8 == 0 {
-            gate.leave(at(now));
+            gate.release(at(now));
         }
-        while let Some(called) = gate.call_next(at(now)) {
+        while let Some(called) = gate.admit_next(at(now)) {
             let rank = waiting.remove(&called).expect("it waited");
             admitted[usize::from(rank)] += 1;
         }
-        while let Some(displaced) = gate.take_displaced(at(now)) {
+        while let Some(displaced) = gate.shed_next(at(now)) {
             assert!(waiting.remove(&displaced).is_some());
         }
         assert!(gate.waiting() <= 11, "{} wait", gate.waiting());
@@ -121,22 +127,26 @@
     }
     let urgent = wait(&mut gate, offer(0, false), 5005);
     let mut displaced = Vec::new();
-    while let Some(ticket) = gate.take_displaced(at(5005)) {
+    while let Some(ticket) = gate.shed_next(at(5005)) {
         displaced.push(ticket);
     }
     assert!((9..=12).contains(&gate.waiting()), "{}", gate.waiting());
     assert!(!displaced.contains(&urgent));
-    assert_eq!(gate.shedding_for(at(5005)), Duration::ZERO);
+    assert_eq!(gate.shedding_duration(at(5005)), Duration::ZERO);
     // The others' patience ends.
     let mut late = 0;
-    while gate.take_displaced(at(5205)).is_some() {
+    while gate.shed_next(at(5205)).is_some() {
         late += 1;
     }
     assert_eq!(gate.waiting(), 0);
     assert!(late >= 9);
-    assert_eq!(gate.shedding_for(at(5205)), Duration::from_millis(200));
+    assert_eq!(gate.shedding_duration(at(5205)), Duration::from_millis(200));
     assert!(gate.is_shedding(at(5205)) && !gate.is_shedding(at(7000)));
-    assert_eq!(gate.shedding_for(at(7000)), Duration::ZERO, "long over");
+    assert_eq!(
+        gate.shedding_duration(at(7000)),
+        Duration::ZERO,
+        "long over"
+    );
 }
 
 /// A caller leaves while its request waits. Its ticket must not take the place of another one.
@@ -145,22 +155,22 @@
     let mut gate = full_gate(2);
     let first = wait(&mut gate, offer(0, false), 5001);
     let second = wait(&mut gate, offer(0, false), 5002);
-    gate.give_up(first);
-    gate.leave(at(5010));
-    assert_eq!(gate.call_next(at(5010)), Some(second));
-    assert_eq!(gate.call_next(at(5010)), None);
+    gate.cancel(first);
+    gate.release(at(5010));
+    assert_eq!(gate.admit_next(at(5010)), Some(second));
+    assert_eq!(gate.admit_next(at(5010)), None);
 }
 
-/// Guards against limits that exceed the room together, and edges that keep too little.
+/// Guards against limits that exceed the capacity together, and edges that keep too little.
 #[test]
 fn limits_of_all_edges_fill_the_room_together() {
-    for (edges, room) in [(8_u32, 1536.0), (79, 1680.0), (2, 12.0), (40, 60.0)] {
+    for (edges, capacity) in [(8_u32, 1536.0), (79, 1680.0), (2, 12.0), (40, 60.0)] {
         let mut own: Vec<u32> = (1..=edges).collect();
         for round in 0..10 {
             let total: u32 = own.iter().sum();
             let limits = own.iter().map(|&own| {
                 let load = FleetLoad {
-                    room,
+                    capacity,
                     total,
                     own,
                     edges,
@@ -171,12 +181,12 @@
             let sum = f64::from(own.iter().sum::<u32>());
             // What is free when the surge begins is granted twice, until all have told of it; and
             // a part of a request is a whole one at each edge.
-            let granted = if round == 0 { room * 2.0 } else { room };
+            let granted = if round == 0 { capacity * 2.0 } else { capacity };
             let most = granted + f64::from(edges);
-            assert!(sum <= most, "{edges}: {sum} of {room}");
+            assert!(sum <= most, "{edges}: {sum} of {capacity}");
         }
         let sum = f64::from(own.iter().sum::<u32>());
-        assert!(sum >= room * 0.85, "{edges}: {sum} of {room}");
+        assert!(sum >= capacity * 0.85, "{edges}: {sum} of {capacity}");
         let most = own.iter().max().copied().unwrap_or(0);
         let least = own.iter().min().copied().unwrap_or(0);
         assert!(
@@ -189,18 +199,18 @@
 /// Guards against requests for failing engines that queue at the others.
 #[test]
 fn places_of_failing_engines_are_not_filled() {
-    let share = |failing| EndpointShare {
+    let share = |failure_rate| EndpointUsage {
         slots: 10,
         total: 4,
         own: 1,
-        failing,
+        failure_rate,
     };
     let all = vec![share(0.0); 12];
     let mut some = all.clone();
     for endpoint in &mut some[..4] {
-        endpoint.failing = 0.5;
+        endpoint.failure_rate = 0.5;
     }
-    let room = |endpoints: &[EndpointShare]| FleetLoad::of(endpoints, 3).map(|load| load.room);
+    let room = |endpoints: &[EndpointUsage]| FleetLoad::of(endpoints, 3).map(|load| load.capacity);
     assert_eq!(room(&all), Some(120.0));
     assert_eq!(room(&some), Some(80.0));
     assert_eq!(room(&vec![share(0.5); 12]), Some(120.0), "all of them fail");
@@ -213,7 +223,7 @@
 #[test]
 fn an_edge_that_knows_nothing_takes_an_equal_part() {
     let load = FleetLoad {
-        room: 1600.0,
+        capacity: 1600.0,
         total: 0,
         own: 0,
         edges: 8,
@@ -270,7 +280,7 @@
         (0, 100),
     ] {
         let times: Vec<Duration> = (0..100)
-            .map(|draw| come_back_time(ms(shedding), ms(left), f64::from(draw) / 100.0))
+            .map(|draw| retry_after_delay(ms(shedding), ms(left), f64::from(draw) / 100.0))
             .collect();
         let first = times.iter().min().copied().unwrap_or_default();
         let last = times.iter().max().copied().unwrap_or_default();
@@ -280,14 +290,14 @@
             "{shedding}: {first:?} to {last:?}"
         );
     }
-    let soon = come_back_time(ms(0), ms(15_000), 0.5);
-    let later = come_back_time(ms(3000), ms(15_000), 0.5);
+    let soon = retry_after_delay(ms(0), ms(15_000), 0.5);
+    let later = retry_after_delay(ms(3000), ms(15_000), 0.5);
     assert!(later > soon * 10, "{soon:?} {later:?}");
 }
 
 #[test]
 fn callers_that_come_back_are_told_from_new_ones() {
-    let mut usual = UsualPatience::default();
+    let mut usual = DeadlineEstimate::default();
     let ms = Duration::from_millis;
     for step in 0..500 {
         // Most requests of a long overload come from callers who were sent away for two seconds.
@@ -306,19 +316,19 @@
 /// Guards against requests that wait at a full engine while another has a free place.
 #[test]
 fn a_full_engine_gets_nothing_while_another_has_room() {
-    let engine = |key: u32, load, holds_text| PlaceCandidate {
+    let engine = |key: u32, load, holds_prefix| SelectionCandidate {
         key: EndpointKey(key),
         name: ["one", "two", "three"][key as usize],
         load,
         slots: 12,
-        failing: 0.0,
-        holds_text,
+        failure_rate: 0.0,
+        holds_prefix,
     };
-    let request = PlaceRequest {
-        shared_text: Some(7),
+    let request = SelectionRequest {
+        shared_prefix: Some(7),
         draw: 0.3,
     };
-    let settings = PlaceSettings::within(2.0);
+    let settings = SelectionSettings::within(2.0);
     let candidates = [
         engine(0, 12, true),
         engine(1, 12, false),
--- a/crates/ragwortroad_dispatch/tests/config_fetches.rs
+++ b/crates/ragwortroad_dispatch/tests/config_fetches.rs
@@ -47,7 +47,7 @@
     fetch.note_announced(9, at(0));
     fetch.note_asked(registry(8), at(300));
     let next = fetch.next("edge-1", Some(8), &sources(8), at(1000));
-    let again = ConfigDemand {
+    let again = ConfigRequest {
         registry: registry(8),
         direct: true,
     };
--- a/crates/ragwortroad_dispatch/tests/configurations.rs
+++ b/crates/ragwortroad_dispatch/tests/configurations.rs
@@ -41,7 +41,7 @@
         matches!(unknown, Some(ConfigFault::UnknownService { route, .. }) if route == "a/x/y/")
     );
     let same = fault(|config| config.routes[1].path_prefix = "/x/".to_owned());
-    assert!(matches!(same, Some(ConfigFault::SamePlace { .. })));
+    assert!(matches!(same, Some(ConfigFault::DuplicateRoute { .. })));
     let weightless = fault(|config| config.routes[0].targets[0].weight = 0.0);
     assert!(matches!(weightless, Some(ConfigFault::NoWeight { .. })));
     let targetless = fault(|config| config.routes[0].targets.clear());
--- a/crates/ragwortroad_dispatch/tests/copies.rs
+++ b/crates/ragwortroad_dispatch/tests/copies.rs
@@ -38,9 +38,9 @@
     let mut queues: Vec<CopyQueue> = Vec::new();
     queues.resize_with(plan.registries, CopyQueue::default);
     for edge in 0..plan.edges {
-        queues[edge % plan.registries].want(edge as u64);
+        queues[edge % plan.registries].enqueue(edge as u64);
     }
-    let pace = SendPace::of_configs(plan.registry_rate * 1e3);
+    let pace = SendPace::for_configs(plan.registry_rate * 1e3);
     let mut link_free = vec![0.0_f64; plan.registries];
     let mut edge_free = vec![0.0_f64; plan.edges];
     let mut has_at = vec![f64::INFINITY; plan.edges];
@@ -51,7 +51,7 @@
             true => ready.map(edge_address).collect(),
             false => Vec::new(),
         };
-        let most = pace.items_at_once(1, plan.bytes);
+        let most = pace.max_batch_items(1, plan.bytes);
         let copies = queues[at].plan(most, &helpers);
         for edge in &copies.direct {
             link_free[at] = link_free[at].max(now) + plan.bytes / plan.registry_rate;
@@ -65,7 +65,7 @@
             has_at[referral.edge as usize] = edge_free[helper] + WAY_MS;
         }
         if !queues[at].is_empty() {
-            let span = pace.span(copies.direct.len() * plan.bytes as usize);
+            let span = pace.delay_after(copies.direct.len() * plan.bytes as usize);
             let next = now + (span.as_secs_f64() * 1e3).max(ROUND_MS);
             let place = rounds.partition_point(|(other, _)| *other <= next);
             rounds.insert(place, (next, at));
@@ -116,8 +116,8 @@
 #[test]
 fn a_small_fleet_needs_no_helpers() {
     let mut queue = CopyQueue::default();
-    (0..3).for_each(|edge| queue.want(edge));
-    queue.want(2);
+    (0..3).for_each(|edge| queue.enqueue(edge));
+    queue.enqueue(2);
     assert_eq!(queue.len(), 3, "each once");
     queue.drop_edge(1);
     let plan = queue.plan(3, &[edge_address(9)]);
@@ -129,7 +129,7 @@
 #[test]
 fn a_helper_is_named_to_a_few_only() {
     let mut queue = CopyQueue::default();
-    (0..50).for_each(|edge| queue.want(edge));
+    (0..50).for_each(|edge| queue.enqueue(edge));
     let plan = queue.plan(3, &[edge_address(9)]);
     assert_eq!(plan.direct.len(), 3);
     assert_eq!(plan.referred.len(), 3);
@@ -140,14 +140,14 @@
 #[test]
 fn an_edge_that_asks_for_a_direct_copy_is_not_referred() {
     let mut queue = CopyQueue::default();
-    (0..5).for_each(|edge| queue.want(edge));
-    queue.want_direct(4);
-    queue.want(4);
+    (0..5).for_each(|edge| queue.enqueue(edge));
+    queue.enqueue_direct(4);
+    queue.enqueue(4);
     let plan = queue.plan(1, &[edge_address(9)]);
     assert_eq!(plan.direct, [4]);
     let referred: Vec<u64> = plan.referred.iter().map(|referral| referral.edge).collect();
     assert_eq!(referred, [0, 1, 2]);
-    queue.want_direct(7);
+    queue.enqueue_direct(7);
     let plan = queue.plan(0, &[edge_address(9)]);
     assert!(plan.direct.is_empty(), "its turn comes with the next round");
     assert_eq!(queue.len(), 1);
--- a/crates/ragwortroad_dispatch/tests/directories.rs
+++ b/crates/ragwortroad_dispatch/tests/directories.rs
@@ -70,18 +70,18 @@
     directory.note_view(registry(0), view(&[1], 1), at(200));
     assert_eq!(
         directory.find(ASKER, 64, at(210)),
-        Err(DirectoryGap::Gathering)
+        Err(DirectoryError::Discovering)
     );
     directory.note_view(registry(0), view(&[1], 3), at(300));
     assert_eq!(
         directory.find(ASKER, 64, at(700)),
-        Err(DirectoryGap::Gathering)
+        Err(DirectoryError::Discovering)
     );
     directory.note_view(registry(0), view(&[1, 2], 3), at(710));
     assert_eq!(found(&directory, 720), [edge(1), edge(2)]);
     let mut empty = EdgeDirectory::new(at(0));
     empty.note_view(registry(0), view(&[], 2), at(200));
-    assert_eq!(empty.find(ASKER, 64, at(2000)), Err(DirectoryGap::NoEdge));
+    assert_eq!(empty.find(ASKER, 64, at(2000)), Err(DirectoryError::NoEdge));
 }
 
 /// Guards against more addresses than callers take, and answers that change from time to time.
--- a/crates/ragwortroad_dispatch/tests/drains.rs
+++ b/crates/ragwortroad_dispatch/tests/drains.rs
@@ -29,7 +29,7 @@
     );
     assert_eq!(drained(&drains), ["a"]);
     assert!(drains.revision() > before.revision());
-    let returned: Vec<&str> = drains.returned_since(&before).collect();
+    let returned: Vec<&str> = drains.undrained_since(&before).collect();
     assert_eq!(returned, ["b"]);
 }
 
@@ -51,8 +51,8 @@
     let mut drains = DomainDrains::default();
     drains.apply(&order("a", true, 0));
     drains.apply(&order("a", false, 1));
-    assert_eq!(drains.apply(&order("a", true, 0)), DrainOutcome::Overtaken);
-    assert_eq!(drains.apply(&order("a", true, 1)), DrainOutcome::Overtaken);
+    assert_eq!(drains.apply(&order("a", true, 0)), DrainOutcome::Superseded);
+    assert_eq!(drains.apply(&order("a", true, 1)), DrainOutcome::Superseded);
     assert!(!drains.is_drained("a"));
     assert_eq!(drains.apply(&order("a", true, 2)), DrainOutcome::Changed);
 }
--- a/crates/ragwortroad_dispatch/tests/endpoints.rs
+++ b/crates/ragwortroad_dispatch/tests/endpoints.rs
@@ -33,14 +33,17 @@
 #[test]
 fn a_late_announcement_does_not_undo_a_drain() {
     let mut table = EndpointTable::default();
-    table.told(HERE, record("e"), at(0));
-    let drained = table.told(HERE, draining("e", 3), at(10));
+    table.apply_record(HERE, record("e"), at(0));
+    let drained = table.apply_record(HERE, draining("e", 3), at(10));
     assert!(matches!(drained, EndpointChange::Stopped(_)));
     let late = EndpointRecord {
         sequence: 2,
         ..record("e")
     };
-    assert_eq!(table.told(THERE, late, at(20)), EndpointChange::Same);
+    assert_eq!(
+        table.apply_record(THERE, late, at(20)),
+        EndpointChange::Unchanged
+    );
     assert!(ready(&table).is_empty());
 }
 
@@ -48,16 +51,19 @@
 #[test]
 fn a_goodbye_is_final_for_an_incarnation() {
     let mut table = EndpointTable::default();
-    table.told(HERE, record("e"), at(0));
+    table.apply_record(HERE, record("e"), at(0));
     assert!(matches!(
-        table.said_goodbye("e", at(10)),
+        table.apply_goodbye("e", at(10)),
         EndpointChange::Stopped(_)
     ));
     let late = EndpointRecord {
         sequence: 9,
         ..record("e")
     };
-    assert_eq!(table.told(THERE, late, at(20)), EndpointChange::Same);
+    assert_eq!(
+        table.apply_record(THERE, late, at(20)),
+        EndpointChange::Unchanged
+    );
     assert!(ready(&table).is_empty());
     let restarted = EndpointRecord {
         started_ms: 2000,
@@ -65,7 +71,7 @@
         ..record("e")
     };
     assert!(matches!(
-        table.told(THERE, restarted, at(30)),
+        table.apply_record(THERE, restarted, at(30)),
         EndpointChange::Started(_)
     ));
     assert_eq!(ready(&table), ["e"]);
@@ -75,13 +81,13 @@
 #[test]
 fn a_later_start_at_an_address_ends_the_former_one() {
     let mut table = EndpointTable::default();
-    table.told(HERE, record("before"), at(0));
+    table.apply_record(HERE, record("before"), at(0));
     let after = EndpointRecord {
         started_ms: 5000,
         ..record("after")
     };
     assert!(matches!(
-        table.told(THERE, after, at(100)),
+        table.apply_record(THERE, after, at(100)),
         EndpointChange::Started(_)
     ));
     assert_eq!(ready(&table), ["after"]);
@@ -89,7 +95,10 @@
         sequence: 7,
         ..record("before")
     };
-    assert_eq!(table.told(THERE, late, at(200)), EndpointChange::Same);
+    assert_eq!(
+        table.apply_record(THERE, late, at(200)),
+        EndpointChange::Unchanged
+    );
     assert_eq!(ready(&table), ["after"]);
 }
 
@@ -97,22 +106,22 @@
 #[test]
 fn a_refuted_endpoint_stays_out_until_it_starts_anew() {
     let mut table = EndpointTable::default();
-    let EndpointChange::Started(key) = table.told(HERE, record("e"), at(0)) else {
+    let EndpointChange::Started(key) = table.apply_record(HERE, record("e"), at(0)) else {
         panic!("it is new");
     };
-    table.refute(key, at(10));
+    table.mark_replaced(key, at(10));
     assert!(ready(&table).is_empty());
     let late = EndpointRecord {
         sequence: 5,
         ..record("e")
     };
-    table.told(THERE, late, at(20));
+    table.apply_record(THERE, late, at(20));
     assert!(ready(&table).is_empty());
     let anew = EndpointRecord {
         started_ms: 9000,
         ..record("e")
     };
-    table.told(THERE, anew, at(30));
+    table.apply_record(THERE, anew, at(30));
     assert_eq!(ready(&table), ["e"]);
 }
 
@@ -120,8 +129,8 @@
 #[test]
 fn a_missed_endpoint_is_dropped_soon() {
     let mut table = EndpointTable::default();
-    table.told(HERE, record("e"), at(0));
-    table.lost(HERE, "e", at(1000));
+    table.apply_record(HERE, record("e"), at(0));
+    table.mark_lost(HERE, "e", at(1000));
     assert!(table.expire(at(2000)).is_empty());
     assert_eq!(table.expire(at(2600)).len(), 1);
 }
@@ -134,14 +143,14 @@
         sequence: 9,
         ..record("e")
     };
-    table.told(HERE, heard, at(0));
+    table.apply_record(HERE, heard, at(0));
     let gone = EndpointRecord {
         stage: EndpointStage::Gone,
         sequence: 4,
         ..record("e")
     };
     assert!(matches!(
-        table.told(THERE, gone, at(10)),
+        table.apply_record(THERE, gone, at(10)),
         EndpointChange::Stopped(_)
     ));
     assert!(ready(&table).is_empty());
@@ -151,13 +160,13 @@
 #[test]
 fn endpoints_outlive_the_registries_for_a_while() {
     let mut table = EndpointTable::default();
-    table.told(HERE, record("e"), at(0));
-    table.told(THERE, record("f"), at(0));
+    table.apply_record(HERE, record("e"), at(0));
+    table.apply_record(THERE, record("f"), at(0));
     table.drop_source(HERE, at(100));
     table.drop_source(THERE, at(100));
     assert!(table.expire(at(5_000)).is_empty());
     assert_eq!(ready(&table), ["e", "f"]);
-    table.told(
+    table.apply_record(
         HERE,
         EndpointRecord {
             sequence: 5,
@@ -173,8 +182,8 @@
 #[test]
 fn the_word_of_one_registry_is_enough() {
     let mut table = EndpointTable::default();
-    table.told(HERE, record("e"), at(0));
-    table.told(
+    table.apply_record(HERE, record("e"), at(0));
+    table.apply_record(
         THERE,
         EndpointRecord {
             sequence: 2,
@@ -182,7 +191,7 @@
         },
         at(1000),
     );
-    table.lost(HERE, "e", at(6000));
+    table.mark_lost(HERE, "e", at(6000));
     assert!(table.expire(at(60_000)).is_empty());
     assert_eq!(ready(&table), ["e"]);
 }
@@ -216,7 +225,7 @@
         "a late one is no news"
     );
     assert_eq!(
-        table.leave("e", at(1300)),
+        table.apply_goodbye("e", at(1300)),
         RegistryChange::Goodbye("e".to_owned())
     );
     assert_eq!(table.announce(next(7), at(1400)), None, "it has left");
@@ -226,7 +235,7 @@
 #[test]
 fn a_goodbye_of_an_unknown_endpoint_is_passed_on() {
     let mut table = RegistryTable::new(Duration::from_millis(1000));
-    let change = table.leave("stranger", at(0));
+    let change = table.apply_goodbye("stranger", at(0));
     assert_eq!(change, RegistryChange::Goodbye("stranger".to_owned()));
 }
 
@@ -234,19 +243,19 @@
 #[test]
 fn failures_pause_an_endpoint_for_longer_each_time() {
     let mut load = EndpointLoad::default();
-    assert!(load.is_open(at(0)));
-    load.fail(at(0));
-    assert!(!load.is_open(at(400)) && load.is_open(at(600)));
-    load.fail(at(600));
-    assert!(!load.is_open(at(1500)) && load.is_open(at(1700)));
+    assert!(load.is_available(at(0)));
+    load.note_failure(at(0));
+    assert!(!load.is_available(at(400)) && load.is_available(at(600)));
+    load.note_failure(at(600));
+    assert!(!load.is_available(at(1500)) && load.is_available(at(1700)));
     for step in 0..10 {
-        load.fail(at(2000 + step));
+        load.note_failure(at(2000 + step));
     }
-    assert!(!load.is_open(at(9000)) && load.is_open(at(10_100)));
-    load.succeed(at(10_200));
-    load.fail(at(20_000));
+    assert!(!load.is_available(at(9000)) && load.is_available(at(10_100)));
+    load.note_success(at(10_200));
+    load.note_failure(at(20_000));
     assert!(
-        load.is_open(at(20_600)),
+        load.is_available(at(20_600)),
         "a success forgets the failures before"
     );
 }
@@ -256,38 +265,38 @@
 fn an_endpoint_that_failed_is_tried_again() {
     let mut load = EndpointLoad::default();
     for step in 0..40 {
-        load.stumble(at(step * 10));
+        load.note_bad_answer(at(step * 10));
     }
-    let failing = load.failing(at(400));
+    let failing = load.failure_rate(at(400));
     assert!(failing > 0.9, "{failing}");
-    assert!(load.failing(at(1400)) > 0.7, "it is not tried at once");
-    assert!(load.failing(at(9000)) < 0.3, "it is tried again");
-    load.stumble(at(9000));
+    assert!(load.failure_rate(at(1400)) > 0.7, "it is not tried at once");
+    assert!(load.failure_rate(at(9000)) < 0.3, "it is tried again");
+    load.note_bad_answer(at(9000));
     assert!(
-        load.failing(at(9000)) > failing * 0.9,
+        load.failure_rate(at(9000)) > failing * 0.9,
         "one failure more shows it"
     );
-    load.succeed(at(18_000));
-    assert!(load.failing(at(18_000)) < 0.3, "it is well again");
+    load.note_success(at(18_000));
+    assert!(load.failure_rate(at(18_000)) < 0.3, "it is well again");
 }
 
 /// Guards against a load that is taken for current long after the endpoint told it.
 #[test]
 fn a_reading_moves_with_what_this_edge_did_since() {
     let mut load = EndpointLoad::default();
-    load.begin();
+    load.start_request();
     let reading = LoadReading {
         running: 5,
         waiting: 2,
     };
-    load.read(reading, at(0));
+    load.note_reading(reading, at(0));
     assert_eq!(load.estimate(0, at(10)), 7);
-    load.begin();
-    load.begin();
+    load.start_request();
+    load.start_request();
     assert_eq!(load.estimate(0, at(10)), 9);
-    load.end();
-    load.end();
-    load.end();
+    load.finish_request();
+    load.finish_request();
+    load.finish_request();
     assert_eq!(load.estimate(0, at(10)), 6);
     assert_eq!(load.estimate(0, at(10_000)), 0);
 }
@@ -301,11 +310,14 @@
         ..record("i-1")
     };
     let mut table = EndpointTable::default();
-    table.told(first, told(5), at(0));
+    table.apply_record(first, told(5), at(0));
     table.drop_source(first, at(100));
-    table.told(second, told(6), at(120));
-    assert_eq!(table.told(first, told(5), at(300)), EndpointChange::Same);
-    table.lost(second, "i-1", at(4000));
+    table.apply_record(second, told(6), at(120));
+    assert_eq!(
+        table.apply_record(first, told(5), at(300)),
+        EndpointChange::Unchanged
+    );
+    table.mark_lost(second, "i-1", at(4000));
     assert!(table.expire(at(60_000)).is_empty());
     assert_eq!(table.ready("llm").count(), 1);
     // An older word does not bring back what has left.
@@ -313,7 +325,7 @@
         stage: EndpointStage::Draining,
         ..told(9)
     };
-    table.told(second, leaving, at(61_000));
-    table.told(first, told(5), at(61_100));
+    table.apply_record(second, leaving, at(61_000));
+    table.apply_record(first, told(5), at(61_100));
     assert_eq!(table.ready("llm").count(), 0);
 }
--- a/crates/ragwortroad_dispatch/tests/homes.rs
+++ b/crates/ragwortroad_dispatch/tests/homes.rs
@@ -85,11 +85,11 @@
     let count = |count| LoadCount { endpoint, count };
     let mut here = LoadTotals::default();
     let mut there = LoadTotals::default();
-    here.take(LoadSource::Edge(registry(1)), &[count(4)]);
-    there.take(LoadSource::Edge(registry(1)), &[count(3)]);
+    here.update(LoadSource::Edge(registry(1)), &[count(4)]);
+    there.update(LoadSource::Edge(registry(1)), &[count(3)]);
     let (from_here, from_there) = (here.own_changes(), there.own_changes());
-    there.take(LoadSource::Registry(registry(7)), &from_here);
-    here.take(LoadSource::Registry(registry(7)), &from_there);
+    there.update(LoadSource::Registry(registry(7)), &from_here);
+    here.update(LoadSource::Registry(registry(7)), &from_there);
     assert_eq!(here.changes(), [count(7)]);
     assert_eq!(there.changes(), [count(7)]);
     assert!(
@@ -97,7 +97,7 @@
         "what came from there is not told back"
     );
     assert_eq!(
-        here.own_told(),
+        here.own_published(),
         [count(4)],
         "for a registry that comes later"
     );
@@ -113,7 +113,7 @@
 fn answers_live_as_long_as_a_stopping_edge_allows() {
     let seconds = Duration::from_secs;
     for grace in [4, 8, 10, 30] {
-        let life = answer_life(seconds(grace), seconds(5));
+        let life = answer_ttl(seconds(grace), seconds(5));
         assert!(
             life * 3 < seconds(grace),
             "{life:?} with a grace time of {grace} s"
@@ -124,7 +124,7 @@
         );
     }
     assert_eq!(
-        answer_life(seconds(2), seconds(5)),
+        answer_ttl(seconds(2), seconds(5)),
         seconds(1),
         "the least that can be told"
     );
@@ -137,11 +137,11 @@
     let count = |count| LoadCount { endpoint, count };
     let source = LoadSource::Registry(registry(2));
     let mut totals = LoadTotals::default();
-    totals.take(LoadSource::Edge(registry(1)), &[count(2)]);
-    totals.take(source, &[count(9)]);
+    totals.update(LoadSource::Edge(registry(1)), &[count(2)]);
+    totals.update(source, &[count(9)]);
     assert_eq!(totals.changes(), [count(11)]);
     totals.drop_source(source);
-    totals.take(source, &[count(8)]);
+    totals.update(source, &[count(8)]);
     assert_eq!(totals.changes(), [count(10)]);
     assert_eq!(
         totals.own_changes(),
--- a/crates/ragwortroad_dispatch/tests/overload/model.rs
+++ b/crates/ragwortroad_dispatch/tests/overload/model.rs
@@ -103,8 +103,8 @@
 
 struct Edge {
     gate: AdmissionGate,
-    usual: Vec<UsualPatience>,
-    waiting: BTreeMap<WaitTicket, usize>,
+    usual: Vec<DeadlineEstimate>,
+    waiting: BTreeMap<QueueTicket, usize>,
     own: Vec<u32>,
     told: Vec<u32>,
     others: Vec<u32>,
@@ -131,7 +131,7 @@
     pub(crate) fn new(site: Site, policy: Policy) -> Self {
         let edges = (0..site.edges).map(|_| Edge {
             gate: AdmissionGate::new(at(0)),
-            usual: vec![UsualPatience::default(); site.kinds.len()],
+            usual: vec![DeadlineEstimate::default(); site.kinds.len()],
             waiting: BTreeMap::new(),
             own: vec![0; site.engines],
             told: vec![0; site.engines],
@@ -220,7 +220,7 @@
                 let pairs = totals.iter().zip(&edge.told);
                 edge.others = pairs.map(|(total, told)| total - told).collect();
                 let load = FleetLoad {
-                    room: f64::from(self.site.slots) * self.site.engines as f64,
+                    capacity: f64::from(self.site.slots) * self.site.engines as f64,
                     total: totals.iter().sum(),
                     own: edge.told.iter().sum(),
                     edges: self.site.edges as u32,
@@ -278,17 +278,17 @@
         let left = Duration::from_millis((came + rule.deadline_ms).saturating_sub(now));
         let aim = Duration::from_millis(rule.aim_ms);
         let spent = self.edges[edge].usual[kind].note(left);
-        let offer = GateOffer {
-            rank: FullRank {
+        let offer = AdmissionRequest {
+            rank: RequestRank {
                 declared: 1,
                 route: rule.rank,
             },
             is_late: spent >= aim,
-            patience: gate_patience(aim, left),
+            queue_timeout: max_queue_time(aim, left),
         };
         match self.edges[edge].gate.offer(offer, at(now)) {
-            GateAnswer::Admitted => self.send(caller, now),
-            GateAnswer::Waiting(ticket) => {
+            AdmissionDecision::Admitted => self.send(caller, now),
+            AdmissionDecision::Queued(ticket) => {
                 self.edges[edge].waiting.insert(ticket, caller);
                 self.settle(edge, now);
             }
@@ -296,11 +296,11 @@
     }
 
     fn settle(&mut self, edge: usize, now: u64) {
-        while let Some(ticket) = self.edges[edge].gate.call_next(at(now)) {
+        while let Some(ticket) = self.edges[edge].gate.admit_next(at(now)) {
             let caller = self.edges[edge].waiting.remove(&ticket);
             self.send(caller.expect("a caller waits"), now);
         }
-        while let Some(ticket) = self.edges[edge].gate.take_displaced(at(now)) {
+        while let Some(ticket) = self.edges[edge].gate.shed_next(at(now)) {
             let caller = self.edges[edge].waiting.remove(&ticket);
             self.refuse(caller.expect("a caller waits"), now);
         }
@@ -322,9 +322,9 @@
             return;
         }
         self.callers[caller].retries -= 1;
-        let shedding = self.edges[edge].gate.shedding_for(at(now));
+        let shedding = self.edges[edge].gate.shedding_duration(at(now));
         let left = Duration::from_millis(deadline - now);
-        let wait = come_back_time(shedding, left, self.rng.random());
+        let wait = retry_after_delay(shedding, left, self.rng.random());
         let back = now + wait.as_millis() as u64 + STEP;
         let back = back - back % STEP;
         self.returns.entry(back).or_default().push(caller);
@@ -335,20 +335,20 @@
         let Caller { edge, text, .. } = self.callers[caller];
         let seen = &self.edges[edge];
         let candidates: Vec<_> = (0..self.site.engines)
-            .map(|engine| PlaceCandidate {
+            .map(|engine| SelectionCandidate {
                 key: EndpointKey(engine as u32),
                 name: &self.names[engine],
                 load: seen.own[engine] + seen.others[engine],
                 slots: self.site.slots,
-                failing: 0.0,
-                holds_text: self.engines[engine].texts.contains(&text),
+                failure_rate: 0.0,
+                holds_prefix: self.engines[engine].texts.contains(&text),
             })
             .collect();
-        let request = PlaceRequest {
-            shared_text: Some(text),
+        let request = SelectionRequest {
+            shared_prefix: Some(text),
             draw: self.rng.random(),
         };
-        let chosen = choose_engine(&candidates, request, &PlaceSettings::within(2.0));
+        let chosen = choose_engine(&candidates, request, &SelectionSettings::within(2.0));
         let engine = chosen.expect("an engine").0 as usize;
         self.edges[edge].own[engine] += 1;
         self.engines[engine].waiting.push_back(caller);
@@ -447,7 +447,7 @@
             (false, _) => outcome.left += 1,
         }
         self.edges[edge].own[engine] -= 1;
-        self.edges[edge].gate.leave(at(now));
+        self.edges[edge].gate.release(at(now));
         self.settle(edge, now);
     }
 }
--- a/crates/ragwortroad_dispatch/tests/places.rs
+++ b/crates/ragwortroad_dispatch/tests/places.rs
@@ -22,20 +22,20 @@
     SocketAddr::from(([10, 0, 0, host], 80))
 }
 
-fn candidate(key: u32, name: &str, load: u32) -> PlaceCandidate<'_> {
-    PlaceCandidate {
+fn candidate(key: u32, name: &str, load: u32) -> SelectionCandidate<'_> {
+    SelectionCandidate {
         key: EndpointKey(key),
         name,
         load,
         slots: 128,
-        failing: 0.0,
-        holds_text: false,
+        failure_rate: 0.0,
+        holds_prefix: false,
     }
 }
 
-fn request(text: u64) -> PlaceRequest {
-    PlaceRequest {
-        shared_text: Some(text),
+fn request(text: u64) -> SelectionRequest {
+    SelectionRequest {
+        shared_prefix: Some(text),
         draw: 0.0,
     }
 }
@@ -48,7 +48,7 @@
 #[test]
 fn edges_that_know_the_same_choose_the_same() {
     let names = names(12);
-    let settings = PlaceSettings::default();
+    let settings = SelectionSettings::default();
     for text in 0..200 {
         let forward: Vec<_> = (0..12)
             .map(|key| candidate(key, &names[key as usize], 4))
@@ -63,7 +63,7 @@
 #[test]
 fn a_joining_engine_moves_no_text() {
     let names = names(13);
-    let settings = PlaceSettings::default();
+    let settings = SelectionSettings::default();
     let mut moved_by_hash = 0;
     for text in 0..300 {
         let mut candidates: Vec<_> = (0..12)
@@ -73,7 +73,7 @@
         candidates.push(candidate(12, &names[12], 0));
         moved_by_hash +=
             usize::from(choose_engine(&candidates, request(text), &settings) != Some(before));
-        candidates[before.0 as usize].holds_text = true;
+        candidates[before.0 as usize].holds_prefix = true;
         assert_eq!(
             choose_engine(&candidates, request(text), &settings),
             Some(before)
@@ -89,13 +89,13 @@
 #[test]
 fn the_bound_is_that_of_all_engines() {
     let names = names(12);
-    let settings = PlaceSettings::within(2.0);
+    let settings = SelectionSettings::within(2.0);
     let mut loads = [0_u32; 12];
     for _ in 0..120 {
         let candidates: Vec<_> = (0..12)
-            .map(|key| PlaceCandidate {
-                failing: if key < 4 { 0.6 } else { 0.0 },
-                holds_text: key == 7,
+            .map(|key| SelectionCandidate {
+                failure_rate: if key < 4 { 0.6 } else { 0.0 },
+                holds_prefix: key == 7,
                 ..candidate(key, &names[key as usize], loads[key as usize])
             })
             .collect();
@@ -112,13 +112,13 @@
 #[test]
 fn a_text_overflows_at_the_bound() {
     let names = names(12);
-    let settings = PlaceSettings::within(2.0);
+    let settings = SelectionSettings::within(2.0);
     let mut loads = [8_u32; 12];
     let mut holders = BTreeSet::new();
     for _ in 0..60 {
         let candidates: Vec<_> = (0..12)
-            .map(|key| PlaceCandidate {
-                holds_text: holders.contains(&key),
+            .map(|key| SelectionCandidate {
+                holds_prefix: holders.contains(&key),
                 ..candidate(key, &names[key as usize], loads[key as usize])
             })
             .collect();
@@ -149,12 +149,12 @@
 /// Requests of a hundred that went to an engine above twice the mean and three.
 fn share_above_the_bound(plan: &SkewPlan) -> f64 {
     let names = names(plan.engines);
-    let settings = PlaceSettings::within(2.0);
+    let settings = SelectionSettings::within(2.0);
     let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
     let mut loads = vec![0_u32; plan.engines as usize];
     let mut known = vec![loads.clone(); plan.edges];
     let mut own_since = vec![vec![0_i64; plan.engines as usize]; plan.edges];
-    let mut held = TextTable::default();
+    let mut held = PrefixTable::default();
     let mut ends: BTreeMap<u64, Vec<(usize, usize)>> = BTreeMap::new();
     let (mut over, mut sent) = (0, 0);
     for ms in 0..30_000_u64 {
@@ -184,14 +184,14 @@
                 .map(|key| {
                     let index = key as usize;
                     let moved = i64::from(known[edge][index]) + own_since[edge][index];
-                    PlaceCandidate {
-                        holds_text: holders.contains(&EndpointKey(key)),
+                    SelectionCandidate {
+                        holds_prefix: holders.contains(&EndpointKey(key)),
                         ..candidate(key, &names[index], moved.max(0) as u32)
                     }
                 })
                 .collect();
-            let request = PlaceRequest {
-                shared_text: Some(text),
+            let request = SelectionRequest {
+                shared_prefix: Some(text),
                 draw: rng.random(),
             };
             let chosen = choose_engine(&candidates, request, &settings).expect("an engine");
@@ -252,16 +252,16 @@
         count,
     };
     let mut totals = LoadTotals::default();
-    totals.take(
+    totals.update(
         LoadSource::Edge(edge_at(1)),
         &[count("busy", 4), count("idle", 1)],
     );
-    totals.take(LoadSource::Edge(edge_at(2)), &[count("busy", 3)]);
+    totals.update(LoadSource::Edge(edge_at(2)), &[count("busy", 3)]);
     assert_eq!(totals.changes(), [count("busy", 7)]);
     assert!(totals.changes().is_empty(), "nothing has changed");
-    totals.take(LoadSource::Edge(edge_at(1)), &[count("busy", 0)]);
+    totals.update(LoadSource::Edge(edge_at(1)), &[count("busy", 0)]);
     assert_eq!(totals.changes(), [count("busy", 3)]);
-    assert_eq!(totals.told(), [count("busy", 3)]);
+    assert_eq!(totals.published(), [count("busy", 3)]);
     totals.drop_source(LoadSource::Edge(edge_at(2)));
     let news = totals.changes();
     assert!(news.contains(&count("busy", 0)), "{news:?}");
@@ -275,11 +275,11 @@
     let nothing = BTreeMap::new();
     let mut totals = LoadTotals::default();
     let mut report = CountReport::default();
-    totals.take(LoadSource::Edge(edge_at(1)), &report.changes(&current));
+    totals.update(LoadSource::Edge(edge_at(1)), &report.changes(&current));
     assert_eq!(totals.changes().len(), 1);
     assert!(report.changes(&current).is_empty(), "it knows that");
     assert_eq!(report.count(busy), 5);
-    totals.take(LoadSource::Edge(edge_at(1)), &report.changes(&nothing));
+    totals.update(LoadSource::Edge(edge_at(1)), &report.changes(&nothing));
     let count = 0;
     let endpoint = busy;
     assert_eq!(totals.changes(), [LoadCount { endpoint, count }]);
@@ -290,15 +290,15 @@
 #[test]
 fn a_failing_endpoint_is_avoided_unless_most_fail() {
     let names = names(4);
-    let failing = |count: u32| -> Vec<PlaceCandidate<'_>> {
+    let failing = |count: u32| -> Vec<SelectionCandidate<'_>> {
         (0..4)
-            .map(|key| PlaceCandidate {
-                failing: if key < count { 0.5 } else { 0.05 },
+            .map(|key| SelectionCandidate {
+                failure_rate: if key < count { 0.5 } else { 0.05 },
                 ..candidate(key, &names[key as usize], 2)
             })
             .collect()
     };
-    let settings = PlaceSettings::default();
+    let settings = SelectionSettings::default();
     let chosen = |count| -> BTreeSet<u32> {
         let candidates = failing(count);
         let all = (0..200).filter_map(|text| choose_engine(&candidates, request(text), &settings));
@@ -317,8 +317,8 @@
         candidate(2, "c", 1),
     ];
     let chosen = |draw| {
-        let request = PlaceRequest {
-            shared_text: None,
+        let request = SelectionRequest {
+            shared_prefix: None,
             draw,
         };
         choose_replica(&candidates, request)
@@ -328,8 +328,8 @@
         all,
         BTreeSet::from([Some(EndpointKey(0)), Some(EndpointKey(2))])
     );
-    let request = PlaceRequest {
-        shared_text: None,
+    let request = SelectionRequest {
+        shared_prefix: None,
         draw: 0.5,
     };
     assert_eq!(choose_replica(&[], request), None);
@@ -337,15 +337,15 @@
 
 #[test]
 fn the_text_that_is_shared_is_the_last_but_one() {
-    assert_eq!(shared_key(&[]), None);
-    assert_eq!(shared_key(&[1]), None);
-    assert_eq!(shared_key(&[1, 2, 3]), Some(2));
+    assert_eq!(shared_prefix_key(&[]), None);
+    assert_eq!(shared_prefix_key(&[1]), None);
+    assert_eq!(shared_prefix_key(&[1, 2, 3]), Some(2));
 }
 
 /// Guards against a message with each request for a text whose place is known.
 #[test]
 fn a_known_place_is_no_news() {
-    let mut table = TextTable::default();
+    let mut table = PrefixTable::default();
     let engine = EndpointKey(1);
     assert!(table.note(7, engine, at(0)));
     assert!(!table.note(7, engine, at(1000)));
--- a/crates/ragwortroad_dispatch/tests/retries.rs
+++ b/crates/ragwortroad_dispatch/tests/retries.rs
@@ -44,8 +44,8 @@
                 false => rng.random_range(0..edges) as usize,
             };
             requests.push(ms);
-            budgets[edge].earn(edges, at(ms));
-            if budgets[edge].spend() {
+            budgets[edge].deposit(edges, at(ms));
+            if budgets[edge].withdraw() {
                 repeats.push(ms);
             }
         }
@@ -70,6 +70,6 @@
 #[test]
 fn a_new_budget_allows_little() {
     let mut budget = RetryBudget::new(settings(), 9, at(0));
-    let spent = (0..100).filter(|_| budget.spend()).count();
+    let spent = (0..100).filter(|_| budget.withdraw()).count();
     assert!((1..=6).contains(&spent), "{spent}");
 }
--- a/crates/ragwortroad_dispatch/tests/sources.rs
+++ b/crates/ragwortroad_dispatch/tests/sources.rs
@@ -13,12 +13,12 @@
     }
 }
 
-fn source(key: u32, is_near: bool, load: u32) -> TextSource {
-    TextSource {
+fn source(key: u32, is_near: bool, load: u32) -> PrefixSource {
+    PrefixSource {
         key: EndpointKey(key),
         is_near,
         load,
-        failing: 0.0,
+        failure_rate: 0.0,
     }
 }
 
@@ -34,8 +34,8 @@
 /// Guards against texts that are read anew because only failing engines hold them.
 #[test]
 fn a_failing_engine_is_the_last_source() {
-    let failing = TextSource {
-        failing: 0.5,
+    let failing = PrefixSource {
+        failure_rate: 0.5,
         ..source(1, true, 0)
     };
     let sources = [failing, source(2, false, 7)];
--- a/crates/ragwortroad_dispatch/tests/spread.rs
+++ b/crates/ragwortroad_dispatch/tests/spread.rs
@@ -74,7 +74,11 @@
 }
 
 /// The places that edges tell in one step: each text is met by several edges, at its one engine.
-fn fresh_places(plan: &FleetPlan, step: u64, random: &mut Pcg64Mcg) -> Vec<(usize, PlacedText)> {
+fn fresh_places(
+    plan: &FleetPlan,
+    step: u64,
+    random: &mut Pcg64Mcg,
+) -> Vec<(usize, PrefixLocation)> {
     if step * STEP_MS >= plan.fresh_ms {
         return Vec::new();
     }
@@ -84,7 +88,7 @@
         let engine = EndpointTag(text as u32 % 99);
         for _ in 0..4 {
             let edge = random.random_range(0..plan.edges);
-            told.push((edge, PlacedText { text, engine }));
+            told.push((edge, PrefixLocation { text, engine }));
         }
     }
     told
@@ -100,16 +104,16 @@
     };
     let homes: Vec<usize> = (0..plan.edges).filter_map(home_of).collect();
     assert_eq!(homes.len(), plan.edges, "each edge has a home");
-    let mut boards: Vec<PlaceBoard> = (0..plan.registries)
-        .map(|_| PlaceBoard::new(at(0)))
+    let mut boards: Vec<LocationLog> = (0..plan.registries)
+        .map(|_| LocationLog::new(at(0)))
         .collect();
     for (index, board) in boards.iter_mut().enumerate() {
         let others = all.iter().filter(|registry| **registry != all[index]);
-        others.for_each(|registry| board.add_reader(PlaceReader::Registry(*registry)));
+        others.for_each(|registry| board.add_reader(LocationReader::Registry(*registry)));
         let own = homes.iter().enumerate().filter(|(_, home)| **home == index);
-        own.for_each(|(edge, _)| board.add_reader(PlaceReader::Edge(edge as u64)));
+        own.for_each(|(edge, _)| board.add_reader(LocationReader::Edge(edge as u64)));
     }
-    let pace = SendPace::of_places(plan.link_rate);
+    let pace = SendPace::for_locations(plan.link_rate);
     let mut links: Vec<OutwardLink> = Vec::new();
     links.resize_with(plan.registries, OutwardLink::default);
     let mut tell_at = vec![at(0); plan.registries];
@@ -120,34 +124,34 @@
         let now = at(step * STEP_MS);
         for (edge, place) in fresh_places(plan, step, &mut random) {
             texts.insert(place.text);
-            boards[homes[edge]].take(&[place], PlaceOrigin::Edge, now);
+            boards[homes[edge]].add(&[place], LocationOrigin::Edge, now);
         }
         for index in 0..plan.registries {
             links[index].carry(plan.link_rate);
             if now < tell_at[index] {
                 continue;
             }
-            let most = pace.items_at_once(boards[index].readers(), PLACE_BYTES as f64);
+            let most = pace.max_batch_items(boards[index].reader_count(), PLACE_BYTES as f64);
             let mut bytes = 0;
-            for telling in boards[index].tell(most) {
-                bytes += telling.places.len() * PLACE_BYTES * telling.readers.len();
+            for telling in boards[index].next_batches(most) {
+                bytes += telling.locations.len() * PLACE_BYTES * telling.readers.len();
                 for reader in telling.readers {
                     match reader {
-                        PlaceReader::Edge(edge) => {
-                            let told = telling.places.iter().map(|place| place.text);
+                        LocationReader::Edge(edge) => {
+                            let told = telling.locations.iter().map(|place| place.text);
                             known[edge as usize].extend(told);
                         }
-                        PlaceReader::Registry(peer) => {
-                            let origin = PlaceOrigin::Registry;
+                        LocationReader::Registry(peer) => {
+                            let origin = LocationOrigin::Registry;
                             let peer = all.iter().position(|registry| *registry == peer);
                             let peer = peer.expect("a registry of the fleet");
-                            boards[peer].take(&telling.places, origin, now);
+                            boards[peer].add(&telling.locations, origin, now);
                         }
                     }
                 }
             }
             links[index].write(bytes);
-            tell_at[index] = now.after(SPREAD_EVERY.max(pace.span(bytes)));
+            tell_at[index] = now.after(SPREAD_INTERVAL.max(pace.delay_after(bytes)));
             let wait = links[index].wait(plan.link_rate);
             outcome.longest_wait = outcome.longest_wait.max(wait);
         }
@@ -164,7 +168,7 @@
 /// Plays the fleet with one registry that tells all edges all that it has heard, each half second.
 fn play_one_keeper(plan: &FleetPlan) -> FleetOutcome {
     let mut random = Pcg64Mcg::seed_from_u64(7);
-    let pace = SendPace::of_places(plan.link_rate);
+    let pace = SendPace::for_locations(plan.link_rate);
     let mut link = OutwardLink::default();
     let mut untold = Vec::new();
     let mut tell_at = at(0);
@@ -177,7 +181,7 @@
             let bytes = untold.len() * PLACE_BYTES * plan.edges;
             untold.clear();
             link.write(bytes);
-            tell_at = now.after(Duration::from_millis(500).max(pace.span(bytes)));
+            tell_at = now.after(Duration::from_millis(500).max(pace.delay_after(bytes)));
         }
         outcome.longest_wait = outcome.longest_wait.max(link.wait(plan.link_rate));
     }
@@ -249,29 +253,29 @@
 #[test]
 fn places_found_after_a_restart_are_told_within_two_seconds() {
     let link_rate = 6e6 / 8.0;
-    let pace = SendPace::of_places(link_rate);
-    let mut board = PlaceBoard::new(at(0));
-    let place = |text| PlacedText {
+    let pace = SendPace::for_locations(link_rate);
+    let mut board = LocationLog::new(at(0));
+    let place = |text| PrefixLocation {
         text,
         engine: EndpointTag(text as u32 % 99),
     };
-    board.take_found((0..2700).map(place).collect(), at(0));
-    (0..21).for_each(|edge| board.add_reader(PlaceReader::Edge(edge)));
+    board.add_stored((0..2700).map(place).collect(), at(0));
+    (0..21).for_each(|edge| board.add_reader(LocationReader::Edge(edge)));
     let mut link = OutwardLink::default();
     let (mut now, mut longest) = (at(0), Duration::ZERO);
     loop {
-        let most = pace.items_at_once(board.readers(), PLACE_BYTES as f64);
-        let tellings = board.tell(most);
+        let most = pace.max_batch_items(board.reader_count(), PLACE_BYTES as f64);
+        let tellings = board.next_batches(most);
         if tellings.is_empty() {
             break;
         }
         let count = tellings
             .iter()
-            .map(|telling| telling.places.len() * telling.readers.len());
+            .map(|telling| telling.locations.len() * telling.readers.len());
         let bytes = count.sum::<usize>() * PLACE_BYTES;
         link.write(bytes);
         longest = longest.max(link.wait(link_rate));
-        let next = now.after(SPREAD_EVERY.max(pace.span(bytes)));
+        let next = now.after(SPREAD_INTERVAL.max(pace.delay_after(bytes)));
         while now < next {
             now = now.after(Duration::from_millis(STEP_MS));
             link.carry(link_rate);
@@ -287,45 +291,45 @@
 /// Guards against a place that others have forgotten and are not told again.
 #[test]
 fn a_place_that_is_told_again_later_is_spread_again() {
-    let place = PlacedText {
+    let place = PrefixLocation {
         text: 9,
         engine: EndpointTag(3),
     };
-    let mut board = PlaceBoard::new(at(0));
-    board.add_reader(PlaceReader::Edge(1));
-    board.take(&[place], PlaceOrigin::Edge, at(0));
-    board.take(&[place], PlaceOrigin::Edge, at(800));
-    let tellings = board.tell(10);
+    let mut board = LocationLog::new(at(0));
+    board.add_reader(LocationReader::Edge(1));
+    board.add(&[place], LocationOrigin::Edge, at(0));
+    board.add(&[place], LocationOrigin::Edge, at(800));
+    let tellings = board.next_batches(10);
     assert_eq!(
-        tellings[0].places,
+        tellings[0].locations,
         [place],
         "once, though two edges told it"
     );
-    board.take(&[place], PlaceOrigin::Edge, at(9000));
-    let tellings = board.tell(10);
-    assert_eq!(tellings[0].places, [place]);
-    assert!(board.tell(10).is_empty(), "nothing is left to tell");
+    board.add(&[place], LocationOrigin::Edge, at(9000));
+    let tellings = board.next_batches(10);
+    assert_eq!(tellings[0].locations, [place]);
+    assert!(board.next_batches(10).is_empty(), "nothing is left to tell");
 }
 
 /// Guards against an edge or registry that lacks what was told before it came.
 #[test]
 fn a_reader_that_comes_later_is_told_all() {
-    let place = |text| PlacedText {
+    let place = |text| PrefixLocation {
         text,
         engine: EndpointTag(3),
     };
-    let mut board = PlaceBoard::new(at(0));
-    board.take(&[place(1), place(2)], PlaceOrigin::Edge, at(0));
-    board.take(&[place(3)], PlaceOrigin::Registry, at(0));
-    let edge = PlaceReader::Edge(1);
-    let peer = PlaceReader::Registry(registry(2));
+    let mut board = LocationLog::new(at(0));
+    board.add(&[place(1), place(2)], LocationOrigin::Edge, at(0));
+    board.add(&[place(3)], LocationOrigin::Registry, at(0));
+    let edge = LocationReader::Edge(1);
+    let peer = LocationReader::Registry(registry(2));
     board.add_reader(edge);
     board.add_reader(peer);
-    let mut told: BTreeMap<PlaceReader, Vec<u64>> = BTreeMap::new();
+    let mut told: BTreeMap<LocationReader, Vec<u64>> = BTreeMap::new();
     for _ in 0..4 {
-        for telling in board.tell(2) {
+        for telling in board.next_batches(2) {
             for reader in telling.readers {
-                let texts = telling.places.iter().map(|place| place.text);
+                let texts = telling.locations.iter().map(|place| place.text);
                 told.entry(reader).or_default().extend(texts);
             }
         }
--- a/crates/ragwortroad_dispatch/tests/starts.rs
+++ b/crates/ragwortroad_dispatch/tests/starts.rs
@@ -14,7 +14,7 @@
     assert_eq!(start_wait(ms(100), ms(12_000)), ms(2000));
     // A booking has little time and must still be able to go elsewhere.
     assert_eq!(start_wait(ms(100), ms(600)), ms(150));
-    assert!(start_left(ms(100)) > start_left(ms(700)));
+    assert!(remaining_start_time(ms(100)) > remaining_start_time(ms(700)));
 }
 
 /// Callers served, of all, who wait through a restart, come back once as told, and wait again.
@@ -30,7 +30,7 @@
         let refused_ms = came_ms + wait;
         let left_ms = deadline_ms - wait;
         // Callers keep to what they are told up to a third of their time.
-        let told = start_left(ms(refused_ms)).min(ms(left_ms / 3));
+        let told = remaining_start_time(ms(refused_ms)).min(ms(left_ms / 3));
         let back_ms = refused_ms + told.as_millis() as u64;
         let second = start_wait(ms(back_ms), ms(left_ms - told.as_millis() as u64));
         served += u32::from(back_ms + second.as_millis() as u64 >= ready_ms);
@@ -58,27 +58,27 @@
 #[test]
 fn nothing_waits_in_an_outage() {
     assert_eq!(start_wait(ms(3000), ms(12_000)), Duration::ZERO);
-    assert_eq!(start_left(ms(3000)), Duration::ZERO);
+    assert_eq!(remaining_start_time(ms(3000)), Duration::ZERO);
 }
 
 /// Guards against places of texts that are forgotten before their engines are heard of.
 #[test]
 fn places_at_engines_not_heard_of_are_kept() {
     let (here, there) = (EndpointTag::of("i-here"), EndpointTag::of("i-there"));
-    let mut strays = StrayPlaces::default();
-    strays.keep(here, 1);
-    strays.keep(here, 2);
-    strays.keep(there, 2);
-    assert!(strays.knows(1) && strays.knows(2) && !strays.knows(3));
+    let mut strays = PendingLocations::default();
+    strays.add(here, 1);
+    strays.add(here, 2);
+    strays.add(there, 2);
+    assert!(strays.contains(1) && strays.contains(2) && !strays.contains(3));
     let mut texts = strays.take(here);
     texts.sort_unstable();
     assert_eq!(texts, [1, 2]);
-    assert!(!strays.knows(1), "its engine is known now");
-    assert!(strays.knows(2), "another engine has it too");
+    assert!(!strays.contains(1), "its engine is known now");
+    assert!(strays.contains(2), "another engine has it too");
     assert!(strays.take(here).is_empty());
     assert_eq!(strays.take(there), [2]);
     for text in 0..100_000 {
-        strays.keep(there, text);
+        strays.add(there, text);
     }
     assert_eq!(strays.take(there).len(), 4000, "memory is bounded");
 }
--- a/crates/ragwortroad_dispatch/tests/updates.rs
+++ b/crates/ragwortroad_dispatch/tests/updates.rs
@@ -24,8 +24,8 @@
     let draining = told("i-2999", EndpointStage::Draining, 2);
     assert_eq!(queue.take_urgent(), [draining]);
     assert!(!queue.has_urgent());
-    assert_eq!(queue.take_calm(100).len(), 100);
-    let rest = queue.take_calm(usize::MAX);
+    assert_eq!(queue.take_deferrable(100).len(), 100);
+    let rest = queue.take_deferrable(usize::MAX);
     assert_eq!(rest.len(), 2899);
     assert!(rest.iter().all(|change| change.name() != "i-2999"));
 }
@@ -37,10 +37,10 @@
     queue.push(told("i-1", EndpointStage::Ready, 1));
     queue.push(RegistryChange::Goodbye("i-1".to_owned()));
     assert_eq!(queue.take_urgent().len(), 1);
-    assert!(!queue.has_calm());
+    assert!(!queue.has_deferrable());
     // It starts again under the same name.
     queue.push(told("i-1", EndpointStage::Ready, 1));
-    assert_eq!(queue.take_calm(9).len(), 1);
+    assert_eq!(queue.take_deferrable(9).len(), 1);
 }
 
 /// Guards against outdated updates that take the link's time.
@@ -50,5 +50,8 @@
     queue.push(told("i-1", EndpointStage::Ready, 1));
     queue.push(RegistryChange::Lost("i-1".to_owned()));
     queue.push(told("i-1", EndpointStage::Ready, 9));
-    assert_eq!(queue.take_calm(9), [told("i-1", EndpointStage::Ready, 9)]);
+    assert_eq!(
+        queue.take_deferrable(9),
+        [told("i-1", EndpointStage::Ready, 9)]
+    );
 }
--- a/crates/ragwortroad_dispatch/tests/voters.rs
+++ b/crates/ragwortroad_dispatch/tests/voters.rs
@@ -9,7 +9,7 @@
 /// A site: the members in force, and the registries that the leader hears of.
 struct Site {
     members: MemberSet,
-    holders: Vec<MemberSighting>,
+    holders: Vec<MemberStatus>,
     /// The leader's identity.
     leader: MemberId,
 }
@@ -63,7 +63,7 @@
         self.members.voters().map(|member| member.0).collect()
     }
 
-    fn hold(&mut self, id: u64) -> &mut MemberSighting {
+    fn hold(&mut self, id: u64) -> &mut MemberStatus {
         let found = self
             .holders
             .iter_mut()
@@ -78,8 +78,8 @@
     postcard::from_bytes(&bytes).expect("decodes")
 }
 
-fn holder(member: u64, node: u64) -> MemberSighting {
-    MemberSighting {
+fn holder(member: u64, node: u64) -> MemberStatus {
+    MemberStatus {
         member: MemberId(member),
         node: NodeId(node),
         silent_for: Duration::ZERO,
@@ -105,7 +105,7 @@
     let mut site = Site::founded(5);
     site.settle();
     site.holders.retain(|holder| holder.member != MemberId(4));
-    site.holders.push(MemberSighting {
+    site.holders.push(MemberStatus {
         is_caught_up: false,
         ..holder(44, 4)
     });
--- a/crates/ragwortroad_dispatch/tests/warmups.rs
+++ b/crates/ragwortroad_dispatch/tests/warmups.rs
@@ -68,7 +68,7 @@
         };
         for (edge, pace) in edges.iter().zip(&mut paces) {
             if chosen.contains(edge) {
-                pace.take(share, at(0));
+                pace.add_share(share, at(0));
             }
         }
     }
@@ -82,23 +82,23 @@
             let candidates = warming.iter().filter(|&&engine| {
                 rule == WarmupRule::Ignored || pace.may_send(tags[engine], at(now))
             });
-            let candidates: Vec<PlaceCandidate<'_>> = candidates
-                .map(|&engine| PlaceCandidate {
+            let candidates: Vec<SelectionCandidate<'_>> = candidates
+                .map(|&engine| SelectionCandidate {
                     key: EndpointKey(engine as u32),
                     name: &names[engine],
                     load: 0,
                     slots: SLOTS,
-                    failing: 0.0,
-                    holds_text: false,
+                    failure_rate: 0.0,
+                    holds_prefix: false,
                 })
                 .collect();
             // Few texts are asked for by many.
             let text = draws.random_range(0..200);
-            let request = PlaceRequest {
-                shared_text: Some(text),
+            let request = SelectionRequest {
+                shared_prefix: Some(text),
                 draw: draws.random(),
             };
-            let settings = PlaceSettings::default();
+            let settings = SelectionSettings::default();
             let Some(key) = choose_engine(&candidates, request, &settings) else {
                 continue;
             };
@@ -149,7 +149,7 @@
     let endpoint = EndpointTag::of("e");
     let mut pace = WarmupPace::default();
     assert!(!pace.may_send(endpoint, at(0)), "nobody gave it a part");
-    pace.take(
+    pace.add_share(
         WarmupShare {
             endpoint,
             sharers: 4,
@@ -208,17 +208,17 @@
 fn endpoints_of_a_returned_domain_count_as_warming_up() {
     let mut table = RegistryTable::new(EVERY);
     table.announce(cold(1, 0), at(0));
-    assert_eq!(table.return_domain("elsewhere", at(500)), []);
-    let changes = table.return_domain("a", at(500));
+    assert_eq!(table.undrain_domain("elsewhere", at(500)), []);
+    let changes = table.undrain_domain("a", at(500));
     assert_eq!(changes, [RegistryChange::Cooled(cold(1, 2000))]);
     let change = table.announce(cold(2, 0), at(1000));
     assert_eq!(change, Some(RegistryChange::Told(cold(2, 0))));
 
     let mut known = EndpointTable::default();
-    known.told(HERE, cold(1, 0), at(0));
+    known.apply_record(HERE, cold(1, 0), at(0));
     let (key, _) = known.ready("llm").next().expect("it is ready");
     assert!(!known.is_warming(key, at(0)));
-    known.return_domain("a", at(2500));
+    known.undrain_domain("a", at(2500));
     assert!(known.is_warming(key, at(2400)));
     assert!(!known.is_warming(key, at(2500)));
 }
--- a/crates/ragwortroad_edge/src/config_intake.rs
+++ b/crates/ragwortroad_edge/src/config_intake.rs
@@ -122,7 +122,7 @@
     let sources: Vec<ConfigSource> = sources.collect();
     let above = state.version();
     let edge = &shared.settings.name;
-    let Some(ConfigDemand { registry, direct }) = state.fetch.next(edge, above, &sources, now)
+    let Some(ConfigRequest { registry, direct }) = state.fetch.next(edge, above, &sources, now)
     else {
         return;
     };
--- a/crates/ragwortroad_edge/src/edge_gates.rs
+++ b/crates/ragwortroad_edge/src/edge_gates.rs
@@ -66,7 +66,7 @@
         rule.engine.as_ref()?;
         let open = self.open_endpoints(service).filter(|(key, record)| {
             let load = self.loads.get(key);
-            let is_open = load.is_none_or(|load| load.is_open(now));
+            let is_open = load.is_none_or(|load| load.is_available(now));
             is_open && self.reach.is_reachable(&record.zone)
         });
         let shares = open.map(|(key, record)| {
@@ -74,14 +74,14 @@
             let load = self.loads.get(&key);
             let is_warming =
                 rule.warmup_per_second.is_some() && self.endpoints.is_warming(key, now);
-            EndpointShare {
+            EndpointUsage {
                 slots: usable_slots(record.slots, is_warming),
                 total: self.others_at(&record.name) + own,
                 own,
-                failing: load.map_or(0.0, |load| load.failing(now)),
+                failure_rate: load.map_or(0.0, |load| load.failure_rate(now)),
             }
         });
-        let shares: Vec<EndpointShare> = shares.collect();
+        let shares: Vec<EndpointUsage> = shares.collect();
         FleetLoad::of(&shares, self.edges)
     }
 }
--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -144,11 +144,11 @@
             }
         }
         LinkMessage::DomainDrains(drains) => {
-            let warm_at = now.after(return_warmup(shared.settings.announce_every));
+            let warm_at = now.after(undrain_warmup(shared.settings.announce_every));
             shared.state.borrow_mut().take_drains(drains, warm_at);
         }
         LinkMessage::WarmupShare(share) => {
-            shared.state.borrow_mut().warmups.take(share, now);
+            shared.state.borrow_mut().warmups.add_share(share, now);
         }
         LinkMessage::WantPlaces => shared.state.borrow().send_all_places(source),
         LinkMessage::EndpointsWhole(records) => {
@@ -176,9 +176,9 @@
         RegistryChange::Told(record) | RegistryChange::Cooled(record) => {
             take_record(state, source, record, now);
         }
-        RegistryChange::Lost(name) => state.endpoints.lost(source, &name, now),
+        RegistryChange::Lost(name) => state.endpoints.mark_lost(source, &name, now),
         RegistryChange::Goodbye(name) => {
-            let change = state.endpoints.said_goodbye(&name, now);
+            let change = state.endpoints.apply_goodbye(&name, now);
             tracing::info!(endpoint = name, ?change, "endpoint left");
             state.follow_change(change, now);
         }
@@ -188,8 +188,8 @@
 fn take_record(state: &mut EdgeState, source: SourceKey, record: EndpointRecord, now: ClockTime) {
     let name = record.name.clone();
     let stage = record.stage;
-    let change = state.endpoints.told(source, record, now);
-    if change != EndpointChange::Same {
+    let change = state.endpoints.apply_record(source, record, now);
+    if change != EndpointChange::Unchanged {
         tracing::info!(endpoint = name, ?stage, ?change, "endpoint update");
     }
     state.follow_change(change, now);
--- a/crates/ragwortroad_edge/src/edge_process.rs
+++ b/crates/ragwortroad_edge/src/edge_process.rs
@@ -165,7 +165,7 @@
         round += 1;
         // A registry is the home of its part of the edges.
         let registries = state.registries.len().max(1) as u32;
-        let pace = load_pace(state.edges.div_ceil(registries));
+        let pace = load_interval_factor(state.edges.div_ceil(registries));
         let is_due = round.is_multiple_of(LOAD_ROUNDS * pace);
         if is_due && shared.settings.mechanisms.told_loads {
             state.send_loads();
--- a/crates/ragwortroad_edge/src/edge_state.rs
+++ b/crates/ragwortroad_edge/src/edge_state.rs
@@ -68,16 +68,16 @@
     pub(crate) reach: DomainReach,
     /// When this edge may send requests to endpoints that warm up.
     pub(crate) warmups: WarmupPace,
-    pub(crate) texts: TextTable,
+    pub(crate) texts: PrefixTable,
     /// Places at engines that have not been heard of yet.
-    strays: StrayPlaces,
+    strays: PendingLocations,
     /// Places of texts that the other edges are still to be told.
-    pub(crate) placed: Vec<PlacedText>,
+    pub(crate) placed: Vec<PrefixLocation>,
     budgets: BTreeMap<String, RetryBudget>,
     /// Who may go on, of the requests for each service.
     pub(crate) gates: BTreeMap<String, ServiceGate>,
     /// How long callers wait at first, by route.
-    pub(crate) patiences: BTreeMap<String, UsualPatience>,
+    pub(crate) patiences: BTreeMap<String, DeadlineEstimate>,
     pub(crate) links: BTreeMap<SourceKey, RegistryLink>,
     pub(crate) registries: BTreeSet<SocketAddr>,
     pub(crate) next_source: u32,
@@ -146,8 +146,8 @@
         if drains.revision() <= self.drains.revision() {
             return;
         }
-        for domain in drains.returned_since(&self.drains) {
-            self.endpoints.return_domain(domain, warm_at);
+        for domain in drains.undrained_since(&self.drains) {
+            self.endpoints.undrain_domain(domain, warm_at);
         }
         let drained: Vec<&str> = drains.drained().collect();
         tracing::info!(?drained, revision = drains.revision(), "drained domains");
@@ -155,18 +155,18 @@
     }
 
     /// Takes where another edge has placed a text, or an earlier process of the fleet.
-    pub(crate) fn take_place(&mut self, place: PlacedText, now: ClockTime) {
+    pub(crate) fn take_place(&mut self, place: PrefixLocation, now: ClockTime) {
         match self.endpoints.find(place.engine) {
             Some(key) => {
                 self.texts.note(place.text, key, now);
             }
-            None => self.strays.keep(place.engine, place.text),
+            None => self.strays.add(place.engine, place.text),
         }
     }
 
     /// Whether a text is known to be at an engine that has not announced itself yet, and at no other.
     pub(crate) fn awaits_holder(&self, text: u64, now: ClockTime) -> bool {
-        self.strays.knows(text) && self.texts.holders(text, now).next().is_none()
+        self.strays.contains(text) && self.texts.holders(text, now).next().is_none()
     }
 
     /// Follows a change of an endpoint.
@@ -181,7 +181,8 @@
                     self.texts.note(text, key, now);
                 }
             }
-            EndpointChange::Stopped(_) | EndpointChange::Changed(_) | EndpointChange::Same => {}
+            EndpointChange::Stopped(_) | EndpointChange::Changed(_) | EndpointChange::Unchanged => {
+            }
         }
     }
 
@@ -292,7 +293,7 @@
         let places = newest.filter_map(|(text, key)| {
             let record = self.endpoints.record(key)?;
             let engine = EndpointTag::of(&record.name);
-            Some(PlacedText { text, engine })
+            Some(PrefixLocation { text, engine })
         });
         queue.send(&LinkMessage::PlacesKnown(places.collect()));
     }
--- a/crates/ragwortroad_edge/src/endpoint_call.rs
+++ b/crates/ragwortroad_edge/src/endpoint_call.rs
@@ -196,7 +196,7 @@
     if let Some(load) = facts.load {
         let now = shared.now();
         let mut state = shared.state.borrow_mut();
-        state.load_mut(chosen.key).read(load, now);
+        state.load_mut(chosen.key).note_reading(load, now);
     }
     if facts.is_misdirected {
         keep_connection(shared, chosen.address, connection, &facts);
@@ -266,14 +266,14 @@
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
     if matches!(end, CallEnd::Misdirected) {
-        state.endpoints.refute(chosen.key, now);
+        state.endpoints.mark_replaced(chosen.key, now);
     }
     let load = state.load_mut(chosen.key);
     match end {
-        CallEnd::NotSent { .. } | CallEnd::Misdirected => load.fail(now),
-        CallEnd::Lost { .. } | CallEnd::TimedOut | CallEnd::Silent => load.stumble(now),
-        CallEnd::Whole(answer) if answer.status.is_server_error() => load.stumble(now),
-        CallEnd::Whole(_) | CallEnd::Events(_) => load.succeed(now),
+        CallEnd::NotSent { .. } | CallEnd::Misdirected => load.note_failure(now),
+        CallEnd::Lost { .. } | CallEnd::TimedOut | CallEnd::Silent => load.note_bad_answer(now),
+        CallEnd::Whole(answer) if answer.status.is_server_error() => load.note_bad_answer(now),
+        CallEnd::Whole(_) | CallEnd::Events(_) => load.note_success(now),
         CallEnd::NotRun => {}
     }
     drop(state);
--- a/crates/ragwortroad_edge/src/endpoint_choice.rs
+++ b/crates/ragwortroad_edge/src/endpoint_choice.rs
@@ -118,20 +118,20 @@
 
     fn choose(&self, load_multiple: f64) -> Option<ChosenEndpoint> {
         let candidates = self.candidates();
-        let request = PlaceRequest {
-            shared_text: self.text,
+        let request = SelectionRequest {
+            shared_prefix: self.text,
             draw: rand::random(),
         };
         let key = match self.engine {
             Some(_) => {
-                let settings = PlaceSettings::within(load_multiple);
+                let settings = SelectionSettings::within(load_multiple);
                 choose_engine(&candidates, request, &settings)
             }
             None => choose_replica(&candidates, request),
         }?;
         let chosen = candidates.iter().find(|candidate| candidate.key == key)?;
         let record = self.state.endpoints.record(key)?;
-        let may_copy = self.mechanisms.text_copies && !chosen.holds_text;
+        let may_copy = self.mechanisms.text_copies && !chosen.holds_prefix;
         let lacking = self.engine.filter(|_| may_copy);
         let told_at = self.state.loads_at.filter(|_| self.engine.is_some());
         Some(ChosenEndpoint {
@@ -142,13 +142,13 @@
             load: chosen.load,
             load_age: told_at.map(|told_at| self.now.since(told_at)),
             among: candidates.len(),
-            holds_text: chosen.holds_text,
+            holds_text: chosen.holds_prefix,
             text_source: lacking.and_then(|engine| self.find_source(engine, record)),
         })
     }
 
     /// Endpoints that may take the request.
-    fn candidates(&self) -> Vec<PlaceCandidate<'a>> {
+    fn candidates(&self) -> Vec<SelectionCandidate<'a>> {
         let ready = self.state.open_endpoints(&self.plan.service);
         let untried = ready.filter(|(key, _)| !self.tried.contains(key));
         let untried = untried.filter(|(key, record)| self.may_send(*key, record));
@@ -165,19 +165,19 @@
             .collect()
     }
 
-    fn candidate(&self, key: EndpointKey, record: &'a EndpointRecord) -> PlaceCandidate<'a> {
+    fn candidate(&self, key: EndpointKey, record: &'a EndpointRecord) -> SelectionCandidate<'a> {
         let load = self.state.loads.get(&key);
         let others = match self.engine {
             Some(_) => self.state.others_at(&record.name),
             None => 0,
         };
-        PlaceCandidate {
+        SelectionCandidate {
             key,
             name: &record.name,
             load: load.map_or(others, |load| load.estimate(others, self.now)),
             slots: record.slots,
-            failing: load.map_or(0.0, |load| self.failing(load)),
-            holds_text: self.holders.contains(&key),
+            failure_rate: load.map_or(0.0, |load| self.failing(load)),
+            holds_prefix: self.holders.contains(&key),
         }
     }
 
@@ -194,12 +194,12 @@
 
     fn is_open(&self, key: EndpointKey) -> bool {
         let load = self.state.loads.get(&key);
-        !self.mechanisms.failure_pauses || load.is_none_or(|load| load.is_open(self.now))
+        !self.mechanisms.failure_pauses || load.is_none_or(|load| load.is_available(self.now))
     }
 
     fn failing(&self, load: &EndpointLoad) -> f64 {
         match self.mechanisms.failing_share {
-            true => load.failing(self.now),
+            true => load.failure_rate(self.now),
             false => 0.0,
         }
     }
@@ -210,7 +210,7 @@
     fn find_source(&self, engine: &EngineRule, target: &EndpointRecord) -> Option<ChosenSource> {
         let untried = self.holders.iter().filter(|key| !self.tried.contains(key));
         let sources = untried.filter_map(|&key| self.source(key, target));
-        let sources: Vec<TextSource> = sources.collect();
+        let sources: Vec<PrefixSource> = sources.collect();
         let key = choose_source(&sources, self.plan.facts.shared_tokens(), engine)?;
         let record = self.state.endpoints.record(key)?;
         Some(ChosenSource {
@@ -219,17 +219,17 @@
         })
     }
 
-    fn source(&self, key: EndpointKey, target: &EndpointRecord) -> Option<TextSource> {
+    fn source(&self, key: EndpointKey, target: &EndpointRecord) -> Option<PrefixSource> {
         let record = self.state.endpoints.record(key)?;
         let is_reachable = self.state.reach.is_reachable(&record.zone);
         let is_there = record.stage != EndpointStage::Gone && record.name != target.name;
         let is_there = is_there && is_reachable;
         let load = self.state.loads.get(&key);
-        (is_there && self.is_open(key)).then(|| TextSource {
+        (is_there && self.is_open(key)).then(|| PrefixSource {
             key,
             is_near: record.zone == target.zone,
             load: load.map_or(0, |load| load.estimate(0, self.now)),
-            failing: load.map_or(0.0, |load| self.failing(load)),
+            failure_rate: load.map_or(0.0, |load| self.failing(load)),
         })
     }
 }
@@ -239,7 +239,7 @@
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
     if state.texts.note(text, chosen.key, now) {
-        state.placed.push(PlacedText {
+        state.placed.push(PrefixLocation {
             text,
             engine: EndpointTag::of(&chosen.name),
         });
--- a/crates/ragwortroad_edge/src/flight_guard.rs
+++ b/crates/ragwortroad_edge/src/flight_guard.rs
@@ -15,7 +15,7 @@
 impl FlightGuard {
     /// Counts a request at an endpoint.
     pub(crate) fn new(shared: &Rc<EdgeShared>, key: EndpointKey) -> Self {
-        shared.state.borrow_mut().load_mut(key).begin();
+        shared.state.borrow_mut().load_mut(key).start_request();
         Self {
             shared: Rc::clone(shared),
             key,
@@ -30,6 +30,10 @@
 
 impl Drop for FlightGuard {
     fn drop(&mut self) {
-        self.shared.state.borrow_mut().load_mut(self.key).end();
+        self.shared
+            .state
+            .borrow_mut()
+            .load_mut(self.key)
+            .finish_request();
     }
 }
--- a/crates/ragwortroad_edge/src/gate_pass.rs
+++ b/crates/ragwortroad_edge/src/gate_pass.rs
@@ -43,7 +43,7 @@
 struct GateWait<'a> {
     shared: &'a EdgeShared,
     plan: &'a RequestPlan,
-    ticket: WaitTicket,
+    ticket: QueueTicket,
     called: oneshot::Receiver<()>,
     is_over: bool,
 }
@@ -86,13 +86,13 @@
     }
     let now = shared.now();
     let time_left = plan.deadline.saturating_duration_since(plan.came_at);
-    let patience = gate_patience(plan.rule().target, time_left);
+    let patience = max_queue_time(plan.rule().target, time_left);
     let way = {
         let mut state = shared.state.borrow_mut();
-        let offer = GateOffer {
-            rank: plan.map.full_rank(plan.route, plan.customer),
+        let offer = AdmissionRequest {
+            rank: plan.map.request_rank(plan.route, plan.customer),
             is_late: mechanisms.late_last && state.time_spent(plan) >= plan.rule().target,
-            patience,
+            queue_timeout: patience,
         };
         state.gate_mut(&plan.service, now).offer(offer, now)
     };
--- a/crates/ragwortroad_edge/src/request_end.rs
+++ b/crates/ragwortroad_edge/src/request_end.rs
@@ -140,9 +140,9 @@
         rank = plan.map.rank(plan.route, plan.customer),
         route_rank = plan.rule().rank,
         limit = gate.limit().ceil() as u32,
-        under_way = gate.under_way(),
+        under_way = gate.in_flight(),
         waiting = gate.waiting(),
-        shedding_ms = gate.shedding_for(now).as_millis() as u64,
+        shedding_ms = gate.shedding_duration(now).as_millis() as u64,
         load_age_ms = told_at.map(|told_at| now.since(told_at).as_millis() as u64),
         "no room at the gate"
     );
@@ -153,13 +153,13 @@
     let state = shared.state.borrow();
     let gate = state.gates.get(&plan.service);
     let shedding = gate.map_or(Duration::ZERO, |gate| {
-        gate.gate().shedding_for(shared.now())
+        gate.gate().shedding_duration(shared.now())
     });
     let patience = plan.facts.time_left.unwrap_or(plan.rule().timeout);
     if !shared.settings.mechanisms.long_return {
         return come_back();
     }
-    come_back_time(shedding, patience, rand::random())
+    retry_after_delay(shedding, patience, rand::random())
 }
 
 /// A short time, for callers whose refusal has nothing to do with the load.
--- a/crates/ragwortroad_edge/src/request_flow.rs
+++ b/crates/ragwortroad_edge/src/request_flow.rs
@@ -78,7 +78,9 @@
             tracing::info!(request = id, outcome = "refused", ?reason, "request over");
             count_request("unread", "refused", reason.label());
             let again = match reason {
-                RefusalReason::Starting => Some(start_left(shared.running()) + come_back()),
+                RefusalReason::Starting => {
+                    Some(remaining_start_time(shared.running()) + come_back())
+                }
                 RefusalReason::Stopping => Some(come_back()),
                 _ => None,
             };
@@ -190,7 +192,7 @@
     chosen: &ChosenEndpoint,
 ) -> CallEnd {
     let time_left = plan.deadline.saturating_duration_since(Instant::now());
-    let patience = answer_patience(plan.rule().target, time_left);
+    let patience = first_byte_timeout(plan.rule().target, time_left);
     let mut end_soon = shared.end_soon.subscribe();
     // The sender lives as long as the edge, so this ends only by the last call.
     let last_call = end_soon.wait_for(|is_last| *is_last);
@@ -234,5 +236,5 @@
     let mut state = shared.state.borrow_mut();
     let edges = state.edges;
     let budget = state.budget_mut(&plan.service, &shared.settings, now);
-    budget.earn(edges, now);
+    budget.deposit(edges, now);
 }
--- a/crates/ragwortroad_edge/src/request_way.rs
+++ b/crates/ragwortroad_edge/src/request_way.rs
@@ -125,7 +125,7 @@
             let now = shared.now();
             let mut state = shared.state.borrow_mut();
             let budget = state.budget_mut(&plan.service, &shared.settings, now);
-            let may = budget.spend();
+            let may = budget.withdraw();
             let outcome = if may { "made" } else { "over_budget" };
             metrics::counter!(metric_names::REPEATS, "outcome" => outcome).increment(1);
             may
--- a/crates/ragwortroad_edge/src/service_gate.rs
+++ b/crates/ragwortroad_edge/src/service_gate.rs
@@ -16,13 +16,13 @@
     /// Whether the limit comes from the fleet's load.
     is_told: bool,
     /// Tells a waiting task that it may go on; dropped where it may not.
-    waiting: HashMap<WaitTicket, oneshot::Sender<()>>,
+    waiting: HashMap<QueueTicket, oneshot::Sender<()>>,
 }
 
 /// How a request gets past a gate.
 pub(crate) enum GateWay {
     Open,
-    Wait(WaitTicket, oneshot::Receiver<()>),
+    Wait(QueueTicket, oneshot::Receiver<()>),
 }
 
 impl ServiceGate {
@@ -37,7 +37,7 @@
 
     /// Whether some request has yet to leave it.
     pub(crate) fn is_used(&self) -> bool {
-        self.gate.under_way() > 0 || self.gate.waiting() > 0
+        self.gate.in_flight() > 0 || self.gate.waiting() > 0
     }
 
     /// The gate's figures.
@@ -55,17 +55,17 @@
 
     /// Notes how long an answer of a plain service took, and the time it should take.
     pub(crate) fn note_answer(&mut self, took: Duration, target: Duration, now: ClockTime) {
-        let under_way = self.gate.under_way();
+        let under_way = self.gate.in_flight();
         if !self.is_told && self.learned.note(took, target, under_way) {
             self.gate.set_limit(self.learned.limit(), now);
             self.settle(now);
         }
     }
 
-    pub(crate) fn offer(&mut self, offer: GateOffer, now: ClockTime) -> GateWay {
+    pub(crate) fn offer(&mut self, offer: AdmissionRequest, now: ClockTime) -> GateWay {
         match self.gate.offer(offer, now) {
-            GateAnswer::Admitted => GateWay::Open,
-            GateAnswer::Waiting(ticket) => {
+            AdmissionDecision::Admitted => GateWay::Open,
+            AdmissionDecision::Queued(ticket) => {
                 let (sender, receiver) = oneshot::channel();
                 self.waiting.insert(ticket, sender);
                 self.settle(now);
@@ -75,7 +75,7 @@
     }
 
     pub(crate) fn leave(&mut self, now: ClockTime) {
-        self.gate.leave(now);
+        self.gate.release(now);
         self.settle(now);
     }
 
@@ -86,7 +86,7 @@
     /// and after some hundred of them the edge would refuse everybody.
     pub(crate) fn end_wait(
         &mut self,
-        ticket: WaitTicket,
+        ticket: QueueTicket,
         called: &mut oneshot::Receiver<()>,
         now: ClockTime,
     ) -> bool {
@@ -95,21 +95,21 @@
         }
         self.settle(now);
         if self.waiting.remove(&ticket).is_some() {
-            self.gate.give_up(ticket);
+            self.gate.cancel(ticket);
         }
         called.try_recv().is_ok()
     }
 
     /// Lets go on who may, and ends the wait of who waits in vain.
     fn settle(&mut self, now: ClockTime) {
-        while let Some(ticket) = self.gate.call_next(now) {
+        while let Some(ticket) = self.gate.admit_next(now) {
             let sender = self.waiting.remove(&ticket);
             // A task that has just ended leaves its place to the next one.
             if sender.is_none_or(|sender| sender.send(()).is_err()) {
-                self.gate.leave(now);
+                self.gate.release(now);
             }
         }
-        while let Some(ticket) = self.gate.take_displaced(now) {
+        while let Some(ticket) = self.gate.shed_next(now) {
             self.waiting.remove(&ticket);
         }
     }
--- a/crates/ragwortroad_edge/src/stream_body.rs
+++ b/crates/ragwortroad_edge/src/stream_body.rs
@@ -231,7 +231,7 @@
         let now = self.shared.now();
         if let Some(run) = self.run.take() {
             let mut state = self.shared.state.borrow_mut();
-            state.load_mut(run.guard.key()).stumble(now);
+            state.load_mut(run.guard.key()).note_bad_answer(now);
         }
         self.cutter.drop_half();
         let rule = self.plan.rule();
@@ -241,7 +241,7 @@
         let may = may && {
             let mut state = self.shared.state.borrow_mut();
             let budget = state.budget_mut(&self.plan.service, &self.shared.settings, now);
-            budget.spend()
+            budget.withdraw()
         };
         tracing::info!(
             request = self.plan.id,
--- a/crates/ragwortroad_edge/src/tests.rs
+++ b/crates/ragwortroad_edge/src/tests.rs
@@ -10,19 +10,19 @@
     ServiceGate, //
 };
 
-fn offer() -> GateOffer {
-    GateOffer {
-        rank: FullRank::default(),
+fn offer() -> AdmissionRequest {
+    AdmissionRequest {
+        rank: RequestRank::default(),
         is_late: false,
-        patience: Duration::from_millis(200),
+        queue_timeout: Duration::from_millis(200),
     }
 }
 
 /// A gate with one place, which is taken, and a request that waits for it.
-fn one_waits(now: ClockTime) -> (ServiceGate, WaitTicket, tokio::sync::oneshot::Receiver<()>) {
+fn one_waits(now: ClockTime) -> (ServiceGate, QueueTicket, tokio::sync::oneshot::Receiver<()>) {
     let mut gate = ServiceGate::new(now);
     let load = FleetLoad {
-        room: 1.0,
+        capacity: 1.0,
         edges: 1,
         ..FleetLoad::default()
     };
@@ -41,13 +41,13 @@
     let (mut gate, ticket, mut called) = one_waits(now);
     gate.leave(now);
     assert_eq!(
-        gate.gate().under_way(),
+        gate.gate().in_flight(),
         1,
         "the one that waited has the place"
     );
     assert!(gate.end_wait(ticket, &mut called, now));
     gate.leave(now);
-    assert_eq!(gate.gate().under_way(), 0);
+    assert_eq!(gate.gate().in_flight(), 0);
     assert!(matches!(gate.offer(offer(), now), GateWay::Open));
 }
 
@@ -58,6 +58,6 @@
     assert!(!gate.end_wait(ticket, &mut called, now));
     assert_eq!(gate.gate().waiting(), 0);
     gate.leave(now);
-    assert_eq!(gate.gate().under_way(), 0);
+    assert_eq!(gate.gate().in_flight(), 0);
     assert!(!gate.is_used());
 }
--- a/crates/ragwortroad_link/src/link_message.rs
+++ b/crates/ragwortroad_link/src/link_message.rs
@@ -53,9 +53,9 @@
     /// Requests that the edges of one registry have under way together, where that has changed.
     PartialLoads(Vec<LoadCount>),
     /// Texts that were sent to engines which had not read them.
-    TextsPlaced(Vec<PlacedText>),
+    TextsPlaced(Vec<PrefixLocation>),
     /// The same of another registry's edges, which it tells all registries itself.
-    PartialPlaces(Vec<PlacedText>),
+    PartialPlaces(Vec<PrefixLocation>),
     /// A registry tells an edge what it knows of the fleet.
     Fleet {
         /// Where registries listen for links.
@@ -116,7 +116,7 @@
     /// A registry that keeps places of texts asks an edge for all that it knows.
     WantPlaces,
     /// Those places, the newest last.
-    PlacesKnown(Vec<PlacedText>),
+    PlacesKnown(Vec<PrefixLocation>),
 }
 
 impl LinkMessage {
--- a/crates/ragwortroad_registry/src/config_flow.rs
+++ b/crates/ragwortroad_registry/src/config_flow.rs
@@ -31,8 +31,8 @@
             Some(steps) => {
                 queue.send(&LinkMessage::ConfigDeltas(steps));
             }
-            None if direct => self.copies.want_direct(link.0),
-            None => self.copies.want(link.0),
+            None if direct => self.copies.enqueue_direct(link.0),
+            None => self.copies.enqueue(link.0),
         }
     }
 
@@ -57,8 +57,8 @@
                 return;
             }
         };
-        let pace = SendPace::of_configs(self.link_rate());
-        let most = pace.items_at_once(1, step.packed.len().max(1) as f64);
+        let pace = SendPace::for_configs(self.link_rate());
+        let most = pace.max_batch_items(1, step.packed.len().max(1) as f64);
         let helpers = self.config_helpers();
         let plan = self.copies.plan(most, &helpers);
         for referral in &plan.referred {
@@ -69,7 +69,7 @@
         let direct: Vec<LinkKey> = plan.direct.iter().copied().map(LinkKey).collect();
         let message = LinkMessage::ConfigDeltas(vec![step]);
         let bytes = self.send_to_links(direct.iter(), &message);
-        self.copies_at = now.after(pace.span(bytes).max(ROUND_TIME));
+        self.copies_at = now.after(pace.delay_after(bytes).max(ROUND_TIME));
         tracing::info!(
             edges = direct.len(),
             referred = plan.referred.len(),
--- a/crates/ragwortroad_registry/src/directory_flow.rs
+++ b/crates/ragwortroad_registry/src/directory_flow.rs
@@ -26,7 +26,9 @@
     /// Edges that take callers, for one that asks from an address.
     pub(crate) fn find_edges(&self, asker: IpAddr, now: ClockTime) -> ControlReply {
         let ready = self.ready_edges();
-        let gap = self.gathering.gap(ready.len(), self.edges.len(), now);
+        let gap = self
+            .gathering
+            .check_ready(ready.len(), self.edges.len(), now);
         let found = match gap {
             Some(gap) => Err(gap),
             None => Ok(choose_addresses(asker, ready, MAX_ADDRESSES)),
@@ -72,19 +74,19 @@
 
 /// What a caller is told that asks for edges.
 pub(crate) fn directory_reply(
-    found: Result<Vec<SocketAddr>, DirectoryGap>,
+    found: Result<Vec<SocketAddr>, DirectoryError>,
     settings: &ForwardSettings,
 ) -> ControlReply {
-    let life: Duration = answer_life(settings.grace, settings.directory_life);
+    let life: Duration = answer_ttl(settings.grace, settings.directory_life);
     match found {
         Ok(addresses) => ControlReply::Edges {
             addresses,
             keep_s: life.as_secs(),
         },
-        Err(DirectoryGap::Gathering) => ControlReply::Unavailable {
+        Err(DirectoryError::Discovering) => ControlReply::Unavailable {
             reason: "edges are still being gathered",
         },
-        Err(DirectoryGap::NoEdge) => ControlReply::Unavailable {
+        Err(DirectoryError::NoEdge) => ControlReply::Unavailable {
             reason: "no edge takes callers",
         },
     }
--- a/crates/ragwortroad_registry/src/drain_flow.rs
+++ b/crates/ragwortroad_registry/src/drain_flow.rs
@@ -125,7 +125,7 @@
                 answer_call(wait.reply, ControlReply::Done);
             }
             // Its operator waits still, so it is later than the order that it met.
-            DrainOutcome::Overtaken => {
+            DrainOutcome::Superseded => {
                 let order = DrainOrder {
                     id: rand::random(),
                     ..wait.order
@@ -143,7 +143,7 @@
 
     /// The endpoints of a domain get work again, and may have gone cold without it.
     fn return_domain(&mut self, domain: &str, now: ClockTime) {
-        for change in self.table.return_domain(domain, now) {
+        for change in self.table.undrain_domain(domain, now) {
             self.queue_update(change);
         }
     }
--- a/crates/ragwortroad_registry/src/edge_flow.rs
+++ b/crates/ragwortroad_registry/src/edge_flow.rs
@@ -179,15 +179,15 @@
             self.updates_at = now.after(UPDATES_EVERY);
             self.send_urgent();
         }
-        if !self.updates.has_calm() || now < self.calm_updates_at || self.is_forming(now) {
+        if !self.updates.has_deferrable() || now < self.calm_updates_at || self.is_forming(now) {
             return;
         }
         self.send_urgent();
-        let pace = SendPace::of_updates(self.link_rate());
-        let count = pace.items_at_once(self.edges.len(), RECORD_BYTES);
-        let updates = self.updates.take_calm(count);
+        let pace = SendPace::for_updates(self.link_rate());
+        let count = pace.max_batch_items(self.edges.len(), RECORD_BYTES);
+        let updates = self.updates.take_deferrable(count);
         let bytes = self.send_to_edges(&LinkMessage::EndpointUpdates(updates));
-        let span = pace.span(bytes);
+        let span = pace.delay_after(bytes);
         self.calm_updates_at = now.after(UPDATES_EVERY.max(span));
     }
 
@@ -246,7 +246,7 @@
                 reason: "no edge is connected here; say goodbye at another registry",
             };
         }
-        let change = self.table.leave(name, now);
+        let change = self.table.apply_goodbye(name, now);
         self.queue_update(change);
         ControlReply::Done
     }
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -139,9 +139,9 @@
             LinkMessage::PartialLoads(counts) => self.take_part(link, &counts),
             LinkMessage::TextsPlaced(placed) => self.take_places(link, &placed, now),
             LinkMessage::PartialPlaces(placed) => {
-                self.places.take(&placed, PlaceOrigin::Registry, now);
+                self.places.add(&placed, LocationOrigin::Registry, now);
             }
-            LinkMessage::PlacesKnown(places) => self.places.take_whole(places, now),
+            LinkMessage::PlacesKnown(places) => self.places.add_snapshot(places, now),
             other => tracing::warn!(?other, "a message that no process sends here"),
         }
     }
@@ -229,13 +229,13 @@
         }
     }
 
-    fn member_sightings(&self, core: &ConsensusCore, now: ClockTime) -> Vec<MemberSighting> {
+    fn member_sightings(&self, core: &ConsensusCore, now: ClockTime) -> Vec<MemberStatus> {
         let mut holders = Vec::new();
         for (hello, heard_at) in self.peers.values().filter_map(|peer| peer.hello.as_ref()) {
             let Some(member) = hello.member.map(MemberId) else {
                 continue;
             };
-            holders.push(MemberSighting {
+            holders.push(MemberStatus {
                 member,
                 node: NodeId::from_name(&hello.address.to_string()),
                 silent_for: now.since(*heard_at),
--- a/crates/ragwortroad_registry/src/place_keeper.rs
+++ b/crates/ragwortroad_registry/src/place_keeper.rs
@@ -29,7 +29,7 @@
 /// tells the edges. It is no more than a hint, so a disk that fails costs only the hint.
 #[derive(Debug)]
 pub(crate) struct PlaceKeeper {
-    orders: Sender<Vec<PlacedText>>,
+    orders: Sender<Vec<PrefixLocation>>,
     thread: JoinHandle<()>,
 }
 
@@ -65,7 +65,7 @@
     }
 
     /// Has these places kept; tells whether the disk had time for them.
-    pub(crate) fn keep(&self, places: Vec<PlacedText>) -> bool {
+    pub(crate) fn keep(&self, places: Vec<PrefixLocation>) -> bool {
         match self.orders.try_send(places) {
             Ok(()) => true,
             Err(TrySendError::Full(_)) => false,
@@ -85,7 +85,7 @@
 
 fn keep_places(
     folder: PathBuf,
-    queue: &Receiver<Vec<PlacedText>>,
+    queue: &Receiver<Vec<PrefixLocation>>,
     events: &Sender<RegistryEvent>,
 ) -> Result<(), KeeperError> {
     let disk = RealDisk::open(folder, None).context(OpenSnafu)?;
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-fn find_places(file: &HintFile) -> Result<Vec<PlacedText>, KeeperError> {
+fn find_places(file: &HintFile) -> Result<Vec<PrefixLocation>, KeeperError> {
     let Some(bytes) = file.read().context(FolderSnafu)? else {
         return Ok(Vec::new());
     };
--- a/crates/ragwortroad_registry/src/registry_event.rs
+++ b/crates/ragwortroad_registry/src/registry_event.rs
@@ -70,7 +70,7 @@
     /// The disk has done something.
     Folder(FolderReport),
     /// An earlier process has kept where texts were placed.
-    PlacesFound(Vec<PlacedText>),
+    PlacesFound(Vec<PrefixLocation>),
     /// The settings name these registries now.
     Seeds(Vec<SocketAddr>),
     /// The process is to stop.
--- a/crates/ragwortroad_registry/src/registry_state.rs
+++ b/crates/ragwortroad_registry/src/registry_state.rs
@@ -43,7 +43,7 @@
     pub(crate) table: RegistryTable,
     pub(crate) plan: VoterPlan,
     pub(crate) started_at: ClockTime,
-    pub(crate) gathering: EdgeGathering,
+    pub(crate) gathering: EdgeDiscovery,
     /// Connections that were accepted, by edges and registries.
     pub(crate) links: BTreeMap<LinkKey, LinkQueue>,
     pub(crate) edges: BTreeMap<LinkKey, EdgeEntry>,
@@ -86,7 +86,7 @@
     pub(crate) totals: LoadTotals,
     pub(crate) totals_at: ClockTime,
     /// Where edges have placed texts lately.
-    pub(crate) places: PlaceBoard,
+    pub(crate) places: LocationLog,
     pub(crate) keeper: PlaceKeeper,
     pub(crate) places_at: ClockTime,
     /// What edges were told last of the fleet.
@@ -109,7 +109,7 @@
             seat,
             plan: VoterPlan::default(),
             started_at: now,
-            gathering: EdgeGathering::new(now),
+            gathering: EdgeDiscovery::new(now),
             links: BTreeMap::new(),
             edges: BTreeMap::new(),
             directories: BTreeSet::new(),
@@ -134,7 +134,7 @@
             subscribers: BTreeSet::new(),
             totals: LoadTotals::default(),
             totals_at: now,
-            places: PlaceBoard::new(now),
+            places: LocationLog::new(now),
             keeper,
             places_at: now,
             told_fleet: None,
@@ -160,7 +160,7 @@
                 if let Some(entry) = self.peers.get_mut(&peer) {
                     entry.queue = None;
                 }
-                self.places.drop_reader(PlaceReader::Registry(peer));
+                self.places.drop_reader(LocationReader::Registry(peer));
                 self.pass_on_again();
             }
             RegistryEvent::Folder(report) => {
@@ -168,7 +168,7 @@
                 self.carry_out(effects, now);
             }
             RegistryEvent::PlacesFound(places) => {
-                self.places.take_found(places, now);
+                self.places.add_stored(places, now);
                 // Edges connect while the disk is read. Told half a second later, they would have
                 // sent texts to other engines meanwhile.
                 self.places_at = now;
@@ -201,7 +201,7 @@
         self.send_updates(now);
         self.send_loads(now);
         self.send_places(now);
-        let updates_wake = match (self.updates.has_urgent(), self.updates.has_calm()) {
+        let updates_wake = match (self.updates.has_urgent(), self.updates.has_deferrable()) {
             (true, _) => self.updates_at,
             (false, true) => self.calm_updates_at,
             (false, false) => self.totals_at,
--- a/crates/ragwortroad_registry/src/spread_flow.rs
+++ b/crates/ragwortroad_registry/src/spread_flow.rs
@@ -24,12 +24,12 @@
             return;
         };
         self.totals.drop_source(LoadSource::Edge(edge.address));
-        let loads = self.totals.told();
+        let loads = self.totals.published();
         if !loads.is_empty() {
             queue.send(&LinkMessage::Loads(loads));
         }
         self.subscribers.insert(link);
-        self.places.add_reader(PlaceReader::Edge(link.0));
+        self.places.add_reader(LocationReader::Edge(link.0));
         tracing::info!(
             edge = edge.node,
             subscribers = self.subscribers.len(),
@@ -40,7 +40,7 @@
     /// An edge has another home now, or is gone.
     pub(crate) fn unsubscribe(&mut self, link: LinkKey) {
         self.subscribers.remove(&link);
-        self.places.drop_reader(PlaceReader::Edge(link.0));
+        self.places.drop_reader(LocationReader::Edge(link.0));
         if let Some(edge) = self.edges.get(&link) {
             self.totals.drop_source(LoadSource::Edge(edge.address));
         }
@@ -50,14 +50,14 @@
     pub(crate) fn take_loads(&mut self, link: LinkKey, counts: &[LoadCount]) {
         let edge = self.edges.get(&link);
         if let Some(edge) = edge.filter(|_| self.subscribers.contains(&link)) {
-            self.totals.take(LoadSource::Edge(edge.address), counts);
+            self.totals.update(LoadSource::Edge(edge.address), counts);
         }
     }
 
     /// Takes what the edges of another registry have under way.
     pub(crate) fn take_part(&mut self, link: LinkKey, counts: &[LoadCount]) {
         if let Some(&peer) = self.peer_links.get(&link) {
-            self.totals.take(LoadSource::Registry(peer), counts);
+            self.totals.update(LoadSource::Registry(peer), counts);
         }
     }
 
@@ -80,11 +80,11 @@
 
     /// Tells a registry that was just reached what this one's edges say, and all that follows.
     pub(crate) fn add_peer(&mut self, peer: SocketAddr, queue: &LinkQueue) {
-        let loads = self.totals.own_told();
+        let loads = self.totals.own_published();
         if !loads.is_empty() {
             queue.send(&LinkMessage::PartialLoads(loads));
         }
-        self.places.add_reader(PlaceReader::Registry(peer));
+        self.places.add_reader(LocationReader::Registry(peer));
     }
 
     /// Tells the other registries what this one's edges have under way, and its edges what all have.
@@ -102,9 +102,9 @@
             let message = LinkMessage::Loads(changes);
             bytes += self.send_to_links(self.subscribers.iter(), &message);
         }
-        let every = SPREAD_EVERY * load_pace(self.subscribers.len() as u32);
-        let pace = SendPace::of_loads(self.link_rate());
-        self.totals_at = now.after(every.max(pace.span(bytes)));
+        let every = SPREAD_INTERVAL * load_interval_factor(self.subscribers.len() as u32);
+        let pace = SendPace::for_loads(self.link_rate());
+        self.totals_at = now.after(every.max(pace.delay_after(bytes)));
     }
 
     /// Tells edges and registries where texts were placed, each from where it has got to.
@@ -112,27 +112,27 @@
         if now < self.places_at {
             return;
         }
-        let pace = SendPace::of_places(self.link_rate());
-        let most = pace.items_at_once(self.places.readers(), PLACE_BYTES);
+        let pace = SendPace::for_locations(self.link_rate());
+        let most = pace.max_batch_items(self.places.reader_count(), PLACE_BYTES);
         let mut bytes = 0;
-        for telling in self.places.tell(most) {
+        for telling in self.places.next_batches(most) {
             bytes += self.send_to_readers(&telling);
         }
-        self.places_at = now.after(SPREAD_EVERY.max(pace.span(bytes)));
+        self.places_at = now.after(SPREAD_INTERVAL.max(pace.delay_after(bytes)));
     }
 
-    fn send_to_readers(&self, telling: &PlaceBatch) -> usize {
-        let places = telling.places.clone();
+    fn send_to_readers(&self, telling: &LocationBatch) -> usize {
+        let places = telling.locations.clone();
         let edges = telling.readers.iter().filter_map(|reader| match reader {
-            PlaceReader::Edge(link) => self.links.get(&LinkKey(*link)),
-            PlaceReader::Registry(_) => None,
+            LocationReader::Edge(link) => self.links.get(&LinkKey(*link)),
+            LocationReader::Registry(_) => None,
         });
         let peers = telling.readers.iter().filter_map(|reader| match reader {
-            PlaceReader::Edge(_) => None,
-            PlaceReader::Registry(peer) => self.peers.get(peer)?.queue.as_ref(),
+            LocationReader::Edge(_) => None,
+            LocationReader::Registry(peer) => self.peers.get(peer)?.queue.as_ref(),
         });
         // All readers of one telling are of the same kind.
-        let is_part = matches!(telling.readers.first(), Some(PlaceReader::Registry(_)));
+        let is_part = matches!(telling.readers.first(), Some(LocationReader::Registry(_)));
         let message = match is_part {
             true => LinkMessage::PartialPlaces(places),
             false => LinkMessage::TextsPlaced(places),
@@ -141,21 +141,21 @@
     }
 
     /// Takes where an edge has placed texts.
-    pub(crate) fn take_places(&mut self, link: LinkKey, placed: &[PlacedText], now: ClockTime) {
-        self.places.take(placed, PlaceOrigin::Edge, now);
+    pub(crate) fn take_places(&mut self, link: LinkKey, placed: &[PrefixLocation], now: ClockTime) {
+        self.places.add(placed, LocationOrigin::Edge, now);
         let queue = self.links.get(&link);
-        if let Some(queue) = queue.filter(|_| self.places.wants_all(now)) {
+        if let Some(queue) = queue.filter(|_| self.places.should_request_all(now)) {
             queue.send(&LinkMessage::WantPlaces);
         }
     }
 
     /// Has the disk keep where texts were placed, from time to time.
     pub(crate) fn keep_places(&mut self, now: ClockTime) {
-        let Some(due) = self.places.due(now) else {
+        let Some(due) = self.places.due_write(now) else {
             return;
         };
         if self.keeper.keep(due) {
-            self.places.note_kept();
+            self.places.note_stored();
         }
     }
 
