--- a/crates/ragwortroad_dispatch/src/lib.rs
+++ b/crates/ragwortroad_dispatch/src/lib.rs
@@ -169,8 +169,8 @@
             SiteConfig, //
         },
         start_wait::{
-            remaining_start_time,
             start_wait, //
+            time_to_ready,
         },
         update_queue::UpdateQueue,
         voter_plan::{
--- a/crates/ragwortroad_dispatch/src/start_wait.rs
+++ b/crates/ragwortroad_dispatch/src/start_wait.rs
@@ -41,7 +41,7 @@
 /// A start that takes longer than usual goes on for a part of what it has taken: a caller told to
 /// come at once, who may come back once, would be refused for good by an edge that serves a moment
 /// later.
-pub fn remaining_start_time(running: Duration) -> Duration {
+pub fn time_to_ready(running: Duration) -> Duration {
     if running >= START_TIME {
         return Duration::ZERO;
     }
--- a/crates/ragwortroad_dispatch/tests/starts.rs
+++ b/crates/ragwortroad_dispatch/tests/starts.rs
@@ -14,7 +14,7 @@
     assert_eq!(start_wait(ms(100), ms(12_000)), ms(2000));
     // A booking has little time and must still be able to go elsewhere.
     assert_eq!(start_wait(ms(100), ms(600)), ms(150));
-    assert!(remaining_start_time(ms(100)) > remaining_start_time(ms(700)));
+    assert!(time_to_ready(ms(100)) > time_to_ready(ms(700)));
 }
 
 /// Callers served, of all, who wait through a restart, come back once as told, and wait again.
@@ -30,7 +30,7 @@
         let refused_ms = came_ms + wait;
         let left_ms = deadline_ms - wait;
         // Callers keep to what they are told up to a third of their time.
-        let told = remaining_start_time(ms(refused_ms)).min(ms(left_ms / 3));
+        let told = time_to_ready(ms(refused_ms)).min(ms(left_ms / 3));
         let back_ms = refused_ms + told.as_millis() as u64;
         let second = start_wait(ms(back_ms), ms(left_ms - told.as_millis() as u64));
         served += u32::from(back_ms + second.as_millis() as u64 >= ready_ms);
@@ -58,7 +58,7 @@
 #[test]
 fn nothing_waits_in_an_outage() {
     assert_eq!(start_wait(ms(3000), ms(12_000)), Duration::ZERO);
-    assert_eq!(remaining_start_time(ms(3000)), Duration::ZERO);
+    assert_eq!(time_to_ready(ms(3000)), Duration::ZERO);
 }
 
 /// Guards against places of texts that are forgotten before their engines are heard of.
--- a/crates/ragwortroad_edge/src/request_flow.rs
+++ b/crates/ragwortroad_edge/src/request_flow.rs
@@ -78,9 +78,7 @@
             tracing::info!(request = id, outcome = "refused", ?reason, "request over");
             count_request("unread", "refused", reason.label());
             let again = match reason {
-                RefusalReason::Starting => {
-                    Some(remaining_start_time(shared.running()) + come_back())
-                }
+                RefusalReason::Starting => Some(time_to_ready(shared.running()) + come_back()),
                 RefusalReason::Stopping => Some(come_back()),
                 _ => None,
             };
