--- a/crates/ragwortroad_edge/src/caller_server.rs
+++ b/crates/ragwortroad_edge/src/caller_server.rs
@@ -105,7 +105,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let stage = shared.state.borrow().stage;
-    let is_asked = (shared.port.asks_readiness)(request.method(), request.uri());
+    let is_asked = (shared.port.is_readiness_probe)(request.method(), request.uri());
     let status = match (is_asked, stage) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, EdgeStage::Ready) => StatusCode::OK,
--- a/crates/ragwortroad_edge/src/config_intake.rs
+++ b/crates/ragwortroad_edge/src/config_intake.rs
@@ -79,7 +79,7 @@
             return Err(io::Error::other("it was made against another one"));
         }
         let base = step.base.and(document.as_deref());
-        document = Some(step.open(base)?);
+        document = Some(step.unpack(base)?);
         version = Some(step.version);
     }
     document.ok_or_else(|| io::Error::other("there is no step"))
--- a/crates/ragwortroad_edge/src/connection_pool.rs
+++ b/crates/ragwortroad_edge/src/connection_pool.rs
@@ -51,10 +51,10 @@
         &self,
         address: SocketAddr,
         connection: EndpointConnection,
-        idle_life: Option<Duration>,
+        keep_alive_timeout: Option<Duration>,
         now: ClockTime,
     ) {
-        let life = idle_life.unwrap_or(UNKNOWN_LIFE);
+        let life = keep_alive_timeout.unwrap_or(UNKNOWN_LIFE);
         let Some(life) = life.checked_sub(CLOSE_MARGIN) else {
             return;
         };
--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -52,12 +52,12 @@
 /// Keeps a connection to one registry for as long as the process runs.
 async fn keep_registry(shared: Rc<EdgeShared>, source: SourceKey, address: SocketAddr) {
     let settings = LinkSettings::default();
-    let mut pace = DialPace::default();
+    let mut backoff = DialBackoff::default();
     loop {
-        let limit = pace.patience(shared.running(), settings.dial_timeout);
+        let limit = backoff.attempt_timeout(shared.running(), settings.dial_timeout);
         match dial_link(address, limit).await {
             Ok(stream) => {
-                pace.reset();
+                backoff.reset();
                 let (queue, receiver) = LinkQueue::new(&settings);
                 begin_link(&shared, source, &queue);
                 let inward = Rc::clone(&shared);
@@ -69,7 +69,7 @@
             }
             Err(error) => tracing::debug!(registry = %address, %error, "registry not reached"),
         }
-        sleep(pace.next_pause(shared.running())).await;
+        sleep(backoff.next_delay(shared.running())).await;
     }
 }
 
--- a/crates/ragwortroad_edge/src/edge_port.rs
+++ b/crates/ragwortroad_edge/src/edge_port.rs
@@ -17,47 +17,47 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EdgePort {
     /// Reads a caller's request.
-    pub read_request: fn(&HeaderMap) -> RequestFacts,
+    pub parse_request: fn(&HeaderMap) -> RequestMetadata,
     /// Makes a caller's headers into those that an endpoint gets.
-    pub dress_request: fn(&mut HeaderMap, &SendingFacts<'_>),
+    pub rewrite_headers: fn(&mut HeaderMap, &ForwardMetadata<'_>),
     /// Reads an endpoint's answer.
-    pub read_answer: fn(StatusCode, &HeaderMap) -> AnswerFacts,
+    pub parse_response: fn(StatusCode, &HeaderMap) -> ResponseMetadata,
     /// Reads a configuration document.
     pub decode_config: fn(&[u8]) -> Result<SiteConfig, ConfigFault>,
     /// Whether this asks if the edge is ready.
-    pub asks_readiness: fn(&Method, &Uri) -> bool,
+    pub is_readiness_probe: fn(&Method, &Uri) -> bool,
 }
 
 /// What a caller's headers say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Identity of this attempt of the caller's.
     pub id: Option<String>,
     /// How long the caller waits.
     pub time_left: Option<Duration>,
     /// The caller's key.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// The event behind which a stream is to go on.
-    pub after_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Parts of the prompt, in order; the last one is the request's own.
-    pub parts: Vec<TextPart>,
+    pub prompt_parts: Vec<PromptPart>,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Most tokens of the answer.
-    pub answer_tokens: u32,
+    pub max_output_tokens: u32,
 }
 
-impl RequestFacts {
+impl RequestMetadata {
     /// Key of the text that the request shares with others.
-    pub fn shared_text(&self) -> Option<u64> {
-        let parts: Vec<u64> = self.parts.iter().map(|part| part.key).collect();
+    pub fn shared_prefix(&self) -> Option<u64> {
+        let parts: Vec<u64> = self.prompt_parts.iter().map(|part| part.key).collect();
         shared_key(&parts)
     }
 
     /// Tokens of the prompt that the request shares with others.
-    pub fn shared_tokens(&self) -> u32 {
+    pub fn shared_prefix_tokens(&self) -> u32 {
         let shared = self
-            .parts
+            .prompt_parts
             .split_last()
             .map_or(&[][..], |(_, shared)| shared);
         shared
@@ -68,7 +68,7 @@
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TextPart {
+pub struct PromptPart {
     /// Identity of its text.
     pub key: u64,
     /// Its length.
@@ -77,7 +77,7 @@
 
 /// What an endpoint is told beside the caller's own headers.
 #[derive(Clone, Copy, Debug)]
-pub struct SendingFacts<'a> {
+pub struct ForwardMetadata<'a> {
     /// Time that is left for the request.
     pub time_left: Duration,
     /// The endpoint that is meant, so that another one at its address refuses.
@@ -87,14 +87,14 @@
     /// Urgency at a model engine.
     pub rank: Option<u8>,
     /// The event behind which the stream goes on.
-    pub after_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Where the engine copies shared text from that it has not read.
-    pub text_source: Option<SocketAddr>,
+    pub prefix_source: Option<SocketAddr>,
 }
 
 /// What an endpoint's headers say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// The request that it answers.
     pub id: Option<String>,
     /// Whether it carries the endpoint's signature.
@@ -104,13 +104,13 @@
     /// Whether another endpoint answered than the one meant.
     pub is_misdirected: bool,
     /// Whether the body is a series of events.
-    pub is_events: bool,
+    pub is_event_stream: bool,
     /// Whether the body is encoded, which none was asked to be.
     pub is_encoded: bool,
     /// The endpoint's load.
     pub load: Option<LoadReading>,
     /// How long the endpoint keeps the connection without a request.
-    pub idle_life: Option<Duration>,
+    pub keep_alive_timeout: Option<Duration>,
     /// Whether the endpoint closes the connection.
     pub is_closing: bool,
 }
--- a/crates/ragwortroad_edge/src/edge_process.rs
+++ b/crates/ragwortroad_edge/src/edge_process.rs
@@ -116,7 +116,7 @@
     let readiness = listen(readiness).await?;
     let inner = listen(settings.inner_bind.unwrap_or(settings.inner)).await?;
     if let Some(page) = page {
-        spawn_local(page.clone().keep_folded());
+        spawn_local(page.clone().run_upkeep());
         if let Some(address) = settings.metrics {
             spawn_local(page.serve(listen(address).await?));
         }
--- a/crates/ragwortroad_edge/src/edge_state.rs
+++ b/crates/ragwortroad_edge/src/edge_state.rs
@@ -188,9 +188,9 @@
     /// Brings the metrics of what is known up to date.
     pub(crate) fn set_gauges(&self) {
         let connected = self.links.values().filter(|link| link.queue.is_some());
-        metrics::gauge!(metric_names::IN_FLIGHT).set(self.in_flight as f64);
-        metrics::gauge!(metric_names::REGISTRIES).set(connected.count() as f64);
-        metrics::gauge!(metric_names::ENDPOINTS).set(self.endpoints.ready_count() as f64);
+        metrics::gauge!(metric_names::REQUESTS_IN_FLIGHT).set(self.in_flight as f64);
+        metrics::gauge!(metric_names::REGISTRIES_CONNECTED).set(connected.count() as f64);
+        metrics::gauge!(metric_names::ENDPOINTS_READY).set(self.endpoints.ready_count() as f64);
         for (service, gate) in &self.gates {
             let gate = gate.gate();
             let label = ("service", service.clone());
--- a/crates/ragwortroad_edge/src/endpoint_call.rs
+++ b/crates/ragwortroad_edge/src/endpoint_call.rs
@@ -24,8 +24,8 @@
 };
 
 use crate::{
-    AnswerFacts,
-    SendingFacts,
+    ForwardMetadata,
+    ResponseMetadata,
     edge_state::EdgeShared,
     endpoint_choice::ChosenEndpoint,
     endpoint_connection::{
@@ -72,7 +72,7 @@
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
-    pub(crate) facts: AnswerFacts,
+    pub(crate) facts: ResponseMetadata,
     pub(crate) connection: EndpointConnection,
     pub(crate) address: SocketAddr,
     pub(crate) guard: FlightGuard,
@@ -83,10 +83,10 @@
     shared: &Rc<EdgeShared>,
     plan: &RequestPlan,
     chosen: &ChosenEndpoint,
-    after_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> CallEnd {
     let guard = FlightGuard::new(shared, chosen.key);
-    let calling = exchange(shared, plan, chosen, after_event, guard);
+    let calling = exchange(shared, plan, chosen, last_event_id, guard);
     let begun = Instant::now();
     let end = match timeout_at(plan.deadline, calling).await {
         Ok(end) => end,
@@ -101,7 +101,7 @@
     shared: &Rc<EdgeShared>,
     plan: &RequestPlan,
     chosen: &ChosenEndpoint,
-    after_event: Option<u64>,
+    last_event_id: Option<u64>,
     guard: FlightGuard,
 ) -> CallEnd {
     let mut pooled = shared.pool.take(chosen.address, shared.now());
@@ -119,7 +119,7 @@
                 }
             },
         };
-        let request = match make_request(shared, plan, chosen, after_event) {
+        let request = match make_request(shared, plan, chosen, last_event_id) {
             Ok(request) => request,
             Err(error) => {
                 return CallEnd::NotSent {
@@ -154,7 +154,7 @@
     shared: &EdgeShared,
     plan: &RequestPlan,
     chosen: &ChosenEndpoint,
-    after_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
     let mut request = Request::builder()
         .method(plan.method.clone())
@@ -162,18 +162,18 @@
         .body(Full::new(plan.body.clone()))?;
     let customer = plan.customer;
     let mechanisms = &shared.settings.mechanisms;
-    let sending = SendingFacts {
+    let sending = ForwardMetadata {
         time_left: plan.deadline.saturating_duration_since(Instant::now()),
         endpoint: &chosen.name,
         customer: customer.and_then(|key| plan.map.customer_name(key)),
         rank: mechanisms
             .engine_ranks
             .then(|| plan.map.rank(plan.route, customer)),
-        after_event,
-        text_source: chosen.text_source.as_ref().map(|source| source.address),
+        last_event_id,
+        prefix_source: chosen.prefix_source.as_ref().map(|source| source.address),
     };
     let mut headers = plan.headers.clone();
-    (shared.port.dress_request)(&mut headers, &sending);
+    (shared.port.rewrite_headers)(&mut headers, &sending);
     *request.headers_mut() = headers;
     Ok(request)
 }
@@ -187,7 +187,7 @@
     guard: FlightGuard,
 ) -> CallEnd {
     let (head, body) = answer.into_parts();
-    let facts = (shared.port.read_answer)(head.status, &head.headers);
+    let facts = (shared.port.parse_response)(head.status, &head.headers);
     if facts.id.as_deref().is_some_and(|id| id != plan.id) {
         // An answer that belongs to another request, late on a kept connection. Handed over, a
         // caller would get what is another customer's.
@@ -208,7 +208,7 @@
     }
     let mut headers = head.headers;
     strip_connection(&mut headers);
-    if is_success && facts.is_events {
+    if is_success && facts.is_event_stream {
         return CallEnd::Events(Box::new(EventAnswer {
             status: head.status,
             headers,
@@ -252,12 +252,14 @@
     shared: &EdgeShared,
     address: SocketAddr,
     mut connection: EndpointConnection,
-    facts: &AnswerFacts,
+    facts: &ResponseMetadata,
 ) {
     if !facts.is_closing {
         connection.is_reused = true;
         let now = shared.now();
-        shared.pool.keep(address, connection, facts.idle_life, now);
+        shared
+            .pool
+            .keep(address, connection, facts.keep_alive_timeout, now);
     }
 }
 
--- a/crates/ragwortroad_edge/src/endpoint_choice.rs
+++ b/crates/ragwortroad_edge/src/endpoint_choice.rs
@@ -34,7 +34,7 @@
     /// Whether it has read the request's shared text.
     pub(crate) holds_text: bool,
     /// The engine that it copies that text from, where it has not read it.
-    pub(crate) text_source: Option<ChosenSource>,
+    pub(crate) prefix_source: Option<ChosenSource>,
 }
 
 impl ChosenEndpoint {
@@ -60,7 +60,7 @@
     let state = shared.state.borrow();
     let view = ChoiceView::new(shared, &state, plan, tried);
     let found = view.choose(shared.settings.load_multiple)?;
-    let text = view.engine.and(plan.facts.shared_text());
+    let text = view.engine.and(plan.facts.shared_prefix());
     let warmup_rate = view.warmup_rate.filter(|_| view.is_warming(found.key));
     drop(state);
     if let Some(rate) = warmup_rate {
@@ -101,7 +101,10 @@
         let now = shared.now();
         let mechanisms = &shared.settings.mechanisms;
         let service = plan.map.service(&plan.service);
-        let text = plan.facts.shared_text().filter(|_| mechanisms.text_places);
+        let text = plan
+            .facts
+            .shared_prefix()
+            .filter(|_| mechanisms.text_places);
         let holders = text.map(|text| state.texts.holders(text, now).collect());
         Self {
             state,
@@ -143,7 +146,7 @@
             load_age: told_at.map(|told_at| self.now.since(told_at)),
             among: candidates.len(),
             holds_text: chosen.holds_text,
-            text_source: lacking.and_then(|engine| self.find_source(engine, record)),
+            prefix_source: lacking.and_then(|engine| self.find_source(engine, record)),
         })
     }
 
@@ -211,7 +214,7 @@
         let untried = self.holders.iter().filter(|key| !self.tried.contains(key));
         let sources = untried.filter_map(|&key| self.source(key, target));
         let sources: Vec<TextSource> = sources.collect();
-        let key = choose_source(&sources, self.plan.facts.shared_tokens(), engine)?;
+        let key = choose_source(&sources, self.plan.facts.shared_prefix_tokens(), engine)?;
         let record = self.state.endpoints.record(key)?;
         Some(ChosenSource {
             name: record.name.clone(),
--- a/crates/ragwortroad_edge/src/event_cutter.rs
+++ b/crates/ragwortroad_edge/src/event_framer.rs
@@ -9,13 +9,13 @@
 /// An endpoint can break off in the middle of an event. A caller that was handed the half and then
 /// the next run's events would join the two; so only whole events are handed over.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventFramer {
     /// Bytes that do not make a whole event yet.
     rest: BytesMut,
-    last_id: Option<u64>,
+    last_event_id: Option<u64>,
 }
 
-impl EventCutter {
+impl EventFramer {
     /// Takes bytes; returns the whole events that they complete, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         // The end mark can begin in what was there before.
@@ -24,23 +24,23 @@
         let end = last_event_end(&self.rest[searched..])? + searched;
         let whole = self.rest.copy_to_bytes(end);
         if let Some(id) = last_event_id(&whole) {
-            self.last_id = Some(id);
+            self.last_event_id = Some(id);
         }
         Some(whole)
     }
 
     /// Number of the last whole event, once one has come that has a number.
-    pub fn last_id(&self) -> Option<u64> {
-        self.last_id
+    pub fn last_event_id(&self) -> Option<u64> {
+        self.last_event_id
     }
 
     /// Whether an event has begun and not ended.
-    pub fn is_within_event(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.rest.is_empty()
     }
 
     /// Forgets the half of an event, before another run goes on behind the last whole one.
-    pub fn drop_half(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.rest.clear();
     }
 }
--- a/crates/ragwortroad_edge/src/lib.rs
+++ b/crates/ragwortroad_edge/src/lib.rs
@@ -20,7 +20,7 @@
 mod endpoint_call;
 mod endpoint_choice;
 mod endpoint_connection;
-mod event_cutter;
+mod event_framer;
 mod flight_guard;
 mod gate_pass;
 mod refusal_answer;
@@ -41,17 +41,17 @@
     pub use crate::{
         edge_error::EdgeError,
         edge_port::{
-            AnswerFacts,
             EdgePort,
-            RequestFacts,
-            SendingFacts,
-            TextPart, //
+            ForwardMetadata,
+            PromptPart, //
+            RequestMetadata,
+            ResponseMetadata,
         },
         edge_process::{
             EdgeSignal,
             run_edge, //
         },
-        event_cutter::EventCutter, //
+        event_framer::EventFramer, //
     };
 }
 
--- a/crates/ragwortroad_edge/src/request_end.rs
+++ b/crates/ragwortroad_edge/src/request_end.rs
@@ -119,7 +119,7 @@
     let took = plan.came_at.elapsed();
     metrics::histogram!(metric_names::ANSWER_SECONDS, "kind" => kind).record(took);
     metrics::histogram!(metric_names::BELIEVED_LOAD).record(chosen.load);
-    if !plan.facts.parts.is_empty() {
+    if !plan.facts.prompt_parts.is_empty() {
         let held = if chosen.holds_text { "yes" } else { "no" };
         metrics::counter!(metric_names::TEXT_PLACES, "held" => held).increment(1);
     }
--- a/crates/ragwortroad_edge/src/request_flow.rs
+++ b/crates/ragwortroad_edge/src/request_flow.rs
@@ -152,11 +152,11 @@
                     load_age_ms = chosen.load_age_ms(),
                     version = plan.map.config().version,
                     among = chosen.among,
-                    text = plan.facts.shared_text(),
-                    tokens = plan.facts.shared_tokens(),
+                    text = plan.facts.shared_prefix(),
+                    tokens = plan.facts.shared_prefix_tokens(),
                     holds_text = chosen.holds_text,
                     text_from = chosen
-                        .text_source
+                        .prefix_source
                         .as_ref()
                         .map(|source| source.name.as_str()),
                     attempts = way.attempts,
@@ -194,7 +194,7 @@
     let mut end_soon = shared.end_soon.subscribe();
     // The sender lives as long as the edge, so this ends only by the last call.
     let last_call = end_soon.wait_for(|is_last| *is_last);
-    let calling = call_endpoint(shared, plan, chosen, plan.facts.after_event);
+    let calling = call_endpoint(shared, plan, chosen, plan.facts.last_event_id);
     tokio::pin!(last_call, calling);
     tokio::select! {
         end = &mut calling => return end,
@@ -224,7 +224,7 @@
 
 /// Whether the engine that holds the request's text has yet to announce itself.
 fn awaits_holder(shared: &EdgeShared, plan: &RequestPlan) -> bool {
-    let text = plan.facts.shared_text();
+    let text = plan.facts.shared_prefix();
     let state = shared.state.borrow();
     text.is_some_and(|text| state.awaits_holder(text, shared.now()))
 }
--- a/crates/ragwortroad_edge/src/request_plan.rs
+++ b/crates/ragwortroad_edge/src/request_plan.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    RequestFacts,
+    RequestMetadata,
     refusal_reason::RefusalReason, //
 };
 
@@ -27,7 +27,7 @@
     pub(crate) route: RouteKey,
     pub(crate) customer: Option<CustomerKey>,
     pub(crate) service: String,
-    pub(crate) facts: RequestFacts,
+    pub(crate) facts: RequestMetadata,
     /// Identity of the caller's attempt.
     pub(crate) id: String,
     pub(crate) method: Method,
@@ -83,14 +83,17 @@
 pub(crate) fn find_target<B>(
     map: &RouteMap,
     request: &Request<B>,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
 ) -> Result<RequestTarget, RefusalReason> {
     let host = request.headers().get(HOST);
     let host = host.and_then(|value| value.to_str().ok());
     let host = host.or(request.uri().host()).unwrap_or_default();
     let route = map.find(host, request.uri().path());
     let route = route.ok_or(RefusalReason::NoRoute)?;
-    let known = facts.key.as_deref().and_then(|key| map.customer_of(key));
+    let known = facts
+        .api_key
+        .as_deref()
+        .and_then(|key| map.customer_of(key));
     let needs_key = map.asks_for_keys() && !map.route(route).is_open;
     if needs_key && known.is_none() {
         return Err(RefusalReason::UnknownKey);
--- a/crates/ragwortroad_edge/src/request_reading.rs
+++ b/crates/ragwortroad_edge/src/request_reading.rs
@@ -24,7 +24,7 @@
 };
 
 use crate::{
-    RequestFacts,
+    RequestMetadata,
     edge_state::EdgeShared,
     refusal_reason::RefusalReason,
     request_plan::{
@@ -49,7 +49,7 @@
     request: Request<Incoming>,
 ) -> Result<RequestPlan, (RefusalReason, Option<String>)> {
     let came_at = Instant::now();
-    let facts = (shared.port.read_request)(request.headers());
+    let facts = (shared.port.parse_request)(request.headers());
     let id = facts.id.clone();
     let (head, body) = request.into_parts();
     let known = shared.state.borrow().map.clone();
@@ -84,7 +84,10 @@
         route: target.route,
         customer: target.customer,
         service,
-        facts: RequestFacts { key: None, ..facts },
+        facts: RequestMetadata {
+            api_key: None,
+            ..facts
+        },
         id: target.id,
         method: parts.method,
         target: path.map_or(parts.uri, Uri::from),
@@ -107,7 +110,7 @@
 /// The body is read first: callers take an edge that does not read for one that is gone.
 async fn await_map(
     shared: &EdgeShared,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
     body: Incoming,
     came_at: Instant,
 ) -> Result<(Rc<RouteMap>, RequestBody), RefusalReason> {
--- a/crates/ragwortroad_edge/src/stream_body.rs
+++ b/crates/ragwortroad_edge/src/stream_body.rs
@@ -25,7 +25,7 @@
 };
 
 use crate::{
-    EventCutter,
+    EventFramer,
     edge_state::EdgeShared,
     endpoint_call::{
         CallEnd,
@@ -71,7 +71,7 @@
     /// The present run; nothing while another one is sought.
     run: Option<Box<EventAnswer>>,
     resuming: Option<ResumeFuture>,
-    cutter: EventCutter,
+    framer: EventFramer,
     tried: Vec<EndpointKey>,
     /// Endpoints that have been sent the request.
     attempts: u32,
@@ -101,7 +101,7 @@
             plan,
             run: Some(run),
             resuming: None,
-            cutter: EventCutter::default(),
+            framer: EventFramer::default(),
             tried,
             attempts,
             events: 0,
@@ -171,7 +171,7 @@
             Poll::Ready(frame) => frame,
         };
         Poll::Ready(match frame {
-            None if self.cutter.is_within_event() => RunStep::Broken("it ended within an event"),
+            None if self.framer.has_partial_event() => RunStep::Broken("it ended within an event"),
             None => RunStep::End,
             Some(Err(error)) => {
                 tracing::debug!(%error, "a stream broke");
@@ -189,7 +189,7 @@
         let pause = now - self.last_bytes_at;
         self.longest_pause = self.longest_pause.max(pause);
         self.last_bytes_at = now;
-        match self.cutter.push(&bytes) {
+        match self.framer.push(&bytes) {
             Some(events) => {
                 self.events += 1;
                 RunStep::Events(events)
@@ -233,7 +233,7 @@
             let mut state = self.shared.state.borrow_mut();
             state.load_mut(run.guard.key()).stumble(now);
         }
-        self.cutter.drop_half();
+        self.framer.discard_partial();
         let rule = self.plan.rule();
         let has_time = Instant::now() < self.plan.deadline;
         let is_on = self.shared.settings.mechanisms.resume;
@@ -246,7 +246,7 @@
         tracing::info!(
             request = self.plan.id,
             reason,
-            after_event = self.cutter.last_id(),
+            after_event = self.framer.last_event_id(),
             attempts = self.attempts,
             resumes = may,
             "stream broken"
@@ -255,7 +255,10 @@
             return Some(self.fail(reason));
         }
         self.attempts += 1;
-        let after = self.cutter.last_id().or(self.plan.facts.after_event);
+        let after = self
+            .framer
+            .last_event_id()
+            .or(self.plan.facts.last_event_id);
         let shared = Rc::clone(&self.shared);
         let plan = Rc::clone(&self.plan);
         let tried = self.tried.clone();
@@ -279,7 +282,7 @@
     fn finish(&mut self) {
         self.is_over = true;
         metrics::counter!(metric_names::STREAMS, "outcome" => "whole").increment(1);
-        metrics::histogram!(metric_names::PAUSE_SECONDS).record(self.longest_pause);
+        metrics::histogram!(metric_names::STREAM_PAUSE_SECONDS).record(self.longest_pause);
         let endpoint = self.run.as_ref().map(|run| run.guard.key().0);
         tracing::info!(
             request = self.plan.id,
--- a/crates/ragwortroad_link/src/config_delta.rs
+++ b/crates/ragwortroad_link/src/config_delta.rs
@@ -21,7 +21,7 @@
 
 impl ConfigDelta {
     /// The document, given the one of the base's version.
-    pub fn open(&self, base: Option<&[u8]>) -> io::Result<Vec<u8>> {
+    pub fn unpack(&self, base: Option<&[u8]>) -> io::Result<Vec<u8>> {
         unpack_document(&self.packed, base)
     }
 }
--- a/crates/ragwortroad_link/src/dial_pace.rs
+++ b/crates/ragwortroad_link/src/dial_backoff.rs
@@ -32,19 +32,19 @@
 /// long. After a common restart processes are up within a second of each other; with pauses that had
 /// grown meanwhile edges would find registries late, and nobody would be served until then.
 #[derive(Clone, Copy, Debug)]
-pub struct DialPace {
+pub struct DialBackoff {
     pause: Duration,
 }
 
-impl Default for DialPace {
+impl Default for DialBackoff {
     fn default() -> Self {
         Self { pause: FIRST_PAUSE }
     }
 }
 
-impl DialPace {
+impl DialBackoff {
     /// The pause before the next attempt of a process that started `running` ago.
-    pub fn next_pause(&mut self, running: Duration) -> Duration {
+    pub fn next_delay(&mut self, running: Duration) -> Duration {
         if running < PROMPT_TIME {
             return PROMPT_PAUSE;
         }
@@ -61,7 +61,7 @@
     /// system sends it again only after a second. After a common loss of power the edges that
     /// start first would wait so long for registries that are up a moment later; short attempts
     /// that are repeated find them then.
-    pub fn patience(&self, running: Duration, whole: Duration) -> Duration {
+    pub fn attempt_timeout(&self, running: Duration, whole: Duration) -> Duration {
         let longest = match running {
             running if running < PROMPT_TIME => PROMPT_PATIENCE,
             running if running < EAGER_TIME => EAGER_PATIENCE,
--- a/crates/ragwortroad_link/src/encoded_message.rs
+++ b/crates/ragwortroad_link/src/encoded_message.rs
@@ -5,8 +5,8 @@
     LinkError,
     LinkMessage,
     link_error::{
-        BrokenSnafu,
-        MeaninglessSnafu, //
+        InvalidMessageSnafu, //
+        IoSnafu,
     }, //
     pack_document,
     unpack_document,
@@ -32,14 +32,14 @@
 
     fn try_from(message: &LinkMessage) -> Result<Self, LinkError> {
         let kind = message.kind();
-        let bytes = postcard::to_stdvec(message).context(MeaninglessSnafu)?;
+        let bytes = postcard::to_stdvec(message).context(InvalidMessageSnafu)?;
         if bytes.len() < PACK_FROM || !is_packable(message) {
             let bytes = bytes.into();
             return Ok(Self { kind, bytes });
         }
-        let packed = pack_document(&bytes, None).context(BrokenSnafu)?;
+        let packed = pack_document(&bytes, None).context(IoSnafu)?;
         let packed = LinkMessage::Packed(packed);
-        let packed = postcard::to_stdvec(&packed).context(MeaninglessSnafu)?;
+        let packed = postcard::to_stdvec(&packed).context(InvalidMessageSnafu)?;
         // What is compressed already does not shrink.
         let bytes = match packed.len() < bytes.len() {
             true => packed.into(),
@@ -66,10 +66,10 @@
 
 /// The message in a frame.
 pub fn decode_message(frame: &[u8]) -> Result<LinkMessage, LinkError> {
-    match postcard::from_bytes(frame).context(MeaninglessSnafu)? {
+    match postcard::from_bytes(frame).context(InvalidMessageSnafu)? {
         LinkMessage::Packed(packed) => {
-            let bytes = unpack_document(&packed, None).context(BrokenSnafu)?;
-            postcard::from_bytes(&bytes).context(MeaninglessSnafu)
+            let bytes = unpack_document(&packed, None).context(IoSnafu)?;
+            postcard::from_bytes(&bytes).context(InvalidMessageSnafu)
         }
         message => Ok(message),
     }
--- a/crates/ragwortroad_link/src/lib.rs
+++ b/crates/ragwortroad_link/src/lib.rs
@@ -5,7 +5,7 @@
 //! wait: what does not fit into the queue ends the connection, and the user connects anew.
 
 mod config_delta;
-mod dial_pace;
+mod dial_backoff;
 mod encoded_message;
 mod link_connection;
 mod link_error;
@@ -17,7 +17,7 @@
 pub mod prelude {
     pub use crate::{
         config_delta::ConfigDelta,
-        dial_pace::DialPace,
+        dial_backoff::DialBackoff,
         encoded_message::{
             EncodedMessage,
             decode_message, //
--- a/crates/ragwortroad_link/src/link_connection.rs
+++ b/crates/ragwortroad_link/src/link_connection.rs
@@ -44,8 +44,8 @@
     LinkSettings,
     decode_message,
     link_error::{
-        BrokenSnafu,
         DialSnafu, //
+        IoSnafu,
     }, //
 };
 
@@ -67,7 +67,7 @@
 impl LinkQueue {
     /// A queue, and the end that [`run_link`] empties.
     pub fn new(settings: &LinkSettings) -> (Self, Receiver<QueuedMessage>) {
-        let (sender, receiver) = flume::bounded(settings.queue_length);
+        let (sender, receiver) = flume::bounded(settings.queue_capacity);
         let end = Arc::new(Notify::new());
         (Self { sender, end }, receiver)
     }
@@ -133,23 +133,23 @@
 ) -> LinkError {
     let (own_queue, receiver) = queue;
     let prepared = stream.set_nodelay(true);
-    let limit = Some(settings.silence);
+    let limit = Some(settings.idle_timeout);
     let prepared = prepared.and_then(|()| SockRef::from(&stream).set_tcp_user_timeout(limit));
     if let Err(source) = prepared {
-        return LinkError::Broken { source };
+        return LinkError::Io { source };
     }
     let (reading, writing) = stream.into_split();
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(settings.max_message)
+        .max_frame_length(settings.max_message_bytes)
         .new_codec();
     let writer = FramedWrite::new(writing, codec.clone());
-    let keepalive = dialled.then_some(settings.keepalive_every);
+    let keepalive = dialled.then_some(settings.keepalive_interval);
     let end = Arc::clone(&own_queue.end);
     let answers = (!dialled).then_some(own_queue);
     tokio::select! {
-        error = read_messages(reading, codec, answers, settings.silence, on_message) => error,
+        error = read_messages(reading, codec, answers, settings.idle_timeout, on_message) => error,
         error = write_messages(writer, receiver, keepalive) => error,
-        () = end.notified() => LinkError::GivenUp,
+        () = end.notified() => LinkError::ClosedLocally,
     }
 }
 
@@ -176,13 +176,13 @@
                 continue;
             }
             Ok(None) => {}
-            Err(source) => return LinkError::Broken { source },
+            Err(source) => return LinkError::Io { source },
         }
         match timeout(limit, reading.read_buf(&mut buffer)).await {
-            Err(_) => return LinkError::Silent { limit },
-            Ok(Ok(0)) => return LinkError::Closed,
+            Err(_) => return LinkError::IdleTimeout { limit },
+            Ok(Ok(0)) => return LinkError::ClosedByPeer,
             Ok(Ok(_)) => {}
-            Ok(Err(source)) => return LinkError::Broken { source },
+            Ok(Err(source)) => return LinkError::Io { source },
         }
     }
 }
@@ -196,7 +196,7 @@
         LinkMessage::Keepalive => {
             let answered = answers.is_none_or(|queue| queue.send(&LinkMessage::Keepalive));
             if !answered {
-                return Err(LinkError::GivenUp);
+                return Err(LinkError::ClosedLocally);
             }
         }
         message => on_message(message),
@@ -228,7 +228,7 @@
             },
         };
         let Some(first) = queued else {
-            return LinkError::GivenUp;
+            return LinkError::ClosedLocally;
         };
         if let Err(error) = write_batch(&mut writer, first, &receiver).await {
             return error;
@@ -243,11 +243,11 @@
     receiver: &Receiver<QueuedMessage>,
 ) -> Result<(), LinkError> {
     let queued_at = first.queued_at;
-    writer.feed(first.bytes).await.context(BrokenSnafu)?;
+    writer.feed(first.bytes).await.context(IoSnafu)?;
     while let Ok(queued) = receiver.try_recv() {
-        writer.feed(queued.bytes).await.context(BrokenSnafu)?;
+        writer.feed(queued.bytes).await.context(IoSnafu)?;
     }
-    SinkExt::<Bytes>::flush(writer).await.context(BrokenSnafu)?;
+    SinkExt::<Bytes>::flush(writer).await.context(IoSnafu)?;
     let waited = queued_at.elapsed().as_secs_f64();
     metrics::histogram!(metric_names::LINK_WAIT_SECONDS).record(waited);
     Ok(())
--- a/crates/ragwortroad_link/src/link_error.rs
+++ b/crates/ragwortroad_link/src/link_error.rs
@@ -24,26 +24,26 @@
     },
     /// Reading or writing failed.
     #[snafu(display("the connection broke: {source}; it is dialled again"))]
-    Broken {
+    Io {
         /// What the system said.
         source: io::Error,
     },
     /// The other side closed it.
     #[snafu(display("the other side closed the connection; it is dialled again"))]
-    Closed,
+    ClosedByPeer,
     /// Nothing was heard for too long.
     #[snafu(display("nothing was heard for {limit:?}; the connection is dialled again"))]
-    Silent {
+    IdleTimeout {
         /// The time allowed.
         limit: Duration,
     },
     /// A message could not be encoded or decoded.
     #[snafu(display("a message means nothing ({source}); run one version on all VMs"))]
-    Meaningless {
+    InvalidMessage {
         /// What the codec said.
         source: postcard::Error,
     },
     /// The owner of this end dropped it.
     #[snafu(display("this end was given up"))]
-    GivenUp,
+    ClosedLocally,
 }
--- a/crates/ragwortroad_link/src/link_settings.rs
+++ b/crates/ragwortroad_link/src/link_settings.rs
@@ -6,28 +6,28 @@
     /// Time without anything to send after which a side that dialled sends a keepalive.
     ///
     /// Each costs two wake-ups, and a registry has a connection to every edge.
-    pub keepalive_every: Duration,
+    pub keepalive_interval: Duration,
     /// Time without a message after which the other side counts as lost.
     ///
     /// A connection can go silent for good without an error, and only this shows it. Two keepalives may
     /// be late before it ends.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// Time for a connection to be established.
     pub dial_timeout: Duration,
     /// Messages that wait to be written.
-    pub queue_length: usize,
+    pub queue_capacity: usize,
     /// Bytes of one message; a packed configuration of some thousand routes fits.
-    pub max_message: usize,
+    pub max_message_bytes: usize,
 }
 
 impl Default for LinkSettings {
     fn default() -> Self {
         Self {
-            keepalive_every: Duration::from_millis(800),
-            silence: Duration::from_millis(2200),
+            keepalive_interval: Duration::from_millis(800),
+            idle_timeout: Duration::from_millis(2200),
             dial_timeout: Duration::from_millis(800),
-            queue_length: 512,
-            max_message: 4 << 20,
+            queue_capacity: 512,
+            max_message_bytes: 4 << 20,
         }
     }
 }
--- a/crates/ragwortroad_link/tests/links.rs
+++ b/crates/ragwortroad_link/tests/links.rs
@@ -17,7 +17,7 @@
 /// A connection that counts as silent after a second.
 fn settings() -> LinkSettings {
     LinkSettings {
-        silence: Duration::from_secs(1),
+        idle_timeout: Duration::from_secs(1),
         ..LinkSettings::default()
     }
 }
@@ -76,7 +76,7 @@
             got = receiver => got,
         };
         assert_eq!(heard, [message]);
-        assert!(matches!(ended, LinkError::Silent { .. }), "{ended}");
+        assert!(matches!(ended, LinkError::IdleTimeout { .. }), "{ended}");
     });
 }
 
@@ -97,17 +97,17 @@
 /// Guards against edges that find registries late, and endless attempts to reach lost VMs.
 #[test]
 fn a_process_that_has_just_started_dials_often() {
-    let mut pace = DialPace::default();
+    let mut backoff = DialBackoff::default();
     let early: Vec<_> = (0..20)
-        .map(|_| pace.next_pause(Duration::from_secs(2)))
+        .map(|_| backoff.next_delay(Duration::from_secs(2)))
         .collect();
     assert!(early.iter().all(|pause| *pause == early[0]));
     let late: Vec<_> = (0..20)
-        .map(|_| pace.next_pause(Duration::from_secs(60)))
+        .map(|_| backoff.next_delay(Duration::from_secs(60)))
         .collect();
     assert!(late.is_sorted() && late[19] >= early[0] * 8);
-    pace.reset();
-    assert_eq!(pace.next_pause(Duration::from_secs(60)), early[0]);
+    backoff.reset();
+    assert_eq!(backoff.next_delay(Duration::from_secs(60)), early[0]);
 }
 
 /// Guards against a process that is looked for too late after it has come up.
@@ -116,11 +116,11 @@
     let whole = LinkSettings::default().dial_timeout;
     for up_ms in 0..2000 {
         let up = Duration::from_millis(up_ms);
-        let mut pace = DialPace::default();
+        let mut backoff = DialBackoff::default();
         let mut now = Duration::ZERO;
         while now < up {
-            now += pace.patience(now, whole);
-            now += pace.next_pause(now);
+            now += backoff.attempt_timeout(now, whole);
+            now += backoff.next_delay(now);
         }
         let late = now - up;
         assert!(late <= Duration::from_millis(400), "{late:?} after {up:?}");
@@ -128,6 +128,6 @@
         let is_prompt = up_ms > 850 || late <= Duration::from_millis(150);
         assert!(is_prompt, "{late:?} after {up:?}");
     }
-    let later = DialPace::default().patience(Duration::from_secs(60), whole);
+    let later = DialBackoff::default().attempt_timeout(Duration::from_secs(60), whole);
     assert_eq!(later, whole, "regions may be far apart");
 }
--- a/crates/ragwortroad_registry/src/call_flow.rs
+++ b/crates/ragwortroad_registry/src/call_flow.rs
@@ -75,7 +75,7 @@
 
 /// Answers a call, unless its caller has left.
 pub(crate) fn answer_call(reply: oneshot::Sender<ControlReply>, answer: ControlReply) {
-    metrics::counter!(metric_names::CALLS, "outcome" => answer.outcome()).increment(1);
+    metrics::counter!(metric_names::CONTROL_CALLS, "outcome" => answer.outcome()).increment(1);
     if reply.send(answer).is_err() {
         tracing::debug!("a caller of the control interface left before its answer");
     }
--- a/crates/ragwortroad_registry/src/call_server.rs
+++ b/crates/ragwortroad_registry/src/call_server.rs
@@ -110,6 +110,7 @@
         Err(_) => unavailable,
     };
     let took = read_at.elapsed().as_secs_f64();
-    metrics::histogram!(metric_names::CALL_SECONDS, "outcome" => answer.outcome()).record(took);
+    metrics::histogram!(metric_names::CONTROL_CALL_SECONDS, "outcome" => answer.outcome())
+        .record(took);
     Ok((port.encode_reply)(&answer))
 }
--- a/crates/ragwortroad_registry/src/config_register.rs
+++ b/crates/ragwortroad_registry/src/config_register.rs
@@ -49,7 +49,7 @@
             return RegisterChange::OtherBase;
         }
         let base = step.base.and_then(|_| self.document());
-        match step.open(base.as_deref().map(Vec::as_slice)) {
+        match step.unpack(base.as_deref().map(Vec::as_slice)) {
             Ok(document) => {
                 self.held = Some(HeldConfig {
                     version: step.version,
--- a/crates/ragwortroad_registry/src/edge_flow.rs
+++ b/crates/ragwortroad_registry/src/edge_flow.rs
@@ -95,8 +95,8 @@
     }
 
     pub(crate) fn send_fleet(&mut self, now: ClockTime) {
-        metrics::gauge!(metric_names::EDGES).set(self.edges.len() as f64);
-        metrics::gauge!(metric_names::SUBSCRIBERS).set(self.subscribers.len() as f64);
+        metrics::gauge!(metric_names::EDGES_CONNECTED).set(self.edges.len() as f64);
+        metrics::gauge!(metric_names::EDGES_SUBSCRIBED).set(self.subscribers.len() as f64);
         let version = self.seat.register().version().unwrap_or(0);
         metrics::gauge!(metric_names::CONFIG_VERSION).set(version as f64);
         let message = self.fleet_message(now);
--- a/crates/ragwortroad_registry/src/peer_dialer.rs
+++ b/crates/ragwortroad_registry/src/peer_dialer.rs
@@ -13,11 +13,11 @@
 /// Keeps a connection to another registry for as long as the process runs.
 pub(crate) async fn keep_dialled(peer: SocketAddr, events: Sender<RegistryEvent>) {
     let settings = LinkSettings::default();
-    let mut pace = DialPace::default();
+    let mut pace = DialBackoff::default();
     // Seeds are dialled from the start, others as they are heard of.
     let begun = Instant::now();
     loop {
-        let limit = pace.patience(begun.elapsed(), settings.dial_timeout);
+        let limit = pace.attempt_timeout(begun.elapsed(), settings.dial_timeout);
         match dial_link(peer, limit).await {
             Ok(stream) => {
                 pace.reset();
@@ -44,6 +44,6 @@
             }
             Err(error) => tracing::debug!(%peer, %error, "registry not reached"),
         }
-        sleep(pace.next_pause(begun.elapsed())).await;
+        sleep(pace.next_delay(begun.elapsed())).await;
     }
 }
--- a/crates/ragwortroad_registry/src/put_flow.rs
+++ b/crates/ragwortroad_registry/src/put_flow.rs
@@ -120,7 +120,7 @@
             return;
         };
         let register = self.seat.register();
-        let opened = wait.step.open(None);
+        let opened = wait.step.unpack(None);
         let step = opened.and_then(|document| register.step_to(wait.step.version, &document));
         let command = match step {
             Ok(step) => postcard::to_stdvec(&RegisterCommand::Put(step)),
--- a/crates/ragwortroad_registry/src/registry_process.rs
+++ b/crates/ragwortroad_registry/src/registry_process.rs
@@ -125,7 +125,7 @@
     settings: &ForwardSettings,
 ) -> Result<(), RegistryError> {
     if let Some(page) = page {
-        spawn_local(page.clone().keep_folded());
+        spawn_local(page.clone().run_upkeep());
         if let Some(address) = settings.metrics {
             spawn_local(page.serve(listen(address).await?));
         }
@@ -243,7 +243,7 @@
             match ended {
                 // Two versions of the program that do not understand each other; nothing else
                 // would show why an edge stays without a configuration.
-                LinkError::Meaningless { .. } => tracing::warn!(%ended, "a link ended"),
+                LinkError::InvalidMessage { .. } => tracing::warn!(%ended, "a link ended"),
                 _ => tracing::debug!(%ended, "a link ended"),
             }
             if events.send(RegistryEvent::Ended { link }).is_err() {
--- a/crates/ragwortroad_telemetry/src/metrics_page.rs
+++ b/crates/ragwortroad_telemetry/src/metrics_page.rs
@@ -36,7 +36,7 @@
 use crate::metric_names::{
     ANSWER_SECONDS,
     BELIEVED_LOAD,
-    PAUSE_SECONDS, //
+    STREAM_PAUSE_SECONDS, //
 };
 
 /// Bounds of the histograms of time, in seconds: from a local answer to a request's longest life.
@@ -81,7 +81,7 @@
     }
 
     /// Folds samples from time to time for as long as the process runs.
-    pub async fn keep_folded(self) {
+    pub async fn run_upkeep(self) {
         loop {
             sleep(FOLD_EVERY).await;
             self.handle.run_upkeep();
@@ -125,6 +125,6 @@
     let exactly = |name: &str| Matcher::Full(name.to_owned());
     PrometheusBuilder::new()
         .set_buckets_for_metric(exactly(ANSWER_SECONDS), &SECONDS)?
-        .set_buckets_for_metric(exactly(PAUSE_SECONDS), &SECONDS)?
+        .set_buckets_for_metric(exactly(STREAM_PAUSE_SECONDS), &SECONDS)?
         .set_buckets_for_metric(exactly(BELIEVED_LOAD), &REQUESTS)
 }
--- a/src/commands/forward.rs
+++ b/src/commands/forward.rs
@@ -276,8 +276,8 @@
     fn count_dropped(&mut self) {
         let unread = self.unread.dropped_lines() as u64;
         let left_out = self.quota.left_out();
-        metrics::counter!(metric_names::DROPPED_LINES, "reason" => "unread").absolute(unread);
-        metrics::counter!(metric_names::DROPPED_LINES, "reason" => "limit").absolute(left_out);
+        metrics::counter!(metric_names::LOG_LINES_DROPPED, "reason" => "unread").absolute(unread);
+        metrics::counter!(metric_names::LOG_LINES_DROPPED, "reason" => "limit").absolute(left_out);
         if left_out > self.left_out {
             let lines = left_out - self.left_out;
             tracing::warn!(lines, "lines about requests were left out");
