--- a/crates/ragwortroad_bench/examples/decision_speed.rs
+++ b/crates/ragwortroad_bench/examples/decision_speed.rs
@@ -72,7 +72,13 @@
         let (id, load) = (facts.id, 30 + (engine % 5) as u32);
         table.upsert_endpoint(facts, ClockTime::ZERO);
         let set_aside = false;
-        table.observe_digest(id, LoadDigest { load, set_aside });
+        table.observe_digest(
+            id,
+            LoadDigest {
+                load,
+                ejected: set_aside,
+            },
+        );
     }
     table
 }
--- a/crates/ragwortroad_bench/src/run/bench_node.rs
+++ b/crates/ragwortroad_bench/src/run/bench_node.rs
@@ -113,17 +113,21 @@
     RouteSettings {
         node,
         mean_margin: settings.mean_margin.unwrap_or(defaults.mean_margin),
-        plan_block: if ideas.plans { defaults.plan_block } else { 0 },
+        shared_prefix_block: if ideas.plans {
+            defaults.shared_prefix_block
+        } else {
+            0
+        },
         two_choices: ideas.two_choices,
         chat_entries: if ideas.hints { spec.chat_entries } else { 0 },
         prefix_entries: if ideas.hints { spec.chat_entries } else { 0 },
-        hold_known: if ideas.holds {
-            defaults.hold_known
+        max_context_wait: if ideas.holds {
+            defaults.max_context_wait
         } else {
             Duration::ZERO
         },
-        hold_any: if ideas.holds {
-            defaults.hold_any
+        max_capacity_wait: if ideas.holds {
+            defaults.max_capacity_wait
         } else {
             Duration::ZERO
         },
--- a/crates/ragwortroad_bench/src/run/fleet_flow.rs
+++ b/crates/ragwortroad_bench/src/run/fleet_flow.rs
@@ -106,7 +106,7 @@
                 }
                 Some(quantised(LoadDigest {
                     load: self.reported[engine],
-                    set_aside: false,
+                    ejected: false,
                 }))
             })
             .collect();
@@ -358,7 +358,7 @@
             NodeNews::NodeBack { back } => {
                 let id = self.node_ids[back as usize];
                 // It restarted: what it held before is gone with it.
-                self.nodes[node].table.node_gone(id, clock);
+                self.nodes[node].table.expire_node_slots(id, clock);
                 self.nodes[node].nodes.insert(id);
                 self.nodes[node].apply_nodes(clock);
             }
@@ -370,7 +370,7 @@
         let node = &mut self.nodes[node];
         node.nodes.remove(&gone);
         node.apply_nodes(clock);
-        node.table.node_gone(gone, clock);
+        node.table.expire_node_slots(gone, clock);
     }
 }
 
--- a/crates/ragwortroad_bench/src/run/live_request.rs
+++ b/crates/ragwortroad_bench/src/run/live_request.rs
@@ -1,5 +1,5 @@
 use ragwortroad_routing::{
-    SlotClaim,
+    AdmissionClass,
     SlotId, //
 };
 use ragwortroad_types::EndpointId;
@@ -22,7 +22,7 @@
     /// Homes that answered "full".
     pub(crate) refusals: u32,
     /// What it claims of the home it asked last.
-    pub(crate) claim: SlotClaim,
+    pub(crate) claim: AdmissionClass,
     /// Questions asked for it.
     pub(crate) asked: u32,
     /// Attempts sent.
--- a/crates/ragwortroad_bench/src/run/request_flow.rs
+++ b/crates/ragwortroad_bench/src/run/request_flow.rs
@@ -72,7 +72,7 @@
                 return;
             }
         }
-        self.nodes[node].budget.note_first();
+        self.nodes[node].budget.record_first_attempt();
         self.place(request);
     }
 
@@ -154,7 +154,7 @@
             RouteDecision::AskHome {
                 endpoint,
                 home,
-                claim,
+                class: claim,
                 ..
             } => {
                 let engine = self.engine_index(endpoint);
@@ -224,7 +224,7 @@
         let id = self.engine_ids[engine];
         self.nodes[node]
             .table
-            .note_answer(id, answer, Some(chat), clock);
+            .record_answer(id, answer, Some(chat), clock);
         if let SlotAnswer::Granted { .. } = answer {
             return self.send(request, engine);
         }
@@ -239,7 +239,9 @@
         live.attempts += 1;
         let (node, arrival) = (live.node, live.arrival);
         let customer = self.plan.arrivals[arrival].customer as usize;
-        self.nodes[node].table.note_placed(customer_key(customer));
+        self.nodes[node]
+            .table
+            .record_placement(customer_key(customer));
         let node = live.node;
         self.on_way[engine] += 1;
         self.nodes[node].view.engines[engine].sent += 1;
--- a/crates/ragwortroad_demo/src/fleet_plan.rs
+++ b/crates/ragwortroad_demo/src/fleet_plan.rs
@@ -33,7 +33,7 @@
     /// `lease_ms` of the nodes.
     pub lease: Duration,
     /// `[orders]` of the nodes.
-    pub orders: PlacementKeys,
+    pub orders: EngineOrderSettings,
 }
 
 impl Default for FleetPlan {
@@ -53,7 +53,7 @@
             desk: ServiceSettings::default(),
             follow_bound: Duration::from_secs(3),
             lease: Duration::from_millis(1200),
-            orders: PlacementKeys::default(),
+            orders: EngineOrderSettings::default(),
         }
     }
 }
--- a/crates/ragwortroad_node/src/control/admit_flow.rs
+++ b/crates/ragwortroad_node/src/control/admit_flow.rs
@@ -244,7 +244,7 @@
     /// Whether a call that follows a failed attempt may be made at all.
     fn check_retry(&mut self, call: &AdmitCall, idempotent: bool) -> Result<(), AdmitRefusal> {
         let Some(ticket) = call.retry_of else {
-            self.budget.note_first();
+            self.budget.record_first_attempt();
             return Ok(());
         };
         let ended = self.ended.take(ticket);
--- a/crates/ragwortroad_node/src/control/control_state.rs
+++ b/crates/ragwortroad_node/src/control/control_state.rs
@@ -75,7 +75,7 @@
     /// What this node may spend on retries.
     pub(crate) budget: RetryBudget,
     /// When a failed attempt may be followed by another.
-    pub(crate) rule: RetryRule,
+    pub(crate) rule: RetryPolicy,
     /// The configuration in force here, and the leave to admit work with it.
     pub(crate) follow: FollowSeat,
     /// This node's part in the replicated state.
--- a/crates/ragwortroad_node/src/control/endpoint_flow.rs
+++ b/crates/ragwortroad_node/src/control/endpoint_flow.rs
@@ -148,7 +148,7 @@
     fn node_down(&mut self, node: NodeId, now: ClockTime) {
         tracing::warn!(node = self.node_name(node), "node is down");
         self.note_node(EventKind::NodeDown, node);
-        self.route.node_gone(node, now);
+        self.route.expire_node_slots(node, now);
         self.grants.node_gone(node);
         self.releases.node_gone(node);
         if self.member.as_ref().is_some_and(|seat| seat.leads(now)) {
@@ -227,7 +227,7 @@
         };
         let digest = LoadDigest {
             load: record.load.requests(record.capacity),
-            set_aside: false,
+            ejected: false,
         };
         self.route.observe_digest(endpoint, digest);
     }
--- a/crates/ragwortroad_node/src/control/grant_flow.rs
+++ b/crates/ragwortroad_node/src/control/grant_flow.rs
@@ -65,7 +65,7 @@
                 RouteDecision::AskHome {
                     endpoint,
                     home,
-                    claim,
+                    class: claim,
                     ..
                 } => {
                     if plan.asked < MOST_ASKED {
@@ -94,7 +94,7 @@
     fn ask_home(
         &mut self,
         mut plan: RequestPlan,
-        (endpoint, claim): (EndpointId, SlotClaim),
+        (endpoint, claim): (EndpointId, AdmissionClass),
         home: NodeId,
         now: ClockTime,
     ) {
@@ -137,7 +137,7 @@
             claim: plan.claim.clone(),
         });
         self.note_dispatch(&plan, endpoint);
-        self.route.note_placed(plan.customer_key);
+        self.route.record_placement(plan.customer_key);
         let grant = AdmitGrant {
             ticket,
             endpoint,
@@ -250,7 +250,7 @@
                 home,
                 ..
             } = wait;
-            self.route.note_silent(home);
+            self.route.mark_unresponsive(home);
             // The slot may have been granted in an answer that was lost.
             self.send_release(home, question, endpoint, SlotOutcome::Neutral, now);
             plan.excluded.push(endpoint);
--- a/crates/ragwortroad_node/src/control/order_flow.rs
+++ b/crates/ragwortroad_node/src/control/order_flow.rs
@@ -226,7 +226,7 @@
 }
 
 /// Settings of the holder's orders.
-pub(crate) fn order_settings(keys: &PlacementKeys) -> OrderSettings {
+pub(crate) fn order_settings(keys: &EngineOrderSettings) -> OrderSettings {
     OrderSettings {
         resend_after: keys.resend,
         load_bound: keys.load_bound,
--- a/crates/ragwortroad_node/src/control/slot_flow.rs
+++ b/crates/ragwortroad_node/src/control/slot_flow.rs
@@ -41,7 +41,7 @@
         let Some(message) = decode::<SlotMessage>(bytes) else {
             return;
         };
-        self.route.note_heard(from);
+        self.route.mark_responsive(from);
         match message {
             SlotMessage::Ask {
                 question,
@@ -52,7 +52,7 @@
                 run,
             } => {
                 if self.grants.is_new_run(from, run) {
-                    self.route.node_gone(from, now);
+                    self.route.expire_node_slots(from, now);
                     self.grants.node_gone(from);
                 }
                 let customer = CustomerKey(customer);
@@ -94,7 +94,7 @@
         &mut self,
         (asker, question): (NodeId, u64),
         endpoint: EndpointId,
-        (customer, claim): (CustomerKey, SlotClaim),
+        (customer, claim): (CustomerKey, AdmissionClass),
         now: ClockTime,
     ) -> SlotVerdict {
         match self.grants.look_up(asker, question) {
@@ -129,7 +129,7 @@
             mut plan, endpoint, ..
         } = wait;
         let answer = verdict.as_answer();
-        self.route.note_answer(endpoint, answer, plan.chat, now);
+        self.route.record_answer(endpoint, answer, plan.chat, now);
         if verdict == SlotVerdict::Granted {
             let slot = HeldSlot::Foreign { home, question };
             return self.grant_plan(plan, endpoint, slot, now);
@@ -148,7 +148,7 @@
         home: NodeId,
         question: u64,
         endpoint: EndpointId,
-        claim: SlotClaim,
+        claim: AdmissionClass,
         plan: &RequestPlan,
     ) {
         let message = SlotMessage::Ask {
--- a/crates/ragwortroad_node/src/node_process.rs
+++ b/crates/ragwortroad_node/src/node_process.rs
@@ -329,7 +329,7 @@
         hints: HintCodec::new(secrets.hints),
         limiter,
         budget: RetryBudget::new(RETRY_SHARE, RETRY_RESERVE),
-        rule: RetryRule::default(),
+        rule: RetryPolicy::default(),
         follow: FollowSeat::default(),
         member,
         tickets: TicketTable::default(),
--- a/crates/ragwortroad_node/src/order/target_plan.rs
+++ b/crates/ragwortroad_node/src/order/target_plan.rs
@@ -94,7 +94,7 @@
     }
 
     /// Every version that is held or declared, with how much it is wanted.
-    fn wants(&self) -> Vec<OfferWant> {
+    fn wants(&self) -> Vec<OfferDemand> {
         let want = |(key, name): (&OfferKey, &VersionName)| {
             let holders = self.holders(name);
             let (least, most, demand) = match self.declared_share(name) {
@@ -105,11 +105,11 @@
                 }
                 None => (holders, holders, 0.0),
             };
-            OfferWant {
+            OfferDemand {
                 offer: *key,
                 demand,
-                least,
-                most,
+                min_engines: least,
+                max_engines: most,
             }
         };
         self.names.iter().map(want).collect()
@@ -177,22 +177,22 @@
             .sum()
     }
 
-    fn place(&self, wants: &[OfferWant]) -> PlacementPlan {
+    fn place(&self, wants: &[OfferDemand]) -> PlacementPlan {
         let pairs = self.input.engines.iter().zip(&self.holds);
-        let engines = pairs.map(|(engine, holds)| EngineHolding {
+        let engines = pairs.map(|(engine, holds)| EngineSnapshot {
             id: EndpointId::from_name(&engine.name),
             zone: ZoneKey::from_name(&engine.zone),
             capacity: engine.capacity,
-            room: self.input.room,
-            holds: holds.iter().map(key_of).collect(),
-            open: engine.open,
+            max_offers: self.input.room,
+            offers: holds.iter().map(key_of).collect(),
+            takes_work: engine.open,
         });
         let input = PlacementInput {
-            wants: wants.to_vec(),
+            demands: wants.to_vec(),
             engines: engines.collect(),
-            loads: self.input.loads_at_once.saturating_sub(self.under_way()),
+            max_loads: self.input.loads_at_once.saturating_sub(self.under_way()),
         };
-        PlacementPlan::of(&input, &PlacementSettings::default())
+        PlacementPlan::compute(&input, &PlacementSettings::default())
     }
 
     /// Targets that differ from the plan so far.
@@ -217,7 +217,7 @@
     ) -> BTreeSet<VersionName> {
         let id = EndpointId::from_name(&engine.name);
         let mut holds = holds.clone();
-        for order in placement.drops.iter().filter(|order| order.engine == id) {
+        for order in placement.unloads.iter().filter(|order| order.engine == id) {
             holds.retain(|name| key_of(name) != order.offer);
         }
         let loads = placement.loads.iter().filter(|order| order.engine == id);
@@ -259,7 +259,7 @@
     }
 
     /// How much each engine's loads are needed: what no engine serves first, then the fullest.
-    fn urgencies(&self, wants: &[OfferWant], placement: &PlacementPlan) -> BTreeMap<String, u32> {
+    fn urgencies(&self, wants: &[OfferDemand], placement: &PlacementPlan) -> BTreeMap<String, u32> {
         let need = |name: &VersionName| {
             let serving = self.input.engines.iter();
             let serving = serving.filter(|engine| engine.open && is_seen(engine, name));
--- a/crates/ragwortroad_node/src/wire/slot_message.rs
+++ b/crates/ragwortroad_node/src/wire/slot_message.rs
@@ -70,17 +70,17 @@
     Starved,
 }
 
-impl From<SlotClaim> for AskClaim {
-    fn from(claim: SlotClaim) -> Self {
+impl From<AdmissionClass> for AskClaim {
+    fn from(claim: AdmissionClass) -> Self {
         match claim {
-            SlotClaim::Arriving => Self::Arriving,
-            SlotClaim::Returning => Self::Returning,
-            SlotClaim::Starved => Self::Starved,
+            AdmissionClass::Arriving => Self::Arriving,
+            AdmissionClass::Returning => Self::Returning,
+            AdmissionClass::Starved => Self::Starved,
         }
     }
 }
 
-impl From<AskClaim> for SlotClaim {
+impl From<AskClaim> for AdmissionClass {
     fn from(claim: AskClaim) -> Self {
         match claim {
             AskClaim::Arriving => Self::Arriving,
--- a/crates/ragwortroad_routing/src/lib.rs
+++ b/crates/ragwortroad_routing/src/lib.rs
@@ -62,13 +62,13 @@
             },
         },
         place::{
-            move_choice::{
-                MoveChoice,
-                MoveCost, //
+            migration_method::{
+                MigrationCost, //
+                MigrationMethod,
             },
             placement_input::{
-                EngineHolding,
-                OfferWant,
+                EngineSnapshot,
+                OfferDemand,
                 PlacementInput, //
             },
             placement_plan::{
@@ -85,12 +85,13 @@
             outlier_settings::OutlierSettings,
             outlier_table::OutlierTable,
             retry_budget::RetryBudget,
-            retry_rule::{
+            retry_policy::{
                 FailedAttempt,
-                RetryRule, //
+                RetryPolicy, //
             },
         },
         table::{
+            admission_class::AdmissionClass,
             endpoint_facts::EndpointFacts,
             hint_codec::HintCodec,
             load_bound::LoadBound,
@@ -103,7 +104,6 @@
             route_settings::RouteSettings,
             route_table::RouteTable,
             slot_answer::SlotAnswer,
-            slot_claim::SlotClaim,
             slot_outcome::SlotOutcome, //
         },
     };
--- a/crates/ragwortroad_routing/src/limit/customer_entry.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_entry.rs
@@ -79,7 +79,7 @@
         self.places = places;
         let rate = self.limit.requests_per_s * part;
         // Below one request the bucket could never let one pass.
-        let depth = (rate * settings.burst_s).max(settings.least_burst.max(1.0));
+        let depth = (rate * settings.burst_s).max(settings.min_burst.max(1.0));
         self.requests.set_rate(rate, depth, now);
         let rate = self.limit.tokens_per_s * part;
         self.tokens.set_rate(rate, rate * settings.burst_s, now);
@@ -104,7 +104,7 @@
         if span <= 0.0 {
             return;
         }
-        let keep = (-span / settings.demand_span.as_secs_f64().max(0.001)).exp();
+        let keep = (-span / settings.demand_window.as_secs_f64().max(0.001)).exp();
         let rate = f64::from(self.wanted_count) / span;
         self.wanted_rate = self.wanted_rate * keep + rate * (1.0 - keep);
         self.wanted_count = 0;
@@ -135,7 +135,7 @@
             concurrent: places.min(u32::from(u16::MAX)) as u16,
         };
         let silent = self.told.is_some_and(|(told, at)| {
-            now.since(at) < settings.tell_every && !self.differs(told, entry, settings)
+            now.since(at) < settings.resend_interval && !self.differs(told, entry, settings)
         });
         if silent {
             return None;
@@ -145,9 +145,9 @@
     }
 
     fn differs(&self, told: DemandEntry, entry: DemandEntry, settings: &LimiterSettings) -> bool {
-        let rate = self.limit.requests_per_s * 10.0 * settings.tell_change;
+        let rate = self.limit.requests_per_s * 10.0 * settings.resend_change;
         let rates = entry.requests_per_10_s.abs_diff(told.requests_per_10_s);
-        let places = f64::from(self.limit.concurrent) * settings.tell_change;
+        let places = f64::from(self.limit.concurrent) * settings.resend_change;
         let concurrent = entry.concurrent.abs_diff(told.concurrent);
         f64::from(rates) > rate.max(1.0) || f64::from(concurrent) > places.max(1.0)
     }
--- a/crates/ragwortroad_routing/src/limit/customer_limiter.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_limiter.rs
@@ -142,7 +142,7 @@
 
     /// The shares this node gives as keeper; to be sent about once a second.
     pub fn shares(&mut self, now: ClockTime) -> BTreeMap<NodeId, ShareDigest> {
-        self.keeper.expire(now, self.settings.demand_life);
+        self.keeper.expire(now, self.settings.demand_ttl);
         let mut digests: BTreeMap<NodeId, ShareDigest> = BTreeMap::new();
         for customer in self.keeper.customers() {
             let Some(entry) = self.entries.get(&customer) else {
@@ -154,7 +154,7 @@
             for (node, share) in self.keeper.divide(customer, divided, places) {
                 if self
                     .keeper
-                    .is_news(node, share, now, self.settings.tell_every)
+                    .is_news(node, share, now, self.settings.resend_interval)
                 {
                     digests.entry(node).or_default().entries.push(share);
                 }
@@ -168,7 +168,7 @@
 
     /// Takes in the shares a keeper gave to this node.
     pub fn merge_share(&mut self, digest: &ShareDigest, now: ClockTime) {
-        let ends_at = now.after(self.settings.share_life);
+        let ends_at = now.after(self.settings.share_ttl);
         for share in &digest.entries {
             if let Some(entry) = self.entries.get_mut(&share.customer) {
                 entry.share = Some((*share, ends_at));
--- a/crates/ragwortroad_routing/src/limit/limiter_settings.rs
+++ b/crates/ragwortroad_routing/src/limit/limiter_settings.rs
@@ -14,21 +14,21 @@
     pub burst_s: f64,
     /// Requests every node lets pass at once, however small its share. A customer that comes anew
     /// to all nodes together may once exceed its limit by this for each node.
-    pub least_burst: f64,
+    pub min_burst: f64,
     /// Part of a limit by which a node's demand must differ from what its keeper knows to be told
     /// before `tell_every` is over.
-    pub tell_change: f64,
+    pub resend_change: f64,
     /// Time between two digests to a keeper, or shares to a node, that tell nothing new.
-    pub tell_every: Duration,
+    pub resend_interval: Duration,
     /// How long a keeper's share is good for.
-    pub share_life: Duration,
+    pub share_ttl: Duration,
     /// How long a node's demand counts at the keeper after its last digest.
     ///
     /// Invariant: longer than `share_life`, or the keeper would give to others what a node that
     /// went silent may still use.
-    pub demand_life: Duration,
+    pub demand_ttl: Duration,
     /// Time over which demand is averaged.
-    pub demand_span: Duration,
+    pub demand_window: Duration,
 }
 
 impl Default for LimiterSettings {
@@ -37,12 +37,12 @@
             node: NodeId::default(),
             even_share: 0.2,
             burst_s: 5.0,
-            least_burst: 3.0,
-            tell_change: 0.05,
-            tell_every: Duration::from_secs(4),
-            share_life: Duration::from_secs(10),
-            demand_life: Duration::from_secs(15),
-            demand_span: Duration::from_secs(5),
+            min_burst: 3.0,
+            resend_change: 0.05,
+            resend_interval: Duration::from_secs(4),
+            share_ttl: Duration::from_secs(10),
+            demand_ttl: Duration::from_secs(15),
+            demand_window: Duration::from_secs(5),
         }
     }
 }
--- a/crates/ragwortroad_routing/src/place/move_choice.rs
+++ b/crates/ragwortroad_routing/src/place/migration_method.rs
@@ -2,7 +2,7 @@
 
 /// How a chat's context comes to another engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum MoveChoice {
+pub enum MigrationMethod {
     /// Export its KV cache and import it there.
     Transfer,
     /// Let the other engine compute it anew from the prompt.
@@ -11,7 +11,7 @@
 
 /// The measured costs of one move.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MoveCost {
+pub struct MigrationCost {
     /// Tokens of context that would have to be recomputed.
     pub tokens: u32,
     /// Bytes of KV cache for one token, as measured at the engine.
@@ -23,26 +23,26 @@
     /// One way delay of that link.
     pub link_delay: Duration,
     /// Export and import at the engines, whatever the size.
-    pub fixed: Duration,
+    pub fixed_overhead: Duration,
     /// What a byte on that link costs against one within a failure domain; 1 there, more across.
-    pub link_price: f64,
+    pub link_cost_factor: f64,
 }
 
-impl MoveCost {
+impl MigrationCost {
     /// The cheaper way. Equal costs recompute: it needs no second engine to be alive.
-    pub fn cheaper(&self) -> MoveChoice {
+    pub fn cheaper_method(&self) -> MigrationMethod {
         if self.transfer_time() < self.recompute_time() {
-            MoveChoice::Transfer
+            MigrationMethod::Transfer
         } else {
-            MoveChoice::Recompute
+            MigrationMethod::Recompute
         }
     }
 
     /// The time of a transfer, with dear bytes counted as slow ones.
     pub fn transfer_time(&self) -> Duration {
         let bytes = f64::from(self.tokens) * self.bytes_per_token as f64;
-        let sending = bytes * self.link_price / self.link_bytes_per_s.max(1.0);
-        self.fixed + 2 * self.link_delay + seconds(sending)
+        let sending = bytes * self.link_cost_factor / self.link_bytes_per_s.max(1.0);
+        self.fixed_overhead + 2 * self.link_delay + seconds(sending)
     }
 
     /// The time of computing the context anew.
--- a/crates/ragwortroad_routing/src/place/placement_plan.rs
+++ b/crates/ragwortroad_routing/src/place/placement_plan.rs
@@ -3,9 +3,9 @@
 use ragwortroad_types::EndpointId;
 
 use crate::{
-    EngineHolding,
+    EngineSnapshot,
+    OfferDemand,
     OfferKey,
-    OfferWant,
     PlacementInput,
     ZoneKey, //
 };
@@ -19,7 +19,7 @@
     /// Offers to load, the most needed first, within the rate given.
     pub loads: Vec<PlacementOrder>,
     /// Offers to drop; each makes room for a load above or is no longer declared.
-    pub drops: Vec<PlacementOrder>,
+    pub unloads: Vec<PlacementOrder>,
 }
 
 /// One order.
@@ -35,34 +35,34 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementSettings {
     /// Use of capacity above which an offer gets another engine.
-    pub high: f64,
+    pub scale_up_utilization: f64,
     /// Use of capacity, with one engine fewer, below which it gives one up.
     /// Invariant: below `high`, or demand that stands still would move engines to and fro.
-    pub low: f64,
+    pub scale_down_utilization: f64,
 }
 
 impl Default for PlacementSettings {
     fn default() -> Self {
         Self {
-            high: 0.7,
-            low: 0.45,
+            scale_up_utilization: 0.7,
+            scale_down_utilization: 0.45,
         }
     }
 }
 
 impl PlacementPlan {
     /// The orders for `input`.
-    pub fn of(input: &PlacementInput, settings: &PlacementSettings) -> Self {
+    pub fn compute(input: &PlacementInput, settings: &PlacementSettings) -> Self {
         let mut draft = PlacementDraft::new(input);
         draft.drop_undeclared();
-        let mut wants: Vec<&OfferWant> = input.wants.iter().collect();
+        let mut wants: Vec<&OfferDemand> = input.demands.iter().collect();
         // The most overfull first; the order of the input decides between equals.
         wants.sort_by(|left, right| {
             let (left, right) = (draft.fullness(left), draft.fullness(right));
             right.total_cmp(&left)
         });
         for want in wants {
-            while draft.plan.loads.len() < input.loads && draft.is_short(want, settings) {
+            while draft.plan.loads.len() < input.max_loads && draft.is_short(want, settings) {
                 if !draft.add_one(want, settings) {
                     break;
                 }
@@ -84,7 +84,7 @@
         let holds = input
             .engines
             .iter()
-            .map(|engine| (engine.id, engine.holds.clone()))
+            .map(|engine| (engine.id, engine.offers.clone()))
             .collect();
         Self {
             input,
@@ -97,25 +97,23 @@
     fn drop_undeclared(&mut self) {
         for (engine, holds) in &mut self.holds {
             holds.retain(|offer| {
-                let wanted = self
-                    .input
-                    .wants
-                    .iter()
-                    .any(|want| want.offer == *offer && (want.least > 0 || want.demand > 0.0));
+                let wanted = self.input.demands.iter().any(|want| {
+                    want.offer == *offer && (want.min_engines > 0 || want.demand > 0.0)
+                });
                 if !wanted {
                     let (engine, offer) = (*engine, *offer);
-                    self.plan.drops.push(PlacementOrder { engine, offer });
+                    self.plan.unloads.push(PlacementOrder { engine, offer });
                 }
                 wanted
             });
         }
     }
 
-    fn holders(&self, offer: OfferKey) -> impl Iterator<Item = &'input EngineHolding> {
+    fn holders(&self, offer: OfferKey) -> impl Iterator<Item = &'input EngineSnapshot> {
         self.input
             .engines
             .iter()
-            .filter(move |engine| engine.open && self.holds[&engine.id].contains(&offer))
+            .filter(move |engine| engine.takes_work && self.holds[&engine.id].contains(&offer))
     }
 
     /// Capacity that serves `offer`: an engine with several offers counts for each in part.
@@ -125,46 +123,46 @@
             .sum()
     }
 
-    fn fullness(&self, want: &OfferWant) -> f64 {
+    fn fullness(&self, want: &OfferDemand) -> f64 {
         want.demand / self.capacity(want.offer).max(1e-3)
     }
 
-    fn is_short(&self, want: &OfferWant, settings: &PlacementSettings) -> bool {
+    fn is_short(&self, want: &OfferDemand, settings: &PlacementSettings) -> bool {
         let count = self.holders(want.offer).count();
-        let is_overfull = want.demand > 0.0 && self.fullness(want) > settings.high;
-        count < want.least || (count < want.most && is_overfull)
+        let is_overfull = want.demand > 0.0 && self.fullness(want) > settings.scale_up_utilization;
+        count < want.min_engines || (count < want.max_engines && is_overfull)
     }
 
     /// Whether `offer` can do with one engine less.
     fn can_spare(
         &self,
         offer: OfferKey,
-        engine: &EngineHolding,
+        engine: &EngineSnapshot,
         settings: &PlacementSettings,
     ) -> bool {
-        let Some(want) = self.input.wants.iter().find(|want| want.offer == offer) else {
+        let Some(want) = self.input.demands.iter().find(|want| want.offer == offer) else {
             return true;
         };
         let count = self.holders(offer).count();
         let part = f64::from(engine.capacity) / self.holds[&engine.id].len() as f64;
         let left = self.capacity(offer) - part;
-        count > want.least.max(1) && want.demand <= settings.low * left
+        count > want.min_engines.max(1) && want.demand <= settings.scale_down_utilization * left
     }
 
     /// Puts `want` on one more engine: one with room if there is any, else in the place of an offer
     /// that can spare it; the failure domain with the fewest holders goes first.
-    fn add_one(&mut self, want: &OfferWant, settings: &PlacementSettings) -> bool {
+    fn add_one(&mut self, want: &OfferDemand, settings: &PlacementSettings) -> bool {
         let mut zones: BTreeMap<ZoneKey, usize> = BTreeMap::new();
         for engine in self.holders(want.offer) {
             *zones.entry(engine.zone).or_insert(0) += 1;
         }
         let mut best = None;
-        for engine in self.input.engines.iter().filter(|engine| engine.open) {
+        for engine in self.input.engines.iter().filter(|engine| engine.takes_work) {
             let holds = &self.holds[&engine.id];
-            if holds.contains(&want.offer) || engine.room == 0 {
+            if holds.contains(&want.offer) || engine.max_offers == 0 {
                 continue;
             }
-            let victim = if holds.len() < engine.room {
+            let victim = if holds.len() < engine.max_offers {
                 None
             } else {
                 let spare = holds
@@ -195,7 +193,7 @@
         }
         if let Some(dropped) = victim {
             let offer = dropped;
-            self.plan.drops.push(PlacementOrder { engine, offer });
+            self.plan.unloads.push(PlacementOrder { engine, offer });
         }
         self.plan.loads.push(PlacementOrder { engine, offer });
     }
--- a/crates/ragwortroad_routing/src/retry/mod.rs
+++ b/crates/ragwortroad_routing/src/retry/mod.rs
@@ -3,4 +3,4 @@
 pub(crate) mod outlier_settings;
 pub(crate) mod outlier_table;
 pub(crate) mod retry_budget;
-pub(crate) mod retry_rule;
+pub(crate) mod retry_policy;
--- a/crates/ragwortroad_routing/src/retry/outlier_table.rs
+++ b/crates/ragwortroad_routing/src/retry/outlier_table.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether the endpoint is set aside now.
-    pub fn is_out(&self, endpoint: EndpointId, now: ClockTime) -> bool {
+    pub fn is_ejected(&self, endpoint: EndpointId, now: ClockTime) -> bool {
         self.entries
             .get(&endpoint)
             .is_some_and(|entry| entry.out_until > now)
@@ -50,7 +50,7 @@
 
     /// The part of `limit` that the endpoint may carry now: nothing while it is aside, then growing
     /// from one request to all.
-    pub fn limit(&self, endpoint: EndpointId, limit: u32, now: ClockTime) -> u32 {
+    pub fn ramped_limit(&self, endpoint: EndpointId, limit: u32, now: ClockTime) -> u32 {
         let Some(entry) = self.entries.get(&endpoint).filter(|entry| entry.times > 0) else {
             return limit;
         };
@@ -58,13 +58,13 @@
             return 0;
         }
         let back = now.since(entry.out_until).as_secs_f64();
-        let share = back / self.settings.return_span.as_secs_f64().max(0.001);
+        let share = back / self.settings.recovery_ramp.as_secs_f64().max(0.001);
         ((f64::from(limit) * share.min(1.0)).round() as u32).max(1)
     }
 
     /// Notes a success.
-    pub fn succeeded(&mut self, endpoint: EndpointId, now: ClockTime) {
-        let return_span = self.settings.return_span;
+    pub fn record_success(&mut self, endpoint: EndpointId, now: ClockTime) {
+        let return_span = self.settings.recovery_ramp;
         let Some(entry) = self.entries.get_mut(&endpoint) else {
             return;
         };
@@ -75,19 +75,25 @@
     }
 
     /// Notes a failure; `out` of the fleet's `count` endpoints are aside now.
-    pub fn failed(&mut self, endpoint: EndpointId, out: usize, count: usize, now: ClockTime) {
+    pub fn record_failure(
+        &mut self,
+        endpoint: EndpointId,
+        out: usize,
+        count: usize,
+        now: ClockTime,
+    ) {
         let settings = self.settings;
         let entry = self.entries.entry(endpoint).or_default();
         entry.in_a_row += 1;
         let returning = entry.times > 0;
-        if entry.out_until > now || (entry.in_a_row < settings.failures && !returning) {
+        if entry.out_until > now || (entry.in_a_row < settings.consecutive_failures && !returning) {
             return;
         }
-        if out >= most_aside(settings.share, count) {
+        if out >= most_aside(settings.max_ejected_share, count) {
             return;
         }
-        let span = settings.first_span * 2_u32.saturating_pow(entry.times.min(16));
-        entry.out_until = now.after(span.min(settings.longest_span));
+        let span = settings.first_ejection * 2_u32.saturating_pow(entry.times.min(16));
+        entry.out_until = now.after(span.min(settings.max_ejection));
         entry.times += 1;
         entry.in_a_row = 0;
     }
--- a/crates/ragwortroad_routing/src/retry/retry_budget.rs
+++ b/crates/ragwortroad_routing/src/retry/retry_budget.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes a request's first attempt.
-    pub fn note_first(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.saved = (self.saved + self.earning).min(self.ceiling);
     }
 
--- a/crates/ragwortroad_routing/src/retry/retry_rule.rs
+++ b/crates/ragwortroad_routing/src/retry/retry_policy.rs
@@ -6,18 +6,18 @@
 
 /// Whether a failed attempt may be followed by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RetryRule {
+pub struct RetryPolicy {
     /// Attempts of one request, the first included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Time to the deadline below which another attempt is not worth its load.
-    pub least_time: Duration,
+    pub min_time_left: Duration,
 }
 
-impl Default for RetryRule {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
-            attempts: 3,
-            least_time: Duration::from_millis(200),
+            max_attempts: 3,
+            min_time_left: Duration::from_millis(200),
         }
     }
 }
@@ -35,13 +35,13 @@
     pub time_left: Duration,
 }
 
-impl RetryRule {
+impl RetryPolicy {
     /// Whether to try again; pays from `budget` if so.
     ///
     /// A request that is not idempotent is repeated only where not one byte of it was sent.
     pub fn may_retry(&self, failed: FailedAttempt, budget: &mut RetryBudget) -> bool {
         let harmless = failed.idempotent || failed.outcome == RequestOutcome::NotRun;
-        let in_time = failed.time_left >= self.least_time;
-        harmless && in_time && failed.attempts < self.attempts && budget.try_retry()
+        let in_time = failed.time_left >= self.min_time_left;
+        harmless && in_time && failed.attempts < self.max_attempts && budget.try_retry()
     }
 }
--- a/crates/ragwortroad_routing/src/table/slot_claim.rs
+++ b/crates/ragwortroad_routing/src/table/admission_class.rs
@@ -1,6 +1,6 @@
 /// Whether a request has something to lose by going elsewhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum SlotClaim {
+pub enum AdmissionClass {
     /// One endpoint is as good as another.
     #[default]
     Arriving,
--- a/crates/ragwortroad_routing/src/table/load_digest.rs
+++ b/crates/ragwortroad_routing/src/table/load_digest.rs
@@ -4,5 +4,5 @@
     /// Requests at the endpoint.
     pub load: u32,
     /// The home has set it aside as an outlier.
-    pub set_aside: bool,
+    pub ejected: bool,
 }
--- a/crates/ragwortroad_routing/src/table/mod.rs
+++ b/crates/ragwortroad_routing/src/table/mod.rs
@@ -1,5 +1,6 @@
 //! What one node knows of the endpoints, and the choice among them.
 
+pub(crate) mod admission_class;
 pub(crate) mod chat_memory;
 pub(crate) mod endpoint_facts;
 pub(crate) mod endpoint_state;
@@ -16,7 +17,6 @@
 pub(crate) mod route_settings;
 pub(crate) mod route_table;
 pub(crate) mod slot_answer;
-pub(crate) mod slot_claim;
 pub(crate) mod slot_grants;
 pub(crate) mod slot_ledger;
 pub(crate) mod slot_outcome;
--- a/crates/ragwortroad_routing/src/table/ranking.rs
+++ b/crates/ragwortroad_routing/src/table/ranking.rs
@@ -54,13 +54,13 @@
     pub(crate) fn new(query: &RouteQuery<'_>, settings: &RouteSettings, known: bool) -> Self {
         let member_key = query.chat.map_or(query.salt, |chat| chat.0);
         let shared = settings
-            .plan_block
+            .shared_prefix_block
             .checked_sub(1)
             .and_then(|block| query.prefixes.get(block))
             .filter(|_| query.refusals < REFUSALS_FOR_OWN_ORDER);
         let two_choices = settings.two_choices && !known;
         let (group_key, width) = match shared {
-            Some(prefix) => (prefix.0, settings.plan_width.clamp(1, HEAD)),
+            Some(prefix) => (prefix.0, settings.shared_prefix_engines.clamp(1, HEAD)),
             None if two_choices => (member_key, 2),
             None => (member_key, 1),
         };
--- a/crates/ragwortroad_routing/src/table/route_choice.rs
+++ b/crates/ragwortroad_routing/src/table/route_choice.rs
@@ -9,13 +9,13 @@
 };
 
 use crate::{
+    AdmissionClass,
     CustomerKey,
     EndpointKey,
     RouteDecision,
     RouteQuery,
     RouteReason,
     RouteTable,
-    SlotClaim,
     table::ranking::{
         Ranking,
         score, //
@@ -66,8 +66,8 @@
         if let Some(decision) = self.ask_anyway(query, now) {
             return decision;
         }
-        if query.waited < self.settings.hold_any {
-            let retry_after = self.settings.hold_step;
+        if query.waited < self.settings.max_capacity_wait {
+            let retry_after = self.settings.hold_interval;
             return RouteDecision::Hold { retry_after };
         }
         let refused = self.refused.entry(query.customer).or_default();
@@ -76,7 +76,7 @@
     }
 
     /// Notes that a request of the customer was placed.
-    pub fn note_placed(&mut self, customer: CustomerKey) {
+    pub fn record_placement(&mut self, customer: CustomerKey) {
         self.refused.remove(&customer);
     }
 
@@ -109,7 +109,7 @@
             endpoint,
             home,
             reason: RouteReason::Hash,
-            claim: SlotClaim::Starved,
+            class: AdmissionClass::Starved,
         })
     }
 
@@ -125,19 +125,19 @@
         now: ClockTime,
     ) -> Option<Duration> {
         let settings = &self.settings;
-        let worth = settings.hold_per_block * query.prefixes.len() as u32;
-        if query.waited >= worth.min(settings.hold_known) {
+        let worth = settings.context_wait_per_block * query.prefixes.len() as u32;
+        if query.waited >= worth.min(settings.max_context_wait) {
             return None;
         }
         let state = self.arena[key.index()].as_ref()?;
-        if self.outliers.is_out(state.facts.id, now) || state.set_aside {
+        if self.outliers.is_ejected(state.facts.id, now) || state.set_aside {
             return None;
         }
         if self.is_home(state) {
-            return state.is_exclusive(now).then_some(settings.hold_step);
+            return state.is_exclusive(now).then_some(settings.hold_interval);
         }
         let asked_again = state.view.full_until.since(now);
-        Some(asked_again.max(settings.hold_step))
+        Some(asked_again.max(settings.hold_interval))
     }
 
     /// The nodes a caller should use, best first.
@@ -192,7 +192,7 @@
         let prefix = unnamed
             .then(|| self.prefixes.longest(query.prefixes))
             .flatten()
-            .filter(|(_, blocks)| *blocks > self.settings.plan_block)
+            .filter(|(_, blocks)| *blocks > self.settings.shared_prefix_block)
             .map(|(endpoint, _)| (endpoint, RouteReason::Prefix));
         [hint, memory, prefix].into_iter().flatten()
     }
@@ -216,7 +216,7 @@
         let pool = self.pools.get(&query.offer)?;
         ranking.best(
             pool,
-            |key| self.looks_open(key, SlotClaim::Arriving, query, now),
+            |key| self.looks_open(key, AdmissionClass::Arriving, query, now),
             |key| self.fill_of(key),
         )
     }
@@ -225,7 +225,7 @@
     fn looks_open(
         &self,
         key: EndpointKey,
-        claim: SlotClaim,
+        class: AdmissionClass,
         query: &RouteQuery<'_>,
         now: ClockTime,
     ) -> bool {
@@ -241,8 +241,8 @@
         }
         // A chat whose context is there asks again when its home said; to others the place stays
         // full until a digest tells otherwise, or a busy fleet spends itself on questions.
-        let refused =
-            state.view.full_until > now || (state.view.was_full && claim == SlotClaim::Arriving);
+        let refused = state.view.full_until > now
+            || (state.view.was_full && class == AdmissionClass::Arriving);
         state.view.expected() < limit && !refused && !state.set_aside
     }
 
@@ -267,12 +267,14 @@
         query: &RouteQuery<'_>,
         now: ClockTime,
     ) -> Option<RouteDecision> {
-        let claim = match reason {
-            _ if self.is_starved(query.customer, now) => SlotClaim::Starved,
-            RouteReason::Hash => SlotClaim::Arriving,
-            RouteReason::Hint | RouteReason::Memory | RouteReason::Prefix => SlotClaim::Returning,
+        let class = match reason {
+            _ if self.is_starved(query.customer, now) => AdmissionClass::Starved,
+            RouteReason::Hash => AdmissionClass::Arriving,
+            RouteReason::Hint | RouteReason::Memory | RouteReason::Prefix => {
+                AdmissionClass::Returning
+            }
         };
-        if !self.looks_open(key, claim, query, now) {
+        if !self.looks_open(key, class, query, now) {
             return None;
         }
         let state = self.arena[key.index()].as_ref()?;
@@ -281,11 +283,11 @@
             return Some(RouteDecision::AskHome {
                 endpoint,
                 home,
-                claim,
+                class,
                 reason,
             });
         }
-        let slot = self.take_slot(key, self.settings.node, query.customer, claim, now)?;
+        let slot = self.take_slot(key, self.settings.node, query.customer, class, now)?;
         if let Some(chat) = query.chat {
             self.memory.put(chat.0, endpoint.0, now);
         }
--- a/crates/ragwortroad_routing/src/table/route_decision.rs
+++ b/crates/ragwortroad_routing/src/table/route_decision.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    SlotClaim,
+    AdmissionClass,
     SlotId, //
 };
 
@@ -31,7 +31,7 @@
         /// The node to ask.
         home: NodeId,
         /// To be told to it.
-        claim: SlotClaim,
+        class: AdmissionClass,
         /// Why this endpoint.
         reason: RouteReason,
     },
--- a/crates/ragwortroad_routing/src/table/route_settings.rs
+++ b/crates/ragwortroad_routing/src/table/route_settings.rs
@@ -25,9 +25,9 @@
     /// Share of an endpoint's room kept for customers that use less than an equal part of it.
     pub fair_reserve: f64,
     /// The block of the prompt whose prefix key stands for a shared text (a school's plan).
-    pub plan_block: usize,
+    pub shared_prefix_block: usize,
     /// Engines among which the chats of one shared text are spread, while they have room.
-    pub plan_width: usize,
+    pub shared_prefix_engines: usize,
     /// Whether a chat that nothing is known of goes to the less loaded of its two best places.
     pub two_choices: bool,
     /// Chats whose last place a node remembers.
@@ -35,25 +35,25 @@
     /// Prefixes whose place a node remembers from the cache events of its own engines.
     pub prefix_entries: usize,
     /// Longest time a chat waits for room where its context is.
-    pub hold_known: Duration,
+    pub max_context_wait: Duration,
     /// The part of that time that each block of its prompt is worth, which is about what computing
     /// the block anew would take.
-    pub hold_per_block: Duration,
+    pub context_wait_per_block: Duration,
     /// Longest time any request waits for room anywhere before it is refused.
-    pub hold_any: Duration,
+    pub max_capacity_wait: Duration,
     /// Time between two looks at a full place of this node's own.
-    pub hold_step: Duration,
+    pub hold_interval: Duration,
     /// Longest time for which a home that answered "full" is not asked again.
-    pub full_pause: Duration,
+    pub full_backoff: Duration,
     /// How long slots of a node that is gone stay counted, since its requests may still run.
-    pub gone_hold: Duration,
+    pub lost_node_slot_ttl: Duration,
     /// How long the slot of a failed request stays counted, so that an endpoint which fails fast
     /// looks as busy as one that works.
-    pub failure_hold: Duration,
+    pub failed_slot_ttl: Duration,
     /// Longest life of a slot that is never given back.
-    pub slot_life: Duration,
+    pub slot_ttl: Duration,
     /// When endpoints are set aside.
-    pub outlier: OutlierSettings,
+    pub outliers: OutlierSettings,
 }
 
 impl Default for RouteSettings {
@@ -65,20 +65,20 @@
             mean_margin: 1.2,
             queue_multiple: 1.25,
             fair_reserve: 0.2,
-            plan_block: 8,
-            plan_width: 2,
+            shared_prefix_block: 8,
+            shared_prefix_engines: 2,
             two_choices: true,
             chat_entries: 64 * 1024,
             prefix_entries: 64 * 1024,
-            hold_known: Duration::from_millis(500),
-            hold_per_block: Duration::from_millis(25),
-            hold_any: Duration::from_millis(600),
-            hold_step: Duration::from_millis(20),
-            full_pause: Duration::from_millis(250),
-            gone_hold: Duration::from_secs(5),
-            failure_hold: Duration::from_secs(2),
-            slot_life: Duration::from_secs(600),
-            outlier: OutlierSettings::default(),
+            max_context_wait: Duration::from_millis(500),
+            context_wait_per_block: Duration::from_millis(25),
+            max_capacity_wait: Duration::from_millis(600),
+            hold_interval: Duration::from_millis(20),
+            full_backoff: Duration::from_millis(250),
+            lost_node_slot_ttl: Duration::from_secs(5),
+            failed_slot_ttl: Duration::from_secs(2),
+            slot_ttl: Duration::from_secs(600),
+            outliers: OutlierSettings::default(),
         }
     }
 }
--- a/crates/ragwortroad_routing/src/table/route_table.rs
+++ b/crates/ragwortroad_routing/src/table/route_table.rs
@@ -73,7 +73,7 @@
     pub fn new(settings: RouteSettings) -> Self {
         let memory = ChatMemory::new(settings.chat_entries);
         let prefixes = PrefixMemory::new(settings.prefix_entries);
-        let outliers = OutlierTable::new(settings.outlier);
+        let outliers = OutlierTable::new(settings.outliers);
         Self {
             settings,
             arena: Vec::new(),
@@ -167,7 +167,7 @@
                 .bound
                 .for_admission(fleet.mean(), fleet.members(), settings.mean_margin);
         let limit = bound.min(self.room_of(state));
-        self.outliers.limit(state.facts.id, limit, now)
+        self.outliers.ramped_limit(state.facts.id, limit, now)
     }
 
     /// The most requests an endpoint may carry whatever the mean: its capacity and its queue.
--- a/crates/ragwortroad_routing/src/table/slot_grants.rs
+++ b/crates/ragwortroad_routing/src/table/slot_grants.rs
@@ -8,11 +8,11 @@
 };
 
 use crate::{
+    AdmissionClass,
     CustomerKey,
     EndpointKey,
     RouteTable,
     SlotAnswer,
-    SlotClaim,
     SlotId,
     SlotOutcome,
     table::endpoint_state::EndpointState, //
@@ -30,7 +30,7 @@
         endpoint: EndpointId,
         asker: NodeId,
         customer: CustomerKey,
-        claim: SlotClaim,
+        class: AdmissionClass,
         now: ClockTime,
     ) -> SlotAnswer {
         let Some(key) = self.ids.get(&endpoint).copied() else {
@@ -40,7 +40,7 @@
         if home != Some(self.settings.node) {
             return SlotAnswer::NotHome { home };
         }
-        match self.take_slot(key, asker, customer, claim, now) {
+        match self.take_slot(key, asker, customer, class, now) {
             Some(slot) => SlotAnswer::Granted { slot },
             None => SlotAnswer::Full {
                 retry_after: self.pause_of(key, now),
@@ -52,15 +52,15 @@
     fn pause_of(&self, key: EndpointKey, now: ClockTime) -> Duration {
         let settings = &self.settings;
         let Some(state) = self.arena[key.index()].as_ref() else {
-            return settings.full_pause;
+            return settings.full_backoff;
         };
         if !state.is_exclusive(now) {
-            return settings.full_pause;
+            return settings.full_backoff;
         }
         let between_ends = state.ledger.time_between_ends();
         between_ends.clamp(
-            settings.hold_step,
-            settings.full_pause.max(settings.hold_step),
+            settings.hold_interval,
+            settings.full_backoff.max(settings.hold_interval),
         )
     }
 
@@ -72,7 +72,7 @@
         outcome: SlotOutcome,
         now: ClockTime,
     ) {
-        let hold = self.settings.failure_hold;
+        let hold = self.settings.failed_slot_ttl;
         self.judge_outcome(endpoint, outcome, now);
         let Some(key) = self.ids.get(&endpoint).copied() else {
             return;
@@ -84,7 +84,7 @@
     }
 
     /// Notes at the asking node what the home said to its question.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         endpoint: EndpointId,
         answer: SlotAnswer,
@@ -94,7 +94,7 @@
         let Some(key) = self.ids.get(&endpoint).copied() else {
             return;
         };
-        let pause = self.settings.full_pause;
+        let pause = self.settings.full_backoff;
         self.change(key, |state| match answer {
             SlotAnswer::Granted { .. } => state.view.sent_since += 1,
             SlotAnswer::Full { retry_after } => state.view.refused(now.after(retry_after)),
@@ -126,15 +126,15 @@
             .filter(|state| state.facts.fleet == fleet);
         match outcome {
             SlotOutcome::Neutral => {}
-            SlotOutcome::Succeeded => self.outliers.succeeded(endpoint, now),
+            SlotOutcome::Succeeded => self.outliers.record_success(endpoint, now),
             SlotOutcome::Failed => {
                 let (mut count, mut out) = (0, 0);
                 for member in members {
                     count += 1;
                     let id = member.facts.id;
-                    out += usize::from(member.set_aside || self.outliers.is_out(id, now));
+                    out += usize::from(member.set_aside || self.outliers.is_ejected(id, now));
                 }
-                self.outliers.failed(endpoint, out, count, now);
+                self.outliers.record_failure(endpoint, out, count, now);
             }
         }
     }
@@ -145,13 +145,13 @@
         key: EndpointKey,
         asker: NodeId,
         customer: CustomerKey,
-        claim: SlotClaim,
+        class: AdmissionClass,
         now: ClockTime,
     ) -> Option<SlotId> {
         self.change(key, |state| state.ledger.sweep(now));
         let state = self.arena[key.index()].as_ref()?;
-        let admits = self.may_admit(state, customer, claim, now);
-        if claim == SlotClaim::Starved {
+        let admits = self.may_admit(state, customer, class, now);
+        if class == AdmissionClass::Starved {
             self.change(key, |state| state.ledger.note_starved(customer, now));
         }
         if !admits {
@@ -159,7 +159,7 @@
         }
         let slot = SlotId(self.next_slot);
         self.next_slot += 1;
-        let life = self.settings.slot_life;
+        let life = self.settings.slot_ttl;
         self.change(key, |state| {
             state.ledger.grant(slot, asker, customer, now, life);
         });
@@ -170,7 +170,7 @@
         &self,
         state: &EndpointState,
         customer: CustomerKey,
-        claim: SlotClaim,
+        class: AdmissionClass,
         now: ClockTime,
     ) -> bool {
         // Before that moment an earlier home may still admit up to the bound on its own.
@@ -194,9 +194,9 @@
             return true;
         }
         let (own, customers) = state.ledger.share_of(customer, now);
-        let share = match claim {
-            SlotClaim::Returning | SlotClaim::Starved => 1.0,
-            SlotClaim::Arriving => ARRIVING_SHARE,
+        let share = match class {
+            AdmissionClass::Returning | AdmissionClass::Starved => 1.0,
+            AdmissionClass::Arriving => ARRIVING_SHARE,
         };
         f64::from(own) < share * room / f64::from(customers)
     }
--- a/crates/ragwortroad_routing/src/table/table_inputs.rs
+++ b/crates/ragwortroad_routing/src/table/table_inputs.rs
@@ -84,7 +84,7 @@
         if let Some(key) = self.ids.get(&endpoint).copied() {
             self.change(key, |state| {
                 state.view.observe(digest.load);
-                state.set_aside = digest.set_aside;
+                state.set_aside = digest.ejected;
             });
         }
     }
@@ -97,14 +97,14 @@
         }
         Some(LoadDigest {
             load: state.ledger.load(),
-            set_aside: self.outliers.is_out(endpoint, now),
+            ejected: self.outliers.is_ejected(endpoint, now),
         })
     }
 
     /// A node is gone: its slots end after a while, since its requests may still run until the
     /// endpoints notice.
-    pub fn node_gone(&mut self, node: NodeId, now: ClockTime) {
-        let hold = self.settings.gone_hold;
+    pub fn expire_node_slots(&mut self, node: NodeId, now: ClockTime) {
+        let hold = self.settings.lost_node_slot_ttl;
         for key in self.keys() {
             self.change(key, |state| state.ledger.hold_all(node, now, hold));
         }
@@ -115,14 +115,14 @@
     ///
     /// The node may be lost and its requests with it, and membership takes seconds to tell. Homes
     /// that went on by the higher mean would put their endpoints above the bound.
-    pub fn note_silent(&mut self, node: NodeId) {
+    pub fn mark_unresponsive(&mut self, node: NodeId) {
         if self.silent.insert(node) {
             self.recount_loads();
         }
     }
 
     /// A node was heard.
-    pub fn note_heard(&mut self, node: NodeId) {
+    pub fn mark_responsive(&mut self, node: NodeId) {
         if self.silent.remove(&node) {
             self.recount_loads();
         }
--- a/crates/ragwortroad_routing/tests/after_failure.rs
+++ b/crates/ragwortroad_routing/tests/after_failure.rs
@@ -9,10 +9,10 @@
 #[test]
 fn an_outage_is_not_multiplied() {
     let mut budget = RetryBudget::new(0.1, 20);
-    let rule = RetryRule::default();
+    let rule = RetryPolicy::default();
     let mut attempts = 0;
     for _ in 0..10_000 {
-        budget.note_first();
+        budget.record_first_attempt();
         let mut failed = FailedAttempt {
             outcome: RequestOutcome::Unknown,
             idempotent: true,
@@ -31,7 +31,7 @@
 #[test]
 fn what_may_have_run_is_repeated_only_if_idempotent() {
     let mut budget = RetryBudget::new(0.1, 20);
-    let rule = RetryRule::default();
+    let rule = RetryPolicy::default();
     let booking = FailedAttempt {
         outcome: RequestOutcome::Unknown,
         idempotent: false,
@@ -62,50 +62,50 @@
         for engine in &engines {
             let out = engines
                 .iter()
-                .filter(|engine| table.is_out(**engine, now))
+                .filter(|engine| table.is_ejected(**engine, now))
                 .count();
-            table.failed(*engine, out, engines.len(), now);
+            table.record_failure(*engine, out, engines.len(), now);
         }
     }
     let out = |now| {
         engines
             .iter()
-            .filter(|engine| table.is_out(**engine, now))
+            .filter(|engine| table.is_ejected(**engine, now))
             .count()
     };
     assert_eq!(out(now), 2, "a fifth of ten");
-    let back = now.after(settings.first_span);
+    let back = now.after(settings.first_ejection);
     assert_eq!(out(back), 0);
     let limits: Vec<u32> = [0, 5, 10, 20]
         .iter()
-        .map(|second| table.limit(engines[0], 20, back.after(Duration::from_secs(*second))))
+        .map(|second| table.ramped_limit(engines[0], 20, back.after(Duration::from_secs(*second))))
         .collect();
     assert_eq!(limits, [1, 5, 10, 20]);
     let mut again = table.clone();
-    again.failed(engines[0], 0, engines.len(), back);
+    again.record_failure(engines[0], 0, engines.len(), back);
     assert!(
-        again.is_out(engines[0], back.after(settings.first_span)),
+        again.is_ejected(engines[0], back.after(settings.first_ejection)),
         "twice as long"
     );
 }
 
-fn holding(engine: u64, offers: &[u64]) -> EngineHolding {
-    EngineHolding {
+fn holding(engine: u64, offers: &[u64]) -> EngineSnapshot {
+    EngineSnapshot {
         id: EndpointId(engine),
         zone: ZoneKey(engine % 3),
         capacity: 16,
-        room: 1,
-        holds: offers.iter().copied().map(OfferKey).collect(),
-        open: true,
+        max_offers: 1,
+        offers: offers.iter().copied().map(OfferKey).collect(),
+        takes_work: true,
     }
 }
 
-fn want(offer: u64, demand: f64) -> OfferWant {
-    OfferWant {
+fn want(offer: u64, demand: f64) -> OfferDemand {
+    OfferDemand {
         offer: OfferKey(offer),
         demand,
-        least: 1,
-        most: usize::MAX,
+        min_engines: 1,
+        max_engines: usize::MAX,
     }
 }
 
@@ -115,25 +115,25 @@
         let id = engine.id;
         let dropped = |offer: &OfferKey| {
             let offer = *offer;
-            plan.drops.contains(&PlacementOrder { engine: id, offer })
+            plan.unloads.contains(&PlacementOrder { engine: id, offer })
         };
-        engine.holds.retain(|offer| !dropped(offer));
+        engine.offers.retain(|offer| !dropped(offer));
         let loads = plan.loads.iter().filter(|order| order.engine == id);
-        engine.holds.extend(loads.map(|order| order.offer));
+        engine.offers.extend(loads.map(|order| order.offer));
     }
 }
 
 #[test]
 fn placement_follows_demand_within_the_rate_and_then_rests() {
     let mut input = PlacementInput {
-        wants: vec![want(1, 40.0), want(2, 10.0)],
+        demands: vec![want(1, 40.0), want(2, 10.0)],
         engines: (0..12).map(|engine| holding(engine, &[1])).collect(),
-        loads: 1,
+        max_loads: 1,
     };
     let settings = PlacementSettings::default();
     let mut moves = 0;
     for _ in 0..20 {
-        let plan = PlacementPlan::of(&input, &settings);
+        let plan = PlacementPlan::compute(&input, &settings);
         assert!(plan.loads.len() <= 1, "more than the rate: {plan:?}");
         moves += plan.loads.len();
         apply(&mut input, &plan);
@@ -141,26 +141,26 @@
     assert_eq!(moves, 1, "one engine of the second model carries 10 of 16");
     // Demand that swings within the band moves nothing; one beyond it does.
     for demand in [9.0, 11.0, 8.0] {
-        input.wants[1].demand = demand;
+        input.demands[1].demand = demand;
         assert_eq!(
-            PlacementPlan::of(&input, &settings),
+            PlacementPlan::compute(&input, &settings),
             PlacementPlan::default()
         );
     }
-    input.wants[1].demand = 30.0;
+    input.demands[1].demand = 30.0;
     for _ in 0..5 {
-        let plan = PlacementPlan::of(&input, &settings);
+        let plan = PlacementPlan::compute(&input, &settings);
         apply(&mut input, &plan);
     }
     let holders = |offer| {
-        let holds = |engine: &&EngineHolding| engine.holds.contains(&OfferKey(offer));
+        let holds = |engine: &&EngineSnapshot| engine.offers.contains(&OfferKey(offer));
         input.engines.iter().filter(holds).count()
     };
     assert_eq!((holders(1), holders(2)), (9, 3));
     let zones: Vec<u64> = input
         .engines
         .iter()
-        .filter(|engine| engine.holds.contains(&OfferKey(2)))
+        .filter(|engine| engine.offers.contains(&OfferKey(2)))
         .map(|engine| engine.zone.0)
         .collect();
     assert!(
@@ -198,25 +198,25 @@
 
 #[test]
 fn a_cache_is_moved_where_that_is_faster() {
-    let near = MoveCost {
+    let near = MigrationCost {
         tokens: 8_000,
         bytes_per_token: 100_000,
         prefill_per_s: 5_000.0,
         link_bytes_per_s: 1.2e9,
         link_delay: Duration::from_micros(500),
-        fixed: Duration::from_millis(50),
-        link_price: 1.0,
+        fixed_overhead: Duration::from_millis(50),
+        link_cost_factor: 1.0,
     };
-    assert_eq!(near.cheaper(), MoveChoice::Transfer);
-    let short = MoveCost {
+    assert_eq!(near.cheaper_method(), MigrationMethod::Transfer);
+    let short = MigrationCost {
         tokens: 100,
         ..near
     };
-    assert_eq!(short.cheaper(), MoveChoice::Recompute);
-    let across = MoveCost {
+    assert_eq!(short.cheaper_method(), MigrationMethod::Recompute);
+    let across = MigrationCost {
         link_bytes_per_s: 1.2e8,
-        link_price: 3.0,
+        link_cost_factor: 3.0,
         ..near
     };
-    assert_eq!(across.cheaper(), MoveChoice::Recompute);
+    assert_eq!(across.cheaper_method(), MigrationMethod::Recompute);
 }
--- a/crates/ragwortroad_routing/tests/bound.rs
+++ b/crates/ragwortroad_routing/tests/bound.rs
@@ -106,7 +106,7 @@
             id,
             node_id(asker),
             CustomerKey(1),
-            SlotClaim::Returning,
+            AdmissionClass::Returning,
             now,
         );
         if let SlotAnswer::Granted { slot } = answer {
@@ -255,7 +255,7 @@
 fn a_corrected_moment_is_waited_for_and_what_was_left_counts() {
     let mut table = new_table(0);
     let ask = |table: &mut RouteTable, now| {
-        let claim = SlotClaim::Returning;
+        let claim = AdmissionClass::Returning;
         table.grant_slot(engine_id(0), node_id(1), CustomerKey(1), claim, now)
     };
     let report = LoadReport {
@@ -310,7 +310,7 @@
             engine_id(0),
             node_id(1),
             CustomerKey(1),
-            SlotClaim::Returning,
+            AdmissionClass::Returning,
             now,
         );
         assert!(matches!(answer, SlotAnswer::Full { .. }), "{answer:?}");
@@ -326,12 +326,12 @@
             engine_id(0),
             node_id(2),
             CustomerKey(1),
-            SlotClaim::Returning,
+            AdmissionClass::Returning,
             ClockTime(1_000),
         );
     }
     assert_eq!(table.load_of(engine_id(0)), Some(3));
-    table.node_gone(node_id(2), ClockTime(2_000));
+    table.expire_node_slots(node_id(2), ClockTime(2_000));
     table.tick(ClockTime(6_900));
     assert_eq!(table.load_of(engine_id(0)), Some(3));
     table.tick(ClockTime(7_000));
@@ -346,7 +346,7 @@
         engine_id(0),
         node_id(2),
         CustomerKey(1),
-        SlotClaim::Returning,
+        AdmissionClass::Returning,
         ClockTime(1_000),
     );
     for second in 2..5 {
@@ -375,24 +375,40 @@
     let small = CustomerKey(2);
     let large = CustomerKey(1);
     let now = ClockTime(1);
-    table.grant_slot(engine_id(0), node_id(0), small, SlotClaim::Returning, now);
+    table.grant_slot(
+        engine_id(0),
+        node_id(0),
+        small,
+        AdmissionClass::Returning,
+        now,
+    );
     let mut taken = 0;
-    while let SlotAnswer::Granted { .. } =
-        table.grant_slot(engine_id(0), node_id(0), large, SlotClaim::Returning, now)
-    {
+    while let SlotAnswer::Granted { .. } = table.grant_slot(
+        engine_id(0),
+        node_id(0),
+        large,
+        AdmissionClass::Returning,
+        now,
+    ) {
         taken += 1;
     }
     assert_eq!(
         taken, 63,
         "80 % of a room of 80, less the one of the small customer"
     );
-    let claim = SlotClaim::Arriving;
+    let claim = AdmissionClass::Arriving;
     let answer = table.grant_slot(engine_id(0), node_id(0), large, claim, now);
     assert!(matches!(answer, SlotAnswer::Full { .. }), "{answer:?}");
     let answer = table.grant_slot(engine_id(0), node_id(0), small, claim, now);
     assert!(matches!(answer, SlotAnswer::Granted { .. }), "{answer:?}");
     for _ in 0..15 {
-        let answer = table.grant_slot(engine_id(0), node_id(0), small, SlotClaim::Returning, now);
+        let answer = table.grant_slot(
+            engine_id(0),
+            node_id(0),
+            small,
+            AdmissionClass::Returning,
+            now,
+        );
         assert!(matches!(answer, SlotAnswer::Granted { .. }), "{answer:?}");
     }
 }
@@ -428,12 +444,12 @@
     for engine in [1, 2, 3, 5] {
         let digest = LoadDigest {
             load: 5,
-            set_aside: false,
+            ejected: false,
         };
         table.observe_digest(engine_id(engine), digest);
     }
     let ask = |table: &mut RouteTable, engine, asker| {
-        let claim = SlotClaim::Returning;
+        let claim = AdmissionClass::Returning;
         let answer = table.grant_slot(
             engine_id(engine),
             node_id(asker),
@@ -451,7 +467,7 @@
     assert!(ask(&mut table, 0, 0), "within the bound of all loads");
 
     // Node 1 told of ten requests at its two engines, and holds a slot at each of this node's.
-    lost.note_silent(node_id(1));
+    lost.mark_unresponsive(node_id(1));
     assert!((lost.fleet_mean(FLEET) - 16.0 / 6.0).abs() < 1e-9);
     assert_eq!(
         lost.load_of(engine_id(0)),
@@ -467,6 +483,6 @@
         !ask(&mut lost, 0, 0),
         "not forgotten while its engines are there"
     );
-    lost.note_heard(node_id(1));
+    lost.mark_responsive(node_id(1));
     assert!(ask(&mut lost, 0, 0));
 }
--- a/crates/ragwortroad_routing/tests/choice.rs
+++ b/crates/ragwortroad_routing/tests/choice.rs
@@ -111,7 +111,7 @@
         first,
         NodeId(2),
         CustomerKey(1),
-        SlotClaim::Returning,
+        AdmissionClass::Returning,
         ClockTime(6),
     ) {}
     let decision = table.choose(&asked, ClockTime(6));
--- a/crates/ragwortroad_settings/src/placement_keys.rs
+++ b/crates/ragwortroad_settings/src/engine_order_settings.rs
@@ -4,7 +4,7 @@
 
 /// `[orders]`: what the leader may ask of engines and of the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlacementKeys {
+pub struct EngineOrderSettings {
     /// Megabytes a second that the weight store gives.
     pub store_mb_per_s: u32,
     /// Megabytes that may be asked of it at once after a pause.
@@ -19,7 +19,7 @@
     pub load_bound: Duration,
 }
 
-impl Default for PlacementKeys {
+impl Default for EngineOrderSettings {
     fn default() -> Self {
         Self {
             store_mb_per_s: 500,
@@ -32,7 +32,7 @@
     }
 }
 
-impl PlacementKeys {
+impl EngineOrderSettings {
     pub(crate) fn read(reader: &mut SettingsReader<'_>) -> Self {
         let default = Self::default();
         let mut number = |key, default: u64, most| reader.number("orders", key, default, (1, most));
--- a/crates/ragwortroad_settings/src/lib.rs
+++ b/crates/ragwortroad_settings/src/lib.rs
@@ -10,6 +10,7 @@
 //! assert!(faults.to_string().contains("did you mean 'name'"));
 //! ```
 
+mod engine_order_settings;
 mod fleet_settings;
 mod forward_settings;
 mod limit_settings;
@@ -17,7 +18,6 @@
 mod log_settings;
 mod mechanism_settings;
 mod node_settings;
-mod placement_keys;
 mod process_settings;
 mod seed_address;
 mod settings_error;
@@ -28,6 +28,7 @@
 /// Everything a dependent crate usually needs.
 pub mod prelude {
     pub use crate::{
+        engine_order_settings::EngineOrderSettings,
         fleet_settings::FleetSettings,
         forward_settings::ForwardSettings,
         limit_settings::LimitSettings,
@@ -37,7 +38,6 @@
         },
         mechanism_settings::MechanismSettings,
         node_settings::NodeSettings,
-        placement_keys::PlacementKeys,
         process_settings::ProcessSettings,
         seed_address::SeedAddress,
         settings_error::SettingsError,
--- a/crates/ragwortroad_settings/src/process_settings.rs
+++ b/crates/ragwortroad_settings/src/process_settings.rs
@@ -7,12 +7,12 @@
 use snafu::ResultExt;
 
 use crate::{
+    engine_order_settings::EngineOrderSettings,
     fleet_settings::FleetSettings,
     limit_settings::LimitSettings,
     line_index::LineIndex,
     log_settings::LogSettings,
     node_settings::NodeSettings,
-    placement_keys::PlacementKeys,
     settings_error::{
         FaultySnafu,
         SettingsError,
@@ -36,7 +36,7 @@
     /// `[state]`.
     pub state: StateSettings,
     /// `[orders]`.
-    pub orders: PlacementKeys,
+    pub orders: EngineOrderSettings,
     /// `[limits]`.
     pub limits: LimitSettings,
     /// `[log]`.
@@ -69,7 +69,7 @@
             node: NodeSettings::read(reader),
             fleet: FleetSettings::read(reader),
             state: StateSettings::read(reader),
-            orders: PlacementKeys::read(reader),
+            orders: EngineOrderSettings::read(reader),
             limits: LimitSettings::read(reader),
             log: LogSettings::read(reader),
         };
