--- a/crates/ragwortroad_membership/examples/gossip_cost.rs
+++ b/crates/ragwortroad_membership/examples/gossip_cost.rs
@@ -45,7 +45,7 @@
 
 impl CostReading {
     fn new(fleet: &FakeFleet) -> Self {
-        let overhead = u64::from(fleet.settings.packet_overhead);
+        let overhead = u64::from(fleet.settings.packet_overhead_bytes);
         let wire = fleet.nodes.iter().map(|node| {
             node.bytes_out + node.packets_out * overhead + node.connections_opened * HANDSHAKE
         });
--- a/crates/ragwortroad_membership/src/coarse_load.rs
+++ b/crates/ragwortroad_membership/src/coarse_load.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether the fleet should hear of this load after it heard of `told`.
-    pub fn is_news_after(self, told: Self) -> bool {
+    pub fn is_significant_change_from(self, told: Self) -> bool {
         let change = self.0.abs_diff(told.0);
         let larger = self.0.max(told.0);
         // Falling idle is always told: an idle engine that looks busy is capacity lost.
--- a/crates/ragwortroad_membership/src/endpoint_record.rs
+++ b/crates/ragwortroad_membership/src/endpoint_record.rs
@@ -68,7 +68,7 @@
     /// Whether it wants new work, as far as its home knows.
     ///
     /// A released endpoint does: its next home follows in a moment.
-    pub fn wants_work(&self) -> bool {
+    pub fn accepts_new_work(&self) -> bool {
         let there = matches!(
             self.presence,
             EndpointPresence::Present | EndpointPresence::Released
--- a/crates/ragwortroad_membership/src/endpoint_table.rs
+++ b/crates/ragwortroad_membership/src/endpoint_table.rs
@@ -90,7 +90,7 @@
     }
 
     /// Takes over a newer load; whether it was one.
-    pub(crate) fn put_load(&mut self, endpoint: EndpointId, load: &EndpointLoad) -> bool {
+    pub(crate) fn put_load(&mut self, endpoint: EndpointId, load: &LoadUpdate) -> bool {
         let Some(entry) = self.entries.get_mut(&endpoint) else {
             return false;
         };
@@ -127,7 +127,7 @@
 
 /// A load with what is needed to order it among others.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EndpointLoad {
+pub(crate) struct LoadUpdate {
     /// Low byte of the incarnation.
     pub(crate) incarnation: u8,
     /// The announcement.
--- a/crates/ragwortroad_membership/src/gossip_action.rs
+++ b/crates/ragwortroad_membership/src/gossip_action.rs
@@ -25,7 +25,7 @@
     /// An endpoint appeared, or something of its record but the load changed.
     EndpointChanged(EndpointId),
     /// An endpoint's load as told to the fleet changed.
-    EndpointLoad(EndpointId),
+    EndpointLoadChanged(EndpointId),
     /// An endpoint is gone, or its home has been down for long.
     EndpointGone(EndpointId),
     /// This node's right to admit work to an endpoint began, moved or ended.
--- a/crates/ragwortroad_membership/src/home_claim.rs
+++ b/crates/ragwortroad_membership/src/home_claim.rs
@@ -84,6 +84,6 @@
         spacing: Duration,
     ) -> bool {
         let load = CoarseLoad::new(&self.load, capacity);
-        now.since(self.load_told) >= spacing && load.is_news_after(told)
+        now.since(self.load_told) >= spacing && load.is_significant_change_from(told)
     }
 }
--- a/crates/ragwortroad_membership/src/table/announcements.rs
+++ b/crates/ragwortroad_membership/src/table/announcements.rs
@@ -12,7 +12,7 @@
     MembershipTable,
     endpoint_table::{
         EndpointEntry,
-        EndpointLoad, //
+        LoadUpdate, //
     },
     flap_penalty::FlapPenalty,
     home_claim::HomeClaim,
@@ -137,7 +137,7 @@
             return;
         }
         // Restarts of a flapping endpoint are told together, not one by one.
-        let pause = self.settings.load_spacing * DAMPED_SPACINGS;
+        let pause = self.settings.min_load_interval * DAMPED_SPACINGS;
         let held_back =
             |known: &EndpointEntry| known.record.damped && now.since(known.changed) < pause;
         if record.damped && !announce.leaving && known.is_some_and(held_back) {
@@ -183,9 +183,9 @@
             .is_some_and(|record| record.damped);
         let flaps = claim.flaps.at_time(now, settings.flap_half_life);
         let limit = if was_damped {
-            settings.flap_release
+            settings.flap_reuse_threshold
         } else {
-            settings.flap_limit
+            settings.flap_suppress_threshold
         };
         let presence = if announce.leaving {
             EndpointPresence::Leaving
@@ -216,7 +216,7 @@
 
     /// Tells the fleet of a load that changed enough.
     fn publish_load(&mut self, id: EndpointId, now: ClockTime) {
-        let spacing = self.settings.load_spacing;
+        let spacing = self.settings.min_load_interval;
         let Some(record) = self.endpoints.record(id) else {
             return;
         };
@@ -227,15 +227,15 @@
             return;
         }
         claim.load_told = now;
-        let load = EndpointLoad {
+        let load = LoadUpdate {
             incarnation: record.incarnation as u8,
             sequence: claim.sequence,
             load: CoarseLoad::new(&claim.load, record.capacity),
         };
         if self.endpoints.put_load(id, &load) {
-            self.stats.loads_told += 1;
+            self.stats.load_updates_published += 1;
             self.spread(NewsKey::Load(id), NewsClass::Load, None);
-            self.actions.push(GossipAction::EndpointLoad(id));
+            self.actions.push(GossipAction::EndpointLoadChanged(id));
         }
     }
 }
--- a/crates/ragwortroad_membership/src/table/blobs.rs
+++ b/crates/ragwortroad_membership/src/table/blobs.rs
@@ -26,7 +26,7 @@
     /// Attaches `bytes` as this node's blob of `kind`, for every node to have; whether it is
     /// small enough. It goes out at the next tick, or later where the last one is too recent.
     pub fn set_blob(&mut self, kind: u8, bytes: Vec<u8>) -> bool {
-        if bytes.len() > self.settings.max_blob {
+        if bytes.len() > self.settings.max_blob_bytes {
             return false;
         }
         let blob = self.own_blobs.entry(kind).or_default();
@@ -43,7 +43,7 @@
 
     /// Sends own blobs whose spacing has passed.
     pub(super) fn spread_blobs(&mut self, now: ClockTime) {
-        let spacing = self.settings.blob_spacing;
+        let spacing = self.settings.min_blob_interval;
         let incarnation = self.own_incarnation();
         let mut due = Vec::new();
         for (kind, blob) in &mut self.own_blobs {
@@ -68,7 +68,7 @@
     pub(super) fn learn_blob(&mut self, from: NodeId, item: BlobItem) {
         let node = NodeId(item.node);
         let present = self.nodes.state(node).is_present();
-        let small = item.bytes.len() <= self.settings.max_blob;
+        let small = item.bytes.len() <= self.settings.max_blob_bytes;
         if node == self.own || !present || !small {
             return;
         }
--- a/crates/ragwortroad_membership/src/table/home_wishes.rs
+++ b/crates/ragwortroad_membership/src/table/home_wishes.rs
@@ -45,7 +45,7 @@
             .map(|record| record.caller_address.to_string())
             .collect();
         let every = if stays && confirmed {
-            self.settings.announce_every
+            self.settings.announce_interval
         } else {
             QUICK_ANNOUNCE
         };
@@ -89,7 +89,7 @@
             && home == self.own
         {
             let is_new = claim.epoch == 0 && claim.until.is_none();
-            if !is_new && now.since(claim.held_since) < self.settings.home_hold {
+            if !is_new && now.since(claim.held_since) < self.settings.min_home_duration {
                 return true;
             }
         }
@@ -119,14 +119,14 @@
             .map(|(node, entry)| HomeCandidate {
                 node,
                 zone: &entry.record.zone,
-                settled: now.since(entry.up_since) >= self.settings.settle,
+                settled: now.since(entry.up_since) >= self.settings.home_min_uptime,
             })
             .collect();
         HomeChoice::new(
             candidates,
             self.endpoints.home_counts(),
             self.endpoints.total(),
-            self.settings.home_multiple,
+            self.settings.home_balance_factor,
         )
     }
 }
--- a/crates/ragwortroad_membership/src/table/links.rs
+++ b/crates/ragwortroad_membership/src/table/links.rs
@@ -91,7 +91,7 @@
             return true;
         }
         let pause = link.last_sent.map_or(Duration::MAX, |sent| now.since(sent));
-        if link.neighbour && pause >= self.settings.heartbeat {
+        if link.neighbour && pause >= self.settings.heartbeat_interval {
             return true;
         }
         let prompt = link.pending.count(NewsClass::Prompt) > 0;
@@ -115,7 +115,7 @@
         self.stats.packets_sent += 1;
         self.stats.bytes_sent += bytes.len() as u64;
         self.budget
-            .spend(bytes.len() + self.settings.packet_overhead as usize);
+            .spend(bytes.len() + self.settings.packet_overhead_bytes as usize);
         self.actions.push(GossipAction::Send {
             to: peer,
             address,
@@ -139,7 +139,7 @@
         let mut body = Vec::new();
         let room = self
             .settings
-            .max_packet
+            .max_packet_bytes
             .saturating_sub(32 + 5 * ACKS_PER_PACKET.min(link.acks.len()));
         if !link.met
             && let Some(own) = self.nodes.record(self.own)
--- a/crates/ragwortroad_membership/src/table/membership_stats.rs
+++ b/crates/ragwortroad_membership/src/table/membership_stats.rs
@@ -20,7 +20,7 @@
     /// Bytes of questions, answers and comparisons of views in packets sent.
     pub direct_bytes: u64,
     /// Loads told to the fleet as a home.
-    pub loads_told: u64,
+    pub load_updates_published: u64,
     /// Times this node spoke up against false news of itself.
     pub refutations: u64,
     /// Announcements taken in.
--- a/crates/ragwortroad_membership/src/table/packets.rs
+++ b/crates/ragwortroad_membership/src/table/packets.rs
@@ -9,7 +9,7 @@
     MembershipTable,
     NodeRecord,
     NodeState,
-    endpoint_table::EndpointLoad,
+    endpoint_table::LoadUpdate,
     pending_queue::NewsClass,
     record_key::{
         NewsKey,
@@ -147,7 +147,7 @@
     /// Takes an endpoint's load.
     fn learn_load(&mut self, from: NodeId, item: LoadItem, now: ClockTime) {
         let keys = self.digest.keys(item.key).to_vec();
-        let load = EndpointLoad {
+        let load = LoadUpdate {
             incarnation: item.incarnation,
             sequence: item.sequence,
             load: crate::CoarseLoad(item.load),
@@ -159,7 +159,8 @@
         let news = NewsKey::Load(*id);
         if self.endpoints.put_load(*id, &load) {
             self.spread(news, NewsClass::Load, Some(from));
-            self.actions.push(crate::GossipAction::EndpointLoad(*id));
+            self.actions
+                .push(crate::GossipAction::EndpointLoadChanged(*id));
         }
         let same = self
             .endpoints
--- a/crates/ragwortroad_membership/src/table/probes.rs
+++ b/crates/ragwortroad_membership/src/table/probes.rs
@@ -83,7 +83,7 @@
             .iter()
             .filter(|(_, link)| link.neighbour)
             .map(|(peer, link)| (*peer, link.silence(now)))
-            .filter(|(_, silence)| *silence >= self.settings.heartbeat * 3 / 2)
+            .filter(|(_, silence)| *silence >= self.settings.heartbeat_interval * 3 / 2)
             .collect();
         for (peer, silence) in silent {
             self.ask_directly(peer, now);
@@ -119,7 +119,7 @@
             .filter(|id| *id != peer && *id != self.own)
             .collect();
         let helpers: Vec<NodeId> = others
-            .sample(&mut self.rng, self.settings.probe_helpers)
+            .sample(&mut self.rng, self.settings.indirect_probe_count)
             .copied()
             .collect();
         for helper in helpers {
@@ -165,7 +165,7 @@
         let pause = if alone || young {
             SEED_PAUSE
         } else {
-            self.settings.revive_every
+            self.settings.reconnect_interval
         };
         // The very first call goes out at once.
         let first = alone && self.links.is_empty();
@@ -173,7 +173,7 @@
             self.last_revive = now;
             self.call_absent(now);
         }
-        if now.since(self.last_stray) >= self.settings.stray_every {
+        if now.since(self.last_stray) >= self.settings.random_contact_interval {
             self.last_stray = now;
             self.call_present(now);
         }
--- a/crates/ragwortroad_membership/src/table/queries.rs
+++ b/crates/ragwortroad_membership/src/table/queries.rs
@@ -46,7 +46,7 @@
         let Some(record) = self.endpoints.record(endpoint) else {
             return false;
         };
-        record.wants_work() && self.nodes.state(record.home).is_present()
+        record.accepts_new_work() && self.nodes.state(record.home).is_present()
     }
 
     /// Endpoints that new work may be meant for.
@@ -74,7 +74,7 @@
     }
 
     /// Pieces of news that wait to be sent, over all peers.
-    pub fn backlog(&self) -> usize {
+    pub fn pending_update_count(&self) -> usize {
         self.links.values().map(|link| link.pending.len()).sum()
     }
 }
--- a/crates/ragwortroad_membership/tests/cost.rs
+++ b/crates/ragwortroad_membership/tests/cost.rs
@@ -15,7 +15,7 @@
         endpoint.load_change = 0.5;
     }
     fleet.run(30_000);
-    let overhead = u64::from(settings.packet_overhead);
+    let overhead = u64::from(settings.packet_overhead_bytes);
     let sent = |fleet: &FakeFleet| -> u64 {
         let bytes =
             |node: &fake_fleet::fake_node::FakeNode| node.bytes_out + node.packets_out * overhead;
--- a/crates/ragwortroad_membership/tests/healing.rs
+++ b/crates/ragwortroad_membership/tests/healing.rs
@@ -116,7 +116,7 @@
         u64::from(settings.bytes_per_second) * took / 1000 + 2 * u64::from(settings.burst_bytes);
     let mut most = 0;
     for (node, (bytes, packets)) in fleet.nodes.iter().zip(before) {
-        let overhead = (node.packets_out - packets) * u64::from(settings.packet_overhead);
+        let overhead = (node.packets_out - packets) * u64::from(settings.packet_overhead_bytes);
         most = most.max(node.bytes_out - bytes + overhead);
     }
     println!("healed in {took} ms; at most {most} bytes from one node, {allowed} allowed");
--- a/crates/ragwortroad_node/src/control/endpoint_flow.rs
+++ b/crates/ragwortroad_node/src/control/endpoint_flow.rs
@@ -107,7 +107,7 @@
                     self.note_endpoint(EventKind::HomeChanged, endpoint);
                     self.refresh_endpoint(endpoint, now);
                 }
-                GossipAction::EndpointLoad(endpoint) => self.refresh_load(endpoint),
+                GossipAction::EndpointLoadChanged(endpoint) => self.refresh_load(endpoint),
                 GossipAction::EndpointGone(endpoint) => {
                     self.note_endpoint(EventKind::EndpointLeft, endpoint);
                     self.route.remove_endpoint(endpoint);
--- a/crates/ragwortroad_node/src/node_process.rs
+++ b/crates/ragwortroad_node/src/node_process.rs
@@ -365,7 +365,7 @@
     let membership = MembershipSettings {
         seeds: seeds.collect(),
         clock_drift: settings.state.drift_permille as f64 / 1000.0,
-        load_spacing: LOAD_SPACING,
+        min_load_interval: LOAD_SPACING,
         ..MembershipSettings::default()
     };
     let record = NodeRecord {
--- a/crates/ragwortroad_node/src/order/engine_view.rs
+++ b/crates/ragwortroad_node/src/order/engine_view.rs
@@ -36,7 +36,7 @@
             capacity: record.capacity,
             models: record.models.iter().cloned().collect(),
             load: record.load.requests(record.capacity),
-            open: record.wants_work() && !drained,
+            open: record.accepts_new_work() && !drained,
             drained,
         })
     }
