--- a/crates/ragwortroad_edge/src/edge_port.rs
+++ b/crates/ragwortroad_edge/src/edge_port.rs
@@ -51,7 +51,7 @@
     /// Key of the text that the request shares with others.
     pub fn shared_prefix(&self) -> Option<u64> {
         let parts: Vec<u64> = self.prompt_parts.iter().map(|part| part.key).collect();
-        shared_key(&parts)
+        shared_prefix_key(&parts)
     }
 
     /// Tokens of the prompt that the request shares with others.
--- a/crates/ragwortroad_edge/src/endpoint_choice.rs
+++ b/crates/ragwortroad_edge/src/endpoint_choice.rs
@@ -145,7 +145,7 @@
             load: chosen.load,
             load_age: told_at.map(|told_at| self.now.since(told_at)),
             among: candidates.len(),
-            holds_text: chosen.holds_text,
+            holds_text: chosen.holds_prefix,
             prefix_source: lacking.and_then(|engine| self.find_source(engine, record)),
         })
     }
@@ -213,7 +213,7 @@
     fn find_source(&self, engine: &EngineRule, target: &EndpointRecord) -> Option<ChosenSource> {
         let untried = self.holders.iter().filter(|key| !self.tried.contains(key));
         let sources = untried.filter_map(|&key| self.source(key, target));
-        let sources: Vec<TextSource> = sources.collect();
+        let sources: Vec<PrefixSource> = sources.collect();
         let key = choose_source(&sources, self.plan.facts.shared_prefix_tokens(), engine)?;
         let record = self.state.endpoints.record(key)?;
         Some(ChosenSource {
--- a/crates/ragwortroad_edge/src/request_plan.rs
+++ b/crates/ragwortroad_edge/src/request_plan.rs
@@ -94,7 +94,7 @@
         .api_key
         .as_deref()
         .and_then(|key| map.customer_of(key));
-    let needs_key = map.asks_for_keys() && !map.route(route).is_open;
+    let needs_key = map.requires_keys() && !map.route(route).is_open;
     if needs_key && known.is_none() {
         return Err(RefusalReason::UnknownKey);
     }
