--- a/crates/ragwortroad_routing/src/key/offer_key.rs
+++ b/crates/ragwortroad_routing/src/key/offer_key.rs
@@ -14,13 +14,13 @@
 impl OfferKey {
     /// The key of `model` in `version`, with `adapter` where one is named.
     pub fn model(model: &str, version: &str, adapter: Option<&str>) -> Self {
-        let link = xxh3_64_with_seed(model.as_bytes(), MODEL_SEED);
-        let link = xxh3_64_with_seed(version.as_bytes(), link);
-        let link = match adapter {
-            Some(adapter) => xxh3_64_with_seed(adapter.as_bytes(), link),
-            None => link,
+        let hash = xxh3_64_with_seed(model.as_bytes(), MODEL_SEED);
+        let hash = xxh3_64_with_seed(version.as_bytes(), hash);
+        let hash = match adapter {
+            Some(adapter) => xxh3_64_with_seed(adapter.as_bytes(), hash),
+            None => hash,
         };
-        Self(link)
+        Self(hash)
     }
 
     /// The key of a plain service.
--- a/crates/ragwortroad_routing/src/limit/customer_limiter.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_limiter.rs
@@ -17,31 +17,31 @@
     ShareDigest,
     limit::{
         customer_entry::CustomerEntry,
-        demand_keeper::DemandKeeper, //
+        demand_coordinator::DemandCoordinator, //
     },
-    table::ranking::score, //
+    table::endpoint_ranking::score, //
 };
 
 /// Holds every customer's limits over the whole fleet, from one node's part of it.
 ///
-/// Every customer has a *keeper*: the node that a hash of the customer leads to. About once a
+/// Every customer has a *coordinator*: the node that a hash of the customer leads to. About once a
 /// second a node tells the keepers of the customers that asked it for something how much
-/// ([`Self::demands`]); the keeper divides the limit by these demands and answers with shares
+/// ([`Self::demands`]); the coordinator divides the limit by these demands and answers with shares
 /// ([`Self::shares`]). No request waits for a message. A small even part of each limit needs no
-/// share, so that a customer is served wherever it turns up, also while its keeper is gone.
+/// share, so that a customer is served wherever it turns up, also while its coordinator is gone.
 #[derive(Clone, Debug)]
 pub struct CustomerLimiter {
     settings: LimiterSettings,
     nodes: Vec<NodeId>,
     entries: BTreeMap<CustomerKey, CustomerEntry>,
-    keeper: DemandKeeper,
+    coordinator: DemandCoordinator,
 }
 
 /// How long a caller waits at a node that has no share of its customer's limit yet.
-const SHARE_WAIT: Duration = Duration::from_secs(2);
+const MAX_WAIT_WITHOUT_SHARE: Duration = Duration::from_secs(2);
 
 /// How long a caller waits for a place among its own requests.
-const PLACE_WAIT: Duration = Duration::from_millis(500);
+const CONCURRENCY_WAIT: Duration = Duration::from_millis(500);
 
 impl CustomerLimiter {
     /// A limiter that knows no customers and no nodes but its own.
@@ -50,7 +50,7 @@
             nodes: vec![settings.node],
             settings,
             entries: BTreeMap::new(),
-            keeper: DemandKeeper::default(),
+            coordinator: DemandCoordinator::default(),
         }
     }
 
@@ -61,7 +61,7 @@
             .entry(customer)
             .or_insert_with(|| CustomerEntry::new(limit, now));
         entry.limit = limit;
-        entry.apply(&self.settings, self.nodes.len(), now);
+        entry.update_allowance(&self.settings, self.nodes.len(), now);
     }
 
     /// Forgets a customer.
@@ -69,11 +69,11 @@
         self.entries.remove(&customer);
     }
 
-    /// The nodes among which limits are divided.
+    /// The nodes among which limits are divisible_rate.
     pub fn set_nodes(&mut self, nodes: &[NodeId], now: ClockTime) {
         self.nodes = nodes.to_vec();
         for entry in self.entries.values_mut() {
-            entry.apply(&self.settings, nodes.len(), now);
+            entry.update_allowance(&self.settings, nodes.len(), now);
         }
     }
 
@@ -84,17 +84,17 @@
             let retry_after = Duration::from_secs(1);
             return LimitAnswer::Refused { retry_after };
         };
-        entry.apply(&self.settings, self.nodes.len(), now);
-        entry.wanted_count += 1;
-        entry.wanted_places = entry.wanted_places.max(entry.running + 1);
+        entry.update_allowance(&self.settings, self.nodes.len(), now);
+        entry.demand_count += 1;
+        entry.peak_concurrency = entry.peak_concurrency.max(entry.running + 1);
         let mut wait = entry.requests.wait_for(1.0, now);
         wait = wait.max(entry.tokens.wait_for(f64::from(tokens), now));
-        if entry.running >= entry.places {
-            wait = wait.max(PLACE_WAIT);
+        if entry.running >= entry.max_concurrent {
+            wait = wait.max(CONCURRENCY_WAIT);
         }
         if entry.share.is_none() {
-            // The keeper hears of this request within a second or two.
-            wait = wait.min(SHARE_WAIT);
+            // The coordinator hears of this request within a second or two.
+            wait = wait.min(MAX_WAIT_WITHOUT_SHARE);
         }
         if !wait.is_zero() {
             return LimitAnswer::Refused { retry_after: wait };
@@ -106,25 +106,25 @@
         LimitAnswer::Admitted { priority }
     }
 
-    /// Ends an admitted request that was foreseen with `foreseen` tokens and took `used`.
-    pub fn finish(&mut self, customer: CustomerKey, foreseen: u32, used: u32) {
+    /// Ends an admitted request that was estimated with `estimated` tokens and took `used`.
+    pub fn finish(&mut self, customer: CustomerKey, estimated: u32, used: u32) {
         if let Some(entry) = self.entries.get_mut(&customer) {
             entry.running = entry.running.saturating_sub(1);
-            entry.tokens.take(f64::from(used) - f64::from(foreseen));
+            entry.tokens.take(f64::from(used) - f64::from(estimated));
         }
     }
 
-    /// What to tell each keeper; to be sent about once a second. This node's own part, if it is a
-    /// keeper itself, is taken in at once.
+    /// What to next_demand each coordinator; to be sent about once a second. This node's own part, if it is a
+    /// coordinator itself, is taken in at once.
     pub fn demands(&mut self, now: ClockTime) -> BTreeMap<NodeId, DemandDigest> {
         let mut digests: BTreeMap<NodeId, DemandDigest> = BTreeMap::new();
         for (customer, entry) in &mut self.entries {
             let nodes = self.nodes.len();
-            let Some(demand) = entry.tell(*customer, &self.settings, nodes, now) else {
+            let Some(demand) = entry.next_demand(*customer, &self.settings, nodes, now) else {
                 continue;
             };
-            if let Some(keeper) = keeper_of(&self.nodes, *customer) {
-                digests.entry(keeper).or_default().entries.push(demand);
+            if let Some(coordinator) = coordinator_of(&self.nodes, *customer) {
+                digests.entry(coordinator).or_default().entries.push(demand);
             }
         }
         if let Some(own) = digests.remove(&self.settings.node) {
@@ -133,28 +133,31 @@
         digests
     }
 
-    /// Takes in, as keeper, what another node's callers wanted.
+    /// Takes in, as coordinator, what another node's callers wanted.
     pub fn merge_demand(&mut self, node: NodeId, digest: &DemandDigest, now: ClockTime) {
         for entry in &digest.entries {
-            self.keeper.observe(node, *entry, now);
+            self.coordinator.observe(node, *entry, now);
         }
     }
 
-    /// The shares this node gives as keeper; to be sent about once a second.
+    /// The shares this node gives as coordinator; to be sent about once a second.
     pub fn shares(&mut self, now: ClockTime) -> BTreeMap<NodeId, ShareDigest> {
-        self.keeper.expire(now, self.settings.demand_ttl);
+        self.coordinator.expire(now, self.settings.demand_ttl);
         let mut digests: BTreeMap<NodeId, ShareDigest> = BTreeMap::new();
-        for customer in self.keeper.customers() {
+        for customer in self.coordinator.customers() {
             let Some(entry) = self.entries.get(&customer) else {
                 continue;
             };
             let limit = &entry.limit;
-            let places = entry.divided_places(&self.settings, self.nodes.len());
-            let divided = limit.requests_per_s * (1.0 - self.settings.even_share);
-            for (node, share) in self.keeper.divide(customer, divided, places) {
+            let concurrency = entry.divisible_concurrency(&self.settings, self.nodes.len());
+            let divisible_rate = limit.requests_per_s * (1.0 - self.settings.even_share);
+            for (node, share) in self
+                .coordinator
+                .divide(customer, divisible_rate, concurrency)
+            {
                 if self
-                    .keeper
-                    .is_news(node, share, now, self.settings.resend_interval)
+                    .coordinator
+                    .should_send(node, share, now, self.settings.resend_interval)
                 {
                     digests.entry(node).or_default().entries.push(share);
                 }
@@ -166,13 +169,13 @@
         digests
     }
 
-    /// Takes in the shares a keeper gave to this node.
+    /// Takes in the shares a coordinator gave to this node.
     pub fn merge_share(&mut self, digest: &ShareDigest, now: ClockTime) {
         let ends_at = now.after(self.settings.share_ttl);
         for share in &digest.entries {
             if let Some(entry) = self.entries.get_mut(&share.customer) {
                 entry.share = Some((*share, ends_at));
-                entry.apply(&self.settings, self.nodes.len(), now);
+                entry.update_allowance(&self.settings, self.nodes.len(), now);
             }
         }
     }
@@ -184,7 +187,7 @@
 }
 
 /// The node that divides `customer`'s limit.
-fn keeper_of(nodes: &[NodeId], customer: CustomerKey) -> Option<NodeId> {
+fn coordinator_of(nodes: &[NodeId], customer: CustomerKey) -> Option<NodeId> {
     nodes
         .iter()
         .max_by_key(|node| score(node.0, customer.0))
--- a/crates/ragwortroad_routing/src/limit/limiter_settings.rs
+++ b/crates/ragwortroad_routing/src/limit/limiter_settings.rs
@@ -8,23 +8,23 @@
     /// The node it limits for.
     pub node: NodeId,
     /// Part of each limit that is divided evenly among all nodes, so that a node which a customer
-    /// just came to may serve it before the keeper has heard of it.
+    /// just came to may serve it before the coordinator has heard of it.
     pub even_share: f64,
     /// Seconds of a rate that may be used at once.
     pub burst_s: f64,
     /// Requests every node lets pass at once, however small its share. A customer that comes anew
     /// to all nodes together may once exceed its limit by this for each node.
     pub min_burst: f64,
-    /// Part of a limit by which a node's demand must differ from what its keeper knows to be told
+    /// Part of a limit by which a node's demand must differ from what its coordinator knows to be last_sent
     /// before `tell_every` is over.
     pub resend_change: f64,
-    /// Time between two digests to a keeper, or shares to a node, that tell nothing new.
+    /// Time between two digests to a coordinator, or shares to a node, that next_demand nothing new.
     pub resend_interval: Duration,
-    /// How long a keeper's share is good for.
+    /// How long a coordinator's share is good for.
     pub share_ttl: Duration,
-    /// How long a node's demand counts at the keeper after its last digest.
+    /// How long a node's demand counts at the coordinator after its last digest.
     ///
-    /// Invariant: longer than `share_life`, or the keeper would give to others what a node that
+    /// Invariant: longer than `share_life`, or the coordinator would give to others what a node that
     /// went silent may still use.
     pub demand_ttl: Duration,
     /// Time over which demand is averaged.
--- a/crates/ragwortroad_routing/src/limit/mod.rs
+++ b/crates/ragwortroad_routing/src/limit/mod.rs
@@ -3,8 +3,8 @@
 pub(crate) mod customer_entry;
 pub(crate) mod customer_limit;
 pub(crate) mod customer_limiter;
+pub(crate) mod demand_coordinator;
 pub(crate) mod demand_digest;
-pub(crate) mod demand_keeper;
 pub(crate) mod limit_answer;
 pub(crate) mod limiter_settings;
 pub(crate) mod share_digest;
--- a/crates/ragwortroad_routing/src/limit/share_digest.rs
+++ b/crates/ragwortroad_routing/src/limit/share_digest.rs
@@ -1,9 +1,9 @@
 use crate::CustomerKey;
 
-/// Shares a keeper gives to one node.
+/// Shares a coordinator gives to one node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ShareDigest {
-    /// One entry for each customer the node told of.
+    /// One entry for each customer the node last_sent of.
     pub entries: Vec<ShareEntry>,
 }
 
--- a/crates/ragwortroad_routing/src/limit/token_bucket.rs
+++ b/crates/ragwortroad_routing/src/limit/token_bucket.rs
@@ -8,7 +8,7 @@
     rate: f64,
     /// The most that may be saved up.
     depth: f64,
-    /// May be below zero after a request cost more than was foreseen.
+    /// May be below zero after a request cost more than was estimated.
     level: f64,
     filled_at: ClockTime,
 }
@@ -40,11 +40,11 @@
         if missing <= f64::EPSILON {
             return Duration::ZERO;
         }
-        const LONGEST: f64 = 60.0;
-        Duration::from_secs_f64((missing / self.rate.max(1e-6)).min(LONGEST))
+        const MAX_WAIT_S: f64 = 60.0;
+        Duration::from_secs_f64((missing / self.rate.max(1e-6)).min(MAX_WAIT_S))
     }
 
-    /// Takes `amount`, which may be owed or negative (given back).
+    /// Takes `amount`, which may be owed or negative (last_sent back).
     pub(crate) fn take(&mut self, amount: f64) {
         self.level = (self.level - amount).min(self.depth);
     }
--- a/crates/ragwortroad_routing/src/place/migration_method.rs
+++ b/crates/ragwortroad_routing/src/place/migration_method.rs
@@ -38,21 +38,21 @@
         }
     }
 
-    /// The time of a transfer, with dear bytes counted as slow ones.
+    /// The time of a transfer, with dear bytes counted_load as slow ones.
     pub fn transfer_time(&self) -> Duration {
         let bytes = f64::from(self.tokens) * self.bytes_per_token as f64;
-        let sending = bytes * self.link_cost_factor / self.link_bytes_per_s.max(1.0);
-        self.fixed_overhead + 2 * self.link_delay + seconds(sending)
+        let transfer_s = bytes * self.link_cost_factor / self.link_bytes_per_s.max(1.0);
+        self.fixed_overhead + 2 * self.link_delay + duration_from_seconds(transfer_s)
     }
 
     /// The time of computing the context anew.
     pub fn recompute_time(&self) -> Duration {
-        seconds(f64::from(self.tokens) / self.prefill_per_s.max(1.0))
+        duration_from_seconds(f64::from(self.tokens) / self.prefill_per_s.max(1.0))
     }
 }
 
 /// A span that stays representable whatever was measured.
-fn seconds(span: f64) -> Duration {
-    const LONGEST: f64 = 3600.0;
-    Duration::from_secs_f64(span.clamp(0.0, LONGEST))
+fn duration_from_seconds(seconds: f64) -> Duration {
+    const MAX_SECONDS: f64 = 3600.0;
+    Duration::from_secs_f64(seconds.clamp(0.0, MAX_SECONDS))
 }
--- a/crates/ragwortroad_routing/src/place/placement_plan.rs
+++ b/crates/ragwortroad_routing/src/place/placement_plan.rs
@@ -10,7 +10,7 @@
     ZoneKey, //
 };
 
-/// Orders that bring what engines hold nearer to what is wanted.
+/// Orders that bring what engines hold nearer to what is is_demanded.
 ///
 /// A pure function of what is observed: whoever holds the lease computes it again and again, and an
 /// order that was lost or came late only appears again.
@@ -54,16 +54,16 @@
     /// The orders for `input`.
     pub fn compute(input: &PlacementInput, settings: &PlacementSettings) -> Self {
         let mut draft = PlacementDraft::new(input);
-        draft.drop_undeclared();
-        let mut wants: Vec<&OfferDemand> = input.demands.iter().collect();
+        draft.unload_undeclared();
+        let mut demands: Vec<&OfferDemand> = input.demands.iter().collect();
         // The most overfull first; the order of the input decides between equals.
-        wants.sort_by(|left, right| {
-            let (left, right) = (draft.fullness(left), draft.fullness(right));
+        demands.sort_by(|left, right| {
+            let (left, right) = (draft.utilization(left), draft.utilization(right));
             right.total_cmp(&left)
         });
-        for want in wants {
-            while draft.plan.loads.len() < input.max_loads && draft.is_short(want, settings) {
-                if !draft.add_one(want, settings) {
+        for demand in demands {
+            while draft.plan.loads.len() < input.max_loads && draft.needs_engine(demand, settings) {
+                if !draft.add_engine(demand, settings) {
                     break;
                 }
             }
@@ -93,18 +93,18 @@
         }
     }
 
-    /// Drops what nobody wants any more.
-    fn drop_undeclared(&mut self) {
+    /// Drops what nobody demands any more.
+    fn unload_undeclared(&mut self) {
         for (engine, holds) in &mut self.holds {
             holds.retain(|offer| {
-                let wanted = self.input.demands.iter().any(|want| {
-                    want.offer == *offer && (want.min_engines > 0 || want.demand > 0.0)
+                let is_demanded = self.input.demands.iter().any(|demand| {
+                    demand.offer == *offer && (demand.min_engines > 0 || demand.demand > 0.0)
                 });
-                if !wanted {
+                if !is_demanded {
                     let (engine, offer) = (*engine, *offer);
                     self.plan.unloads.push(PlacementOrder { engine, offer });
                 }
-                wanted
+                is_demanded
             });
         }
     }
@@ -116,83 +116,89 @@
             .filter(move |engine| engine.takes_work && self.holds[&engine.id].contains(&offer))
     }
 
-    /// Capacity that serves `offer`: an engine with several offers counts for each in part.
+    /// Capacity that serves `offer`: an engine with several offers counts for each in share.
     fn capacity(&self, offer: OfferKey) -> f64 {
         self.holders(offer)
             .map(|engine| f64::from(engine.capacity) / self.holds[&engine.id].len() as f64)
             .sum()
     }
 
-    fn fullness(&self, want: &OfferDemand) -> f64 {
-        want.demand / self.capacity(want.offer).max(1e-3)
+    fn utilization(&self, demand: &OfferDemand) -> f64 {
+        demand.demand / self.capacity(demand.offer).max(1e-3)
     }
 
-    fn is_short(&self, want: &OfferDemand, settings: &PlacementSettings) -> bool {
-        let count = self.holders(want.offer).count();
-        let is_overfull = want.demand > 0.0 && self.fullness(want) > settings.scale_up_utilization;
-        count < want.min_engines || (count < want.max_engines && is_overfull)
+    fn needs_engine(&self, demand: &OfferDemand, settings: &PlacementSettings) -> bool {
+        let count = self.holders(demand.offer).count();
+        let is_overloaded =
+            demand.demand > 0.0 && self.utilization(demand) > settings.scale_up_utilization;
+        count < demand.min_engines || (count < demand.max_engines && is_overloaded)
     }
 
     /// Whether `offer` can do with one engine less.
-    fn can_spare(
+    fn can_release(
         &self,
         offer: OfferKey,
         engine: &EngineSnapshot,
         settings: &PlacementSettings,
     ) -> bool {
-        let Some(want) = self.input.demands.iter().find(|want| want.offer == offer) else {
+        let Some(demand) = self
+            .input
+            .demands
+            .iter()
+            .find(|demand| demand.offer == offer)
+        else {
             return true;
         };
         let count = self.holders(offer).count();
-        let part = f64::from(engine.capacity) / self.holds[&engine.id].len() as f64;
-        let left = self.capacity(offer) - part;
-        count > want.min_engines.max(1) && want.demand <= settings.scale_down_utilization * left
+        let share = f64::from(engine.capacity) / self.holds[&engine.id].len() as f64;
+        let left = self.capacity(offer) - share;
+        count > demand.min_engines.max(1) && demand.demand <= settings.scale_down_utilization * left
     }
 
-    /// Puts `want` on one more engine: one with room if there is any, else in the place of an offer
+    /// Puts `demand` on one more engine: one with room if there is any, else in the place of an offer
     /// that can spare it; the failure domain with the fewest holders goes first.
-    fn add_one(&mut self, want: &OfferDemand, settings: &PlacementSettings) -> bool {
+    fn add_engine(&mut self, demand: &OfferDemand, settings: &PlacementSettings) -> bool {
         let mut zones: BTreeMap<ZoneKey, usize> = BTreeMap::new();
-        for engine in self.holders(want.offer) {
+        for engine in self.holders(demand.offer) {
             *zones.entry(engine.zone).or_insert(0) += 1;
         }
         let mut best = None;
         for engine in self.input.engines.iter().filter(|engine| engine.takes_work) {
             let holds = &self.holds[&engine.id];
-            if holds.contains(&want.offer) || engine.max_offers == 0 {
+            if holds.contains(&demand.offer) || engine.max_offers == 0 {
                 continue;
             }
-            let victim = if holds.len() < engine.max_offers {
+            let replaced = if holds.len() < engine.max_offers {
                 None
             } else {
                 let spare = holds
                     .iter()
-                    .find(|offer| self.can_spare(**offer, engine, settings));
+                    .find(|offer| self.can_release(**offer, engine, settings));
                 match spare {
                     Some(offer) => Some(*offer),
                     None => continue,
                 }
             };
-            let near = zones.get(&engine.zone).copied().unwrap_or(0);
-            let rank = (victim.is_some(), near, holds.len(), engine.id);
+            let in_zone = zones.get(&engine.zone).copied().unwrap_or(0);
+            let rank = (replaced.is_some(), in_zone, holds.len(), engine.id);
             if best.is_none_or(|(least, _)| rank < least) {
-                best = Some((rank, victim));
+                best = Some((rank, replaced));
             }
         }
-        let Some(((_, _, _, engine), victim)) = best else {
+        let Some(((_, _, _, engine), replaced)) = best else {
             return false;
         };
-        self.place(engine, want.offer, victim);
+        self.place(engine, demand.offer, replaced);
         true
     }
 
-    fn place(&mut self, engine: EndpointId, offer: OfferKey, victim: Option<OfferKey>) {
+    fn place(&mut self, engine: EndpointId, offer: OfferKey, replaced: Option<OfferKey>) {
         if let Some(holds) = self.holds.get_mut(&engine) {
-            holds.retain(|held| Some(*held) != victim);
+            holds.retain(|held| Some(*held) != replaced);
             holds.push(offer);
         }
-        if let Some(dropped) = victim {
-            let offer = dropped;
+        if let Some(replaced_offer) = replaced {
+            let offer = replaced_offer;
             self.plan.unloads.push(PlacementOrder { engine, offer });
         }
         self.plan.loads.push(PlacementOrder { engine, offer });
--- a/crates/ragwortroad_routing/src/retry/retry_budget.rs
+++ b/crates/ragwortroad_routing/src/retry/retry_budget.rs
@@ -1,8 +1,8 @@
-/// How many retries a node may make, as a share of its first attempts.
+/// How many retries a node may make, as a ratio of its first attempts.
 ///
 /// Without a budget every layer that retries multiplies an outage: three attempts each make three
 /// times the load just when the fleet can carry least. Retries are paid from what successes and
-/// first attempts saved up, so that a node adds at most `share` to the load of its first attempts,
+/// first attempts balance up, so that a node adds at most `ratio` to the load of its first attempts,
 /// and `reserve` on top once.
 ///
 /// ```
@@ -18,37 +18,37 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Thousandths of a retry saved up. Invariant: at most `ceiling`.
-    saved: u64,
+    /// Thousandths of a retry balance up. Invariant: at most `max_balance`.
+    balance: u64,
     /// Thousandths earned by each first attempt.
-    earning: u64,
-    ceiling: u64,
+    deposit: u64,
+    max_balance: u64,
 }
 
 /// Parts into which one retry is divided.
-const PARTS: u64 = 1000;
+const UNITS_PER_RETRY: u64 = 1000;
 
 impl RetryBudget {
-    /// A budget of `share` retries for each first attempt and at most `reserve` saved up.
-    pub fn new(share: f64, reserve: u32) -> Self {
-        let ceiling = u64::from(reserve) * PARTS;
+    /// A budget of `ratio` retries for each first attempt and at most `reserve` balance up.
+    pub fn new(ratio: f64, reserve: u32) -> Self {
+        let max_balance = u64::from(reserve) * UNITS_PER_RETRY;
         Self {
-            saved: ceiling,
-            earning: (share.clamp(0.0, 1.0) * PARTS as f64).round() as u64,
-            ceiling,
+            balance: max_balance,
+            deposit: (ratio.clamp(0.0, 1.0) * UNITS_PER_RETRY as f64).round() as u64,
+            max_balance,
         }
     }
 
     /// Notes a request's first attempt.
     pub fn record_first_attempt(&mut self) {
-        self.saved = (self.saved + self.earning).min(self.ceiling);
+        self.balance = (self.balance + self.deposit).min(self.max_balance);
     }
 
-    /// Pays for one retry, if enough is saved.
+    /// Pays for one retry, if enough is balance.
     pub fn try_retry(&mut self) -> bool {
-        match self.saved.checked_sub(PARTS) {
+        match self.balance.checked_sub(UNITS_PER_RETRY) {
             Some(rest) => {
-                self.saved = rest;
+                self.balance = rest;
                 true
             }
             None => false,
--- a/crates/ragwortroad_routing/src/retry/retry_policy.rs
+++ b/crates/ragwortroad_routing/src/retry/retry_policy.rs
@@ -40,8 +40,8 @@
     ///
     /// A request that is not idempotent is repeated only where not one byte of it was sent.
     pub fn may_retry(&self, failed: FailedAttempt, budget: &mut RetryBudget) -> bool {
-        let harmless = failed.idempotent || failed.outcome == RequestOutcome::NotRun;
-        let in_time = failed.time_left >= self.min_time_left;
-        harmless && in_time && failed.attempts < self.max_attempts && budget.try_retry()
+        let safe_to_repeat = failed.idempotent || failed.outcome == RequestOutcome::NotRun;
+        let has_time = failed.time_left >= self.min_time_left;
+        safe_to_repeat && has_time && failed.attempts < self.max_attempts && budget.try_retry()
     }
 }
--- a/crates/ragwortroad_routing/src/table/chat_memory.rs
+++ b/crates/ragwortroad_routing/src/table/affinity_map.rs
@@ -5,32 +5,32 @@
 /// Memory is fixed at construction, lookups touch one cache line or two, and the order of inputs
 /// alone decides what is forgotten, so that a run can be replayed.
 #[derive(Clone, Debug)]
-pub(crate) struct ChatMemory {
+pub(crate) struct AffinityMap {
     /// Invariant: its length is a multiple of [`WAYS`]; entries with key 0 are empty.
-    entries: Vec<MemoryEntry>,
+    entries: Vec<AffinityEntry>,
 }
 
 /// Entries that share a set.
 const WAYS: usize = 4;
 
-/// One remembered place.
+/// One last_endpoint position.
 #[derive(Clone, Copy, Debug, Default)]
-struct MemoryEntry {
+struct AffinityEntry {
     key: u64,
     endpoint: u64,
     used_at: ClockTime,
 }
 
-impl ChatMemory {
+impl AffinityMap {
     /// A memory of at least `entries` places.
     pub(crate) fn new(entries: usize) -> Self {
         let sets = entries.div_ceil(WAYS).max(1);
         Self {
-            entries: vec![MemoryEntry::default(); sets * WAYS],
+            entries: vec![AffinityEntry::default(); sets * WAYS],
         }
     }
 
-    /// What is remembered under `key`.
+    /// What is last_endpoint under `key`.
     pub(crate) fn get(&self, key: u64) -> Option<u64> {
         self.set_of(key)
             .iter()
@@ -42,11 +42,11 @@
     pub(crate) fn put(&mut self, key: u64, endpoint: u64, now: ClockTime) {
         let range = self.range_of(key);
         let set = &mut self.entries[range];
-        let place = match set.iter().position(|entry| entry.key == key) {
-            Some(place) => place,
+        let position = match set.iter().position(|entry| entry.key == key) {
+            Some(position) => position,
             None => oldest(set),
         };
-        set[place] = MemoryEntry {
+        set[position] = AffinityEntry {
             key,
             endpoint,
             used_at: now,
@@ -58,7 +58,7 @@
         let range = self.range_of(key);
         for entry in &mut self.entries[range] {
             if entry.key == key && entry.endpoint == endpoint {
-                *entry = MemoryEntry::default();
+                *entry = AffinityEntry::default();
             }
         }
     }
@@ -69,18 +69,18 @@
         set * WAYS..(set + 1) * WAYS
     }
 
-    fn set_of(&self, key: u64) -> &[MemoryEntry] {
+    fn set_of(&self, key: u64) -> &[AffinityEntry] {
         &self.entries[self.range_of(key)]
     }
 }
 
-/// The place in `set` that was used longest ago.
-fn oldest(set: &[MemoryEntry]) -> usize {
-    let mut place = 0;
+/// The position in `set` that was used longest ago.
+fn oldest(set: &[AffinityEntry]) -> usize {
+    let mut position = 0;
     for (index, entry) in set.iter().enumerate() {
-        if entry.used_at < set[place].used_at || (entry.key == 0 && set[place].key != 0) {
-            place = index;
+        if entry.used_at < set[position].used_at || (entry.key == 0 && set[position].key != 0) {
+            position = index;
         }
     }
-    place
+    position
 }
--- a/crates/ragwortroad_routing/src/table/hint_codec.rs
+++ b/crates/ragwortroad_routing/src/table/hint_codec.rs
@@ -61,7 +61,7 @@
     }
 
     fn check(&self, customer: CustomerKey, masked: u64) -> u64 {
-        let link = xxh3_64_with_seed(&masked.to_le_bytes(), self.secret.rotate_left(32));
-        xxh3_64_with_seed(&customer.0.to_le_bytes(), link)
+        let hash = xxh3_64_with_seed(&masked.to_le_bytes(), self.secret.rotate_left(32));
+        xxh3_64_with_seed(&customer.0.to_le_bytes(), hash)
     }
 }
--- a/crates/ragwortroad_routing/src/table/mod.rs
+++ b/crates/ragwortroad_routing/src/table/mod.rs
@@ -1,15 +1,15 @@
 //! What one node knows of the endpoints, and the choice among them.
 
 pub(crate) mod admission_class;
-pub(crate) mod chat_memory;
+pub(crate) mod affinity_map;
 pub(crate) mod endpoint_facts;
+pub(crate) mod endpoint_ranking;
 pub(crate) mod endpoint_state;
 pub(crate) mod fleet_load;
 pub(crate) mod hint_codec;
 pub(crate) mod load_bound;
 pub(crate) mod load_digest;
-pub(crate) mod prefix_memory;
-pub(crate) mod ranking;
+pub(crate) mod prefix_index;
 pub(crate) mod remote_view;
 pub(crate) mod route_choice;
 pub(crate) mod route_decision;
--- a/crates/ragwortroad_routing/src/table/prefix_memory.rs
+++ b/crates/ragwortroad_routing/src/table/prefix_index.rs
@@ -8,25 +8,25 @@
     PrefixKey, //
 };
 
-use crate::table::chat_memory::ChatMemory;
+use crate::table::affinity_map::AffinityMap;
 
 /// Which engine holds a prefix, from the cache events of engines this node is home of.
 #[derive(Clone, Debug)]
-pub(crate) struct PrefixMemory {
+pub(crate) struct PrefixIndex {
     /// The engine that stored each prefix last.
-    places: ChatMemory,
-    /// The event number expected next from each engine.
-    expected: BTreeMap<EndpointId, u64>,
+    engines: AffinityMap,
+    /// The event number next_sequence next from each engine.
+    next_sequence: BTreeMap<EndpointId, u64>,
     /// Events lost so far.
     lost: u64,
 }
 
-impl PrefixMemory {
+impl PrefixIndex {
     /// A memory of `entries` prefixes.
     pub(crate) fn new(entries: usize) -> Self {
         Self {
-            places: ChatMemory::new(entries),
-            expected: BTreeMap::new(),
+            engines: AffinityMap::new(entries),
+            next_sequence: BTreeMap::new(),
             lost: 0,
         }
     }
@@ -37,14 +37,14 @@
     /// which forgetting it would cost for certain.
     pub(crate) fn observe(&mut self, endpoint: EndpointId, events: &[CacheEvent], now: ClockTime) {
         for event in events {
-            let expected = self.expected.entry(endpoint).or_insert(event.sequence);
-            if event.sequence > *expected {
-                self.lost += event.sequence - *expected;
+            let next_sequence = self.next_sequence.entry(endpoint).or_insert(event.sequence);
+            if event.sequence > *next_sequence {
+                self.lost += event.sequence - *next_sequence;
             }
-            *expected = event.sequence + 1;
+            *next_sequence = event.sequence + 1;
             match event.change {
-                CacheChange::Stored => self.places.put(event.prefix.0, endpoint.0, now),
-                CacheChange::Evicted => self.places.forget(event.prefix.0, endpoint.0),
+                CacheChange::Stored => self.engines.put(event.prefix.0, endpoint.0, now),
+                CacheChange::Evicted => self.engines.forget(event.prefix.0, endpoint.0),
             }
         }
     }
@@ -52,7 +52,7 @@
     /// The engine that holds the longest of `prefixes`, and how many blocks that is.
     pub(crate) fn longest(&self, prefixes: &[PrefixKey]) -> Option<(EndpointId, usize)> {
         for (index, prefix) in prefixes.iter().enumerate().rev() {
-            if let Some(endpoint) = self.places.get(prefix.0) {
+            if let Some(endpoint) = self.engines.get(prefix.0) {
                 return Some((EndpointId(endpoint), index + 1));
             }
         }
@@ -61,7 +61,7 @@
 
     /// Forgets the event count of an engine that is gone.
     pub(crate) fn remove(&mut self, endpoint: EndpointId) {
-        self.expected.remove(&endpoint);
+        self.next_sequence.remove(&endpoint);
     }
 
     /// Events that never came.
--- a/crates/ragwortroad_routing/src/table/remote_view.rs
+++ b/crates/ragwortroad_routing/src/table/remote_view.rs
@@ -22,7 +22,7 @@
 
 impl RemoteView {
     /// The load to expect at the endpoint now.
-    pub(crate) fn expected(&self) -> u32 {
+    pub(crate) fn estimated_load(&self) -> u32 {
         let begun = self.load.saturating_add(self.sent_since);
         begun.saturating_sub(self.ended_since)
     }
@@ -36,7 +36,7 @@
     }
 
     /// Takes in the home's answer that the endpoint is full until then.
-    pub(crate) fn refused(&mut self, until: ClockTime) {
+    pub(crate) fn observe_full(&mut self, until: ClockTime) {
         self.full_until = until;
         self.was_full = true;
     }
--- a/crates/ragwortroad_routing/src/table/route_choice.rs
+++ b/crates/ragwortroad_routing/src/table/route_choice.rs
@@ -16,22 +16,22 @@
     RouteQuery,
     RouteReason,
     RouteTable,
-    table::ranking::{
-        Ranking,
+    table::endpoint_ranking::{
+        EndpointRanking,
         score, //
     }, //
 };
 
 /// Places tried before a request is refused: the first refusals come from this node's own account
 /// or memory and cost no message.
-const TRIES: usize = 4;
+const MAX_CANDIDATES: usize = 4;
 
 /// Requests of a customer refused one after the other from which on it counts as starved. Past
 /// saturation everybody is refused now and then; that alone must change no share.
-const STARVED_COUNT: u32 = 3;
+const STARVED_AFTER_REFUSALS: u32 = 3;
 
 /// How long a customer whose request was refused for want of room counts as starved.
-pub(crate) const STARVED_SPAN: Duration = Duration::from_secs(5);
+pub(crate) const STARVED_TTL: Duration = Duration::from_secs(5);
 
 /// What the table decides.
 impl RouteTable {
@@ -40,50 +40,53 @@
         if !self.pools.contains_key(&query.offer) {
             return self.refuse(RefusalCode::NoEndpoint);
         }
-        let mut known = None;
-        for (endpoint, reason) in self.known_places(query) {
-            let Some(key) = self.usable(endpoint, query) else {
+        let mut context_holder = None;
+        for (endpoint, reason) in self.affinity_candidates(query) {
+            let Some(key) = self.eligible(endpoint, query) else {
                 continue;
             };
-            if let Some(decision) = self.try_place(key, reason, query, now) {
+            if let Some(decision) = self.try_endpoint(key, reason, query, now) {
                 return decision;
             }
-            known = known.or(Some(key));
+            context_holder = context_holder.or(Some(key));
         }
-        if let Some(retry_after) = known.and_then(|key| self.hold_for(key, query, now)) {
+        if let Some(retry_after) = context_holder.and_then(|key| self.context_wait(key, query, now))
+        {
             return RouteDecision::Hold { retry_after };
         }
-        let mut ranking = Ranking::new(query, &self.settings, known.is_some());
-        for _ in 0..TRIES {
-            let Some(key) = self.best_of(&mut ranking, query, now) else {
+        let mut ranking = EndpointRanking::new(query, &self.settings, context_holder.is_some());
+        for _ in 0..MAX_CANDIDATES {
+            let Some(key) = self.best_ranked(&mut ranking, query, now) else {
                 break;
             };
-            if let Some(decision) = self.try_place(key, RouteReason::Hash, query, now) {
+            if let Some(decision) = self.try_endpoint(key, RouteReason::Hash, query, now) {
                 return decision;
             }
             ranking.skip(key);
         }
-        if let Some(decision) = self.ask_anyway(query, now) {
+        if let Some(decision) = self.ask_for_starved(query, now) {
             return decision;
         }
         if query.waited < self.settings.max_capacity_wait {
             let retry_after = self.settings.hold_interval;
             return RouteDecision::Hold { retry_after };
         }
-        let refused = self.refused.entry(query.customer).or_default();
+        let refused = self.recent_refusals.entry(query.customer).or_default();
         *refused = (refused.0 + 1, now);
         self.refuse(RefusalCode::Overloaded)
     }
 
     /// Notes that a request of the customer was placed.
     pub fn record_placement(&mut self, customer: CustomerKey) {
-        self.refused.remove(&customer);
+        self.recent_refusals.remove(&customer);
     }
 
     /// Whether the customer's last requests here were all refused for want of room.
     fn is_starved(&self, customer: CustomerKey, now: ClockTime) -> bool {
-        let refused = self.refused.get(&customer);
-        refused.is_some_and(|(count, at)| *count >= STARVED_COUNT && now.since(*at) < STARVED_SPAN)
+        let refused = self.recent_refusals.get(&customer);
+        refused.is_some_and(|(count, at)| {
+            *count >= STARVED_AFTER_REFUSALS && now.since(*at) < STARVED_TTL
+        })
     }
 
     /// Asks a home for a starved customer although the endpoint looks full from here, once for a
@@ -92,19 +95,20 @@
     /// Under a surge the digests always say full, and only the home knows which customer has less
     /// than its share. A node that went by the digests alone would refuse a small customer for as
     /// long as a large one surges, while the homes keep room that nobody asks for.
-    fn ask_anyway(&self, query: &RouteQuery<'_>, now: ClockTime) -> Option<RouteDecision> {
+    fn ask_for_starved(&self, query: &RouteQuery<'_>, now: ClockTime) -> Option<RouteDecision> {
         if query.refusals > 0 || !self.is_starved(query.customer, now) {
             return None;
         }
         let pool = self.pools.get(&query.offer)?;
-        let elsewhere = pool.iter().filter_map(|entry| {
+        let remote = pool.iter().filter_map(|entry| {
             let state = self.arena[entry.key.index()].as_ref()?;
             let facts = &state.facts;
-            let may_ask = !self.is_home(state) && state.view.full_until <= now;
-            let usable = may_ask && !state.set_aside && !query.excluded.contains(&facts.id);
+            let is_askable = !self.is_home(state) && state.view.full_until <= now;
+            let usable =
+                is_askable && !state.ejected_by_home && !query.excluded.contains(&facts.id);
             usable.then_some((score(entry.seed, query.salt), facts.id, facts.home))
         });
-        let (_, endpoint, home) = elsewhere.max_by_key(|(rank, ..)| *rank)?;
+        let (_, endpoint, home) = remote.max_by_key(|(rank, ..)| *rank)?;
         Some(RouteDecision::AskHome {
             endpoint,
             home,
@@ -113,31 +117,31 @@
         })
     }
 
-    /// How long to wait for room at the place that holds the request's context, if it is worth it.
+    /// How long to wait for room at the previous that holds the request's context, if it is max_wait it.
     ///
-    /// Without this a chat whose engine is at its bound for a moment is computed anew elsewhere,
+    /// Without this a chat whose engine is at its bound for a moment is computed anew remote,
     /// which costs more of both engines than the wait costs the caller, and the chat's next turn
     /// finds its context split over two places.
-    fn hold_for(
+    fn context_wait(
         &self,
         key: EndpointKey,
         query: &RouteQuery<'_>,
         now: ClockTime,
     ) -> Option<Duration> {
         let settings = &self.settings;
-        let worth = settings.context_wait_per_block * query.prefixes.len() as u32;
-        if query.waited >= worth.min(settings.max_context_wait) {
+        let max_wait = settings.context_wait_per_block * query.prefixes.len() as u32;
+        if query.waited >= max_wait.min(settings.max_context_wait) {
             return None;
         }
         let state = self.arena[key.index()].as_ref()?;
-        if self.outliers.is_ejected(state.facts.id, now) || state.set_aside {
+        if self.outliers.is_ejected(state.facts.id, now) || state.ejected_by_home {
             return None;
         }
         if self.is_home(state) {
             return state.is_exclusive(now).then_some(settings.hold_interval);
         }
-        let asked_again = state.view.full_until.since(now);
-        Some(asked_again.max(settings.hold_interval))
+        let until_retry = state.view.full_until.since(now);
+        Some(until_retry.max(settings.hold_interval))
     }
 
     /// The nodes a caller should use, best first.
@@ -159,8 +163,8 @@
             .map(|node| (score(node.0, key), *node))
             .collect();
         ranked.sort_unstable_by(|left, right| right.cmp(left));
-        let place = hint.or_else(|| self.remembered(chat?));
-        let first = place
+        let previous = hint.or_else(|| self.last_endpoint(chat?));
+        let first = previous
             .and_then(|endpoint| self.state_of(endpoint))
             .map(|state| state.facts.home)
             .filter(|home| self.nodes.binary_search(home).is_ok());
@@ -171,26 +175,26 @@
         nodes
     }
 
-    fn remembered(&self, chat: ChatKey) -> Option<EndpointId> {
-        self.memory.get(chat.0).map(EndpointId)
+    fn last_endpoint(&self, chat: ChatKey) -> Option<EndpointId> {
+        self.chat_map.get(chat.0).map(EndpointId)
     }
 
     /// Places that may hold the request's context, the likeliest first.
-    fn known_places(
+    fn affinity_candidates(
         &self,
         query: &RouteQuery<'_>,
     ) -> impl Iterator<Item = (EndpointId, RouteReason)> + use<> {
         let hint = query.hint.map(|endpoint| (endpoint, RouteReason::Hint));
         let memory = query
             .chat
-            .and_then(|chat| self.remembered(chat))
+            .and_then(|chat| self.last_endpoint(chat))
             .map(|endpoint| (endpoint, RouteReason::Memory));
         // Events tell of this node's engines only. For a chat with a name they mostly find its
         // shared text here, which draws new chats to one engine; the hash spreads those better. A
         // request that names no chat has nothing else to go by.
-        let unnamed = query.chat.is_none();
-        let prefix = unnamed
-            .then(|| self.prefixes.longest(query.prefixes))
+        let has_no_chat = query.chat.is_none();
+        let prefix = has_no_chat
+            .then(|| self.prefix_index.longest(query.prefixes))
             .flatten()
             .filter(|(_, blocks)| *blocks > self.settings.shared_prefix_block)
             .map(|(endpoint, _)| (endpoint, RouteReason::Prefix));
@@ -198,7 +202,7 @@
     }
 
     /// The endpoint's key, if it may take this request.
-    fn usable(&self, endpoint: EndpointId, query: &RouteQuery<'_>) -> Option<EndpointKey> {
+    fn eligible(&self, endpoint: EndpointId, query: &RouteQuery<'_>) -> Option<EndpointKey> {
         let key = *self.ids.get(&endpoint)?;
         let state = self.arena[key.index()].as_ref()?;
         let serves = state.facts.offers.contains(&query.offer);
@@ -206,23 +210,23 @@
         (serves && open).then_some(key)
     }
 
-    /// The best place of the ranking that seems to have room.
-    fn best_of(
+    /// The best previous of the ranking that seems to have room.
+    fn best_ranked(
         &self,
-        ranking: &mut Ranking,
+        ranking: &mut EndpointRanking,
         query: &RouteQuery<'_>,
         now: ClockTime,
     ) -> Option<EndpointKey> {
         let pool = self.pools.get(&query.offer)?;
         ranking.best(
             pool,
-            |key| self.looks_open(key, AdmissionClass::Arriving, query, now),
-            |key| self.fill_of(key),
+            |key| self.seems_available(key, AdmissionClass::Arriving, query, now),
+            |key| self.utilization_of(key),
         )
     }
 
     /// Whether an endpoint seems able to take one more request.
-    fn looks_open(
+    fn seems_available(
         &self,
         key: EndpointKey,
         class: AdmissionClass,
@@ -235,32 +239,32 @@
         if query.excluded.contains(&state.facts.id) {
             return false;
         }
-        let limit = self.limit_of(state, now);
+        let limit = self.load_limit(state, now);
         if self.is_home(state) {
             return state.ledger.load() < limit && state.is_exclusive(now);
         }
-        // A chat whose context is there asks again when its home said; to others the place stays
+        // A chat whose context is there asks again when its home said; to others the previous stays
         // full until a digest tells otherwise, or a busy fleet spends itself on questions.
         let refused = state.view.full_until > now
             || (state.view.was_full && class == AdmissionClass::Arriving);
-        state.view.expected() < limit && !refused && !state.set_aside
+        state.view.estimated_load() < limit && !refused && !state.ejected_by_home
     }
 
     /// How full an endpoint seems, relative to its capacity.
-    fn fill_of(&self, key: EndpointKey) -> f64 {
+    fn utilization_of(&self, key: EndpointKey) -> f64 {
         let Some(state) = self.arena[key.index()].as_ref() else {
             return f64::MAX;
         };
         let load = if self.is_home(state) {
             state.ledger.load()
         } else {
-            state.view.expected()
+            state.view.estimated_load()
         };
         f64::from(load) / f64::from(state.facts.capacity.max(1))
     }
 
-    /// Grants a slot here, or names the home to ask, or finds the place full.
-    fn try_place(
+    /// Grants a slot here, or names the home to ask, or finds the previous full.
+    fn try_endpoint(
         &mut self,
         key: EndpointKey,
         reason: RouteReason,
@@ -274,7 +278,7 @@
                 AdmissionClass::Returning
             }
         };
-        if !self.looks_open(key, class, query, now) {
+        if !self.seems_available(key, class, query, now) {
             return None;
         }
         let state = self.arena[key.index()].as_ref()?;
@@ -289,7 +293,7 @@
         }
         let slot = self.take_slot(key, self.settings.node, query.customer, class, now)?;
         if let Some(chat) = query.chat {
-            self.memory.put(chat.0, endpoint.0, now);
+            self.chat_map.put(chat.0, endpoint.0, now);
         }
         Some(RouteDecision::Admit {
             endpoint,
@@ -299,10 +303,10 @@
     }
 
     fn refuse(&self, code: RefusalCode) -> RouteDecision {
-        const REFUSED_WAIT: Duration = Duration::from_secs(1);
+        const REFUSED_RETRY_AFTER: Duration = Duration::from_secs(1);
         RouteDecision::Refuse {
             code,
-            retry_after: REFUSED_WAIT,
+            retry_after: REFUSED_RETRY_AFTER,
         }
     }
 }
--- a/crates/ragwortroad_routing/src/table/route_settings.rs
+++ b/crates/ragwortroad_routing/src/table/route_settings.rs
@@ -45,9 +45,9 @@
     pub hold_interval: Duration,
     /// Longest time for which a home that answered "full" is not asked again.
     pub full_backoff: Duration,
-    /// How long slots of a node that is gone stay counted, since its requests may still run.
+    /// How long slots of a node that is gone stay counted_load, since its requests may still run.
     pub lost_node_slot_ttl: Duration,
-    /// How long the slot of a failed request stays counted, so that an endpoint which fails fast
+    /// How long the slot of a failed request stays counted_load, so that an endpoint which fails fast
     /// looks as busy as one that works.
     pub failed_slot_ttl: Duration,
     /// Longest life of a slot that is never given back.
--- a/crates/ragwortroad_routing/src/table/route_table.rs
+++ b/crates/ragwortroad_routing/src/table/route_table.rs
@@ -17,10 +17,10 @@
     OutlierTable,
     RouteSettings,
     table::{
-        chat_memory::ChatMemory,
+        affinity_map::AffinityMap,
         endpoint_state::EndpointState,
         fleet_load::FleetLoad,
-        prefix_memory::PrefixMemory, //
+        prefix_index::PrefixIndex, //
     }, //
 };
 
@@ -40,22 +40,22 @@
     /// Invariant: an index is reused only after the endpoint in it was removed from `ids` and from
     /// every pool.
     pub(crate) arena: Vec<Option<EndpointState>>,
-    pub(crate) vacant: Vec<EndpointKey>,
+    pub(crate) free_keys: Vec<EndpointKey>,
     pub(crate) ids: BTreeMap<EndpointId, EndpointKey>,
     /// For each thing served, who serves it. Invariant: holds only endpoints that take work.
     pub(crate) pools: BTreeMap<OfferKey, Vec<PoolEntry>>,
-    /// Invariant: the sum of `counted` over members that take work.
+    /// Invariant: the sum of `counted_load` over members that take work.
     pub(crate) fleets: BTreeMap<FleetKey, FleetLoad>,
     /// Nodes that owe this one an answer and were not heard since.
-    pub(crate) silent: BTreeSet<NodeId>,
+    pub(crate) unresponsive: BTreeSet<NodeId>,
     /// Nodes that callers may be sent to.
     pub(crate) nodes: Vec<NodeId>,
-    pub(crate) memory: ChatMemory,
-    pub(crate) prefixes: PrefixMemory,
+    pub(crate) chat_map: AffinityMap,
+    pub(crate) prefix_index: PrefixIndex,
     pub(crate) outliers: OutlierTable,
-    /// Requests of each customer that were refused here for want of room since its last one that
+    /// Requests of each customer that were recent_refusals here for want of requests since its last one that
     /// was placed, with the time of the latest.
-    pub(crate) refused: BTreeMap<CustomerKey, (u32, ClockTime)>,
+    pub(crate) recent_refusals: BTreeMap<CustomerKey, (u32, ClockTime)>,
     pub(crate) next_slot: u64,
 }
 
@@ -71,22 +71,22 @@
 impl RouteTable {
     /// A table that knows no endpoints.
     pub fn new(settings: RouteSettings) -> Self {
-        let memory = ChatMemory::new(settings.chat_entries);
-        let prefixes = PrefixMemory::new(settings.prefix_entries);
+        let chat_map = AffinityMap::new(settings.chat_entries);
+        let prefix_index = PrefixIndex::new(settings.prefix_entries);
         let outliers = OutlierTable::new(settings.outliers);
         Self {
             settings,
             arena: Vec::new(),
-            vacant: Vec::new(),
+            free_keys: Vec::new(),
             ids: BTreeMap::new(),
             pools: BTreeMap::new(),
             fleets: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
             nodes: Vec::new(),
-            memory,
-            prefixes,
+            chat_map,
+            prefix_index,
             outliers,
-            refused: BTreeMap::new(),
+            recent_refusals: BTreeMap::new(),
             next_slot: 0,
         }
     }
@@ -112,7 +112,7 @@
 
     /// Cache events known to be lost.
     pub fn lost_events(&self) -> u64 {
-        self.prefixes.lost()
+        self.prefix_index.lost()
     }
 
     /// The endpoint with this identity.
@@ -134,16 +134,16 @@
     ) -> Option<T> {
         let node = self.settings.node;
         let state = self.arena[key.index()].as_mut()?;
-        let (before, took_work) = (state.counted, state.facts.takes_work());
+        let (before, took_work) = (state.counted_load, state.facts.takes_work());
         let result = change(state);
-        state.counted = if state.facts.home == node {
-            state.ledger.load_beside(&self.silent)
-        } else if self.silent.contains(&state.facts.home) {
+        state.counted_load = if state.facts.home == node {
+            state.ledger.load_excluding(&self.unresponsive)
+        } else if self.unresponsive.contains(&state.facts.home) {
             0
         } else {
             state.view.load
         };
-        let after = state.counted;
+        let after = state.counted_load;
         let fleet = self.fleets.entry(state.facts.fleet).or_default();
         match (took_work, state.facts.takes_work()) {
             (true, true) => fleet.replace(before, after),
@@ -155,7 +155,7 @@
     }
 
     /// The most requests the endpoint may carry now.
-    pub(crate) fn limit_of(&self, state: &EndpointState, now: ClockTime) -> u32 {
+    pub(crate) fn load_limit(&self, state: &EndpointState, now: ClockTime) -> u32 {
         let settings = &self.settings;
         let fleet = self
             .fleets
@@ -166,13 +166,13 @@
             settings
                 .bound
                 .for_admission(fleet.mean(), fleet.members(), settings.mean_margin);
-        let limit = bound.min(self.room_of(state));
+        let limit = bound.min(self.capacity_limit(state));
         self.outliers.ramped_limit(state.facts.id, limit, now)
     }
 
     /// The most requests an endpoint may carry whatever the mean: its capacity and its queue.
-    pub(crate) fn room_of(&self, state: &EndpointState) -> u32 {
-        let room = f64::from(state.facts.capacity) * self.settings.queue_multiple;
-        (room.floor() as u32).max(1)
+    pub(crate) fn capacity_limit(&self, state: &EndpointState) -> u32 {
+        let requests = f64::from(state.facts.capacity) * self.settings.queue_multiple;
+        (requests.floor() as u32).max(1)
     }
 }
--- a/crates/ragwortroad_routing/src/table/slot_grants.rs
+++ b/crates/ragwortroad_routing/src/table/slot_grants.rs
@@ -20,7 +20,7 @@
 
 /// Part of its equal part of a nearly full endpoint up to which a customer may begin chats there; the
 /// rest is for those that come back.
-const ARRIVING_SHARE: f64 = 0.5;
+const ARRIVING_FAIR_SHARE: f64 = 0.5;
 
 /// Slots of endpoints: granted and ended at the home, noted at the node that asked.
 impl RouteTable {
@@ -28,7 +28,7 @@
     pub fn grant_slot(
         &mut self,
         endpoint: EndpointId,
-        asker: NodeId,
+        requester: NodeId,
         customer: CustomerKey,
         class: AdmissionClass,
         now: ClockTime,
@@ -40,16 +40,16 @@
         if home != Some(self.settings.node) {
             return SlotAnswer::NotHome { home };
         }
-        match self.take_slot(key, asker, customer, class, now) {
+        match self.take_slot(key, requester, customer, class, now) {
             Some(slot) => SlotAnswer::Granted { slot },
             None => SlotAnswer::Full {
-                retry_after: self.pause_of(key, now),
+                retry_after: self.retry_delay(key, now),
             },
         }
     }
 
-    /// About the time until the endpoint has room again.
-    fn pause_of(&self, key: EndpointKey, now: ClockTime) -> Duration {
+    /// About the time until the endpoint has capacity again.
+    fn retry_delay(&self, key: EndpointKey, now: ClockTime) -> Duration {
         let settings = &self.settings;
         let Some(state) = self.arena[key.index()].as_ref() else {
             return settings.full_backoff;
@@ -57,7 +57,7 @@
         if !state.is_exclusive(now) {
             return settings.full_backoff;
         }
-        let between_ends = state.ledger.time_between_ends();
+        let between_ends = state.ledger.mean_time_between_ends();
         between_ends.clamp(
             settings.hold_interval,
             settings.full_backoff.max(settings.hold_interval),
@@ -72,13 +72,13 @@
         outcome: SlotOutcome,
         now: ClockTime,
     ) {
-        let hold = self.settings.failed_slot_ttl;
-        self.judge_outcome(endpoint, outcome, now);
+        let ttl = self.settings.failed_slot_ttl;
+        self.update_outliers(endpoint, outcome, now);
         let Some(key) = self.ids.get(&endpoint).copied() else {
             return;
         };
         self.change(key, |state| match outcome {
-            SlotOutcome::Failed => state.ledger.hold(slot, now, hold),
+            SlotOutcome::Failed => state.ledger.expire_within(slot, now, ttl),
             SlotOutcome::Succeeded | SlotOutcome::Neutral => state.ledger.end(slot, now),
         });
     }
@@ -94,14 +94,14 @@
         let Some(key) = self.ids.get(&endpoint).copied() else {
             return;
         };
-        let pause = self.settings.full_backoff;
+        let backoff = self.settings.full_backoff;
         self.change(key, |state| match answer {
             SlotAnswer::Granted { .. } => state.view.sent_since += 1,
-            SlotAnswer::Full { retry_after } => state.view.refused(now.after(retry_after)),
-            SlotAnswer::NotHome { .. } => state.view.full_until = now.after(pause),
+            SlotAnswer::Full { retry_after } => state.view.observe_full(now.after(retry_after)),
+            SlotAnswer::NotHome { .. } => state.view.full_until = now.after(backoff),
         });
         if let (SlotAnswer::Granted { .. }, Some(chat)) = (answer, chat) {
-            self.memory.put(chat.0, endpoint.0, now);
+            self.chat_map.put(chat.0, endpoint.0, now);
         }
     }
 
@@ -110,11 +110,11 @@
         if let Some(key) = self.ids.get(&endpoint).copied() {
             self.change(key, |state| state.view.ended_since += 1);
         }
-        self.judge_outcome(endpoint, outcome, now);
+        self.update_outliers(endpoint, outcome, now);
     }
 
     /// Takes in whether an endpoint did what it was asked.
-    fn judge_outcome(&mut self, endpoint: EndpointId, outcome: SlotOutcome, now: ClockTime) {
+    fn update_outliers(&mut self, endpoint: EndpointId, outcome: SlotOutcome, now: ClockTime) {
         let Some(state) = self.state_of(endpoint) else {
             return;
         };
@@ -128,13 +128,14 @@
             SlotOutcome::Neutral => {}
             SlotOutcome::Succeeded => self.outliers.record_success(endpoint, now),
             SlotOutcome::Failed => {
-                let (mut count, mut out) = (0, 0);
+                let (mut count, mut ejected) = (0, 0);
                 for member in members {
                     count += 1;
                     let id = member.facts.id;
-                    out += usize::from(member.set_aside || self.outliers.is_ejected(id, now));
+                    ejected +=
+                        usize::from(member.ejected_by_home || self.outliers.is_ejected(id, now));
                 }
-                self.outliers.record_failure(endpoint, out, count, now);
+                self.outliers.record_failure(endpoint, ejected, count, now);
             }
         }
     }
@@ -143,7 +144,7 @@
     pub(crate) fn take_slot(
         &mut self,
         key: EndpointKey,
-        asker: NodeId,
+        requester: NodeId,
         customer: CustomerKey,
         class: AdmissionClass,
         now: ClockTime,
@@ -152,16 +153,16 @@
         let state = self.arena[key.index()].as_ref()?;
         let admits = self.may_admit(state, customer, class, now);
         if class == AdmissionClass::Starved {
-            self.change(key, |state| state.ledger.note_starved(customer, now));
+            self.change(key, |state| state.ledger.record_starved(customer, now));
         }
         if !admits {
             return None;
         }
         let slot = SlotId(self.next_slot);
         self.next_slot += 1;
-        let life = self.settings.slot_ttl;
+        let ttl = self.settings.slot_ttl;
         self.change(key, |state| {
-            state.ledger.grant(slot, asker, customer, now, life);
+            state.ledger.grant(slot, requester, customer, now, ttl);
         });
         Some(slot)
     }
@@ -173,31 +174,31 @@
         class: AdmissionClass,
         now: ClockTime,
     ) -> bool {
-        // Before that moment an earlier home may still admit up to the bound on its own.
+        // Before that moment an earlier home may still admit up to the bound on its held.
         if !state.is_exclusive(now) || !state.facts.takes_work() {
             return false;
         }
         let load = state.ledger.load();
-        let limit = self.limit_of(state, now);
+        let limit = self.load_limit(state, now);
         if load >= limit {
             return false;
         }
         // While another customer gets nothing anywhere, shares are parts of what may be admitted
-        // now; of an engine's whole room, which the bound seldom lets it reach, they would never be
+        // now; of an engine's whole capacity, which the bound seldom lets it reach, they would never be
         // used up. At other times that would only send chats away from their context.
-        let room = match state.ledger.starves_beside(customer, now) {
+        let capacity = match state.ledger.has_other_starved(customer, now) {
             true => f64::from(limit),
-            false => f64::from(self.room_of(state)),
+            false => f64::from(self.capacity_limit(state)),
         };
         // Counted with the slot asked for: at small bounds the reserve would round to nothing.
-        if f64::from(load + 1) <= room * (1.0 - self.settings.fair_reserve) {
+        if f64::from(load + 1) <= capacity * (1.0 - self.settings.fair_reserve) {
             return true;
         }
-        let (own, customers) = state.ledger.share_of(customer, now);
+        let (held, customers) = state.ledger.share_of(customer, now);
         let share = match class {
             AdmissionClass::Returning | AdmissionClass::Starved => 1.0,
-            AdmissionClass::Arriving => ARRIVING_SHARE,
+            AdmissionClass::Arriving => ARRIVING_FAIR_SHARE,
         };
-        f64::from(own) < share * room / f64::from(customers)
+        f64::from(held) < share * capacity / f64::from(customers)
     }
 }
--- a/crates/ragwortroad_routing/src/table/slot_ledger.rs
+++ b/crates/ragwortroad_routing/src/table/slot_ledger.rs
@@ -23,7 +23,7 @@
 pub(crate) struct SlotLedger {
     /// Slots granted and not yet given back.
     slots: BTreeMap<SlotId, SlotRecord>,
-    /// Slots held by each customer.
+    /// Slots known by each customer.
     /// Invariant: no count is zero, and their sum is the number of slots.
     customers: BTreeMap<CustomerKey, u32>,
     /// Customers that asked lately after they were refused everywhere, by when.
@@ -33,15 +33,15 @@
     /// Work that an earlier home admitted, by the endpoint's reports.
     inherited: u32,
     /// Slots that the endpoint's last reports had no request for.
-    missing: [u32; MISSING_REPORTS],
-    /// Milliseconds a slot is held, averaged over the last few.
-    life_ms: f64,
+    unmatched: [u32; UNMATCHED_REPORTS],
+    /// Milliseconds a slot is known, averaged expired the last few.
+    mean_slot_ms: f64,
 }
 
 /// One slot.
 #[derive(Clone, Copy, Debug)]
 struct SlotRecord {
-    asker: NodeId,
+    requester: NodeId,
     customer: CustomerKey,
     granted_at: ClockTime,
     /// The slot ends by itself then.
@@ -49,35 +49,37 @@
 }
 
 /// How long a customer that was refused everywhere counts among those that share an endpoint.
-const WANT_SPAN: Duration = Duration::from_secs(2);
+const STARVED_WINDOW: Duration = Duration::from_secs(2);
 
 /// Reports in a row that must miss a slot's request before it counts as ended: a request on its way
 /// is missed once.
-const MISSING_REPORTS: usize = 3;
+const UNMATCHED_REPORTS: usize = 3;
 
 /// How long ended slots are kept; reports older than that say nothing.
-const ENDED_SPAN: Duration = Duration::from_secs(5);
+const ENDED_RETENTION: Duration = Duration::from_secs(5);
 
 impl SlotLedger {
     /// Requests at the endpoint, as far as admission is concerned.
     pub(crate) fn load(&self) -> u32 {
-        let ghosts = self.missing.iter().copied().min().unwrap_or(0);
-        (self.slots.len() as u32).saturating_sub(ghosts) + self.inherited
+        let stale = self.unmatched.iter().copied().min().unwrap_or(0);
+        (self.slots.len() as u32).saturating_sub(stale) + self.inherited
     }
 
-    /// The same without the slots of `silent` nodes, whose requests may have ended with them.
-    pub(crate) fn load_beside(&self, silent: &BTreeSet<NodeId>) -> u32 {
-        if silent.is_empty() {
+    /// The same without the slots of `unresponsive` nodes, whose requests may have ended with them.
+    pub(crate) fn load_excluding(&self, unresponsive: &BTreeSet<NodeId>) -> u32 {
+        if unresponsive.is_empty() {
             return self.load();
         }
         let records = self.slots.values();
-        let heard = records.filter(|record| !silent.contains(&record.asker));
-        self.load().min(heard.count() as u32 + self.inherited)
+        let responsive = records.filter(|record| !unresponsive.contains(&record.requester));
+        self.load().min(responsive.count() as u32 + self.inherited)
     }
 
-    /// Whether `asker` holds a slot.
-    pub(crate) fn has_asker(&self, asker: NodeId) -> bool {
-        self.slots.values().any(|record| record.asker == asker)
+    /// Whether `requester` holds a slot.
+    pub(crate) fn has_slots_of(&self, requester: NodeId) -> bool {
+        self.slots
+            .values()
+            .any(|record| record.requester == requester)
     }
 
     /// Slots of `customer`, and the number of customers that would hold one with it.
@@ -88,33 +90,33 @@
         let own = self.customers.get(&customer).copied().unwrap_or(0);
         let holders = self.customers.keys();
         let holders = holders.filter(|other| **other != customer).count();
-        let wants = |(other, at): &(&CustomerKey, &ClockTime)| {
+        let is_waiting = |(other, at): &(&CustomerKey, &ClockTime)| {
             let is_new = **other != customer && !self.customers.contains_key(other);
-            is_new && now.since(**at) < WANT_SPAN
+            is_new && now.since(**at) < STARVED_WINDOW
         };
-        let waiting = self.starved.iter().filter(wants).count();
+        let waiting = self.starved.iter().filter(is_waiting).count();
         (own, (holders + waiting) as u32 + 1)
     }
 
     /// Notes that `customer` asks after it was refused everywhere.
-    pub(crate) fn note_starved(&mut self, customer: CustomerKey, now: ClockTime) {
-        self.starved.retain(|_, at| now.since(*at) < WANT_SPAN);
+    pub(crate) fn record_starved(&mut self, customer: CustomerKey, now: ClockTime) {
+        self.starved.retain(|_, at| now.since(*at) < STARVED_WINDOW);
         self.starved.insert(customer, now);
     }
 
     /// Whether another customer than this one gets nothing anywhere.
-    pub(crate) fn starves_beside(&self, customer: CustomerKey, now: ClockTime) -> bool {
+    pub(crate) fn has_other_starved(&self, customer: CustomerKey, now: ClockTime) -> bool {
         let mut starved = self.starved.iter();
-        starved.any(|(other, at)| *other != customer && now.since(*at) < WANT_SPAN)
+        starved.any(|(other, at)| *other != customer && now.since(*at) < STARVED_WINDOW)
     }
 
     /// The time between two slots that end, at the present load.
-    pub(crate) fn time_between_ends(&self) -> Duration {
-        Duration::from_millis((self.life_ms / f64::from(self.load().max(1))) as u64)
+    pub(crate) fn mean_time_between_ends(&self) -> Duration {
+        Duration::from_millis((self.mean_slot_ms / f64::from(self.load().max(1))) as u64)
     }
 
-    /// Starts over as a new home: everything reported counts as an earlier home's work.
-    pub(crate) fn inherit(&mut self, load: u32) {
+    /// Starts expired as a new home: everything reported counts as an earlier home's work.
+    pub(crate) fn reset_to_inherited(&mut self, load: u32) {
         *self = Self {
             inherited: load,
             ..Self::default()
@@ -125,16 +127,16 @@
     pub(crate) fn grant(
         &mut self,
         slot: SlotId,
-        asker: NodeId,
+        requester: NodeId,
         customer: CustomerKey,
         now: ClockTime,
-        life: Duration,
+        ttl: Duration,
     ) {
         let record = SlotRecord {
-            asker,
+            requester,
             customer,
             granted_at: now,
-            ends_at: now.after(life),
+            ends_at: now.after(ttl),
         };
         self.slots.insert(slot, record);
         *self.customers.entry(customer).or_insert(0) += 1;
@@ -151,43 +153,43 @@
                 self.customers.remove(&record.customer);
             }
         }
-        const LATEST_SHARE: f64 = 0.1;
+        const EWMA_WEIGHT: f64 = 0.1;
         let life = now.since(record.granted_at).as_millis() as f64;
-        self.life_ms += LATEST_SHARE * (life - self.life_ms);
+        self.mean_slot_ms += EWMA_WEIGHT * (life - self.mean_slot_ms);
         self.ended.push_back((record.granted_at, now));
         true
     }
 
     /// Lets `slot` end by itself after `hold`.
-    pub(crate) fn hold(&mut self, slot: SlotId, now: ClockTime, hold: Duration) -> bool {
+    pub(crate) fn expire_within(&mut self, slot: SlotId, now: ClockTime, ttl: Duration) -> bool {
         let Some(record) = self.slots.get_mut(&slot) else {
             return false;
         };
-        record.ends_at = record.ends_at.min(now.after(hold));
+        record.ends_at = record.ends_at.min(now.after(ttl));
         true
     }
 
-    /// Lets all slots of `asker` end by themselves after `hold`.
-    pub(crate) fn hold_all(&mut self, asker: NodeId, now: ClockTime, hold: Duration) {
+    /// Lets all slots of `requester` end by themselves after `hold`.
+    pub(crate) fn expire_all_within(&mut self, requester: NodeId, now: ClockTime, ttl: Duration) {
         for record in self.slots.values_mut() {
-            if record.asker == asker {
-                record.ends_at = record.ends_at.min(now.after(hold));
+            if record.requester == requester {
+                record.ends_at = record.ends_at.min(now.after(ttl));
             }
         }
     }
 
-    /// Ends the slots whose time is over.
+    /// Ends the slots whose time is expired.
     pub(crate) fn sweep(&mut self, now: ClockTime) {
-        let over: Vec<SlotId> = self
+        let expired: Vec<SlotId> = self
             .slots
             .iter()
             .filter(|(_, record)| record.ends_at <= now)
             .map(|(slot, _)| *slot)
             .collect();
-        for slot in over {
+        for slot in expired {
             self.end(slot, now);
         }
-        let horizon = now.before(ENDED_SPAN);
+        let horizon = now.before(ENDED_RETENTION);
         while self
             .ended
             .front()
@@ -197,30 +199,35 @@
         }
     }
 
-    /// Takes the endpoint's report of an earlier `moment` into the inherited work: what the slots
+    /// Takes the endpoint's report of an earlier `measured_at` into the inherited work: what the slots
     /// this ledger had then leave unexplained.
     ///
-    /// Once `settled` it never raises the account: every request since is known exactly.
-    pub(crate) fn observe(&mut self, report: LoadReport, moment: ClockTime, settled: bool) {
+    /// Once `handover_reported` it never raises the account: every request since is known exactly.
+    pub(crate) fn observe(
+        &mut self,
+        report: LoadReport,
+        measured_at: ClockTime,
+        handover_reported: bool,
+    ) {
         let running = self
             .slots
             .values()
-            .filter(|record| record.granted_at <= moment)
+            .filter(|record| record.granted_at <= measured_at)
             .count();
         let ended = self
             .ended
             .iter()
-            .filter(|(granted, ended)| *granted <= moment && *ended > moment)
+            .filter(|(granted, ended)| *granted <= measured_at && *ended > measured_at)
             .count();
         let reported = report.running.saturating_add(report.queued);
-        let held = (running + ended) as u32;
-        let unexplained = reported.saturating_sub(held);
+        let known = (running + ended) as u32;
+        let unexplained = reported.saturating_sub(known);
         // A slot whose release was lost, or whose node restarted before anyone missed it, would
         // count for ever; it would close this endpoint early and, as part of the fleet mean, raise
         // the bound of all others.
-        self.missing.rotate_left(1);
-        self.missing[MISSING_REPORTS - 1] = held.saturating_sub(reported);
-        self.inherited = if settled {
+        self.unmatched.rotate_left(1);
+        self.unmatched[UNMATCHED_REPORTS - 1] = known.saturating_sub(reported);
+        self.inherited = if handover_reported {
             self.inherited.min(unexplained)
         } else {
             unexplained
--- a/crates/ragwortroad_routing/src/table/table_inputs.rs
+++ b/crates/ragwortroad_routing/src/table/table_inputs.rs
@@ -13,7 +13,7 @@
     RouteTable,
     table::{
         endpoint_state::EndpointState,
-        route_choice::STARVED_SPAN,
+        route_choice::STARVED_TTL,
         route_table::PoolEntry, //
     }, //
 };
@@ -43,12 +43,12 @@
         if let Some(state) = self.arena[key.index()].take() {
             if state.facts.takes_work() {
                 let fleet = self.fleets.entry(state.facts.fleet).or_default();
-                fleet.remove(state.counted);
+                fleet.remove(state.counted_load);
             }
             self.leave_pools(key, &state.facts);
         }
-        self.vacant.push(key);
-        self.prefixes.remove(endpoint);
+        self.free_keys.push(key);
+        self.prefix_index.remove(endpoint);
         self.outliers.remove(endpoint);
     }
 
@@ -76,7 +76,7 @@
 
     /// Takes in cache events of an engine that announces itself to this node.
     pub fn observe_cache(&mut self, endpoint: EndpointId, events: &[CacheEvent], now: ClockTime) {
-        self.prefixes.observe(endpoint, events, now);
+        self.prefix_index.observe(endpoint, events, now);
     }
 
     /// Takes in the digest that an endpoint's home gives of it.
@@ -84,7 +84,7 @@
         if let Some(key) = self.ids.get(&endpoint).copied() {
             self.change(key, |state| {
                 state.view.observe(digest.load);
-                state.set_aside = digest.ejected;
+                state.ejected_by_home = digest.ejected;
             });
         }
     }
@@ -104,9 +104,9 @@
     /// A node is gone: its slots end after a while, since its requests may still run until the
     /// endpoints notice.
     pub fn expire_node_slots(&mut self, node: NodeId, now: ClockTime) {
-        let hold = self.settings.lost_node_slot_ttl;
+        let ttl = self.settings.lost_node_slot_ttl;
         for key in self.keys() {
-            self.change(key, |state| state.ledger.hold_all(node, now, hold));
+            self.change(key, |state| state.ledger.expire_all_within(node, now, ttl));
         }
     }
 
@@ -116,14 +116,14 @@
     /// The node may be lost and its requests with it, and membership takes seconds to tell. Homes
     /// that went on by the higher mean would put their endpoints above the bound.
     pub fn mark_unresponsive(&mut self, node: NodeId) {
-        if self.silent.insert(node) {
+        if self.unresponsive.insert(node) {
             self.recount_loads();
         }
     }
 
-    /// A node was heard.
+    /// A node was last_load.
     pub fn mark_responsive(&mut self, node: NodeId) {
-        if self.silent.remove(&node) {
+        if self.unresponsive.remove(&node) {
             self.recount_loads();
         }
     }
@@ -134,14 +134,14 @@
         }
     }
 
-    /// Forgets silent nodes on which nothing rests any more.
-    fn forget_silent(&mut self) {
+    /// Forgets unresponsive nodes on which nothing rests any more.
+    fn forget_unresponsive(&mut self) {
         let states = || self.arena.iter().flatten();
-        let matters = |node: &NodeId| {
-            states().any(|state| state.facts.home == *node || state.ledger.has_asker(*node))
+        let is_referenced = |node: &NodeId| {
+            states().any(|state| state.facts.home == *node || state.ledger.has_slots_of(*node))
         };
-        let silent = self.silent.iter().copied();
-        self.silent = silent.filter(matters).collect();
+        let unresponsive = self.unresponsive.iter().copied();
+        self.unresponsive = unresponsive.filter(is_referenced).collect();
     }
 
     /// Changes the multiple of the fleet mean that no endpoint may pass.
@@ -161,9 +161,9 @@
         for key in self.keys() {
             self.change(key, |state| state.ledger.sweep(now));
         }
-        self.forget_silent();
-        self.refused
-            .retain(|_, (_, at)| now.since(*at) < STARVED_SPAN);
+        self.forget_unresponsive();
+        self.recent_refusals
+            .retain(|_, (_, at)| now.since(*at) < STARVED_TTL);
     }
 
     fn keys(&self) -> Vec<EndpointKey> {
@@ -171,7 +171,7 @@
     }
 
     fn insert_endpoint(&mut self, facts: EndpointFacts, exclusive_from: ClockTime) {
-        let key = match self.vacant.pop() {
+        let key = match self.free_keys.pop() {
             Some(key) => key,
             None => {
                 self.arena.push(None);
@@ -199,11 +199,17 @@
         if state.facts == facts && state.exclusive_from == exclusive_from {
             return;
         }
-        let (before, counted) = (state.facts.clone(), state.counted);
+        let (before, counted_load) = (state.facts.clone(), state.counted_load);
         self.leave_pools(key, &before);
         if before.fleet != facts.fleet && before.takes_work() {
-            self.fleets.entry(before.fleet).or_default().remove(counted);
-            self.fleets.entry(facts.fleet).or_default().add(counted);
+            self.fleets
+                .entry(before.fleet)
+                .or_default()
+                .remove(counted_load);
+            self.fleets
+                .entry(facts.fleet)
+                .or_default()
+                .add(counted_load);
         }
         if facts.takes_work() {
             self.join_pools(key, &facts);
@@ -211,16 +217,16 @@
         self.change(key, |state| {
             if facts.home != before.home {
                 state.exclusive_from = exclusive_from;
-                state.settled = exclusive_from == ClockTime::ZERO;
-                // An earlier home's work is what was last heard of it, until a report says less.
-                let heard = if before.home == node {
+                state.handover_reported = exclusive_from == ClockTime::ZERO;
+                // An earlier home's work is what was last last_load of it, until a report says less.
+                let last_load = if before.home == node {
                     0
                 } else {
                     state.view.load
                 };
-                state.ledger.inherit(heard);
+                state.ledger.reset_to_inherited(last_load);
             } else if facts.home == node && exclusive_from != ClockTime::ZERO {
-                state.correct_exclusive(exclusive_from);
+                state.update_exclusive_from(exclusive_from);
             }
             state.facts = facts;
         });
--- a/crates/ragwortroad_routing/tests/bound.rs
+++ b/crates/ragwortroad_routing/tests/bound.rs
@@ -98,13 +98,13 @@
     }
 
     /// Asks `home` for a slot, whose request arrives `flight` ms later, and checks the bound.
-    fn ask(&mut self, engine: usize, home: usize, asker: usize, now: ClockTime, flight: u64) {
+    fn ask(&mut self, engine: usize, home: usize, requester: usize, now: ClockTime, flight: u64) {
         let table = &mut self.tables[home];
         let bound = table.settings().bound.of_mean(table.fleet_mean(FLEET));
         let id = engine_id(engine);
         let answer = table.grant_slot(
             id,
-            node_id(asker),
+            node_id(requester),
             CustomerKey(1),
             AdmissionClass::Returning,
             now,
@@ -221,12 +221,12 @@
             let engine = rng.random_range(0..ENGINES);
             match rng.random_range(0..100) {
                 0..60 => {
-                    let asker = rng.random_range(0..NODES);
+                    let requester = rng.random_range(0..NODES);
                     let home = fleet.homes[engine];
                     let former = fleet.former.get(&engine).map(|(old, _)| *old);
                     let home = former.filter(|_| rng.random::<bool>()).unwrap_or(home);
                     let flight = rng.random_range(0..=flight);
-                    fleet.ask(engine, home, asker, clock, flight);
+                    fleet.ask(engine, home, requester, clock, flight);
                 }
                 60..85 => {
                     let count = fleet.running[engine].len();
@@ -448,19 +448,19 @@
         };
         table.observe_digest(engine_id(engine), digest);
     }
-    let ask = |table: &mut RouteTable, engine, asker| {
+    let ask = |table: &mut RouteTable, engine, requester| {
         let claim = AdmissionClass::Returning;
         let answer = table.grant_slot(
             engine_id(engine),
-            node_id(asker),
+            node_id(requester),
             CustomerKey(1),
             claim,
             ClockTime(1_000),
         );
         matches!(answer, SlotAnswer::Granted { .. })
     };
-    for asker in [0, 0, 1, 2] {
-        assert!(ask(&mut table, 0, asker) && ask(&mut table, 4, asker));
+    for requester in [0, 0, 1, 2] {
+        assert!(ask(&mut table, 0, requester) && ask(&mut table, 4, requester));
     }
     assert!(table.fleet_mean(FLEET) > 4.0);
     let mut lost = table.clone();
--- a/crates/ragwortroad_routing/tests/limits.rs
+++ b/crates/ragwortroad_routing/tests/limits.rs
@@ -1,4 +1,4 @@
-//! A customer's limit holds over the whole fleet, and is given out in full.
+//! A customer's limit holds over the whole fleet, and is last_sent out in full.
 
 use rand::{
     RngExt,
@@ -48,10 +48,10 @@
 
     fn exchange(&mut self, now: ClockTime) {
         for node in 0..NODES {
-            for (keeper, digest) in self.limiters[node].demands(now) {
+            for (coordinator, digest) in self.limiters[node].demands(now) {
                 self.messages += 1;
-                let keeper = self.index(keeper);
-                self.limiters[keeper].merge_demand(self.ids[node], &digest, now);
+                let coordinator = self.index(coordinator);
+                self.limiters[coordinator].merge_demand(self.ids[node], &digest, now);
             }
         }
         for node in 0..NODES {
--- a/crates/ragwortroad_settings/src/engine_order_settings.rs
+++ b/crates/ragwortroad_settings/src/engine_order_settings.rs
@@ -35,9 +35,9 @@
 impl EngineOrderSettings {
     pub(crate) fn read(reader: &mut SettingsReader<'_>) -> Self {
         let default = Self::default();
-        let mut number = |key, default: u64, most| reader.number("orders", key, default, (1, most));
-        let rate = number("store_mb_per_s", default.store_mb_per_s.into(), MOST_MB);
-        let burst = number("store_burst_mb", default.store_burst_mb.into(), MOST_MB);
+        let mut number = |key, default: u64, max| reader.number("orders", key, default, (1, max));
+        let rate = number("store_mb_per_s", default.store_mb_per_s.into(), MAX_MB);
+        let burst = number("store_burst_mb", default.store_burst_mb.into(), MAX_MB);
         let loads = number("loads_at_once", default.loads_at_once as u64, 1000);
         let models = number("models_per_engine", default.models_per_engine as u64, 64);
         Self {
@@ -45,8 +45,8 @@
             store_burst_mb: u32::try_from(burst).unwrap_or(default.store_burst_mb),
             loads_at_once: loads as usize,
             models_per_engine: models as usize,
-            resend: reader.span("orders", "resend_ms", default.resend, (50, 600_000)),
-            load_bound: reader.span(
+            resend: reader.millis("orders", "resend_ms", default.resend, (50, 600_000)),
+            load_bound: reader.millis(
                 "orders",
                 "load_bound_ms",
                 default.load_bound,
@@ -57,4 +57,4 @@
 }
 
 /// A terabyte, in megabytes.
-const MOST_MB: u64 = 1_000_000;
+const MAX_MB: u64 = 1_000_000;
--- a/crates/ragwortroad_settings/src/fleet_settings.rs
+++ b/crates/ragwortroad_settings/src/fleet_settings.rs
@@ -23,9 +23,9 @@
         let example = "rvk-a-1@10.0.0.7:9080, hfj-b-1@10.0.1.7:9080";
         Self {
             seeds: reader.list("fleet", "seeds", example),
-            keys: reader.required("fleet", "keys").into(),
-            join_secret_file: reader.required("fleet", "join_secret_file").into(),
-            operator_key_file: reader.required("fleet", "operator_key_file").into(),
+            keys: reader.required_text("fleet", "keys").into(),
+            join_secret_file: reader.required_text("fleet", "join_secret_file").into(),
+            operator_key_file: reader.required_text("fleet", "operator_key_file").into(),
         }
     }
 }
--- a/crates/ragwortroad_settings/src/forward_settings.rs
+++ b/crates/ragwortroad_settings/src/forward_settings.rs
@@ -17,7 +17,7 @@
 use crate::{
     log_settings::LogSettings,
     mechanism_settings::MechanismSettings,
-    process_settings::read_whole,
+    process_settings::parse_settings,
     settings_error::{
         FaultySnafu,
         SettingsError,
@@ -87,12 +87,12 @@
 
 impl Default for ForwardSettings {
     fn default() -> Self {
-        let nowhere = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+        let unset_address = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
         Self {
             name: String::new(),
             zone: String::new(),
             domains: Vec::new(),
-            inner: nowhere,
+            inner: unset_address,
             inner_bind: None,
             seeds: Vec::new(),
             first_start: false,
@@ -136,7 +136,7 @@
     ///
     /// All faults, in the order of their lines.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, FaultList> {
-        read_whole(bytes, Self::read)
+        parse_settings(bytes, Self::read)
     }
 
     fn read(reader: &mut SettingsReader<'_>) -> Self {
@@ -147,11 +147,11 @@
         let link_mbps: Option<f64> = reader.optional_value("vm", "link_mbps", "100");
         let trust_disk = reader.optional_value("registry", "trust_disk", "false");
         let span = |reader: &mut SettingsReader<'_>, key, value| {
-            reader.span("bounds", key, value, (1, 3_600_000))
+            reader.millis("bounds", key, value, (1, 3_600_000))
         };
         Self {
-            name: reader.required("vm", "name"),
-            zone: reader.required("vm", "zone"),
+            name: reader.required_text("vm", "name"),
+            zone: reader.required_text("vm", "zone"),
             domains: reader.list("vm", "domains", "a"),
             inner: inner.unwrap_or(default.inner),
             inner_bind: optional_address(reader, "vm", "inner_bind"),
@@ -174,10 +174,10 @@
             announce_every: span(reader, "announce_every_ms", default.announce_every),
             grace: span(reader, "grace_ms", default.grace),
             directory_life: span(reader, "directory_life_ms", default.directory_life),
-            retry_ratio: fraction(reader, "retry_ratio", default.retry_ratio),
-            retry_slack: fraction(reader, "retry_slack", default.retry_slack),
+            retry_ratio: non_negative(reader, "retry_ratio", default.retry_ratio),
+            retry_slack: non_negative(reader, "retry_slack", default.retry_slack),
             retry_window: span(reader, "retry_window_ms", default.retry_window),
-            load_multiple: fraction(reader, "load_multiple", default.load_multiple),
+            load_multiple: non_negative(reader, "load_multiple", default.load_multiple),
             mechanisms: MechanismSettings::read(reader),
             log: LogSettings::read(reader),
         }
@@ -197,7 +197,7 @@
     reader.optional_value(section, key, "10.0.0.7:8080")
 }
 
-fn fraction(reader: &mut SettingsReader<'_>, key: &'static str, default: f64) -> f64 {
+fn non_negative(reader: &mut SettingsReader<'_>, key: &'static str, default: f64) -> f64 {
     let value: Option<f64> = reader.optional_value("bounds", key, "0.2");
     match value {
         Some(value) if !value.is_finite() || value < 0.0 => {
--- a/crates/ragwortroad_settings/src/limit_settings.rs
+++ b/crates/ragwortroad_settings/src/limit_settings.rs
@@ -46,18 +46,18 @@
 
 impl LimitSettings {
     pub(crate) fn read(reader: &mut SettingsReader<'_>) -> Self {
-        let base = Self::default();
-        let mut span = |key, default| reader.span("limits", key, default, (1, DAY_MS));
+        let default = Self::default();
+        let mut span = |key, default| reader.millis("limits", key, default, (1, DAY_MS));
         let spans = Self {
-            idle_timeout: span("idle_timeout_ms", base.idle_timeout),
-            header_timeout: span("header_timeout_ms", base.header_timeout),
-            body_timeout: span("body_timeout_ms", base.body_timeout),
-            default_deadline: span("default_deadline_ms", base.default_deadline),
-            max_deadline: span("max_deadline_ms", base.max_deadline),
-            drain_timeout: span("drain_timeout_ms", base.drain_timeout),
-            ..base
+            idle_timeout: span("idle_timeout_ms", default.idle_timeout),
+            header_timeout: span("header_timeout_ms", default.header_timeout),
+            body_timeout: span("body_timeout_ms", default.body_timeout),
+            default_deadline: span("default_deadline_ms", default.default_deadline),
+            max_deadline: span("max_deadline_ms", default.max_deadline),
+            drain_timeout: span("drain_timeout_ms", default.drain_timeout),
+            ..default
         };
-        let mut number = |key, default, most| reader.number("limits", key, default, (1, most));
+        let mut number = |key, default, max| reader.number("limits", key, default, (1, max));
         Self {
             max_body: number("max_body_bytes", spans.max_body, 1 << 30),
             max_header: number("max_header_bytes", spans.max_header, 1 << 20),
--- a/crates/ragwortroad_settings/src/line_index.rs
+++ b/crates/ragwortroad_settings/src/line_index.rs
@@ -5,12 +5,12 @@
 pub(crate) struct LineIndex {
     /// Line of each section's first header, from 1.
     sections: HashMap<String, usize>,
-    /// Line of each key's first place, by section and key.
+    /// Line of each key's first entry, by section and key.
     keys: HashMap<(String, String), usize>,
     /// Later headers of a section that came before, with their lines.
-    pub(crate) repeated_sections: Vec<(String, usize)>,
+    pub(crate) duplicate_sections: Vec<(String, usize)>,
     /// Later places of a key that came before in its section, with their lines.
-    pub(crate) repeated_keys: Vec<(String, String, usize)>,
+    pub(crate) duplicate_keys: Vec<(String, String, usize)>,
 }
 
 impl LineIndex {
@@ -37,26 +37,26 @@
 
     /// Line of `key` in `section`; the header's line where the key is missing.
     pub(crate) fn key_line(&self, section: &str, key: &str) -> usize {
-        let place = (section.to_owned(), key.to_owned());
-        let line = self.keys.get(&place).copied();
+        let entry = (section.to_owned(), key.to_owned());
+        let line = self.keys.get(&entry).copied();
         line.unwrap_or_else(|| self.section_line(section))
     }
 
     fn add_section(&mut self, section: &str, line: usize) {
         if self.sections.contains_key(section) {
-            self.repeated_sections.push((section.to_owned(), line));
+            self.duplicate_sections.push((section.to_owned(), line));
             return;
         }
         self.sections.insert(section.to_owned(), line);
     }
 
     fn add_key(&mut self, section: &str, key: &str, line: usize) {
-        let place = (section.to_owned(), key.to_owned());
-        if self.keys.contains_key(&place) {
-            self.repeated_keys.push((place.0, place.1, line));
+        let entry = (section.to_owned(), key.to_owned());
+        if self.keys.contains_key(&entry) {
+            self.duplicate_keys.push((entry.0, entry.1, line));
             return;
         }
-        self.keys.insert(place, line);
+        self.keys.insert(entry, line);
     }
 }
 
--- a/crates/ragwortroad_settings/src/mechanism_settings.rs
+++ b/crates/ragwortroad_settings/src/mechanism_settings.rs
@@ -65,27 +65,27 @@
 
 impl MechanismSettings {
     pub(crate) fn read(reader: &mut SettingsReader<'_>) -> Self {
-        let mut is_on = |key| {
+        let mut is_enabled = |key| {
             let value = reader.optional_value("mechanisms", key, "true");
             value.unwrap_or(true)
         };
         Self {
-            admission: is_on("admission"),
-            plain_limit: is_on("plain_limit"),
-            late_last: is_on("late_last"),
-            long_return: is_on("long_return"),
-            text_places: is_on("text_places"),
-            told_places: is_on("told_places"),
-            text_copies: is_on("text_copies"),
-            told_loads: is_on("told_loads"),
-            failure_pauses: is_on("failure_pauses"),
-            failing_share: is_on("failing_share"),
-            repeats: is_on("repeats"),
-            silence: is_on("silence"),
-            resume: is_on("resume"),
-            start_wait: is_on("start_wait"),
-            holder_wait: is_on("holder_wait"),
-            engine_ranks: is_on("engine_ranks"),
+            admission: is_enabled("admission"),
+            plain_limit: is_enabled("plain_limit"),
+            late_last: is_enabled("late_last"),
+            long_return: is_enabled("long_return"),
+            text_places: is_enabled("text_places"),
+            told_places: is_enabled("told_places"),
+            text_copies: is_enabled("text_copies"),
+            told_loads: is_enabled("told_loads"),
+            failure_pauses: is_enabled("failure_pauses"),
+            failing_share: is_enabled("failing_share"),
+            repeats: is_enabled("repeats"),
+            silence: is_enabled("silence"),
+            resume: is_enabled("resume"),
+            start_wait: is_enabled("start_wait"),
+            holder_wait: is_enabled("holder_wait"),
+            engine_ranks: is_enabled("engine_ranks"),
         }
     }
 }
--- a/crates/ragwortroad_settings/src/node_settings.rs
+++ b/crates/ragwortroad_settings/src/node_settings.rs
@@ -43,9 +43,9 @@
         let peer = reader.required_value("node", "peer", "10.0.0.7:9080");
         let threads = default.traffic_threads as u64;
         Self {
-            name: reader.required("node", "name"),
-            zone: reader.required("node", "zone"),
-            region: reader.required("node", "region"),
+            name: reader.required_text("node", "name"),
+            zone: reader.required_text("node", "zone"),
+            region: reader.required_text("node", "region"),
             listen: listen.unwrap_or(default.listen),
             peer: peer.unwrap_or(default.peer),
             traffic_threads: reader.number("node", "traffic_threads", threads, (1, 64)) as usize,
--- a/crates/ragwortroad_settings/src/process_settings.rs
+++ b/crates/ragwortroad_settings/src/process_settings.rs
@@ -61,7 +61,7 @@
     ///
     /// All faults, in the order of their lines.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, FaultList> {
-        read_whole(bytes, Self::read)
+        parse_settings(bytes, Self::read)
     }
 
     fn read(reader: &mut SettingsReader<'_>) -> Self {
@@ -73,7 +73,7 @@
             limits: LimitSettings::read(reader),
             log: LogSettings::read(reader),
         };
-        settings.check_together(reader);
+        settings.check_key_combinations(reader);
         settings
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Faults that show only where two keys are seen together.
-    fn check_together(&self, reader: &mut SettingsReader<'_>) {
+    fn check_key_combinations(&self, reader: &mut SettingsReader<'_>) {
         if !reader.has_section("state") {
             let remedy = "add a [state] section with 'members = ...'".to_owned();
             reader.fault("state", "members", "is missing".to_owned(), remedy);
@@ -108,7 +108,7 @@
 /// What `read` makes of a file, or every fault of it.
 ///
 /// Some editors begin a file with a byte order mark. It is no part of the first section's name.
-pub(crate) fn read_whole<T>(
+pub(crate) fn parse_settings<T>(
     bytes: &[u8],
     read: impl FnOnce(&mut SettingsReader<'_>) -> T,
 ) -> Result<T, FaultList> {
--- a/crates/ragwortroad_settings/src/settings_reader.rs
+++ b/crates/ragwortroad_settings/src/settings_reader.rs
@@ -37,7 +37,7 @@
     }
 
     /// The text of a key that must be there.
-    pub(crate) fn required(&mut self, section: &'static str, key: &'static str) -> String {
+    pub(crate) fn required_text(&mut self, section: &'static str, key: &'static str) -> String {
         let text = self.text(section, key);
         if text.is_none() {
             let remedy = format!("add '{key} = ...' under [{section}]");
@@ -57,7 +57,7 @@
         T: FromStr,
         T::Err: Display,
     {
-        let text = self.required(section, key);
+        let text = self.required_text(section, key);
         if text.is_empty() {
             return None;
         }
@@ -79,29 +79,29 @@
         self.parse(section, key, &text, example)
     }
 
-    /// A whole number between `least` and `most`, or `default` where the key is missing.
+    /// A whole number between `min` and `max`, or `default` where the key is missing.
     pub(crate) fn number(
         &mut self,
         section: &'static str,
         key: &'static str,
         default: u64,
-        (least, most): (u64, u64),
+        (min, max): (u64, u64),
     ) -> u64 {
         let example = default.to_string();
         let Some(value) = self.optional_value::<u64>(section, key, &example) else {
             return default;
         };
-        if (least..=most).contains(&value) {
+        if (min..=max).contains(&value) {
             return value;
         }
         let message = format!("{value} is out of range");
-        let remedy = format!("give a whole number from {least} to {most}");
+        let remedy = format!("give a whole number from {min} to {max}");
         self.fault(section, key, message, remedy);
         default
     }
 
-    /// A span in milliseconds between `least` and `most`, or `default`.
-    pub(crate) fn span(
+    /// A span in milliseconds between `min` and `max`, or `default`.
+    pub(crate) fn millis(
         &mut self,
         section: &'static str,
         key: &'static str,
@@ -150,8 +150,8 @@
 
     /// All faults, with those of unknown and repeated names, in the order of their lines.
     pub(crate) fn finish(mut self) -> Vec<SettingsFault> {
-        self.find_unknown();
-        self.find_repeated();
+        self.report_unknown();
+        self.report_duplicates();
         self.faults.sort_by_key(|fault| fault.line);
         self.faults
     }
@@ -172,7 +172,7 @@
         }
     }
 
-    fn find_unknown(&mut self) {
+    fn report_unknown(&mut self) {
         let mut found = Vec::new();
         for (section, properties) in self.file.iter() {
             let section = section.unwrap_or("");
@@ -204,7 +204,7 @@
             line: self.index.section_line(section),
             key: format!("[{section}]"),
             message: "is not a section".to_owned(),
-            remedy: nearest_remedy(section, names),
+            remedy: suggest_nearest(section, names),
         })
     }
 
@@ -213,12 +213,12 @@
             line: self.index.key_line(section, key),
             key: format!("{section}.{key}"),
             message: "is not a key".to_owned(),
-            remedy: nearest_remedy(key, known.iter().copied()),
+            remedy: suggest_nearest(key, known.iter().copied()),
         }
     }
 
-    fn find_repeated(&mut self) {
-        for (section, line) in &self.index.repeated_sections {
+    fn report_duplicates(&mut self) {
+        for (section, line) in &self.index.duplicate_sections {
             self.faults.push(SettingsFault {
                 line: *line,
                 key: format!("[{section}]"),
@@ -226,7 +226,7 @@
                 remedy: "merge it into the first one".to_owned(),
             });
         }
-        for (section, key, line) in &self.index.repeated_keys {
+        for (section, key, line) in &self.index.duplicate_keys {
             self.faults.push(SettingsFault {
                 line: *line,
                 key: format!("{section}.{key}"),
@@ -238,7 +238,7 @@
 }
 
 /// Names the known word nearest to `word`.
-fn nearest_remedy(word: &str, known: impl Iterator<Item = &'static str>) -> String {
+fn suggest_nearest(word: &str, known: impl Iterator<Item = &'static str>) -> String {
     let nearest = known.min_by_key(|name| strsim::damerau_levenshtein(word, name));
     match nearest {
         Some(name) => format!("did you mean '{name}'?"),
--- a/crates/ragwortroad_settings/src/state_settings.rs
+++ b/crates/ragwortroad_settings/src/state_settings.rs
@@ -54,14 +54,14 @@
             let remedy = "name 1, 3, 5 or 7; an even number survives no more losses".to_owned();
             reader.fault("state", "members", message, remedy);
         }
-        let bound = reader.span(
+        let bound = reader.millis(
             "state",
             "follow_bound_ms",
             default.follow_bound,
             (300, 17_000),
         );
-        let lease = reader.span("state", "lease_ms", default.lease, (100, 15_000));
-        let trust = reader.optional_value("state", "trust_disk", "false");
+        let lease = reader.millis("state", "lease_ms", default.lease, (100, 15_000));
+        let trust_disk = reader.optional_value("state", "trust_disk", "false");
         Self {
             members,
             data_folder: reader.text("state", "data_folder").map(PathBuf::from),
@@ -74,7 +74,7 @@
                 default.drift_permille,
                 (0, 200),
             ),
-            trust_disk: trust.unwrap_or(false),
+            trust_disk: trust_disk.unwrap_or(false),
         }
     }
 }
--- a/tools/ci/src/import_circles.rs
+++ b/tools/ci/src/import_cycles.rs
@@ -28,19 +28,19 @@
 /// Reads the sources below a crate's `src` folder.
 pub(crate) fn read_sources(folder: &Path) -> io::Result<SourceTexts> {
     let mut sources = SourceTexts::new();
-    read_below(folder, "", &mut sources)?;
+    read_folder(folder, "", &mut sources)?;
     Ok(sources)
 }
 
-fn read_below(folder: &Path, module: &str, sources: &mut SourceTexts) -> io::Result<()> {
+fn read_folder(folder: &Path, module: &str, sources: &mut SourceTexts) -> io::Result<()> {
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
         let Some(stem) = path.file_stem().and_then(|stem| stem.to_str()) else {
             continue;
         };
-        let inner = join(module, stem);
+        let inner = child_module(module, stem);
         if path.is_dir() {
-            read_below(&path, &inner, sources)?;
+            read_folder(&path, &inner, sources)?;
         } else if path.extension().is_some_and(|ending| ending == "rs") {
             let name = match stem {
                 "lib" | "main" | "mod" => module.to_owned(),
@@ -52,8 +52,8 @@
     Ok(())
 }
 
-/// Modules that stand in circles or between them, with what they import from each other.
-pub(crate) fn find_circles(sources: &SourceTexts) -> syn::Result<ImportGraph> {
+/// Modules that stand in cycles or between them, with what they import from each other.
+pub(crate) fn find_cycles(sources: &SourceTexts) -> syn::Result<ImportGraph> {
     let mut paths: BTreeMap<&str, Vec<UsedPath>> = BTreeMap::new();
     for (module, text) in sources {
         let file = syn::parse_file(text)?;
@@ -75,7 +75,7 @@
             graph.insert((*module).to_owned(), imports.collect());
         }
     }
-    Ok(circles_of(graph))
+    Ok(cycles_of(graph))
 }
 
 /// A path that a module imports, from the crate's root on.
@@ -164,7 +164,7 @@
 }
 
 /// What is left of a graph without the modules that import, or are imported by, nothing in it.
-fn circles_of(mut graph: ImportGraph) -> ImportGraph {
+fn cycles_of(mut graph: ImportGraph) -> ImportGraph {
     loop {
         let imported: BTreeSet<String> = graph.values().flatten().cloned().collect();
         let before = graph.len();
@@ -179,7 +179,7 @@
     }
 }
 
-fn join(module: &str, name: &str) -> String {
+fn child_module(module: &str, name: &str) -> String {
     match module {
         "" => name.to_owned(),
         _ => format!("{module}::{name}"),
--- a/tools/ci/src/known_red.rs
+++ b/tools/ci/src/known_red.rs
@@ -1,7 +1,7 @@
 use std::fs;
 
 /// Most tests that may be listed.
-const MOST: usize = 3;
+const MAX_KNOWN_RED: usize = 3;
 
 /// A test that fails for a fault that is known and not mended yet.
 pub(crate) struct KnownRed {
@@ -22,9 +22,9 @@
         let lines = text.lines().map(str::trim);
         let lines = lines.filter(|line| !line.is_empty() && !line.starts_with('#'));
         let known: Vec<Self> = lines.map(Self::from_line).collect::<Result<_, _>>()?;
-        if known.len() > MOST {
+        if known.len() > MAX_KNOWN_RED {
             return Err(format!(
-                "{} tests are listed; mend all but {MOST}",
+                "{} tests are listed; mend all but {MAX_KNOWN_RED}",
                 known.len()
             ));
         }
--- a/tools/ci/src/main.rs
+++ b/tools/ci/src/main.rs
@@ -3,7 +3,7 @@
 //! `cargo run -p ci` does on a developer's machine what `.ci/run` does on a fresh one. Tests named
 //! in `KNOWN-RED.txt` run apart and are printed; they decide nothing until their fault is mended.
 
-mod import_circles;
+mod import_cycles;
 mod known_red;
 mod platform_words;
 mod test_docs;
@@ -23,8 +23,8 @@
     }, //
 };
 
-use import_circles::{
-    find_circles,
+use import_cycles::{
+    find_cycles,
     read_sources, //
 };
 use known_red::KnownRed;
@@ -58,7 +58,7 @@
             return ExitCode::FAILURE;
         }
     };
-    if !platform_words_are_kept() || !imports_have_no_circles() || !test_docs_are_short() {
+    if !platform_words_are_confined() || !imports_have_no_cycles() || !test_docs_are_short() {
         return ExitCode::FAILURE;
     }
     for check in CHECKS {
@@ -66,19 +66,22 @@
             return ExitCode::FAILURE;
         }
     }
-    for red in &known {
-        let verdict = match run_cargo(&red.arguments()) {
+    for known_red in &known {
+        let verdict = match run_cargo(&known_red.arguments()) {
             true => "passed this time",
             false => "failed",
         };
-        println!("known red, {verdict}: {} ({})", red.test, red.cause);
+        println!(
+            "known red, {verdict}: {} ({})",
+            known_red.test, known_red.cause
+        );
     }
     let mut tests = TESTS.to_vec();
     if !known.is_empty() {
         tests.push("--");
     }
-    for red in &known {
-        tests.extend(["--skip", red.test.as_str()]);
+    for known_red in &known {
+        tests.extend(["--skip", known_red.test.as_str()]);
     }
     match run_cargo(&tests) {
         true => ExitCode::SUCCESS,
@@ -87,19 +90,19 @@
 }
 
 /// Tells whether the platform's words stand in the adapter only, and prints those that do not.
-fn platform_words_are_kept() -> bool {
+fn platform_words_are_confined() -> bool {
     println!("words of {}", platform_words::WORDS_PATH);
     let found = fs::read_to_string(platform_words::WORDS_PATH).and_then(|text| {
         let words = platform_words::read_words(&text);
-        platform_words::find_below(Path::new("."), &words)
+        platform_words::find_in_sources(Path::new("."), &words)
     });
     match found {
         Ok(found) => {
-            for stray in &found {
-                let path = stray.path.display();
+            for misplaced in &found {
+                let path = misplaced.path.display();
                 eprintln!(
                     "{path}:{}: '{}' belongs into platform/",
-                    stray.line, stray.word
+                    misplaced.line, misplaced.word
                 );
             }
             found.is_empty()
@@ -112,18 +115,18 @@
 }
 
 /// Tells whether no crate's files import each other in a circle, and prints those that do.
-fn imports_have_no_circles() -> bool {
-    println!("circles of imports");
-    match crate_circles() {
-        Ok(circles) => {
-            for (folder, module, imports) in &circles {
+fn imports_have_no_cycles() -> bool {
+    println!("cycles of imports");
+    match crate_import_cycles() {
+        Ok(cycles) => {
+            for (folder, module, imports) in &cycles {
                 let imports = imports.join(", ");
                 eprintln!(
                     "{}: {module} imports {imports} in a circle",
                     folder.display()
                 );
             }
-            circles.is_empty()
+            cycles.is_empty()
         }
         Err(reason) => {
             eprintln!("imports cannot be checked: {reason}");
@@ -133,26 +136,26 @@
 }
 
 /// Folder, module and imports of each module in a circle, over all crates of the repository.
-fn crate_circles() -> Result<Vec<(PathBuf, String, Vec<String>)>, String> {
-    let mut circles = Vec::new();
+fn crate_import_cycles() -> Result<Vec<(PathBuf, String, Vec<String>)>, String> {
+    let mut cycles = Vec::new();
     for folder in crate_folders("src").map_err(|error| error.to_string())? {
         let sources = read_sources(&folder).map_err(|error| error.to_string())?;
-        let graph = find_circles(&sources);
+        let graph = find_cycles(&sources);
         let graph = graph.map_err(|error| format!("{}: {error}", folder.display()))?;
         let found = graph.into_iter();
         let found = found.map(|(module, imports)| {
             let imports = imports.into_iter().collect();
             (folder.clone(), module, imports)
         });
-        circles.extend(found);
+        cycles.extend(found);
     }
-    Ok(circles)
+    Ok(cycles)
 }
 
 /// Checks that no test has more than [`MAX_TEST_DOC_LINES`] doc lines, and prints those that do.
 fn test_docs_are_short() -> bool {
     println!("lines above tests");
-    match told_at_length() {
+    match tests_with_long_docs() {
         Ok(tests) => {
             for (folder, test) in &tests {
                 let folder = folder.display();
@@ -171,7 +174,7 @@
 }
 
 /// Returns the folder and name of each test with more than [`MAX_TEST_DOC_LINES`] doc lines.
-fn told_at_length() -> Result<Vec<(PathBuf, String)>, String> {
+fn tests_with_long_docs() -> Result<Vec<(PathBuf, String)>, String> {
     let mut tests = Vec::new();
     for name in ["src", "tests"] {
         for folder in crate_folders(name).map_err(|error| error.to_string())? {
--- a/tools/ci/src/platform_words.rs
+++ b/tools/ci/src/platform_words.rs
@@ -16,11 +16,11 @@
 pub(crate) const WORDS_PATH: &str = "platform/words.txt";
 
 /// Folders that may hold the words, or no source of ours.
-const FREE_FOLDERS: [&str; 5] = ["platform", "deploy", "target", "journal", ".git"];
+const EXEMPT_FOLDERS: [&str; 5] = ["platform", "deploy", "target", "journal", ".git"];
 
 /// A word where it must not stand.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct StrayWord {
+pub(crate) struct MisplacedWord {
     pub(crate) path: PathBuf,
     pub(crate) line: usize,
     pub(crate) word: String,
@@ -34,13 +34,13 @@
 }
 
 /// Finds the words in one file's text, whatever their case.
-pub(crate) fn find_in(path: &Path, text: &str, words: &[String]) -> Vec<StrayWord> {
+pub(crate) fn find_in_text(path: &Path, text: &str, words: &[String]) -> Vec<MisplacedWord> {
     let mut found = Vec::new();
     for (index, line) in text.lines().enumerate() {
         let lower = line.to_ascii_lowercase();
         for word in words {
             if lower.contains(&word.to_ascii_lowercase()) {
-                found.push(StrayWord {
+                found.push(MisplacedWord {
                     path: path.to_owned(),
                     line: index + 1,
                     word: word.clone(),
@@ -52,22 +52,23 @@
 }
 
 /// Finds the words in all Rust sources below `root`, but for the free folders.
-pub(crate) fn find_below(root: &Path, words: &[String]) -> io::Result<Vec<StrayWord>> {
+pub(crate) fn find_in_sources(root: &Path, words: &[String]) -> io::Result<Vec<MisplacedWord>> {
     let mut found = Vec::new();
     let mut folders = vec![root.to_owned()];
     while let Some(folder) = folders.pop() {
         for entry in fs::read_dir(&folder)? {
             let path = entry?.path();
             let name = path.file_name().and_then(|name| name.to_str());
-            let is_free = folder == root && name.is_some_and(|name| FREE_FOLDERS.contains(&name));
-            if is_free {
+            let is_exempt =
+                folder == root && name.is_some_and(|name| EXEMPT_FOLDERS.contains(&name));
+            if is_exempt {
                 continue;
             }
             if path.is_dir() {
                 folders.push(path);
             } else if path.extension().is_some_and(|extension| extension == "rs") {
                 let text = fs::read_to_string(&path)?;
-                found.extend(find_in(&path, &text, words));
+                found.extend(find_in_text(&path, &text, words));
             }
         }
     }
--- a/tools/ci/src/test_docs.rs
+++ b/tools/ci/src/test_docs.rs
@@ -16,19 +16,19 @@
 /// lines.
 pub(crate) fn long_test_docs(text: &str) -> syn::Result<Vec<String>> {
     let file = syn::parse_file(text)?;
-    Ok(tests_of(&file.items))
+    Ok(long_docs_in(&file.items))
 }
 
-fn tests_of(items: &[Item]) -> Vec<String> {
+fn long_docs_in(items: &[Item]) -> Vec<String> {
     let mut found = Vec::new();
     for item in items {
         match item {
-            Item::Fn(function) if is_told_at_length(function) => {
+            Item::Fn(function) if has_long_docs(function) => {
                 found.push(function.sig.ident.to_string());
             }
             Item::Mod(module) => {
                 let inner = module.content.as_ref().map(|(_, items)| items.as_slice());
-                found.extend(tests_of(inner.unwrap_or_default()));
+                found.extend(long_docs_in(inner.unwrap_or_default()));
             }
             _ => {}
         }
@@ -36,7 +36,7 @@
     found
 }
 
-fn is_told_at_length(function: &ItemFn) -> bool {
+fn has_long_docs(function: &ItemFn) -> bool {
     let has = |attribute: &&Attribute, name: &str| {
         let last = attribute.path().segments.last();
         last.is_some_and(|segment| segment.ident == name)
--- a/tools/ci/src/tests.rs
+++ b/tools/ci/src/tests.rs
@@ -5,10 +5,10 @@
 };
 
 use crate::{
-    import_circles::find_circles,
+    import_cycles::find_cycles,
     platform_words::{
-        find_below,
-        find_in,
+        find_in_sources,
+        find_in_text,
         read_words, //
     },
     test_docs::long_test_docs, //
@@ -20,21 +20,24 @@
     let words = read_words("# a comment\n\nX-Made-Up\n");
     assert_eq!(words, ["X-Made-Up"]);
     let text = "fn is_run(headers: &HeaderMap) {\n    headers.get(\"x-made-up\");\n}\n";
-    let found = find_in(Path::new("crates/edge.rs"), text, &words);
+    let found = find_in_text(Path::new("crates/edge.rs"), text, &words);
     assert_eq!((found.len(), found[0].line), (1, 2));
 }
 
 #[test]
-fn only_sources_outside_the_free_folders_are_searched() {
+fn only_sources_outside_the_exempt_folders_are_searched() {
     let root = std::env::temp_dir().join(format!("platform-words-{}", std::process::id()));
     for folder in ["platform/src", "crates/edge/src"] {
         fs::create_dir_all(root.join(folder)).expect("a folder");
         fs::write(root.join(folder).join("lib.rs"), "// X-Made-Up\n").expect("a file");
     }
     fs::write(root.join("notes.md"), "X-Made-Up").expect("a file");
-    let found = find_below(&root, &["X-Made-Up".to_owned()]).expect("reads");
+    let found = find_in_sources(&root, &["X-Made-Up".to_owned()]).expect("reads");
     fs::remove_dir_all(&root).expect("removes what it made");
-    let paths: Vec<_> = found.iter().map(|stray| stray.path.clone()).collect();
+    let paths: Vec<_> = found
+        .iter()
+        .map(|misplaced| misplaced.path.clone())
+        .collect();
     assert_eq!(paths, [root.join("crates/edge/src/lib.rs")]);
 }
 
@@ -43,12 +46,12 @@
     texts.iter().map(owned).collect()
 }
 
-/// Guards against a check that misses circles through re-exports, `super` and inner modules.
+/// Guards against a check that misses cycles through re-exports, `super` and inner modules.
 #[test]
-fn a_circle_of_imports_is_found() {
+fn an_import_cycle_is_found() {
     let root = "mod one; mod two; mod deep;\npub mod prelude { pub use crate::one::First; }\n\
         pub use prelude::*;\n";
-    let found = find_circles(&sources(&[
+    let found = find_cycles(&sources(&[
         ("", root),
         (
             "one",
@@ -75,8 +78,8 @@
 }
 
 #[test]
-fn a_line_of_imports_is_no_circle() {
-    let found = find_circles(&sources(&[
+fn a_chain_of_imports_is_no_cycle() {
+    let found = find_cycles(&sources(&[
         (
             "",
             "mod one; mod two; mod three;\npub use crate::one::First;\n",
--- a/tools/compare/src/play_bench.rs
+++ b/tools/compare/src/bench_runner.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     command_line::CommandLine,
-    play_figures::PlayFigures, //
+    run_figures::RunFigures, //
 };
 
 /// The template of the settings, within the repository.
@@ -51,7 +51,7 @@
         /// What the system said.
         source: io::Error,
     },
-    /// A play printed no figures.
+    /// A run printed no figures.
     #[snafu(display("no figures in what the bench wrote: {output}"))]
     NoFigures {
         /// What it wrote.
@@ -60,14 +60,14 @@
 }
 
 /// A clone of the repository in which days are played.
-pub(crate) struct PlayBench {
+pub(crate) struct BenchRunner {
     bench: PathBuf,
     work: PathBuf,
     /// The template as it stands in the repository.
     template: String,
 }
 
-impl PlayBench {
+impl BenchRunner {
     /// Makes the clone where there is none.
     pub(crate) fn prepare(line: &CommandLine) -> Result<Self, BenchError> {
         if !line.work.is_dir() {
@@ -85,45 +85,45 @@
         })
     }
 
-    /// Writes the template of a way into the clone.
-    pub(crate) fn take_way(&self, way: &str) -> Result<(), BenchError> {
-        let settings = match way {
+    /// Writes the template of a variant into the clone.
+    pub(crate) fn apply_variant(&self, variant: &str) -> Result<(), BenchError> {
+        let settings = match variant {
             "none" => String::new(),
             path => fs::read_to_string(path).context(FileSnafu { path })?,
         };
         let path = self.work.join(TEMPLATE);
-        let text = template_of(&self.template, &settings);
+        let text = add_variant(&self.template, &settings);
         fs::write(&path, text).context(FileSnafu { path })
     }
 
-    /// Plays a day; its entry in the clone's journal names the way.
-    pub(crate) fn play(
+    /// Plays a day; its entry in the clone's journal names the variant.
+    pub(crate) fn run(
         &self,
-        way: &str,
+        variant: &str,
         site: &Path,
         day: &str,
         seed: u64,
-    ) -> Result<PlayFigures, BenchError> {
+    ) -> Result<RunFigures, BenchError> {
         let mut run = Command::new(&self.bench);
         run.current_dir(&self.work).arg("run").arg(site).arg(day);
         run.args(["--jobs", "1", "--seed", &seed.to_string()]);
-        run.args(["--why", &format!("comparison: way {way}")]);
+        run.args(["--why", &format!("comparison: way {variant}")]);
         let output = output_of(&mut run)?;
-        PlayFigures::read(&output).context(NoFiguresSnafu { output })
+        RunFigures::read(&output).context(NoFiguresSnafu { output })
     }
 }
 
-impl Drop for PlayBench {
+impl Drop for BenchRunner {
     fn drop(&mut self) {
-        if let Err(error) = self.take_way("none") {
-            eprintln!("the clone keeps the settings of the last way: {error}");
+        if let Err(error) = self.apply_variant("none") {
+            eprintln!("the clone keeps the settings of the last variant: {error}");
         }
     }
 }
 
-/// The template of the settings with those of a way below it.
-pub(crate) fn template_of(template: &str, way: &str) -> String {
-    format!("{}\n\n{}\n", template.trim_end(), way.trim())
+/// The template of the settings with those of a variant below it.
+pub(crate) fn add_variant(template: &str, variant: &str) -> String {
+    format!("{}\n\n{}\n", template.trim_end(), variant.trim())
 }
 
 fn output_of(command: &mut Command) -> Result<String, BenchError> {
@@ -131,7 +131,7 @@
     let ended = command.output().context(RunSnafu { program: &program })?;
     let output = String::from_utf8_lossy(&ended.stdout).into_owned();
     // A day that breaks a rule ends with a failure, and its figures count.
-    let has_figures = PlayFigures::read(&output).is_some();
+    let has_figures = RunFigures::read(&output).is_some();
     ensure!(
         ended.status.success() || has_figures,
         FailedSnafu { program, output }
--- a/tools/compare/src/command_line.rs
+++ b/tools/compare/src/command_line.rs
@@ -6,10 +6,10 @@
 #[derive(Debug)]
 #[derive(Parser)]
 pub(crate) struct CommandLine {
-    /// The program that plays days and takes `run SITE DAY`.
+    /// The program that runs days and takes `run SITE DAY`.
     #[arg(long)]
     pub(crate) bench: PathBuf,
-    /// A clone of the repository to play in; made if it is not there. Its template of the settings
+    /// A clone of the repository to run in; made if it is not there. Its template of the settings
     /// is changed, and its journal gets the entries.
     #[arg(long)]
     pub(crate) work: PathBuf,
@@ -22,7 +22,7 @@
     /// Names of days, or files of days.
     #[arg(long = "day", required = true)]
     pub(crate) days: Vec<String>,
-    /// Seeds of the plays.
+    /// Seeds of the runs.
     #[arg(long = "seed", required = true)]
     pub(crate) seeds: Vec<u64>,
 }
--- a/tools/compare/src/main.rs
+++ b/tools/compare/src/main.rs
@@ -1,12 +1,12 @@
-//! Compares ways to decide: plays each on the same days, seeds and sites, and prints one table.
+//! Compares ways to decide: runs each on the same days, seeds and sites, and prints one table.
 //!
-//! A way is a file of settings that is put below the template of the settings, or `none` for what
-//! stands there. The first way named is the one that the others are compared with.
+//! A variant is a file of settings that is put below the template of the settings, or `none` for what
+//! stands there. The first variant named is the one that the others are compared with.
 
+mod bench_runner;
 mod command_line;
 mod paired_difference;
-mod play_bench;
-mod play_figures;
+mod run_figures;
 #[cfg(test)]
 mod tests;
 
@@ -14,13 +14,13 @@
 
 use clap::Parser;
 
-use command_line::CommandLine;
-use paired_difference::PairedDifference;
-use play_bench::{
+use bench_runner::{
     BenchError,
-    PlayBench, //
+    BenchRunner, //
 };
-use play_figures::PlayFigures;
+use command_line::CommandLine;
+use paired_difference::PairedDifference;
+use run_figures::RunFigures;
 
 fn main() -> ExitCode {
     let line = CommandLine::parse();
@@ -35,10 +35,10 @@
 
 /// Plays all that the command line names, and prints a row for each site and day.
 fn compare(line: &CommandLine) -> Result<(), BenchError> {
-    let bench = PlayBench::prepare(line)?;
+    let bench = BenchRunner::prepare(line)?;
     for site in &line.sites {
         for day in &line.days {
-            let figures = play_ways(&bench, line, site, day)?;
+            let figures = run_variants(&bench, line, site, day)?;
             println!("{} {day}", site.display());
             print_rows(&line.ways, &figures);
         }
@@ -46,35 +46,35 @@
     Ok(())
 }
 
-/// Figures of each way, in the order of the seeds.
-fn play_ways(
-    bench: &PlayBench,
+/// Figures of each variant, in the order of the seeds.
+fn run_variants(
+    bench: &BenchRunner,
     line: &CommandLine,
     site: &std::path::Path,
     day: &str,
-) -> Result<Vec<Vec<PlayFigures>>, BenchError> {
+) -> Result<Vec<Vec<RunFigures>>, BenchError> {
     let mut figures = Vec::new();
-    for way in &line.ways {
-        bench.take_way(way)?;
-        let plays = line.seeds.iter().map(|seed| {
-            let play = bench.play(way, site, day, *seed)?;
-            println!("  {way} seed {seed}: {play}");
-            Ok(play)
+    for variant in &line.ways {
+        bench.apply_variant(variant)?;
+        let runs = line.seeds.iter().map(|seed| {
+            let run = bench.run(variant, site, day, *seed)?;
+            println!("  {variant} seed {seed}: {run}");
+            Ok(run)
         });
-        figures.push(plays.collect::<Result<_, BenchError>>()?);
+        figures.push(runs.collect::<Result<_, BenchError>>()?);
     }
     Ok(figures)
 }
 
-fn print_rows(ways: &[String], figures: &[Vec<PlayFigures>]) {
+fn print_rows(ways: &[String], figures: &[Vec<RunFigures>]) {
     let Some((base, others)) = figures.split_first() else {
         return;
     };
-    for (way, plays) in ways.iter().skip(1).zip(others) {
-        let of = |read: fn(&PlayFigures) -> f64| PairedDifference::of(base, plays, read);
-        println!("  {way}: worth {}", of(|play| play.worth));
-        println!("  {way}: served {}", of(|play| play.served));
-        println!("  {way}: refused {}", of(|play| play.refused));
-        println!("  {way}: failed {}", of(|play| play.failed));
+    for (variant, runs) in ways.iter().skip(1).zip(others) {
+        let of = |read: fn(&RunFigures) -> f64| PairedDifference::of(base, runs, read);
+        println!("  {variant}: worth {}", of(|run| run.worth));
+        println!("  {variant}: served {}", of(|run| run.served));
+        println!("  {variant}: refused {}", of(|run| run.refused));
+        println!("  {variant}: failed {}", of(|run| run.failed));
     }
 }
--- a/tools/compare/src/paired_difference.rs
+++ b/tools/compare/src/paired_difference.rs
@@ -1,14 +1,14 @@
 use std::fmt;
 
-use crate::play_figures::PlayFigures;
+use crate::run_figures::RunFigures;
 
-/// Standard errors that a difference has to be away from zero to count.
-const CLEAR_ERRORS: f64 = 2.0;
+/// Standard errors that a difference has to be squared_deviations from zero to count.
+const MIN_STANDARD_ERRORS: f64 = 2.0;
 
 /// A difference that charged processor time alone can make.
-const LEAST_DIFFERENCE: f64 = 0.005;
+const MIN_DIFFERENCE: f64 = 0.005;
 
-/// How one way differs from another on the same seeds.
+/// How one variant differs from another on the same seeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PairedDifference {
     /// Means of both ways.
@@ -19,22 +19,22 @@
 }
 
 impl PairedDifference {
-    /// The difference in one figure between plays of the same seeds, in the same order.
+    /// The difference in one figure between runs of the same seeds, in the same order.
     pub(crate) fn of(
-        base: &[PlayFigures],
-        other: &[PlayFigures],
-        read: impl Fn(&PlayFigures) -> f64,
+        base: &[RunFigures],
+        other: &[RunFigures],
+        read: impl Fn(&RunFigures) -> f64,
     ) -> Self {
         let count = base.len().min(other.len()).max(1) as f64;
-        let mean = |plays: &[PlayFigures]| plays.iter().map(&read).sum::<f64>() / count;
+        let mean = |runs: &[RunFigures]| runs.iter().map(&read).sum::<f64>() / count;
         let (base_mean, other_mean) = (mean(base), mean(other));
         let pairs = base.iter().zip(other);
-        let away = pairs.map(|(base, other)| {
+        let squared_deviations = pairs.map(|(base, other)| {
             let difference = read(other) - read(base);
             (difference - (other_mean - base_mean)).powi(2)
         });
         let error = match count > 1.0 {
-            true => (away.sum::<f64>() / (count - 1.0) / count).sqrt(),
+            true => (squared_deviations.sum::<f64>() / (count - 1.0) / count).sqrt(),
             false => f64::INFINITY,
         };
         Self {
@@ -45,9 +45,9 @@
     }
 
     /// Whether the difference is beyond what chance makes.
-    pub(crate) fn is_clear(&self) -> bool {
+    pub(crate) fn is_significant(&self) -> bool {
         let difference = (self.other - self.base).abs();
-        difference > LEAST_DIFFERENCE && difference > self.error * CLEAR_ERRORS
+        difference > MIN_DIFFERENCE && difference > self.error * MIN_STANDARD_ERRORS
     }
 }
 
@@ -58,9 +58,9 @@
         write!(formatter, "{base:.3} to {other:.3}, {difference:+.3}")?;
         match error.is_finite() {
             true => write!(formatter, " with an error of {error:.3}")?,
-            false => write!(formatter, " in a single play")?,
+            false => write!(formatter, " in a single run")?,
         }
-        match self.is_clear() {
+        match self.is_significant() {
             true => write!(formatter, ": clear"),
             false => write!(formatter, ": within chance"),
         }
--- a/tools/compare/src/play_figures.rs
+++ b/tools/compare/src/run_figures.rs
@@ -1,21 +1,21 @@
 use std::fmt;
 
-/// What came of one play, as shares of what was asked.
+/// What came of one run, as shares of what was asked.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct PlayFigures {
+pub(crate) struct RunFigures {
     pub(crate) worth: f64,
     pub(crate) served: f64,
     pub(crate) refused: f64,
     pub(crate) failed: f64,
 }
 
-impl PlayFigures {
-    /// Reads the figures from the output of a play: five after the column of machines, `72/143`.
+impl RunFigures {
+    /// Reads the figures from the output of a run: five after the column of machines, `72/143`.
     pub(crate) fn read(output: &str) -> Option<Self> {
         let mut lines = output.lines();
         lines.find(|line| line.starts_with("day "))?;
         let mut columns = lines.next()?.split_whitespace();
-        columns.find(|column| is_machines(column))?;
+        columns.find(|column| is_machine_count(column))?;
         let mut next = || columns.next()?.parse::<f64>().ok();
         let _score = next()?;
         Some(Self {
@@ -27,13 +27,13 @@
     }
 }
 
-fn is_machines(column: &str) -> bool {
+fn is_machine_count(column: &str) -> bool {
     let is_number = |text: &str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     let parts = column.split_once('/');
     parts.is_some_and(|(own, others)| is_number(own) && is_number(others))
 }
 
-impl fmt::Display for PlayFigures {
+impl fmt::Display for RunFigures {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             worth,
