--- a/crates/ragwortroad_routing/src/key/mod.rs
+++ b/crates/ragwortroad_routing/src/key/mod.rs
@@ -1,4 +1,4 @@
-//! Small `Copy` keys by which decisions name things.
+//! `Copy` keys that identify the subjects of routing decisions.
 
 pub(crate) mod customer_key;
 pub(crate) mod endpoint_key;
--- a/crates/ragwortroad_routing/src/lib.rs
+++ b/crates/ragwortroad_routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions about requests: placement, load bounds, limits, retries.
+//! Routing decisions: placement, load bounds, limits and retries.
 //!
-//! Nothing here does input or output, reads a clock, starts a thread or draws randomness: time and
-//! every observation are inputs, so that each decision can be replayed.
+//! Nothing here does I/O, reads a clock, starts a thread or generates random numbers. Time and all
+//! observations are inputs, so that every decision can be replayed.
 //!
 //! ```
 //! use ragwortroad_routing::prelude::*;
@@ -36,7 +36,7 @@
 mod retry;
 mod table;
 
-/// Everything a dependent crate usually needs.
+/// Common imports for dependent crates.
 pub mod prelude {
     pub use crate::{
         key::{
--- a/crates/ragwortroad_routing/src/limit/customer_entry.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_entry.rs
@@ -9,32 +9,32 @@
     limit::token_bucket::TokenBucket, //
 };
 
-/// One customer at one node.
+/// State of one customer at one node.
 #[derive(Clone, Debug)]
 pub(crate) struct CustomerEntry {
     pub(crate) limit: CustomerLimit,
     pub(crate) requests: TokenBucket,
     pub(crate) tokens: TokenBucket,
-    /// Requests at work through this node.
+    /// Requests of the customer in flight through this node.
     pub(crate) running: u32,
-    /// Requests at work through this node at once, by its share.
+    /// Most requests that may be in flight through this node at once.
     pub(crate) max_concurrent: u32,
-    /// The coordinator's share, and when it ends.
+    /// The share that the coordinator last sent, and when it expires.
     pub(crate) share: Option<(ShareEntry, ClockTime)>,
-    /// Requests a second asked for, averaged.
+    /// Average requests per second, refused ones included.
     pub(crate) demand_rate: f64,
-    /// Requests asked for since the last update_average.
+    /// Requests received since the average was last updated.
     pub(crate) demand_count: u32,
-    /// Most requests at work or wanted at once since the last digest.
+    /// Highest number of requests in flight or refused for concurrency since the last digest.
     pub(crate) peak_concurrency: u32,
-    /// When the update_average was taken.
+    /// When `demand_rate` was last updated.
     pub(crate) averaged_at: ClockTime,
-    /// What the coordinator was last_sent last, and when.
+    /// The demand last sent to the coordinator, and when.
     pub(crate) last_sent: Option<(DemandEntry, ClockTime)>,
 }
 
 impl CustomerEntry {
-    /// A customer that has asked for nothing yet.
+    /// Creates the entry of a customer without any requests so far.
     pub(crate) fn new(limit: CustomerLimit, now: ClockTime) -> Self {
         Self {
             limit,
@@ -52,9 +52,10 @@
         }
     }
 
-    /// Sets the rates and concurrency that this node may use, of a fleet of `nodes`.
+    /// Sets the rates and the concurrency that this node may use in a fleet of `nodes`.
     ///
-    /// The even part is every node's own without asking; the coordinator divides the rest by demand.
+    /// The even part of a limit belongs to every node without asking. The coordinator divides the
+    /// rest by demand.
     pub(crate) fn update_allowance(
         &mut self,
         settings: &LimiterSettings,
@@ -83,27 +84,27 @@
         };
         self.max_concurrent = concurrency;
         let rate = self.limit.requests_per_s * part;
-        // Below one request the bucket could never let one pass.
+        // A bucket shallower than one request would never let one pass.
         let depth = (rate * settings.burst_s).max(settings.min_burst.max(1.0));
         self.requests.set_rate(rate, depth, now);
         let rate = self.limit.tokens_per_s * part;
         self.tokens.set_rate(rate, rate * settings.burst_s, now);
     }
 
-    /// Places every node has without asking: at least one, or a customer could wait for ever at a
-    /// node its coordinator never hears of.
+    /// Concurrency that every node has without asking. It is at least one, because otherwise a
+    /// customer could wait forever at a node that its coordinator never hears of.
     fn even_concurrency(&self, settings: &LimiterSettings, nodes: f64) -> u32 {
         let even = settings.even_share * f64::from(self.limit.concurrent) / nodes;
         (even.floor() as u32).max(1)
     }
 
-    /// Places the coordinator may divide: what the even parts of `nodes` leave.
+    /// Concurrency that the coordinator may divide: what the even parts of all `nodes` leave over.
     pub(crate) fn divisible_concurrency(&self, settings: &LimiterSettings, nodes: usize) -> u32 {
         let even = self.even_concurrency(settings, nodes.max(1) as f64) * nodes as u32;
         self.limit.concurrent.saturating_sub(even)
     }
 
-    /// Brings the update_average of demand up to now.
+    /// Updates the moving average of demand to `now`.
     pub(crate) fn update_average(&mut self, settings: &LimiterSettings, now: ClockTime) {
         let span = now.since(self.averaged_at).as_secs_f64();
         if span <= 0.0 {
@@ -116,9 +117,10 @@
         self.averaged_at = now;
     }
 
-    /// What the coordinator must hear now, if anything.
+    /// Returns the demand to send to the coordinator now, if any.
     ///
-    /// A demand the even part covers needs no share; one that hardly changed needs no message.
+    /// Demand that the even part covers needs no share, and demand that hardly changed needs no
+    /// message.
     pub(crate) fn next_demand(
         &mut self,
         customer: CustomerKey,
--- a/crates/ragwortroad_routing/src/limit/customer_limit.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_limit.rs
@@ -1,13 +1,13 @@
-/// How much one customer may take of the whole fleet.
+/// What one customer may use of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CustomerLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Tokens a second, prompt and answer together.
+    /// Tokens per second, prompt and answer together.
     pub tokens_per_s: f64,
-    /// Requests at work at once.
+    /// Requests in flight at once.
     pub concurrent: u32,
-    /// The engines' scheduling priority: smaller goes first.
+    /// Scheduling priority at the engines; smaller values are served first.
     pub priority: u8,
 }
 
--- a/crates/ragwortroad_routing/src/limit/customer_limiter.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_limiter.rs
@@ -22,13 +22,13 @@
     table::endpoint_ranking::score, //
 };
 
-/// Holds every customer's limits over the whole fleet, from one node's part of it.
+/// Enforces fleet-wide limits of customers at one node.
 ///
-/// Every customer has a *coordinator*: the node that a hash of the customer leads to. About once a
-/// second a node tells the keepers of the customers that asked it for something how much
-/// ([`Self::demands`]); the coordinator divides the limit by these demands and answers with shares
+/// Every customer has a *coordinator*: the node that a hash of the customer selects. About once a
+/// second a node reports the demand of its customers to their coordinators ([`Self::demands`]). A
+/// coordinator divides the limit in proportion to the demands and answers with shares
 /// ([`Self::shares`]). No request waits for a message. A small even part of each limit needs no
-/// share, so that a customer is served wherever it turns up, also while its coordinator is gone.
+/// share, so that every node can serve a customer, also while the coordinator is unavailable.
 #[derive(Clone, Debug)]
 pub struct CustomerLimiter {
     settings: LimiterSettings,
@@ -37,14 +37,14 @@
     coordinator: DemandCoordinator,
 }
 
-/// How long a caller waits at a node that has no share of its customer's limit yet.
+/// The longest wait given to a caller at a node that has no share of the customer's limit yet.
 const MAX_WAIT_WITHOUT_SHARE: Duration = Duration::from_secs(2);
 
-/// How long a caller waits for a place among its own requests.
+/// How long a caller waits when the customer has reached its concurrency limit at this node.
 const CONCURRENCY_WAIT: Duration = Duration::from_millis(500);
 
 impl CustomerLimiter {
-    /// A limiter that knows no customers and no nodes but its own.
+    /// Creates a limiter without customers, for a fleet of only its own node.
     pub fn new(settings: LimiterSettings) -> Self {
         Self {
             nodes: vec![settings.node],
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Declares or changes a customer's limit.
+    /// Adds a customer or changes its limit.
     pub fn set_limit(&mut self, customer: CustomerKey, limit: CustomerLimit, now: ClockTime) {
         let entry = self
             .entries
@@ -64,12 +64,12 @@
         entry.update_allowance(&self.settings, self.nodes.len(), now);
     }
 
-    /// Forgets a customer.
+    /// Removes a customer; its requests are refused from then on.
     pub fn remove(&mut self, customer: CustomerKey) {
         self.entries.remove(&customer);
     }
 
-    /// The nodes among which limits are divisible_rate.
+    /// Sets the nodes among which limits are divided.
     pub fn set_nodes(&mut self, nodes: &[NodeId], now: ClockTime) {
         self.nodes = nodes.to_vec();
         for entry in self.entries.values_mut() {
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Whether `customer` may run one more request of about `tokens` tokens. A customer that was
-    /// never declared may not.
+    /// Decides whether `customer` may run one more request of about `tokens` tokens. An unknown
+    /// customer may not.
     pub fn admit(&mut self, customer: CustomerKey, tokens: u32, now: ClockTime) -> LimitAnswer {
         let Some(entry) = self.entries.get_mut(&customer) else {
             let retry_after = Duration::from_secs(1);
@@ -106,7 +106,7 @@
         LimitAnswer::Admitted { priority }
     }
 
-    /// Ends an admitted request that was estimated with `estimated` tokens and took `used`.
+    /// Ends an admitted request that was charged `estimated` tokens and used `used`.
     pub fn finish(&mut self, customer: CustomerKey, estimated: u32, used: u32) {
         if let Some(entry) = self.entries.get_mut(&customer) {
             entry.running = entry.running.saturating_sub(1);
@@ -114,8 +114,8 @@
         }
     }
 
-    /// What to next_demand each coordinator; to be sent about once a second. This node's own part, if it is a
-    /// coordinator itself, is taken in at once.
+    /// Returns the demand to send to each coordinator; call about once a second. Where this node is
+    /// itself a coordinator, its own demand is merged at once.
     pub fn demands(&mut self, now: ClockTime) -> BTreeMap<NodeId, DemandDigest> {
         let mut digests: BTreeMap<NodeId, DemandDigest> = BTreeMap::new();
         for (customer, entry) in &mut self.entries {
@@ -133,14 +133,14 @@
         digests
     }
 
-    /// Takes in, as coordinator, what another node's callers wanted.
+    /// Merges the demand that another node sent to this coordinator.
     pub fn merge_demand(&mut self, node: NodeId, digest: &DemandDigest, now: ClockTime) {
         for entry in &digest.entries {
             self.coordinator.observe(node, *entry, now);
         }
     }
 
-    /// The shares this node gives as coordinator; to be sent about once a second.
+    /// Returns the shares that this node assigns as coordinator; call about once a second.
     pub fn shares(&mut self, now: ClockTime) -> BTreeMap<NodeId, ShareDigest> {
         self.coordinator.expire(now, self.settings.demand_ttl);
         let mut digests: BTreeMap<NodeId, ShareDigest> = BTreeMap::new();
@@ -169,7 +169,7 @@
         digests
     }
 
-    /// Takes in the shares a coordinator gave to this node.
+    /// Applies the shares that a coordinator assigned to this node.
     pub fn merge_share(&mut self, digest: &ShareDigest, now: ClockTime) {
         let ends_at = now.after(self.settings.share_ttl);
         for share in &digest.entries {
@@ -180,13 +180,13 @@
         }
     }
 
-    /// Requests of a customer at work through this node.
+    /// Returns the number of the customer's requests in flight through this node.
     pub fn running(&self, customer: CustomerKey) -> u32 {
         self.entries.get(&customer).map_or(0, |entry| entry.running)
     }
 }
 
-/// The node that divides `customer`'s limit.
+/// Returns the node that divides `customer`'s limit.
 fn coordinator_of(nodes: &[NodeId], customer: CustomerKey) -> Option<NodeId> {
     nodes
         .iter()
--- a/crates/ragwortroad_routing/src/limit/demand_coordinator.rs
+++ b/crates/ragwortroad_routing/src/limit/demand_coordinator.rs
@@ -14,7 +14,8 @@
     ShareEntry, //
 };
 
-/// The demand of all nodes for the customers one node keeps, and its division.
+/// Collects the demand of all nodes for the customers that one node coordinates, and divides their
+/// limits.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DemandCoordinator {
     demands: BTreeMap<CustomerKey, BTreeMap<NodeId, NodeDemand>>,
@@ -25,12 +26,12 @@
 struct NodeDemand {
     entry: DemandEntry,
     received_at: ClockTime,
-    /// The share it was last_sent last, and when.
+    /// The share last sent to the node, and when.
     last_sent: Option<(ShareEntry, ClockTime)>,
 }
 
 impl DemandCoordinator {
-    /// Takes in one node's demand.
+    /// Records one node's demand.
     pub(crate) fn observe(&mut self, node: NodeId, entry: DemandEntry, now: ClockTime) {
         self.demands
             .entry(entry.customer)
@@ -44,7 +45,7 @@
             });
     }
 
-    /// Forgets demand older than `ttl`.
+    /// Removes demand that was received more than `ttl` ago.
     pub(crate) fn expire(&mut self, now: ClockTime, ttl: Duration) {
         let horizon = now.before(ttl);
         for nodes in self.demands.values_mut() {
@@ -53,16 +54,16 @@
         self.demands.retain(|_, nodes| !nodes.is_empty());
     }
 
-    /// The customers kept here.
+    /// Returns the customers with recorded demand.
     pub(crate) fn customers(&self) -> Vec<CustomerKey> {
         self.demands.keys().copied().collect()
     }
 
-    /// Divides one customer's rate of `requests_per_s` and its `concurrent` concurrency among the nodes.
+    /// Divides a customer's rate of `requests_per_s` and its `concurrent` requests among the nodes.
     ///
-    /// Where there is enough for all, each node gets what it demands, and what is left goes by the
-    /// square root of demand, as chance makes demand vary; where there is not, each gets the same
-    /// part of what it demands.
+    /// Where the limit covers all demand, each node gets its demand, and the rest is divided by the
+    /// square root of demand, because random arrivals vary by that much. Where it does not, each
+    /// node gets the same fraction of its demand.
     ///
     /// Invariant: the shares add up to no more than the whole, whatever the demands.
     pub(crate) fn divide(
@@ -93,7 +94,7 @@
         nodes.keys().copied().zip(shares).collect()
     }
 
-    /// Whether `node` should be last_sent of `share`; if so, it counts as last_sent.
+    /// Returns whether `share` should be sent to `node`, and if so records it as sent.
     pub(crate) fn should_send(
         &mut self,
         node: NodeId,
@@ -122,11 +123,11 @@
     }
 }
 
-/// The least demand that a digest can next_demand of.
+/// The smallest demand that a digest can express.
 const RATE_STEP: f64 = 0.1;
 const CONCURRENCY_STEP: f64 = 1.0;
 
-/// Divides `whole` among those who demand `demands`, last_sent in steps of `step`.
+/// Divides `whole` among `demands`, which are reported in multiples of `step`.
 fn divide_among(demands: &[f64], whole: f64, step: f64) -> Vec<f64> {
     let demanded: f64 = demands.iter().sum();
     if demanded > whole {
--- a/crates/ragwortroad_routing/src/limit/limit_answer.rs
+++ b/crates/ragwortroad_routing/src/limit/limit_answer.rs
@@ -3,14 +3,15 @@
 /// Whether a customer may run one more request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitAnswer {
-    /// It may; [`CustomerLimiter::finish`](crate::CustomerLimiter::finish) must follow.
+    /// The request may run; [`CustomerLimiter::finish`](crate::CustomerLimiter::finish) must
+    /// follow.
     Admitted {
-        /// The engines' scheduling priority.
+        /// Scheduling priority at the engines; smaller values are served first.
         priority: u8,
     },
-    /// It may not; nothing ran.
+    /// The request was refused and did not run.
     Refused {
-        /// When it may ask again.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
 }
--- a/crates/ragwortroad_routing/src/limit/limiter_settings.rs
+++ b/crates/ragwortroad_routing/src/limit/limiter_settings.rs
@@ -2,32 +2,32 @@
 
 use ragwortroad_types::NodeId;
 
-/// What a [`CustomerLimiter`](crate::CustomerLimiter) is made from.
+/// Settings of a [`CustomerLimiter`](crate::CustomerLimiter).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimiterSettings {
-    /// The node it limits for.
+    /// The node on which the limiter runs.
     pub node: NodeId,
-    /// Part of each limit that is divided evenly among all nodes, so that a node which a customer
-    /// just came to may serve it before the coordinator has heard of it.
+    /// Fraction of each limit that is divided evenly among all nodes, so that a node can serve a
+    /// new customer before the coordinator has heard of the demand.
     pub even_share: f64,
-    /// Seconds of a rate that may be used at once.
+    /// Seconds' worth of a rate that may be used in one burst.
     pub burst_s: f64,
-    /// Requests every node lets pass at once, however small its share. A customer that comes anew
-    /// to all nodes together may once exceed its limit by this for each node.
+    /// Requests that every node admits in one burst, however small its share. A customer that is
+    /// new at all nodes may once exceed its limit by this number at each node.
     pub min_burst: f64,
-    /// Part of a limit by which a node's demand must differ from what its coordinator knows to be last_sent
-    /// before `tell_every` is over.
+    /// Fraction of a limit by which a demand must differ from the one last sent, to be sent before
+    /// `resend_interval` has passed.
     pub resend_change: f64,
-    /// Time between two digests to a coordinator, or shares to a node, that next_demand nothing new.
+    /// Time after which an unchanged demand or share is sent again.
     pub resend_interval: Duration,
-    /// How long a coordinator's share is good for.
+    /// How long a share from the coordinator is valid.
     pub share_ttl: Duration,
-    /// How long a node's demand counts at the coordinator after its last digest.
+    /// How long a coordinator counts a node's demand after the node's last digest.
     ///
-    /// Invariant: longer than `share_life`, or the coordinator would give to others what a node that
-    /// went silent may still use.
+    /// Invariant: longer than `share_ttl`. Otherwise the coordinator would assign to others what an
+    /// unresponsive node may still use.
     pub demand_ttl: Duration,
-    /// Time over which demand is averaged.
+    /// Time constant of the moving average of demand.
     pub demand_window: Duration,
 }
 
--- a/crates/ragwortroad_routing/src/limit/mod.rs
+++ b/crates/ragwortroad_routing/src/limit/mod.rs
@@ -1,4 +1,5 @@
-//! Each customer's rate and share over the whole fleet, though each node sees only part.
+//! Fleet-wide rate and concurrency limits of customers, enforced by nodes that each see only a part
+//! of the requests.
 
 pub(crate) mod customer_entry;
 pub(crate) mod customer_limit;
--- a/crates/ragwortroad_routing/src/limit/share_digest.rs
+++ b/crates/ragwortroad_routing/src/limit/share_digest.rs
@@ -1,19 +1,19 @@
 use crate::CustomerKey;
 
-/// Shares a coordinator gives to one node.
+/// Shares that a coordinator assigns to one node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ShareDigest {
-    /// One entry for each customer the node last_sent of.
+    /// One entry for each customer whose demand the node reported.
     pub entries: Vec<ShareEntry>,
 }
 
 /// One node's share of one customer's limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ShareEntry {
-    /// The customer.
+    /// The customer whose limits are divided.
     pub customer: CustomerKey,
-    /// The share of the rates, in 65,535ths.
+    /// Share of the rates, in units of 1/65,535.
     pub rate_share: u16,
-    /// Requests at work at once.
+    /// Requests that may be in flight at once, beyond the even part of the node.
     pub concurrent: u16,
 }
--- a/crates/ragwortroad_routing/src/limit/token_bucket.rs
+++ b/crates/ragwortroad_routing/src/limit/token_bucket.rs
@@ -2,19 +2,19 @@
 
 use ragwortroad_types::ClockTime;
 
-/// A rate with a bounded burst.
+/// A rate limit with a bounded burst.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     rate: f64,
-    /// The most that may be saved up.
+    /// The most that may accumulate.
     depth: f64,
-    /// May be below zero after a request cost more than was estimated.
+    /// Below zero after a request used more than was estimated.
     level: f64,
     filled_at: ClockTime,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(rate: f64, depth: f64, now: ClockTime) -> Self {
         Self {
             rate,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Changes rate and depth from now on.
+    /// Changes the rate and the depth from `now` on.
     pub(crate) fn set_rate(&mut self, rate: f64, depth: f64, now: ClockTime) {
         self.fill(now);
         self.rate = rate;
@@ -32,10 +32,10 @@
         self.level = self.level.min(depth);
     }
 
-    /// How long until `amount` is there.
+    /// Returns the time until `amount` is available.
     pub(crate) fn wait_for(&mut self, amount: f64, now: ClockTime) -> Duration {
         self.fill(now);
-        // An amount larger than the bucket passes when the bucket is full, and is owed afterwards.
+        // An amount larger than the bucket passes when the bucket is full; the rest becomes a debt.
         let missing = amount.min(self.depth) - self.level;
         if missing <= f64::EPSILON {
             return Duration::ZERO;
@@ -44,7 +44,7 @@
         Duration::from_secs_f64((missing / self.rate.max(1e-6)).min(MAX_WAIT_S))
     }
 
-    /// Takes `amount`, which may be owed or negative (last_sent back).
+    /// Removes `amount`, which may leave a debt, or be negative to return tokens.
     pub(crate) fn take(&mut self, amount: f64) {
         self.level = (self.level - amount).min(self.depth);
     }
--- a/crates/ragwortroad_routing/src/place/mod.rs
+++ b/crates/ragwortroad_routing/src/place/mod.rs
@@ -1,4 +1,4 @@
-//! Which engines hold which models, versions of them, and moves of a chat's cache.
+//! Placement of models on engines, rollout of their versions, and migration of KV caches.
 
 pub(crate) mod migration_method;
 pub(crate) mod placement_input;
--- a/crates/ragwortroad_routing/src/place/placement_input.rs
+++ b/crates/ragwortroad_routing/src/place/placement_input.rs
@@ -5,43 +5,45 @@
     ZoneKey, //
 };
 
-/// What is observed and wanted, for [`PlacementPlan::of`](crate::PlacementPlan::of).
+/// Observed state and demand, the input of
+/// [`PlacementPlan::compute`](crate::PlacementPlan::compute).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlacementInput {
-    /// What is to be served, the most urgent first where two want the same engine.
+    /// The offers to serve, the most urgent first where two compete for an engine.
     pub demands: Vec<OfferDemand>,
-    /// The engines there are, and what each holds.
+    /// The known engines and their offers.
     pub engines: Vec<EngineSnapshot>,
-    /// Loads the weight store and the engines may begin now.
+    /// Loads that the weight store and the engines may start now.
     pub max_loads: usize,
 }
 
-/// How much one offer is wanted.
+/// Demand for one offer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OfferDemand {
     /// The model, version and adapter.
     pub offer: OfferKey,
-    /// Requests at work on average, refused ones included.
+    /// Average requests in flight, refused ones included.
     pub demand: f64,
-    /// Engines that hold it whatever the demand; 0 for one that is no longer declared.
+    /// Fewest engines that hold the offer, whatever the demand; 0 for one that is no longer
+    /// declared.
     pub min_engines: usize,
-    /// Engines that hold it at the most, whatever the demand.
+    /// Most engines that hold the offer, whatever the demand.
     pub max_engines: usize,
 }
 
-/// One engine.
+/// Observed state of one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSnapshot {
-    /// The engine.
+    /// Identity of the engine across nodes.
     pub id: EndpointId,
-    /// Its failure domain.
+    /// The engine's failure domain.
     pub zone: ZoneKey,
-    /// Requests it works on at once.
+    /// Requests that it processes at once.
     pub capacity: u32,
-    /// Offers it has room for.
+    /// Offers that fit on it, those in `offers` included.
     pub max_offers: usize,
-    /// Offers it holds or is loading.
+    /// Offers that it holds or is loading.
     pub offers: Vec<OfferKey>,
-    /// Whether it takes work.
+    /// Whether new requests may be sent to it.
     pub takes_work: bool,
 }
--- a/crates/ragwortroad_routing/src/place/placement_plan.rs
+++ b/crates/ragwortroad_routing/src/place/placement_plan.rs
@@ -10,34 +10,35 @@
     ZoneKey, //
 };
 
-/// Orders that bring what engines hold nearer to what is is_demanded.
+/// Orders that bring the offers on engines closer to demand.
 ///
-/// A pure function of what is observed: whoever holds the lease computes it again and again, and an
-/// order that was lost or came late only appears again.
+/// A pure function of the observed state: the lease holder recomputes it repeatedly, so that an
+/// order that was lost or delayed is issued again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlacementPlan {
-    /// Offers to load, the most needed first, within the rate given.
+    /// Offers to load, the most needed first, at most `max_loads` of the input.
     pub loads: Vec<PlacementOrder>,
-    /// Offers to drop; each makes room for a load above or is no longer declared.
+    /// Offers to unload, each to make room for one of `loads` or because it is no longer declared.
     pub unloads: Vec<PlacementOrder>,
 }
 
-/// One order.
+/// An order to one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlacementOrder {
-    /// The engine.
+    /// The engine that loads or unloads the offer.
     pub engine: EndpointId,
-    /// What it is to load or drop.
+    /// The offer to load or unload.
     pub offer: OfferKey,
 }
 
-/// How full engines are meant to be, and how far from it nothing is done.
+/// The utilization at which offers gain and lose engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementSettings {
-    /// Use of capacity above which an offer gets another engine.
+    /// Fraction of capacity in use above which an offer gets another engine.
     pub scale_up_utilization: f64,
-    /// Use of capacity, with one engine fewer, below which it gives one up.
-    /// Invariant: below `high`, or demand that stands still would move engines to and fro.
+    /// Fraction of capacity in use below which an offer releases an engine, computed without that
+    /// engine. Invariant: below `scale_up_utilization`, or constant demand would move offers back
+    /// and forth.
     pub scale_down_utilization: f64,
 }
 
@@ -51,12 +52,12 @@
 }
 
 impl PlacementPlan {
-    /// The orders for `input`.
+    /// Computes the orders for `input`.
     pub fn compute(input: &PlacementInput, settings: &PlacementSettings) -> Self {
         let mut draft = PlacementDraft::new(input);
         draft.unload_undeclared();
         let mut demands: Vec<&OfferDemand> = input.demands.iter().collect();
-        // The most overfull first; the order of the input decides between equals.
+        // The highest utilization first; equal ones stay in the order of the input.
         demands.sort_by(|left, right| {
             let (left, right) = (draft.utilization(left), draft.utilization(right));
             right.total_cmp(&left)
@@ -72,7 +73,7 @@
     }
 }
 
-/// The holdings as they will be after the orders so far.
+/// The offers on engines after the orders so far.
 struct PlacementDraft<'input> {
     input: &'input PlacementInput,
     holds: BTreeMap<EndpointId, Vec<OfferKey>>,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Drops what nobody demands any more.
+    /// Unloads the offers without any demand.
     fn unload_undeclared(&mut self) {
         for (engine, holds) in &mut self.holds {
             holds.retain(|offer| {
@@ -116,7 +117,7 @@
             .filter(move |engine| engine.takes_work && self.holds[&engine.id].contains(&offer))
     }
 
-    /// Capacity that serves `offer`: an engine with several offers counts for each in share.
+    /// Capacity that serves `offer`. An engine's capacity is split evenly among its offers.
     fn capacity(&self, offer: OfferKey) -> f64 {
         self.holders(offer)
             .map(|engine| f64::from(engine.capacity) / self.holds[&engine.id].len() as f64)
@@ -134,7 +135,7 @@
         count < demand.min_engines || (count < demand.max_engines && is_overloaded)
     }
 
-    /// Whether `offer` can do with one engine less.
+    /// Whether `offer` keeps enough capacity without `engine`.
     fn can_release(
         &self,
         offer: OfferKey,
@@ -155,8 +156,9 @@
         count > demand.min_engines.max(1) && demand.demand <= settings.scale_down_utilization * left
     }
 
-    /// Puts `demand` on one more engine: one with room if there is any, else in the place of an offer
-    /// that can spare it; the failure domain with the fewest holders goes first.
+    /// Places `demand` on one more engine: one with a free place if there is any, otherwise in
+    /// place of an offer that can release the engine. The failure domain with the fewest holders
+    /// goes first.
     fn add_engine(&mut self, demand: &OfferDemand, settings: &PlacementSettings) -> bool {
         let mut zones: BTreeMap<ZoneKey, usize> = BTreeMap::new();
         for engine in self.holders(demand.offer) {
--- a/crates/ragwortroad_routing/src/place/version_plan.rs
+++ b/crates/ragwortroad_routing/src/place/version_plan.rs
@@ -4,7 +4,8 @@
 
 /// The declared versions of one model with their shares of new chats.
 ///
-/// A roll-out is a sequence of changes of the weights, a roll-back one change to the old ones.
+/// A rollout is a sequence of changes to the weights, and a rollback is one change back to the old
+/// ones.
 ///
 /// ```
 /// use ragwortroad_routing::prelude::*;
@@ -22,17 +23,17 @@
     versions: Vec<VersionWeight>,
 }
 
-/// One declared version.
+/// A declared version and its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionWeight {
-    /// Its name.
+    /// Name of the version, as operators declare it.
     pub version: String,
-    /// Its share of new chats, against the sum of all.
+    /// Share of new chats, relative to the sum of all weights.
     pub weight: u32,
 }
 
 impl VersionWeight {
-    /// `version` with `weight`.
+    /// Creates an entry that gives `version` the share `weight`.
     pub fn new(version: impl Into<String>, weight: u32) -> Self {
         let version = version.into();
         Self { version, weight }
@@ -40,8 +41,8 @@
 }
 
 impl VersionPlan {
-    /// The versions of `model`, oldest first: a chat's place in the order of weights is fixed, so
-    /// that raising a later version's weight moves chats to it and none back.
+    /// Creates a plan from the versions of `model`, oldest first. A chat's position in the sum of
+    /// weights is fixed, so that raising a later version's weight only moves chats to that version.
     pub fn new(model: &str, versions: Vec<VersionWeight>) -> Self {
         Self {
             seed: xxhash_rust::xxh3::xxh3_64(model.as_bytes()),
@@ -49,8 +50,8 @@
         }
     }
 
-    /// The version for a chat that was last answered by `current`, or for a request without a chat,
-    /// spread by `salt`.
+    /// Returns the version for a chat that was last answered by `current`, or for a request without
+    /// a chat, which is distributed by `salt`. `None` where no version has a weight.
     pub fn version_for(
         &self,
         chat: Option<ChatKey>,
--- a/crates/ragwortroad_routing/src/retry/mod.rs
+++ b/crates/ragwortroad_routing/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! What happens after a failure: retries within a budget, and endpoints set aside.
+//! Handling of failures: retries within a budget, and ejection of failing endpoints.
 
 pub(crate) mod outlier_settings;
 pub(crate) mod outlier_table;
--- a/crates/ragwortroad_routing/src/retry/outlier_settings.rs
+++ b/crates/ragwortroad_routing/src/retry/outlier_settings.rs
@@ -1,17 +1,18 @@
 use std::time::Duration;
 
-/// When an endpoint is set aside, and how it comes back.
+/// When endpoints are ejected for failures, and how they return.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierSettings {
-    /// Failures in a row that set an endpoint aside.
+    /// Consecutive failures after which an endpoint is ejected.
     pub consecutive_failures: u32,
-    /// Largest share of a fleet that may be aside at once; one of at least two always may.
+    /// Largest fraction of a fleet that may be ejected at once. In a fleet of at least two, one
+    /// endpoint may always be ejected.
     pub max_ejected_share: f64,
-    /// How long the first time; each further time twice as long.
+    /// Duration of the first ejection; each further one lasts twice as long.
     pub first_ejection: Duration,
-    /// The longest time.
+    /// Longest duration of an ejection.
     pub max_ejection: Duration,
-    /// How long it takes from the end of that time to the full share of work.
+    /// Time from the end of an ejection until the endpoint may carry its full load.
     pub recovery_ramp: Duration,
 }
 
--- a/crates/ragwortroad_routing/src/retry/outlier_table.rs
+++ b/crates/ragwortroad_routing/src/retry/outlier_table.rs
@@ -7,13 +7,13 @@
 
 use crate::OutlierSettings;
 
-/// Endpoints that failed lately, and those set aside for it.
+/// Endpoints that failed recently, and which of them are ejected.
 ///
-/// An endpoint that fails fast has few requests at any moment and would look idle, so that load
-/// alone sends it ever more. It is set aside after a few failures in a row, comes since_return with a small
-/// share of its work, and goes for longer when it fails again. Never more than a set share of a
-/// fleet is aside: where max fail, the cause is elsewhere, and leaving few endpoints with all the
-/// work would add an overload to it.
+/// An endpoint that fails fast has few requests in flight and looks idle, so that balancing by load
+/// alone would send it ever more. It is ejected after a few consecutive failures, returns with a
+/// small part of its load, and stays out longer if it fails again. At most a fixed fraction of a
+/// fleet is ejected: where most endpoints fail, the cause is elsewhere, and leaving all the load to
+/// a few would add an overload.
 #[derive(Clone, Debug)]
 pub struct OutlierTable {
     settings: OutlierSettings,
@@ -21,19 +21,19 @@
     entries: BTreeMap<EndpointId, OutlierEntry>,
 }
 
-/// One endpoint that failed lately.
+/// Recent failures of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct OutlierEntry {
     /// Failures since the last success.
     consecutive_failures: u32,
-    /// Times it was set aside.
+    /// Number of ejections so far.
     ejections: u32,
-    /// The end of the last time.
+    /// End of the latest ejection.
     ejected_until: ClockTime,
 }
 
 impl OutlierTable {
-    /// A table in which nothing has failed.
+    /// Creates a table without any failures.
     pub fn new(settings: OutlierSettings) -> Self {
         Self {
             settings,
@@ -41,15 +41,15 @@
         }
     }
 
-    /// Whether the endpoint is set aside now.
+    /// Whether the endpoint is ejected at `now`.
     pub fn is_ejected(&self, endpoint: EndpointId, now: ClockTime) -> bool {
         self.entries
             .get(&endpoint)
             .is_some_and(|entry| entry.ejected_until > now)
     }
 
-    /// The part of `limit` that the endpoint may carry now: nothing while it is aside, then growing
-    /// from one request to all.
+    /// Returns the part of `limit` that the endpoint may carry at `now`: none while it is ejected,
+    /// then growing linearly from one request to all.
     pub fn ramped_limit(&self, endpoint: EndpointId, limit: u32, now: ClockTime) -> u32 {
         let Some(entry) = self
             .entries
@@ -66,7 +66,7 @@
         ((f64::from(limit) * share.min(1.0)).round() as u32).max(1)
     }
 
-    /// Notes a success.
+    /// Records a successful request.
     pub fn record_success(&mut self, endpoint: EndpointId, now: ClockTime) {
         let recovery_ramp = self.settings.recovery_ramp;
         let Some(entry) = self.entries.get_mut(&endpoint) else {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Notes a failure; `ejected` of the fleet's `count` endpoints are aside now.
+    /// Records a failed request, where `ejected` of the fleet's `count` endpoints are ejected now.
     pub fn record_failure(
         &mut self,
         endpoint: EndpointId,
@@ -104,13 +104,13 @@
         entry.consecutive_failures = 0;
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint and its failures.
     pub fn remove(&mut self, endpoint: EndpointId) {
         self.entries.remove(&endpoint);
     }
 }
 
-/// How many of `count` endpoints may be aside at once.
+/// Returns how many of `count` endpoints may be ejected at once.
 fn max_ejected(share: f64, count: usize) -> usize {
     let max = (share * count as f64).floor() as usize;
     max.max(usize::from(count >= 2))
--- a/crates/ragwortroad_routing/src/retry/retry_budget.rs
+++ b/crates/ragwortroad_routing/src/retry/retry_budget.rs
@@ -1,9 +1,9 @@
-/// How many retries a node may make, as a ratio of its first attempts.
+/// Limits a node's retries to a fraction of its first attempts.
 ///
-/// Without a budget every layer that retries multiplies an outage: three attempts each make three
-/// times the load just when the fleet can carry least. Retries are paid from what successes and
-/// first attempts balance up, so that a node adds at most `ratio` to the load of its first attempts,
-/// and `reserve` on top once.
+/// Without a budget every layer that retries multiplies an outage: three attempts each triple the
+/// load just when the fleet can carry least. Each first attempt deposits a fraction of a retry and
+/// each retry withdraws one, so that a node adds at most `ratio` to the load of its first attempts,
+/// and `reserve` retries once.
 ///
 /// ```
 /// use ragwortroad_routing::RetryBudget;
@@ -12,24 +12,25 @@
 /// assert!(budget.try_retry() && budget.try_retry());
 /// assert!(!budget.try_retry());
 /// for _ in 0..10 {
-///     budget.note_first();
+///     budget.record_first_attempt();
 /// }
 /// assert!(budget.try_retry());
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Thousandths of a retry balance up. Invariant: at most `max_balance`.
+    /// Available retries, in units of 1/1000 retry. Invariant: at most `max_balance`.
     balance: u64,
-    /// Thousandths earned by each first attempt.
+    /// Units that each first attempt adds.
     deposit: u64,
     max_balance: u64,
 }
 
-/// Parts into which one retry is divided.
+/// Units into which one retry is divided.
 const UNITS_PER_RETRY: u64 = 1000;
 
 impl RetryBudget {
-    /// A budget of `ratio` retries for each first attempt and at most `reserve` balance up.
+    /// Creates a full budget of `ratio` retries per first attempt that holds at most `reserve`
+    /// retries.
     pub fn new(ratio: f64, reserve: u32) -> Self {
         let max_balance = u64::from(reserve) * UNITS_PER_RETRY;
         Self {
@@ -39,12 +40,12 @@
         }
     }
 
-    /// Notes a request's first attempt.
+    /// Records the first attempt of a request.
     pub fn record_first_attempt(&mut self) {
         self.balance = (self.balance + self.deposit).min(self.max_balance);
     }
 
-    /// Pays for one retry, if enough is balance.
+    /// Withdraws one retry; `false` where the balance is too low.
     pub fn try_retry(&mut self) -> bool {
         match self.balance.checked_sub(UNITS_PER_RETRY) {
             Some(rest) => {
--- a/crates/ragwortroad_routing/src/retry/retry_policy.rs
+++ b/crates/ragwortroad_routing/src/retry/retry_policy.rs
@@ -4,10 +4,10 @@
 
 use crate::RetryBudget;
 
-/// Whether a failed attempt may be followed by another.
+/// Decides whether a failed attempt is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// Attempts of one request, the first included.
+    /// Most attempts of one request, the first included.
     pub max_attempts: u32,
     /// Time to the deadline below which another attempt is not worth its load.
     pub min_time_left: Duration,
@@ -22,23 +22,23 @@
     }
 }
 
-/// An attempt that failed.
+/// A failed attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// What is known of it.
+    /// Whether the request ran at the endpoint, as far as is known.
     pub outcome: RequestOutcome,
-    /// Whether running the request twice does the same as running it once.
+    /// Whether running the request twice has the same effect as running it once.
     pub idempotent: bool,
     /// Attempts made so far, this one included.
     pub attempts: u32,
-    /// Time left to the caller's deadline.
+    /// Time left until the caller's deadline.
     pub time_left: Duration,
 }
 
 impl RetryPolicy {
-    /// Whether to try again; pays from `budget` if so.
+    /// Returns whether to retry, and withdraws one retry from `budget` if so.
     ///
-    /// A request that is not idempotent is repeated only where not one byte of it was sent.
+    /// A request that is not idempotent is retried only if none of its bytes were sent.
     pub fn may_retry(&self, failed: FailedAttempt, budget: &mut RetryBudget) -> bool {
         let safe_to_repeat = failed.idempotent || failed.outcome == RequestOutcome::NotRun;
         let has_time = failed.time_left >= self.min_time_left;
--- a/crates/ragwortroad_routing/src/table/admission_class.rs
+++ b/crates/ragwortroad_routing/src/table/admission_class.rs
@@ -1,11 +1,11 @@
-/// Whether a request has something to lose by going elsewhere.
+/// What a request loses if it is not admitted to the endpoint it asks for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AdmissionClass {
-    /// One endpoint is as good as another.
+    /// Nothing: any other endpoint serves it as well.
     #[default]
     Arriving,
-    /// Its context is at the endpoint.
+    /// Its cached context, which is at the endpoint.
     Returning,
-    /// Its customer was refused everywhere a moment ago.
+    /// Its last chance: all recent requests of its customer were refused for lack of capacity.
     Starved,
 }
--- a/crates/ragwortroad_routing/src/table/affinity_map.rs
+++ b/crates/ragwortroad_routing/src/table/affinity_map.rs
@@ -1,19 +1,19 @@
 use ragwortroad_types::ClockTime;
 
-/// A bounded map from hashes to endpoints, forgetting the least recently used of a small set.
+/// A bounded map from hashes to endpoints, organized as a set-associative cache with
+/// least-recently-used eviction in each set.
 ///
-/// Memory is fixed at construction, lookups touch one cache line or two, and the order of inputs
-/// alone decides what is forgotten, so that a run can be replayed.
+/// Memory is allocated once, a lookup touches one or two cache lines, and eviction depends only on
+/// the order of inputs, so that a run can be replayed.
 #[derive(Clone, Debug)]
 pub(crate) struct AffinityMap {
-    /// Invariant: its length is a multiple of [`WAYS`]; entries with key 0 are empty.
+    /// Invariant: the length is a multiple of [`WAYS`], and entries with key 0 are empty.
     entries: Vec<AffinityEntry>,
 }
 
-/// Entries that share a set.
+/// Entries per set.
 const WAYS: usize = 4;
 
-/// One last_endpoint position.
 #[derive(Clone, Copy, Debug, Default)]
 struct AffinityEntry {
     key: u64,
@@ -22,7 +22,7 @@
 }
 
 impl AffinityMap {
-    /// A memory of at least `entries` places.
+    /// Creates a map with room for at least `entries` endpoints.
     pub(crate) fn new(entries: usize) -> Self {
         let sets = entries.div_ceil(WAYS).max(1);
         Self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What is last_endpoint under `key`.
+    /// Returns the endpoint stored under `key`.
     pub(crate) fn get(&self, key: u64) -> Option<u64> {
         self.set_of(key)
             .iter()
@@ -38,7 +38,7 @@
             .map(|entry| entry.endpoint)
     }
 
-    /// Remembers `endpoint` under `key`.
+    /// Stores `endpoint` under `key`.
     pub(crate) fn put(&mut self, key: u64, endpoint: u64, now: ClockTime) {
         let range = self.range_of(key);
         let set = &mut self.entries[range];
@@ -53,7 +53,7 @@
         };
     }
 
-    /// Forgets `key` if it leads to `endpoint`.
+    /// Removes `key` if it maps to `endpoint`.
     pub(crate) fn forget(&mut self, key: u64, endpoint: u64) {
         let range = self.range_of(key);
         for entry in &mut self.entries[range] {
@@ -74,7 +74,7 @@
     }
 }
 
-/// The position in `set` that was used longest ago.
+/// Returns the index in `set` of an empty entry, or of the least recently used one.
 fn oldest(set: &[AffinityEntry]) -> usize {
     let mut position = 0;
     for (index, entry) in set.iter().enumerate() {
--- a/crates/ragwortroad_routing/src/table/endpoint_facts.rs
+++ b/crates/ragwortroad_routing/src/table/endpoint_facts.rs
@@ -10,31 +10,31 @@
     ZoneKey, //
 };
 
-/// What membership and configuration say of one endpoint.
+/// What membership and configuration say about one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointFacts {
-    /// Its identity.
+    /// Identity of the endpoint across nodes.
     pub id: EndpointId,
-    /// What it does with a request.
+    /// Whether the endpoint is an engine or a plain service.
     pub kind: EndpointKind,
-    /// Whose mean its load is compared with.
+    /// The endpoints with whose mean load its load is compared.
     pub fleet: FleetKey,
-    /// The failure domain it runs in.
+    /// The failure domain in which it runs.
     pub zone: ZoneKey,
-    /// Requests it works on at once before they queue.
+    /// Requests that it processes at once; further ones queue.
     pub capacity: u32,
-    /// Everything it can serve.
+    /// Everything that it can serve.
     pub offers: Vec<OfferKey>,
-    /// The one node that admits work to it.
+    /// The only node that admits requests to it.
     pub home: NodeId,
-    /// It will stop soon.
+    /// The endpoint announced that it will stop soon.
     pub leaving: bool,
-    /// An operator wants no new work on it.
+    /// An operator excluded it from new requests.
     pub drained: bool,
 }
 
 impl EndpointFacts {
-    /// Whether new work may be sent to it at all.
+    /// Whether new requests may be sent to the endpoint.
     pub fn takes_work(&self) -> bool {
         !self.leaving && !self.drained
     }
--- a/crates/ragwortroad_routing/src/table/endpoint_ranking.rs
+++ b/crates/ragwortroad_routing/src/table/endpoint_ranking.rs
@@ -5,42 +5,42 @@
     table::route_table::PoolEntry, //
 };
 
-/// The order in which one request would have the endpoints of a pool, by hash.
+/// The order in which one request prefers the endpoints of a pool, by hash.
 ///
 /// Rendezvous hashing: each endpoint has a score for each key, and the highest score wins. All
-/// nodes that know the same endpoints agree without a message; a node that misses one endpoint
-/// disagrees only on the keys that belong there.
+/// nodes that know the same endpoints agree without a message. A node that does not know one of
+/// them disagrees only on the keys that belong to that endpoint.
 ///
-/// Where the prompt begins with a text long enough to be shared (a school's lesson plan), the first
-/// few places are ranked by that text, so that its chats share an engine's copy of it, and the
-/// chat decides among these. For every few of them that are full, one more beyond the full ones
-/// accepts part: were it only the next one, all nodes would send all chats of a text that is much asked for
-/// to the same engine, which is full before they hear of it.
+/// Where the prompt starts with a prefix long enough to be shared (a school's lesson plan), the
+/// prefix selects the first few endpoints, so that its chats share an engine's cached copy, and the
+/// chat selects among these. For every few of them that are full, one more endpoint beyond the full
+/// ones becomes a candidate. With only the next one, all nodes would send all chats of a popular
+/// prefix to the same engine, which is full before they hear of it.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointRanking {
-    /// The key that ranks the endpoints.
+    /// Hash key that ranks the endpoints.
     group_key: u64,
-    /// The key that decides among the first of them.
+    /// Hash key that selects among the first of them.
     member_key: u64,
-    /// Open places that take part while none is full.
+    /// Candidates while none of the first endpoints is full.
     min_candidates: usize,
-    /// Whether the less loaded of the two best is taken.
+    /// Whether the less loaded of the two best candidates is chosen.
     two_choices: bool,
-    /// Places that turned out full.
+    /// Endpoints that turned out to be full.
     skipped: Vec<EndpointKey>,
 }
 
-/// Homes that said "full" after which a request leaves the order of its shared text: this node's
-/// view of the loads is too old to find room in the position where all others look for it.
+/// Refusals by homes after which a request no longer follows the order of its shared prefix: this
+/// node's load data is too old to find capacity among the endpoints where all other nodes look too.
 const REFUSALS_BEFORE_CHAT_ORDER: u32 = 4;
 
-/// Full places at the head of the order for which one more open position accepts part.
+/// Full endpoints at the head of the order for each additional candidate.
 const FULL_PER_EXTRA_CANDIDATE: usize = 8;
 
-/// Places at the head of the order that are looked at; beyond, the chat's own order decides.
+/// Endpoints at the head of the order that are considered; after them the chat's own order decides.
 const HEAD_LENGTH: usize = 16;
 
-/// The score of an endpoint or node with `seed` for `key`.
+/// Returns the score for `key` of the endpoint or node with `seed`.
 pub(crate) fn score(seed: u64, key: u64) -> u64 {
     let mut hash = seed ^ key;
     hash = (hash ^ (hash >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
@@ -49,8 +49,8 @@
 }
 
 impl EndpointRanking {
-    /// The order for `query`. A chat with a `known` position that is full accepts the same second position
-    /// each time; only one without any may look for the less loaded.
+    /// Creates the order for `query`. A chat that `has_context` at a full endpoint always falls
+    /// back to the same second one; only a chat without context may choose the less loaded of two.
     pub(crate) fn new(query: &RouteQuery<'_>, settings: &RouteSettings, has_context: bool) -> Self {
         let member_key = query.chat.map_or(query.salt, |chat| chat.0);
         let shared = settings
@@ -76,12 +76,13 @@
         }
     }
 
-    /// Leaves `key` out from now on.
+    /// Excludes `key` from now on.
     pub(crate) fn skip(&mut self, key: EndpointKey) {
         self.skipped.push(key);
     }
 
-    /// The best endpoint of `pool` that is open, if there is one.
+    /// Returns the best available endpoint of `pool`, where `open` tells which are available and
+    /// `fill` how loaded they are.
     pub(crate) fn best(
         &self,
         pool: &[PoolEntry],
@@ -107,7 +108,7 @@
             }
         }
         if candidates == 0 {
-            // The head is full: the chat's own order, over all.
+            // The head of the order is full: the chat's own order decides among all.
             for entry in pool {
                 let rank = score(entry.seed, self.member_key);
                 if best.accepts(rank) && open(entry.key) {
@@ -125,9 +126,9 @@
     }
 }
 
-/// The highest ranked entries of a pool.
+/// The highest-ranked entries of a pool.
 struct TopEntries {
-    /// Invariant: the first `count` are in falling order of rank.
+    /// Invariant: the first `count` are in descending order of rank.
     ranked: [(u64, PoolEntry); HEAD_LENGTH],
     count: usize,
 }
@@ -146,7 +147,7 @@
 }
 
 impl TopEntries {
-    /// Puts an entry in its position, if it belongs to the head.
+    /// Inserts an entry at its rank if it belongs to the head of the order.
     fn insert(&mut self, rank: u64, entry: PoolEntry) {
         if self.count == HEAD_LENGTH && rank <= self.ranked[HEAD_LENGTH - 1].0 {
             return;
@@ -164,7 +165,7 @@
     }
 }
 
-/// The two highest ranked of some endpoints.
+/// The two highest-ranked of the endpoints inserted.
 #[derive(Default)]
 struct TopPair {
     first: Option<(u64, EndpointKey)>,
--- a/crates/ragwortroad_routing/src/table/endpoint_state.rs
+++ b/crates/ragwortroad_routing/src/table/endpoint_state.rs
@@ -13,29 +13,29 @@
     }, //
 };
 
-/// One endpoint in a node's arena.
+/// State of one endpoint in a node's arena.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointState {
-    /// What membership says.
+    /// What membership and configuration say.
     pub(crate) facts: EndpointFacts,
-    /// The exact account.
-    /// Invariant: has slots only while this node is the home.
+    /// Exact count of the endpoint's slots. Invariant: has slots only while this node is the home.
     pub(crate) ledger: SlotLedger,
-    /// From when this node alone admits work, if it is the home.
+    /// Time from which only this node admits requests, if it is the home.
     pub(crate) exclusive_from: ClockTime,
-    /// Whether the endpoint has reported, since that measured_at, what earlier homes left on it.
+    /// Whether a load report from after `exclusive_from` has shown the requests that earlier homes
+    /// admitted.
     pub(crate) handover_reported: bool,
-    /// What this node believes while it is not the home.
+    /// Load estimate for while another node is the home.
     pub(crate) view: RemoteView,
-    /// The load that stands in the fleet's sum now: of what is believed, the part that does not rest
-    /// on a silent node.
+    /// The load that is included in the fleet's sum: the known or estimated load without the part
+    /// that depends on an unresponsive node.
     pub(crate) counted_load: u32,
-    /// By its home's digest, the endpoint is set aside.
+    /// Whether the home's digest says that the endpoint is ejected.
     pub(crate) ejected_by_home: bool,
 }
 
 impl EndpointState {
-    /// An endpoint that nothing but `facts` is known of.
+    /// Creates the state of an endpoint of which only `facts` are known.
     pub(crate) fn new(facts: EndpointFacts, exclusive_from: ClockTime) -> Self {
         Self {
             facts,
@@ -48,24 +48,24 @@
         }
     }
 
-    /// Whether the home may admit work by now.
+    /// Whether this node may admit requests as the home.
     ///
-    /// An earlier home that does not yet know that it is none may admit up to the bound until
-    /// `exclusive_from`. A new home that admitted beside it would put the sum above the bound, which
-    /// nobody would see but the endpoint. It therefore waits for that measured_at, and for a report from
-    /// after it.
+    /// An earlier home that does not yet know of the change may admit requests up to the bound
+    /// until `exclusive_from`. If a new home admitted at the same time, the sum could exceed the
+    /// bound, and only the endpoint would notice. The new home therefore waits for that time, and
+    /// for a load report from after it.
     pub(crate) fn is_exclusive(&self, now: ClockTime) -> bool {
         self.handover_reported && self.exclusive_from <= now
     }
 
-    /// Takes in that membership now names another measured_at for the same home. A later one means that
-    /// somebody else may have admitted work meanwhile, which only a later report shows.
+    /// Applies another `exclusive_from` from membership for the same home. A later one means that
+    /// another node may have admitted requests in the meantime, which only a later report shows.
     pub(crate) fn update_exclusive_from(&mut self, exclusive_from: ClockTime) {
         self.handover_reported &= exclusive_from <= self.exclusive_from;
         self.exclusive_from = exclusive_from;
     }
 
-    /// Takes in the endpoint's own report.
+    /// Applies the endpoint's own load report.
     pub(crate) fn observe(&mut self, report: LoadReport, now: ClockTime) {
         let measured_at = now.before(Duration::from_millis(u64::from(report.age_ms)));
         self.ledger.sweep(now);
--- a/crates/ragwortroad_routing/src/table/hint_codec.rs
+++ b/crates/ragwortroad_routing/src/table/hint_codec.rs
@@ -4,12 +4,12 @@
 
 use crate::CustomerKey;
 
-/// Turns a placement into the opaque text a caller carries, and back.
+/// Encodes an endpoint as an opaque hint that the caller sends back, and decodes it.
 ///
-/// A hint is bound to its customer and to the fleet's secret. One that was forged, altered, or
-/// taken from another customer reads as no hint at all; the request then goes where the hash sends
-/// it. A hint grants nothing: the bound, the limits and the check whether the endpoint serves the
-/// model apply to its request as to any other.
+/// A hint is bound to its customer and to the fleet's secret. A hint that was forged, altered or
+/// taken from another customer decodes to none, and the request is routed by hash. A hint grants
+/// nothing: the load bound, the customer's limits and the check that the endpoint serves the model
+/// apply as to any other request.
 ///
 /// ```
 /// use ragwortroad_routing::prelude::*;
@@ -30,20 +30,20 @@
 const HINT_LENGTH: usize = 32;
 
 impl HintCodec {
-    /// A codec whose hints are read by every node with the same `secret`.
+    /// Creates a codec; every node with the same `secret` can decode its hints.
     pub fn new(secret: u64) -> Self {
         Self { secret }
     }
 
-    /// The hint for `endpoint`, for `customer` only.
+    /// Returns the hint for `endpoint`, valid only for `customer`.
     pub fn encode(&self, customer: CustomerKey, endpoint: EndpointId) -> String {
-        // The place is masked per customer, so that customers cannot compare where they sit.
+        // The endpoint is masked per customer, so that customers cannot compare their placement.
         let masked = endpoint.0 ^ self.mask(customer);
         let check = self.check(customer, masked);
         format!("{masked:016x}{check:016x}")
     }
 
-    /// The endpoint that `hint` names, if this fleet gave it to `customer`.
+    /// Returns the endpoint in `hint`, if this fleet issued the hint to `customer`.
     pub fn decode(&self, customer: CustomerKey, hint: &str) -> Option<EndpointId> {
         if hint.len() != HINT_LENGTH || !hint.is_ascii() {
             return None;
--- a/crates/ragwortroad_routing/src/table/load_bound.rs
+++ b/crates/ragwortroad_routing/src/table/load_bound.rs
@@ -1,9 +1,9 @@
-/// The load beyond which an endpoint gets no work: `multiple × fleet mean`, rounded.
+/// The load above which an endpoint receives no requests: a multiple of the fleet mean, rounded up.
 ///
-/// *Load* is the number of requests that were admitted to an endpoint and not yet given back. The
+/// *Load* is the number of requests that were admitted to an endpoint and not yet released. The
 /// *fleet mean* is the sum of loads over all present endpoints of one fleet that take work, divided
-/// by their number. The bound is `max(ceil(multiple × mean), floor)`: below `floor` requests one
-/// request more or less is a large multiple of the mean and harms nobody.
+/// by their number. The bound is `max(ceil(multiple × mean), floor)`: below `floor` requests, one
+/// request more or less is a large multiple of the mean and does no harm.
 ///
 /// ```
 /// use ragwortroad_routing::LoadBound;
@@ -14,9 +14,9 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadBound {
-    /// How far above the mean an endpoint may be.
+    /// Highest load, as a multiple of the mean.
     pub multiple: f64,
-    /// Up to this load an endpoint is never above its bound.
+    /// Load up to which an endpoint is always within the bound.
     pub floor: u32,
 }
 
@@ -30,24 +30,26 @@
 }
 
 impl LoadBound {
-    /// The highest load within the bound at a fleet mean of `mean`.
+    /// Returns the highest load within the bound at a fleet mean of `mean`.
     pub fn of_mean(&self, mean: f64) -> u32 {
-        // A product such as 1.25 × 8 may come out a hair above 10 and must not round up to 11.
+        // A product such as 1.25 × 8 may come out slightly above 10 and must not round up to 11.
         const ROUNDING_SLACK: f64 = 1e-9;
         let scaled = (self.multiple * mean - ROUNDING_SLACK).ceil().max(0.0);
         (scaled as u32).max(self.floor)
     }
 
-    /// The highest load an admission may lead to in a fleet of `members` with this `mean`.
+    /// Returns the highest load that an admission may lead to in a fleet of `members` with this
+    /// `mean`.
     ///
-    /// Where the mean falls after an admission, the load admitted under the higher mean stands
-    /// above the bound. Requests that come and go independently let the mean of `members` loads
-    /// vary by about `sqrt(mean / members)`; an admission counts on a mean that has fallen by
-    /// `margin` times that. In a large fleet it is next to nothing.
+    /// If the mean falls after an admission, the load admitted under the higher mean exceeds the
+    /// bound. With independent arrivals and ends, the mean of `members` loads varies by about
+    /// `sqrt(mean / members)`, so that an admission assumes a mean that is lower by `margin` times
+    /// that. In a large fleet the difference is negligible.
     pub fn for_admission(&self, mean: f64, members: u32, margin: f64) -> u32 {
         let deviation = (mean / f64::from(members.max(1))).sqrt();
-        // A limit at or below the mean would push the mean down, and with it the limit again, until
-        // a busy fleet refused nearly everything. One above the mean is always within the bound.
+        // A limit at or below the mean would lower the mean and with it the limit again, until a
+        // busy fleet refused nearly everything. The first load above the mean is always within the
+        // bound.
         let above_mean = mean.floor() as u32 + 1;
         self.of_mean(mean - margin * deviation).max(above_mean)
     }
--- a/crates/ragwortroad_routing/src/table/load_digest.rs
+++ b/crates/ragwortroad_routing/src/table/load_digest.rs
@@ -1,8 +1,8 @@
-/// What an endpoint's home tells the other nodes of it, about once a second.
+/// What an endpoint's home sends to the other nodes about it, about once a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadDigest {
-    /// Requests at the endpoint.
+    /// Requests admitted to the endpoint and not yet released.
     pub load: u32,
-    /// The home has set it aside as an outlier.
+    /// Whether the home ejected the endpoint as an outlier.
     pub ejected: bool,
 }
--- a/crates/ragwortroad_routing/src/table/mod.rs
+++ b/crates/ragwortroad_routing/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! What one node knows of the endpoints, and the choice among them.
+//! One node's knowledge of the endpoints, and the choice among them.
 
 pub(crate) mod admission_class;
 pub(crate) mod affinity_map;
--- a/crates/ragwortroad_routing/src/table/prefix_index.rs
+++ b/crates/ragwortroad_routing/src/table/prefix_index.rs
@@ -10,19 +10,20 @@
 
 use crate::table::affinity_map::AffinityMap;
 
-/// Which engine holds a prefix, from the cache events of engines this node is home of.
+/// Maps prefixes to the engines that cache them, from the cache events of engines whose home is
+/// this node.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefixIndex {
     /// The engine that stored each prefix last.
     engines: AffinityMap,
-    /// The event number next_sequence next from each engine.
+    /// Sequence number of the next event from each engine.
     next_sequence: BTreeMap<EndpointId, u64>,
-    /// Events lost so far.
+    /// Number of lost events.
     lost: u64,
 }
 
 impl PrefixIndex {
-    /// A memory of `entries` prefixes.
+    /// Creates an index of at least `entries` prefixes.
     pub(crate) fn new(entries: usize) -> Self {
         Self {
             engines: AffinityMap::new(entries),
@@ -31,10 +32,10 @@
         }
     }
 
-    /// Takes in events of `endpoint`, in the order they came.
+    /// Applies events of `endpoint` in the order of their arrival.
     ///
-    /// A gap may hide evictions. The entries stay: acting on one that is wrong costs a recompute
-    /// which forgetting it would cost for certain.
+    /// A gap may hide evictions. The entries stay, since a wrong entry costs one recompute, which
+    /// removing the entry would cost for certain.
     pub(crate) fn observe(&mut self, endpoint: EndpointId, events: &[CacheEvent], now: ClockTime) {
         for event in events {
             let next_sequence = self.next_sequence.entry(endpoint).or_insert(event.sequence);
@@ -49,7 +50,8 @@
         }
     }
 
-    /// The engine that holds the longest of `prefixes`, and how many blocks that is.
+    /// Returns the engine that holds the longest of `prefixes`, and the number of blocks of that
+    /// prefix.
     pub(crate) fn longest(&self, prefixes: &[PrefixKey]) -> Option<(EndpointId, usize)> {
         for (index, prefix) in prefixes.iter().enumerate().rev() {
             if let Some(endpoint) = self.engines.get(prefix.0) {
@@ -59,12 +61,12 @@
         None
     }
 
-    /// Forgets the event count of an engine that is gone.
+    /// Removes the sequence number of an engine.
     pub(crate) fn remove(&mut self, endpoint: EndpointId) {
         self.next_sequence.remove(&endpoint);
     }
 
-    /// Events that never came.
+    /// Returns the number of events that never arrived.
     pub(crate) fn lost(&self) -> u64 {
         self.lost
     }
--- a/crates/ragwortroad_routing/src/table/route_choice.rs
+++ b/crates/ragwortroad_routing/src/table/route_choice.rs
@@ -22,20 +22,20 @@
     }, //
 };
 
-/// Places tried before a request is refused: the first refusals come from this node's own account
-/// or memory and cost no message.
+/// Endpoints tried before a request is refused. The first refusals come from this node's own
+/// ledgers and load estimates and cost no message.
 const MAX_CANDIDATES: usize = 4;
 
-/// Requests of a customer refused one after the other from which on it counts as starved. Past
-/// saturation everybody is refused now and then; that alone must change no share.
+/// Consecutive refused requests after which a customer counts as starved. Past saturation every
+/// customer is refused now and then, which alone must not change any share.
 const STARVED_AFTER_REFUSALS: u32 = 3;
 
-/// How long a customer whose request was refused for want of room counts as starved.
+/// How long a customer counts as starved after a request of it was refused for lack of capacity.
 pub(crate) const STARVED_TTL: Duration = Duration::from_secs(5);
 
-/// What the table decides.
+/// Routing decisions.
 impl RouteTable {
-    /// Where a request goes now.
+    /// Decides where a request goes.
     pub fn choose(&mut self, query: &RouteQuery<'_>, now: ClockTime) -> RouteDecision {
         if !self.pools.contains_key(&query.offer) {
             return self.refuse(RefusalCode::NoEndpoint);
@@ -76,12 +76,12 @@
         self.refuse(RefusalCode::Overloaded)
     }
 
-    /// Notes that a request of the customer was placed.
+    /// Records that a request of the customer was placed.
     pub fn record_placement(&mut self, customer: CustomerKey) {
         self.recent_refusals.remove(&customer);
     }
 
-    /// Whether the customer's last requests here were all refused for want of room.
+    /// Whether the customer's recent requests were all refused here for lack of capacity.
     fn is_starved(&self, customer: CustomerKey, now: ClockTime) -> bool {
         let refused = self.recent_refusals.get(&customer);
         refused.is_some_and(|(count, at)| {
@@ -89,12 +89,13 @@
         })
     }
 
-    /// Asks a home for a starved customer although the endpoint looks full from here, once for a
-    /// request.
+    /// Asks a home for a slot for a starved customer although the endpoint looks full to this node,
+    /// once per request.
     ///
-    /// Under a surge the digests always say full, and only the home knows which customer has less
-    /// than its share. A node that went by the digests alone would refuse a small customer for as
-    /// long as a large one surges, while the homes keep room that nobody asks for.
+    /// Under overload the digests always report full endpoints, and only the home knows which
+    /// customer has less than its share. A node that relied on the digests would refuse a small
+    /// customer for as long as a large one sends too much, while the homes reserve capacity that
+    /// nobody asks for.
     fn ask_for_starved(&self, query: &RouteQuery<'_>, now: ClockTime) -> Option<RouteDecision> {
         if query.refusals > 0 || !self.is_starved(query.customer, now) {
             return None;
@@ -117,11 +118,12 @@
         })
     }
 
-    /// How long to wait for room at the previous that holds the request's context, if it is max_wait it.
+    /// Returns how long to wait for capacity at the endpoint that holds the request's context, or
+    /// `None` if the wait is not worth it.
     ///
-    /// Without this a chat whose engine is at its bound for a moment is computed anew remote,
-    /// which costs more of both engines than the wait costs the caller, and the chat's next turn
-    /// finds its context split over two places.
+    /// Otherwise a chat whose engine is at its bound for a moment would be recomputed elsewhere.
+    /// That costs both engines more than the wait costs the caller, and leaves the context of the
+    /// next turn split over two engines.
     fn context_wait(
         &self,
         key: EndpointKey,
@@ -144,11 +146,11 @@
         Some(until_retry.max(settings.hold_interval))
     }
 
-    /// The nodes a caller should use, best first.
+    /// Returns the nodes that a caller should use, best first.
     ///
-    /// The first is the home of the engine that the chat was last on, so that most requests arrive
-    /// where they can be admitted without a message. The rest follow a hash of the chat over the
-    /// nodes, which stays the same as long as those nodes live.
+    /// The first is the home of the chat's last engine, so that most requests arrive where they can
+    /// be admitted without a message. The others follow a hash of the chat over the nodes, which is
+    /// stable as long as those nodes live.
     pub fn addresses_for(
         &self,
         chat: Option<ChatKey>,
@@ -179,7 +181,7 @@
         self.chat_map.get(chat.0).map(EndpointId)
     }
 
-    /// Places that may hold the request's context, the likeliest first.
+    /// Returns endpoints that may hold the request's context, the most likely first.
     fn affinity_candidates(
         &self,
         query: &RouteQuery<'_>,
@@ -189,9 +191,10 @@
             .chat
             .and_then(|chat| self.last_endpoint(chat))
             .map(|endpoint| (endpoint, RouteReason::Memory));
-        // Events tell of this node's engines only. For a chat with a name they mostly find its
-        // shared text here, which draws new chats to one engine; the hash spreads those better. A
-        // request that names no chat has nothing else to go by.
+        // Cache events come only from engines whose home is this node. For a chat with a key they
+        // mostly match its shared prefix here, which would draw new chats to one engine; the hash
+        // distributes those better. A request without a chat has no other indication of its
+        // context.
         let has_no_chat = query.chat.is_none();
         let prefix = has_no_chat
             .then(|| self.prefix_index.longest(query.prefixes))
@@ -201,7 +204,7 @@
         [hint, memory, prefix].into_iter().flatten()
     }
 
-    /// The endpoint's key, if it may take this request.
+    /// Returns the endpoint's key, if it may receive this request.
     fn eligible(&self, endpoint: EndpointId, query: &RouteQuery<'_>) -> Option<EndpointKey> {
         let key = *self.ids.get(&endpoint)?;
         let state = self.arena[key.index()].as_ref()?;
@@ -210,7 +213,7 @@
         (serves && open).then_some(key)
     }
 
-    /// The best previous of the ranking that seems to have room.
+    /// Returns the best endpoint of the ranking that seems to have capacity.
     fn best_ranked(
         &self,
         ranking: &mut EndpointRanking,
@@ -225,7 +228,7 @@
         )
     }
 
-    /// Whether an endpoint seems able to take one more request.
+    /// Whether an endpoint seems to have capacity for one more request.
     fn seems_available(
         &self,
         key: EndpointKey,
@@ -243,14 +246,15 @@
         if self.is_home(state) {
             return state.ledger.load() < limit && state.is_exclusive(now);
         }
-        // A chat whose context is there asks again when its home said; to others the previous stays
-        // full until a digest tells otherwise, or a busy fleet spends itself on questions.
+        // A chat with context at the endpoint asks again at the time that the home gave. To other
+        // requests it stays full until the next digest, because otherwise a busy fleet would spend
+        // its effort on asking.
         let refused = state.view.full_until > now
             || (state.view.was_full && class == AdmissionClass::Arriving);
         state.view.estimated_load() < limit && !refused && !state.ejected_by_home
     }
 
-    /// How full an endpoint seems, relative to its capacity.
+    /// Returns how full an endpoint seems, as a fraction of its capacity.
     fn utilization_of(&self, key: EndpointKey) -> f64 {
         let Some(state) = self.arena[key.index()].as_ref() else {
             return f64::MAX;
@@ -263,7 +267,7 @@
         f64::from(load) / f64::from(state.facts.capacity.max(1))
     }
 
-    /// Grants a slot here, or names the home to ask, or finds the previous full.
+    /// Grants a slot here or names the home to ask; `None` where the endpoint is full.
     fn try_endpoint(
         &mut self,
         key: EndpointKey,
--- a/crates/ragwortroad_routing/src/table/route_decision.rs
+++ b/crates/ragwortroad_routing/src/table/route_decision.rs
@@ -14,51 +14,51 @@
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
-    /// This node is the endpoint's home and has granted a slot; send the request there.
+    /// This node is the endpoint's home and granted a slot; send the request to the endpoint.
     Admit {
-        /// The endpoint.
+        /// The endpoint that serves the request.
         endpoint: EndpointId,
-        /// To be given back by [`RouteTable::release`](crate::RouteTable::release).
+        /// Must be released with [`RouteTable::release`](crate::RouteTable::release).
         slot: SlotId,
-        /// Why this endpoint.
+        /// Why this endpoint was chosen.
         reason: RouteReason,
     },
-    /// Ask the endpoint's home node for a slot, then report what it said with
-    /// [`RouteTable::note_answer`](crate::RouteTable::note_answer).
+    /// Ask the endpoint's home node for a slot, then pass its answer to
+    /// [`RouteTable::record_answer`](crate::RouteTable::record_answer).
     AskHome {
-        /// The endpoint.
+        /// The endpoint to ask a slot for.
         endpoint: EndpointId,
         /// The node to ask.
         home: NodeId,
-        /// To be told to it.
+        /// Must be sent with the question.
         class: AdmissionClass,
-        /// Why this endpoint.
+        /// Why this endpoint was chosen.
         reason: RouteReason,
     },
-    /// Ask again with the same query after this time; a place that is worth waiting for is at its
-    /// bound. The table says so only while the query has waited less than the settings allow.
+    /// Decide again with the same query after this time; an endpoint worth waiting for is at its
+    /// bound. Returned only while the query has waited less than the settings allow.
     Hold {
         /// How long to wait.
         retry_after: Duration,
     },
-    /// Nothing was sent; tell the caller at once.
+    /// Nothing was sent; answer the caller at once.
     Refuse {
-        /// The stable reason.
+        /// Stable reason code for the caller.
         code: RefusalCode,
-        /// How long the caller should wait.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
 }
 
-/// What led to an endpoint, for the time line and for measurement.
+/// How an endpoint was found, for the timeline and for measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RouteReason {
-    /// The caller's hint named it.
+    /// The caller's hint names it.
     Hint,
-    /// This node sent the chat there before.
+    /// This node sent the chat to it before.
     Memory,
-    /// Cache events say that it holds the prompt's prefix.
+    /// Cache events show that it holds the prompt's prefix.
     Prefix,
-    /// The hash over the endpoints led to it.
+    /// The hash over the endpoints selected it.
     Hash,
 }
--- a/crates/ragwortroad_routing/src/table/route_query.rs
+++ b/crates/ragwortroad_routing/src/table/route_query.rs
@@ -11,25 +11,25 @@
     OfferKey, //
 };
 
-/// One request that wants a place.
+/// A request to be routed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RouteQuery<'query> {
-    /// What must be served.
+    /// What the endpoint must serve.
     pub offer: OfferKey,
-    /// Whose request it is.
+    /// The customer that sent the request.
     pub customer: CustomerKey,
-    /// The chat it continues.
+    /// The chat that the request continues; absent for a request that belongs to none.
     pub chat: Option<ChatKey>,
-    /// Its prompt's prefix keys, shortest first.
+    /// Prefix keys of the prompt, the shortest first.
     pub prefixes: &'query [PrefixKey],
-    /// The engine named by the caller's hint; a wrong one costs cache reuse only.
+    /// The engine in the caller's hint. A wrong one only costs cache reuse.
     pub hint: Option<EndpointId>,
-    /// Endpoints that failed this request before.
+    /// Endpoints that already failed this request.
     pub excluded: &'query [EndpointId],
-    /// Any number that differs between requests, to spread those that belong to no chat.
+    /// A number that differs between requests and distributes those without a chat.
     pub salt: u64,
-    /// Homes that answered "full" to it.
+    /// Homes that refused this request because the endpoint was full.
     pub refusals: u32,
-    /// How long it has been held already.
+    /// How long the request has been held so far.
     pub waited: Duration,
 }
--- a/crates/ragwortroad_routing/src/table/route_settings.rs
+++ b/crates/ragwortroad_routing/src/table/route_settings.rs
@@ -8,51 +8,54 @@
     ZoneKey, //
 };
 
-/// What a [`RouteTable`](crate::RouteTable) is made from.
+/// Settings of a [`RouteTable`](crate::RouteTable).
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteSettings {
-    /// The node that decides.
+    /// The node on which the table decides.
     pub node: NodeId,
     /// The node's own failure domain.
     pub zone: ZoneKey,
-    /// The bound no endpoint may pass.
+    /// The bound that no endpoint may exceed.
     pub bound: LoadBound,
-    /// How far the mean may fall after an admission without putting it above the bound, in standard
-    /// deviations of the mean.
+    /// How far the mean may fall after an admission without the load exceeding the bound, in
+    /// standard deviations of the mean.
     pub mean_margin: f64,
-    /// Requests an endpoint may hold, as a multiple of its capacity; the part above 1 is its queue.
+    /// Most requests at an endpoint as a multiple of its capacity; the part above 1 is its queue.
     pub queue_multiple: f64,
-    /// Share of an endpoint's room kept for customers that use less than an equal part of it.
+    /// Fraction of an endpoint's capacity and queue that is reserved for customers with less than
+    /// an equal share.
     pub fair_reserve: f64,
-    /// The block of the prompt whose prefix key stands for a shared text (a school's plan).
+    /// Index, counted from 1, of the prompt block whose prefix key identifies a shared prefix (a
+    /// school's lesson plan); 0 for none.
     pub shared_prefix_block: usize,
-    /// Engines among which the chats of one shared text are spread, while they have room.
+    /// Engines among which the chats of one shared prefix are distributed while they have capacity.
     pub shared_prefix_engines: usize,
-    /// Whether a chat that nothing is known of goes to the less loaded of its two best places.
+    /// Whether a chat without known context goes to the less loaded of its two best endpoints.
     pub two_choices: bool,
-    /// Chats whose last place a node remembers.
+    /// Chats whose last endpoint a node stores.
     pub chat_entries: usize,
-    /// Prefixes whose place a node remembers from the cache events of its own engines.
+    /// Prefixes whose endpoint a node stores from the cache events of its own engines.
     pub prefix_entries: usize,
-    /// Longest time a chat waits for room where its context is.
+    /// Longest time that a chat waits for capacity at the endpoint with its context.
     pub max_context_wait: Duration,
-    /// The part of that time that each block of its prompt is worth, which is about what computing
-    /// the block anew would take.
+    /// Wait for context that each block of the prompt justifies, about the time to recompute the
+    /// block.
     pub context_wait_per_block: Duration,
-    /// Longest time any request waits for room anywhere before it is refused.
+    /// Longest time that any request waits for capacity before it is refused.
     pub max_capacity_wait: Duration,
-    /// Time between two looks at a full place of this node's own.
+    /// Interval at which a full endpoint of this node is checked again.
     pub hold_interval: Duration,
-    /// Longest time for which a home that answered "full" is not asked again.
+    /// Longest time for which a home is not asked again after it answered that the endpoint is
+    /// full.
     pub full_backoff: Duration,
-    /// How long slots of a node that is gone stay counted_load, since its requests may still run.
+    /// How long the slots of a lost node stay counted, since its requests may still run.
     pub lost_node_slot_ttl: Duration,
-    /// How long the slot of a failed request stays counted_load, so that an endpoint which fails fast
-    /// looks as busy as one that works.
+    /// How long the slot of a failed request stays counted, so that an endpoint that fails fast
+    /// looks as busy as a working one.
     pub failed_slot_ttl: Duration,
-    /// Longest life of a slot that is never given back.
+    /// Longest lifetime of a slot that is never released.
     pub slot_ttl: Duration,
-    /// When endpoints are set aside.
+    /// When endpoints are ejected for failures.
     pub outliers: OutlierSettings,
 }
 
--- a/crates/ragwortroad_routing/src/table/route_table.rs
+++ b/crates/ragwortroad_routing/src/table/route_table.rs
@@ -24,52 +24,52 @@
     }, //
 };
 
-/// All that one node knows of the endpoints, and its decisions about them.
+/// One node's knowledge of the endpoints, and its routing decisions.
 ///
-/// The table is fed by membership ([`Self::upsert_endpoint`], [`Self::set_home`],
-/// [`Self::observe_digest`]) and by endpoints that announce themselves to this node
-/// ([`Self::observe_report`], [`Self::observe_cache`]). It decides where a request goes
-/// ([`Self::choose`]), and, as the home node of some endpoints, who may send to them
+/// The inputs come from membership ([`Self::upsert_endpoint`], [`Self::set_home`],
+/// [`Self::observe_digest`]) and from endpoints that announce themselves to this node
+/// ([`Self::observe_report`], [`Self::observe_cache`]). The table decides where a request goes
+/// ([`Self::choose`]) and, as the home node of some endpoints, who may send to them
 /// ([`Self::grant_slot`]).
 ///
-/// Every request is admitted by the home of its endpoint, which therefore knows the load exactly;
-/// the bound is enforced there and nowhere else.
+/// Every request is admitted by the home of its endpoint, which therefore knows the exact load. The
+/// bound is enforced only there.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     pub(crate) settings: RouteSettings,
-    /// Invariant: an index is reused only after the endpoint in it was removed from `ids` and from
-    /// every pool.
+    /// Invariant: an index is reused only after its endpoint was removed from `ids` and from every
+    /// pool.
     pub(crate) arena: Vec<Option<EndpointState>>,
     pub(crate) free_keys: Vec<EndpointKey>,
     pub(crate) ids: BTreeMap<EndpointId, EndpointKey>,
-    /// For each thing served, who serves it. Invariant: holds only endpoints that take work.
+    /// Endpoints by what they serve. Invariant: contains only endpoints that take work.
     pub(crate) pools: BTreeMap<OfferKey, Vec<PoolEntry>>,
     /// Invariant: the sum of `counted_load` over members that take work.
     pub(crate) fleets: BTreeMap<FleetKey, FleetLoad>,
-    /// Nodes that owe this one an answer and were not heard since.
+    /// Nodes that have not answered this node and were not heard from since.
     pub(crate) unresponsive: BTreeSet<NodeId>,
-    /// Nodes that callers may be sent to.
+    /// Nodes to which callers may be sent.
     pub(crate) nodes: Vec<NodeId>,
     pub(crate) chat_map: AffinityMap,
     pub(crate) prefix_index: PrefixIndex,
     pub(crate) outliers: OutlierTable,
-    /// Requests of each customer that were recent_refusals here for want of requests since its last one that
-    /// was placed, with the time of the latest.
+    /// For each customer, the requests refused here for lack of capacity since its last placed
+    /// request, and the time of the latest.
     pub(crate) recent_refusals: BTreeMap<CustomerKey, (u32, ClockTime)>,
     pub(crate) next_slot: u64,
 }
 
-/// One endpoint of a pool, with what the hash needs beside it.
+/// An endpoint of a pool with its hash seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PoolEntry {
-    /// The endpoint's own hash seed; the same on every node.
+    /// Hash seed of the endpoint, the same on every node.
     pub(crate) seed: u64,
-    /// Where it is in the arena.
+    /// Index of the endpoint in the arena.
     pub(crate) key: EndpointKey,
 }
 
 impl RouteTable {
-    /// A table that knows no endpoints.
+    /// Creates a table without endpoints.
     pub fn new(settings: RouteSettings) -> Self {
         let chat_map = AffinityMap::new(settings.chat_entries);
         let prefix_index = PrefixIndex::new(settings.prefix_entries);
@@ -91,12 +91,13 @@
         }
     }
 
-    /// What the table was made from.
+    /// Returns the settings, with later changes such as [`Self::set_multiple`].
     pub fn settings(&self) -> &RouteSettings {
         &self.settings
     }
 
-    /// The load an endpoint is known or believed to carry.
+    /// Returns the load of an endpoint: exact if this node is its home, otherwise from the last
+    /// digest. `None` for an unknown endpoint.
     pub fn load_of(&self, endpoint: EndpointId) -> Option<u32> {
         let state = self.state_of(endpoint)?;
         Some(match self.is_home(state) {
@@ -105,28 +106,27 @@
         })
     }
 
-    /// The mean load of a fleet, by this node's knowledge.
+    /// Returns the mean load of a fleet by this node's knowledge, or 0 for an unknown fleet.
     pub fn fleet_mean(&self, fleet: FleetKey) -> f64 {
         self.fleets.get(&fleet).map_or(0.0, FleetLoad::mean)
     }
 
-    /// Cache events known to be lost.
+    /// Returns the number of cache events that were lost, by gaps in their sequence numbers.
     pub fn lost_events(&self) -> u64 {
         self.prefix_index.lost()
     }
 
-    /// The endpoint with this identity.
     pub(crate) fn state_of(&self, endpoint: EndpointId) -> Option<&EndpointState> {
         let key = self.ids.get(&endpoint)?;
         self.arena[key.index()].as_ref()
     }
 
-    /// Whether this node admits work to the endpoint.
+    /// Whether this node admits requests to the endpoint.
     pub(crate) fn is_home(&self, state: &EndpointState) -> bool {
         state.facts.home == self.settings.node
     }
 
-    /// Changes an endpoint's state, keeping the fleet's sum and the pools true to it.
+    /// Changes an endpoint's state and updates the fleet's load accordingly.
     pub(crate) fn change<T>(
         &mut self,
         key: EndpointKey,
@@ -154,7 +154,7 @@
         Some(result)
     }
 
-    /// The most requests the endpoint may carry now.
+    /// Returns the most requests that the endpoint may carry now.
     pub(crate) fn load_limit(&self, state: &EndpointState, now: ClockTime) -> u32 {
         let settings = &self.settings;
         let fleet = self
@@ -170,7 +170,8 @@
         self.outliers.ramped_limit(state.facts.id, limit, now)
     }
 
-    /// The most requests an endpoint may carry whatever the mean: its capacity and its queue.
+    /// Returns the most requests that an endpoint may carry whatever the mean: its capacity and its
+    /// queue.
     pub(crate) fn capacity_limit(&self, state: &EndpointState) -> u32 {
         let requests = f64::from(state.facts.capacity) * self.settings.queue_multiple;
         (requests.floor() as u32).max(1)
--- a/crates/ragwortroad_routing/src/table/slot_answer.rs
+++ b/crates/ragwortroad_routing/src/table/slot_answer.rs
@@ -4,22 +4,22 @@
 
 use crate::SlotId;
 
-/// A home node's answer to a node that wants a slot.
+/// A home node's answer to a node that asked for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotAnswer {
-    /// The request may be sent; the slot must be given back.
+    /// The request may be sent, and the slot must be released afterwards.
     Granted {
-        /// Names the slot in the release.
+        /// Identifies the slot in the release.
         slot: SlotId,
     },
     /// The endpoint is at its bound.
     Full {
-        /// When to ask again.
+        /// How long to wait before asking again.
         retry_after: Duration,
     },
     /// The node asked is not, or not yet, the endpoint's home.
     NotHome {
-        /// The home by its knowledge.
+        /// The home as far as the node asked knows.
         home: Option<NodeId>,
     },
 }
--- a/crates/ragwortroad_routing/src/table/slot_grants.rs
+++ b/crates/ragwortroad_routing/src/table/slot_grants.rs
@@ -18,13 +18,13 @@
     table::endpoint_state::EndpointState, //
 };
 
-/// Part of its equal part of a nearly full endpoint up to which a customer may begin chats there; the
-/// rest is for those that come back.
+/// Fraction of its equal share of a nearly full endpoint up to which a customer may start new chats
+/// there; the rest is for chats that return.
 const ARRIVING_FAIR_SHARE: f64 = 0.5;
 
-/// Slots of endpoints: granted and ended at the home, noted at the node that asked.
+/// Slots of endpoints: granted and released at the home, recorded at the node that asked.
 impl RouteTable {
-    /// The home's answer to a node that wants to send to `endpoint`.
+    /// Answers, as the home, a node that wants to send a request to `endpoint`.
     pub fn grant_slot(
         &mut self,
         endpoint: EndpointId,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// About the time until the endpoint has capacity again.
+    /// Returns about the time until the endpoint has capacity again.
     fn retry_delay(&self, key: EndpointKey, now: ClockTime) -> Duration {
         let settings = &self.settings;
         let Some(state) = self.arena[key.index()].as_ref() else {
@@ -64,7 +64,7 @@
         )
     }
 
-    /// Gives a slot back at the endpoint's home, whoever had asked for it.
+    /// Releases a slot at the endpoint's home, whichever node asked for it.
     pub fn release(
         &mut self,
         endpoint: EndpointId,
@@ -83,7 +83,7 @@
         });
     }
 
-    /// Notes at the asking node what the home said to its question.
+    /// Records, at the node that asked, the home's answer.
     pub fn record_answer(
         &mut self,
         endpoint: EndpointId,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Notes how a request of this node ended at an endpoint whose home is elsewhere.
+    /// Records how a request of this node ended at an endpoint whose home is another node.
     pub fn observe_outcome(&mut self, endpoint: EndpointId, outcome: SlotOutcome, now: ClockTime) {
         if let Some(key) = self.ids.get(&endpoint).copied() {
             self.change(key, |state| state.view.ended_since += 1);
@@ -113,7 +113,7 @@
         self.update_outliers(endpoint, outcome, now);
     }
 
-    /// Takes in whether an endpoint did what it was asked.
+    /// Records the outcome of a request for outlier detection.
     fn update_outliers(&mut self, endpoint: EndpointId, outcome: SlotOutcome, now: ClockTime) {
         let Some(state) = self.state_of(endpoint) else {
             return;
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Grants a slot of an endpoint this node is home of, within the bound and the fair share.
+    /// Grants a slot of an endpoint whose home is this node, within the bound and the fair share.
     pub(crate) fn take_slot(
         &mut self,
         key: EndpointKey,
@@ -174,7 +174,7 @@
         class: AdmissionClass,
         now: ClockTime,
     ) -> bool {
-        // Before that moment an earlier home may still admit up to the bound on its held.
+        // Before that time an earlier home may still admit requests up to the bound by itself.
         if !state.is_exclusive(now) || !state.facts.takes_work() {
             return false;
         }
@@ -183,14 +183,15 @@
         if load >= limit {
             return false;
         }
-        // While another customer gets nothing anywhere, shares are parts of what may be admitted
-        // now; of an engine's whole capacity, which the bound seldom lets it reach, they would never be
-        // used up. At other times that would only send chats away from their context.
+        // While another customer is starved, shares are fractions of what may be admitted now.
+        // Fractions of the engine's whole capacity, which the bound seldom lets it reach, would
+        // never be used up. At other times, such smaller shares would only send chats away from
+        // their context.
         let capacity = match state.ledger.has_other_starved(customer, now) {
             true => f64::from(limit),
             false => f64::from(self.capacity_limit(state)),
         };
-        // Counted with the slot asked for: at small bounds the reserve would round to nothing.
+        // Includes the slot asked for: at small bounds the reserve would round to nothing.
         if f64::from(load + 1) <= capacity * (1.0 - self.settings.fair_reserve) {
             return true;
         }
--- a/crates/ragwortroad_routing/src/table/slot_ledger.rs
+++ b/crates/ragwortroad_routing/src/table/slot_ledger.rs
@@ -18,54 +18,56 @@
     SlotId, //
 };
 
-/// The home node's exact account of what one endpoint is working on.
+/// The home node's exact account of one endpoint's requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SlotLedger {
-    /// Slots granted and not yet given back.
+    /// Slots granted and not yet released.
     slots: BTreeMap<SlotId, SlotRecord>,
-    /// Slots known by each customer.
-    /// Invariant: no count is zero, and their sum is the number of slots.
+    /// Slots held by each customer. Invariant: no count is zero, and their sum is the number of
+    /// slots.
     customers: BTreeMap<CustomerKey, u32>,
-    /// Customers that asked lately after they were refused everywhere, by when.
+    /// Customers that asked recently after they were refused everywhere, with the time.
     starved: BTreeMap<CustomerKey, ClockTime>,
-    /// Recently ended slots, to tell what a late report still included.
+    /// Grant and end times of recently ended slots, to know which of them a late report still
+    /// includes.
     ended: VecDeque<(ClockTime, ClockTime)>,
-    /// Work that an earlier home admitted, by the endpoint's reports.
+    /// Requests admitted by an earlier home, according to the endpoint's reports.
     inherited: u32,
-    /// Slots that the endpoint's last reports had no request for.
+    /// For each of the last reports, the slots without a request in it.
     unmatched: [u32; UNMATCHED_REPORTS],
-    /// Milliseconds a slot is known, averaged expired the last few.
+    /// Moving average of the time that a slot is held, in milliseconds.
     mean_slot_ms: f64,
 }
 
-/// One slot.
+/// A granted slot.
 #[derive(Clone, Copy, Debug)]
 struct SlotRecord {
     requester: NodeId,
     customer: CustomerKey,
     granted_at: ClockTime,
-    /// The slot ends by itself then.
+    /// When the slot expires if it is not released.
     ends_at: ClockTime,
 }
 
 /// How long a customer that was refused everywhere counts among those that share an endpoint.
 const STARVED_WINDOW: Duration = Duration::from_secs(2);
 
-/// Reports in a row that must miss a slot's request before it counts as ended: a request on its way
-/// is missed once.
+/// Consecutive reports without a slot's request after which the slot counts as ended. A request
+/// that is still on its way is missing from one report.
 const UNMATCHED_REPORTS: usize = 3;
 
-/// How long ended slots are kept; reports older than that say nothing.
+/// How long ended slots are kept; older reports are not used.
 const ENDED_RETENTION: Duration = Duration::from_secs(5);
 
 impl SlotLedger {
-    /// Requests at the endpoint, as far as admission is concerned.
+    /// Returns the requests at the endpoint that count for admission.
     pub(crate) fn load(&self) -> u32 {
         let stale = self.unmatched.iter().copied().min().unwrap_or(0);
         (self.slots.len() as u32).saturating_sub(stale) + self.inherited
     }
 
-    /// The same without the slots of `unresponsive` nodes, whose requests may have ended with them.
+    /// Returns the load without the slots of `unresponsive` nodes, whose requests may have ended
+    /// with them.
     pub(crate) fn load_excluding(&self, unresponsive: &BTreeSet<NodeId>) -> u32 {
         if unresponsive.is_empty() {
             return self.load();
@@ -75,17 +77,18 @@
         self.load().min(responsive.count() as u32 + self.inherited)
     }
 
-    /// Whether `requester` holds a slot.
     pub(crate) fn has_slots_of(&self, requester: NodeId) -> bool {
         self.slots
             .values()
             .any(|record| record.requester == requester)
     }
 
-    /// Slots of `customer`, and the number of customers that would hold one with it.
+    /// Returns the slots of `customer`, and the number of customers that would hold slots if it
+    /// held one.
     ///
-    /// Who was refused everywhere lately counts: else a customer that holds every slot would share with
-    /// nobody, and take each slot that ends before the others ask again.
+    /// Customers that were recently refused everywhere count too. Otherwise a customer that holds
+    /// every slot would share with nobody, and take each slot that ends before the others ask
+    /// again.
     pub(crate) fn share_of(&self, customer: CustomerKey, now: ClockTime) -> (u32, u32) {
         let own = self.customers.get(&customer).copied().unwrap_or(0);
         let holders = self.customers.keys();
@@ -98,24 +101,24 @@
         (own, (holders + waiting) as u32 + 1)
     }
 
-    /// Notes that `customer` asks after it was refused everywhere.
+    /// Records that `customer` asked after it was refused everywhere.
     pub(crate) fn record_starved(&mut self, customer: CustomerKey, now: ClockTime) {
         self.starved.retain(|_, at| now.since(*at) < STARVED_WINDOW);
         self.starved.insert(customer, now);
     }
 
-    /// Whether another customer than this one gets nothing anywhere.
+    /// Whether any customer other than `customer` is starved.
     pub(crate) fn has_other_starved(&self, customer: CustomerKey, now: ClockTime) -> bool {
         let mut starved = self.starved.iter();
         starved.any(|(other, at)| *other != customer && now.since(*at) < STARVED_WINDOW)
     }
 
-    /// The time between two slots that end, at the present load.
+    /// Returns the mean time between two slots that end, at the present load.
     pub(crate) fn mean_time_between_ends(&self) -> Duration {
         Duration::from_millis((self.mean_slot_ms / f64::from(self.load().max(1))) as u64)
     }
 
-    /// Starts expired as a new home: everything reported counts as an earlier home's work.
+    /// Resets the account for a new home: all reported load counts as admitted by an earlier home.
     pub(crate) fn reset_to_inherited(&mut self, load: u32) {
         *self = Self {
             inherited: load,
@@ -123,7 +126,6 @@
         };
     }
 
-    /// Grants `slot`.
     pub(crate) fn grant(
         &mut self,
         slot: SlotId,
@@ -142,7 +144,7 @@
         *self.customers.entry(customer).or_insert(0) += 1;
     }
 
-    /// Ends `slot`; one that ended before is left alone.
+    /// Ends `slot`; returns `false` if it has already ended.
     pub(crate) fn end(&mut self, slot: SlotId, now: ClockTime) -> bool {
         let Some(record) = self.slots.remove(&slot) else {
             return false;
@@ -160,7 +162,7 @@
         true
     }
 
-    /// Lets `slot` end by itself after `hold`.
+    /// Lets `slot` expire after at most `ttl`.
     pub(crate) fn expire_within(&mut self, slot: SlotId, now: ClockTime, ttl: Duration) -> bool {
         let Some(record) = self.slots.get_mut(&slot) else {
             return false;
@@ -169,7 +171,7 @@
         true
     }
 
-    /// Lets all slots of `requester` end by themselves after `hold`.
+    /// Lets all slots of `requester` expire after at most `ttl`.
     pub(crate) fn expire_all_within(&mut self, requester: NodeId, now: ClockTime, ttl: Duration) {
         for record in self.slots.values_mut() {
             if record.requester == requester {
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Ends the slots whose time is expired.
+    /// Ends expired slots.
     pub(crate) fn sweep(&mut self, now: ClockTime) {
         let expired: Vec<SlotId> = self
             .slots
@@ -199,10 +201,11 @@
         }
     }
 
-    /// Takes the endpoint's report of an earlier `measured_at` into the inherited work: what the slots
-    /// this ledger had then leave unexplained.
+    /// Sets the inherited load from the endpoint's report as of `measured_at`: the requests that
+    /// the slots of that time do not explain.
     ///
-    /// Once `handover_reported` it never raises the account: every request since is known exactly.
+    /// With `handover_reported` it only ever lowers the inherited load, since all later requests
+    /// are known exactly.
     pub(crate) fn observe(
         &mut self,
         report: LoadReport,
@@ -222,9 +225,9 @@
         let reported = report.running.saturating_add(report.queued);
         let known = (running + ended) as u32;
         let unexplained = reported.saturating_sub(known);
-        // A slot whose release was lost, or whose node restarted before anyone missed it, would
-        // count for ever; it would close this endpoint early and, as part of the fleet mean, raise
-        // the bound of all others.
+        // A slot whose release was lost, or whose node restarted unnoticed, would count forever. It
+        // would close this endpoint early and, as part of the fleet mean, raise the bound of all
+        // others.
         self.unmatched.rotate_left(1);
         self.unmatched[UNMATCHED_REPORTS - 1] = known.saturating_sub(reported);
         self.inherited = if handover_reported {
--- a/crates/ragwortroad_routing/src/table/table_inputs.rs
+++ b/crates/ragwortroad_routing/src/table/table_inputs.rs
@@ -18,16 +18,16 @@
     }, //
 };
 
-/// What the table is told.
+/// Inputs of the table.
 impl RouteTable {
-    /// Adds an endpoint or changes what is known of it.
+    /// Adds an endpoint or changes its facts.
     ///
-    /// `exclusive_from` is used where the home is new: from then on, and not before, the home may
-    /// admit work, because an earlier home may still do so until then. It also waits for a report
-    /// of the endpoint's load from after that moment, which shows what the earlier home left.
-    /// [`ClockTime::ZERO`] stands for an endpoint that just started and never had another home; for
-    /// one whose home stays the same it changes nothing, and any other time corrects the one given
-    /// before.
+    /// `exclusive_from` matters where the home is new: only from then on may the home admit
+    /// requests, because an earlier home may still do so until then. The home also waits for a load
+    /// report from after that time, which shows the requests that the earlier home admitted.
+    /// [`ClockTime::ZERO`] stands for an endpoint that just started and never had another home.
+    /// Where the home stays the same, [`ClockTime::ZERO`] changes nothing, and any other time
+    /// replaces the earlier one.
     pub fn upsert_endpoint(&mut self, facts: EndpointFacts, exclusive_from: ClockTime) {
         match self.ids.get(&facts.id).copied() {
             None => self.insert_endpoint(facts, exclusive_from),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove_endpoint(&mut self, endpoint: EndpointId) {
         let Some(key) = self.ids.remove(&endpoint) else {
             return;
@@ -64,22 +64,23 @@
         self.upsert_endpoint(facts, exclusive_from);
     }
 
-    /// Takes in an endpoint's own report of its load; for its home only.
+    /// Applies an endpoint's own load report; only for its home.
     ///
-    /// Each report is to be handed in once, when it comes: its age counts from `now`. One handed in
-    /// again later would pass for news, and hide what was sent to the endpoint since.
+    /// Each report must be passed once, when it arrives, because its age counts from `now`. A
+    /// report passed again later would look recent, and hide the requests sent to the endpoint
+    /// since.
     pub fn observe_report(&mut self, endpoint: EndpointId, report: LoadReport, now: ClockTime) {
         if let Some(key) = self.ids.get(&endpoint).copied() {
             self.change(key, |state| state.observe(report, now));
         }
     }
 
-    /// Takes in cache events of an engine that announces itself to this node.
+    /// Applies cache events of an engine that announces itself to this node.
     pub fn observe_cache(&mut self, endpoint: EndpointId, events: &[CacheEvent], now: ClockTime) {
         self.prefix_index.observe(endpoint, events, now);
     }
 
-    /// Takes in the digest that an endpoint's home gives of it.
+    /// Applies the digest that an endpoint's home sent.
     pub fn observe_digest(&mut self, endpoint: EndpointId, digest: LoadDigest) {
         if let Some(key) = self.ids.get(&endpoint).copied() {
             self.change(key, |state| {
@@ -89,7 +90,8 @@
         }
     }
 
-    /// What this node, as its home, tells others of an endpoint.
+    /// Returns the digest that this node sends as the endpoint's home; `None` if it is not the
+    /// home.
     pub fn digest_of(&self, endpoint: EndpointId, now: ClockTime) -> Option<LoadDigest> {
         let state = self.state_of(endpoint)?;
         if !self.is_home(state) {
@@ -101,7 +103,7 @@
         })
     }
 
-    /// A node is gone: its slots end after a while, since its requests may still run until the
+    /// Expires the slots of a lost node after a delay, since its requests may run until the
     /// endpoints notice.
     pub fn expire_node_slots(&mut self, node: NodeId, now: ClockTime) {
         let ttl = self.settings.lost_node_slot_ttl;
@@ -110,18 +112,18 @@
         }
     }
 
-    /// A node owes an answer: what it told of its endpoints, and what it holds, no longer raises the
-    /// mean.
+    /// Records that a node has not answered: the loads it reported and the slots it holds no longer
+    /// raise the mean.
     ///
-    /// The node may be lost and its requests with it, and membership takes seconds to tell. Homes
-    /// that went on by the higher mean would put their endpoints above the bound.
+    /// The node may be lost together with its requests, and membership takes seconds to report
+    /// that. Homes that kept using the higher mean would fill their endpoints above the bound.
     pub fn mark_unresponsive(&mut self, node: NodeId) {
         if self.unresponsive.insert(node) {
             self.recount_loads();
         }
     }
 
-    /// A node was last_load.
+    /// Records that a node was heard from.
     pub fn mark_responsive(&mut self, node: NodeId) {
         if self.unresponsive.remove(&node) {
             self.recount_loads();
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Forgets unresponsive nodes on which nothing rests any more.
+    /// Removes unresponsive nodes that are no home and hold no slot.
     fn forget_unresponsive(&mut self) {
         let states = || self.arena.iter().flatten();
         let is_referenced = |node: &NodeId| {
@@ -144,19 +146,19 @@
         self.unresponsive = unresponsive.filter(is_referenced).collect();
     }
 
-    /// Changes the multiple of the fleet mean that no endpoint may pass.
+    /// Changes the multiple of the fleet mean that no endpoint may exceed.
     pub fn set_multiple(&mut self, multiple: f64) {
         self.settings.bound.multiple = multiple;
     }
 
-    /// The nodes that callers may be sent to.
+    /// Sets the nodes to which callers may be sent.
     pub fn set_nodes(&mut self, nodes: &[NodeId]) {
         self.nodes = nodes.to_vec();
         self.nodes.sort_unstable();
         self.nodes.dedup();
     }
 
-    /// Ends slots whose time is over; to be called about once a second.
+    /// Ends expired slots; call about once a second.
     pub fn tick(&mut self, now: ClockTime) {
         for key in self.keys() {
             self.change(key, |state| state.ledger.sweep(now));
@@ -218,7 +220,8 @@
             if facts.home != before.home {
                 state.exclusive_from = exclusive_from;
                 state.handover_reported = exclusive_from == ClockTime::ZERO;
-                // An earlier home's work is what was last last_load of it, until a report says less.
+                // The earlier home's requests are the load that was last heard, until a report
+                // shows fewer.
                 let last_load = if before.home == node {
                     0
                 } else {
--- a/tools/ci/src/import_cycles.rs
+++ b/tools/ci/src/import_cycles.rs
@@ -1,6 +1,6 @@
-//! Circles of imports between the files of one crate.
+//! Finds import cycles between the files of one crate.
 //!
-//! Files that import each other can only be read together.
+//! Files that import each other can only be understood together.
 
 use std::{
     collections::{
@@ -19,13 +19,13 @@
     Visibility, //
 };
 
-/// Modules of a crate, by their paths within it; that of the crate's root is empty.
+/// Source texts by module path within the crate; the path of the crate root is empty.
 type SourceTexts = BTreeMap<String, String>;
 
-/// For each module, the others that it imports from.
+/// For each module, the other modules that it imports from.
 type ImportGraph = BTreeMap<String, BTreeSet<String>>;
 
-/// Reads the sources below a crate's `src` folder.
+/// Reads the sources below a crate's `src` or `tests` folder.
 pub(crate) fn read_sources(folder: &Path) -> io::Result<SourceTexts> {
     let mut sources = SourceTexts::new();
     read_folder(folder, "", &mut sources)?;
@@ -52,7 +52,8 @@
     Ok(())
 }
 
-/// Modules that stand in cycles or between them, with what they import from each other.
+/// Returns the modules that are part of cycles or lie between two, with their imports from each
+/// other.
 pub(crate) fn find_cycles(sources: &SourceTexts) -> syn::Result<ImportGraph> {
     let mut paths: BTreeMap<&str, Vec<UsedPath>> = BTreeMap::new();
     for (module, text) in sources {
@@ -69,7 +70,7 @@
             let exported = re_exports.get(name.as_str()).cloned();
             if is_direct { inner } else { exported }
         });
-        // The root imports for others, and nothing of it is needed to read a module.
+        // The root only re-exports, and no module needs it to be understood.
         let imports = found.filter(|found| !found.is_empty() && found != module);
         if !module.is_empty() {
             graph.insert((*module).to_owned(), imports.collect());
@@ -78,13 +79,13 @@
     Ok(cycles_of(graph))
 }
 
-/// A path that a module imports, from the crate's root on.
+/// An imported path, relative to the crate root.
 struct UsedPath {
     path: Vec<String>,
     is_public: bool,
 }
 
-/// Paths within the crate that items import, inline modules among them.
+/// Returns the paths within the crate that `items` import, those of inline modules included.
 fn used_paths(items: &[Item], module: &str) -> Vec<UsedPath> {
     let mut paths = Vec::new();
     for item in items {
@@ -142,7 +143,7 @@
     }
 }
 
-/// The module of each name that is imported from another place than where it stands.
+/// Maps each publicly re-exported name to the module that defines it.
 fn re_exports(
     sources: &SourceTexts,
     paths: &BTreeMap<&str, Vec<UsedPath>>,
@@ -156,14 +157,15 @@
     exported.filter(|(_, module)| !module.is_empty()).collect()
 }
 
-/// The innermost module that a path names; the root where it names none.
+/// Returns the innermost module on `path`, or the root where none is on it.
 fn find_module(sources: &SourceTexts, path: &[String]) -> Option<String> {
     let lengths = (0..=path.len()).rev();
     let mut modules = lengths.map(|length| path[..length].join("::"));
     modules.find(|module| sources.contains_key(module))
 }
 
-/// What is left of a graph without the modules that import, or are imported by, nothing in it.
+/// Removes modules without imports and modules that nothing imports until only cycles, and modules
+/// between them, are left.
 fn cycles_of(mut graph: ImportGraph) -> ImportGraph {
     loop {
         let imported: BTreeSet<String> = graph.values().flatten().cloned().collect();
--- a/tools/ci/src/known_red.rs
+++ b/tools/ci/src/known_red.rs
@@ -1,22 +1,23 @@
 use std::fs;
 
-/// Most tests that may be listed.
+/// The most tests that may be listed.
 const MAX_KNOWN_RED: usize = 3;
 
-/// A test that fails for a fault that is known and not mended yet.
+/// A test that fails because of a known fault that is not fixed yet.
 pub(crate) struct KnownRed {
-    /// The package it is in.
+    /// Cargo package that contains the test.
     package: String,
-    /// The test binary it is in.
+    /// Name of the integration test binary.
     binary: String,
-    /// Its whole name.
+    /// Full path of the test within the binary.
     pub(crate) test: String,
-    /// What is wrong, and the open issue.
+    /// The fault, and the open issue.
     pub(crate) cause: String,
 }
 
 impl KnownRed {
-    /// The tests listed in `KNOWN-RED.txt`, one a line: `PACKAGE BINARY TEST | cause, issue`.
+    /// Reads the tests listed in `KNOWN-RED.txt`, one per line: `PACKAGE BINARY TEST | cause,
+    /// issue`.
     pub(crate) fn read() -> Result<Vec<Self>, String> {
         let text = fs::read_to_string("KNOWN-RED.txt").map_err(|error| error.to_string())?;
         let lines = text.lines().map(str::trim);
@@ -46,7 +47,7 @@
         })
     }
 
-    /// Cargo's arguments to run just this test.
+    /// Returns the arguments with which Cargo runs only this test.
     pub(crate) fn arguments(&self) -> Vec<&str> {
         let package = self.package.as_str();
         let (binary, test) = (self.binary.as_str(), self.test.as_str());
--- a/tools/ci/src/main.rs
+++ b/tools/ci/src/main.rs
@@ -1,7 +1,8 @@
-//! Runs the repository's checks in order and stops at the first that fails.
+//! Runs the repository's checks in order and stops at the first failure.
 //!
-//! `cargo run -p ci` does on a developer's machine what `.ci/run` does on a fresh one. Tests named
-//! in `KNOWN-RED.txt` run apart and are printed; they decide nothing until their fault is mended.
+//! `cargo run -p ci` runs on a developer's machine what `.ci/run` runs on a fresh one. Tests listed
+//! in `KNOWN-RED.txt` run separately and their results are printed, but they do not affect the
+//! outcome until their fault is fixed.
 
 mod import_cycles;
 mod known_red;
@@ -33,7 +34,7 @@
     long_test_docs, //
 };
 
-/// The checks before the tests, in the order in which a failure is cheapest to find.
+/// Checks that run before the tests, the cheapest first.
 const CHECKS: [&[&str]; 2] = [
     &["fmt", "--all", "--check"],
     &[
@@ -89,7 +90,7 @@
     }
 }
 
-/// Tells whether the platform's words stand in the adapter only, and prints those that do not.
+/// Checks that the platform's words occur only in the adapter, and prints the others.
 fn platform_words_are_confined() -> bool {
     println!("words of {}", platform_words::WORDS_PATH);
     let found = fs::read_to_string(platform_words::WORDS_PATH).and_then(|text| {
@@ -114,7 +115,7 @@
     }
 }
 
-/// Tells whether no crate's files import each other in a circle, and prints those that do.
+/// Checks that no crate has import cycles between its files, and prints those that it has.
 fn imports_have_no_cycles() -> bool {
     println!("cycles of imports");
     match crate_import_cycles() {
@@ -135,7 +136,8 @@
     }
 }
 
-/// Folder, module and imports of each module in a circle, over all crates of the repository.
+/// Returns folder, module and imports of each module in an import cycle, for all crates of the
+/// repository.
 fn crate_import_cycles() -> Result<Vec<(PathBuf, String, Vec<String>)>, String> {
     let mut cycles = Vec::new();
     for folder in crate_folders("src").map_err(|error| error.to_string())? {
@@ -189,7 +191,7 @@
     Ok(tests)
 }
 
-/// The folder of this name in each crate that has one.
+/// Returns the folder of this name in each crate that has one.
 fn crate_folders(name: &str) -> io::Result<Vec<PathBuf>> {
     let mut folders = vec![PathBuf::from(name), Path::new("platform").join(name)];
     for parent in ["crates", "tools"] {
@@ -201,7 +203,7 @@
     Ok(folders)
 }
 
-/// Runs one cargo command and tells whether it succeeded.
+/// Runs a cargo command and returns whether it succeeded.
 fn run_cargo(arguments: &[&str]) -> bool {
     println!("cargo {}", arguments.join(" "));
     let status = Command::new("cargo").args(arguments).status();
--- a/tools/ci/src/platform_words.rs
+++ b/tools/ci/src/platform_words.rs
@@ -1,7 +1,7 @@
-//! Keeps the words of the users' platform inside the adapter.
+//! Checks that words of the users' platform occur only in its adapter.
 //!
-//! A name of the platform that stands elsewhere ties code to it that should not know it; with a
-//! second platform both would have to change.
+//! Code elsewhere that uses a name of the platform depends on that platform, and would have to
+//! change for a second one.
 
 use std::{
     fs,
@@ -12,13 +12,13 @@
     }, //
 };
 
-/// The list of words, beside the adapter.
+/// The list of words, next to the adapter.
 pub(crate) const WORDS_PATH: &str = "platform/words.txt";
 
-/// Folders that may hold the words, or no source of ours.
+/// Folders that may contain the words, or that contain no sources of this repository.
 const EXEMPT_FOLDERS: [&str; 5] = ["platform", "deploy", "target", "journal", ".git"];
 
-/// A word where it must not stand.
+/// An occurrence of a platform word outside the adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct MisplacedWord {
     pub(crate) path: PathBuf,
@@ -26,14 +26,14 @@
     pub(crate) word: String,
 }
 
-/// The words of a list: a line each, without comments.
+/// Parses a list of words: one per line, with `#` comments.
 pub(crate) fn read_words(text: &str) -> Vec<String> {
     let lines = text.lines().map(str::trim);
     let words = lines.filter(|line| !line.is_empty() && !line.starts_with('#'));
     words.map(str::to_owned).collect()
 }
 
-/// Finds the words in one file's text, whatever their case.
+/// Finds the words in the text of one file, ignoring case.
 pub(crate) fn find_in_text(path: &Path, text: &str, words: &[String]) -> Vec<MisplacedWord> {
     let mut found = Vec::new();
     for (index, line) in text.lines().enumerate() {
@@ -51,7 +51,7 @@
     found
 }
 
-/// Finds the words in all Rust sources below `root`, but for the free folders.
+/// Finds the words in all Rust sources below `root`, except for the exempt folders.
 pub(crate) fn find_in_sources(root: &Path, words: &[String]) -> io::Result<Vec<MisplacedWord>> {
     let mut found = Vec::new();
     let mut folders = vec![root.to_owned()];
--- a/tools/ci/src/tests.rs
+++ b/tools/ci/src/tests.rs
@@ -14,7 +14,8 @@
     test_docs::long_test_docs, //
 };
 
-/// Someone reads a header of the platform in the edge. The check must see it, or it checks nothing.
+/// Guards against a check that misses a platform header read outside the adapter because its case
+/// differs from that in the list.
 #[test]
 fn a_word_outside_the_adapter_is_found() {
     let words = read_words("# a comment\n\nX-Made-Up\n");
@@ -46,7 +47,7 @@
     texts.iter().map(owned).collect()
 }
 
-/// Guards against a check that misses cycles through re-exports, `super` and inner modules.
+/// Guards against a check that misses cycles through re-exports, `super` and nested modules.
 #[test]
 fn an_import_cycle_is_found() {
     let root = "mod one; mod two; mod deep;\npub mod prelude { pub use crate::one::First; }\n\
@@ -95,7 +96,7 @@
     assert!(found.expect("reads").is_empty());
 }
 
-/// Guards against a check that misses tests with long doc comments, or rejects short ones.
+/// Guards against a check that misses tests with long doc comments, or that rejects short ones.
 #[test]
 fn a_test_with_more_than_three_doc_lines_is_found() {
     let text = "/// Three\n/// lines\n/// pass.\n#[test]\nfn short() {}\n\nmod inner {\n    \
--- a/tools/compare/src/bench_runner.rs
+++ b/tools/compare/src/bench_runner.rs
@@ -20,55 +20,55 @@
     run_figures::RunFigures, //
 };
 
-/// The template of the settings, within the repository.
+/// Path of the settings template within the repository.
 const TEMPLATE: &str = "deploy/settings.ini";
 
-/// Why a comparison ends early.
+/// Why a comparison ended early.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub(crate) enum BenchError {
-    /// A program could not be run.
+    /// A program could not be started.
     #[snafu(display("cannot run {program}: {source}; name a program that exists"))]
     Run {
-        /// The program.
+        /// Path or name of the program.
         program: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A program failed.
+    /// A program exited with a failure.
     #[snafu(display("{program} failed: {output}"))]
     Failed {
-        /// The program.
+        /// Path or name of the program.
         program: String,
-        /// What it wrote.
+        /// Standard output of the program.
         output: String,
     },
     /// A file could not be read or written.
     #[snafu(display("cannot use {}: {source}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A run printed no figures.
+    /// A benchmark run printed no figures.
     #[snafu(display("no figures in what the bench wrote: {output}"))]
     NoFigures {
-        /// What it wrote.
+        /// Standard output of the run.
         output: String,
     },
 }
 
-/// A clone of the repository in which days are played.
+/// Runs benchmarks in a clone of the repository.
 pub(crate) struct BenchRunner {
     bench: PathBuf,
     work: PathBuf,
-    /// The template as it stands in the repository.
+    /// The committed settings template.
     template: String,
 }
 
 impl BenchRunner {
-    /// Makes the clone where there is none.
+    /// Creates the clone if it does not exist.
     pub(crate) fn prepare(line: &CommandLine) -> Result<Self, BenchError> {
         if !line.work.is_dir() {
             let mut clone = Command::new("git");
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Writes the template of a variant into the clone.
+    /// Writes the template with the settings of a variant into the clone.
     pub(crate) fn apply_variant(&self, variant: &str) -> Result<(), BenchError> {
         let settings = match variant {
             "none" => String::new(),
@@ -96,7 +96,7 @@
         fs::write(&path, text).context(FileSnafu { path })
     }
 
-    /// Plays a day; its entry in the clone's journal names the variant.
+    /// Runs the benchmark of a day; its journal entry in the clone names the variant.
     pub(crate) fn run(
         &self,
         variant: &str,
@@ -121,7 +121,7 @@
     }
 }
 
-/// The template of the settings with those of a variant below it.
+/// Appends the settings of a variant to the settings template.
 pub(crate) fn add_variant(template: &str, variant: &str) -> String {
     format!("{}\n\n{}\n", template.trim_end(), variant.trim())
 }
@@ -130,7 +130,7 @@
     let program = command.get_program().to_string_lossy().into_owned();
     let ended = command.output().context(RunSnafu { program: &program })?;
     let output = String::from_utf8_lossy(&ended.stdout).into_owned();
-    // A day that breaks a rule ends with a failure, and its figures count.
+    // A day that violates a rule exits with a failure, but its figures count.
     let has_figures = RunFigures::read(&output).is_some();
     ensure!(
         ended.status.success() || has_figures,
--- a/tools/compare/src/command_line.rs
+++ b/tools/compare/src/command_line.rs
@@ -2,27 +2,27 @@
 
 use clap::Parser;
 
-/// Compares ways to decide on the same days, seeds and sites.
+/// Compares routing variants on the same days, seeds and sites.
 #[derive(Debug)]
 #[derive(Parser)]
 pub(crate) struct CommandLine {
-    /// The program that runs days and takes `run SITE DAY`.
+    /// Benchmark program that accepts `run SITE DAY`.
     #[arg(long)]
     pub(crate) bench: PathBuf,
-    /// A clone of the repository to run in; made if it is not there. Its template of the settings
-    /// is changed, and its journal gets the entries.
+    /// Clone of the repository in which the benchmark runs; created if missing. The settings
+    /// template in it is changed, and its journal receives the entries.
     #[arg(long)]
     pub(crate) work: PathBuf,
-    /// Files of settings, the one that the others are compared with first; `none` adds no settings.
+    /// Settings files of the variants, the baseline first; `none` adds no settings.
     #[arg(long = "way", required = true)]
     pub(crate) ways: Vec<String>,
-    /// Site files, as seen from the clone.
+    /// Site files, relative to the clone.
     #[arg(long = "site", required = true)]
     pub(crate) sites: Vec<PathBuf>,
-    /// Names of days, or files of days.
+    /// Names of days, or files that describe days.
     #[arg(long = "day", required = true)]
     pub(crate) days: Vec<String>,
-    /// Seeds of the runs.
+    /// Random seeds; each variant runs once per seed.
     #[arg(long = "seed", required = true)]
     pub(crate) seeds: Vec<u64>,
 }
--- a/tools/compare/src/main.rs
+++ b/tools/compare/src/main.rs
@@ -1,7 +1,7 @@
-//! Compares ways to decide: runs each on the same days, seeds and sites, and prints one table.
+//! Compares routing variants: runs each on the same days, seeds and sites, and prints a table.
 //!
-//! A variant is a file of settings that is put below the template of the settings, or `none` for what
-//! stands there. The first variant named is the one that the others are compared with.
+//! A variant is a settings file that is appended to the settings template, or `none` for the
+//! template alone. The first variant is the baseline of the comparison.
 
 mod bench_runner;
 mod command_line;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Plays all that the command line names, and prints a row for each site and day.
+/// Runs everything that the command line names, and prints rows for each site and day.
 fn compare(line: &CommandLine) -> Result<(), BenchError> {
     let bench = BenchRunner::prepare(line)?;
     for site in &line.sites {
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// Figures of each variant, in the order of the seeds.
+/// Returns the figures of each variant, in the order of the seeds.
 fn run_variants(
     bench: &BenchRunner,
     line: &CommandLine,
--- a/tools/compare/src/paired_difference.rs
+++ b/tools/compare/src/paired_difference.rs
@@ -2,16 +2,16 @@
 
 use crate::run_figures::RunFigures;
 
-/// Standard errors that a difference has to be squared_deviations from zero to count.
+/// Standard errors by which a significant difference is away from zero.
 const MIN_STANDARD_ERRORS: f64 = 2.0;
 
-/// A difference that charged processor time alone can make.
+/// Differences up to this size can come from charged processor time alone.
 const MIN_DIFFERENCE: f64 = 0.005;
 
-/// How one variant differs from another on the same seeds.
+/// The difference of one figure between two variants that ran on the same seeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PairedDifference {
-    /// Means of both ways.
+    /// Mean of the baseline.
     pub(crate) base: f64,
     pub(crate) other: f64,
     /// Standard error of the mean difference; infinite for a single pair.
@@ -19,7 +19,7 @@
 }
 
 impl PairedDifference {
-    /// The difference in one figure between runs of the same seeds, in the same order.
+    /// Compares one figure between runs with the same seeds in the same order.
     pub(crate) fn of(
         base: &[RunFigures],
         other: &[RunFigures],
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether the difference is beyond what chance makes.
+    /// Whether the difference is larger than chance explains.
     pub(crate) fn is_significant(&self) -> bool {
         let difference = (self.other - self.base).abs();
         difference > MIN_DIFFERENCE && difference > self.error * MIN_STANDARD_ERRORS
--- a/tools/compare/src/run_figures.rs
+++ b/tools/compare/src/run_figures.rs
@@ -1,6 +1,6 @@
 use std::fmt;
 
-/// What came of one run, as shares of what was asked.
+/// Result of one run; the outcomes are fractions of all requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RunFigures {
     pub(crate) worth: f64,
@@ -10,7 +10,8 @@
 }
 
 impl RunFigures {
-    /// Reads the figures from the output of a run: five after the column of machines, `72/143`.
+    /// Parses the output of a run. The figures follow the machine count column, such as `72/143`,
+    /// and the score.
     pub(crate) fn read(output: &str) -> Option<Self> {
         let mut lines = output.lines();
         lines.find(|line| line.starts_with("day "))?;
