--- a/crates/ragwortroad_routing/src/table/admission_class.rs
+++ b/crates/ragwortroad_routing/src/table/admission_class.rs
@@ -1,11 +1,11 @@
-/// What a request loses if it is not admitted to the endpoint it asks for.
+/// Why a request needs a slot of a particular endpoint, or of any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AdmissionClass {
-    /// Nothing: any other endpoint serves it as well.
+    /// The request has no context anywhere; other endpoints serve it as well.
     #[default]
     Arriving,
-    /// Its cached context, which is at the endpoint.
+    /// The request's context is at the endpoint.
     Returning,
-    /// Its last chance: all recent requests of its customer were refused for lack of capacity.
+    /// The customer's recent requests were all refused for lack of capacity.
     Starved,
 }
--- a/crates/ragwortroad_routing/tests/after_failure.rs
+++ b/crates/ragwortroad_routing/tests/after_failure.rs
@@ -1,11 +1,12 @@
-//! Retries within a budget, endpoints set aside, and what is held where.
+//! Retry budget, outlier ejection, placement, rollouts and migration of caches.
 
 use std::time::Duration;
 
 use ragwortroad_routing::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// Guards against retries that multiply the load of an outage.
+/// Guards against retries that multiply the load of an outage: without a budget, each failing
+/// request would be attempted three times.
 #[test]
 fn an_outage_is_not_multiplied() {
     let mut budget = RetryBudget::new(0.1, 20);
@@ -27,33 +28,35 @@
     assert!(attempts <= 11_020, "{attempts} attempts of 10000 requests");
 }
 
-/// A booking was sent and its answer lost. A second attempt would book the studio twice.
+/// Guards against bookings made twice: the answer to a booking is lost, and a retry would book the
+/// studio again.
 #[test]
-fn what_may_have_run_is_repeated_only_if_idempotent() {
+fn requests_that_may_have_run_are_retried_only_if_idempotent() {
     let mut budget = RetryBudget::new(0.1, 20);
     let rule = RetryPolicy::default();
-    let booking = FailedAttempt {
+    let unknown_outcome = FailedAttempt {
         outcome: RequestOutcome::Unknown,
         idempotent: false,
         attempts: 1,
         time_left: Duration::from_secs(10),
     };
-    assert!(!rule.may_retry(booking, &mut budget));
+    assert!(!rule.may_retry(unknown_outcome, &mut budget));
     let unsent = FailedAttempt {
         outcome: RequestOutcome::NotRun,
-        ..booking
+        ..unknown_outcome
     };
     assert!(rule.may_retry(unsent, &mut budget));
-    let late = FailedAttempt {
+    let near_deadline = FailedAttempt {
         time_left: Duration::from_millis(10),
         ..unsent
     };
-    assert!(!rule.may_retry(late, &mut budget));
+    assert!(!rule.may_retry(near_deadline, &mut budget));
 }
 
-/// Guards against a shared fault that sets all engines aside.
+/// Guards against a shared fault that ejects all engines and leaves none to serve, and against
+/// engines that receive their full load as soon as they return.
 #[test]
-fn only_a_share_is_set_aside_and_returns_slowly() {
+fn a_limited_share_is_ejected_and_returns_gradually() {
     let settings = OutlierSettings::default();
     let mut table = OutlierTable::new(settings);
     let engines: Vec<EndpointId> = (0..10).map(EndpointId).collect();
@@ -81,15 +84,15 @@
         .map(|second| table.ramped_limit(engines[0], 20, back.after(Duration::from_secs(*second))))
         .collect();
     assert_eq!(limits, [1, 5, 10, 20]);
-    let mut again = table.clone();
-    again.record_failure(engines[0], 0, engines.len(), back);
+    let mut table_after_failure = table.clone();
+    table_after_failure.record_failure(engines[0], 0, engines.len(), back);
     assert!(
-        again.is_ejected(engines[0], back.after(settings.first_ejection)),
+        table_after_failure.is_ejected(engines[0], back.after(settings.first_ejection)),
         "twice as long"
     );
 }
 
-fn holding(engine: u64, offers: &[u64]) -> EngineSnapshot {
+fn engine_snapshot(engine: u64, offers: &[u64]) -> EngineSnapshot {
     EngineSnapshot {
         id: EndpointId(engine),
         zone: ZoneKey(engine % 3),
@@ -100,7 +103,7 @@
     }
 }
 
-fn want(offer: u64, demand: f64) -> OfferDemand {
+fn demand_for(offer: u64, demand: f64) -> OfferDemand {
     OfferDemand {
         offer: OfferKey(offer),
         demand,
@@ -109,37 +112,39 @@
     }
 }
 
-/// Carries out a plan at once.
+/// Applies all orders of a plan at once.
 fn apply(input: &mut PlacementInput, plan: &PlacementPlan) {
     for engine in &mut input.engines {
         let id = engine.id;
-        let dropped = |offer: &OfferKey| {
+        let is_unloaded = |offer: &OfferKey| {
             let offer = *offer;
             plan.unloads.contains(&PlacementOrder { engine: id, offer })
         };
-        engine.offers.retain(|offer| !dropped(offer));
+        engine.offers.retain(|offer| !is_unloaded(offer));
         let loads = plan.loads.iter().filter(|order| order.engine == id);
         engine.offers.extend(loads.map(|order| order.offer));
     }
 }
 
 #[test]
-fn placement_follows_demand_within_the_rate_and_then_rests() {
+fn placement_follows_demand_at_a_limited_rate_and_then_settles() {
     let mut input = PlacementInput {
-        demands: vec![want(1, 40.0), want(2, 10.0)],
-        engines: (0..12).map(|engine| holding(engine, &[1])).collect(),
+        demands: vec![demand_for(1, 40.0), demand_for(2, 10.0)],
+        engines: (0..12)
+            .map(|engine| engine_snapshot(engine, &[1]))
+            .collect(),
         max_loads: 1,
     };
     let settings = PlacementSettings::default();
     let mut moves = 0;
     for _ in 0..20 {
         let plan = PlacementPlan::compute(&input, &settings);
-        assert!(plan.loads.len() <= 1, "more than the rate: {plan:?}");
+        assert!(plan.loads.len() <= 1, "more loads than max_loads: {plan:?}");
         moves += plan.loads.len();
         apply(&mut input, &plan);
     }
     assert_eq!(moves, 1, "one engine of the second model carries 10 of 16");
-    // Demand that swings within the band moves nothing; one beyond it does.
+    // Demand that varies between the two thresholds changes nothing; demand above them does.
     for demand in [9.0, 11.0, 8.0] {
         input.demands[1].demand = demand;
         assert_eq!(
@@ -169,9 +174,9 @@
     );
 }
 
-/// Guards against chats that move back and forth between the steps of a rollout.
+/// Guards against chats that move back and forth between versions while weights change.
 #[test]
-fn a_roll_out_moves_chats_one_way_and_a_roll_back_is_one_change() {
+fn a_rollout_moves_chats_one_way_and_a_rollback_is_one_change() {
     let plan = |old, new| {
         let versions = vec![VersionWeight::new("v1", old), VersionWeight::new("v2", new)];
         VersionPlan::new("tutor", versions)
@@ -197,8 +202,8 @@
 }
 
 #[test]
-fn a_cache_is_moved_where_that_is_faster() {
-    let near = MigrationCost {
+fn a_cache_is_transferred_where_that_is_faster() {
+    let fast_link = MigrationCost {
         tokens: 8_000,
         bytes_per_token: 100_000,
         prefill_per_s: 5_000.0,
@@ -207,16 +212,16 @@
         fixed_overhead: Duration::from_millis(50),
         link_cost_factor: 1.0,
     };
-    assert_eq!(near.cheaper_method(), MigrationMethod::Transfer);
-    let short = MigrationCost {
+    assert_eq!(fast_link.cheaper_method(), MigrationMethod::Transfer);
+    let short_context = MigrationCost {
         tokens: 100,
-        ..near
+        ..fast_link
     };
-    assert_eq!(short.cheaper_method(), MigrationMethod::Recompute);
-    let across = MigrationCost {
+    assert_eq!(short_context.cheaper_method(), MigrationMethod::Recompute);
+    let slow_link = MigrationCost {
         link_bytes_per_s: 1.2e8,
         link_cost_factor: 3.0,
-        ..near
+        ..fast_link
     };
-    assert_eq!(across.cheaper_method(), MigrationMethod::Recompute);
+    assert_eq!(slow_link.cheaper_method(), MigrationMethod::Recompute);
 }
--- a/crates/ragwortroad_routing/tests/bound.rs
+++ b/crates/ragwortroad_routing/tests/bound.rs
@@ -1,4 +1,4 @@
-//! No engine carries more than the bound, whoever sends to it and whoever is its home.
+//! No engine exceeds the load bound, whichever nodes send to it and whichever is its home.
 
 use std::{
     collections::BTreeMap,
@@ -54,33 +54,34 @@
     table
 }
 
-/// Longest time in the model from a grant to the arrival of its request, in milliseconds, where
-/// requests take time.
+/// Longest time from a grant to the arrival of its request, in milliseconds, in the test with
+/// delayed requests.
 const FLIGHT_MS: u64 = 200;
 
-/// Least time between two reports of an engine then, in milliseconds.
+/// Least time between two reports of an engine in that test, in milliseconds.
 const REPORT_MS: u64 = 500;
 
-/// A request that a home has granted.
+/// A request for which a home granted a slot.
 struct GrantedRequest {
     home: usize,
     slot: SlotId,
-    /// When it arrives at its engine.
+    /// When the request arrives at its engine, in milliseconds.
     arrives_at: u64,
 }
 
-/// Several nodes, and what truly runs at each engine.
+/// Several nodes, and the requests that really are at each engine.
 struct Fleet {
     tables: Vec<RouteTable>,
-    /// Requests of each engine, those on their way among them.
+    /// Requests of each engine, those that have not arrived yet included.
     running: Vec<Vec<GrantedRequest>>,
     /// Least time between two reports of an engine, in milliseconds.
     report_every: u64,
-    /// When each engine may report next.
+    /// When each engine may send its next report, in milliseconds.
     reports_at: Vec<u64>,
     homes: Vec<usize>,
-    /// Homes that do not yet know that they are none, and until when.
-    former: BTreeMap<usize, (usize, u64)>,
+    /// For each engine, the former home that does not know of the change yet, and when it learns of
+    /// it.
+    former_homes: BTreeMap<usize, (usize, u64)>,
     granted: u32,
 }
 
@@ -92,12 +93,13 @@
             report_every: 0,
             reports_at: vec![0; ENGINES],
             homes: (0..ENGINES).map(|engine| engine % NODES).collect(),
-            former: BTreeMap::new(),
+            former_homes: BTreeMap::new(),
             granted: 0,
         }
     }
 
-    /// Asks `home` for a slot, whose request arrives `flight` ms later, and checks the bound.
+    /// Asks `home` for a slot, sends the request so that it arrives `flight` milliseconds later,
+    /// and checks the bound.
     fn ask(&mut self, engine: usize, home: usize, requester: usize, now: ClockTime, flight: u64) {
         let table = &mut self.tables[home];
         let bound = table.settings().bound.of_mean(table.fleet_mean(FLEET));
@@ -133,10 +135,10 @@
         self.tables[home].release(engine_id(engine), slot, outcome, now);
     }
 
-    /// Gives the engine another home, which the old one learns of `late` milliseconds later.
+    /// Gives the engine a new home; the old one learns of it `late` milliseconds later.
     fn change_home(&mut self, engine: usize, home: usize, now: u64, late: u64) {
         let old = self.homes[engine];
-        if old == home || self.former.contains_key(&engine) {
+        if old == home || self.former_homes.contains_key(&engine) {
             return;
         }
         let exclusive_from = ClockTime(now + late + 1);
@@ -144,18 +146,18 @@
             self.tables[node].set_home(engine_id(engine), node_id(home), exclusive_from);
         }
         self.homes[engine] = home;
-        self.former.insert(engine, (old, now + late));
+        self.former_homes.insert(engine, (old, now + late));
     }
 
-    fn tell_former(&mut self, now: u64) {
+    fn notify_former_homes(&mut self, now: u64) {
         let due: Vec<usize> = self
-            .former
+            .former_homes
             .iter()
             .filter(|(_, (_, at))| *at <= now)
             .map(|(engine, _)| *engine)
             .collect();
         for engine in due {
-            if let Some((old, at)) = self.former.remove(&engine) {
+            if let Some((old, at)) = self.former_homes.remove(&engine) {
                 let home = node_id(self.homes[engine]);
                 let exclusive_from = ClockTime(at + 1);
                 self.tables[old].set_home(engine_id(engine), home, exclusive_from);
@@ -191,21 +193,23 @@
     }
 }
 
-/// Guards against two homes that fill an engine beyond its bound together.
+/// Guards against two homes that together fill an engine beyond its bound, because the former one
+/// does not know of the change yet.
 #[test]
 fn two_homes_together_stay_within_the_bound() {
-    play_changes_of_home(0, 0);
+    run_home_changes(0, 0);
 }
 
-/// Guards against two homes that grant for each other's requests on their way.
+/// Guards against homes that admit beyond the bound after a change: requests that the former home
+/// granted are still on their way, so that no report of the engine includes them.
 #[test]
 fn requests_on_their_way_count_when_a_home_changes() {
-    play_changes_of_home(FLIGHT_MS, REPORT_MS);
+    run_home_changes(FLIGHT_MS, REPORT_MS);
 }
 
-/// Plays drawn schedules of requests that arrive up to `flight` milliseconds after their grant, and
-/// reports of an engine that are `report` apart at the least.
-fn play_changes_of_home(flight: u64, report: u64) {
+/// Runs random schedules in which requests arrive up to `flight` milliseconds after their grant,
+/// and an engine's reports are at least `report` milliseconds apart.
+fn run_home_changes(flight: u64, report: u64) {
     let (mut granted, mut changes) = (0, 0);
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -217,14 +221,14 @@
         for _ in 0..500 {
             now += rng.random_range(0..20);
             let clock = ClockTime(now);
-            fleet.tell_former(now);
+            fleet.notify_former_homes(now);
             let engine = rng.random_range(0..ENGINES);
             match rng.random_range(0..100) {
                 0..60 => {
                     let requester = rng.random_range(0..NODES);
                     let home = fleet.homes[engine];
-                    let former = fleet.former.get(&engine).map(|(old, _)| *old);
-                    let home = former.filter(|_| rng.random::<bool>()).unwrap_or(home);
+                    let former_home = fleet.former_homes.get(&engine).map(|(old, _)| *old);
+                    let home = former_home.filter(|_| rng.random::<bool>()).unwrap_or(home);
                     let flight = rng.random_range(0..=flight);
                     fleet.ask(engine, home, requester, clock, flight);
                 }
@@ -250,9 +254,10 @@
     assert!(changes > 3_000, "only {changes} changes of home were made");
 }
 
-/// Guards against work of earlier homes that does not count.
+/// Guards against a new home that ignores the requests of earlier homes: it must wait until
+/// `exclusive_from`, and then for a report from after that time, also if `exclusive_from` changes.
 #[test]
-fn a_corrected_moment_is_waited_for_and_what_was_left_counts() {
+fn a_new_home_waits_until_it_is_exclusive_and_counts_inherited_load() {
     let mut table = new_table(0);
     let ask = |table: &mut RouteTable, now| {
         let claim = AdmissionClass::Returning;
@@ -282,7 +287,7 @@
     ));
 }
 
-/// Guards against work for engines that leave or are drained.
+/// Guards against requests for engines that are leaving or drained.
 #[test]
 fn leaving_and_drained_engines_get_no_work() {
     for drained in [false, true] {
@@ -290,12 +295,12 @@
         for engine in 1..ENGINES {
             table.remove_endpoint(engine_id(engine));
         }
-        let gone = EndpointFacts {
+        let unavailable = EndpointFacts {
             leaving: !drained,
             drained,
             ..facts(0, 0)
         };
-        table.upsert_endpoint(gone, ClockTime::ZERO);
+        table.upsert_endpoint(unavailable, ClockTime::ZERO);
         let now = ClockTime(10);
         let query = RouteQuery {
             offer: OFFER,
@@ -317,9 +322,10 @@
     }
 }
 
-/// Guards against slots of a lost node that close engines for good, or open them too soon.
+/// Guards against slots of a lost node that never end and so close engines, or that end while the
+/// node's requests may still run.
 #[test]
-fn slots_of_a_dead_node_end_after_the_hold() {
+fn slots_of_a_lost_node_expire_after_a_delay() {
     let mut table = new_table(0);
     for _ in 0..3 {
         table.grant_slot(
@@ -338,9 +344,9 @@
     assert_eq!(table.load_of(engine_id(0)), Some(0));
 }
 
-/// Guards against slots that count for good after their release was lost.
+/// Guards against slots that count forever because their release was lost.
 #[test]
-fn reports_uncover_a_slot_whose_release_was_lost() {
+fn load_reports_end_a_slot_whose_release_was_lost() {
     let mut table = new_table(0);
     table.grant_slot(
         engine_id(0),
@@ -360,9 +366,9 @@
     assert_eq!(table.load_of(engine_id(0)), Some(0));
 }
 
-/// Guards against a large customer that takes the room of all others.
+/// Guards against a customer with many requests that takes the capacity of all others.
 #[test]
-fn a_surging_customer_leaves_room_for_others() {
+fn a_customer_with_many_requests_leaves_capacity_for_others() {
     let mut table = RouteTable::new(RouteSettings {
         node: node_id(0),
         bound: LoadBound {
@@ -394,7 +400,7 @@
     }
     assert_eq!(
         taken, 63,
-        "80 % of a room of 80, less the one of the small customer"
+        "80 % of a capacity of 80, minus the slot of the small customer"
     );
     let claim = AdmissionClass::Arriving;
     let answer = table.grant_slot(engine_id(0), node_id(0), large, claim, now);
@@ -432,14 +438,18 @@
         for members in [1, 3, 12, 750] {
             let limit = bound.for_admission(mean, members, 1.2);
             assert!(limit <= bound.of_mean(mean), "above the bound at {mean}");
-            assert!(f64::from(limit) > mean, "a fleet at {mean} would shrink");
+            assert!(
+                f64::from(limit) > mean,
+                "the limit at {mean} would lower the mean"
+            );
         }
     }
 }
 
-/// Guards against homes that go on by the loads of a lost node, and admit beyond the bound.
+/// Guards against homes that admit beyond the bound because the loads that a lost node reported
+/// keep the mean high.
 #[test]
-fn what_rests_on_a_silent_node_does_not_raise_the_mean() {
+fn loads_from_an_unresponsive_node_do_not_raise_the_mean() {
     let mut table = new_table(0);
     for engine in [1, 2, 3, 5] {
         let digest = LoadDigest {
@@ -463,26 +473,27 @@
         assert!(ask(&mut table, 0, requester) && ask(&mut table, 4, requester));
     }
     assert!(table.fleet_mean(FLEET) > 4.0);
-    let mut lost = table.clone();
-    assert!(ask(&mut table, 0, 0), "within the bound of all loads");
+    let mut degraded_table = table.clone();
+    assert!(ask(&mut table, 0, 0), "within the bound for all loads");
 
-    // Node 1 told of ten requests at its two engines, and holds a slot at each of this node's.
-    lost.mark_unresponsive(node_id(1));
-    assert!((lost.fleet_mean(FLEET) - 16.0 / 6.0).abs() < 1e-9);
+    // Node 1 reported ten requests at its two engines, and holds a slot at each engine of this
+    // node.
+    degraded_table.mark_unresponsive(node_id(1));
+    assert!((degraded_table.fleet_mean(FLEET) - 16.0 / 6.0).abs() < 1e-9);
     assert_eq!(
-        lost.load_of(engine_id(0)),
+        degraded_table.load_of(engine_id(0)),
         Some(4),
         "its slots still count here"
     );
     assert!(
-        !ask(&mut lost, 0, 0),
-        "above the bound of the loads that are left"
+        !ask(&mut degraded_table, 0, 0),
+        "above the bound for the remaining loads"
     );
-    lost.tick(ClockTime(1_100));
+    degraded_table.tick(ClockTime(1_100));
     assert!(
-        !ask(&mut lost, 0, 0),
-        "not forgotten while its engines are there"
+        !ask(&mut degraded_table, 0, 0),
+        "kept while it is the home of engines"
     );
-    lost.mark_responsive(node_id(1));
-    assert!(ask(&mut lost, 0, 0));
+    degraded_table.mark_responsive(node_id(1));
+    assert!(ask(&mut degraded_table, 0, 0));
 }
--- a/crates/ragwortroad_routing/tests/choice.rs
+++ b/crates/ragwortroad_routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Where a request goes, and where its caller is sent.
+//! Choice of an endpoint for a request, and of nodes for its caller.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     EndpointId::from_name(&format!("engine-{engine}"))
 }
 
-/// Node 1, home of all `engines`.
+/// A table at node 1, which is the home of all `engines`.
 fn table_of(engines: u64) -> RouteTable {
     let mut table = RouteTable::new(RouteSettings {
         node: NodeId(1),
@@ -51,8 +51,8 @@
     }
 }
 
-/// Sends a chat's request and ends it.
-fn visit(table: &mut RouteTable, query: &RouteQuery<'_>) -> EndpointId {
+/// Routes a request, ends it at once and returns its endpoint.
+fn route_and_release(table: &mut RouteTable, query: &RouteQuery<'_>) -> EndpointId {
     let (endpoint, slot) = admitted(table.choose(query, ClockTime(5)));
     table.release(endpoint, slot, SlotOutcome::Succeeded, ClockTime(5));
     endpoint
@@ -61,18 +61,23 @@
 #[test]
 fn a_chat_returns_to_its_engine_while_others_come_and_go() {
     let mut table = table_of(12);
-    let places: Vec<EndpointId> = (1..200)
-        .map(|chat| visit(&mut table, &query(chat)))
+    let engines: Vec<EndpointId> = (1..200)
+        .map(|chat| route_and_release(&mut table, &query(chat)))
         .collect();
     table.remove_endpoint(engine_id(3));
-    for (chat, place) in (1..200).zip(places) {
-        if place != engine_id(3) {
-            assert_eq!(visit(&mut table, &query(chat)), place, "chat {chat}");
+    for (chat, engine) in (1..200).zip(engines) {
+        if engine != engine_id(3) {
+            assert_eq!(
+                route_and_release(&mut table, &query(chat)),
+                engine,
+                "chat {chat}"
+            );
         }
     }
 }
 
-/// Guards against requests that a wrong hint sends to an engine without the model.
+/// Guards against requests that a wrong hint sends to an engine without the model, or to an unknown
+/// one.
 #[test]
 fn a_hint_to_a_wrong_engine_is_ignored() {
     let mut table = table_of(4);
@@ -93,20 +98,21 @@
             hint: Some(hint),
             ..query(7)
         };
-        assert_ne!(visit(&mut table, &hinted), hint);
+        assert_ne!(route_and_release(&mut table, &hinted), hint);
     }
 }
 
-/// Guards against chats whose context is strewn over the fleet.
+/// Guards against chats whose context is spread over the fleet: one that finds its engine full
+/// first waits, and then always falls back to the same second engine.
 #[test]
-fn a_full_place_is_waited_for_and_the_second_is_the_same_each_time() {
+fn a_chat_waits_for_its_full_engine_and_then_keeps_to_the_same_second_one() {
     let prefixes: Vec<PrefixKey> = (0..10).map(PrefixKey).collect();
     let mut table = table_of(6);
-    let asked = RouteQuery {
+    let query = RouteQuery {
         prefixes: &prefixes,
         ..query(7)
     };
-    let first = visit(&mut table, &asked);
+    let first = route_and_release(&mut table, &query);
     while let SlotAnswer::Granted { .. } = table.grant_slot(
         first,
         NodeId(2),
@@ -114,7 +120,7 @@
         AdmissionClass::Returning,
         ClockTime(6),
     ) {}
-    let decision = table.choose(&asked, ClockTime(6));
+    let decision = table.choose(&query, ClockTime(6));
     assert!(
         matches!(decision, RouteDecision::Hold { .. }),
         "{decision:?}"
@@ -122,12 +128,12 @@
     let waited = RouteQuery {
         waited: Duration::from_millis(450),
         hint: Some(first),
-        ..asked
+        ..query
     };
-    let second = visit(&mut table, &waited);
+    let second = route_and_release(&mut table, &waited);
     assert_ne!(second, first);
     for _ in 0..5 {
-        assert_eq!(visit(&mut table, &waited), second);
+        assert_eq!(route_and_release(&mut table, &waited), second);
     }
 }
 
@@ -148,12 +154,12 @@
         .collect();
     table.observe_cache(engine_id(5), &events, ClockTime(2));
     assert_eq!(table.lost_events(), 3);
-    let unnamed = RouteQuery {
+    let without_chat = RouteQuery {
         offer: OFFER,
         prefixes: &prefixes,
         ..RouteQuery::default()
     };
-    let decision = table.choose(&unnamed, ClockTime(5));
+    let decision = table.choose(&without_chat, ClockTime(5));
     assert!(matches!(
         decision,
         RouteDecision::Admit { endpoint, reason: RouteReason::Prefix, .. }
@@ -161,19 +167,19 @@
     ));
 }
 
-/// Guards against an engine that fails at once and so looks idle.
+/// Guards against an engine that fails at once, so that it looks idle and attracts all requests.
 #[test]
 fn an_engine_that_fails_fast_attracts_no_work() {
     let mut table = table_of(12);
     let mut failed = 0;
     for round in 0..6_000_u64 {
         let now = ClockTime(100 + round * 10);
-        let asked = RouteQuery {
+        let query = RouteQuery {
             salt: round,
             offer: OFFER,
             ..RouteQuery::default()
         };
-        let (endpoint, slot) = admitted(table.choose(&asked, now));
+        let (endpoint, slot) = admitted(table.choose(&query, now));
         let broken = endpoint == engine_id(4);
         failed += u32::from(broken);
         let outcome = if broken {
@@ -187,7 +193,7 @@
 }
 
 #[test]
-fn addresses_stay_while_their_nodes_live() {
+fn addresses_are_stable_while_their_nodes_live() {
     let mut table = table_of(3);
     let nodes: Vec<NodeId> = (1..10).map(NodeId).collect();
     table.set_nodes(&nodes);
@@ -215,7 +221,7 @@
 
 proptest! {
     #[test]
-    fn an_altered_hint_reads_as_none(endpoint: u64, secret: u64, place in 0..32_usize, digit in 0..16_u32) {
+    fn an_altered_hint_decodes_to_none(endpoint: u64, secret: u64, place in 0..32_usize, digit in 0..16_u32) {
         let codec = HintCodec::new(secret);
         let customer = CustomerKey::from_name("school-1");
         let hint = codec.encode(customer, EndpointId(endpoint));
@@ -230,7 +236,7 @@
     }
 
     #[test]
-    fn any_text_is_taken_as_a_hint_without_harm(text: String) {
+    fn decoding_any_text_as_a_hint_never_panics(text: String) {
         HintCodec::new(1).decode(CustomerKey(1), &text);
     }
 }
--- a/crates/ragwortroad_routing/tests/limits.rs
+++ b/crates/ragwortroad_routing/tests/limits.rs
@@ -1,4 +1,4 @@
-//! A customer's limit holds over the whole fleet, and is last_sent out in full.
+//! A customer's limit holds over the whole fleet, and all of it can be used.
 
 use rand::{
     RngExt,
@@ -12,7 +12,7 @@
 const NODES: usize = 9;
 const CUSTOMER: CustomerKey = CustomerKey(7);
 
-/// Nodes whose messages take a second to reach each other.
+/// Nodes that exchange digests once a second.
 struct Fleet {
     limiters: Vec<CustomerLimiter>,
     ids: Vec<NodeId>,
@@ -43,7 +43,7 @@
 
     fn index(&self, node: NodeId) -> usize {
         let found = self.ids.iter().position(|id| *id == node);
-        found.expect("a digest for a node of the fleet")
+        found.expect("the digest is for a node of the fleet")
     }
 
     fn exchange(&mut self, now: ClockTime) {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Runs `seconds` with `rate` requests a second spread by `weights`; returns how many were
-    /// admitted and refused.
+    /// Runs for `seconds` with `rate` requests per second, distributed over the nodes by `weights`;
+    /// returns how many were admitted and refused.
     fn run(&mut self, seed: u64, seconds: u64, rate: f64, weights: &[f64; NODES]) -> (u64, u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let sum: f64 = weights.iter().sum();
@@ -104,26 +104,28 @@
     }
 }
 
-/// Guards against limits that a customer gets once at each node.
+/// Guards against limits that a customer can use in full at each node.
 #[test]
 fn a_surge_over_all_nodes_is_held_to_the_limit() {
     for (seed, weights) in [(1, [1.0; NODES]), (2, skewed())] {
         let mut fleet = Fleet::new(rate_limit(20.0));
         let (admitted, _) = fleet.run(seed, 120, 200.0, &weights);
-        // The rate, and once the bursts that were saved up.
+        // The rate, and once the initial bursts.
         let most = 20.0 * 120.0 + 20.0 * 5.0 + 3.0 * NODES as f64;
         assert!(admitted as f64 <= most, "{admitted} of at most {most}");
         assert!(admitted as f64 >= 0.9 * 20.0 * 120.0, "only {admitted}");
         let each = fleet.messages as f64 / (NODES as f64 * 120.0);
-        assert!(each < 2.0, "{each} messages a node and second");
+        assert!(each < 2.0, "{each} messages per node and second");
     }
 }
 
-/// Guards against customers that are refused below their limit.
+/// Guards against customers that are refused below their limit because their requests arrive at
+/// nodes without a share.
 #[test]
-fn a_customer_below_its_limit_is_hardly_refused() {
-    // A node lets three pass, or a few seconds of its even part, before its share has come. More in a
-    // row at one node are mere chance at a request every two seconds, and rare at thirty a second.
+fn a_customer_below_its_limit_is_rarely_refused() {
+    // Before its share arrives, a node admits three requests, or a few seconds' worth of its even
+    // part. More in a row at one node happen only by chance at one request every two seconds, and
+    // are rare at thirty per second.
     for (rate, most) in [(0.5, 0.04), (3.0, 0.02), (30.0, 0.002)] {
         for weights in [[1.0; NODES], skewed()] {
             let mut fleet = Fleet::new(rate_limit(3.0 * rate));
@@ -138,7 +140,8 @@
     }
 }
 
-/// Many slow requests of one customer run at once through all nodes.
+/// Guards against concurrency shares that add up to more than the limit while demand moves between
+/// nodes: many slow requests of one customer run through all of them.
 #[test]
 fn places_at_work_never_exceed_the_limit() {
     let mut fleet = Fleet::new(CustomerLimit {
@@ -154,7 +157,7 @@
         if step % 200 == 199 {
             fleet.exchange(now);
         }
-        // The weight of the demand wanders over the nodes.
+        // Most of the demand moves from node to node.
         let node = (rng.random_range(0..3) + step as usize / 4_000) % NODES;
         if rng.random::<f64>() < 0.55 {
             fleet.limiters[node].admit(CUSTOMER, 0, now);
@@ -172,7 +175,7 @@
             .sum();
         most = most.max(running);
     }
-    assert!(most >= 20, "the limit was never near: {most}");
+    assert!(most >= 20, "the limit was never approached: {most}");
     assert!(most <= 40, "{most} at once where 40 were allowed");
 }
 
--- a/crates/ragwortroad_settings/src/engine_order_settings.rs
+++ b/crates/ragwortroad_settings/src/engine_order_settings.rs
@@ -2,20 +2,21 @@
 
 use crate::settings_reader::SettingsReader;
 
-/// `[orders]`: what the leader may ask of engines and of the weight store.
+/// `[orders]`: limits on the orders that the leader sends to engines and on loads from the weight
+/// store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrderSettings {
-    /// Megabytes a second that the weight store gives.
+    /// Rate of the weight store, in megabytes per second.
     pub store_mb_per_s: u32,
-    /// Megabytes that may be asked of it at once after a pause.
+    /// Megabytes that may be requested from it in one burst after a pause.
     pub store_burst_mb: u32,
-    /// Loads running at once.
+    /// Most loads in progress at once.
     pub loads_at_once: usize,
-    /// Models, each version counted, that one engine has room for.
+    /// Most models on one engine, where each version counts.
     pub models_per_engine: usize,
-    /// Time after which an order whose effect is not seen is sent again.
+    /// Time after which an order without visible effect is sent again.
     pub resend: Duration,
-    /// Time after which a load that is not seen gives its place at the weight store up.
+    /// Time after which a load without visible effect releases its place at the weight store.
     pub load_bound: Duration,
 }
 
@@ -56,5 +57,5 @@
     }
 }
 
-/// A terabyte, in megabytes.
+/// One terabyte, in megabytes.
 const MAX_MB: u64 = 1_000_000;
--- a/crates/ragwortroad_settings/src/fleet_settings.rs
+++ b/crates/ragwortroad_settings/src/fleet_settings.rs
@@ -5,12 +5,12 @@
     settings_reader::SettingsReader, //
 };
 
-/// `[fleet]`: how this node finds and proves itself to the others.
+/// `[fleet]`: how this node finds the other nodes and authenticates itself to them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetSettings {
-    /// Nodes to ask first. A few suffice; the others are learned from them.
+    /// Nodes to contact first. A few are enough; the others are learned from them.
     pub seeds: Vec<SeedAddress>,
-    /// Folder with the fleet's certificate and this node's certificate and key.
+    /// Folder with the fleet's certificate, and this node's certificate and private key.
     pub keys: PathBuf,
     /// File with the secret that endpoints send when they announce themselves.
     pub join_secret_file: PathBuf,
--- a/crates/ragwortroad_settings/src/forward_settings.rs
+++ b/crates/ragwortroad_settings/src/forward_settings.rs
@@ -27,61 +27,62 @@
     settings_reader::SettingsReader, //
 };
 
-/// Settings of an edge or a registry: a process of a fleet that forwards by host and path.
+/// Settings of an edge or a registry: a process of a fleet that forwards requests by host and path.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardSettings {
     /// Name of this process's VM.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub zone: String,
-    /// All failure domains of the site; empty where any may be named.
+    /// All failure domains of the site; empty to accept any.
     pub domains: Vec<String>,
-    /// Where it talks to the fleet's other processes.
+    /// Address at which the fleet's other processes reach this one.
     pub inner: SocketAddr,
-    /// Where it listens for them, if that is elsewhere, as behind a forwarded port.
+    /// Address on which it listens for them, if different, as behind a forwarded port.
     pub inner_bind: Option<SocketAddr>,
-    /// Registries' public addresses that are known from the start; the IP numbers matter.
+    /// Public addresses of registries that are known at startup; only the IP addresses are used.
     pub seeds: Vec<SocketAddr>,
     /// Whether the whole fleet starts for the first time, with empty disks.
     pub first_start: bool,
-    /// Where callers reach an edge.
+    /// Address on which an edge listens for callers.
     pub callers: Option<SocketAddr>,
-    /// Where an edge tells whether it is ready.
+    /// Address on which an edge reports whether it is ready.
     pub readiness: Option<SocketAddr>,
-    /// Where operators and endpoints reach a registry.
+    /// Address on which a registry listens for operators and endpoints.
     pub control: Option<SocketAddr>,
-    /// Where callers ask a registry for addresses of edges.
+    /// Address on which a registry answers callers that look up edges.
     pub directory: Option<SocketAddr>,
-    /// What the VM's link carries, in megabits a second.
+    /// Capacity of the VM's link, in megabits per second.
     pub link_mbps: f64,
-    /// Where the process's metrics are read.
+    /// Address on which the process serves its metrics.
     pub metrics: Option<SocketAddr>,
-    /// Where a registry keeps what must survive.
+    /// Folder for a registry's durable data.
     pub data_folder: Option<PathBuf>,
-    /// Bytes that the data folder may take.
+    /// Most bytes that the data folder may use.
     pub data_quota: Option<u64>,
-    /// Whether a disk is never older than what was synced to it, also after a loss of power.
+    /// Whether the disk always has everything that was synced to it, also after a power failure.
     ///
-    /// Without it a member whose VM has restarted first asks the others what they know, for its
-    /// disk may have been restored from a backup; after a common loss of power all wait for most.
+    /// Otherwise a member whose VM has restarted first asks the others what they know, since its
+    /// disk may have been restored from a backup. After a power failure of all members, each waits
+    /// for a majority.
     pub trust_disk: bool,
-    /// Time between two announcements of an endpoint.
+    /// Interval between two announcements of an endpoint.
     pub announce_every: Duration,
-    /// Time from the request to stop until the process is ended by force.
+    /// Time from the request to stop until the process is killed.
     pub grace: Duration,
-    /// Longest time for which callers may keep an answer of the directory.
+    /// Longest time for which callers may cache an answer of the directory.
     pub directory_life: Duration,
-    /// Repeats that a service may get for each request.
+    /// Retries that a service may get per request.
     pub retry_ratio: f64,
-    /// Repeats beyond that in each window, over the whole fleet.
+    /// Additional retries in each window, over the whole fleet.
     pub retry_slack: f64,
-    /// Length of that window.
+    /// Length of the window for `retry_slack`.
     pub retry_window: Duration,
     /// Multiple of a service's mean load that no endpoint may exceed.
     pub load_multiple: f64,
-    /// `[mechanisms]`.
+    /// `[mechanisms]`: mechanisms of an edge that can be switched off.
     pub mechanisms: MechanismSettings,
-    /// `[log]`.
+    /// `[log]`: level and format of the log.
     pub log: LogSettings,
 }
 
@@ -119,18 +120,18 @@
 }
 
 impl ForwardSettings {
-    /// Reads and checks the file at `path`; starts nothing.
+    /// Reads and validates the file at `path`; starts nothing.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Unreadable`] where the file cannot be read, and
-    /// [`SettingsError::Faulty`] with every fault where it can.
+    /// [`SettingsError::Unreadable`] if the file cannot be read, and [`SettingsError::Faulty`] with
+    /// every fault in it otherwise.
     pub fn from_file(path: &Path) -> Result<Self, SettingsError> {
         let bytes = fs::read(path).context(UnreadableSnafu { path })?;
         Self::from_bytes(&bytes).context(FaultySnafu { path })
     }
 
-    /// Checks the bytes of a settings file.
+    /// Validates the bytes of a settings file.
     ///
     /// # Errors
     ///
@@ -184,7 +185,8 @@
     }
 }
 
-/// An address that may be missing or empty: a template leaves out what a process does not serve.
+/// Reads an address that may be missing or empty: a template leaves addresses that a process does
+/// not use empty.
 fn optional_address(
     reader: &mut SettingsReader<'_>,
     section: &'static str,
--- a/crates/ragwortroad_settings/src/lib.rs
+++ b/crates/ragwortroad_settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of one process: INI, checked as a whole.
+//! Settings of a process, in an INI file that is validated as a whole.
 //!
-//! [`ProcessSettings::from_bytes`] reports every fault of a file at once, each with its line, its
-//! key and a remedy, so that an operator mends a file in one go.
+//! [`ProcessSettings::from_bytes`] reports all faults of a file at once, each with its line, its
+//! key and a remedy, so that an operator can fix them in one go.
 //!
 //! ```
 //! use ragwortroad_settings::prelude::*;
@@ -25,7 +25,7 @@
 mod settings_reader;
 mod state_settings;
 
-/// Everything a dependent crate usually needs.
+/// Common imports for dependent crates.
 pub mod prelude {
     pub use crate::{
         engine_order_settings::EngineOrderSettings,
--- a/crates/ragwortroad_settings/src/limit_settings.rs
+++ b/crates/ragwortroad_settings/src/limit_settings.rs
@@ -2,24 +2,24 @@
 
 use crate::settings_reader::SettingsReader;
 
-/// `[limits]`: what one node takes from callers.
+/// `[limits]`: limits of one node on its callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// Longest request body in bytes.
+    /// Longest request body, in bytes.
     pub max_body: u64,
-    /// Longest request head in bytes.
+    /// Longest request head, in bytes.
     pub max_header: u64,
-    /// Connections at once.
+    /// Most connections at once.
     pub max_connections: u64,
-    /// How long a connection may stay without a request.
+    /// How long a connection may stay open without a request.
     pub idle_timeout: Duration,
     /// How long a request's head may take to arrive.
     pub header_timeout: Duration,
     /// How long a request's body may take to arrive.
     pub body_timeout: Duration,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that sets none.
     pub default_deadline: Duration,
-    /// Longest deadline a request may name.
+    /// Longest deadline that a request may set.
     pub max_deadline: Duration,
     /// How long a shutdown waits for requests in flight.
     pub drain_timeout: Duration,
@@ -41,7 +41,7 @@
     }
 }
 
-/// One day in milliseconds, the longest span any limit takes.
+/// One day in milliseconds, the longest duration of any limit.
 const DAY_MS: u64 = 86_400_000;
 
 impl LimitSettings {
--- a/crates/ragwortroad_settings/src/line_index.rs
+++ b/crates/ragwortroad_settings/src/line_index.rs
@@ -1,20 +1,19 @@
 use std::collections::HashMap;
 
-/// Where sections and keys stand in a file; the INI library reports no lines.
+/// Line numbers of sections and keys in a file, which the INI library does not report.
 #[derive(Debug, Default)]
 pub(crate) struct LineIndex {
     /// Line of each section's first header, from 1.
     sections: HashMap<String, usize>,
-    /// Line of each key's first entry, by section and key.
+    /// Line of the first occurrence of each key, by section and key.
     keys: HashMap<(String, String), usize>,
-    /// Later headers of a section that came before, with their lines.
+    /// Repeated section headers, with their lines.
     pub(crate) duplicate_sections: Vec<(String, usize)>,
-    /// Later places of a key that came before in its section, with their lines.
+    /// Repeated keys by section and key, with their lines.
     pub(crate) duplicate_keys: Vec<(String, String, usize)>,
 }
 
 impl LineIndex {
-    /// Indexes `text`.
     pub(crate) fn new(text: &str) -> Self {
         let mut index = Self::default();
         let mut section = String::new();
@@ -30,12 +29,12 @@
         index
     }
 
-    /// Line of `section`'s header, or 0 where there is none.
+    /// Returns the line of `section`'s header, or 0 if there is none.
     pub(crate) fn section_line(&self, section: &str) -> usize {
         self.sections.get(section).copied().unwrap_or(0)
     }
 
-    /// Line of `key` in `section`; the header's line where the key is missing.
+    /// Returns the line of `key` in `section`, or the header's line if the key is missing.
     pub(crate) fn key_line(&self, section: &str, key: &str) -> usize {
         let entry = (section.to_owned(), key.to_owned());
         let line = self.keys.get(&entry).copied();
@@ -60,14 +59,14 @@
     }
 }
 
-/// The name in a section header.
+/// Returns the name in a section header.
 fn header_name(line: &str) -> Option<&str> {
     let inner = line.strip_prefix('[')?;
     let (name, _) = inner.split_once(']')?;
     Some(name.trim())
 }
 
-/// The key of a `key = value` line.
+/// Returns the key of a `key = value` line.
 fn key_name(line: &str) -> Option<&str> {
     if line.starts_with(['#', ';']) {
         return None;
--- a/crates/ragwortroad_settings/src/log_settings.rs
+++ b/crates/ragwortroad_settings/src/log_settings.rs
@@ -2,13 +2,13 @@
 
 use crate::settings_reader::SettingsReader;
 
-/// How log lines are written.
+/// Format of log entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line of text an entry.
+    /// One line of text per entry.
     #[default]
     Text,
-    /// One JSON object an entry.
+    /// One JSON object per entry.
     Json,
 }
 
@@ -24,10 +24,10 @@
     }
 }
 
-/// `[log]`: what is logged and how.
+/// `[log]`: level and format of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// How entries are written.
+    /// Format in which entries are written.
     pub format: LogFormat,
     /// Filter directives, such as `info` or `warn,ragwortroad_node=debug`.
     pub level: String,
--- a/crates/ragwortroad_settings/src/mechanism_settings.rs
+++ b/crates/ragwortroad_settings/src/mechanism_settings.rs
@@ -1,42 +1,42 @@
 use crate::settings_reader::SettingsReader;
 
-/// `[mechanisms]`: what an edge does by itself, each of which can be switched off.
+/// `[mechanisms]`: mechanisms of an edge, each of which can be switched off.
 ///
-/// For the night on which one of them misbehaves, and to measure what each is worth. All are on
-/// unless the file says `false`.
+/// An operator can disable one that misbehaves, or measure its effect. All are enabled unless the
+/// file says `false`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MechanismSettings {
-    /// Limits on requests under way, with a queue and refusals at the edge.
+    /// Limits on requests in flight, with a queue and refusals at the edge.
     pub admission: bool,
-    /// The limit of plain services, learned from the times of their answers.
+    /// A limit for plain services that adapts to their response times.
     pub plain_limit: bool,
-    /// Requests that are late already wait behind those that are not.
+    /// Late requests queue behind those that are still on time.
     pub late_last: bool,
-    /// Refused callers are sent away for as long as there has been too much.
+    /// Refused callers are told to wait for as long as the overload has lasted.
     pub long_return: bool,
-    /// Requests go to engines that hold their shared text.
+    /// Requests go to engines that cache their shared text.
     pub text_places: bool,
-    /// Edges tell each other where texts were read.
+    /// Edges tell each other which engines read which texts.
     pub told_places: bool,
     /// Engines copy shared text from each other.
     pub text_copies: bool,
-    /// Edges tell each other what they have under way.
+    /// Edges tell each other their loads in flight.
     pub told_loads: bool,
-    /// Endpoints that cannot be reached are left alone for a while.
+    /// Unreachable endpoints receive no requests for a while.
     pub failure_pauses: bool,
     /// Endpoints that fail many requests are avoided.
     pub failing_share: bool,
-    /// Requests are sent to a second endpoint where that is harmless.
+    /// Requests are sent to a second endpoint where a duplicate is harmless.
     pub repeats: bool,
-    /// An endpoint that does not begin to answer is given up for another one.
+    /// An endpoint that does not start to answer is abandoned for another one.
     pub silence: bool,
-    /// Broken streams go on at another engine within one answer.
+    /// Broken streams resume at another engine within the same answer.
     pub resume: bool,
     /// Requests wait for an edge that is starting.
     pub start_wait: bool,
-    /// Requests wait for the engine that holds their text to announce itself.
+    /// Requests wait for the engine that caches their text to announce itself.
     pub holder_wait: bool,
-    /// Engines are told the ranks of requests.
+    /// Engines receive the ranks of requests.
     pub engine_ranks: bool,
 }
 
--- a/crates/ragwortroad_settings/src/node_settings.rs
+++ b/crates/ragwortroad_settings/src/node_settings.rs
@@ -5,20 +5,20 @@
 
 use crate::settings_reader::SettingsReader;
 
-/// `[node]`: who this process is and where it listens.
+/// `[node]`: identity and addresses of this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// The node's name, unique in the fleet and equal to the name in its certificate.
+    /// Name of the node, unique in the fleet and equal to the name in its certificate.
     pub name: String,
-    /// The failure domain (zone) of its VM.
+    /// Failure domain (zone) of the node's VM.
     pub zone: String,
-    /// The region of its VM.
+    /// Region of the node's VM.
     pub region: String,
-    /// Where callers, endpoints and operators connect (HTTP over TCP).
+    /// Address for callers, endpoints and operators (HTTP over TCP).
     pub listen: SocketAddr,
-    /// Where other nodes connect (QUIC over UDP).
+    /// Address for other nodes (QUIC over UDP).
     pub peer: SocketAddr,
-    /// Threads that move callers' bytes.
+    /// Threads that transfer callers' data.
     pub traffic_threads: usize,
 }
 
--- a/crates/ragwortroad_settings/src/process_settings.rs
+++ b/crates/ragwortroad_settings/src/process_settings.rs
@@ -26,36 +26,36 @@
     state_settings::StateSettings, //
 };
 
-/// Everything one process learns from its settings file.
+/// All settings of a node process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProcessSettings {
-    /// `[node]`.
+    /// `[node]`: identity and addresses of this process.
     pub node: NodeSettings,
-    /// `[fleet]`.
+    /// `[fleet]`: how this node finds the other nodes and authenticates itself to them.
     pub fleet: FleetSettings,
-    /// `[state]`.
+    /// `[state]`: the replicated state and this node's part in it.
     pub state: StateSettings,
-    /// `[orders]`.
+    /// `[orders]`: limits on orders to engines and on loads from the weight store.
     pub orders: EngineOrderSettings,
-    /// `[limits]`.
+    /// `[limits]`: limits of this node on its callers.
     pub limits: LimitSettings,
-    /// `[log]`.
+    /// `[log]`: level and format of the log.
     pub log: LogSettings,
 }
 
 impl ProcessSettings {
-    /// Reads and checks the file at `path`; starts nothing.
+    /// Reads and validates the file at `path`; starts nothing.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Unreadable`] where the file cannot be read, and
-    /// [`SettingsError::Faulty`] with every fault where it can.
+    /// [`SettingsError::Unreadable`] if the file cannot be read, and [`SettingsError::Faulty`] with
+    /// every fault in it otherwise.
     pub fn from_file(path: &Path) -> Result<Self, SettingsError> {
         let bytes = fs::read(path).context(UnreadableSnafu { path })?;
         Self::from_bytes(&bytes).context(FaultySnafu { path })
     }
 
-    /// Checks the bytes of a settings file.
+    /// Validates the bytes of a settings file.
     ///
     /// # Errors
     ///
@@ -77,12 +77,12 @@
         settings
     }
 
-    /// Whether this process holds a part of the replicated state.
+    /// Whether this process is a member that stores the replicated state.
     pub fn is_member(&self) -> bool {
         self.state.data_folder.is_some()
     }
 
-    /// Faults that show only where two keys are seen together.
+    /// Reports faults in combinations of keys.
     fn check_key_combinations(&self, reader: &mut SettingsReader<'_>) {
         if !reader.has_section("state") {
             let remedy = "add a [state] section with 'members = ...'".to_owned();
@@ -105,9 +105,9 @@
     }
 }
 
-/// What `read` makes of a file, or every fault of it.
+/// Returns what `read` makes of a file, or all faults of the file.
 ///
-/// Some editors begin a file with a byte order mark. It is no part of the first section's name.
+/// Some editors start a file with a byte order mark, which is not part of the first section's name.
 pub(crate) fn parse_settings<T>(
     bytes: &[u8],
     read: impl FnOnce(&mut SettingsReader<'_>) -> T,
@@ -134,7 +134,7 @@
 /// U+FEFF in UTF-8.
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
-/// The text of a file, or the fault with the line of the first byte that is not UTF-8.
+/// Returns the text of a file, or a fault with the line of the first byte that is not UTF-8.
 fn utf8_text(bytes: &[u8]) -> Result<&str, SettingsFault> {
     std::str::from_utf8(bytes).map_err(|error| {
         let before = &bytes[..error.valid_up_to()];
--- a/crates/ragwortroad_settings/src/seed_address.rs
+++ b/crates/ragwortroad_settings/src/seed_address.rs
@@ -3,12 +3,12 @@
     str::FromStr, //
 };
 
-/// Another node's name and the address of its peer port, written `name@IP:port`.
+/// Name of another node and the address of its peer port, written `name@IP:port`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedAddress {
-    /// The node's name, as in its own settings and its certificate.
+    /// Name of the node, as in its own settings and its certificate.
     pub name: String,
-    /// Where it takes messages of its peers.
+    /// Address on which the node listens for its peers.
     pub peer: SocketAddr,
 }
 
--- a/crates/ragwortroad_settings/src/settings_error.rs
+++ b/crates/ragwortroad_settings/src/settings_error.rs
@@ -7,7 +7,7 @@
 
 use crate::FaultList;
 
-/// Why settings could not be had from a file.
+/// Why the settings of a file cannot be used.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
@@ -18,17 +18,17 @@
         path.display()
     ))]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's reason.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The file has faults.
     #[snafu(display("{} has {} fault(s):\n{source}", path.display(), source.0.len()))]
     Faulty {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The faults.
+        /// All faults, in the order of their lines.
         source: FaultList,
     },
 }
--- a/crates/ragwortroad_settings/src/settings_fault.rs
+++ b/crates/ragwortroad_settings/src/settings_fault.rs
@@ -1,15 +1,15 @@
 use std::fmt;
 
-/// One fault of a settings file.
+/// A fault in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// Line in the file, from 1; 0 where something is missing from the whole file.
+    /// Line in the file, from 1; 0 if the fault concerns the whole file.
     pub line: usize,
-    /// `section.key`, or the section alone.
+    /// `section.key`, or only the section.
     pub key: String,
     /// What is wrong.
     pub message: String,
-    /// How to mend it.
+    /// How to fix it.
     pub remedy: String,
 }
 
--- a/crates/ragwortroad_settings/src/settings_reader.rs
+++ b/crates/ragwortroad_settings/src/settings_reader.rs
@@ -12,11 +12,11 @@
     settings_fault::SettingsFault, //
 };
 
-/// Reads keys out of one parsed file and collects what is wrong with them.
+/// Reads the keys of a parsed file and collects their faults.
 pub(crate) struct SettingsReader<'a> {
     file: &'a Ini,
     index: LineIndex,
-    /// Keys asked for so far, by section; all others in the file are unknown.
+    /// Keys read so far, by section; all others in the file are unknown.
     known: BTreeMap<&'static str, Vec<&'static str>>,
     faults: Vec<SettingsFault>,
 }
@@ -31,12 +31,11 @@
         }
     }
 
-    /// Whether the file has `section` at all.
     pub(crate) fn has_section(&self, section: &str) -> bool {
         self.file.section(Some(section)).is_some()
     }
 
-    /// The text of a key that must be there.
+    /// Returns the text of a required key, or an empty string with a fault if it is missing.
     pub(crate) fn required_text(&mut self, section: &'static str, key: &'static str) -> String {
         let text = self.text(section, key);
         if text.is_none() {
@@ -46,7 +45,7 @@
         text.unwrap_or_default()
     }
 
-    /// The parsed value of a key that must be there.
+    /// Returns the parsed value of a required key, or `None` with a fault.
     pub(crate) fn required_value<T>(
         &mut self,
         section: &'static str,
@@ -64,7 +63,7 @@
         self.parse(section, key, &text, example)
     }
 
-    /// The parsed value of a key that may be missing.
+    /// Returns the parsed value of an optional key, or `None`; an invalid value is a fault.
     pub(crate) fn optional_value<T>(
         &mut self,
         section: &'static str,
@@ -79,7 +78,7 @@
         self.parse(section, key, &text, example)
     }
 
-    /// A whole number between `min` and `max`, or `default` where the key is missing.
+    /// Returns an integer between `min` and `max`, or `default` if the key is missing or invalid.
     pub(crate) fn number(
         &mut self,
         section: &'static str,
@@ -95,12 +94,12 @@
             return value;
         }
         let message = format!("{value} is out of range");
-        let remedy = format!("give a whole number from {min} to {max}");
+        let remedy = format!("give an integer from {min} to {max}");
         self.fault(section, key, message, remedy);
         default
     }
 
-    /// A span in milliseconds between `min` and `max`, or `default`.
+    /// Returns a duration in milliseconds between `min` and `max`, or `default`.
     pub(crate) fn millis(
         &mut self,
         section: &'static str,
@@ -112,7 +111,7 @@
         Duration::from_millis(self.number(section, key, default, bounds))
     }
 
-    /// A comma-separated list; empty where the key is missing.
+    /// Returns the items of a comma-separated list; empty if the key is missing.
     pub(crate) fn list<T>(
         &mut self,
         section: &'static str,
@@ -130,7 +129,7 @@
         parts.iter().filter_map(parse).collect()
     }
 
-    /// The raw text of a key.
+    /// Returns the raw text of a key, and marks the key as known.
     pub(crate) fn text(&mut self, section: &'static str, key: &'static str) -> Option<String> {
         let known = self.known.entry(section).or_default();
         known.push(key);
@@ -138,7 +137,7 @@
         Some(text.trim().to_owned())
     }
 
-    /// Notes a fault of a key.
+    /// Records a fault of a key.
     pub(crate) fn fault(&mut self, section: &str, key: &str, message: String, remedy: String) {
         self.faults.push(SettingsFault {
             line: self.index.key_line(section, key),
@@ -148,7 +147,8 @@
         });
     }
 
-    /// All faults, with those of unknown and repeated names, in the order of their lines.
+    /// Returns all faults, those of unknown and repeated names included, in the order of their
+    /// lines.
     pub(crate) fn finish(mut self) -> Vec<SettingsFault> {
         self.report_unknown();
         self.report_duplicates();
@@ -164,7 +164,7 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(error) => {
-                let message = format!("'{text}' cannot be read ({error})");
+                let message = format!("'{text}' cannot be parsed ({error})");
                 let remedy = format!("write it like '{example}'");
                 self.fault(section, key, message, remedy);
                 None
@@ -196,14 +196,14 @@
         names: impl Iterator<Item = &'static str>,
         is_empty: bool,
     ) -> Option<SettingsFault> {
-        // The library always yields the nameless section before the first header.
+        // The library always yields an unnamed section before the first header.
         if section.is_empty() && is_empty {
             return None;
         }
         Some(SettingsFault {
             line: self.index.section_line(section),
             key: format!("[{section}]"),
-            message: "is not a section".to_owned(),
+            message: "is not a known section".to_owned(),
             remedy: suggest_nearest(section, names),
         })
     }
@@ -212,7 +212,7 @@
         SettingsFault {
             line: self.index.key_line(section, key),
             key: format!("{section}.{key}"),
-            message: "is not a key".to_owned(),
+            message: "is not a known key".to_owned(),
             remedy: suggest_nearest(key, known.iter().copied()),
         }
     }
@@ -237,7 +237,7 @@
     }
 }
 
-/// Names the known word nearest to `word`.
+/// Suggests the known word that is nearest to `word`.
 fn suggest_nearest(word: &str, known: impl Iterator<Item = &'static str>) -> String {
     let nearest = known.min_by_key(|name| strsim::damerau_levenshtein(word, name));
     match nearest {
--- a/crates/ragwortroad_settings/src/state_settings.rs
+++ b/crates/ragwortroad_settings/src/state_settings.rs
@@ -11,22 +11,24 @@
 /// `[state]`: the replicated state, and this node's part in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StateSettings {
-    /// The members that hold the state, as they were when the fleet was founded.
+    /// Members that store the state, as of the founding of the fleet.
     pub members: Vec<SeedAddress>,
-    /// Where this node keeps its part; only members have one.
+    /// Folder in which this node stores its copy; only members have one.
     pub data_folder: Option<PathBuf>,
-    /// Bytes that the data folder may take; beyond them this member acknowledges nothing.
+    /// Most bytes that the data folder may use; beyond them this member acknowledges nothing.
     pub data_quota: Option<u64>,
-    /// How long a node may admit work after it last confirmed that its configuration is current.
+    /// How long a node may admit requests after it last confirmed that its configuration is
+    /// current.
     pub follow_bound: Duration,
-    /// How long the leader is in charge after its quorum last answered.
+    /// How long the leader stays in charge after its quorum last answered.
     pub lease: Duration,
-    /// The most by which two clocks drift apart, in thousandths.
+    /// Largest drift between two clocks, in thousandths.
     pub drift_permille: u64,
-    /// Start without asking the other members what they know, after the machine was restarted.
+    /// Whether to start after a reboot of the machine without asking the other members what they
+    /// know.
     ///
-    /// An operator sets it for one start, when too few members are left to ask and it is certain
-    /// that no disk was rolled back.
+    /// An operator sets it for a single start, when too few members are left to ask and it is
+    /// certain that no disk was rolled back.
     pub trust_disk: bool,
 }
 
@@ -51,7 +53,7 @@
         let members: Vec<SeedAddress> = reader.list("state", "members", example);
         if members.len().is_multiple_of(2) {
             let message = format!("names {} members", members.len());
-            let remedy = "name 1, 3, 5 or 7; an even number survives no more losses".to_owned();
+            let remedy = "name 1, 3, 5 or 7; an even number tolerates no more failures".to_owned();
             reader.fault("state", "members", message, remedy);
         }
         let bound = reader.millis(
--- a/tools/ci/src/known_red.rs
+++ b/tools/ci/src/known_red.rs
@@ -25,7 +25,7 @@
         let known: Vec<Self> = lines.map(Self::from_line).collect::<Result<_, _>>()?;
         if known.len() > MAX_KNOWN_RED {
             return Err(format!(
-                "{} tests are listed; mend all but {MAX_KNOWN_RED}",
+                "{} tests are listed; at most {MAX_KNOWN_RED} may be",
                 known.len()
             ));
         }
--- a/tools/ci/src/main.rs
+++ b/tools/ci/src/main.rs
@@ -92,7 +92,7 @@
 
 /// Checks that the platform's words occur only in the adapter, and prints the others.
 fn platform_words_are_confined() -> bool {
-    println!("words of {}", platform_words::WORDS_PATH);
+    println!("checking the words of {}", platform_words::WORDS_PATH);
     let found = fs::read_to_string(platform_words::WORDS_PATH).and_then(|text| {
         let words = platform_words::read_words(&text);
         platform_words::find_in_sources(Path::new("."), &words)
@@ -102,14 +102,14 @@
             for misplaced in &found {
                 let path = misplaced.path.display();
                 eprintln!(
-                    "{path}:{}: '{}' belongs into platform/",
+                    "{path}:{}: '{}' may occur only in platform/",
                     misplaced.line, misplaced.word
                 );
             }
             found.is_empty()
         }
         Err(error) => {
-            eprintln!("the platform's words cannot be checked: {error}");
+            eprintln!("cannot check the platform's words: {error}");
             false
         }
     }
@@ -117,20 +117,20 @@
 
 /// Checks that no crate has import cycles between its files, and prints those that it has.
 fn imports_have_no_cycles() -> bool {
-    println!("cycles of imports");
+    println!("checking for import cycles");
     match crate_import_cycles() {
         Ok(cycles) => {
             for (folder, module, imports) in &cycles {
                 let imports = imports.join(", ");
                 eprintln!(
-                    "{}: {module} imports {imports} in a circle",
+                    "{}: {module} imports {imports} in a cycle",
                     folder.display()
                 );
             }
             cycles.is_empty()
         }
         Err(reason) => {
-            eprintln!("imports cannot be checked: {reason}");
+            eprintln!("cannot check imports: {reason}");
             false
         }
     }
@@ -156,7 +156,7 @@
 
 /// Checks that no test has more than [`MAX_TEST_DOC_LINES`] doc lines, and prints those that do.
 fn test_docs_are_short() -> bool {
-    println!("lines above tests");
+    println!("checking the doc lines of tests");
     match tests_with_long_docs() {
         Ok(tests) => {
             for (folder, test) in &tests {
@@ -169,7 +169,7 @@
             tests.is_empty()
         }
         Err(reason) => {
-            eprintln!("tests cannot be checked: {reason}");
+            eprintln!("cannot check the doc lines of tests: {reason}");
             false
         }
     }
--- a/tools/ci/src/tests.rs
+++ b/tools/ci/src/tests.rs
@@ -29,12 +29,13 @@
 fn only_sources_outside_the_exempt_folders_are_searched() {
     let root = std::env::temp_dir().join(format!("platform-words-{}", std::process::id()));
     for folder in ["platform/src", "crates/edge/src"] {
-        fs::create_dir_all(root.join(folder)).expect("a folder");
-        fs::write(root.join(folder).join("lib.rs"), "// X-Made-Up\n").expect("a file");
+        fs::create_dir_all(root.join(folder)).expect("the folder is created");
+        fs::write(root.join(folder).join("lib.rs"), "// X-Made-Up\n").expect("the file is written");
     }
-    fs::write(root.join("notes.md"), "X-Made-Up").expect("a file");
-    let found = find_in_sources(&root, &["X-Made-Up".to_owned()]).expect("reads");
-    fs::remove_dir_all(&root).expect("removes what it made");
+    fs::write(root.join("notes.md"), "X-Made-Up").expect("the file is written");
+    let found =
+        find_in_sources(&root, &["X-Made-Up".to_owned()]).expect("the sources are readable");
+    fs::remove_dir_all(&root).expect("the folder is removed");
     let paths: Vec<_> = found
         .iter()
         .map(|misplaced| misplaced.path.clone())
@@ -69,12 +70,12 @@
             "use super::inner::Third;\npub struct Fourth;\n",
         ),
     ]));
-    let found = found.expect("reads");
+    let found = found.expect("the sources parse");
     let modules: Vec<&str> = found.keys().map(String::as_str).collect();
     assert_eq!(modules, ["deep::inner", "deep::outer", "one", "two"]);
     assert!(
         found["two"].contains("one"),
-        "through the re-export: {found:?}"
+        "import through the re-export: {found:?}"
     );
 }
 
@@ -93,7 +94,7 @@
         ("three", "pub struct Third;\n"),
         ("two::tests", "use super::Second;\n"),
     ]));
-    assert!(found.expect("reads").is_empty());
+    assert!(found.expect("the sources parse").is_empty());
 }
 
 /// Guards against a check that misses tests with long doc comments, or that rejects short ones.
@@ -103,5 +104,5 @@
         /// Four\n    /// lines\n    /// do\n    /// not.\n    \
         #[tokio::test]\n    async fn long() {}\n}\n\n\
         /// This\n/// is\n/// no\n/// test.\nfn helper() {}\n";
-    assert_eq!(long_test_docs(text).expect("reads"), ["long"]);
+    assert_eq!(long_test_docs(text).expect("the sources parse"), ["long"]);
 }
--- a/tools/compare/src/bench_runner.rs
+++ b/tools/compare/src/bench_runner.rs
@@ -44,7 +44,7 @@
         output: String,
     },
     /// A file could not be read or written.
-    #[snafu(display("cannot use {}: {source}", path.display()))]
+    #[snafu(display("cannot access {}: {source}", path.display()))]
     File {
         /// Path of the file.
         path: PathBuf,
@@ -52,7 +52,7 @@
         source: io::Error,
     },
     /// A benchmark run printed no figures.
-    #[snafu(display("no figures in what the bench wrote: {output}"))]
+    #[snafu(display("the benchmark printed no figures: {output}"))]
     NoFigures {
         /// Standard output of the run.
         output: String,
@@ -116,7 +116,7 @@
 impl Drop for BenchRunner {
     fn drop(&mut self) {
         if let Err(error) = self.apply_variant("none") {
-            eprintln!("the clone keeps the settings of the last variant: {error}");
+            eprintln!("cannot restore the settings template of the clone: {error}");
         }
     }
 }
--- a/tools/compare/src/paired_difference.rs
+++ b/tools/compare/src/paired_difference.rs
@@ -61,8 +61,8 @@
             false => write!(formatter, " in a single run")?,
         }
         match self.is_significant() {
-            true => write!(formatter, ": clear"),
-            false => write!(formatter, ": within chance"),
+            true => write!(formatter, ": significant"),
+            false => write!(formatter, ": not significant"),
         }
     }
 }
--- a/tools/compare/src/tests.rs
+++ b/tools/compare/src/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn figures_are_read_from_the_line_below_the_head() {
+fn figures_are_read_from_the_line_below_the_header() {
     let output = "built in 1.0 s\nday  own/srv score worth served refused failed weakest part\n\
         mix --seed 7   72/143   0.79  0.753  0.901   0.001  0.035  worst windows 0.73\n";
     let expected = RunFigures {
