--- a/crates/ragwortroad_routing/src/place/placement_plan.rs
+++ b/crates/ragwortroad_routing/src/place/placement_plan.rs
@@ -76,28 +76,28 @@
 /// The offers on engines after the orders so far.
 struct PlacementDraft<'input> {
     input: &'input PlacementInput,
-    holds: BTreeMap<EndpointId, Vec<OfferKey>>,
+    offers: BTreeMap<EndpointId, Vec<OfferKey>>,
     plan: PlacementPlan,
 }
 
 impl<'input> PlacementDraft<'input> {
     fn new(input: &'input PlacementInput) -> Self {
-        let holds = input
+        let offers = input
             .engines
             .iter()
             .map(|engine| (engine.id, engine.offers.clone()))
             .collect();
         Self {
             input,
-            holds,
+            offers,
             plan: PlacementPlan::default(),
         }
     }
 
     /// Unloads the offers without any demand.
     fn unload_undeclared(&mut self) {
-        for (engine, holds) in &mut self.holds {
-            holds.retain(|offer| {
+        for (engine, offers) in &mut self.offers {
+            offers.retain(|offer| {
                 let is_demanded = self.input.demands.iter().any(|demand| {
                     demand.offer == *offer && (demand.min_engines > 0 || demand.demand > 0.0)
                 });
@@ -114,13 +114,13 @@
         self.input
             .engines
             .iter()
-            .filter(move |engine| engine.takes_work && self.holds[&engine.id].contains(&offer))
+            .filter(move |engine| engine.takes_work && self.offers[&engine.id].contains(&offer))
     }
 
     /// Capacity that serves `offer`. An engine's capacity is split evenly among its offers.
     fn capacity(&self, offer: OfferKey) -> f64 {
         self.holders(offer)
-            .map(|engine| f64::from(engine.capacity) / self.holds[&engine.id].len() as f64)
+            .map(|engine| f64::from(engine.capacity) / self.offers[&engine.id].len() as f64)
             .sum()
     }
 
@@ -151,13 +151,13 @@
             return true;
         };
         let count = self.holders(offer).count();
-        let share = f64::from(engine.capacity) / self.holds[&engine.id].len() as f64;
+        let share = f64::from(engine.capacity) / self.offers[&engine.id].len() as f64;
         let left = self.capacity(offer) - share;
         count > demand.min_engines.max(1) && demand.demand <= settings.scale_down_utilization * left
     }
 
-    /// Places `demand` on one more engine: one with a free place if there is any, otherwise in
-    /// place of an offer that can release the engine. The failure domain with the fewest holders
+    /// Places `demand` on one more engine: one with room for another offer if there is any,
+    /// otherwise one whose present offer can release it. The failure domain with the fewest holders
     /// goes first.
     fn add_engine(&mut self, demand: &OfferDemand, settings: &PlacementSettings) -> bool {
         let mut zones: BTreeMap<ZoneKey, usize> = BTreeMap::new();
@@ -166,23 +166,23 @@
         }
         let mut best = None;
         for engine in self.input.engines.iter().filter(|engine| engine.takes_work) {
-            let holds = &self.holds[&engine.id];
-            if holds.contains(&demand.offer) || engine.max_offers == 0 {
+            let offers = &self.offers[&engine.id];
+            if offers.contains(&demand.offer) || engine.max_offers == 0 {
                 continue;
             }
-            let replaced = if holds.len() < engine.max_offers {
+            let replaced = if offers.len() < engine.max_offers {
                 None
             } else {
-                let spare = holds
+                let releasable = offers
                     .iter()
                     .find(|offer| self.can_release(**offer, engine, settings));
-                match spare {
+                match releasable {
                     Some(offer) => Some(*offer),
                     None => continue,
                 }
             };
             let in_zone = zones.get(&engine.zone).copied().unwrap_or(0);
-            let rank = (replaced.is_some(), in_zone, holds.len(), engine.id);
+            let rank = (replaced.is_some(), in_zone, offers.len(), engine.id);
             if best.is_none_or(|(least, _)| rank < least) {
                 best = Some((rank, replaced));
             }
@@ -195,9 +195,9 @@
     }
 
     fn place(&mut self, engine: EndpointId, offer: OfferKey, replaced: Option<OfferKey>) {
-        if let Some(holds) = self.holds.get_mut(&engine) {
-            holds.retain(|held| Some(*held) != replaced);
-            holds.push(offer);
+        if let Some(offers) = self.offers.get_mut(&engine) {
+            offers.retain(|held| Some(*held) != replaced);
+            offers.push(offer);
         }
         if let Some(replaced_offer) = replaced {
             let offer = replaced_offer;
--- a/crates/ragwortroad_routing/src/table/admission_class.rs
+++ b/crates/ragwortroad_routing/src/table/admission_class.rs
@@ -1,4 +1,4 @@
-/// Why a request needs a slot of a particular endpoint, or of any.
+/// How a request relates to the endpoint that it asks for, which decides its share there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AdmissionClass {
     /// The request has no context anywhere; other endpoints serve it as well.
--- a/crates/ragwortroad_routing/src/table/route_choice.rs
+++ b/crates/ragwortroad_routing/src/table/route_choice.rs
@@ -30,7 +30,8 @@
 /// customer is refused now and then, which alone must not change any share.
 const STARVED_AFTER_REFUSALS: u32 = 3;
 
-/// How long a customer counts as starved after a request of it was refused for lack of capacity.
+/// How long a customer counts as starved after one of its requests was refused for lack of
+/// capacity.
 pub(crate) const STARVED_TTL: Duration = Duration::from_secs(5);
 
 /// Routing decisions.
--- a/crates/ragwortroad_routing/src/table/slot_grants.rs
+++ b/crates/ragwortroad_routing/src/table/slot_grants.rs
@@ -174,7 +174,8 @@
         class: AdmissionClass,
         now: ClockTime,
     ) -> bool {
-        // Before that time an earlier home may still admit requests up to the bound by itself.
+        // Before `exclusive_from` an earlier home may still admit requests up to the bound by
+        // itself.
         if !state.is_exclusive(now) || !state.facts.takes_work() {
             return false;
         }
--- a/tools/ci/src/known_red.rs
+++ b/tools/ci/src/known_red.rs
@@ -34,8 +34,8 @@
 
     fn from_line(line: &str) -> Result<Self, String> {
         let wrong = || format!("'{line}' is not 'PACKAGE BINARY TEST | cause, issue'");
-        let (place, cause) = line.split_once('|').ok_or_else(wrong)?;
-        let words: Vec<&str> = place.split_whitespace().collect();
+        let (location, cause) = line.split_once('|').ok_or_else(wrong)?;
+        let words: Vec<&str> = location.split_whitespace().collect();
         let [package, binary, test] = words[..] else {
             return Err(wrong());
         };
