--- a/crates/ragwortroad_routing/src/lib.rs
+++ b/crates/ragwortroad_routing/src/lib.rs
@@ -63,8 +63,8 @@
         },
         place::{
             migration_method::{
-                MigrationCost, //
-                MigrationMethod,
+                MigrationCost,
+                MigrationMethod, //
             },
             placement_input::{
                 EngineSnapshot,
