--- a/crates/ragwortroad_routing/src/table/admission_class.rs
+++ b/crates/ragwortroad_routing/src/table/admission_class.rs
@@ -1,11 +1,11 @@
-/// Whether a request has something to lose by going elsewhere.
+/// How a request relates to the endpoint that it asks for, which decides its share there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AdmissionClass {
-    /// One endpoint is as good as another.
+    /// The request has no context anywhere; other endpoints serve it as well.
     #[default]
     Arriving,
-    /// Its context is at the endpoint.
+    /// The request's context is at the endpoint.
     Returning,
-    /// Its customer was refused everywhere a moment ago.
+    /// The customer's recent requests were all refused for lack of capacity.
     Starved,
 }
--- a/crates/ragwortroad_routing/src/table/route_table.rs
+++ b/crates/ragwortroad_routing/src/table/route_table.rs
@@ -17,86 +17,87 @@
     OutlierTable,
     RouteSettings,
     table::{
-        chat_memory::ChatMemory,
+        affinity_map::AffinityMap,
         endpoint_state::EndpointState,
         fleet_load::FleetLoad,
-        prefix_memory::PrefixMemory, //
+        prefix_index::PrefixIndex, //
     }, //
 };
 
-/// All that one node knows of the endpoints, and its decisions about them.
+/// One node's knowledge of the endpoints, and its routing decisions.
 ///
-/// The table is fed by membership ([`Self::upsert_endpoint`], [`Self::set_home`],
-/// [`Self::observe_digest`]) and by endpoints that announce themselves to this node
-/// ([`Self::observe_report`], [`Self::observe_cache`]). It decides where a request goes
-/// ([`Self::choose`]), and, as the home node of some endpoints, who may send to them
+/// The inputs come from membership ([`Self::upsert_endpoint`], [`Self::set_home`],
+/// [`Self::observe_digest`]) and from endpoints that announce themselves to this node
+/// ([`Self::observe_report`], [`Self::observe_cache`]). The table decides where a request goes
+/// ([`Self::choose`]) and, as the home node of some endpoints, who may send to them
 /// ([`Self::grant_slot`]).
 ///
-/// Every request is admitted by the home of its endpoint, which therefore knows the load exactly;
-/// the bound is enforced there and nowhere else.
+/// Every request is admitted by the home of its endpoint, which therefore knows the exact load. The
+/// bound is enforced only there.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     pub(crate) settings: RouteSettings,
-    /// Invariant: an index is reused only after the endpoint in it was removed from `ids` and from
-    /// every pool.
+    /// Invariant: an index is reused only after its endpoint was removed from `ids` and from every
+    /// pool.
     pub(crate) arena: Vec<Option<EndpointState>>,
-    pub(crate) vacant: Vec<EndpointKey>,
+    pub(crate) free_keys: Vec<EndpointKey>,
     pub(crate) ids: BTreeMap<EndpointId, EndpointKey>,
-    /// For each thing served, who serves it. Invariant: holds only endpoints that take work.
+    /// Endpoints by what they serve. Invariant: contains only endpoints that take work.
     pub(crate) pools: BTreeMap<OfferKey, Vec<PoolEntry>>,
-    /// Invariant: the sum of `counted` over members that take work.
+    /// Invariant: the sum of `counted_load` over members that take work.
     pub(crate) fleets: BTreeMap<FleetKey, FleetLoad>,
-    /// Nodes that owe this one an answer and were not heard since.
-    pub(crate) silent: BTreeSet<NodeId>,
-    /// Nodes that callers may be sent to.
+    /// Nodes that have not answered this node and were not heard from since.
+    pub(crate) unresponsive: BTreeSet<NodeId>,
+    /// Nodes to which callers may be sent.
     pub(crate) nodes: Vec<NodeId>,
-    pub(crate) memory: ChatMemory,
-    pub(crate) prefixes: PrefixMemory,
+    pub(crate) chat_map: AffinityMap,
+    pub(crate) prefix_index: PrefixIndex,
     pub(crate) outliers: OutlierTable,
-    /// Requests of each customer that were refused here for want of room since its last one that
-    /// was placed, with the time of the latest.
-    pub(crate) refused: BTreeMap<CustomerKey, (u32, ClockTime)>,
+    /// For each customer, the requests refused here for lack of capacity since its last placed
+    /// request, and the time of the latest.
+    pub(crate) recent_refusals: BTreeMap<CustomerKey, (u32, ClockTime)>,
     pub(crate) next_slot: u64,
 }
 
-/// One endpoint of a pool, with what the hash needs beside it.
+/// An endpoint of a pool with its hash seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PoolEntry {
-    /// The endpoint's own hash seed; the same on every node.
+    /// Hash seed of the endpoint, the same on every node.
     pub(crate) seed: u64,
-    /// Where it is in the arena.
+    /// Index of the endpoint in the arena.
     pub(crate) key: EndpointKey,
 }
 
 impl RouteTable {
-    /// A table that knows no endpoints.
+    /// Creates a table without endpoints.
     pub fn new(settings: RouteSettings) -> Self {
-        let memory = ChatMemory::new(settings.chat_entries);
-        let prefixes = PrefixMemory::new(settings.prefix_entries);
+        let chat_map = AffinityMap::new(settings.chat_entries);
+        let prefix_index = PrefixIndex::new(settings.prefix_entries);
         let outliers = OutlierTable::new(settings.outliers);
         Self {
             settings,
             arena: Vec::new(),
-            vacant: Vec::new(),
+            free_keys: Vec::new(),
             ids: BTreeMap::new(),
             pools: BTreeMap::new(),
             fleets: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
             nodes: Vec::new(),
-            memory,
-            prefixes,
+            chat_map,
+            prefix_index,
             outliers,
-            refused: BTreeMap::new(),
+            recent_refusals: BTreeMap::new(),
             next_slot: 0,
         }
     }
 
-    /// What the table was made from.
+    /// Returns the settings, with later changes such as [`Self::set_multiple`].
     pub fn settings(&self) -> &RouteSettings {
         &self.settings
     }
 
-    /// The load an endpoint is known or believed to carry.
+    /// Returns the load of an endpoint: exact if this node is its home, otherwise from the last
+    /// digest. `None` for an unknown endpoint.
     pub fn load_of(&self, endpoint: EndpointId) -> Option<u32> {
         let state = self.state_of(endpoint)?;
         Some(match self.is_home(state) {
@@ -105,28 +106,27 @@
         })
     }
 
-    /// The mean load of a fleet, by this node's knowledge.
+    /// Returns the mean load of a fleet by this node's knowledge, or 0 for an unknown fleet.
     pub fn fleet_mean(&self, fleet: FleetKey) -> f64 {
         self.fleets.get(&fleet).map_or(0.0, FleetLoad::mean)
     }
 
-    /// Cache events known to be lost.
+    /// Returns the number of cache events that were lost, by gaps in their sequence numbers.
     pub fn lost_events(&self) -> u64 {
-        self.prefixes.lost()
+        self.prefix_index.lost()
     }
 
-    /// The endpoint with this identity.
     pub(crate) fn state_of(&self, endpoint: EndpointId) -> Option<&EndpointState> {
         let key = self.ids.get(&endpoint)?;
         self.arena[key.index()].as_ref()
     }
 
-    /// Whether this node admits work to the endpoint.
+    /// Whether this node admits requests to the endpoint.
     pub(crate) fn is_home(&self, state: &EndpointState) -> bool {
         state.facts.home == self.settings.node
     }
 
-    /// Changes an endpoint's state, keeping the fleet's sum and the pools true to it.
+    /// Changes an endpoint's state and updates the fleet's load accordingly.
     pub(crate) fn change<T>(
         &mut self,
         key: EndpointKey,
@@ -134,16 +134,16 @@
     ) -> Option<T> {
         let node = self.settings.node;
         let state = self.arena[key.index()].as_mut()?;
-        let (before, took_work) = (state.counted, state.facts.takes_work());
+        let (before, took_work) = (state.counted_load, state.facts.takes_work());
         let result = change(state);
-        state.counted = if state.facts.home == node {
-            state.ledger.load_beside(&self.silent)
-        } else if self.silent.contains(&state.facts.home) {
+        state.counted_load = if state.facts.home == node {
+            state.ledger.load_excluding(&self.unresponsive)
+        } else if self.unresponsive.contains(&state.facts.home) {
             0
         } else {
             state.view.load
         };
-        let after = state.counted;
+        let after = state.counted_load;
         let fleet = self.fleets.entry(state.facts.fleet).or_default();
         match (took_work, state.facts.takes_work()) {
             (true, true) => fleet.replace(before, after),
@@ -154,8 +154,8 @@
         Some(result)
     }
 
-    /// The most requests the endpoint may carry now.
-    pub(crate) fn limit_of(&self, state: &EndpointState, now: ClockTime) -> u32 {
+    /// Returns the most requests that the endpoint may carry now.
+    pub(crate) fn load_limit(&self, state: &EndpointState, now: ClockTime) -> u32 {
         let settings = &self.settings;
         let fleet = self
             .fleets
@@ -166,13 +166,14 @@
             settings
                 .bound
                 .for_admission(fleet.mean(), fleet.members(), settings.mean_margin);
-        let limit = bound.min(self.room_of(state));
+        let limit = bound.min(self.capacity_limit(state));
         self.outliers.ramped_limit(state.facts.id, limit, now)
     }
 
-    /// The most requests an endpoint may carry whatever the mean: its capacity and its queue.
-    pub(crate) fn room_of(&self, state: &EndpointState) -> u32 {
-        let room = f64::from(state.facts.capacity) * self.settings.queue_multiple;
-        (room.floor() as u32).max(1)
+    /// Returns the most requests that an endpoint may carry whatever the mean: its capacity and its
+    /// queue.
+    pub(crate) fn capacity_limit(&self, state: &EndpointState) -> u32 {
+        let requests = f64::from(state.facts.capacity) * self.settings.queue_multiple;
+        (requests.floor() as u32).max(1)
     }
 }
--- a/crates/ragwortroad_routing/src/table/slot_grants.rs
+++ b/crates/ragwortroad_routing/src/table/slot_grants.rs
@@ -18,17 +18,17 @@
     table::endpoint_state::EndpointState, //
 };
 
-/// Part of its equal part of a nearly full endpoint up to which a customer may begin chats there; the
-/// rest is for those that come back.
-const ARRIVING_SHARE: f64 = 0.5;
+/// Fraction of its equal share of a nearly full endpoint up to which a customer may start new chats
+/// there; the rest is for chats that return.
+const ARRIVING_FAIR_SHARE: f64 = 0.5;
 
-/// Slots of endpoints: granted and ended at the home, noted at the node that asked.
+/// Slots of endpoints: granted and released at the home, recorded at the node that asked.
 impl RouteTable {
-    /// The home's answer to a node that wants to send to `endpoint`.
+    /// Answers, as the home, a node that wants to send a request to `endpoint`.
     pub fn grant_slot(
         &mut self,
         endpoint: EndpointId,
-        asker: NodeId,
+        requester: NodeId,
         customer: CustomerKey,
         class: AdmissionClass,
         now: ClockTime,
@@ -40,16 +40,16 @@
         if home != Some(self.settings.node) {
             return SlotAnswer::NotHome { home };
         }
-        match self.take_slot(key, asker, customer, class, now) {
+        match self.take_slot(key, requester, customer, class, now) {
             Some(slot) => SlotAnswer::Granted { slot },
             None => SlotAnswer::Full {
-                retry_after: self.pause_of(key, now),
+                retry_after: self.retry_delay(key, now),
             },
         }
     }
 
-    /// About the time until the endpoint has room again.
-    fn pause_of(&self, key: EndpointKey, now: ClockTime) -> Duration {
+    /// Returns about the time until the endpoint has capacity again.
+    fn retry_delay(&self, key: EndpointKey, now: ClockTime) -> Duration {
         let settings = &self.settings;
         let Some(state) = self.arena[key.index()].as_ref() else {
             return settings.full_backoff;
@@ -57,14 +57,14 @@
         if !state.is_exclusive(now) {
             return settings.full_backoff;
         }
-        let between_ends = state.ledger.time_between_ends();
+        let between_ends = state.ledger.mean_time_between_ends();
         between_ends.clamp(
             settings.hold_interval,
             settings.full_backoff.max(settings.hold_interval),
         )
     }
 
-    /// Gives a slot back at the endpoint's home, whoever had asked for it.
+    /// Releases a slot at the endpoint's home, whichever node asked for it.
     pub fn release(
         &mut self,
         endpoint: EndpointId,
@@ -72,18 +72,18 @@
         outcome: SlotOutcome,
         now: ClockTime,
     ) {
-        let hold = self.settings.failed_slot_ttl;
-        self.judge_outcome(endpoint, outcome, now);
+        let ttl = self.settings.failed_slot_ttl;
+        self.update_outliers(endpoint, outcome, now);
         let Some(key) = self.ids.get(&endpoint).copied() else {
             return;
         };
         self.change(key, |state| match outcome {
-            SlotOutcome::Failed => state.ledger.hold(slot, now, hold),
+            SlotOutcome::Failed => state.ledger.expire_within(slot, now, ttl),
             SlotOutcome::Succeeded | SlotOutcome::Neutral => state.ledger.end(slot, now),
         });
     }
 
-    /// Notes at the asking node what the home said to its question.
+    /// Records, at the node that asked, the home's answer.
     pub fn record_answer(
         &mut self,
         endpoint: EndpointId,
@@ -94,27 +94,27 @@
         let Some(key) = self.ids.get(&endpoint).copied() else {
             return;
         };
-        let pause = self.settings.full_backoff;
+        let backoff = self.settings.full_backoff;
         self.change(key, |state| match answer {
             SlotAnswer::Granted { .. } => state.view.sent_since += 1,
-            SlotAnswer::Full { retry_after } => state.view.refused(now.after(retry_after)),
-            SlotAnswer::NotHome { .. } => state.view.full_until = now.after(pause),
+            SlotAnswer::Full { retry_after } => state.view.observe_full(now.after(retry_after)),
+            SlotAnswer::NotHome { .. } => state.view.full_until = now.after(backoff),
         });
         if let (SlotAnswer::Granted { .. }, Some(chat)) = (answer, chat) {
-            self.memory.put(chat.0, endpoint.0, now);
+            self.chat_map.put(chat.0, endpoint.0, now);
         }
     }
 
-    /// Notes how a request of this node ended at an endpoint whose home is elsewhere.
+    /// Records how a request of this node ended at an endpoint whose home is another node.
     pub fn observe_outcome(&mut self, endpoint: EndpointId, outcome: SlotOutcome, now: ClockTime) {
         if let Some(key) = self.ids.get(&endpoint).copied() {
             self.change(key, |state| state.view.ended_since += 1);
         }
-        self.judge_outcome(endpoint, outcome, now);
+        self.update_outliers(endpoint, outcome, now);
     }
 
-    /// Takes in whether an endpoint did what it was asked.
-    fn judge_outcome(&mut self, endpoint: EndpointId, outcome: SlotOutcome, now: ClockTime) {
+    /// Records the outcome of a request for outlier detection.
+    fn update_outliers(&mut self, endpoint: EndpointId, outcome: SlotOutcome, now: ClockTime) {
         let Some(state) = self.state_of(endpoint) else {
             return;
         };
@@ -128,22 +128,23 @@
             SlotOutcome::Neutral => {}
             SlotOutcome::Succeeded => self.outliers.record_success(endpoint, now),
             SlotOutcome::Failed => {
-                let (mut count, mut out) = (0, 0);
+                let (mut count, mut ejected) = (0, 0);
                 for member in members {
                     count += 1;
                     let id = member.facts.id;
-                    out += usize::from(member.set_aside || self.outliers.is_ejected(id, now));
+                    ejected +=
+                        usize::from(member.ejected_by_home || self.outliers.is_ejected(id, now));
                 }
-                self.outliers.record_failure(endpoint, out, count, now);
+                self.outliers.record_failure(endpoint, ejected, count, now);
             }
         }
     }
 
-    /// Grants a slot of an endpoint this node is home of, within the bound and the fair share.
+    /// Grants a slot of an endpoint whose home is this node, within the bound and the fair share.
     pub(crate) fn take_slot(
         &mut self,
         key: EndpointKey,
-        asker: NodeId,
+        requester: NodeId,
         customer: CustomerKey,
         class: AdmissionClass,
         now: ClockTime,
@@ -152,16 +153,16 @@
         let state = self.arena[key.index()].as_ref()?;
         let admits = self.may_admit(state, customer, class, now);
         if class == AdmissionClass::Starved {
-            self.change(key, |state| state.ledger.note_starved(customer, now));
+            self.change(key, |state| state.ledger.record_starved(customer, now));
         }
         if !admits {
             return None;
         }
         let slot = SlotId(self.next_slot);
         self.next_slot += 1;
-        let life = self.settings.slot_ttl;
+        let ttl = self.settings.slot_ttl;
         self.change(key, |state| {
-            state.ledger.grant(slot, asker, customer, now, life);
+            state.ledger.grant(slot, requester, customer, now, ttl);
         });
         Some(slot)
     }
@@ -173,31 +174,33 @@
         class: AdmissionClass,
         now: ClockTime,
     ) -> bool {
-        // Before that moment an earlier home may still admit up to the bound on its own.
+        // Before `exclusive_from` an earlier home may still admit requests up to the bound by
+        // itself.
         if !state.is_exclusive(now) || !state.facts.takes_work() {
             return false;
         }
         let load = state.ledger.load();
-        let limit = self.limit_of(state, now);
+        let limit = self.load_limit(state, now);
         if load >= limit {
             return false;
         }
-        // While another customer gets nothing anywhere, shares are parts of what may be admitted
-        // now; of an engine's whole room, which the bound seldom lets it reach, they would never be
-        // used up. At other times that would only send chats away from their context.
-        let room = match state.ledger.starves_beside(customer, now) {
+        // While another customer is starved, shares are fractions of what may be admitted now.
+        // Fractions of the engine's whole capacity, which the bound seldom lets it reach, would
+        // never be used up. At other times, such smaller shares would only send chats away from
+        // their context.
+        let capacity = match state.ledger.has_other_starved(customer, now) {
             true => f64::from(limit),
-            false => f64::from(self.room_of(state)),
+            false => f64::from(self.capacity_limit(state)),
         };
-        // Counted with the slot asked for: at small bounds the reserve would round to nothing.
-        if f64::from(load + 1) <= room * (1.0 - self.settings.fair_reserve) {
+        // Includes the slot asked for: at small bounds the reserve would round to nothing.
+        if f64::from(load + 1) <= capacity * (1.0 - self.settings.fair_reserve) {
             return true;
         }
-        let (own, customers) = state.ledger.share_of(customer, now);
+        let (held, customers) = state.ledger.share_of(customer, now);
         let share = match class {
             AdmissionClass::Returning | AdmissionClass::Starved => 1.0,
-            AdmissionClass::Arriving => ARRIVING_SHARE,
+            AdmissionClass::Arriving => ARRIVING_FAIR_SHARE,
         };
-        f64::from(own) < share * room / f64::from(customers)
+        f64::from(held) < share * capacity / f64::from(customers)
     }
 }
--- a/crates/ragwortroad_settings/src/node_settings.rs
+++ b/crates/ragwortroad_settings/src/node_settings.rs
@@ -5,20 +5,20 @@
 
 use crate::settings_reader::SettingsReader;
 
-/// `[node]`: who this process is and where it listens.
+/// `[node]`: identity and addresses of this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// The node's name, unique in the fleet and equal to the name in its certificate.
+    /// Name of the node, unique in the fleet and equal to the name in its certificate.
     pub name: String,
-    /// The failure domain (zone) of its VM.
+    /// Failure domain (zone) of the node's VM.
     pub zone: String,
-    /// The region of its VM.
+    /// Region of the node's VM.
     pub region: String,
-    /// Where callers, endpoints and operators connect (HTTP over TCP).
+    /// Address for callers, endpoints and operators (HTTP over TCP).
     pub listen: SocketAddr,
-    /// Where other nodes connect (QUIC over UDP).
+    /// Address for other nodes (QUIC over UDP).
     pub peer: SocketAddr,
-    /// Threads that move callers' bytes.
+    /// Threads that transfer callers' data.
     pub traffic_threads: usize,
 }
 
@@ -43,9 +43,9 @@
         let peer = reader.required_value("node", "peer", "10.0.0.7:9080");
         let threads = default.traffic_threads as u64;
         Self {
-            name: reader.required("node", "name"),
-            zone: reader.required("node", "zone"),
-            region: reader.required("node", "region"),
+            name: reader.required_text("node", "name"),
+            zone: reader.required_text("node", "zone"),
+            region: reader.required_text("node", "region"),
             listen: listen.unwrap_or(default.listen),
             peer: peer.unwrap_or(default.peer),
             traffic_threads: reader.number("node", "traffic_threads", threads, (1, 64)) as usize,
--- a/tools/ci/src/main.rs
+++ b/tools/ci/src/main.rs
@@ -1,9 +1,10 @@
-//! Runs the repository's checks in order and stops at the first that fails.
+//! Runs the repository's checks in order and stops at the first failure.
 //!
-//! `cargo run -p ci` does on a developer's machine what `.ci/run` does on a fresh one. Tests named
-//! in `KNOWN-RED.txt` run apart and are printed; they decide nothing until their fault is mended.
+//! `cargo run -p ci` runs on a developer's machine what `.ci/run` runs on a fresh one. Tests listed
+//! in `KNOWN-RED.txt` run separately and their results are printed, but they do not affect the
+//! outcome until their fault is fixed.
 
-mod import_circles;
+mod import_cycles;
 mod known_red;
 mod platform_words;
 mod test_docs;
@@ -23,8 +24,8 @@
     }, //
 };
 
-use import_circles::{
-    find_circles,
+use import_cycles::{
+    find_cycles,
     read_sources, //
 };
 use known_red::KnownRed;
@@ -33,7 +34,7 @@
     long_test_docs, //
 };
 
-/// The checks before the tests, in the order in which a failure is cheapest to find.
+/// Checks that run before the tests, the cheapest first.
 const CHECKS: [&[&str]; 2] = [
     &["fmt", "--all", "--check"],
     &[
@@ -58,7 +59,7 @@
             return ExitCode::FAILURE;
         }
     };
-    if !platform_words_are_kept() || !imports_have_no_circles() || !test_docs_are_short() {
+    if !platform_words_are_confined() || !imports_have_no_cycles() || !test_docs_are_short() {
         return ExitCode::FAILURE;
     }
     for check in CHECKS {
@@ -66,19 +67,22 @@
             return ExitCode::FAILURE;
         }
     }
-    for red in &known {
-        let verdict = match run_cargo(&red.arguments()) {
+    for known_red in &known {
+        let verdict = match run_cargo(&known_red.arguments()) {
             true => "passed this time",
             false => "failed",
         };
-        println!("known red, {verdict}: {} ({})", red.test, red.cause);
+        println!(
+            "known red, {verdict}: {} ({})",
+            known_red.test, known_red.cause
+        );
     }
     let mut tests = TESTS.to_vec();
     if !known.is_empty() {
         tests.push("--");
     }
-    for red in &known {
-        tests.extend(["--skip", red.test.as_str()]);
+    for known_red in &known {
+        tests.extend(["--skip", known_red.test.as_str()]);
     }
     match run_cargo(&tests) {
         true => ExitCode::SUCCESS,
@@ -86,73 +90,74 @@
     }
 }
 
-/// Tells whether the platform's words stand in the adapter only, and prints those that do not.
-fn platform_words_are_kept() -> bool {
-    println!("words of {}", platform_words::WORDS_PATH);
+/// Checks that the platform's words occur only in the adapter, and prints the others.
+fn platform_words_are_confined() -> bool {
+    println!("checking the words of {}", platform_words::WORDS_PATH);
     let found = fs::read_to_string(platform_words::WORDS_PATH).and_then(|text| {
         let words = platform_words::read_words(&text);
-        platform_words::find_below(Path::new("."), &words)
+        platform_words::find_in_sources(Path::new("."), &words)
     });
     match found {
         Ok(found) => {
-            for stray in &found {
-                let path = stray.path.display();
+            for misplaced in &found {
+                let path = misplaced.path.display();
                 eprintln!(
-                    "{path}:{}: '{}' belongs into platform/",
-                    stray.line, stray.word
+                    "{path}:{}: '{}' may occur only in platform/",
+                    misplaced.line, misplaced.word
                 );
             }
             found.is_empty()
         }
         Err(error) => {
-            eprintln!("the platform's words cannot be checked: {error}");
+            eprintln!("cannot check the platform's words: {error}");
             false
         }
     }
 }
 
-/// Tells whether no crate's files import each other in a circle, and prints those that do.
-fn imports_have_no_circles() -> bool {
-    println!("circles of imports");
-    match crate_circles() {
-        Ok(circles) => {
-            for (folder, module, imports) in &circles {
+/// Checks that no crate has import cycles between its files, and prints those that it has.
+fn imports_have_no_cycles() -> bool {
+    println!("checking for import cycles");
+    match crate_import_cycles() {
+        Ok(cycles) => {
+            for (folder, module, imports) in &cycles {
                 let imports = imports.join(", ");
                 eprintln!(
-                    "{}: {module} imports {imports} in a circle",
+                    "{}: {module} imports {imports} in a cycle",
                     folder.display()
                 );
             }
-            circles.is_empty()
+            cycles.is_empty()
         }
         Err(reason) => {
-            eprintln!("imports cannot be checked: {reason}");
+            eprintln!("cannot check imports: {reason}");
             false
         }
     }
 }
 
-/// Folder, module and imports of each module in a circle, over all crates of the repository.
-fn crate_circles() -> Result<Vec<(PathBuf, String, Vec<String>)>, String> {
-    let mut circles = Vec::new();
+/// Returns folder, module and imports of each module in an import cycle, for all crates of the
+/// repository.
+fn crate_import_cycles() -> Result<Vec<(PathBuf, String, Vec<String>)>, String> {
+    let mut cycles = Vec::new();
     for folder in crate_folders("src").map_err(|error| error.to_string())? {
         let sources = read_sources(&folder).map_err(|error| error.to_string())?;
-        let graph = find_circles(&sources);
+        let graph = find_cycles(&sources);
         let graph = graph.map_err(|error| format!("{}: {error}", folder.display()))?;
         let found = graph.into_iter();
         let found = found.map(|(module, imports)| {
             let imports = imports.into_iter().collect();
             (folder.clone(), module, imports)
         });
-        circles.extend(found);
+        cycles.extend(found);
     }
-    Ok(circles)
+    Ok(cycles)
 }
 
 /// Checks that no test has more than [`MAX_TEST_DOC_LINES`] doc lines, and prints those that do.
 fn test_docs_are_short() -> bool {
-    println!("lines above tests");
-    match told_at_length() {
+    println!("checking the doc lines of tests");
+    match tests_with_long_docs() {
         Ok(tests) => {
             for (folder, test) in &tests {
                 let folder = folder.display();
@@ -164,14 +169,14 @@
             tests.is_empty()
         }
         Err(reason) => {
-            eprintln!("tests cannot be checked: {reason}");
+            eprintln!("cannot check the doc lines of tests: {reason}");
             false
         }
     }
 }
 
 /// Returns the folder and name of each test with more than [`MAX_TEST_DOC_LINES`] doc lines.
-fn told_at_length() -> Result<Vec<(PathBuf, String)>, String> {
+fn tests_with_long_docs() -> Result<Vec<(PathBuf, String)>, String> {
     let mut tests = Vec::new();
     for name in ["src", "tests"] {
         for folder in crate_folders(name).map_err(|error| error.to_string())? {
@@ -186,7 +191,7 @@
     Ok(tests)
 }
 
-/// The folder of this name in each crate that has one.
+/// Returns the folder of this name in each crate that has one.
 fn crate_folders(name: &str) -> io::Result<Vec<PathBuf>> {
     let mut folders = vec![PathBuf::from(name), Path::new("platform").join(name)];
     for parent in ["crates", "tools"] {
@@ -198,7 +203,7 @@
     Ok(folders)
 }
 
-/// Runs one cargo command and tells whether it succeeded.
+/// Runs a cargo command and returns whether it succeeded.
 fn run_cargo(arguments: &[&str]) -> bool {
     println!("cargo {}", arguments.join(" "));
     let status = Command::new("cargo").args(arguments).status();
--- a/tools/ci/src/tests.rs
+++ b/tools/ci/src/tests.rs
@@ -5,36 +5,41 @@
 };
 
 use crate::{
-    import_circles::find_circles,
+    import_cycles::find_cycles,
     platform_words::{
-        find_below,
-        find_in,
+        find_in_sources,
+        find_in_text,
         read_words, //
     },
     test_docs::long_test_docs, //
 };
 
-/// Someone reads a header of the platform in the edge. The check must see it, or it checks nothing.
+/// Guards against a check that misses a platform header read outside the adapter because its case
+/// differs from that in the list.
 #[test]
 fn a_word_outside_the_adapter_is_found() {
     let words = read_words("# a comment\n\nX-Made-Up\n");
     assert_eq!(words, ["X-Made-Up"]);
     let text = "fn is_run(headers: &HeaderMap) {\n    headers.get(\"x-made-up\");\n}\n";
-    let found = find_in(Path::new("crates/edge.rs"), text, &words);
+    let found = find_in_text(Path::new("crates/edge.rs"), text, &words);
     assert_eq!((found.len(), found[0].line), (1, 2));
 }
 
 #[test]
-fn only_sources_outside_the_free_folders_are_searched() {
+fn only_sources_outside_the_exempt_folders_are_searched() {
     let root = std::env::temp_dir().join(format!("platform-words-{}", std::process::id()));
     for folder in ["platform/src", "crates/edge/src"] {
-        fs::create_dir_all(root.join(folder)).expect("a folder");
-        fs::write(root.join(folder).join("lib.rs"), "// X-Made-Up\n").expect("a file");
+        fs::create_dir_all(root.join(folder)).expect("the folder is created");
+        fs::write(root.join(folder).join("lib.rs"), "// X-Made-Up\n").expect("the file is written");
     }
-    fs::write(root.join("notes.md"), "X-Made-Up").expect("a file");
-    let found = find_below(&root, &["X-Made-Up".to_owned()]).expect("reads");
-    fs::remove_dir_all(&root).expect("removes what it made");
-    let paths: Vec<_> = found.iter().map(|stray| stray.path.clone()).collect();
+    fs::write(root.join("notes.md"), "X-Made-Up").expect("the file is written");
+    let found =
+        find_in_sources(&root, &["X-Made-Up".to_owned()]).expect("the sources are readable");
+    fs::remove_dir_all(&root).expect("the folder is removed");
+    let paths: Vec<_> = found
+        .iter()
+        .map(|misplaced| misplaced.path.clone())
+        .collect();
     assert_eq!(paths, [root.join("crates/edge/src/lib.rs")]);
 }
 
@@ -43,12 +48,12 @@
     texts.iter().map(owned).collect()
 }
 
-/// Guards against a check that misses circles through re-exports, `super` and inner modules.
+/// Guards against a check that misses cycles through re-exports, `super` and nested modules.
 #[test]
-fn a_circle_of_imports_is_found() {
+fn an_import_cycle_is_found() {
     let root = "mod one; mod two; mod deep;\npub mod prelude { pub use crate::one::First; }\n\
         pub use prelude::*;\n";
-    let found = find_circles(&sources(&[
+    let found = find_cycles(&sources(&[
         ("", root),
         (
             "one",
@@ -65,18 +70,18 @@
             "use super::inner::Third;\npub struct Fourth;\n",
         ),
     ]));
-    let found = found.expect("reads");
+    let found = found.expect("the sources parse");
     let modules: Vec<&str> = found.keys().map(String::as_str).collect();
     assert_eq!(modules, ["deep::inner", "deep::outer", "one", "two"]);
     assert!(
         found["two"].contains("one"),
-        "through the re-export: {found:?}"
+        "import through the re-export: {found:?}"
     );
 }
 
 #[test]
-fn a_line_of_imports_is_no_circle() {
-    let found = find_circles(&sources(&[
+fn a_chain_of_imports_is_no_cycle() {
+    let found = find_cycles(&sources(&[
         (
             "",
             "mod one; mod two; mod three;\npub use crate::one::First;\n",
@@ -89,15 +94,15 @@
         ("three", "pub struct Third;\n"),
         ("two::tests", "use super::Second;\n"),
     ]));
-    assert!(found.expect("reads").is_empty());
+    assert!(found.expect("the sources parse").is_empty());
 }
 
-/// Guards against a check that misses tests with long doc comments, or rejects short ones.
+/// Guards against a check that misses tests with long doc comments, or that rejects short ones.
 #[test]
 fn a_test_with_more_than_three_doc_lines_is_found() {
     let text = "/// Three\n/// lines\n/// pass.\n#[test]\nfn short() {}\n\nmod inner {\n    \
         /// Four\n    /// lines\n    /// do\n    /// not.\n    \
         #[tokio::test]\n    async fn long() {}\n}\n\n\
         /// This\n/// is\n/// no\n/// test.\nfn helper() {}\n";
-    assert_eq!(long_test_docs(text).expect("reads"), ["long"]);
+    assert_eq!(long_test_docs(text).expect("the sources parse"), ["long"]);
 }
