--- a/crates/ragwortroad_edge/src/config_share.rs
+++ b/crates/ragwortroad_edge/src/config_exchange.rs
@@ -23,9 +23,9 @@
 };
 
 use crate::{
-    config_intake::{
-        settle_config,
-        take_deltas, //
+    config_update::{
+        apply_deltas, //
+        refresh_config,
     },
     edge_state::{
         EdgeShared,
@@ -34,53 +34,53 @@
 };
 
 /// Time for a connection to another edge; within a region it is there after some milliseconds.
-const DIAL_TIME: Duration = Duration::from_millis(300);
+const DIAL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time for another edge to give its configuration.
-const FETCH_TIME: Duration = Duration::from_millis(1000);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Pause after an accept that failed, so that a lack of descriptors does not make the loop spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Gives the configuration to edges that ask for it.
 pub(crate) async fn serve_configs(shared: Rc<EdgeShared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                spawn_local(answer_edge(Rc::clone(&shared), stream));
+                spawn_local(serve_peer(Rc::clone(&shared), stream));
             }
             Err(error) => {
                 tracing::warn!(%error, "a connection of another edge could not be accepted");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn answer_edge(shared: Rc<EdgeShared>, stream: TcpStream) {
+async fn serve_peer(shared: Rc<EdgeShared>, stream: TcpStream) {
     let settings = LinkSettings::default();
     let (queue, receiver) = LinkQueue::new(&settings);
-    let answers = queue.clone();
-    let take = move |message| match message {
+    let reply_queue = queue.clone();
+    let on_message = move |message| match message {
         LinkMessage::WantConfig { above, .. } => {
-            let step = whole_above(&mut shared.state.borrow_mut(), above);
+            let step = full_config_above(&mut shared.state.borrow_mut(), above);
             let steps = step.into_iter().collect();
-            answers.send(&LinkMessage::ConfigDeltas(steps));
+            reply_queue.send(&LinkMessage::ConfigDeltas(steps));
         }
         other => tracing::warn!(?other, "a message that no edge sends an edge"),
     };
-    let ended = run_link(stream, (queue, receiver), false, &settings, take).await;
-    tracing::debug!(%ended, "a connection of another edge ended");
+    let error = run_link(stream, (queue, receiver), false, &settings, on_message).await;
+    tracing::debug!(%error, "a connection of another edge ended");
 }
 
 /// The whole configuration, where it is above `above`.
-fn whole_above(state: &mut EdgeState, above: Option<u64>) -> Option<ConfigDelta> {
+fn full_config_above(state: &mut EdgeState, above: Option<u64>) -> Option<ConfigDelta> {
     let version = state.version().filter(|version| Some(*version) > above)?;
-    if state.whole.is_none() {
+    if state.full_config.is_none() {
         let document = state.document.as_ref()?;
         match pack_document(document, None) {
             Ok(packed) => {
-                state.whole = Some(ConfigDelta {
+                state.full_config = Some(ConfigDelta {
                     version,
                     base: None,
                     packed,
@@ -89,45 +89,49 @@
             Err(error) => tracing::error!(%error, "the configuration cannot be packed"),
         }
     }
-    state.whole.clone()
+    state.full_config.clone()
 }
 
 /// Asks another edge for the configuration.
 pub(crate) async fn fetch_config(shared: Rc<EdgeShared>, helper: SocketAddr) {
     let before = shared.state.borrow().version();
-    let fetched = timeout(FETCH_TIME, ask_edge(&shared, helper, before)).await;
+    let fetched = timeout(FETCH_TIMEOUT, request_from_edge(&shared, helper, before)).await;
     let version = shared.state.borrow().version();
     if version > before {
         tracing::info!(%helper, version, "configuration given by another edge");
     } else {
         let reason = match fetched {
-            Ok(ended) => ended.to_string(),
+            Ok(error) => error.to_string(),
             Err(_) => "it did not answer in time".to_owned(),
         };
         tracing::info!(%helper, reason, "another edge gave no configuration");
         shared.state.borrow_mut().fetch.note_failed();
     }
-    settle_config(&shared);
+    refresh_config(&shared);
 }
 
-async fn ask_edge(shared: &Rc<EdgeShared>, helper: SocketAddr, above: Option<u64>) -> LinkError {
+async fn request_from_edge(
+    shared: &Rc<EdgeShared>,
+    helper: SocketAddr,
+    above: Option<u64>,
+) -> LinkError {
     let settings = LinkSettings::default();
-    let stream = match dial_link(helper, DIAL_TIME).await {
+    let stream = match dial_link(helper, DIAL_TIMEOUT).await {
         Ok(stream) => stream,
         Err(error) => return error,
     };
     let (queue, receiver) = LinkQueue::new(&settings);
     let direct = true;
     queue.send(&LinkMessage::WantConfig { above, direct });
-    let (inward, end) = (Rc::clone(shared), queue.clone());
-    let take = move |message| {
+    let (message_shared, close_handle) = (Rc::clone(shared), queue.clone());
+    let on_message = move |message| {
         if let LinkMessage::ConfigDeltas(steps) = message {
             // Without a step the registry that named the edge counts as not having answered.
             if !steps.is_empty() {
-                take_deltas(&inward, &steps);
+                apply_deltas(&message_shared, &steps);
             }
-            end.close();
+            close_handle.close();
         }
     };
-    run_link(stream, (queue, receiver), true, &settings, take).await
+    run_link(stream, (queue, receiver), true, &settings, on_message).await
 }
--- a/crates/ragwortroad_edge/src/config_intake.rs
+++ b/crates/ragwortroad_edge/src/config_update.rs
@@ -19,9 +19,9 @@
 ///
 /// A registry that was cut off may have an older one; with the word of more than half of the
 /// voters there is none newer. Without them the edge still serves with what it has.
-const CERTAINTY_TIME: Duration = Duration::from_millis(1500);
+const NEWEST_CONFIG_WAIT: Duration = Duration::from_millis(1500);
 
-pub(crate) fn take_version(shared: &EdgeShared, source: SourceKey, version: u64) {
+pub(crate) fn record_version(shared: &EdgeShared, source: SourceKey, version: u64) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
     if let Some(link) = state.links.get_mut(&source) {
@@ -31,7 +31,7 @@
 }
 
 /// Takes the steps to a configuration.
-pub(crate) fn take_deltas(shared: &EdgeShared, steps: &[ConfigDelta]) {
+pub(crate) fn apply_deltas(shared: &EdgeShared, steps: &[ConfigDelta]) {
     let mut state = shared.state.borrow_mut();
     state.fetch.note_answered();
     let Some(last) = steps.last() else {
@@ -42,7 +42,7 @@
         return;
     }
     let version = last.version;
-    let document = match open_deltas(state.document.clone(), state.version(), steps) {
+    let document = match unpack_deltas(state.document.clone(), state.version(), steps) {
         Ok(document) => document,
         Err(error) => {
             tracing::error!(version, %error, "a configuration cannot be unpacked");
@@ -59,7 +59,7 @@
                 "configuration in force"
             );
             state.map = Some(Rc::new(RouteMap::new(config)));
-            state.whole = Some(last).filter(|last| last.base.is_none()).cloned();
+            state.full_config = Some(last).filter(|last| last.base.is_none()).cloned();
             state.document = Some(document.into());
         }
         Err(fault) => tracing::error!(version, %fault, "a configuration cannot be used"),
@@ -67,13 +67,13 @@
 }
 
 /// The document that steps lead to from the one in force here.
-fn open_deltas(
-    own: Option<Rc<[u8]>>,
-    own_version: Option<u64>,
+fn unpack_deltas(
+    current: Option<Rc<[u8]>>,
+    current_version: Option<u64>,
     steps: &[ConfigDelta],
 ) -> io::Result<Vec<u8>> {
-    let mut document = own.map(|own| own.to_vec());
-    let mut version = own_version;
+    let mut document = current.map(|current| current.to_vec());
+    let mut version = current_version;
     for step in steps {
         if step.base.is_some() && step.base != version {
             return Err(io::Error::other("it was made against another one"));
@@ -86,16 +86,16 @@
 }
 
 /// Asks for the configuration where one is known to be newer, and says so once this edge is ready.
-pub(crate) fn settle_config(shared: &EdgeShared) {
+pub(crate) fn refresh_config(shared: &EdgeShared) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
-    ask_config(shared, &mut state, now);
-    if state.stage == EdgeStage::Starting && is_settled(&state, shared.running()) {
+    request_config(shared, &mut state, now);
+    if state.stage == EdgeStage::Starting && is_ready_to_serve(&state, shared.uptime()) {
         state.set_stage(EdgeStage::Ready);
     }
 }
 
-fn is_settled(state: &EdgeState, running: Duration) -> bool {
+fn is_ready_to_serve(state: &EdgeState, uptime: Duration) -> bool {
     let Some(version) = state.version() else {
         return false;
     };
@@ -107,13 +107,13 @@
         .map(|link| link.voters)
         .max()
         .unwrap_or(0);
-    let heard = state.links.values();
-    let heard = heard.filter(|link| link.version.is_some() && link.has_told);
-    let is_certain = heard.count() as u32 > voters / 2 && voters > 0;
-    is_newest && (is_certain || running > CERTAINTY_TIME)
+    let synced = state.links.values();
+    let synced = synced.filter(|link| link.version.is_some() && link.has_sent_all);
+    let has_majority = synced.count() as u32 > voters / 2 && voters > 0;
+    is_newest && (has_majority || uptime > NEWEST_CONFIG_WAIT)
 }
 
-fn ask_config(shared: &EdgeShared, state: &mut EdgeState, now: ClockTime) {
+fn request_config(shared: &EdgeShared, state: &mut EdgeState, now: ClockTime) {
     let connected = state.links.values().filter(|link| link.queue.is_some());
     let sources = connected.map(|link| ConfigSource {
         address: link.address,
--- a/crates/ragwortroad_edge/src/connection_pool.rs
+++ b/crates/ragwortroad_edge/src/connection_pool.rs
@@ -16,10 +16,10 @@
 const CLOSE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Idle life where the endpoint names none, for want of anything better.
-const UNKNOWN_LIFE: Duration = Duration::from_secs(2);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
 
 /// Idle connections kept to one endpoint.
-const MAX_IDLE: usize = 16;
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
 /// A connection without a request.
 struct IdleConnection {
@@ -54,23 +54,23 @@
         keep_alive_timeout: Option<Duration>,
         now: ClockTime,
     ) {
-        let life = keep_alive_timeout.unwrap_or(UNKNOWN_LIFE);
-        let Some(life) = life.checked_sub(CLOSE_MARGIN) else {
+        let keep_alive = keep_alive_timeout.unwrap_or(DEFAULT_KEEP_ALIVE);
+        let Some(keep_alive) = keep_alive.checked_sub(CLOSE_MARGIN) else {
             return;
         };
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address).or_default();
         connections.retain(|connection| now < connection.usable_until);
-        if connections.len() < MAX_IDLE {
+        if connections.len() < MAX_IDLE_PER_ENDPOINT {
             connections.push(IdleConnection {
                 connection,
-                usable_until: now.after(life),
+                usable_until: now.after(keep_alive),
             });
         }
     }
 
     /// Closes the connections to an address.
-    pub(crate) fn drop_address(&self, address: SocketAddr) {
+    pub(crate) fn close_address(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
--- a/crates/ragwortroad_edge/src/domain_probe.rs
+++ b/crates/ragwortroad_edge/src/domain_probe.rs
@@ -16,14 +16,14 @@
     edge_state::EdgeShared,
     endpoint_connection::{
         EndpointConnection,
-        is_silence, //
+        is_timeout_error, //
     }, //
 };
 
 /// Time between two attempts to connect to an unreachable domain.
 ///
 /// No caller waits for them.
-const PROBE_EVERY: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl EdgeShared {
     /// An endpoint did not answer at all.
@@ -36,7 +36,7 @@
         }
         tracing::warn!(domain, "failure domain unreachable");
         for address in state.endpoints.addresses(domain) {
-            self.pool.drop_address(address);
+            self.pool.close_address(address);
         }
     }
 
@@ -51,7 +51,7 @@
 /// Tries to connect to unreachable domains for as long as the process runs.
 pub(crate) async fn probe_domains(shared: Rc<EdgeShared>) {
     loop {
-        sleep(PROBE_EVERY).await;
+        sleep(PROBE_INTERVAL).await;
         for (domain, address) in probe_targets(&shared) {
             spawn_local(probe(Rc::clone(&shared), domain, address));
         }
@@ -64,8 +64,8 @@
     let domains = state.reach.unreachable();
     let target = |domain: &str| {
         let addresses: Vec<SocketAddr> = state.endpoints.addresses(domain).collect();
-        let drawn = rand::random_range(0..addresses.len().max(1));
-        let address = addresses.get(drawn)?;
+        let index = rand::random_range(0..addresses.len().max(1));
+        let address = addresses.get(index)?;
         Some((domain.to_owned(), *address))
     };
     domains.filter_map(target).collect()
@@ -79,7 +79,7 @@
             shared.pool.keep(address, connection, None, now);
             shared.note_reached(&domain);
         }
-        Err(error) if is_silence(&error) => {}
+        Err(error) if is_timeout_error(&error) => {}
         Err(_) => shared.note_reached(&domain),
     }
 }
--- a/crates/ragwortroad_edge/src/edge_body.rs
+++ b/crates/ragwortroad_edge/src/edge_body.rs
@@ -15,45 +15,45 @@
 
 use crate::stream_body::{
     StreamBody,
-    StreamBroken, //
+    StreamError, //
 };
 
 /// The body of an answer to a caller.
 pub(crate) enum EdgeBody {
     /// All of it is there; nothing once it was taken.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// Events as they come.
     Stream(Box<StreamBody>),
 }
 
 impl EdgeBody {
     /// A body that is there as a whole.
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty()))
+    pub(crate) fn full(bytes: impl Into<Bytes>) -> Self {
+        Self::Full(Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty()))
     }
 }
 
 impl Body for EdgeBody {
     type Data = Bytes;
-    type Error = StreamBroken;
+    type Error = StreamError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Stream(stream) => stream.poll_events(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 let length = bytes.as_ref().map_or(0, Bytes::len);
                 SizeHint::with_exact(length as u64)
             }
--- a/crates/ragwortroad_edge/src/edge_gates.rs
+++ b/crates/ragwortroad_edge/src/edge_gates.rs
@@ -12,7 +12,7 @@
 };
 
 /// Routes whose callers' times are remembered; each takes about a hundred bytes.
-const MAX_PATIENCES: usize = 5000;
+const MAX_USUAL_TIMEOUTS: usize = 5000;
 
 impl EdgeState {
     /// How long a request's caller has waited elsewhere, by the time that it has left.
@@ -21,11 +21,11 @@
             return Duration::ZERO;
         };
         // Routes come and go with configurations; the figures are learned again in a moment.
-        if self.patiences.len() > MAX_PATIENCES {
-            self.patiences.clear();
+        if self.usual_timeouts.len() > MAX_USUAL_TIMEOUTS {
+            self.usual_timeouts.clear();
         }
-        let patience = self.patiences.entry(plan.rule().name.clone());
-        patience.or_default().note(time_left)
+        let usual_timeout = self.usual_timeouts.entry(plan.rule().name.clone());
+        usual_timeout.or_default().note(time_left)
     }
 
     /// The gate of a service; a new one knows the service's limit from the start.
@@ -35,7 +35,7 @@
         let gates = self.gates.entry(service.to_owned());
         gates.or_insert_with(|| {
             let mut gate = ServiceGate::new(now);
-            gate.follow(fleet, now);
+            gate.update_limit(fleet, now);
             gate
         })
     }
@@ -54,7 +54,7 @@
         for service in services {
             let fleet = self.fleet_load(&service, now);
             if let Some(gate) = self.gates.get_mut(&service) {
-                gate.follow(fleet, now);
+                gate.update_limit(fleet, now);
             }
         }
     }
@@ -64,19 +64,19 @@
     fn fleet_load(&self, service: &str, now: ClockTime) -> Option<FleetLoad> {
         let rule = self.map.as_ref()?.service(service)?;
         rule.engine.as_ref()?;
-        let open = self.open_endpoints(service).filter(|(key, record)| {
+        let open = self.available_endpoints(service).filter(|(key, record)| {
             let load = self.loads.get(key);
             let is_open = load.is_none_or(|load| load.is_open(now));
             is_open && self.reach.is_reachable(&record.zone)
         });
         let shares = open.map(|(key, record)| {
-            let own = self.told_at(&record.name);
+            let own = self.reported_load(&record.name);
             let load = self.loads.get(&key);
             let is_warming =
                 rule.warmup_per_second.is_some() && self.endpoints.is_warming(key, now);
             EndpointShare {
                 slots: usable_slots(record.slots, is_warming),
-                total: self.others_at(&record.name) + own,
+                total: self.other_edges_load(&record.name) + own,
                 own,
                 failing: load.map_or(0.0, |load| load.failing(now)),
             }
--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -15,12 +15,12 @@
 };
 
 use crate::{
-    config_intake::{
-        settle_config,
-        take_deltas,
-        take_version, //
+    config_exchange::fetch_config,
+    config_update::{
+        apply_deltas,
+        record_version, //
+        refresh_config,
     },
-    config_share::fetch_config,
     edge_state::{
         EdgeShared,
         EdgeState, //
@@ -45,35 +45,35 @@
         state.next_source += 1;
         state.links.insert(source, RegistryLink::new(address));
         drop(state);
-        spawn_local(keep_registry(Rc::clone(shared), source, address));
+        spawn_local(maintain_link(Rc::clone(shared), source, address));
     }
 }
 
 /// Keeps a connection to one registry for as long as the process runs.
-async fn keep_registry(shared: Rc<EdgeShared>, source: SourceKey, address: SocketAddr) {
+async fn maintain_link(shared: Rc<EdgeShared>, source: SourceKey, address: SocketAddr) {
     let settings = LinkSettings::default();
     let mut backoff = DialBackoff::default();
     loop {
-        let limit = backoff.attempt_timeout(shared.running(), settings.dial_timeout);
-        match dial_link(address, limit).await {
+        let timeout = backoff.attempt_timeout(shared.uptime(), settings.dial_timeout);
+        match dial_link(address, timeout).await {
             Ok(stream) => {
                 backoff.reset();
                 let (queue, receiver) = LinkQueue::new(&settings);
-                begin_link(&shared, source, &queue);
-                let inward = Rc::clone(&shared);
-                let take = move |message| take_message(&inward, source, message);
-                let ended = run_link(stream, (queue, receiver), true, &settings, take).await;
+                open_link(&shared, source, &queue);
+                let message_shared = Rc::clone(&shared);
+                let on_message = move |message| handle_message(&message_shared, source, message);
+                let ended = run_link(stream, (queue, receiver), true, &settings, on_message).await;
                 tracing::info!(registry = %address, %ended, "registry lost");
                 metrics::counter!(metric_names::LINKS_LOST, "peer" => "registry").increment(1);
-                end_link(&shared, source);
+                close_link(&shared, source);
             }
             Err(error) => tracing::debug!(registry = %address, %error, "registry not reached"),
         }
-        sleep(backoff.next_delay(shared.running())).await;
+        sleep(backoff.next_delay(shared.uptime())).await;
     }
 }
 
-fn begin_link(shared: &EdgeShared, source: SourceKey, queue: &LinkQueue) {
+fn open_link(shared: &EdgeShared, source: SourceKey, queue: &LinkQueue) {
     let mut state = shared.state.borrow_mut();
     let callers = shared.settings.callers;
     if let Some(address) = callers {
@@ -90,7 +90,7 @@
     }
 }
 
-fn end_link(shared: &EdgeShared, source: SourceKey) {
+fn close_link(shared: &EdgeShared, source: SourceKey) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
     state.endpoints.drop_source(source, now);
@@ -101,7 +101,7 @@
     }
 }
 
-fn take_message(shared: &Rc<EdgeShared>, source: SourceKey, message: LinkMessage) {
+fn handle_message(shared: &Rc<EdgeShared>, source: SourceKey, message: LinkMessage) {
     let now = shared.now();
     match message {
         LinkMessage::Fleet {
@@ -119,14 +119,14 @@
             drop(state);
             dial_registries(shared, registries);
         }
-        LinkMessage::ConfigVersion(version) => take_version(shared, source, version),
-        LinkMessage::ConfigDeltas(steps) => take_deltas(shared, &steps),
+        LinkMessage::ConfigVersion(version) => record_version(shared, source, version),
+        LinkMessage::ConfigDeltas(steps) => apply_deltas(shared, &steps),
         LinkMessage::ConfigAt(helper) => {
             spawn_local(fetch_config(Rc::clone(shared), helper));
         }
         LinkMessage::Loads(counts) => {
             let mut state = shared.state.borrow_mut();
-            state.loads_at = Some(now);
+            state.loads_received_at = Some(now);
             if let Some(link) = state.links.get_mut(&source) {
                 for total in counts {
                     match total.count {
@@ -137,60 +137,60 @@
             }
             state.set_limits(now);
         }
-        LinkMessage::TextsPlaced(placed) => {
+        LinkMessage::TextsPlaced(locations) => {
             let mut state = shared.state.borrow_mut();
-            for place in placed {
-                state.take_place(place, now);
+            for location in locations {
+                state.apply_location(location, now);
             }
         }
         LinkMessage::DomainDrains(drains) => {
             let warm_at = now.after(return_warmup(shared.settings.announce_every));
-            shared.state.borrow_mut().take_drains(drains, warm_at);
+            shared.state.borrow_mut().apply_drains(drains, warm_at);
         }
         LinkMessage::WarmupShare(share) => {
             shared.state.borrow_mut().warmups.take(share, now);
         }
-        LinkMessage::WantPlaces => shared.state.borrow().send_all_places(source),
+        LinkMessage::WantPlaces => shared.state.borrow().send_all_locations(source),
         LinkMessage::EndpointsWhole(records) => {
             let mut state = shared.state.borrow_mut();
             for record in records {
-                take_record(&mut state, source, record, now);
+                apply_record(&mut state, source, record, now);
             }
             if let Some(link) = state.links.get_mut(&source) {
-                link.has_told = true;
+                link.has_sent_all = true;
             }
         }
         LinkMessage::EndpointUpdates(updates) => {
             let mut state = shared.state.borrow_mut();
             for change in updates {
-                take_change(&mut state, source, change, now);
+                apply_update(&mut state, source, change, now);
             }
         }
         other => tracing::warn!(?other, "a message that no registry sends an edge"),
     }
-    settle_config(shared);
+    refresh_config(shared);
 }
 
-fn take_change(state: &mut EdgeState, source: SourceKey, change: RegistryChange, now: ClockTime) {
+fn apply_update(state: &mut EdgeState, source: SourceKey, change: RegistryChange, now: ClockTime) {
     match change {
         RegistryChange::Told(record) | RegistryChange::Cooled(record) => {
-            take_record(state, source, record, now);
+            apply_record(state, source, record, now);
         }
         RegistryChange::Lost(name) => state.endpoints.lost(source, &name, now),
         RegistryChange::Goodbye(name) => {
             let change = state.endpoints.said_goodbye(&name, now);
             tracing::info!(endpoint = name, ?change, "endpoint left");
-            state.follow_change(change, now);
+            state.apply_change(change, now);
         }
     }
 }
 
-fn take_record(state: &mut EdgeState, source: SourceKey, record: EndpointRecord, now: ClockTime) {
+fn apply_record(state: &mut EdgeState, source: SourceKey, record: EndpointRecord, now: ClockTime) {
     let name = record.name.clone();
     let stage = record.stage;
     let change = state.endpoints.told(source, record, now);
     if change != EndpointChange::Same {
         tracing::info!(endpoint = name, ?stage, ?change, "endpoint update");
     }
-    state.follow_change(change, now);
+    state.apply_change(change, now);
 }
--- a/crates/ragwortroad_edge/src/edge_process.rs
+++ b/crates/ragwortroad_edge/src/edge_process.rs
@@ -35,12 +35,8 @@
 use crate::{
     EdgeError,
     EdgePort,
-    caller_server::{
-        serve_callers,
-        serve_readiness, //
-    },
-    config_intake::settle_config,
-    config_share::serve_configs,
+    config_exchange::serve_configs,
+    config_update::refresh_config,
     connection_pool::ConnectionPool,
     domain_probe::probe_domains,
     edge_error::{
@@ -53,21 +49,25 @@
         EdgeShared,
         EdgeState, //
     }, //
+    http_server::{
+        serve_clients,
+        serve_readiness, //
+    },
 };
 
 /// Time between two rounds of what is done from time to time.
-const ROUND_TIME: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Rounds after which the registry that adds loads up is told this edge's.
-const LOAD_ROUNDS: u32 = 2;
+const LOAD_REPORT_TICKS: u32 = 2;
 
 /// Time for which a stopping edge goes on taking callers who have not heard of it.
 ///
 /// The directory's answers are kept for two seconds, by some for six.
-const LEAST_DRAIN: Duration = Duration::from_millis(2500);
+const MIN_DRAIN: Duration = Duration::from_millis(2500);
 
 /// Time without a new request after which a stopping edge takes it that its callers have moved.
-const QUIET_DRAIN: Duration = Duration::from_millis(1500);
+const DRAIN_QUIET_PERIOD: Duration = Duration::from_millis(1500);
 
 /// Time before the end of the grace time at which a stopping edge ends in any case.
 const GRACE_MARGIN: Duration = Duration::from_millis(300);
@@ -76,7 +76,7 @@
 ///
 /// An endpoint that has gone silent holds a request until its deadline. Cut with the process, its
 /// caller would see a connection that broke for no reason, and not be told what is known.
-const END_NOTICE: Duration = Duration::from_millis(600);
+const FINAL_RESPONSE_WINDOW: Duration = Duration::from_millis(600);
 
 /// What an edge is told from outside its tasks.
 #[derive(Clone, Debug, PartialEq)]
@@ -129,13 +129,13 @@
         state: RefCell::new(EdgeState::default()),
         pool: ConnectionPool::default(),
         stop: Notify::new(),
-        end_soon: watch::Sender::new(false),
+        shutdown_imminent: watch::Sender::new(false),
     });
     dial_seeds(&shared, &seeds);
-    spawn_local(serve_callers(Rc::clone(&shared), callers));
+    spawn_local(serve_clients(Rc::clone(&shared), callers));
     spawn_local(serve_readiness(Rc::clone(&shared), readiness));
     spawn_local(serve_configs(Rc::clone(&shared), inner));
-    spawn_local(keep_rounds(Rc::clone(&shared)));
+    spawn_local(run_ticks(Rc::clone(&shared)));
     spawn_local(probe_domains(Rc::clone(&shared)));
     spawn_local(follow_signals(Rc::clone(&shared), signals));
     shared.stop.notified().await;
@@ -144,35 +144,35 @@
 }
 
 /// Does what is due from time to time.
-async fn keep_rounds(shared: Rc<EdgeShared>) {
-    let mut round = 0_u32;
+async fn run_ticks(shared: Rc<EdgeShared>) {
+    let mut tick = 0_u32;
     loop {
-        sleep(ROUND_TIME).await;
+        sleep(TICK_INTERVAL).await;
         let now = shared.now();
         let mut state = shared.state.borrow_mut();
         for key in state.endpoints.expire(now) {
             state.loads.remove(&key);
-            state.texts.forget(key);
+            state.prefixes.forget(key);
         }
         state.warmups.expire(now);
-        state.settle_home(&shared.settings.name, shared.running());
+        state.update_home(&shared.settings.name, shared.uptime());
         match shared.settings.mechanisms.told_places {
-            true => state.send_places(),
-            false => state.placed.clear(),
+            true => state.send_locations(),
+            false => state.unsent_locations.clear(),
         }
         state.set_limits(now);
         state.set_gauges();
-        round += 1;
+        tick += 1;
         // A registry is the home of its part of the edges.
         let registries = state.registries.len().max(1) as u32;
         let pace = load_pace(state.edges.div_ceil(registries));
-        let is_due = round.is_multiple_of(LOAD_ROUNDS * pace);
+        let is_due = tick.is_multiple_of(LOAD_REPORT_TICKS * pace);
         if is_due && shared.settings.mechanisms.told_loads {
             state.send_loads();
         }
         drop(state);
         shared.pool.expire(now);
-        settle_config(&shared);
+        refresh_config(&shared);
     }
 }
 
@@ -197,14 +197,14 @@
     let limit = shared.settings.grace.saturating_sub(GRACE_MARGIN);
     begin_drain(&mut shared.state.borrow_mut(), limit);
     loop {
-        sleep(ROUND_TIME).await;
+        sleep(TICK_INTERVAL).await;
         let now = shared.now();
-        if now.since(begun) + END_NOTICE >= limit {
-            shared.end_soon.send_replace(true);
+        if now.since(begun) + FINAL_RESPONSE_WINDOW >= limit {
+            shared.shutdown_imminent.send_replace(true);
         }
         let state = shared.state.borrow();
-        let is_quiet = now.since(state.end_sooner_at) > QUIET_DRAIN;
-        let is_done = state.in_flight == 0 && is_quiet && now.since(begun) > LEAST_DRAIN;
+        let is_quiet = now.since(state.last_activity_at) > DRAIN_QUIET_PERIOD;
+        let is_done = state.in_flight == 0 && is_quiet && now.since(begun) > MIN_DRAIN;
         if is_done || now.since(begun) >= limit {
             tracing::info!(in_flight = state.in_flight, "stopped");
             return;
@@ -214,7 +214,7 @@
 
 fn begin_drain(state: &mut EdgeState, limit: Duration) {
     tracing::info!(in_flight = state.in_flight, "stopping");
-    state.ends_at = Some(Instant::now() + limit);
+    state.shutdown_at = Some(Instant::now() + limit);
     state.set_stage(EdgeStage::Draining);
 }
 
--- a/crates/ragwortroad_edge/src/edge_state.rs
+++ b/crates/ragwortroad_edge/src/edge_state.rs
@@ -31,10 +31,10 @@
 };
 
 /// Places of texts that a registry is told at once: as many as it keeps.
-const MAX_TOLD_PLACES: usize = 4000;
+const MAX_SENT_LOCATIONS: usize = 4000;
 
 /// Time after a start for which an edge waits for the registry that it prefers as its home.
-const HOME_PATIENCE: Duration = Duration::from_millis(600);
+const PREFERRED_HOME_WAIT: Duration = Duration::from_millis(600);
 
 /// What the tasks of an edge share; all of them run on one thread.
 pub(crate) struct EdgeShared {
@@ -46,7 +46,7 @@
     /// Told when the edge is to stop.
     pub(crate) stop: Notify,
     /// Turns true shortly before a stopping edge ends: what has no answer by then gets one.
-    pub(crate) end_soon: watch::Sender<bool>,
+    pub(crate) shutdown_imminent: watch::Sender<bool>,
 }
 
 /// All that an edge knows.
@@ -59,7 +59,7 @@
     /// The document it was made of, against which the next one comes.
     pub(crate) document: Option<Rc<[u8]>>,
     /// The same as it is given to another edge; made when it is asked for.
-    pub(crate) whole: Option<ConfigDelta>,
+    pub(crate) full_config: Option<ConfigDelta>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) loads: BTreeMap<EndpointKey, EndpointLoad>,
     /// Failure domains that are drained.
@@ -68,16 +68,16 @@
     pub(crate) reach: DomainReach,
     /// When this edge may send requests to endpoints that warm up.
     pub(crate) warmups: WarmupPace,
-    pub(crate) texts: TextTable,
+    pub(crate) prefixes: TextTable,
     /// Places at engines that have not been heard of yet.
-    strays: StrayPlaces,
+    pending_locations: StrayPlaces,
     /// Places of texts that the other edges are still to be told.
-    pub(crate) placed: Vec<PlacedText>,
+    pub(crate) unsent_locations: Vec<PlacedText>,
     budgets: BTreeMap<String, RetryBudget>,
     /// Who may go on, of the requests for each service.
     pub(crate) gates: BTreeMap<String, ServiceGate>,
     /// How long callers wait at first, by route.
-    pub(crate) patiences: BTreeMap<String, UsualPatience>,
+    pub(crate) usual_timeouts: BTreeMap<String, UsualPatience>,
     pub(crate) links: BTreeMap<SourceKey, RegistryLink>,
     pub(crate) registries: BTreeSet<SocketAddr>,
     pub(crate) next_source: u32,
@@ -85,15 +85,15 @@
     pub(crate) edges: u32,
     pub(crate) stage: EdgeStage,
     /// When a stopping edge ends in any case.
-    pub(crate) ends_at: Option<Instant>,
+    pub(crate) shutdown_at: Option<Instant>,
     /// How this edge comes by the configuration in force.
     pub(crate) fetch: ConfigFetch,
     /// When a registry told last what all edges have under way.
-    pub(crate) loads_at: Option<ClockTime>,
+    pub(crate) loads_received_at: Option<ClockTime>,
     /// Requests under way.
     pub(crate) in_flight: usize,
     /// When a connection or a request came last.
-    pub(crate) end_sooner_at: ClockTime,
+    pub(crate) last_activity_at: ClockTime,
 }
 
 impl EdgeState {
@@ -116,12 +116,12 @@
     ) -> &mut RetryBudget {
         let edges = self.edges;
         if !self.budgets.contains_key(service) {
-            let figures = BudgetSettings {
+            let budget_settings = BudgetSettings {
                 ratio: settings.retry_ratio,
                 slack: settings.retry_slack,
                 window: settings.retry_window,
             };
-            let budget = RetryBudget::new(figures, edges, now);
+            let budget = RetryBudget::new(budget_settings, edges, now);
             self.budgets.insert(service.to_owned(), budget);
         }
         // The entry was made above where there was none.
@@ -131,7 +131,7 @@
     }
 
     /// Endpoints of a service that get new work.
-    pub(crate) fn open_endpoints(
+    pub(crate) fn available_endpoints(
         &self,
         service: &str,
     ) -> impl Iterator<Item = (EndpointKey, &EndpointRecord)> {
@@ -142,7 +142,7 @@
     /// Takes which failure domains are drained, unless a later word is known.
     ///
     /// Endpoints of a domain that is no longer drained count as warming up until `warm_at`.
-    pub(crate) fn take_drains(&mut self, drains: DomainDrains, warm_at: ClockTime) {
+    pub(crate) fn apply_drains(&mut self, drains: DomainDrains, warm_at: ClockTime) {
         if drains.revision() <= self.drains.revision() {
             return;
         }
@@ -155,30 +155,30 @@
     }
 
     /// Takes where another edge has placed a text, or an earlier process of the fleet.
-    pub(crate) fn take_place(&mut self, place: PlacedText, now: ClockTime) {
-        match self.endpoints.find(place.engine) {
+    pub(crate) fn apply_location(&mut self, location: PlacedText, now: ClockTime) {
+        match self.endpoints.find(location.engine) {
             Some(key) => {
-                self.texts.note(place.text, key, now);
+                self.prefixes.note(location.text, key, now);
             }
-            None => self.strays.keep(place.engine, place.text),
+            None => self.pending_locations.keep(location.engine, location.text),
         }
     }
 
     /// Whether a text is known to be at an engine that has not announced itself yet, and at no other.
-    pub(crate) fn awaits_holder(&self, text: u64, now: ClockTime) -> bool {
-        self.strays.knows(text) && self.texts.holders(text, now).next().is_none()
+    pub(crate) fn awaits_holder(&self, prefix: u64, now: ClockTime) -> bool {
+        self.pending_locations.knows(prefix) && self.prefixes.holders(prefix, now).next().is_none()
     }
 
     /// Follows a change of an endpoint.
-    pub(crate) fn follow_change(&mut self, change: EndpointChange, now: ClockTime) {
+    pub(crate) fn apply_change(&mut self, change: EndpointChange, now: ClockTime) {
         match change {
             EndpointChange::Started(key) => {
                 self.load_mut(key).reset();
-                self.texts.forget(key);
+                self.prefixes.forget(key);
                 let name = self.endpoints.record(key).map(|record| &record.name);
                 let tag = name.map(|name| EndpointTag::of(name));
-                for text in tag.map_or_else(Vec::new, |tag| self.strays.take(tag)) {
-                    self.texts.note(text, key, now);
+                for prefix in tag.map_or_else(Vec::new, |tag| self.pending_locations.take(tag)) {
+                    self.prefixes.note(prefix, key, now);
                 }
             }
             EndpointChange::Stopped(_) | EndpointChange::Changed(_) | EndpointChange::Same => {}
@@ -206,12 +206,13 @@
     /// Takes the registry for its home that this edge prefers of those it is connected to.
     ///
     /// What a former home told and was told counts no longer.
-    pub(crate) fn settle_home(&mut self, edge: &str, running: Duration) {
+    pub(crate) fn update_home(&mut self, edge: &str, uptime: Duration) {
         // Just started, most edges reach the same registries first: as their homes these would tell
         // all places of texts to far more edges than their part, a moment before these move on.
-        let may_take = |link: &RegistryLink| link.queue.is_some() || running < HOME_PATIENCE;
-        let links = self.links.values().filter(|link| may_take(link));
-        let candidates: Vec<HomeCandidate> = links.map(RegistryLink::as_home).collect();
+        let is_candidate =
+            |link: &RegistryLink| link.queue.is_some() || uptime < PREFERRED_HOME_WAIT;
+        let links = self.links.values().filter(|link| is_candidate(link));
+        let candidates: Vec<HomeCandidate> = links.map(RegistryLink::home_candidate).collect();
         let chosen = choose_home(edge, &candidates);
         for link in self.links.values_mut() {
             let is_home = link.queue.is_some() && Some(link.address) == chosen;
@@ -255,13 +256,13 @@
     }
 
     /// Requests of other edges at an endpoint.
-    pub(crate) fn others_at(&self, name: &str) -> u32 {
+    pub(crate) fn other_edges_load(&self, name: &str) -> u32 {
         let home = self.home();
-        home.map_or(0, |link| link.others(EndpointTag::of(name)))
+        home.map_or(0, |link| link.other_edges_load(EndpointTag::of(name)))
     }
 
     /// Requests of this edge at an endpoint, as it told its home.
-    pub(crate) fn told_at(&self, name: &str) -> u32 {
+    pub(crate) fn reported_load(&self, name: &str) -> u32 {
         let home = self.home();
         home.map_or(0, |link| link.report.count(EndpointTag::of(name)))
     }
@@ -271,30 +272,33 @@
     }
 
     /// Tells the other edges, by way of this edge's home, where texts were placed here.
-    pub(crate) fn send_places(&mut self) {
-        if self.placed.is_empty() {
+    pub(crate) fn send_locations(&mut self) {
+        if self.unsent_locations.is_empty() {
             return;
         }
         let home = self.links.values().find(|link| link.is_home);
         if let Some(queue) = home.and_then(|link| link.queue.as_ref()) {
-            let placed = std::mem::take(&mut self.placed);
-            queue.send(&LinkMessage::TextsPlaced(placed));
+            let locations = std::mem::take(&mut self.unsent_locations);
+            queue.send(&LinkMessage::TextsPlaced(locations));
         }
     }
 
     /// Tells a registry that asks for it where texts are, as far as this edge knows.
-    pub(crate) fn send_all_places(&self, source: SourceKey) {
+    pub(crate) fn send_all_locations(&self, source: SourceKey) {
         let link = self.links.get(&source);
         let Some(queue) = link.and_then(|link| link.queue.as_ref()) else {
             return;
         };
-        let newest = self.texts.newest(MAX_TOLD_PLACES).into_iter();
-        let places = newest.filter_map(|(text, key)| {
+        let newest = self.prefixes.newest(MAX_SENT_LOCATIONS).into_iter();
+        let locations = newest.filter_map(|(prefix, key)| {
             let record = self.endpoints.record(key)?;
             let engine = EndpointTag::of(&record.name);
-            Some(PlacedText { text, engine })
+            Some(PlacedText {
+                text: prefix,
+                engine,
+            })
         });
-        queue.send(&LinkMessage::PlacesKnown(places.collect()));
+        queue.send(&LinkMessage::PlacesKnown(locations.collect()));
     }
 
     /// Tells all registries this edge's stage.
@@ -321,13 +325,13 @@
     /// How long a request with `time_left` waits for what this edge still lacks.
     pub(crate) fn start_wait(&self, time_left: Duration) -> Duration {
         match self.settings.mechanisms.start_wait {
-            true => start_wait(self.running(), time_left),
+            true => start_wait(self.uptime(), time_left),
             false => Duration::ZERO,
         }
     }
 
     /// Time since the process started.
-    pub(crate) fn running(&self) -> Duration {
+    pub(crate) fn uptime(&self) -> Duration {
         // Readings of a process's clock start an hour after zero.
         self.now()
             .since(ClockTime::ZERO.after(Duration::from_secs(3600)))
--- a/crates/ragwortroad_edge/src/endpoint_call.rs
+++ b/crates/ragwortroad_edge/src/endpoint_call.rs
@@ -31,51 +31,51 @@
     endpoint_connection::{
         EndpointConnection,
         SendFailure,
-        is_silence, //
+        is_timeout_error, //
     },
-    flight_guard::FlightGuard,
+    in_flight_guard::InFlightGuard,
     request_plan::{
         RequestPlan,
-        strip_connection, //
+        strip_hop_by_hop, //
     }, //
 };
 
 /// What became of a request at an endpoint.
-pub(crate) enum CallEnd {
+pub(crate) enum CallOutcome {
     /// Nothing reached it.
-    NotSent { reason: String, is_silent: bool },
+    NotSent { reason: String, is_timeout: bool },
     /// It says that it did not run the request.
     NotRun,
     /// Another endpoint has its address, and did not run the request.
     Misdirected,
     /// It may have run the request, and no usable answer came.
-    Lost { reason: String, is_silent: bool },
+    Lost { reason: String, is_timeout: bool },
     /// The time is over.
     TimedOut,
     /// It has not begun to answer in time, and another endpoint is asked.
-    Silent,
+    NoResponse,
     /// An answer came in full.
-    Whole(WholeAnswer),
+    Full(FullResponse),
     /// Events are coming.
-    Events(Box<EventAnswer>),
+    Events(Box<EventStream>),
 }
 
 /// An answer that is there.
-pub(crate) struct WholeAnswer {
+pub(crate) struct FullResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
 /// A stream of events that has begun.
-pub(crate) struct EventAnswer {
+pub(crate) struct EventStream {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
     pub(crate) facts: ResponseMetadata,
     pub(crate) connection: EndpointConnection,
     pub(crate) address: SocketAddr,
-    pub(crate) guard: FlightGuard,
+    pub(crate) guard: InFlightGuard,
 }
 
 /// Sends a request to an endpoint and waits for its answer, or for a stream's beginning.
@@ -84,17 +84,17 @@
     plan: &RequestPlan,
     chosen: &ChosenEndpoint,
     last_event_id: Option<u64>,
-) -> CallEnd {
-    let guard = FlightGuard::new(shared, chosen.key);
-    let calling = exchange(shared, plan, chosen, last_event_id, guard);
-    let begun = Instant::now();
-    let end = match timeout_at(plan.deadline, calling).await {
-        Ok(end) => end,
-        Err(_) => CallEnd::TimedOut,
+) -> CallOutcome {
+    let guard = InFlightGuard::new(shared, chosen.key);
+    let call = exchange(shared, plan, chosen, last_event_id, guard);
+    let started_at = Instant::now();
+    let outcome = match timeout_at(plan.deadline, call).await {
+        Ok(outcome) => outcome,
+        Err(_) => CallOutcome::TimedOut,
     };
-    note_end(shared, chosen, &end);
-    note_time(shared, plan, &end, begun.elapsed());
-    end
+    record_outcome(shared, chosen, &outcome);
+    record_latency(shared, plan, &outcome, started_at.elapsed());
+    outcome
 }
 
 async fn exchange(
@@ -102,55 +102,55 @@
     plan: &RequestPlan,
     chosen: &ChosenEndpoint,
     last_event_id: Option<u64>,
-    guard: FlightGuard,
-) -> CallEnd {
-    let mut pooled = shared.pool.take(chosen.address, shared.now());
+    guard: InFlightGuard,
+) -> CallOutcome {
+    let mut pooled_connection = shared.pool.take(chosen.address, shared.now());
     loop {
-        let was_pooled = pooled.is_some();
-        let mut connection = match pooled.take() {
+        let was_pooled = pooled_connection.is_some();
+        let mut connection = match pooled_connection.take() {
             Some(connection) => connection,
             None => match EndpointConnection::open(chosen.address).await {
                 Ok(connection) => connection,
                 Err(error) => {
-                    return CallEnd::NotSent {
+                    return CallOutcome::NotSent {
                         reason: error.to_string(),
-                        is_silent: is_silence(&error),
+                        is_timeout: is_timeout_error(&error),
                     };
                 }
             },
         };
-        let request = match make_request(shared, plan, chosen, last_event_id) {
+        let request = match build_request(shared, plan, chosen, last_event_id) {
             Ok(request) => request,
             Err(error) => {
-                return CallEnd::NotSent {
+                return CallOutcome::NotSent {
                     reason: error.to_string(),
-                    is_silent: false,
+                    is_timeout: false,
                 };
             }
         };
         match connection.send(request).await {
-            Ok(answer) => {
-                return read_answer(shared, plan, chosen, connection, answer, guard).await;
+            Ok(response) => {
+                return read_response(shared, plan, chosen, connection, response, guard).await;
             }
             // The endpoint closed a kept connection before anything was sent on it.
             Err(SendFailure::NotSent) if was_pooled => {}
             Err(SendFailure::NotSent) => {
-                return CallEnd::NotSent {
+                return CallOutcome::NotSent {
                     reason: "closed before the request".to_owned(),
-                    is_silent: false,
+                    is_timeout: false,
                 };
             }
             Err(SendFailure::Lost(error)) => {
-                return CallEnd::Lost {
+                return CallOutcome::Lost {
                     reason: format!("{error} (kept connection: {was_pooled})"),
-                    is_silent: is_silence(&error),
+                    is_timeout: is_timeout_error(&error),
                 };
             }
         }
     }
 }
 
-fn make_request(
+fn build_request(
     shared: &EdgeShared,
     plan: &RequestPlan,
     chosen: &ChosenEndpoint,
@@ -158,11 +158,11 @@
 ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
     let mut request = Request::builder()
         .method(plan.method.clone())
-        .uri(plan.target.clone())
+        .uri(plan.uri.clone())
         .body(Full::new(plan.body.clone()))?;
     let customer = plan.customer;
     let mechanisms = &shared.settings.mechanisms;
-    let sending = ForwardMetadata {
+    let metadata = ForwardMetadata {
         time_left: plan.deadline.saturating_duration_since(Instant::now()),
         endpoint: &chosen.name,
         customer: customer.and_then(|key| plan.map.customer_name(key)),
@@ -173,25 +173,25 @@
         prefix_source: chosen.prefix_source.as_ref().map(|source| source.address),
     };
     let mut headers = plan.headers.clone();
-    (shared.port.rewrite_headers)(&mut headers, &sending);
+    (shared.port.rewrite_headers)(&mut headers, &metadata);
     *request.headers_mut() = headers;
     Ok(request)
 }
 
-async fn read_answer(
+async fn read_response(
     shared: &Rc<EdgeShared>,
     plan: &RequestPlan,
     chosen: &ChosenEndpoint,
     connection: EndpointConnection,
-    answer: Response<Incoming>,
-    guard: FlightGuard,
-) -> CallEnd {
-    let (head, body) = answer.into_parts();
+    response: Response<Incoming>,
+    guard: InFlightGuard,
+) -> CallOutcome {
+    let (head, body) = response.into_parts();
     let facts = (shared.port.parse_response)(head.status, &head.headers);
     if facts.id.as_deref().is_some_and(|id| id != plan.id) {
         // An answer that belongs to another request, late on a kept connection. Handed over, a
         // caller would get what is another customer's.
-        return spoiled("the answer names another request");
+        return unusable_response("the answer names another request");
     }
     if let Some(load) = facts.load {
         let now = shared.now();
@@ -199,17 +199,17 @@
         state.load_mut(chosen.key).read(load, now);
     }
     if facts.is_misdirected {
-        keep_connection(shared, chosen.address, connection, &facts);
-        return CallEnd::Misdirected;
+        return_connection(shared, chosen.address, connection, &facts);
+        return CallOutcome::Misdirected;
     }
     let is_success = head.status.is_success();
     if is_success && (!facts.is_signed || facts.is_encoded || facts.id.is_none()) {
-        return spoiled("a success without the endpoint's signature");
+        return unusable_response("a success without the endpoint's signature");
     }
     let mut headers = head.headers;
-    strip_connection(&mut headers);
+    strip_hop_by_hop(&mut headers);
     if is_success && facts.is_event_stream {
-        return CallEnd::Events(Box::new(EventAnswer {
+        return CallOutcome::Events(Box::new(EventStream {
             status: head.status,
             headers,
             body,
@@ -222,17 +222,17 @@
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
-            return CallEnd::Lost {
+            return CallOutcome::Lost {
                 reason: format!("the answer broke off: {error}"),
-                is_silent: is_silence(&error),
+                is_timeout: is_timeout_error(&error),
             };
         }
     };
-    keep_connection(shared, chosen.address, connection, &facts);
+    return_connection(shared, chosen.address, connection, &facts);
     if facts.is_not_run {
-        return CallEnd::NotRun;
+        return CallOutcome::NotRun;
     }
-    CallEnd::Whole(WholeAnswer {
+    CallOutcome::Full(FullResponse {
         status: head.status,
         headers,
         body,
@@ -240,15 +240,15 @@
 }
 
 /// An answer that cannot be used.
-fn spoiled(reason: &str) -> CallEnd {
-    CallEnd::Lost {
+fn unusable_response(reason: &str) -> CallOutcome {
+    CallOutcome::Lost {
         reason: reason.to_owned(),
-        is_silent: false,
+        is_timeout: false,
     }
 }
 
 /// Gives a connection back whose answer was read in full.
-pub(crate) fn keep_connection(
+pub(crate) fn return_connection(
     shared: &EdgeShared,
     address: SocketAddr,
     mut connection: EndpointConnection,
@@ -264,48 +264,53 @@
 }
 
 /// Remembers how the endpoint did.
-pub(crate) fn note_end(shared: &EdgeShared, chosen: &ChosenEndpoint, end: &CallEnd) {
+pub(crate) fn record_outcome(shared: &EdgeShared, chosen: &ChosenEndpoint, outcome: &CallOutcome) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
-    if matches!(end, CallEnd::Misdirected) {
+    if matches!(outcome, CallOutcome::Misdirected) {
         state.endpoints.refute(chosen.key, now);
     }
     let load = state.load_mut(chosen.key);
-    match end {
-        CallEnd::NotSent { .. } | CallEnd::Misdirected => load.fail(now),
-        CallEnd::Lost { .. } | CallEnd::TimedOut | CallEnd::Silent => load.stumble(now),
-        CallEnd::Whole(answer) if answer.status.is_server_error() => load.stumble(now),
-        CallEnd::Whole(_) | CallEnd::Events(_) => load.succeed(now),
-        CallEnd::NotRun => {}
+    match outcome {
+        CallOutcome::NotSent { .. } | CallOutcome::Misdirected => load.fail(now),
+        CallOutcome::Lost { .. } | CallOutcome::TimedOut | CallOutcome::NoResponse => {
+            load.stumble(now)
+        }
+        CallOutcome::Full(response) if response.status.is_server_error() => load.stumble(now),
+        CallOutcome::Full(_) | CallOutcome::Events(_) => load.succeed(now),
+        CallOutcome::NotRun => {}
     }
     drop(state);
-    note_reach(shared, chosen, end);
+    record_reachability(shared, chosen, outcome);
 }
 
 /// Remembers whether the endpoint's failure domain can be reached.
-fn note_reach(shared: &EdgeShared, chosen: &ChosenEndpoint, end: &CallEnd) {
-    match end {
-        CallEnd::NotSent { is_silent, .. } | CallEnd::Lost { is_silent, .. } => {
-            match is_silent {
+fn record_reachability(shared: &EdgeShared, chosen: &ChosenEndpoint, outcome: &CallOutcome) {
+    match outcome {
+        CallOutcome::NotSent { is_timeout, .. } | CallOutcome::Lost { is_timeout, .. } => {
+            match is_timeout {
                 true => shared.note_silent(&chosen.zone, chosen.key),
                 false => shared.note_reached(&chosen.zone),
             };
         }
-        CallEnd::NotRun | CallEnd::Misdirected | CallEnd::Whole(_) | CallEnd::Events(_) => {
+        CallOutcome::NotRun
+        | CallOutcome::Misdirected
+        | CallOutcome::Full(_)
+        | CallOutcome::Events(_) => {
             shared.note_reached(&chosen.zone);
         }
-        CallEnd::TimedOut | CallEnd::Silent => {}
+        CallOutcome::TimedOut | CallOutcome::NoResponse => {}
     }
 }
 
 /// Tells the service's gate how long an endpoint took.
 ///
 /// One that refuses is as full as one that is too late.
-fn note_time(shared: &EdgeShared, plan: &RequestPlan, end: &CallEnd, took: Duration) {
+fn record_latency(shared: &EdgeShared, plan: &RequestPlan, outcome: &CallOutcome, took: Duration) {
     let target = plan.rule().target;
-    let took = match end {
-        CallEnd::Whole(answer) if !answer.status.is_server_error() => took,
-        CallEnd::NotRun | CallEnd::TimedOut => took.max(target),
+    let took = match outcome {
+        CallOutcome::Full(response) if !response.status.is_server_error() => took,
+        CallOutcome::NotRun | CallOutcome::TimedOut => took.max(target),
         _ => return,
     };
     if !shared.settings.mechanisms.plain_limit {
@@ -314,6 +319,6 @@
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
     if let Some(gate) = state.gates.get_mut(&plan.service) {
-        gate.note_answer(took, target, now);
+        gate.record_response(took, target, now);
     }
 }
--- a/crates/ragwortroad_edge/src/endpoint_choice.rs
+++ b/crates/ragwortroad_edge/src/endpoint_choice.rs
@@ -30,9 +30,9 @@
     /// Age of what other edges told of their requests there; nothing where they tell nothing.
     pub(crate) load_age: Option<Duration>,
     /// Endpoints among which it was chosen.
-    pub(crate) among: usize,
+    pub(crate) candidate_count: usize,
     /// Whether it has read the request's shared text.
-    pub(crate) holds_text: bool,
+    pub(crate) holds_prefix: bool,
     /// The engine that it copies that text from, where it has not read it.
     pub(crate) prefix_source: Option<ChosenSource>,
 }
@@ -58,24 +58,24 @@
     tried: &[EndpointKey],
 ) -> Option<ChosenEndpoint> {
     let state = shared.state.borrow();
-    let view = ChoiceView::new(shared, &state, plan, tried);
-    let found = view.choose(shared.settings.load_multiple)?;
-    let text = view.engine.and(plan.facts.shared_prefix());
-    let warmup_rate = view.warmup_rate.filter(|_| view.is_warming(found.key));
+    let choice = ChoiceContext::new(shared, &state, plan, tried);
+    let chosen = choice.choose(shared.settings.load_multiple)?;
+    let prefix = choice.engine.and(plan.facts.shared_prefix());
+    let warmup_rate = choice.warmup_rate.filter(|_| choice.is_warming(chosen.key));
     drop(state);
     if let Some(rate) = warmup_rate {
-        let tag = EndpointTag::of(&found.name);
+        let tag = EndpointTag::of(&chosen.name);
         let mut state = shared.state.borrow_mut();
         state.warmups.note_sent(tag, rate, shared.now());
     }
-    if let Some(text) = text {
-        note_place(shared, text, &found);
+    if let Some(prefix) = prefix {
+        record_location(shared, prefix, &chosen);
     }
-    Some(found)
+    Some(chosen)
 }
 
 /// What an edge knows at the moment of one choice.
-struct ChoiceView<'a> {
+struct ChoiceContext<'a> {
     state: &'a EdgeState,
     plan: &'a RequestPlan,
     /// Figures of the service's engines; nothing for a plain service.
@@ -85,13 +85,13 @@
     /// Engines that hold the request's shared text.
     holders: Vec<EndpointKey>,
     /// The request's shared text, where places of texts count.
-    text: Option<u64>,
+    prefix: Option<u64>,
     mechanisms: &'a MechanismSettings,
     tried: &'a [EndpointKey],
     now: ClockTime,
 }
 
-impl<'a> ChoiceView<'a> {
+impl<'a> ChoiceContext<'a> {
     fn new(
         shared: &'a EdgeShared,
         state: &'a EdgeState,
@@ -101,18 +101,18 @@
         let now = shared.now();
         let mechanisms = &shared.settings.mechanisms;
         let service = plan.map.service(&plan.service);
-        let text = plan
+        let prefix = plan
             .facts
             .shared_prefix()
             .filter(|_| mechanisms.text_places);
-        let holders = text.map(|text| state.texts.holders(text, now).collect());
+        let holders = prefix.map(|prefix| state.prefixes.holders(prefix, now).collect());
         Self {
             state,
             plan,
             engine: service.and_then(|service| service.engine.as_ref()),
             warmup_rate: service.and_then(|service| service.warmup_per_second),
             holders: holders.unwrap_or_default(),
-            text,
+            prefix,
             mechanisms,
             tried,
             now,
@@ -122,7 +122,7 @@
     fn choose(&self, load_multiple: f64) -> Option<ChosenEndpoint> {
         let candidates = self.candidates();
         let request = PlaceRequest {
-            shared_text: self.text,
+            shared_text: self.prefix,
             draw: rand::random(),
         };
         let key = match self.engine {
@@ -135,24 +135,27 @@
         let chosen = candidates.iter().find(|candidate| candidate.key == key)?;
         let record = self.state.endpoints.record(key)?;
         let may_copy = self.mechanisms.text_copies && !chosen.holds_text;
-        let lacking = self.engine.filter(|_| may_copy);
-        let told_at = self.state.loads_at.filter(|_| self.engine.is_some());
+        let copying_engine = self.engine.filter(|_| may_copy);
+        let loads_received_at = self
+            .state
+            .loads_received_at
+            .filter(|_| self.engine.is_some());
         Some(ChosenEndpoint {
             key,
             name: record.name.clone(),
             address: record.address,
             zone: record.zone.clone(),
             load: chosen.load,
-            load_age: told_at.map(|told_at| self.now.since(told_at)),
-            among: candidates.len(),
-            holds_text: chosen.holds_text,
-            prefix_source: lacking.and_then(|engine| self.find_source(engine, record)),
+            load_age: loads_received_at.map(|loads_received_at| self.now.since(loads_received_at)),
+            candidate_count: candidates.len(),
+            holds_prefix: chosen.holds_text,
+            prefix_source: copying_engine.and_then(|engine| self.find_source(engine, record)),
         })
     }
 
     /// Endpoints that may take the request.
     fn candidates(&self) -> Vec<PlaceCandidate<'a>> {
-        let ready = self.state.open_endpoints(&self.plan.service);
+        let ready = self.state.available_endpoints(&self.plan.service);
         let untried = ready.filter(|(key, _)| !self.tried.contains(key));
         let untried = untried.filter(|(key, record)| self.may_send(*key, record));
         let is_open = |key, record: &EndpointRecord| {
@@ -170,14 +173,16 @@
 
     fn candidate(&self, key: EndpointKey, record: &'a EndpointRecord) -> PlaceCandidate<'a> {
         let load = self.state.loads.get(&key);
-        let others = match self.engine {
-            Some(_) => self.state.others_at(&record.name),
+        let other_edges_load = match self.engine {
+            Some(_) => self.state.other_edges_load(&record.name),
             None => 0,
         };
         PlaceCandidate {
             key,
             name: &record.name,
-            load: load.map_or(others, |load| load.estimate(others, self.now)),
+            load: load.map_or(other_edges_load, |load| {
+                load.estimate(other_edges_load, self.now)
+            }),
             slots: record.slots,
             failing: load.map_or(0.0, |load| self.failing(load)),
             holds_text: self.holders.contains(&key),
@@ -238,12 +243,12 @@
 }
 
 /// Remembers that an engine reads a text, and has the other edges told if they do not know.
-fn note_place(shared: &EdgeShared, text: u64, chosen: &ChosenEndpoint) {
+fn record_location(shared: &EdgeShared, prefix: u64, chosen: &ChosenEndpoint) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
-    if state.texts.note(text, chosen.key, now) {
-        state.placed.push(PlacedText {
-            text,
+    if state.prefixes.note(prefix, chosen.key, now) {
+        state.unsent_locations.push(PlacedText {
+            prefix,
             engine: EndpointTag::of(&chosen.name),
         });
     }
--- a/crates/ragwortroad_edge/src/endpoint_connection.rs
+++ b/crates/ragwortroad_edge/src/endpoint_connection.rs
@@ -40,10 +40,10 @@
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Silence after which an idle connection is probed, and the pause between probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Probes without an answer after which a connection ends.
-const PROBES: u32 = 2;
+const KEEPALIVE_RETRIES: u32 = 2;
 
 /// A connection to an endpoint; dropping it closes it.
 pub(crate) struct EndpointConnection {
@@ -63,7 +63,7 @@
 }
 
 /// Whether an error means that nothing at all has come back from an endpoint's VM.
-pub(crate) fn is_silence(error: &(dyn Error + 'static)) -> bool {
+pub(crate) fn is_timeout_error(error: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(error) = cause {
         let kind = error.downcast_ref::<io::Error>().map(io::Error::kind);
@@ -83,13 +83,13 @@
         stream.set_nodelay(true)?;
         let socket = SockRef::from(&stream);
         socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
-        let probing = TcpKeepalive::new()
-            .with_time(PROBE_EVERY)
-            .with_interval(PROBE_EVERY)
-            .with_retries(PROBES);
-        socket.set_tcp_keepalive(&probing)?;
-        let made = http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = made.map_err(io::Error::other)?;
+        let keepalive = TcpKeepalive::new()
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL)
+            .with_retries(KEEPALIVE_RETRIES);
+        socket.set_tcp_keepalive(&keepalive)?;
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(io::Error::other)?;
         let task = spawn_local(async move {
             if let Err(error) = connection.await {
                 tracing::debug!(%error, "a connection to an endpoint ended");
--- a/crates/ragwortroad_edge/src/event_framer.rs
+++ b/crates/ragwortroad_edge/src/event_framer.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub struct EventFramer {
     /// Bytes that do not make a whole event yet.
-    rest: BytesMut,
+    buffer: BytesMut,
     last_event_id: Option<u64>,
 }
 
@@ -19,14 +19,14 @@
     /// Takes bytes; returns the whole events that they complete, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         // The end mark can begin in what was there before.
-        let searched = self.rest.len().saturating_sub(END_MARK_REACH);
-        self.rest.extend_from_slice(bytes);
-        let end = last_event_end(&self.rest[searched..])? + searched;
-        let whole = self.rest.copy_to_bytes(end);
-        if let Some(id) = last_event_id(&whole) {
+        let searched = self.buffer.len().saturating_sub(MAX_END_MARK_OVERLAP);
+        self.buffer.extend_from_slice(bytes);
+        let end = last_event_end(&self.buffer[searched..])? + searched;
+        let events = self.buffer.copy_to_bytes(end);
+        if let Some(id) = last_event_id(&events) {
             self.last_event_id = Some(id);
         }
-        Some(whole)
+        Some(events)
     }
 
     /// Number of the last whole event, once one has come that has a number.
@@ -36,23 +36,23 @@
 
     /// Whether an event has begun and not ended.
     pub fn has_partial_event(&self) -> bool {
-        !self.rest.is_empty()
+        !self.buffer.is_empty()
     }
 
     /// Forgets the half of an event, before another run goes on behind the last whole one.
     pub fn discard_partial(&mut self) {
-        self.rest.clear();
+        self.buffer.clear();
     }
 }
 
 /// Bytes of the longest end mark, less one.
-const END_MARK_REACH: usize = 3;
+const MAX_END_MARK_OVERLAP: usize = 3;
 
 /// Where the last whole event ends: behind an empty line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     for end in (1..=bytes.len()).rev() {
-        let before = &bytes[..end];
-        if before.ends_with(b"\n\n") || before.ends_with(b"\n\r\n") {
+        let prefix = &bytes[..end];
+        if prefix.ends_with(b"\n\n") || prefix.ends_with(b"\n\r\n") {
             return Some(end);
         }
     }
--- a/crates/ragwortroad_edge/src/gate_pass.rs
+++ b/crates/ragwortroad_edge/src/gate_permit.rs
@@ -16,25 +16,25 @@
 use crate::{
     edge_state::EdgeShared,
     request_plan::RequestPlan,
-    service_gate::GateWay, //
+    service_gate::GateDecision, //
 };
 
 /// Leave to send a request to a service's endpoints; given back when this is dropped.
 ///
 /// One that was not given back would take a place from this edge's callers for good.
-pub(crate) struct GatePass {
+pub(crate) struct GatePermit {
     shared: Rc<EdgeShared>,
     plan: Rc<RequestPlan>,
     /// Time that the request waited at the gate.
     pub(crate) waited: Duration,
 }
 
-impl Drop for GatePass {
+impl Drop for GatePermit {
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state.borrow_mut();
         if let Some(gate) = state.gates.get_mut(&self.plan.service) {
-            gate.leave(now);
+            gate.release(now);
         }
     }
 }
@@ -44,50 +44,53 @@
     shared: &'a EdgeShared,
     plan: &'a RequestPlan,
     ticket: WaitTicket,
-    called: oneshot::Receiver<()>,
-    is_over: bool,
+    admission: oneshot::Receiver<()>,
+    is_finished: bool,
 }
 
 impl GateWait<'_> {
     /// Ends the wait; tells whether the request may go on.
-    fn end(&mut self) -> bool {
-        self.is_over = true;
+    fn finish(&mut self) -> bool {
+        self.is_finished = true;
         let now = self.shared.now();
         let mut state = self.shared.state.borrow_mut();
         let gate = state.gates.get_mut(&self.plan.service);
-        gate.is_some_and(|gate| gate.end_wait(self.ticket, &mut self.called, now))
+        gate.is_some_and(|gate| gate.finish_wait(self.ticket, &mut self.admission, now))
     }
 }
 
 impl Drop for GateWait<'_> {
     fn drop(&mut self) {
-        if self.is_over || !self.end() {
+        if self.is_finished || !self.finish() {
             return;
         }
         let now = self.shared.now();
         let mut state = self.shared.state.borrow_mut();
         if let Some(gate) = state.gates.get_mut(&self.plan.service) {
-            gate.leave(now);
+            gate.release(now);
         }
     }
 }
 
 /// Waits until a request may go on; nothing if it cannot be served in time.
-pub(crate) async fn pass_gate(shared: &Rc<EdgeShared>, plan: &Rc<RequestPlan>) -> Option<GatePass> {
-    let begun = Instant::now();
-    let pass = || GatePass {
+pub(crate) async fn acquire_permit(
+    shared: &Rc<EdgeShared>,
+    plan: &Rc<RequestPlan>,
+) -> Option<GatePermit> {
+    let started_at = Instant::now();
+    let permit = || GatePermit {
         shared: Rc::clone(shared),
         plan: Rc::clone(plan),
-        waited: begun.elapsed(),
+        waited: started_at.elapsed(),
     };
     let mechanisms = &shared.settings.mechanisms;
     if !mechanisms.admission {
-        return Some(pass());
+        return Some(permit());
     }
     let now = shared.now();
-    let time_left = plan.deadline.saturating_duration_since(plan.came_at);
+    let time_left = plan.deadline.saturating_duration_since(plan.received_at);
     let patience = gate_patience(plan.rule().target, time_left);
-    let way = {
+    let decision = {
         let mut state = shared.state.borrow_mut();
         let offer = GateOffer {
             rank: plan.map.full_rank(plan.route, plan.customer),
@@ -96,24 +99,24 @@
         };
         state.gate_mut(&plan.service, now).offer(offer, now)
     };
-    let (ticket, called) = match way {
-        GateWay::Open => return Some(pass()),
-        GateWay::Wait(ticket, called) => (ticket, called),
+    let (ticket, admission) = match decision {
+        GateDecision::Admitted => return Some(permit()),
+        GateDecision::Queued(ticket, admission) => (ticket, admission),
     };
     let mut wait = GateWait {
         shared,
         plan,
         ticket,
-        called,
-        is_over: false,
+        admission,
+        is_finished: false,
     };
-    let is_called = match timeout(patience, &mut wait.called).await {
-        Ok(called) => {
-            wait.is_over = true;
-            called.is_ok()
+    let is_admitted = match timeout(patience, &mut wait.admission).await {
+        Ok(admission) => {
+            wait.is_finished = true;
+            admission.is_ok()
         }
-        Err(_) => wait.end(),
+        Err(_) => wait.finish(),
     };
-    metrics::histogram!(metric_names::GATE_WAIT_SECONDS).record(begun.elapsed());
-    is_called.then(pass)
+    metrics::histogram!(metric_names::GATE_WAIT_SECONDS).record(started_at.elapsed());
+    is_admitted.then(permit)
 }
--- a/crates/ragwortroad_edge/src/caller_server.rs
+++ b/crates/ragwortroad_edge/src/http_server.rs
@@ -31,44 +31,44 @@
 
 use crate::{
     edge_state::EdgeShared,
-    request_flow::answer_caller, //
+    request_flow::handle_request, //
 };
 
 /// Pause after an accept that failed, so that a lack of descriptors does not make the loop spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The HTTP library's least buffer for a head.
-const LEAST_HEAD: usize = 8192;
+const MIN_HEAD_BUFFER_BYTES: usize = 8192;
 
 /// Accepts callers for as long as the process runs.
-pub(crate) async fn serve_callers(shared: Rc<EdgeShared>, listener: TcpListener) {
+pub(crate) async fn serve_clients(shared: Rc<EdgeShared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                spawn_local(serve_caller(Rc::clone(&shared), stream));
+                spawn_local(serve_client(Rc::clone(&shared), stream));
             }
             Err(error) => {
                 tracing::warn!(%error, "a caller could not be accepted");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_caller(shared: Rc<EdgeShared>, stream: TcpStream) {
+async fn serve_client(shared: Rc<EdgeShared>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         tracing::debug!(%error, "a caller's socket is gone");
         return;
     }
     let map = shared.state.borrow().map.clone();
     let limits = map.map_or_else(CallerLimits::default, |map| map.config().limits);
-    let service = service_fn(|request| answer_caller(Rc::clone(&shared), request));
+    let service = service_fn(|request| handle_request(Rc::clone(&shared), request));
     // The library counts the time between two requests into the time for a head.
-    let silence = limits.idle_timeout + limits.head_timeout;
+    let head_timeout = limits.idle_timeout + limits.head_timeout;
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(silence)
-        .max_buf_size(limits.max_head_bytes.max(LEAST_HEAD))
+        .header_read_timeout(head_timeout)
+        .max_buf_size(limits.max_head_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
@@ -83,13 +83,13 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 tracing::warn!(%error, "a question for readiness could not be accepted");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let shared = Rc::clone(&shared);
         spawn_local(async move {
-            let service = service_fn(|request| tell_readiness(Rc::clone(&shared), request));
+            let service = service_fn(|request| answer_readiness(Rc::clone(&shared), request));
             let served = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -100,18 +100,18 @@
     }
 }
 
-async fn tell_readiness(
+async fn answer_readiness(
     shared: Rc<EdgeShared>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let stage = shared.state.borrow().stage;
-    let is_asked = (shared.port.is_readiness_probe)(request.method(), request.uri());
-    let status = match (is_asked, stage) {
+    let is_probe = (shared.port.is_readiness_probe)(request.method(), request.uri());
+    let status = match (is_probe, stage) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, EdgeStage::Ready) => StatusCode::OK,
         (true, EdgeStage::Starting | EdgeStage::Draining) => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut answer = Response::new(Full::new(Bytes::from(format!("{stage:?}\n"))));
-    *answer.status_mut() = status;
-    Ok(answer)
+    let mut response = Response::new(Full::new(Bytes::from(format!("{stage:?}\n"))));
+    *response.status_mut() = status;
+    Ok(response)
 }
--- a/crates/ragwortroad_edge/src/flight_guard.rs
+++ b/crates/ragwortroad_edge/src/in_flight_guard.rs
@@ -7,12 +7,12 @@
 /// A request at an endpoint, counted there until this is dropped.
 ///
 /// A count that is not taken back on some path would close the endpoint for good.
-pub(crate) struct FlightGuard {
+pub(crate) struct InFlightGuard {
     shared: Rc<EdgeShared>,
     key: EndpointKey,
 }
 
-impl FlightGuard {
+impl InFlightGuard {
     /// Counts a request at an endpoint.
     pub(crate) fn new(shared: &Rc<EdgeShared>, key: EndpointKey) -> Self {
         shared.state.borrow_mut().load_mut(key).begin();
@@ -28,7 +28,7 @@
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.shared.state.borrow_mut().load_mut(self.key).end();
     }
--- a/crates/ragwortroad_edge/src/lib.rs
+++ b/crates/ragwortroad_edge/src/lib.rs
@@ -5,9 +5,8 @@
 //! callers and endpoints name things is not known here: an [`EdgePort`](prelude::EdgePort) reads
 //! their headers and writes ours.
 
-mod caller_server;
-mod config_intake;
-mod config_share;
+mod config_exchange;
+mod config_update;
 mod connection_pool;
 mod domain_probe;
 mod edge_body;
@@ -21,16 +20,17 @@
 mod endpoint_choice;
 mod endpoint_connection;
 mod event_framer;
-mod flight_guard;
-mod gate_pass;
-mod refusal_answer;
+mod gate_permit;
+mod http_server;
+mod in_flight_guard;
 mod refusal_reason;
+mod refusal_response;
 mod registry_link;
-mod request_end;
+mod request_completion;
 mod request_flow;
 mod request_plan;
+mod request_progress;
 mod request_reading;
-mod request_way;
 mod service_gate;
 mod stream_body;
 #[cfg(test)]
--- a/crates/ragwortroad_edge/src/refusal_answer.rs
+++ b/crates/ragwortroad_edge/src/refusal_response.rs
@@ -15,19 +15,19 @@
 };
 
 /// The answer to a request that is not passed on, or from which nothing came.
-pub(crate) fn refusal_answer(
+pub(crate) fn refusal_response(
     reason: RefusalReason,
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
 ) -> Response<EdgeBody> {
-    let mut answer = Response::new(EdgeBody::whole(reason.message()));
-    *answer.status_mut() = reason.status();
-    let headers = answer.headers_mut();
+    let mut response = Response::new(EdgeBody::full(reason.message()));
+    *response.status_mut() = reason.status();
+    let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    if let Some(span) = come_back {
-        let text = format!("{:.3}", span.as_secs_f64());
+    if let Some(delay) = retry_after {
+        let text = format!("{:.3}", delay.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&text) {
             headers.insert(RETRY_AFTER, value);
         }
     }
-    answer
+    response
 }
--- a/crates/ragwortroad_edge/src/registry_link.rs
+++ b/crates/ragwortroad_edge/src/registry_link.rs
@@ -19,7 +19,7 @@
     /// Registries that it hears by its word.
     pub(crate) hears: u32,
     /// Whether it has told all that it knows on this connection.
-    pub(crate) has_told: bool,
+    pub(crate) has_sent_all: bool,
     /// Whether this edge takes it for its home: tells it its loads and places of texts, and hears
     /// those of the other edges from it.
     ///
@@ -40,7 +40,7 @@
             version: None,
             voters: 0,
             hears: 0,
-            has_told: false,
+            has_sent_all: false,
             is_home: false,
             totals: HashMap::new(),
             report: CountReport::default(),
@@ -48,7 +48,7 @@
     }
 
     /// The registry as it may be this edge's home.
-    pub(crate) fn as_home(&self) -> HomeCandidate {
+    pub(crate) fn home_candidate(&self) -> HomeCandidate {
         HomeCandidate {
             address: self.address,
             hears: self.hears,
@@ -65,7 +65,7 @@
     }
 
     /// Requests of other edges at an endpoint, as far as this registry tells.
-    pub(crate) fn others(&self, endpoint: EndpointTag) -> u32 {
+    pub(crate) fn other_edges_load(&self, endpoint: EndpointTag) -> u32 {
         let total = self.totals.get(&endpoint).copied().unwrap_or(0);
         total.saturating_sub(self.report.count(endpoint))
     }
--- a/crates/ragwortroad_edge/src/request_end.rs
+++ b/crates/ragwortroad_edge/src/request_completion.rs
@@ -10,51 +10,51 @@
 use crate::{
     edge_body::EdgeBody,
     edge_state::EdgeShared,
-    endpoint_call::WholeAnswer,
+    endpoint_call::FullResponse,
     endpoint_choice::ChosenEndpoint,
-    gate_pass::GatePass,
-    refusal_answer::refusal_answer,
+    gate_permit::GatePermit,
     refusal_reason::RefusalReason,
+    refusal_response::refusal_response,
     request_plan::RequestPlan,
-    request_way::RequestWay, //
+    request_progress::RequestProgress, //
 };
 
 /// Shortest and longest time after which a refused caller may come back.
 ///
 /// Spread, so that callers refused together do not return together.
-const COME_BACK_MS: (u64, u64) = (80, 240);
+const RETRY_AFTER_RANGE_MS: (u64, u64) = (80, 240);
 
 /// Hands a whole answer over.
-pub(crate) fn hand_over(
+pub(crate) fn forward_response(
     plan: &RequestPlan,
-    way: &RequestWay,
+    progress: &RequestProgress,
     chosen: &ChosenEndpoint,
-    pass: &GatePass,
-    answer: WholeAnswer,
+    permit: &GatePermit,
+    upstream: FullResponse,
 ) -> Response<EdgeBody> {
-    let reason = match answer.status.is_server_error() {
+    let reason = match upstream.status.is_server_error() {
         true => "endpoint_failed",
         false => "",
     };
     count_request(kind_label(plan), "answered", reason);
-    note_answer(plan, chosen);
+    record_response(plan, chosen);
     tracing::info!(
         request = plan.id,
         outcome = "answered",
         route = plan.rule().name,
-        status = answer.status.as_u16(),
+        status = upstream.status.as_u16(),
         endpoint = chosen.name,
         load = chosen.load,
         load_age_ms = chosen.load_age_ms(),
         version = plan.map.config().version,
-        attempts = way.attempts,
-        waited_ms = pass.waited.as_millis() as u64,
-        took_ms = plan.came_at.elapsed().as_millis() as u64,
+        attempts = progress.attempts,
+        waited_ms = permit.waited.as_millis() as u64,
+        took_ms = plan.received_at.elapsed().as_millis() as u64,
         "request over"
     );
-    let mut response = Response::new(EdgeBody::whole(answer.body));
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = answer.headers;
+    let mut response = Response::new(EdgeBody::full(upstream.body));
+    *response.status_mut() = upstream.status;
+    *response.headers_mut() = upstream.headers;
     response
 }
 
@@ -62,26 +62,26 @@
 pub(crate) fn refuse(
     shared: &EdgeShared,
     plan: &RequestPlan,
-    way: &RequestWay,
+    progress: &RequestProgress,
     reason: RefusalReason,
 ) -> Response<EdgeBody> {
     // A refusal that says "not run" must be true of every attempt, not just of the last one.
-    let is_promise = matches!(
+    let claims_not_run = matches!(
         reason,
         RefusalReason::Overload | RefusalReason::NotRun | RefusalReason::NoEndpoint
     );
-    let reason = match is_promise && way.may_have_run {
+    let reason = match claims_not_run && progress.may_have_run {
         true => RefusalReason::Unknown,
         false => reason,
     };
     count_request(kind_label(plan), "refused", reason.label());
     if reason == RefusalReason::Overload {
-        note_overload(shared, plan);
+        log_overload(shared, plan);
     }
-    let again = is_promise && !way.may_have_run;
-    let again = again.then(|| match reason {
-        RefusalReason::Overload => when_less(shared, plan),
-        _ => come_back(),
+    let retry_after = claims_not_run && !progress.may_have_run;
+    let retry_after = retry_after.then(|| match reason {
+        RefusalReason::Overload => overload_retry_after(shared, plan),
+        _ => short_retry_after(),
     });
     tracing::info!(
         request = plan.id,
@@ -89,13 +89,13 @@
         route = plan.rule().name,
         ?reason,
         version = plan.map.config().version,
-        attempts = way.attempts,
-        dials = way.dials,
-        come_back_ms = again.map(|span| span.as_millis() as u64),
-        took_ms = plan.came_at.elapsed().as_millis() as u64,
+        attempts = progress.attempts,
+        dials = progress.failed_dials,
+        come_back_ms = retry_after.map(|delay| delay.as_millis() as u64),
+        took_ms = plan.received_at.elapsed().as_millis() as u64,
         "request over"
     );
-    refusal_answer(reason, again)
+    refusal_response(reason, retry_after)
 }
 
 /// The kind of a request, for metrics.
@@ -114,25 +114,25 @@
 }
 
 /// Notes how long an answer took, and what was believed of the endpoint that gave it.
-pub(crate) fn note_answer(plan: &RequestPlan, chosen: &ChosenEndpoint) {
+pub(crate) fn record_response(plan: &RequestPlan, chosen: &ChosenEndpoint) {
     let kind = kind_label(plan);
-    let took = plan.came_at.elapsed();
+    let took = plan.received_at.elapsed();
     metrics::histogram!(metric_names::ANSWER_SECONDS, "kind" => kind).record(took);
     metrics::histogram!(metric_names::BELIEVED_LOAD).record(chosen.load);
     if !plan.facts.prompt_parts.is_empty() {
-        let held = if chosen.holds_text { "yes" } else { "no" };
+        let held = if chosen.holds_prefix { "yes" } else { "no" };
         metrics::counter!(metric_names::TEXT_PLACES, "held" => held).increment(1);
     }
 }
 
 /// Says what decided that a request was refused for load.
-fn note_overload(shared: &EdgeShared, plan: &RequestPlan) {
+fn log_overload(shared: &EdgeShared, plan: &RequestPlan) {
     let now = shared.now();
     let state = shared.state.borrow();
     let Some(gate) = state.gates.get(&plan.service) else {
         return;
     };
-    let told_at = state.loads_at;
+    let loads_received_at = state.loads_received_at;
     let gate = gate.gate();
     tracing::info!(
         request = plan.id,
@@ -143,27 +143,28 @@
         under_way = gate.under_way(),
         waiting = gate.waiting(),
         shedding_ms = gate.shedding_for(now).as_millis() as u64,
-        load_age_ms = told_at.map(|told_at| now.since(told_at).as_millis() as u64),
+        load_age_ms = loads_received_at
+            .map(|loads_received_at| now.since(loads_received_at).as_millis() as u64),
         "no room at the gate"
     );
 }
 
 /// When there will be less to do, for a caller that was refused for that.
-fn when_less(shared: &EdgeShared, plan: &RequestPlan) -> Duration {
+fn overload_retry_after(shared: &EdgeShared, plan: &RequestPlan) -> Duration {
     let state = shared.state.borrow();
     let gate = state.gates.get(&plan.service);
     let shedding = gate.map_or(Duration::ZERO, |gate| {
         gate.gate().shedding_for(shared.now())
     });
-    let patience = plan.facts.time_left.unwrap_or(plan.rule().timeout);
+    let time_left = plan.facts.time_left.unwrap_or(plan.rule().timeout);
     if !shared.settings.mechanisms.long_return {
-        return come_back();
+        return short_retry_after();
     }
-    come_back_time(shedding, patience, rand::random())
+    come_back_time(shedding, time_left, rand::random())
 }
 
 /// A short time, for callers whose refusal has nothing to do with the load.
-pub(crate) fn come_back() -> Duration {
-    let (least, most) = COME_BACK_MS;
-    Duration::from_millis(rand::rng().random_range(least..=most))
+pub(crate) fn short_retry_after() -> Duration {
+    let (min, max) = RETRY_AFTER_RANGE_MS;
+    Duration::from_millis(rand::rng().random_range(min..=max))
 }
--- a/crates/ragwortroad_edge/src/request_flow.rs
+++ b/crates/ragwortroad_edge/src/request_flow.rs
@@ -26,39 +26,39 @@
     edge_body::EdgeBody,
     edge_state::EdgeShared,
     endpoint_call::{
-        CallEnd,
+        CallOutcome,
         call_endpoint,
-        note_end, //
+        record_outcome, //
     },
     endpoint_choice::{
         ChosenEndpoint,
         choose_endpoint, //
     },
-    gate_pass::pass_gate,
-    refusal_answer::refusal_answer,
+    gate_permit::acquire_permit,
     refusal_reason::RefusalReason,
-    request_end::{
-        come_back,
+    refusal_response::refusal_response,
+    request_completion::{
         count_request,
-        hand_over,
+        forward_response,
         kind_label,
-        note_answer,
+        record_response,
         refuse, //
+        short_retry_after,
     },
     request_plan::RequestPlan,
+    request_progress::{
+        NextStep, //
+        RequestProgress,
+    },
     request_reading::{
-        START_POLL,
+        STARTUP_POLL_INTERVAL,
         read_plan, //
     },
-    request_way::{
-        RequestWay,
-        WayStep, //
-    },
     stream_body::StreamBody, //
 };
 
 /// Answers one request.
-pub(crate) async fn answer_caller(
+pub(crate) async fn handle_request(
     shared: Rc<EdgeShared>,
     request: Request<Incoming>,
 ) -> Result<Response<EdgeBody>, Infallible> {
@@ -66,83 +66,85 @@
         let now = shared.now();
         let mut state = shared.state.borrow_mut();
         state.in_flight += 1;
-        state.end_sooner_at = now;
+        state.last_activity_at = now;
     }
-    let mut counted = InFlight {
+    let mut counter = RequestCounter {
         shared: Rc::clone(&shared),
-        is_handed_over: false,
+        is_transferred: false,
     };
-    let mut answer = match read_plan(&shared, request).await {
-        Ok(plan) => pass_on(&shared, Rc::new(plan)).await,
+    let mut response = match read_plan(&shared, request).await {
+        Ok(plan) => forward_request(&shared, Rc::new(plan)).await,
         Err((reason, id)) => {
             tracing::info!(request = id, outcome = "refused", ?reason, "request over");
             count_request("unread", "refused", reason.label());
-            let again = match reason {
-                RefusalReason::Starting => Some(start_left(shared.running()) + come_back()),
-                RefusalReason::Stopping => Some(come_back()),
+            let retry_after = match reason {
+                RefusalReason::Starting => Some(start_left(shared.uptime()) + short_retry_after()),
+                RefusalReason::Stopping => Some(short_retry_after()),
                 _ => None,
             };
-            refusal_answer(reason, again)
+            refusal_response(reason, retry_after)
         }
     };
-    counted.is_handed_over = matches!(answer.body(), EdgeBody::Stream(_));
+    counter.is_transferred = matches!(response.body(), EdgeBody::Stream(_));
     if shared.state.borrow().stage == EdgeStage::Draining {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    Ok(answer)
+    Ok(response)
 }
 
 /// Counts a request as under way until its answer is there, or its stream counts itself.
-struct InFlight {
+struct RequestCounter {
     shared: Rc<EdgeShared>,
-    is_handed_over: bool,
+    is_transferred: bool,
 }
 
-impl Drop for InFlight {
+impl Drop for RequestCounter {
     fn drop(&mut self) {
-        if !self.is_handed_over {
+        if !self.is_transferred {
             self.shared.state.borrow_mut().in_flight -= 1;
         }
     }
 }
 
 /// Passes a request on until an endpoint has answered it or it must be refused.
-async fn pass_on(shared: &Rc<EdgeShared>, plan: Rc<RequestPlan>) -> Response<EdgeBody> {
-    let mut way = RequestWay::default();
-    earn_repeat(shared, &plan);
-    let Some(pass) = pass_gate(shared, &plan).await else {
-        return refuse(shared, &plan, &way, RefusalReason::Overload);
+async fn forward_request(shared: &Rc<EdgeShared>, plan: Rc<RequestPlan>) -> Response<EdgeBody> {
+    let mut progress = RequestProgress::default();
+    deposit_retry(shared, &plan);
+    let Some(permit) = acquire_permit(shared, &plan).await else {
+        return refuse(shared, &plan, &progress, RefusalReason::Overload);
     };
     // Endpoints announce themselves anew once registries are there.
-    let time_left = plan.deadline.saturating_duration_since(plan.came_at);
-    let wait_end = plan.came_at + shared.start_wait(time_left);
+    let time_left = plan.deadline.saturating_duration_since(plan.received_at);
+    let wait_until = plan.received_at + shared.start_wait(time_left);
     loop {
-        let may_wait = way.tried.is_empty() && Instant::now() < wait_end;
+        let may_wait = progress.tried.is_empty() && Instant::now() < wait_until;
         // If callers of a whole second were all sent to the first engines that announced themselves,
         // those would read all texts anew, and each caller would wait for two seconds.
-        let awaits = shared.settings.mechanisms.holder_wait && may_wait;
-        if awaits && awaits_holder(shared, &plan) {
-            sleep(START_POLL).await;
+        let waits_for_holder = shared.settings.mechanisms.holder_wait && may_wait;
+        if waits_for_holder && awaits_holder(shared, &plan) {
+            sleep(STARTUP_POLL_INTERVAL).await;
             continue;
         }
-        let Some(chosen) = choose_endpoint(shared, &plan, &way.tried) else {
+        let Some(chosen) = choose_endpoint(shared, &plan, &progress.tried) else {
             if may_wait {
-                sleep(START_POLL).await;
+                sleep(STARTUP_POLL_INTERVAL).await;
                 continue;
             }
-            return refuse(shared, &plan, &way, RefusalReason::NoEndpoint);
+            return refuse(shared, &plan, &progress, RefusalReason::NoEndpoint);
         };
-        way.tried.push(chosen.key);
-        let end = await_endpoint(shared, &plan, &way, &chosen).await;
-        let step = way.take(shared, &plan, &chosen, end);
-        match step {
-            WayStep::Again => {}
-            WayStep::Refuse(reason) => return refuse(shared, &plan, &way, reason),
-            WayStep::Answer(answer) => return hand_over(&plan, &way, &chosen, &pass, answer),
-            WayStep::Stream(run) => {
+        progress.tried.push(chosen.key);
+        let outcome = await_endpoint(shared, &plan, &progress, &chosen).await;
+        let next_step = progress.record(shared, &plan, &chosen, outcome);
+        match next_step {
+            NextStep::Retry => {}
+            NextStep::Refuse(reason) => return refuse(shared, &plan, &progress, reason),
+            NextStep::Respond(response) => {
+                return forward_response(&plan, &progress, &chosen, &permit, response);
+            }
+            NextStep::Stream(upstream) => {
                 count_request(kind_label(&plan), "stream", "");
-                note_answer(&plan, &chosen);
+                record_response(&plan, &chosen);
                 tracing::info!(
                     request = plan.id,
                     outcome = "stream",
@@ -151,32 +153,32 @@
                     load = chosen.load,
                     load_age_ms = chosen.load_age_ms(),
                     version = plan.map.config().version,
-                    among = chosen.among,
+                    among = chosen.candidate_count,
                     text = plan.facts.shared_prefix(),
                     tokens = plan.facts.shared_prefix_tokens(),
-                    holds_text = chosen.holds_text,
+                    holds_text = chosen.holds_prefix,
                     text_from = chosen
                         .prefix_source
                         .as_ref()
                         .map(|source| source.name.as_str()),
-                    attempts = way.attempts,
-                    waited_ms = pass.waited.as_millis() as u64,
-                    took_ms = plan.came_at.elapsed().as_millis() as u64,
+                    attempts = progress.attempts,
+                    waited_ms = permit.waited.as_millis() as u64,
+                    took_ms = plan.received_at.elapsed().as_millis() as u64,
                     "request answered"
                 );
-                let mut answer = Response::new(EdgeBody::whole(Bytes::new()));
-                *answer.status_mut() = run.status;
-                *answer.headers_mut() = run.headers.clone();
+                let mut response = Response::new(EdgeBody::full(Bytes::new()));
+                *response.status_mut() = upstream.status;
+                *response.headers_mut() = upstream.headers.clone();
                 let stream = StreamBody::new(
                     shared,
                     Rc::clone(&plan),
-                    run,
-                    way.tried.clone(),
-                    way.attempts,
-                    pass,
+                    upstream,
+                    progress.tried.clone(),
+                    progress.attempts,
+                    permit,
                 );
-                *answer.body_mut() = EdgeBody::Stream(Box::new(stream));
-                return answer;
+                *response.body_mut() = EdgeBody::Stream(Box::new(stream));
+                return response;
             }
         }
     }
@@ -186,29 +188,29 @@
 async fn await_endpoint(
     shared: &Rc<EdgeShared>,
     plan: &RequestPlan,
-    way: &RequestWay,
+    progress: &RequestProgress,
     chosen: &ChosenEndpoint,
-) -> CallEnd {
+) -> CallOutcome {
     let time_left = plan.deadline.saturating_duration_since(Instant::now());
     let patience = answer_patience(plan.rule().target, time_left);
-    let mut end_soon = shared.end_soon.subscribe();
+    let mut shutdown_imminent = shared.shutdown_imminent.subscribe();
     // The sender lives as long as the edge, so this ends only by the last call.
-    let last_call = end_soon.wait_for(|is_last| *is_last);
-    let calling = call_endpoint(shared, plan, chosen, plan.facts.last_event_id);
-    tokio::pin!(last_call, calling);
+    let shutdown_notice = shutdown_imminent.wait_for(|is_imminent| *is_imminent);
+    let call = call_endpoint(shared, plan, chosen, plan.facts.last_event_id);
+    tokio::pin!(shutdown_notice, call);
     tokio::select! {
-        end = &mut calling => return end,
-        _ = &mut last_call => return CallEnd::TimedOut,
+        outcome = &mut call => return outcome,
+        _ = &mut shutdown_notice => return CallOutcome::TimedOut,
         () = sleep(patience) => {}
     }
-    let is_on = shared.settings.mechanisms.silence && !is_shedding(shared, plan);
-    if is_on && way.may_leave(shared, plan) {
-        note_end(shared, chosen, &CallEnd::Silent);
-        return CallEnd::Silent;
+    let is_enabled = shared.settings.mechanisms.silence && !is_shedding(shared, plan);
+    if is_enabled && progress.may_abandon(shared, plan) {
+        record_outcome(shared, chosen, &CallOutcome::NoResponse);
+        return CallOutcome::NoResponse;
     }
     tokio::select! {
-        end = calling => end,
-        _ = last_call => CallEnd::TimedOut,
+        outcome = call => outcome,
+        _ = shutdown_notice => CallOutcome::TimedOut,
     }
 }
 
@@ -224,12 +226,12 @@
 
 /// Whether the engine that holds the request's text has yet to announce itself.
 fn awaits_holder(shared: &EdgeShared, plan: &RequestPlan) -> bool {
-    let text = plan.facts.shared_prefix();
+    let prefix = plan.facts.shared_prefix();
     let state = shared.state.borrow();
-    text.is_some_and(|text| state.awaits_holder(text, shared.now()))
+    prefix.is_some_and(|prefix| state.awaits_holder(prefix, shared.now()))
 }
 
-fn earn_repeat(shared: &EdgeShared, plan: &RequestPlan) {
+fn deposit_retry(shared: &EdgeShared, plan: &RequestPlan) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
     let edges = state.edges;
--- a/crates/ragwortroad_edge/src/request_plan.rs
+++ b/crates/ragwortroad_edge/src/request_plan.rs
@@ -31,17 +31,17 @@
     /// Identity of the caller's attempt.
     pub(crate) id: String,
     pub(crate) method: Method,
-    pub(crate) target: Uri,
+    pub(crate) uri: Uri,
     /// The caller's headers without those of its connection.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    pub(crate) came_at: Instant,
+    pub(crate) received_at: Instant,
     /// When the caller or the operator ends it.
     pub(crate) deadline: Instant,
 }
 
 /// Headers that concern one connection only.
-const CONNECTION_HEADERS: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -56,7 +56,7 @@
 /// Removes headers that concern one connection only, with those that it names.
 ///
 /// Passed on, they would make the next hop read the message's end elsewhere than we do.
-pub(crate) fn strip_connection(headers: &mut HeaderMap) {
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -67,7 +67,7 @@
     for name in named {
         headers.remove(name);
     }
-    for name in CONNECTION_HEADERS {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
@@ -90,18 +90,18 @@
     let host = host.or(request.uri().host()).unwrap_or_default();
     let route = map.find(host, request.uri().path());
     let route = route.ok_or(RefusalReason::NoRoute)?;
-    let known = facts
+    let customer = facts
         .api_key
         .as_deref()
         .and_then(|key| map.customer_of(key));
     let needs_key = map.asks_for_keys() && !map.route(route).is_open;
-    if needs_key && known.is_none() {
+    if needs_key && customer.is_none() {
         return Err(RefusalReason::UnknownKey);
     }
     let id = facts.id.clone().ok_or(RefusalReason::NoIdentity)?;
     Ok(RequestTarget {
         route,
-        customer: known,
+        customer,
         id,
     })
 }
--- a/crates/ragwortroad_edge/src/request_way.rs
+++ b/crates/ragwortroad_edge/src/request_progress.rs
@@ -5,9 +5,9 @@
 use crate::{
     edge_state::EdgeShared,
     endpoint_call::{
-        CallEnd,
-        EventAnswer,
-        WholeAnswer, //
+        CallOutcome,
+        EventStream,
+        FullResponse, //
     },
     endpoint_choice::ChosenEndpoint,
     refusal_reason::RefusalReason,
@@ -18,121 +18,123 @@
 ///
 /// A failure to connect costs up to the connect timeout; after several, a refusal that names a time
 /// serves the caller better than further attempts.
-const MAX_DIALS: u32 = 3;
+const MAX_FAILED_DIALS: u32 = 3;
 
 /// What has become of a request so far.
 #[derive(Default)]
-pub(crate) struct RequestWay {
+pub(crate) struct RequestProgress {
     pub(crate) tried: Vec<EndpointKey>,
     /// Endpoints that were sent the request.
     pub(crate) attempts: u32,
     /// Endpoints that could not be reached.
-    pub(crate) dials: u32,
+    pub(crate) failed_dials: u32,
     /// Whether some endpoint may have run it.
     pub(crate) may_have_run: bool,
 }
 
 /// What comes next.
-pub(crate) enum WayStep {
-    Again,
+pub(crate) enum NextStep {
+    Retry,
     Refuse(RefusalReason),
-    Answer(WholeAnswer),
-    Stream(Box<EventAnswer>),
+    Respond(FullResponse),
+    Stream(Box<EventStream>),
 }
 
-impl RequestWay {
+impl RequestProgress {
     /// Takes what came of one endpoint, and says what comes next.
-    pub(crate) fn take(
+    pub(crate) fn record(
         &mut self,
         shared: &EdgeShared,
         plan: &RequestPlan,
         chosen: &ChosenEndpoint,
-        end: CallEnd,
-    ) -> WayStep {
-        let (reason, refusal) = match end {
-            CallEnd::Whole(answer) => return self.take_answer(shared, plan, chosen, answer),
-            CallEnd::Events(run) => {
+        outcome: CallOutcome,
+    ) -> NextStep {
+        let (reason, refusal) = match outcome {
+            CallOutcome::Full(response) => {
+                return self.handle_response(shared, plan, chosen, response);
+            }
+            CallOutcome::Events(upstream) => {
                 self.attempts += 1;
-                return WayStep::Stream(run);
+                return NextStep::Stream(upstream);
             }
-            CallEnd::NotSent { reason, .. } => {
-                self.dials += 1;
-                self.note(plan, chosen, &reason);
-                return match self.dials < MAX_DIALS {
-                    true => WayStep::Again,
-                    false => WayStep::Refuse(RefusalReason::NoEndpoint),
+            CallOutcome::NotSent { reason, .. } => {
+                self.failed_dials += 1;
+                self.log_failure(plan, chosen, &reason);
+                return match self.failed_dials < MAX_FAILED_DIALS {
+                    true => NextStep::Retry,
+                    false => NextStep::Refuse(RefusalReason::NoEndpoint),
                 };
             }
-            CallEnd::TimedOut => {
+            CallOutcome::TimedOut => {
                 self.may_have_run = true;
-                return WayStep::Refuse(RefusalReason::TimedOut);
+                return NextStep::Refuse(RefusalReason::TimedOut);
             }
-            CallEnd::Silent => {
+            CallOutcome::NoResponse => {
                 self.may_have_run = true;
                 self.attempts += 1;
-                self.note(plan, chosen, "silent");
-                return WayStep::Again;
+                self.log_failure(plan, chosen, "silent");
+                return NextStep::Retry;
             }
-            CallEnd::NotRun => ("not run".to_owned(), RefusalReason::NotRun),
-            CallEnd::Misdirected => (
+            CallOutcome::NotRun => ("not run".to_owned(), RefusalReason::NotRun),
+            CallOutcome::Misdirected => (
                 "another endpoint is there".to_owned(),
                 RefusalReason::NotRun,
             ),
-            CallEnd::Lost { reason, .. } => {
+            CallOutcome::Lost { reason, .. } => {
                 self.may_have_run = true;
                 (reason, RefusalReason::Unknown)
             }
         };
         self.attempts += 1;
         metrics::counter!(metric_names::FAILED_ATTEMPTS, "reason" => refusal.label()).increment(1);
-        self.note(plan, chosen, &reason);
+        self.log_failure(plan, chosen, &reason);
         let may_repeat = !self.may_have_run || plan.rule().is_repeatable();
-        match may_repeat && self.may_try_again(shared, plan) {
-            true => WayStep::Again,
-            false => WayStep::Refuse(refusal),
+        match may_repeat && self.try_retry(shared, plan) {
+            true => NextStep::Retry,
+            false => NextStep::Refuse(refusal),
         }
     }
 
     /// Passes an answer on, unless it is a failure that another endpoint may do better.
-    fn take_answer(
+    fn handle_response(
         &mut self,
         shared: &EdgeShared,
         plan: &RequestPlan,
         chosen: &ChosenEndpoint,
-        answer: WholeAnswer,
-    ) -> WayStep {
+        response: FullResponse,
+    ) -> NextStep {
         self.attempts += 1;
-        let is_failure = answer.status.is_server_error();
-        if !is_failure || !plan.rule().is_repeatable() || !self.may_try_again(shared, plan) {
-            return WayStep::Answer(answer);
+        let is_failure = response.status.is_server_error();
+        if !is_failure || !plan.rule().is_repeatable() || !self.try_retry(shared, plan) {
+            return NextStep::Respond(response);
         }
         self.may_have_run = true;
-        self.note(plan, chosen, answer.status.as_str());
-        WayStep::Again
+        self.log_failure(plan, chosen, response.status.as_str());
+        NextStep::Retry
     }
 
     /// Whether a request under way at an endpoint may be sent to another one instead.
-    pub(crate) fn may_leave(&self, shared: &EdgeShared, plan: &RequestPlan) -> bool {
+    pub(crate) fn may_abandon(&self, shared: &EdgeShared, plan: &RequestPlan) -> bool {
         let is_last = self.attempts + 1 >= plan.rule().max_attempts;
-        plan.rule().is_repeatable() && !is_last && self.may_try_again(shared, plan)
+        plan.rule().is_repeatable() && !is_last && self.try_retry(shared, plan)
     }
 
-    fn may_try_again(&self, shared: &EdgeShared, plan: &RequestPlan) -> bool {
-        let is_on = shared.settings.mechanisms.repeats;
-        let is_within = is_on && self.attempts < plan.rule().max_attempts;
+    fn try_retry(&self, shared: &EdgeShared, plan: &RequestPlan) -> bool {
+        let is_enabled = shared.settings.mechanisms.repeats;
+        let has_attempts_left = is_enabled && self.attempts < plan.rule().max_attempts;
         let has_time = Instant::now() < plan.deadline;
-        is_within && has_time && {
+        has_attempts_left && has_time && {
             let now = shared.now();
             let mut state = shared.state.borrow_mut();
             let budget = state.budget_mut(&plan.service, &shared.settings, now);
-            let may = budget.spend();
-            let outcome = if may { "made" } else { "over_budget" };
+            let may_retry = budget.spend();
+            let outcome = if may_retry { "made" } else { "over_budget" };
             metrics::counter!(metric_names::REPEATS, "outcome" => outcome).increment(1);
-            may
+            may_retry
         }
     }
 
-    fn note(&self, plan: &RequestPlan, chosen: &ChosenEndpoint, reason: &str) {
+    fn log_failure(&self, plan: &RequestPlan, chosen: &ChosenEndpoint, reason: &str) {
         tracing::info!(
             request = plan.id,
             endpoint = chosen.name,
--- a/crates/ragwortroad_edge/src/request_reading.rs
+++ b/crates/ragwortroad_edge/src/request_reading.rs
@@ -30,55 +30,55 @@
     request_plan::{
         RequestPlan,
         find_target,
-        strip_connection, //
+        strip_hop_by_hop, //
     }, //
 };
 
 /// Time between two looks of a request that waits for a starting edge; each costs a wake-up.
-pub(crate) const START_POLL: Duration = Duration::from_millis(25);
+pub(crate) const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Longest time for which a request without a deadline of its own is kept.
-const DEFAULT_TIME: Duration = Duration::from_secs(60);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time in which nearly all answers of plain services are there.
-const ANSWER_TIME: Duration = Duration::from_millis(1200);
+const TYPICAL_RESPONSE_TIME: Duration = Duration::from_millis(1200);
 
 /// Reads a request in full and finds out what it is about.
 pub(crate) async fn read_plan(
     shared: &EdgeShared,
     request: Request<Incoming>,
 ) -> Result<RequestPlan, (RefusalReason, Option<String>)> {
-    let came_at = Instant::now();
+    let received_at = Instant::now();
     let facts = (shared.port.parse_request)(request.headers());
     let id = facts.id.clone();
     let (head, body) = request.into_parts();
-    let known = shared.state.borrow().map.clone();
-    let (map, body) = match known {
-        Some(map) => (map, RequestBody::Coming(body)),
+    let current_map = shared.state.borrow().map.clone();
+    let (map, body) = match current_map {
+        Some(map) => (map, RequestBody::Unread(body)),
         None => {
-            let found = await_map(shared, &facts, body, came_at).await;
-            found.map_err(|reason| (reason, id.clone()))?
+            let loaded = await_config(shared, &facts, body, received_at).await;
+            loaded.map_err(|reason| (reason, id.clone()))?
         }
     };
     // What is left of the request once its body is taken out.
     let request = Request::from_parts(head, ());
     let target = find_target(&map, &request, &facts).map_err(|reason| (reason, id.clone()))?;
     let rule = map.route(target.route);
-    let patience = facts.time_left.unwrap_or(DEFAULT_TIME).min(rule.timeout);
-    let deadline = came_at + patience;
-    if !has_time_here(shared, rule, deadline) {
+    let timeout = facts.time_left.unwrap_or(DEFAULT_TIMEOUT).min(rule.timeout);
+    let deadline = received_at + timeout;
+    if !can_finish_before_shutdown(shared, rule, deadline) {
         return Err((RefusalReason::Stopping, id));
     }
     let service = map.draw_target(target.route, rand::random()).to_owned();
     let limit = map.config().limits.max_body_bytes;
     let body = match body {
-        RequestBody::Coming(body) => read_body(body, limit, deadline).await,
+        RequestBody::Unread(body) => read_body(body, limit, deadline).await,
         RequestBody::Read(body) if body.len() > limit => Err(RefusalReason::TooLarge),
         RequestBody::Read(body) => Ok(body),
     };
     let body = body.map_err(|reason| (reason, id))?;
     let (mut parts, ()) = request.into_parts();
-    strip_connection(&mut parts.headers);
+    strip_hop_by_hop(&mut parts.headers);
     let path = parts.uri.path_and_query().cloned();
     Ok(RequestPlan {
         route: target.route,
@@ -90,10 +90,10 @@
         },
         id: target.id,
         method: parts.method,
-        target: path.map_or(parts.uri, Uri::from),
+        uri: path.map_or(parts.uri, Uri::from),
         headers: parts.headers,
         body,
-        came_at,
+        received_at,
         deadline,
         map,
     })
@@ -101,32 +101,32 @@
 
 /// A request's body, still on its way or read before anything was known of its route.
 enum RequestBody {
-    Coming(Incoming),
+    Unread(Incoming),
     Read(Bytes),
 }
 
 /// Waits for the first configuration, as long as this edge is starting.
 ///
 /// The body is read first: callers take an edge that does not read for one that is gone.
-async fn await_map(
+async fn await_config(
     shared: &EdgeShared,
     facts: &RequestMetadata,
     body: Incoming,
-    came_at: Instant,
+    received_at: Instant,
 ) -> Result<(Rc<RouteMap>, RequestBody), RefusalReason> {
-    let time_left = facts.time_left.unwrap_or(DEFAULT_TIME);
-    let wait_end = came_at + shared.start_wait(time_left);
+    let time_left = facts.time_left.unwrap_or(DEFAULT_TIMEOUT);
+    let wait_until = received_at + shared.start_wait(time_left);
     let limit = CallerLimits::default().max_body_bytes;
-    let body = read_body(body, limit, came_at + time_left).await?;
+    let body = read_body(body, limit, received_at + time_left).await?;
     loop {
-        let known = shared.state.borrow().map.clone();
-        if let Some(map) = known {
+        let current_map = shared.state.borrow().map.clone();
+        if let Some(map) = current_map {
             return Ok((map, RequestBody::Read(body)));
         }
-        if Instant::now() >= wait_end {
+        if Instant::now() >= wait_until {
             return Err(RefusalReason::Starting);
         }
-        sleep(START_POLL).await;
+        sleep(STARTUP_POLL_INTERVAL).await;
     }
 }
 
@@ -134,15 +134,15 @@
 ///
 /// Callers who keep an answer of the directory for long come some seconds after an edge was told to
 /// stop. What it takes on then and cannot finish is cut; refused at once, they go elsewhere.
-fn has_time_here(shared: &EdgeShared, rule: &RouteRule, deadline: Instant) -> bool {
-    let Some(ends_at) = shared.state.borrow().ends_at else {
+fn can_finish_before_shutdown(shared: &EdgeShared, rule: &RouteRule, deadline: Instant) -> bool {
+    let Some(shutdown_at) = shared.state.borrow().shutdown_at else {
         return true;
     };
     match rule.kind {
         // How long a stream takes is known when it is over.
-        RequestKind::Stream => ends_at >= deadline,
+        RequestKind::Stream => shutdown_at >= deadline,
         RequestKind::Safe | RequestKind::Unsafe => {
-            ends_at >= deadline.min(Instant::now() + ANSWER_TIME)
+            shutdown_at >= deadline.min(Instant::now() + TYPICAL_RESPONSE_TIME)
         }
     }
 }
--- a/crates/ragwortroad_edge/src/service_gate.rs
+++ b/crates/ragwortroad_edge/src/service_gate.rs
@@ -12,25 +12,25 @@
 pub(crate) struct ServiceGate {
     gate: AdmissionGate,
     /// Learned limit, where the fleet's load does not tell one.
-    learned: LatencyLimit,
+    latency_limit: LatencyLimit,
     /// Whether the limit comes from the fleet's load.
-    is_told: bool,
+    has_fleet_limit: bool,
     /// Tells a waiting task that it may go on; dropped where it may not.
     waiting: HashMap<WaitTicket, oneshot::Sender<()>>,
 }
 
 /// How a request gets past a gate.
-pub(crate) enum GateWay {
-    Open,
-    Wait(WaitTicket, oneshot::Receiver<()>),
+pub(crate) enum GateDecision {
+    Admitted,
+    Queued(WaitTicket, oneshot::Receiver<()>),
 }
 
 impl ServiceGate {
     pub(crate) fn new(now: ClockTime) -> Self {
         Self {
             gate: AdmissionGate::new(now),
-            learned: LatencyLimit::default(),
-            is_told: false,
+            latency_limit: LatencyLimit::default(),
+            has_fleet_limit: false,
             waiting: HashMap::new(),
         }
     }
@@ -46,37 +46,37 @@
     }
 
     /// Sets the limit by what is known of the engines' load, or else by what was learned.
-    pub(crate) fn follow(&mut self, fleet: Option<FleetLoad>, now: ClockTime) {
-        self.is_told = fleet.is_some();
-        let limit = fleet.map_or(self.learned.limit(), |fleet| fleet.own_limit());
+    pub(crate) fn update_limit(&mut self, fleet: Option<FleetLoad>, now: ClockTime) {
+        self.has_fleet_limit = fleet.is_some();
+        let limit = fleet.map_or(self.latency_limit.limit(), |fleet| fleet.own_limit());
         self.gate.set_limit(limit, now);
-        self.settle(now);
+        self.wake_waiters(now);
     }
 
     /// Notes how long an answer of a plain service took, and the time it should take.
-    pub(crate) fn note_answer(&mut self, took: Duration, target: Duration, now: ClockTime) {
+    pub(crate) fn record_response(&mut self, took: Duration, target: Duration, now: ClockTime) {
         let under_way = self.gate.under_way();
-        if !self.is_told && self.learned.note(took, target, under_way) {
-            self.gate.set_limit(self.learned.limit(), now);
-            self.settle(now);
+        if !self.has_fleet_limit && self.latency_limit.note(took, target, under_way) {
+            self.gate.set_limit(self.latency_limit.limit(), now);
+            self.wake_waiters(now);
         }
     }
 
-    pub(crate) fn offer(&mut self, offer: GateOffer, now: ClockTime) -> GateWay {
+    pub(crate) fn offer(&mut self, offer: GateOffer, now: ClockTime) -> GateDecision {
         match self.gate.offer(offer, now) {
-            GateAnswer::Admitted => GateWay::Open,
+            GateAnswer::Admitted => GateDecision::Admitted,
             GateAnswer::Waiting(ticket) => {
                 let (sender, receiver) = oneshot::channel();
                 self.waiting.insert(ticket, sender);
-                self.settle(now);
-                GateWay::Wait(ticket, receiver)
+                self.wake_waiters(now);
+                GateDecision::Queued(ticket, receiver)
             }
         }
     }
 
-    pub(crate) fn leave(&mut self, now: ClockTime) {
+    pub(crate) fn release(&mut self, now: ClockTime) {
         self.gate.leave(now);
-        self.settle(now);
+        self.wake_waiters(now);
     }
 
     /// The task of a ticket waits no longer; tells whether it was called, and so has a place.
@@ -84,24 +84,24 @@
     /// A task may end after it was called and before it has noticed, as its caller leaves or its
     /// patience ends at that moment. The place of one that was not asked here would be lost for good,
     /// and after some hundred of them the edge would refuse everybody.
-    pub(crate) fn end_wait(
+    pub(crate) fn finish_wait(
         &mut self,
         ticket: WaitTicket,
-        called: &mut oneshot::Receiver<()>,
+        admission: &mut oneshot::Receiver<()>,
         now: ClockTime,
     ) -> bool {
-        if called.try_recv().is_ok() {
+        if admission.try_recv().is_ok() {
             return true;
         }
-        self.settle(now);
+        self.wake_waiters(now);
         if self.waiting.remove(&ticket).is_some() {
             self.gate.give_up(ticket);
         }
-        called.try_recv().is_ok()
+        admission.try_recv().is_ok()
     }
 
     /// Lets go on who may, and ends the wait of who waits in vain.
-    fn settle(&mut self, now: ClockTime) {
+    fn wake_waiters(&mut self, now: ClockTime) {
         while let Some(ticket) = self.gate.call_next(now) {
             let sender = self.waiting.remove(&ticket);
             // A task that has just ended leaves its place to the next one.
--- a/crates/ragwortroad_edge/src/stream_body.rs
+++ b/crates/ragwortroad_edge/src/stream_body.rs
@@ -28,13 +28,13 @@
     EventFramer,
     edge_state::EdgeShared,
     endpoint_call::{
-        CallEnd,
-        EventAnswer,
+        CallOutcome,
+        EventStream,
         call_endpoint,
-        keep_connection, //
+        return_connection, //
     },
     endpoint_choice::choose_endpoint,
-    gate_pass::GatePass,
+    gate_permit::GatePermit,
     request_plan::RequestPlan, //
 };
 
@@ -42,24 +42,24 @@
 ///
 /// Callers give a stream up after two seconds without an event at least. An engine that is well
 /// sends one every quarter of a second, so this is no engine at work, and the caller still waits.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1500);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Time beyond the deadline in which a stream's last events may still come.
-const LAST_EVENTS: Duration = Duration::from_millis(200);
+const FINAL_EVENTS_GRACE: Duration = Duration::from_millis(200);
 
 /// A stream that cannot be brought to its end; the caller's connection breaks off.
 #[derive(Clone, Copy, Debug)]
 #[derive(Snafu)]
 #[snafu(display("the stream broke off ({reason}); resume it behind its last event"))]
-pub(crate) struct StreamBroken {
+pub(crate) struct StreamError {
     reason: &'static str,
 }
 
 /// What a caller gets next; nothing at the end.
-type NextEvents = Option<Result<Frame<Bytes>, StreamBroken>>;
+type NextEvents = Option<Result<Frame<Bytes>, StreamError>>;
 
 /// The search for a run that goes on with a stream.
-type ResumeFuture = Pin<Box<dyn Future<Output = Option<Box<EventAnswer>>>>>;
+type ResumeFuture = Pin<Box<dyn Future<Output = Option<Box<EventStream>>>>>;
 
 /// Events of an endpoint on their way to a caller.
 ///
@@ -69,7 +69,7 @@
     shared: Rc<EdgeShared>,
     plan: Rc<RequestPlan>,
     /// The present run; nothing while another one is sought.
-    run: Option<Box<EventAnswer>>,
+    upstream: Option<Box<EventStream>>,
     resuming: Option<ResumeFuture>,
     framer: EventFramer,
     tried: Vec<EndpointKey>,
@@ -79,39 +79,39 @@
     /// Longest time without bytes between two events.
     longest_pause: Duration,
     /// Latest time at which something must have come.
-    alarm: Pin<Box<Sleep>>,
+    timer: Pin<Box<Sleep>>,
     last_bytes_at: Instant,
     is_over: bool,
     /// Held until the caller has everything, or has left.
-    _pass: GatePass,
+    _permit: GatePermit,
 }
 
 impl StreamBody {
     pub(crate) fn new(
         shared: &Rc<EdgeShared>,
         plan: Rc<RequestPlan>,
-        run: Box<EventAnswer>,
+        upstream: Box<EventStream>,
         tried: Vec<EndpointKey>,
         attempts: u32,
-        pass: GatePass,
+        permit: GatePermit,
     ) -> Self {
         let now = Instant::now();
         let mut body = Self {
             shared: Rc::clone(shared),
             plan,
-            run: Some(run),
+            upstream: Some(upstream),
             resuming: None,
             framer: EventFramer::default(),
             tried,
             attempts,
             events: 0,
             longest_pause: Duration::ZERO,
-            alarm: Box::pin(sleep_until(now)),
+            timer: Box::pin(sleep_until(now)),
             last_bytes_at: now,
             is_over: false,
-            _pass: pass,
+            _permit: permit,
         };
-        body.set_alarm();
+        body.reset_timer();
         body
     }
 
@@ -122,38 +122,38 @@
                 return Poll::Ready(None);
             }
             if let Some(resuming) = &mut self.resuming {
-                let Poll::Ready(run) = resuming.as_mut().poll(context) else {
+                let Poll::Ready(upstream) = resuming.as_mut().poll(context) else {
                     return Poll::Pending;
                 };
                 self.resuming = None;
-                let Some(run) = run else {
+                let Some(upstream) = upstream else {
                     return self.fail("no endpoint goes on with it");
                 };
-                self.tried.push(run.guard.key());
-                self.run = Some(run);
+                self.tried.push(upstream.guard.key());
+                self.upstream = Some(upstream);
                 self.last_bytes_at = Instant::now();
-                self.set_alarm();
+                self.reset_timer();
             }
-            match self.poll_run(context) {
+            match self.poll_upstream(context) {
                 Poll::Pending => {
-                    if let Some(reason) = self.poll_alarm(context) {
-                        if let Some(failure) = self.break_off(reason) {
+                    if let Some(reason) = self.poll_timer(context) {
+                        if let Some(failure) = self.handle_break(reason) {
                             return failure;
                         }
                         continue;
                     }
                     return Poll::Pending;
                 }
-                Poll::Ready(RunStep::Events(bytes)) => {
+                Poll::Ready(UpstreamStep::Events(bytes)) => {
                     return Poll::Ready(Some(Ok(Frame::data(bytes))));
                 }
-                Poll::Ready(RunStep::Partial) => {}
-                Poll::Ready(RunStep::End) => {
+                Poll::Ready(UpstreamStep::Partial) => {}
+                Poll::Ready(UpstreamStep::End) => {
                     self.finish();
                     return Poll::Ready(None);
                 }
-                Poll::Ready(RunStep::Broken(reason)) => {
-                    if let Some(failure) = self.break_off(reason) {
+                Poll::Ready(UpstreamStep::Broken(reason)) => {
+                    if let Some(failure) = self.handle_break(reason) {
                         return failure;
                     }
                 }
@@ -161,29 +161,31 @@
         }
     }
 
-    fn poll_run(&mut self, context: &mut Context<'_>) -> Poll<RunStep> {
-        let Some(run) = &mut self.run else {
-            return Poll::Ready(RunStep::Broken("no run"));
+    fn poll_upstream(&mut self, context: &mut Context<'_>) -> Poll<UpstreamStep> {
+        let Some(upstream) = &mut self.upstream else {
+            return Poll::Ready(UpstreamStep::Broken("no run"));
         };
-        let body: Pin<&mut Incoming> = Pin::new(&mut run.body);
+        let body: Pin<&mut Incoming> = Pin::new(&mut upstream.body);
         let frame = match body.poll_frame(context) {
             Poll::Pending => return Poll::Pending,
             Poll::Ready(frame) => frame,
         };
         Poll::Ready(match frame {
-            None if self.framer.has_partial_event() => RunStep::Broken("it ended within an event"),
-            None => RunStep::End,
+            None if self.framer.has_partial_event() => {
+                UpstreamStep::Broken("it ended within an event")
+            }
+            None => UpstreamStep::End,
             Some(Err(error)) => {
                 tracing::debug!(%error, "a stream broke");
-                RunStep::Broken("the endpoint broke off")
+                UpstreamStep::Broken("the endpoint broke off")
             }
             Some(Ok(frame)) => self.take_frame(frame),
         })
     }
 
-    fn take_frame(&mut self, frame: Frame<Bytes>) -> RunStep {
+    fn take_frame(&mut self, frame: Frame<Bytes>) -> UpstreamStep {
         let Ok(bytes) = frame.into_data() else {
-            return RunStep::Partial;
+            return UpstreamStep::Partial;
         };
         let now = Instant::now();
         let pause = now - self.last_bytes_at;
@@ -192,34 +194,34 @@
         match self.framer.push(&bytes) {
             Some(events) => {
                 self.events += 1;
-                RunStep::Events(events)
+                UpstreamStep::Events(events)
             }
-            None => RunStep::Partial,
+            None => UpstreamStep::Partial,
         }
     }
 
     /// Why the stream cannot go on here, once its time or the endpoint's is over.
-    fn poll_alarm(&mut self, context: &mut Context<'_>) -> Option<&'static str> {
-        while self.alarm.as_mut().poll(context).is_ready() {
+    fn poll_timer(&mut self, context: &mut Context<'_>) -> Option<&'static str> {
+        while self.timer.as_mut().poll(context).is_ready() {
             let now = Instant::now();
-            if now >= self.plan.deadline + LAST_EVENTS {
+            if now >= self.plan.deadline + FINAL_EVENTS_GRACE {
                 return Some("its time is over");
             }
-            if self.is_resumable() && now >= self.last_bytes_at + SILENCE_LIMIT {
+            if self.is_resumable() && now >= self.last_bytes_at + STREAM_IDLE_TIMEOUT {
                 return Some("the endpoint fell silent");
             }
-            self.set_alarm();
+            self.reset_timer();
         }
         None
     }
 
-    fn set_alarm(&mut self) {
-        let end = self.plan.deadline + LAST_EVENTS;
+    fn reset_timer(&mut self) {
+        let end = self.plan.deadline + FINAL_EVENTS_GRACE;
         let at = match self.is_resumable() {
-            true => end.min(self.last_bytes_at + SILENCE_LIMIT),
+            true => end.min(self.last_bytes_at + STREAM_IDLE_TIMEOUT),
             false => end,
         };
-        self.alarm.as_mut().reset(at);
+        self.timer.as_mut().reset(at);
     }
 
     fn is_resumable(&self) -> bool {
@@ -227,18 +229,19 @@
     }
 
     /// Ends the present run and seeks another one; the failure, if there can be none.
-    fn break_off(&mut self, reason: &'static str) -> Option<Poll<NextEvents>> {
+    fn handle_break(&mut self, reason: &'static str) -> Option<Poll<NextEvents>> {
         let now = self.shared.now();
-        if let Some(run) = self.run.take() {
+        if let Some(upstream) = self.upstream.take() {
             let mut state = self.shared.state.borrow_mut();
-            state.load_mut(run.guard.key()).stumble(now);
+            state.load_mut(upstream.guard.key()).stumble(now);
         }
         self.framer.discard_partial();
         let rule = self.plan.rule();
         let has_time = Instant::now() < self.plan.deadline;
-        let is_on = self.shared.settings.mechanisms.resume;
-        let may = is_on && has_time && rule.is_repeatable() && self.attempts < rule.max_attempts;
-        let may = may && {
+        let is_enabled = self.shared.settings.mechanisms.resume;
+        let may_resume =
+            is_enabled && has_time && rule.is_repeatable() && self.attempts < rule.max_attempts;
+        let may_resume = may_resume && {
             let mut state = self.shared.state.borrow_mut();
             let budget = state.budget_mut(&self.plan.service, &self.shared.settings, now);
             budget.spend()
@@ -248,21 +251,21 @@
             reason,
             after_event = self.framer.last_event_id(),
             attempts = self.attempts,
-            resumes = may,
+            resumes = may_resume,
             "stream broken"
         );
-        if !may {
+        if !may_resume {
             return Some(self.fail(reason));
         }
         self.attempts += 1;
-        let after = self
+        let last_event_id = self
             .framer
             .last_event_id()
             .or(self.plan.facts.last_event_id);
         let shared = Rc::clone(&self.shared);
         let plan = Rc::clone(&self.plan);
         let tried = self.tried.clone();
-        self.resuming = Some(Box::pin(resume(shared, plan, tried, after)));
+        self.resuming = Some(Box::pin(resume(shared, plan, tried, last_event_id)));
         None
     }
 
@@ -276,31 +279,34 @@
             events = self.events,
             "stream over"
         );
-        Poll::Ready(Some(Err(StreamBroken { reason })))
+        Poll::Ready(Some(Err(StreamError { reason })))
     }
 
     fn finish(&mut self) {
         self.is_over = true;
         metrics::counter!(metric_names::STREAMS, "outcome" => "whole").increment(1);
         metrics::histogram!(metric_names::STREAM_PAUSE_SECONDS).record(self.longest_pause);
-        let endpoint = self.run.as_ref().map(|run| run.guard.key().0);
+        let endpoint = self
+            .upstream
+            .as_ref()
+            .map(|upstream| upstream.guard.key().0);
         tracing::info!(
             request = self.plan.id,
             outcome = "whole",
             events = self.events,
             endpoint,
             longest_pause_ms = self.longest_pause.as_millis() as u64,
-            took_ms = self.plan.came_at.elapsed().as_millis() as u64,
+            took_ms = self.plan.received_at.elapsed().as_millis() as u64,
             "stream over"
         );
-        if let Some(run) = self.run.take() {
-            let EventAnswer {
+        if let Some(upstream) = self.upstream.take() {
+            let EventStream {
                 connection,
                 address,
                 facts,
                 ..
-            } = *run;
-            keep_connection(&self.shared, address, connection, &facts);
+            } = *upstream;
+            return_connection(&self.shared, address, connection, &facts);
         }
     }
 }
@@ -320,7 +326,7 @@
 }
 
 /// What came of looking at the present run.
-enum RunStep {
+enum UpstreamStep {
     Events(Bytes),
     Partial,
     End,
@@ -332,15 +338,15 @@
     shared: Rc<EdgeShared>,
     plan: Rc<RequestPlan>,
     mut tried: Vec<EndpointKey>,
-    after: Option<u64>,
-) -> Option<Box<EventAnswer>> {
+    last_event_id: Option<u64>,
+) -> Option<Box<EventStream>> {
     loop {
         let chosen = choose_endpoint(&shared, &plan, &tried)?;
         tried.push(chosen.key);
-        match call_endpoint(&shared, &plan, &chosen, after).await {
-            CallEnd::Events(run) => return Some(run),
+        match call_endpoint(&shared, &plan, &chosen, last_event_id).await {
+            CallOutcome::Events(upstream) => return Some(upstream),
             // Nothing reached it, so this costs no attempt.
-            CallEnd::NotSent { .. } => {}
+            CallOutcome::NotSent { .. } => {}
             _ => return None,
         }
     }
--- a/crates/ragwortroad_edge/src/tests.rs
+++ b/crates/ragwortroad_edge/src/tests.rs
@@ -6,7 +6,7 @@
 use ragwortroad_types::prelude::*;
 
 use crate::service_gate::{
-    GateWay,
+    GateDecision,
     ServiceGate, //
 };
 
@@ -19,45 +19,47 @@
 }
 
 /// A gate with one place, which is taken, and a request that waits for it.
-fn one_waits(now: ClockTime) -> (ServiceGate, WaitTicket, tokio::sync::oneshot::Receiver<()>) {
+fn full_gate_with_one_waiter(
+    now: ClockTime,
+) -> (ServiceGate, WaitTicket, tokio::sync::oneshot::Receiver<()>) {
     let mut gate = ServiceGate::new(now);
     let load = FleetLoad {
         room: 1.0,
         edges: 1,
         ..FleetLoad::default()
     };
-    gate.follow(Some(load), now);
-    assert!(matches!(gate.offer(offer(), now), GateWay::Open));
+    gate.update_limit(Some(load), now);
+    assert!(matches!(gate.offer(offer(), now), GateDecision::Admitted));
     match gate.offer(offer(), now) {
-        GateWay::Wait(ticket, called) => (gate, ticket, called),
-        GateWay::Open => panic!("the place is taken"),
+        GateDecision::Queued(ticket, admission) => (gate, ticket, admission),
+        GateDecision::Admitted => panic!("the place is taken"),
     }
 }
 
 /// Guards against places that are lost for good when a caller leaves.
 #[test]
-fn a_place_that_nobody_takes_goes_back() {
+fn a_slot_granted_to_an_ended_wait_can_be_released() {
     let now = ClockTime(1000);
-    let (mut gate, ticket, mut called) = one_waits(now);
-    gate.leave(now);
+    let (mut gate, ticket, mut admission) = full_gate_with_one_waiter(now);
+    gate.release(now);
     assert_eq!(
         gate.gate().under_way(),
         1,
         "the one that waited has the place"
     );
-    assert!(gate.end_wait(ticket, &mut called, now));
-    gate.leave(now);
+    assert!(gate.finish_wait(ticket, &mut admission, now));
+    gate.release(now);
     assert_eq!(gate.gate().under_way(), 0);
-    assert!(matches!(gate.offer(offer(), now), GateWay::Open));
+    assert!(matches!(gate.offer(offer(), now), GateDecision::Admitted));
 }
 
 #[test]
-fn a_wait_that_ends_before_its_turn_leaves_nothing() {
+fn a_wait_cancelled_before_admission_holds_no_slot() {
     let now = ClockTime(1000);
-    let (mut gate, ticket, mut called) = one_waits(now);
-    assert!(!gate.end_wait(ticket, &mut called, now));
+    let (mut gate, ticket, mut admission) = full_gate_with_one_waiter(now);
+    assert!(!gate.finish_wait(ticket, &mut admission, now));
     assert_eq!(gate.gate().waiting(), 0);
-    gate.leave(now);
+    gate.release(now);
     assert_eq!(gate.gate().under_way(), 0);
     assert!(!gate.is_used());
 }
--- a/crates/ragwortroad_link/src/dial_backoff.rs
+++ b/crates/ragwortroad_link/src/dial_backoff.rs
@@ -1,30 +1,30 @@
 use std::time::Duration;
 
 /// Pause before a process that was not reached is dialled again.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
+const INITIAL_DELAY: Duration = Duration::from_millis(150);
 
 /// Longest pause; a process that comes back is found within it.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1200);
+const MAX_DELAY: Duration = Duration::from_millis(1200);
 
 /// Time after the own start in which pauses stay short.
-const EAGER_TIME: Duration = Duration::from_secs(3);
+const EARLY_PERIOD: Duration = Duration::from_secs(3);
 
 /// Time that an attempt may take while pauses are short.
 ///
 /// Connections within a region are there after some milliseconds, and twice the longest way on earth
 /// takes a quarter of a second.
-const EAGER_PATIENCE: Duration = Duration::from_millis(250);
+const EARLY_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time after the own start in which others are most likely coming up too.
-const PROMPT_TIME: Duration = Duration::from_secs(1);
+const STARTUP_PERIOD: Duration = Duration::from_secs(1);
 
 /// Pause between attempts in that time.
-const PROMPT_PAUSE: Duration = Duration::from_millis(50);
+const STARTUP_DELAY: Duration = Duration::from_millis(50);
 
 /// Time that an attempt may take in that time.
 ///
 /// Processes of the own region answer within it; those of others are reached a second later.
-const PROMPT_PATIENCE: Duration = Duration::from_millis(100);
+const STARTUP_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Pauses between attempts to reach another process of the fleet.
 ///
@@ -33,26 +33,28 @@
 /// grown meanwhile edges would find registries late, and nobody would be served until then.
 #[derive(Clone, Copy, Debug)]
 pub struct DialBackoff {
-    pause: Duration,
+    delay: Duration,
 }
 
 impl Default for DialBackoff {
     fn default() -> Self {
-        Self { pause: FIRST_PAUSE }
+        Self {
+            delay: INITIAL_DELAY,
+        }
     }
 }
 
 impl DialBackoff {
     /// The pause before the next attempt of a process that started `running` ago.
-    pub fn next_delay(&mut self, running: Duration) -> Duration {
-        if running < PROMPT_TIME {
-            return PROMPT_PAUSE;
+    pub fn next_delay(&mut self, uptime: Duration) -> Duration {
+        if uptime < STARTUP_PERIOD {
+            return STARTUP_DELAY;
         }
-        let pause = self.pause;
-        if running >= EAGER_TIME {
-            self.pause = (pause * 2).min(LONGEST_PAUSE);
+        let delay = self.delay;
+        if uptime >= EARLY_PERIOD {
+            self.delay = (delay * 2).min(MAX_DELAY);
         }
-        pause
+        delay
     }
 
     /// How long an attempt of a process that started `running` ago may take, `whole` at the most.
@@ -61,13 +63,13 @@
     /// system sends it again only after a second. After a common loss of power the edges that
     /// start first would wait so long for registries that are up a moment later; short attempts
     /// that are repeated find them then.
-    pub fn attempt_timeout(&self, running: Duration, whole: Duration) -> Duration {
-        let longest = match running {
-            running if running < PROMPT_TIME => PROMPT_PATIENCE,
-            running if running < EAGER_TIME => EAGER_PATIENCE,
-            _ => whole,
+    pub fn attempt_timeout(&self, uptime: Duration, max_timeout: Duration) -> Duration {
+        let timeout = match uptime {
+            uptime if uptime < STARTUP_PERIOD => STARTUP_ATTEMPT_TIMEOUT,
+            uptime if uptime < EARLY_PERIOD => EARLY_ATTEMPT_TIMEOUT,
+            _ => max_timeout,
         };
-        whole.min(longest)
+        max_timeout.min(timeout)
     }
 
     /// The process was reached.
--- a/crates/ragwortroad_link/src/encoded_message.rs
+++ b/crates/ragwortroad_link/src/encoded_message.rs
@@ -16,7 +16,7 @@
 ///
 /// Records of endpoints repeat themselves: those of a thousand take a quarter, and after a common
 /// restart each edge is told all of them. Of a handful little is gained.
-const PACK_FROM: usize = 600;
+const MIN_PACK_BYTES: usize = 600;
 
 /// A message as it goes into a frame, for one receiver or several.
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     fn try_from(message: &LinkMessage) -> Result<Self, LinkError> {
         let kind = message.kind();
         let bytes = postcard::to_stdvec(message).context(InvalidMessageSnafu)?;
-        if bytes.len() < PACK_FROM || !is_packable(message) {
+        if bytes.len() < MIN_PACK_BYTES || !is_compressible(message) {
             let bytes = bytes.into();
             return Ok(Self { kind, bytes });
         }
@@ -53,7 +53,7 @@
 ///
 /// Hashes do not. After a common restart a registry tells each edge thousands of places of texts while
 /// the group elects a leader; compressed in vain, they would take the processor of a small VM.
-fn is_packable(message: &LinkMessage) -> bool {
+fn is_compressible(message: &LinkMessage) -> bool {
     !matches!(
         message,
         LinkMessage::TextsPlaced(_)
--- a/crates/ragwortroad_link/src/link_connection.rs
+++ b/crates/ragwortroad_link/src/link_connection.rs
@@ -98,19 +98,19 @@
             queued_at: Instant::now(),
         };
         let bytes = queued.bytes.len() as u64;
-        let taken = self.sender.try_send(queued).is_ok();
-        match taken {
+        let is_queued = self.sender.try_send(queued).is_ok();
+        match is_queued {
             true => {
                 metrics::counter!(metric_names::LINK_BYTES, "kind" => encoded.kind).increment(bytes)
             }
             false => self.close(),
         }
-        taken
+        is_queued
     }
 }
 
 /// Room for one reading from a connection: a dozen messages of the usual size.
-const READ_BYTES: usize = 2048;
+const READ_BUFFER_BYTES: usize = 2048;
 
 /// Connects to another process within `limit`.
 pub async fn dial_link(address: SocketAddr, limit: Duration) -> Result<TcpStream, LinkError> {
@@ -127,28 +127,28 @@
 pub async fn run_link(
     stream: TcpStream,
     queue: (LinkQueue, Receiver<QueuedMessage>),
-    dialled: bool,
+    is_dialer: bool,
     settings: &LinkSettings,
     on_message: impl FnMut(LinkMessage),
 ) -> LinkError {
-    let (own_queue, receiver) = queue;
-    let prepared = stream.set_nodelay(true);
+    let (local_queue, receiver) = queue;
+    let configured = stream.set_nodelay(true);
     let limit = Some(settings.idle_timeout);
-    let prepared = prepared.and_then(|()| SockRef::from(&stream).set_tcp_user_timeout(limit));
-    if let Err(source) = prepared {
+    let configured = configured.and_then(|()| SockRef::from(&stream).set_tcp_user_timeout(limit));
+    if let Err(source) = configured {
         return LinkError::Io { source };
     }
-    let (reading, writing) = stream.into_split();
+    let (read_half, write_half) = stream.into_split();
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(settings.max_message_bytes)
         .new_codec();
-    let writer = FramedWrite::new(writing, codec.clone());
-    let keepalive = dialled.then_some(settings.keepalive_interval);
-    let end = Arc::clone(&own_queue.end);
-    let answers = (!dialled).then_some(own_queue);
+    let writer = FramedWrite::new(write_half, codec.clone());
+    let keepalive_interval = is_dialer.then_some(settings.keepalive_interval);
+    let end = Arc::clone(&local_queue.end);
+    let reply_queue = (!is_dialer).then_some(local_queue);
     tokio::select! {
-        error = read_messages(reading, codec, answers, settings.idle_timeout, on_message) => error,
-        error = write_messages(writer, receiver, keepalive) => error,
+        error = read_messages(read_half, codec, reply_queue, settings.idle_timeout, on_message) => error,
+        error = write_messages(writer, receiver, keepalive_interval) => error,
         () = end.notified() => LinkError::ClosedLocally,
     }
 }
@@ -159,18 +159,18 @@
 /// than the limit, and a connection that is given up in its middle is dialled again, asks for the
 /// same message again, and never gets it.
 async fn read_messages(
-    mut reading: OwnedReadHalf,
+    mut read_half: OwnedReadHalf,
     mut codec: LengthDelimitedCodec,
-    answers: Option<LinkQueue>,
+    reply_queue: Option<LinkQueue>,
     limit: Duration,
     mut on_message: impl FnMut(LinkMessage),
 ) -> LinkError {
     let mut buffer = BytesMut::new();
     loop {
-        buffer.reserve(READ_BYTES);
+        buffer.reserve(READ_BUFFER_BYTES);
         match codec.decode(&mut buffer) {
             Ok(Some(frame)) => {
-                if let Err(error) = take_frame(&frame, answers.as_ref(), &mut on_message) {
+                if let Err(error) = handle_frame(&frame, reply_queue.as_ref(), &mut on_message) {
                     return error;
                 }
                 continue;
@@ -178,7 +178,7 @@
             Ok(None) => {}
             Err(source) => return LinkError::Io { source },
         }
-        match timeout(limit, reading.read_buf(&mut buffer)).await {
+        match timeout(limit, read_half.read_buf(&mut buffer)).await {
             Err(_) => return LinkError::IdleTimeout { limit },
             Ok(Ok(0)) => return LinkError::ClosedByPeer,
             Ok(Ok(_)) => {}
@@ -187,15 +187,15 @@
     }
 }
 
-fn take_frame(
+fn handle_frame(
     frame: &[u8],
-    answers: Option<&LinkQueue>,
+    reply_queue: Option<&LinkQueue>,
     on_message: &mut impl FnMut(LinkMessage),
 ) -> Result<(), LinkError> {
     match decode_message(frame)? {
         LinkMessage::Keepalive => {
-            let answered = answers.is_none_or(|queue| queue.send(&LinkMessage::Keepalive));
-            if !answered {
+            let is_queued = reply_queue.is_none_or(|queue| queue.send(&LinkMessage::Keepalive));
+            if !is_queued {
                 return Err(LinkError::ClosedLocally);
             }
         }
@@ -207,16 +207,16 @@
 async fn write_messages(
     mut writer: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
     receiver: Receiver<QueuedMessage>,
-    keepalive: Option<Duration>,
+    keepalive_interval: Option<Duration>,
 ) -> LinkError {
-    let mut next_keepalive = keepalive.map(|every| Instant::now() + every);
+    let mut next_keepalive_at = keepalive_interval.map(|interval| Instant::now() + interval);
     loop {
-        let queued = match next_keepalive {
+        let queued = match next_keepalive_at {
             None => receiver.recv_async().await.ok(),
             Some(at) => tokio::select! {
                 received = receiver.recv_async() => received.ok(),
                 () = tokio::time::sleep_until(at) => {
-                    next_keepalive = keepalive.map(|every| Instant::now() + every);
+                    next_keepalive_at = keepalive_interval.map(|interval| Instant::now() + interval);
                     match EncodedMessage::try_from(&LinkMessage::Keepalive) {
                         Ok(encoded) => Some(QueuedMessage {
                             bytes: encoded.bytes,
--- a/crates/ragwortroad_link/src/packed_document.rs
+++ b/crates/ragwortroad_link/src/packed_document.rs
@@ -13,10 +13,10 @@
 pub const MAX_DOCUMENT_BYTES: u64 = 16 << 20;
 
 /// Effort of the compression: the fastest, since registries have little processor time.
-const LEVEL: i32 = 1;
+const COMPRESSION_LEVEL: i32 = 1;
 
 /// Least and greatest logarithm of the bytes that a match may reach back.
-const WINDOW_LOGS: (u32, u32) = (17, 25);
+const WINDOW_LOG_RANGE: (u32, u32) = (17, 25);
 
 /// A document compressed for the way between processes and for the log.
 ///
@@ -26,11 +26,11 @@
 /// route takes some dozen bytes (`tests/documents.rs` prints the sizes).
 pub fn pack_document(document: &[u8], base: Option<&[u8]>) -> io::Result<Vec<u8>> {
     let base = base.unwrap_or_default();
-    let reach = (document.len() + base.len()).max(1);
-    let (least, most) = WINDOW_LOGS;
-    let window = (reach.ilog2() + 1).clamp(least, most);
-    let mut encoder = Encoder::with_ref_prefix(Vec::new(), LEVEL, base)?;
-    encoder.window_log(window)?;
+    let match_range = (document.len() + base.len()).max(1);
+    let (min_log, max_log) = WINDOW_LOG_RANGE;
+    let window_log = (match_range.ilog2() + 1).clamp(min_log, max_log);
+    let mut encoder = Encoder::with_ref_prefix(Vec::new(), COMPRESSION_LEVEL, base)?;
+    encoder.window_log(window_log)?;
     // Finds what stands far back, which the tables of the fastest effort forget.
     encoder.long_distance_matching(!base.is_empty())?;
     encoder.include_contentsize(false)?;
@@ -43,10 +43,10 @@
     let base = base.unwrap_or_default();
     let decoder = Decoder::with_ref_prefix(packed, base)?;
     let mut document = Vec::new();
-    let read = decoder
+    let read_bytes = decoder
         .take(MAX_DOCUMENT_BYTES + 1)
         .read_to_end(&mut document)?;
-    if read as u64 > MAX_DOCUMENT_BYTES {
+    if read_bytes as u64 > MAX_DOCUMENT_BYTES {
         return Err(io::Error::other(
             "the document is larger than any that is accepted",
         ));
--- a/crates/ragwortroad_link/tests/documents.rs
+++ b/crates/ragwortroad_link/tests/documents.rs
@@ -25,12 +25,12 @@
 
 /// A registry tells an edge of a thousand endpoints. Packed, they are the same, and take little.
 #[test]
-fn large_messages_are_packed_on_the_way() {
-    let news = (0..1000_u64).map(|index| {
+fn large_messages_are_compressed() {
+    let updates = (0..1000_u64).map(|index| {
         let name = format!("i-{:x}", index.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24);
         RegistryChange::Lost(name)
     });
-    let message = LinkMessage::EndpointUpdates(news.collect());
+    let message = LinkMessage::EndpointUpdates(updates.collect());
     let plain = postcard::to_stdvec(&message).expect("encodes").len();
     let frame = EncodedMessage::try_from(&message).expect("encodes").bytes;
     assert!(frame.len() * 10 < plain * 8, "{} of {plain}", frame.len());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_document_comes_back_as_it_was() {
+fn a_document_survives_a_pack_and_unpack_round_trip() {
     for routes in [0, 1, 40, 3000] {
         let document = document(routes, 0, 1);
         let packed = pack_document(&document, None).expect("packs");
@@ -56,33 +56,33 @@
 
 /// Guards against small links filled by each change of a large configuration.
 #[test]
-fn a_change_of_a_large_document_takes_little() {
+fn a_delta_of_a_large_document_is_small() {
     let before = document(2000, 5, 1000);
     let after = document(2000, 1500, 2000);
-    let whole = pack_document(&after, None).expect("packs");
-    let change = pack_document(&after, Some(&before)).expect("packs");
+    let full = pack_document(&after, None).expect("packs");
+    let delta = pack_document(&after, Some(&before)).expect("packs");
     println!(
         "{} bytes: whole {}, a change {}",
         after.len(),
-        whole.len(),
-        change.len()
+        full.len(),
+        delta.len()
     );
     assert!(
-        change.len() * 20 < whole.len(),
+        delta.len() * 20 < full.len(),
         "{} of {}",
-        change.len(),
-        whole.len()
+        delta.len(),
+        full.len()
     );
-    let unpacked = unpack_document(&change, Some(&before)).expect("unpacks");
+    let unpacked = unpack_document(&delta, Some(&before)).expect("unpacks");
     assert_eq!(unpacked, after);
 }
 
 /// A process that lacks the base, or has another one, must notice and not take half a document.
 #[test]
-fn a_change_against_another_base_is_refused_or_differs() {
+fn a_delta_without_its_base_is_rejected() {
     let before = document(300, 5, 1000);
     let after = document(300, 100, 2000);
-    let change = pack_document(&after, Some(&before)).expect("packs");
-    let unpacked = unpack_document(&change, None);
+    let delta = pack_document(&after, Some(&before)).expect("packs");
+    let unpacked = unpack_document(&delta, None);
     assert!(unpacked.is_err(), "{unpacked:?}");
 }
--- a/crates/ragwortroad_link/tests/links.rs
+++ b/crates/ragwortroad_link/tests/links.rs
@@ -15,14 +15,14 @@
 };
 
 /// A connection that counts as silent after a second.
-fn settings() -> LinkSettings {
+fn short_timeout_settings() -> LinkSettings {
     LinkSettings {
         idle_timeout: Duration::from_secs(1),
         ..LinkSettings::default()
     }
 }
 
-fn records(count: u64) -> Vec<EndpointRecord> {
+fn endpoint_records(count: u64) -> Vec<EndpointRecord> {
     let record = |index: u64| EndpointRecord {
         // Spread like a hash, as names of incarnations are.
         name: format!("i-{:010x}", index.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24),
@@ -42,7 +42,7 @@
 
 /// Guards against a connection that is given up while a large message is on its way.
 #[test]
-fn a_message_that_takes_long_is_no_silence() {
+fn a_slow_large_message_does_not_hit_the_idle_timeout() {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
@@ -50,7 +50,7 @@
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
         let address = listener.local_addr().expect("an address");
-        let message = LinkMessage::EndpointsWhole(records(400));
+        let message = LinkMessage::EndpointsWhole(endpoint_records(400));
         let bytes = EncodedMessage::try_from(&message).expect("encodes").bytes;
         let sender = async move {
             let mut stream = TcpStream::connect(address).await.expect("connects");
@@ -65,69 +65,81 @@
         };
         let receiver = async {
             let (stream, _) = listener.accept().await.expect("accepts");
-            let queue = LinkQueue::new(&settings());
-            let mut heard = Vec::new();
-            let take = |message| heard.push(message);
-            let ended = run_link(stream, queue, false, &settings(), take).await;
-            (heard, ended)
+            let queue = LinkQueue::new(&short_timeout_settings());
+            let mut received = Vec::new();
+            let on_message = |message| received.push(message);
+            let ended = run_link(stream, queue, false, &short_timeout_settings(), on_message).await;
+            (received, ended)
         };
-        let (heard, ended) = tokio::select! {
+        let (received, ended) = tokio::select! {
             () = sender => panic!("the silent connection was kept"),
             got = receiver => got,
         };
-        assert_eq!(heard, [message]);
+        assert_eq!(received, [message]);
         assert!(matches!(ended, LinkError::IdleTimeout { .. }), "{ended}");
     });
 }
 
 /// Guards against records that fill a link for longer than heartbeats can wait.
 #[test]
-fn a_record_takes_as_many_bytes_as_reckoned() {
+fn an_endpoint_record_takes_at_most_thirty_bytes() {
     for count in [22, 100, 333] {
-        let news = records(count).into_iter().map(RegistryChange::Told);
-        let message = LinkMessage::EndpointUpdates(news.collect());
+        let updates = endpoint_records(count)
+            .into_iter()
+            .map(RegistryChange::Told);
+        let message = LinkMessage::EndpointUpdates(updates.collect());
         let encoded = EncodedMessage::try_from(&message).expect("encodes");
         let bytes = encoded.bytes.len();
-        let each = bytes as f64 / count as f64;
-        println!("{count} records: {each:.1} bytes each");
-        assert!(each <= 30.0, "{count} records take {each} bytes each");
+        let bytes_per_record = bytes as f64 / count as f64;
+        println!("{count} records: {bytes_per_record:.1} bytes each");
+        assert!(
+            bytes_per_record <= 30.0,
+            "{count} records take {bytes_per_record} bytes each"
+        );
     }
 }
 
 /// Guards against edges that find registries late, and endless attempts to reach lost VMs.
 #[test]
-fn a_process_that_has_just_started_dials_often() {
+fn dial_delays_are_short_after_start_and_grow_later() {
     let mut backoff = DialBackoff::default();
-    let early: Vec<_> = (0..20)
+    let early_delays: Vec<_> = (0..20)
         .map(|_| backoff.next_delay(Duration::from_secs(2)))
         .collect();
-    assert!(early.iter().all(|pause| *pause == early[0]));
-    let late: Vec<_> = (0..20)
+    assert!(early_delays.iter().all(|pause| *pause == early_delays[0]));
+    let delay_after_start: Vec<_> = (0..20)
         .map(|_| backoff.next_delay(Duration::from_secs(60)))
         .collect();
-    assert!(late.is_sorted() && late[19] >= early[0] * 8);
+    assert!(delay_after_start.is_sorted() && delay_after_start[19] >= early_delays[0] * 8);
     backoff.reset();
-    assert_eq!(backoff.next_delay(Duration::from_secs(60)), early[0]);
+    assert_eq!(backoff.next_delay(Duration::from_secs(60)), early_delays[0]);
 }
 
 /// Guards against a process that is looked for too late after it has come up.
 #[test]
-fn a_process_that_came_up_a_little_later_is_found_at_once() {
-    let whole = LinkSettings::default().dial_timeout;
-    for up_ms in 0..2000 {
-        let up = Duration::from_millis(up_ms);
+fn a_peer_that_starts_within_two_seconds_is_reached_quickly() {
+    let max_timeout = LinkSettings::default().dial_timeout;
+    for up_at_ms in 0..2000 {
+        let up_at = Duration::from_millis(up_at_ms);
         let mut backoff = DialBackoff::default();
         let mut now = Duration::ZERO;
-        while now < up {
-            now += backoff.attempt_timeout(now, whole);
+        while now < up_at {
+            now += backoff.attempt_timeout(now, max_timeout);
             now += backoff.next_delay(now);
         }
-        let late = now - up;
-        assert!(late <= Duration::from_millis(400), "{late:?} after {up:?}");
+        let delay_after_start = now - up_at;
+        assert!(
+            delay_after_start <= Duration::from_millis(400),
+            "reached {delay_after_start:?} after the peer started at {up_at:?}"
+        );
         // Most come up within the first second, and all others wait for the last of them.
-        let is_prompt = up_ms > 850 || late <= Duration::from_millis(150);
-        assert!(is_prompt, "{late:?} after {up:?}");
+        let is_within_startup_bound =
+            up_at_ms > 850 || delay_after_start <= Duration::from_millis(150);
+        assert!(
+            is_within_startup_bound,
+            "reached {delay_after_start:?} after the peer started at {up_at:?}"
+        );
     }
-    let later = DialBackoff::default().attempt_timeout(Duration::from_secs(60), whole);
-    assert_eq!(later, whole, "regions may be far apart");
+    let later = DialBackoff::default().attempt_timeout(Duration::from_secs(60), max_timeout);
+    assert_eq!(later, max_timeout, "regions may be far apart");
 }
--- a/crates/ragwortroad_telemetry/src/metrics_page.rs
+++ b/crates/ragwortroad_telemetry/src/metrics_page.rs
@@ -40,18 +40,18 @@
 };
 
 /// Bounds of the histograms of time, in seconds: from a local answer to a request's longest life.
-const SECONDS: [f64; 13] = [
+const DURATION_BUCKETS_SECONDS: [f64; 13] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 2.5, 5.0, 15.0,
 ];
 
 /// Bounds of the histogram of loads, in requests.
-const REQUESTS: [f64; 9] = [0.0, 1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0];
+const LOAD_BUCKETS: [f64; 9] = [0.0, 1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0];
 
 /// Time between two foldings of the samples into their histograms, which else pile up unread.
-const FOLD_EVERY: Duration = Duration::from_secs(5);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Pause after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Why metrics cannot be kept.
 #[derive(Debug, Snafu)]
@@ -83,7 +83,7 @@
     /// Folds samples from time to time for as long as the process runs.
     pub async fn run_upkeep(self) {
         loop {
-            sleep(FOLD_EVERY).await;
+            sleep(UPKEEP_INTERVAL).await;
             self.handle.run_upkeep();
         }
     }
@@ -95,13 +95,13 @@
                 Ok((stream, _)) => stream,
                 Err(error) => {
                     tracing::warn!(%error, "a reader of metrics could not be accepted");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
             let page = self.clone();
             spawn_local(async move {
-                let service = service_fn(|request| page.answer(request));
+                let service = service_fn(|request| page.respond(request));
                 let served = http1::Builder::new()
                     .keep_alive(false)
                     .serve_connection(TokioIo::new(stream), service)
@@ -113,18 +113,18 @@
         }
     }
 
-    async fn answer(&self, _: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-        let mut answer = Response::new(Full::new(Bytes::from(self.render())));
-        let content = HeaderValue::from_static("text/plain; version=0.0.4");
-        answer.headers_mut().insert(CONTENT_TYPE, content);
-        Ok(answer)
+    async fn respond(&self, _: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+        let mut response = Response::new(Full::new(Bytes::from(self.render())));
+        let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+        response.headers_mut().insert(CONTENT_TYPE, content_type);
+        Ok(response)
     }
 }
 
 fn builder() -> Result<PrometheusBuilder, BuildError> {
-    let exactly = |name: &str| Matcher::Full(name.to_owned());
+    let exact_name = |name: &str| Matcher::Full(name.to_owned());
     PrometheusBuilder::new()
-        .set_buckets_for_metric(exactly(ANSWER_SECONDS), &SECONDS)?
-        .set_buckets_for_metric(exactly(STREAM_PAUSE_SECONDS), &SECONDS)?
-        .set_buckets_for_metric(exactly(BELIEVED_LOAD), &REQUESTS)
+        .set_buckets_for_metric(exact_name(ANSWER_SECONDS), &DURATION_BUCKETS_SECONDS)?
+        .set_buckets_for_metric(exact_name(STREAM_PAUSE_SECONDS), &DURATION_BUCKETS_SECONDS)?
+        .set_buckets_for_metric(exact_name(BELIEVED_LOAD), &LOAD_BUCKETS)
 }
--- a/crates/ragwortroad_telemetry/tests/page.rs
+++ b/crates/ragwortroad_telemetry/tests/page.rs
@@ -3,7 +3,7 @@
 use ragwortroad_telemetry::prelude::*;
 
 #[test]
-fn counters_and_histograms_stand_on_the_page() {
+fn metrics_page_lists_counters_and_histograms() {
     let page = MetricsPage::install().expect("the first of this process");
     let labels = [("kind", "safe"), ("outcome", "answered"), ("reason", "")];
     metrics::counter!(metric_names::REQUESTS, &labels).increment(3);
