--- a/crates/ragwortroad_edge/src/config_exchange.rs
+++ b/crates/ragwortroad_edge/src/config_exchange.rs
@@ -24,8 +24,8 @@
 
 use crate::{
     config_update::{
-        apply_deltas, //
-        refresh_config,
+        apply_deltas,
+        refresh_config, //
     },
     edge_state::{
         EdgeShared,
@@ -69,8 +69,8 @@
         }
         other => tracing::warn!(?other, "a message that no edge sends an edge"),
     };
-    let error = run_link(stream, (queue, receiver), false, &settings, on_message).await;
-    tracing::debug!(%error, "a connection of another edge ended");
+    let ended = run_link(stream, (queue, receiver), false, &settings, on_message).await;
+    tracing::debug!(%ended, "a connection of another edge ended");
 }
 
 /// The whole configuration, where it is above `above`.
@@ -101,7 +101,7 @@
         tracing::info!(%helper, version, "configuration given by another edge");
     } else {
         let reason = match fetched {
-            Ok(error) => error.to_string(),
+            Ok(ended) => ended.to_string(),
             Err(_) => "it did not answer in time".to_owned(),
         };
         tracing::info!(%helper, reason, "another edge gave no configuration");
--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -18,8 +18,8 @@
     config_exchange::fetch_config,
     config_update::{
         apply_deltas,
-        record_version, //
-        refresh_config,
+        record_version,
+        refresh_config, //
     },
     edge_state::{
         EdgeShared,
--- a/crates/ragwortroad_edge/src/edge_process.rs
+++ b/crates/ragwortroad_edge/src/edge_process.rs
@@ -48,11 +48,11 @@
     edge_state::{
         EdgeShared,
         EdgeState, //
-    }, //
+    },
     http_server::{
         serve_clients,
         serve_readiness, //
-    },
+    }, //
 };
 
 /// Time between two rounds of what is done from time to time.
--- a/crates/ragwortroad_edge/src/edge_state.rs
+++ b/crates/ragwortroad_edge/src/edge_state.rs
@@ -290,13 +290,10 @@
             return;
         };
         let newest = self.prefixes.newest(MAX_SENT_LOCATIONS).into_iter();
-        let locations = newest.filter_map(|(prefix, key)| {
+        let locations = newest.filter_map(|(text, key)| {
             let record = self.endpoints.record(key)?;
             let engine = EndpointTag::of(&record.name);
-            Some(PlacedText {
-                text: prefix,
-                engine,
-            })
+            Some(PlacedText { text, engine })
         });
         queue.send(&LinkMessage::PlacesKnown(locations.collect()));
     }
--- a/crates/ragwortroad_edge/src/endpoint_choice.rs
+++ b/crates/ragwortroad_edge/src/endpoint_choice.rs
@@ -243,12 +243,12 @@
 }
 
 /// Remembers that an engine reads a text, and has the other edges told if they do not know.
-fn record_location(shared: &EdgeShared, prefix: u64, chosen: &ChosenEndpoint) {
+fn record_location(shared: &EdgeShared, text: u64, chosen: &ChosenEndpoint) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
-    if state.prefixes.note(prefix, chosen.key, now) {
+    if state.prefixes.note(text, chosen.key, now) {
         state.unsent_locations.push(PlacedText {
-            prefix,
+            text,
             engine: EndpointTag::of(&chosen.name),
         });
     }
--- a/crates/ragwortroad_edge/src/lib.rs
+++ b/crates/ragwortroad_edge/src/lib.rs
@@ -43,9 +43,9 @@
         edge_port::{
             EdgePort,
             ForwardMetadata,
-            PromptPart, //
+            PromptPart,
             RequestMetadata,
-            ResponseMetadata,
+            ResponseMetadata, //
         },
         edge_process::{
             EdgeSignal,
--- a/crates/ragwortroad_edge/src/request_flow.rs
+++ b/crates/ragwortroad_edge/src/request_flow.rs
@@ -42,13 +42,13 @@
         forward_response,
         kind_label,
         record_response,
-        refuse, //
-        short_retry_after,
+        refuse,
+        short_retry_after, //
     },
     request_plan::RequestPlan,
     request_progress::{
-        NextStep, //
-        RequestProgress,
+        NextStep,
+        RequestProgress, //
     },
     request_reading::{
         STARTUP_POLL_INTERVAL,
--- a/crates/ragwortroad_edge/src/request_plan.rs
+++ b/crates/ragwortroad_edge/src/request_plan.rs
@@ -90,18 +90,18 @@
     let host = host.or(request.uri().host()).unwrap_or_default();
     let route = map.find(host, request.uri().path());
     let route = route.ok_or(RefusalReason::NoRoute)?;
-    let customer = facts
+    let known_customer = facts
         .api_key
         .as_deref()
         .and_then(|key| map.customer_of(key));
     let needs_key = map.asks_for_keys() && !map.route(route).is_open;
-    if needs_key && customer.is_none() {
+    if needs_key && known_customer.is_none() {
         return Err(RefusalReason::UnknownKey);
     }
     let id = facts.id.clone().ok_or(RefusalReason::NoIdentity)?;
     Ok(RequestTarget {
         route,
-        customer,
+        customer: known_customer,
         id,
     })
 }
--- a/crates/ragwortroad_link/src/encoded_message.rs
+++ b/crates/ragwortroad_link/src/encoded_message.rs
@@ -5,11 +5,11 @@
     LinkError,
     LinkMessage,
     link_error::{
-        InvalidMessageSnafu, //
-        IoSnafu,
-    }, //
+        InvalidMessageSnafu,
+        IoSnafu, //
+    },
     pack_document,
-    unpack_document,
+    unpack_document, //
 };
 
 /// Bytes from which a message is compressed.
--- a/crates/ragwortroad_link/src/link_connection.rs
+++ b/crates/ragwortroad_link/src/link_connection.rs
@@ -44,8 +44,8 @@
     LinkSettings,
     decode_message,
     link_error::{
-        DialSnafu, //
-        IoSnafu,
+        DialSnafu,
+        IoSnafu, //
     }, //
 };
 
