--- a/crates/ragwortroad_edge/src/config_exchange.rs
+++ b/crates/ragwortroad_edge/src/config_exchange.rs
@@ -1,7 +1,8 @@
-//! How edges give each other a whole configuration.
+//! Transfer of full configurations between edges.
 //!
-//! A registry that many edges ask at once refers some of them to edges that have it. An edge that
-//! fails at that asks another registry, so nothing depends on the edge that was named.
+//! A registry that receives many requests at once refers some edges to other edges that have the
+//! configuration. If that fails, the edge asks another registry, so nothing depends on a particular
+//! edge.
 
 use std::{
     net::SocketAddr,
@@ -33,16 +34,16 @@
     }, //
 };
 
-/// Time for a connection to another edge; within a region it is there after some milliseconds.
+/// Timeout for connecting to another edge; within a region it takes a few milliseconds.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time for another edge to give its configuration.
+/// Timeout for another edge to send its configuration.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Pause after an accept that failed, so that a lack of descriptors does not make the loop spin.
+/// Delay after a failed accept, so that the loop does not spin when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Gives the configuration to edges that ask for it.
+/// Sends the configuration to edges that ask for it.
 pub(crate) async fn serve_configs(shared: Rc<EdgeShared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -73,7 +74,7 @@
     tracing::debug!(%ended, "a connection of another edge ended");
 }
 
-/// The whole configuration, where it is above `above`.
+/// Returns the full configuration if its version is higher than `above`.
 fn full_config_above(state: &mut EdgeState, above: Option<u64>) -> Option<ConfigDelta> {
     let version = state.version().filter(|version| Some(*version) > above)?;
     if state.full_config.is_none() {
@@ -92,7 +93,8 @@
     state.full_config.clone()
 }
 
-/// Asks another edge for the configuration.
+/// Requests the configuration from another edge, and reports a failure so that a registry is asked
+/// next.
 pub(crate) async fn fetch_config(shared: Rc<EdgeShared>, helper: SocketAddr) {
     let before = shared.state.borrow().version();
     let fetched = timeout(FETCH_TIMEOUT, request_from_edge(&shared, helper, before)).await;
@@ -126,7 +128,7 @@
     let (message_shared, close_handle) = (Rc::clone(shared), queue.clone());
     let on_message = move |message| {
         if let LinkMessage::ConfigDeltas(steps) = message {
-            // Without a step the registry that named the edge counts as not having answered.
+            // An empty response counts as a failure of the registry that referred to this edge.
             if !steps.is_empty() {
                 apply_deltas(&message_shared, &steps);
             }
--- a/crates/ragwortroad_edge/src/config_update.rs
+++ b/crates/ragwortroad_edge/src/config_update.rs
@@ -1,4 +1,4 @@
-//! How an edge takes the configuration that registries and other edges give it.
+//! Applies configurations received from registries and other edges.
 
 use std::{
     io,
@@ -15,10 +15,12 @@
     EdgeState, //
 };
 
-/// Time after a start in which a configuration is awaited that is surely the newest.
+/// Time after the start during which the edge waits until its configuration is certain to be the
+/// newest.
 ///
-/// A registry that was cut off may have an older one; with the word of more than half of the
-/// voters there is none newer. Without them the edge still serves with what it has.
+/// A registry that was partitioned may have an older one; once a majority of the voters has
+/// reported, there is none newer. Without a majority the edge serves with what it has after this
+/// time.
 const NEWEST_CONFIG_WAIT: Duration = Duration::from_millis(1500);
 
 pub(crate) fn record_version(shared: &EdgeShared, source: SourceKey, version: u64) {
@@ -30,14 +32,14 @@
     state.fetch.note_announced(version, now);
 }
 
-/// Takes the steps to a configuration.
+/// Applies the steps that lead to a newer configuration.
 pub(crate) fn apply_deltas(shared: &EdgeShared, steps: &[ConfigDelta]) {
     let mut state = shared.state.borrow_mut();
     state.fetch.note_answered();
     let Some(last) = steps.last() else {
         return;
     };
-    // An older one would take back what is in force here.
+    // An older configuration would roll back the one in force.
     if state.version().is_some_and(|known| last.version <= known) {
         return;
     }
@@ -66,7 +68,7 @@
     }
 }
 
-/// The document that steps lead to from the one in force here.
+/// Applies the steps to the current document and returns the result.
 fn unpack_deltas(
     current: Option<Rc<[u8]>>,
     current_version: Option<u64>,
@@ -85,7 +87,8 @@
     document.ok_or_else(|| io::Error::other("there is no step"))
 }
 
-/// Asks for the configuration where one is known to be newer, and says so once this edge is ready.
+/// Requests a newer configuration if one is known, and announces this edge as ready once its
+/// configuration is current.
 pub(crate) fn refresh_config(shared: &EdgeShared) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
@@ -100,7 +103,7 @@
         return false;
     };
     let is_newest = state.fetch.is_newest(version);
-    // One that has just lost its disk knows of no voters, and must not make others count for less.
+    // A registry that has just lost its disk reports no voters and must not lower the majority.
     let voters = state
         .links
         .values()
--- a/crates/ragwortroad_edge/src/connection_pool.rs
+++ b/crates/ragwortroad_edge/src/connection_pool.rs
@@ -9,32 +9,30 @@
 
 use crate::endpoint_connection::EndpointConnection;
 
-/// Time before an endpoint's own idle timeout at which a connection is not used any more.
+/// Time before an endpoint's own idle timeout at which a pooled connection is no longer used.
 ///
-/// A request that crosses the endpoint's close is lost in the middle, and one that must not run
-/// twice cannot be sent again.
+/// A request that crosses the endpoint's close is lost midway, and a non-idempotent request cannot
+/// be retried.
 const CLOSE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Idle life where the endpoint names none, for want of anything better.
+/// Idle lifetime assumed if the endpoint announces none.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
 
-/// Idle connections kept to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
-/// A connection without a request.
 struct IdleConnection {
     connection: EndpointConnection,
     usable_until: ClockTime,
 }
 
-/// Connections to endpoints that wait for their next request.
+/// Idle connections to endpoints, kept for reuse.
 #[derive(Default)]
 pub(crate) struct ConnectionPool {
     idle: RefCell<BTreeMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// A connection to use again; the one used last, since it is least likely to be closed.
+    /// Returns the most recently used connection, since it is the least likely to be closed.
     pub(crate) fn take(&self, address: SocketAddr, now: ClockTime) -> Option<EndpointConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
@@ -46,7 +44,7 @@
         None
     }
 
-    /// Keeps a connection whose answer has been read in full.
+    /// Keeps a connection for reuse after its response was read in full.
     pub(crate) fn keep(
         &self,
         address: SocketAddr,
@@ -69,12 +67,12 @@
         }
     }
 
-    /// Closes the connections to an address.
+    /// Closes all idle connections to an address.
     pub(crate) fn close_address(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes connections that are too old to be used, and forgets addresses without any.
+    /// Closes expired connections, and removes addresses without any.
     pub(crate) fn expire(&self, now: ClockTime) {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, connections| {
--- a/crates/ragwortroad_edge/src/domain_probe.rs
+++ b/crates/ragwortroad_edge/src/domain_probe.rs
@@ -1,4 +1,4 @@
-//! Failure domains that an edge takes for unreachable, and how it finds out that they are back.
+//! Detection and probing of unreachable failure domains.
 
 use std::{
     net::SocketAddr,
@@ -20,15 +20,16 @@
     }, //
 };
 
-/// Time between two attempts to connect to an unreachable domain.
+/// Interval between connection attempts to an unreachable domain.
 ///
-/// No caller waits for them.
+/// No client request waits for them.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl EdgeShared {
-    /// An endpoint did not answer at all.
+    /// Records that an endpoint did not respond at all.
     ///
-    /// Connections kept to a domain that falls silent are closed: a request sent on one would hang.
+    /// When a domain becomes unreachable, its pooled connections are closed: a request sent on one
+    /// would hang.
     pub(crate) fn note_silent(&self, domain: &str, endpoint: EndpointKey) {
         let mut state = self.state.borrow_mut();
         if !state.reach.note_silent(domain, endpoint) {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Something came back from a domain.
+    /// Records that an endpoint of the domain responded.
     pub(crate) fn note_reached(&self, domain: &str) {
         if self.state.borrow_mut().reach.note_answer(domain) {
             tracing::info!(domain, "failure domain reachable again");
@@ -48,7 +49,7 @@
     }
 }
 
-/// Tries to connect to unreachable domains for as long as the process runs.
+/// Probes unreachable domains for as long as the process runs.
 pub(crate) async fn probe_domains(shared: Rc<EdgeShared>) {
     loop {
         sleep(PROBE_INTERVAL).await;
@@ -58,7 +59,7 @@
     }
 }
 
-/// One endpoint of each unreachable domain, drawn by lot.
+/// Picks one random endpoint of each unreachable domain.
 fn probe_targets(shared: &EdgeShared) -> Vec<(String, SocketAddr)> {
     let state = shared.state.borrow();
     let domains = state.reach.unreachable();
@@ -71,7 +72,7 @@
     domains.filter_map(target).collect()
 }
 
-/// A refused connection shows the domain reachable as well as one that is accepted.
+/// A refused connection proves that the domain is reachable just as an accepted one does.
 async fn probe(shared: Rc<EdgeShared>, domain: String, address: SocketAddr) {
     match EndpointConnection::open(address).await {
         Ok(connection) => {
--- a/crates/ragwortroad_edge/src/edge_body.rs
+++ b/crates/ragwortroad_edge/src/edge_body.rs
@@ -18,16 +18,16 @@
     StreamError, //
 };
 
-/// The body of an answer to a caller.
+/// Body of a response to a client.
 pub(crate) enum EdgeBody {
-    /// All of it is there; nothing once it was taken.
+    /// The complete body; `None` if empty or already taken.
     Full(Option<Bytes>),
-    /// Events as they come.
+    /// An event stream that is forwarded as it arrives.
     Stream(Box<StreamBody>),
 }
 
 impl EdgeBody {
-    /// A body that is there as a whole.
+    /// Creates a complete body.
     pub(crate) fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty()))
     }
--- a/crates/ragwortroad_edge/src/edge_error.rs
+++ b/crates/ragwortroad_edge/src/edge_error.rs
@@ -5,29 +5,29 @@
 
 use snafu::Snafu;
 
-/// Why an edge cannot run.
+/// Reason why an edge cannot start.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum EdgeError {
-    /// A setting that an edge needs is missing.
+    /// A required setting is missing.
     #[snafu(display("[edge] {key} is missing; an edge cannot run without it"))]
     MissingSetting {
-        /// The setting.
+        /// Name of the missing key.
         key: &'static str,
     },
-    /// An address is in use or not this VM's.
+    /// The address is in use or does not belong to this VM.
     #[snafu(display("cannot listen on {address}: {source}; stop what uses it or change it"))]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Error reported by the operating system.
         source: io::Error,
     },
-    /// No runtime could be had.
+    /// The async runtime could not be created.
     #[snafu(display("cannot start: {source}; look at the VM's memory and limits"))]
     Start {
-        /// What the system said.
+        /// Error reported by the operating system.
         source: io::Error,
     },
 }
--- a/crates/ragwortroad_edge/src/edge_gates.rs
+++ b/crates/ragwortroad_edge/src/edge_gates.rs
@@ -1,4 +1,4 @@
-//! What an edge knows for the gates of its services.
+//! Inputs of the admission gates: time already spent, and the load of the fleet.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
     service_gate::ServiceGate, //
 };
 
-/// Routes whose callers' times are remembered; each takes about a hundred bytes.
+/// Maximum number of routes whose usual timeout is remembered; each takes about a hundred bytes.
 const MAX_USUAL_TIMEOUTS: usize = 5000;
 
 impl EdgeState {
-    /// How long a request's caller has waited elsewhere, by the time that it has left.
+    /// Estimates how long the client has already waited elsewhere, from its remaining time.
     pub(crate) fn time_spent(&mut self, plan: &RequestPlan) -> Duration {
         let Some(time_left) = plan.facts.time_left else {
             return Duration::ZERO;
         };
-        // Routes come and go with configurations; the figures are learned again in a moment.
+        // Routes come and go with configurations, and the estimates are learned again quickly.
         if self.usual_timeouts.len() > MAX_USUAL_TIMEOUTS {
             self.usual_timeouts.clear();
         }
@@ -28,7 +28,8 @@
         usual_timeout.or_default().note(time_left)
     }
 
-    /// The gate of a service; a new one knows the service's limit from the start.
+    /// Returns the gate of a service. A new gate starts with the limit derived from the current
+    /// load.
     pub(crate) fn gate_mut(&mut self, service: &str, now: ClockTime) -> &mut ServiceGate {
         let is_new = !self.gates.contains_key(service);
         let fleet = is_new.then(|| self.fleet_load(service, now)).flatten();
@@ -40,14 +41,14 @@
         })
     }
 
-    /// Limits what this edge has under way at each service, by what is known of the fleet.
+    /// Updates the concurrency limit of each service from the load of the fleet.
     pub(crate) fn set_limits(&mut self, now: ClockTime) {
         let map = self.map.clone();
         let is_known = |service: &str| {
             map.as_ref()
                 .is_some_and(|map| map.service(service).is_some())
         };
-        // Services come and go with configurations, while requests for them are still under way.
+        // Services come and go with configurations, while requests for them may still be in flight.
         self.gates
             .retain(|service, gate| gate.is_used() || is_known(service));
         let services: Vec<String> = self.gates.keys().cloned().collect();
@@ -59,8 +60,8 @@
         }
     }
 
-    /// What is known of all requests at a service's engines; nothing for a plain service, and where
-    /// no engine is known.
+    /// Load of a service's engines; `None` for a service without engines, and if no engine is
+    /// known.
     fn fleet_load(&self, service: &str, now: ClockTime) -> Option<FleetLoad> {
         let rule = self.map.as_ref()?.service(service)?;
         rule.engine.as_ref()?;
--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -1,4 +1,4 @@
-//! Connections of an edge to the registries, and what comes over them.
+//! Connections of an edge to the registries, and handling of their messages.
 
 use std::{
     net::SocketAddr,
@@ -28,7 +28,7 @@
     registry_link::RegistryLink, //
 };
 
-/// Dials the registries that the settings name.
+/// Connects to the registries listed in the settings.
 pub(crate) fn dial_seeds(shared: &Rc<EdgeShared>, seeds: &[SocketAddr]) {
     let port = shared.settings.inner.port();
     let addresses = seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port));
@@ -49,7 +49,7 @@
     }
 }
 
-/// Keeps a connection to one registry for as long as the process runs.
+/// Keeps a connection to one registry for as long as the process runs, reconnecting with backoff.
 async fn maintain_link(shared: Rc<EdgeShared>, source: SourceKey, address: SocketAddr) {
     let settings = LinkSettings::default();
     let mut backoff = DialBackoff::default();
--- a/crates/ragwortroad_edge/src/edge_port.rs
+++ b/crates/ragwortroad_edge/src/edge_port.rs
@@ -11,50 +11,51 @@
 };
 use ragwortroad_dispatch::prelude::*;
 
-/// How callers and endpoints speak to an edge.
+/// Functions that translate between the edge and the protocol of clients and endpoints.
 ///
-/// Names and formats of the outside live behind these functions, which decide nothing.
+/// The platform supplies them. They hold all names and formats of that protocol and make no
+/// decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct EdgePort {
-    /// Reads a caller's request.
+    /// Parses the headers of a client's request.
     pub parse_request: fn(&HeaderMap) -> RequestMetadata,
-    /// Makes a caller's headers into those that an endpoint gets.
+    /// Rewrites a client's headers into the ones sent to an endpoint.
     pub rewrite_headers: fn(&mut HeaderMap, &ForwardMetadata<'_>),
-    /// Reads an endpoint's answer.
+    /// Parses the status and headers of an endpoint's response.
     pub parse_response: fn(StatusCode, &HeaderMap) -> ResponseMetadata,
-    /// Reads a configuration document.
+    /// Parses a configuration document.
     pub decode_config: fn(&[u8]) -> Result<SiteConfig, ConfigFault>,
-    /// Whether this asks if the edge is ready.
+    /// Whether a request is a readiness probe of this edge.
     pub is_readiness_probe: fn(&Method, &Uri) -> bool,
 }
 
-/// What a caller's headers say.
+/// Metadata from the headers of a client's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// Identity of this attempt of the caller's.
+    /// Id of this attempt, chosen by the client; `None` if it sent none.
     pub id: Option<String>,
-    /// How long the caller waits.
+    /// Time until the client gives up; `None` if it sent no deadline.
     pub time_left: Option<Duration>,
-    /// The caller's key.
+    /// API key that identifies the customer; `None` if it sent none.
     pub api_key: Option<String>,
-    /// The event behind which a stream is to go on.
+    /// Id of the last event that the client received; the stream resumes after it.
     pub last_event_id: Option<u64>,
-    /// Parts of the prompt, in order; the last one is the request's own.
+    /// Parts of the prompt, in order; all but the last may be shared with other requests.
     pub prompt_parts: Vec<PromptPart>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens; zero if unknown.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of output tokens; zero if unknown.
     pub max_output_tokens: u32,
 }
 
 impl RequestMetadata {
-    /// Key of the text that the request shares with others.
+    /// Key of the prompt prefix shared with other requests; `None` if there is none.
     pub fn shared_prefix(&self) -> Option<u64> {
         let parts: Vec<u64> = self.prompt_parts.iter().map(|part| part.key).collect();
         shared_key(&parts)
     }
 
-    /// Tokens of the prompt that the request shares with others.
+    /// Number of tokens in the shared prompt prefix.
     pub fn shared_prefix_tokens(&self) -> u32 {
         let shared = self
             .prompt_parts
@@ -66,51 +67,52 @@
     }
 }
 
-/// A part of a prompt.
+/// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of its text.
+    /// Identifies the part's text.
     pub key: u64,
-    /// Its length.
+    /// Length of the part in tokens.
     pub tokens: u32,
 }
 
-/// What an endpoint is told beside the caller's own headers.
+/// Metadata that the edge adds to a request for an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardMetadata<'a> {
-    /// Time that is left for the request.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// The endpoint that is meant, so that another one at its address refuses.
+    /// Name of the intended endpoint, so that another one at the same address rejects the request.
     pub endpoint: &'a str,
-    /// Whose request it is.
+    /// Customer who sent the request; `None` if unidentified.
     pub customer: Option<&'a str>,
-    /// Urgency at a model engine.
+    /// Priority at a model engine; `None` if not sent.
     pub rank: Option<u8>,
-    /// The event behind which the stream goes on.
+    /// Id of the event after which the stream resumes.
     pub last_event_id: Option<u64>,
-    /// Where the engine copies shared text from that it has not read.
+    /// Address of the engine from which the target copies the shared prefix if it does not have it
+    /// cached.
     pub prefix_source: Option<SocketAddr>,
 }
 
-/// What an endpoint's headers say.
+/// Metadata from the headers of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseMetadata {
-    /// The request that it answers.
+    /// Id of the request that it responds to.
     pub id: Option<String>,
     /// Whether it carries the endpoint's signature.
     pub is_signed: bool,
-    /// Whether the endpoint says that it did not run the request.
+    /// Whether the endpoint states that it did not run the request.
     pub is_not_run: bool,
-    /// Whether another endpoint answered than the one meant.
+    /// Whether another endpoint than the intended one responded.
     pub is_misdirected: bool,
-    /// Whether the body is a series of events.
+    /// Whether the body is a stream of server-sent events.
     pub is_event_stream: bool,
-    /// Whether the body is encoded, which none was asked to be.
+    /// Whether the body has a content encoding, although the edge requests none.
     pub is_encoded: bool,
-    /// The endpoint's load.
+    /// Load reported by the endpoint.
     pub load: Option<LoadReading>,
-    /// How long the endpoint keeps the connection without a request.
+    /// Time for which the endpoint keeps an idle connection open; `None` if not announced.
     pub keep_alive_timeout: Option<Duration>,
-    /// Whether the endpoint closes the connection.
+    /// Whether the endpoint closes the connection after this response.
     pub is_closing: bool,
 }
--- a/crates/ragwortroad_edge/src/edge_process.rs
+++ b/crates/ragwortroad_edge/src/edge_process.rs
@@ -55,39 +55,43 @@
     }, //
 };
 
-/// Time between two rounds of what is done from time to time.
+/// Interval of the periodic tasks.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Rounds after which the registry that adds loads up is told this edge's.
+/// Minimum number of ticks between load reports to the home registry.
 const LOAD_REPORT_TICKS: u32 = 2;
 
-/// Time for which a stopping edge goes on taking callers who have not heard of it.
+/// Minimum time for which a draining edge accepts new requests, from clients that still resolve to
+/// it.
 ///
-/// The directory's answers are kept for two seconds, by some for six.
+/// Directory responses are cached for two seconds, by some clients for six.
 const MIN_DRAIN: Duration = Duration::from_millis(2500);
 
-/// Time without a new request after which a stopping edge takes it that its callers have moved.
+/// Time without a new request after which a draining edge assumes that its clients have moved.
 const DRAIN_QUIET_PERIOD: Duration = Duration::from_millis(1500);
 
-/// Time before the end of the grace time at which a stopping edge ends in any case.
+/// Safety margin before the end of the grace period at which a draining edge stops in any case.
 const GRACE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Time before the end at which requests without an answer are told that none will come.
+/// Time before shutdown at which pending requests are answered with an error.
 ///
-/// An endpoint that has gone silent holds a request until its deadline. Cut with the process, its
-/// caller would see a connection that broke for no reason, and not be told what is known.
+/// An unresponsive endpoint holds a request until its deadline. If the process just ended, the
+/// client would see its connection break without being told what is known about the request.
 const FINAL_RESPONSE_WINDOW: Duration = Duration::from_millis(600);
 
-/// What an edge is told from outside its tasks.
+/// Signals from the process that hosts the edge.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EdgeSignal {
     /// The settings have changed.
     Reload(Box<ForwardSettings>),
-    /// The process is to stop.
+    /// Drain and stop.
     Stop,
 }
 
-/// Runs an edge until it is told to stop; `page` is where its metrics are read, if they are kept.
+/// Runs an edge until it receives [`EdgeSignal::Stop`] and has drained.
+///
+/// `page` exposes its metrics; `None` if metrics are disabled. Fails if a required setting is
+/// missing, an address cannot be bound, or the runtime cannot be created.
 pub fn run_edge(
     settings: ForwardSettings,
     port: EdgePort,
@@ -143,7 +147,8 @@
     Ok(())
 }
 
-/// Does what is due from time to time.
+/// Runs the periodic tasks: expiry, home selection, load reports, limits and configuration
+/// requests.
 async fn run_ticks(shared: Rc<EdgeShared>) {
     let mut tick = 0_u32;
     loop {
@@ -163,7 +168,7 @@
         state.set_limits(now);
         state.set_gauges();
         tick += 1;
-        // A registry is the home of its part of the edges.
+        // Each registry is the home of its share of the edges.
         let registries = state.registries.len().max(1) as u32;
         let pace = load_pace(state.edges.div_ceil(registries));
         let is_due = tick.is_multiple_of(LOAD_REPORT_TICKS * pace);
@@ -188,10 +193,10 @@
     }
 }
 
-/// Takes this edge out of the directory and lets what is under way end.
+/// Marks this edge as draining and waits for requests in flight.
 ///
-/// Idle connections stay open: a caller that has not heard yet would lose the request that crosses
-/// the close. Each answer from now on closes its connection instead.
+/// Idle connections stay open: closing one could lose a request that a client sends at the same
+/// moment. Instead, each response from now on closes its connection.
 async fn drain(shared: &EdgeShared) {
     let begun = shared.now();
     let limit = shared.settings.grace.saturating_sub(GRACE_MARGIN);
--- a/crates/ragwortroad_edge/src/edge_state.rs
+++ b/crates/ragwortroad_edge/src/edge_state.rs
@@ -30,84 +30,82 @@
     service_gate::ServiceGate, //
 };
 
-/// Places of texts that a registry is told at once: as many as it keeps.
+/// Maximum number of prefix locations sent to a registry at once; it stores as many.
 const MAX_SENT_LOCATIONS: usize = 4000;
 
-/// Time after a start for which an edge waits for the registry that it prefers as its home.
+/// Time after the start during which the edge waits for the registry it prefers as its home.
 const PREFERRED_HOME_WAIT: Duration = Duration::from_millis(600);
 
-/// What the tasks of an edge share; all of them run on one thread.
+/// State shared by the tasks of an edge, all of which run on one thread.
 pub(crate) struct EdgeShared {
     pub(crate) settings: ForwardSettings,
     pub(crate) port: EdgePort,
     pub(crate) clock: RealClock,
     pub(crate) state: RefCell<EdgeState>,
     pub(crate) pool: ConnectionPool,
-    /// Told when the edge is to stop.
+    /// Notified when the edge should stop.
     pub(crate) stop: Notify,
-    /// Turns true shortly before a stopping edge ends: what has no answer by then gets one.
+    /// Set to true shortly before a draining edge stops; pending requests then get an error
+    /// response.
     pub(crate) shutdown_imminent: watch::Sender<bool>,
 }
 
-/// All that an edge knows.
+/// Mutable state of an edge.
 ///
-/// Borrowed for moments only, never across an await.
+/// Borrowed only briefly, never across an await point.
 #[derive(Default)]
 pub(crate) struct EdgeState {
-    /// The configuration in force here; nothing before the first one.
+    /// Routes of the configuration in force; `None` before the first one.
     pub(crate) map: Option<Rc<RouteMap>>,
-    /// The document it was made of, against which the next one comes.
+    /// Document of the configuration in force, which the next delta is based on.
     pub(crate) document: Option<Rc<[u8]>>,
-    /// The same as it is given to another edge; made when it is asked for.
+    /// The configuration in force as a full delta for other edges, created on demand.
     pub(crate) full_config: Option<ConfigDelta>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) loads: BTreeMap<EndpointKey, EndpointLoad>,
-    /// Failure domains that are drained.
     pub(crate) drains: DomainDrains,
-    /// Failure domains that this edge can reach.
     pub(crate) reach: DomainReach,
-    /// When this edge may send requests to endpoints that warm up.
+    /// Limits this edge's requests to endpoints that are warming up.
     pub(crate) warmups: WarmupPace,
     pub(crate) prefixes: TextTable,
-    /// Places at engines that have not been heard of yet.
+    /// Prefix locations at engines that have not announced themselves yet.
     pending_locations: StrayPlaces,
-    /// Places of texts that the other edges are still to be told.
+    /// Prefix locations that have yet to be sent to the other edges.
     pub(crate) unsent_locations: Vec<PlacedText>,
     budgets: BTreeMap<String, RetryBudget>,
-    /// Who may go on, of the requests for each service.
+    /// Admission gates by service.
     pub(crate) gates: BTreeMap<String, ServiceGate>,
-    /// How long callers wait at first, by route.
+    /// Usual timeout of clients, by route.
     pub(crate) usual_timeouts: BTreeMap<String, UsualPatience>,
     pub(crate) links: BTreeMap<SourceKey, RegistryLink>,
     pub(crate) registries: BTreeSet<SocketAddr>,
     pub(crate) next_source: u32,
-    /// Edges of the fleet, as the registries told last.
+    /// Number of edges in the fleet, as last reported by a registry.
     pub(crate) edges: u32,
     pub(crate) stage: EdgeStage,
-    /// When a stopping edge ends in any case.
+    /// When a draining edge stops in any case.
     pub(crate) shutdown_at: Option<Instant>,
-    /// How this edge comes by the configuration in force.
+    /// Progress of fetching the configuration in force.
     pub(crate) fetch: ConfigFetch,
-    /// When a registry told last what all edges have under way.
+    /// When a registry last reported the loads of all edges.
     pub(crate) loads_received_at: Option<ClockTime>,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub(crate) in_flight: usize,
-    /// When a connection or a request came last.
+    /// When the most recent request arrived.
     pub(crate) last_activity_at: ClockTime,
 }
 
 impl EdgeState {
-    /// The version in force here.
+    /// Version of the configuration in force; `None` before the first one.
     pub(crate) fn version(&self) -> Option<u64> {
         self.map.as_ref().map(|map| map.config().version)
     }
 
-    /// The load of an endpoint.
     pub(crate) fn load_mut(&mut self, key: EndpointKey) -> &mut EndpointLoad {
         self.loads.entry(key).or_default()
     }
 
-    /// The budget of a service.
+    /// Returns the retry budget of a service, creating it if needed.
     pub(crate) fn budget_mut(
         &mut self,
         service: &str,
@@ -124,13 +122,13 @@
             let budget = RetryBudget::new(budget_settings, edges, now);
             self.budgets.insert(service.to_owned(), budget);
         }
-        // The entry was made above where there was none.
+        // The entry exists, since it was inserted above.
         self.budgets
             .entry(service.to_owned())
             .or_insert_with(|| RetryBudget::new(BudgetSettings::default(), edges, now))
     }
 
-    /// Endpoints of a service that get new work.
+    /// Ready endpoints of a service whose failure domain is not drained.
     pub(crate) fn available_endpoints(
         &self,
         service: &str,
@@ -139,7 +137,7 @@
         ready.filter(|(_, record)| !self.drains.is_drained(&record.zone))
     }
 
-    /// Takes which failure domains are drained, unless a later word is known.
+    /// Applies the set of drained failure domains unless a newer revision is known.
     ///
     /// Endpoints of a domain that is no longer drained count as warming up until `warm_at`.
     pub(crate) fn apply_drains(&mut self, drains: DomainDrains, warm_at: ClockTime) {
@@ -154,7 +152,7 @@
         self.drains = drains;
     }
 
-    /// Takes where another edge has placed a text, or an earlier process of the fleet.
+    /// Applies a prefix location reported by another edge or by an earlier process of the fleet.
     pub(crate) fn apply_location(&mut self, location: PlacedText, now: ClockTime) {
         match self.endpoints.find(location.engine) {
             Some(key) => {
@@ -164,12 +162,12 @@
         }
     }
 
-    /// Whether a text is known to be at an engine that has not announced itself yet, and at no other.
+    /// Whether a prefix is known only at an engine that has not announced itself yet.
     pub(crate) fn awaits_holder(&self, prefix: u64, now: ClockTime) -> bool {
         self.pending_locations.knows(prefix) && self.prefixes.holders(prefix, now).next().is_none()
     }
 
-    /// Follows a change of an endpoint.
+    /// Applies an endpoint change to loads and prefix locations.
     pub(crate) fn apply_change(&mut self, change: EndpointChange, now: ClockTime) {
         match change {
             EndpointChange::Started(key) => {
@@ -185,7 +183,7 @@
         }
     }
 
-    /// Brings the metrics of what is known up to date.
+    /// Updates the gauges that reflect the current state.
     pub(crate) fn set_gauges(&self) {
         let connected = self.links.values().filter(|link| link.queue.is_some());
         metrics::gauge!(metric_names::REQUESTS_IN_FLIGHT).set(self.in_flight as f64);
@@ -203,12 +201,13 @@
         metrics::gauge!(metric_names::CONFIG_VERSION).set(self.version().unwrap_or(0) as f64);
     }
 
-    /// Takes the registry for its home that this edge prefers of those it is connected to.
+    /// Selects this edge's preferred registry among the connected ones as its home.
     ///
-    /// What a former home told and was told counts no longer.
+    /// State exchanged with the previous home is discarded.
     pub(crate) fn update_home(&mut self, edge: &str, uptime: Duration) {
-        // Just started, most edges reach the same registries first: as their homes these would tell
-        // all places of texts to far more edges than their part, a moment before these move on.
+        // Right after a start, most edges reach the same registries first. If they selected these
+        // as their homes, the registries would send all prefix locations to far more edges than
+        // their share, moments before these edges move to another home.
         let is_candidate =
             |link: &RegistryLink| link.queue.is_some() || uptime < PREFERRED_HOME_WAIT;
         let links = self.links.values().filter(|link| is_candidate(link));
@@ -233,7 +232,7 @@
         }
     }
 
-    /// Tells this edge's home what it has under way where that has changed.
+    /// Reports changed numbers of in-flight requests to the home registry.
     pub(crate) fn send_loads(&mut self) {
         let Self {
             links,
@@ -255,13 +254,13 @@
         }
     }
 
-    /// Requests of other edges at an endpoint.
+    /// Number of requests that other edges have in flight at an endpoint.
     pub(crate) fn other_edges_load(&self, name: &str) -> u32 {
         let home = self.home();
         home.map_or(0, |link| link.other_edges_load(EndpointTag::of(name)))
     }
 
-    /// Requests of this edge at an endpoint, as it told its home.
+    /// Number of requests at an endpoint that this edge last reported to its home.
     pub(crate) fn reported_load(&self, name: &str) -> u32 {
         let home = self.home();
         home.map_or(0, |link| link.report.count(EndpointTag::of(name)))
@@ -271,7 +270,7 @@
         self.links.values().find(|link| link.is_home)
     }
 
-    /// Tells the other edges, by way of this edge's home, where texts were placed here.
+    /// Sends new prefix locations to the other edges through the home registry.
     pub(crate) fn send_locations(&mut self) {
         if self.unsent_locations.is_empty() {
             return;
@@ -283,7 +282,7 @@
         }
     }
 
-    /// Tells a registry that asks for it where texts are, as far as this edge knows.
+    /// Sends all known prefix locations to a registry that asked for them.
     pub(crate) fn send_all_locations(&self, source: SourceKey) {
         let link = self.links.get(&source);
         let Some(queue) = link.and_then(|link| link.queue.as_ref()) else {
@@ -298,7 +297,7 @@
         queue.send(&LinkMessage::PlacesKnown(locations.collect()));
     }
 
-    /// Tells all registries this edge's stage.
+    /// Changes this edge's lifecycle stage and reports it to all registries.
     pub(crate) fn set_stage(&mut self, stage: EdgeStage) {
         if self.stage == stage {
             return;
@@ -314,12 +313,12 @@
 }
 
 impl EdgeShared {
-    /// The time.
     pub(crate) fn now(&self) -> ClockTime {
         self.clock.now()
     }
 
-    /// How long a request with `time_left` waits for what this edge still lacks.
+    /// Maximum time for which a request with `time_left` waits for state that a starting edge still
+    /// lacks.
     pub(crate) fn start_wait(&self, time_left: Duration) -> Duration {
         match self.settings.mechanisms.start_wait {
             true => start_wait(self.uptime(), time_left),
@@ -329,7 +328,7 @@
 
     /// Time since the process started.
     pub(crate) fn uptime(&self) -> Duration {
-        // Readings of a process's clock start an hour after zero.
+        // The clock of a process starts at one hour.
         self.now()
             .since(ClockTime::ZERO.after(Duration::from_secs(3600)))
     }
--- a/crates/ragwortroad_edge/src/endpoint_call.rs
+++ b/crates/ragwortroad_edge/src/endpoint_call.rs
@@ -1,4 +1,4 @@
-//! One request at one endpoint.
+//! A single attempt to send a request to an endpoint.
 
 use std::{
     net::SocketAddr,
@@ -40,34 +40,34 @@
     }, //
 };
 
-/// What became of a request at an endpoint.
+/// Outcome of an attempt at an endpoint.
 pub(crate) enum CallOutcome {
-    /// Nothing reached it.
+    /// The request did not reach the endpoint.
     NotSent { reason: String, is_timeout: bool },
-    /// It says that it did not run the request.
+    /// The endpoint states that it did not run the request.
     NotRun,
-    /// Another endpoint has its address, and did not run the request.
+    /// Another endpoint has this address now, and it did not run the request.
     Misdirected,
-    /// It may have run the request, and no usable answer came.
+    /// The endpoint may have run the request, but there is no usable response.
     Lost { reason: String, is_timeout: bool },
-    /// The time is over.
+    /// The deadline passed.
     TimedOut,
-    /// It has not begun to answer in time, and another endpoint is asked.
+    /// The endpoint did not start to respond in time, and another one is tried.
     NoResponse,
-    /// An answer came in full.
+    /// A complete response.
     Full(FullResponse),
-    /// Events are coming.
+    /// An event stream has started.
     Events(Box<EventStream>),
 }
 
-/// An answer that is there.
+/// A response whose body was received completely.
 pub(crate) struct FullResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-/// A stream of events that has begun.
+/// A started event stream whose body is still being received.
 pub(crate) struct EventStream {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
@@ -78,7 +78,8 @@
     pub(crate) guard: InFlightGuard,
 }
 
-/// Sends a request to an endpoint and waits for its answer, or for a stream's beginning.
+/// Sends a request to an endpoint and waits for the complete response or for the head of an event
+/// stream.
 pub(crate) async fn call_endpoint(
     shared: &Rc<EdgeShared>,
     plan: &RequestPlan,
@@ -132,7 +133,7 @@
             Ok(response) => {
                 return read_response(shared, plan, chosen, connection, response, guard).await;
             }
-            // The endpoint closed a kept connection before anything was sent on it.
+            // The endpoint closed a pooled connection before the request was sent; opens a new one.
             Err(SendFailure::NotSent) if was_pooled => {}
             Err(SendFailure::NotSent) => {
                 return CallOutcome::NotSent {
@@ -189,8 +190,8 @@
     let (head, body) = response.into_parts();
     let facts = (shared.port.parse_response)(head.status, &head.headers);
     if facts.id.as_deref().is_some_and(|id| id != plan.id) {
-        // An answer that belongs to another request, late on a kept connection. Handed over, a
-        // caller would get what is another customer's.
+        // A late response to an earlier request on a reused connection. Forwarding it could expose
+        // another customer's data.
         return unusable_response("the answer names another request");
     }
     if let Some(load) = facts.load {
@@ -239,7 +240,7 @@
     })
 }
 
-/// An answer that cannot be used.
+/// Outcome for a response that cannot be used.
 fn unusable_response(reason: &str) -> CallOutcome {
     CallOutcome::Lost {
         reason: reason.to_owned(),
@@ -247,7 +248,7 @@
     }
 }
 
-/// Gives a connection back whose answer was read in full.
+/// Returns a connection to the pool after its response was read in full.
 pub(crate) fn return_connection(
     shared: &EdgeShared,
     address: SocketAddr,
@@ -263,7 +264,7 @@
     }
 }
 
-/// Remembers how the endpoint did.
+/// Records the outcome in the endpoint's health and in the reachability of its failure domain.
 pub(crate) fn record_outcome(shared: &EdgeShared, chosen: &ChosenEndpoint, outcome: &CallOutcome) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
@@ -284,7 +285,7 @@
     record_reachability(shared, chosen, outcome);
 }
 
-/// Remembers whether the endpoint's failure domain can be reached.
+/// Records whether the endpoint's failure domain is reachable.
 fn record_reachability(shared: &EdgeShared, chosen: &ChosenEndpoint, outcome: &CallOutcome) {
     match outcome {
         CallOutcome::NotSent { is_timeout, .. } | CallOutcome::Lost { is_timeout, .. } => {
@@ -303,9 +304,9 @@
     }
 }
 
-/// Tells the service's gate how long an endpoint took.
+/// Reports the response time to the service's gate.
 ///
-/// One that refuses is as full as one that is too late.
+/// A rejection indicates as much overload as a response that is too late.
 fn record_latency(shared: &EdgeShared, plan: &RequestPlan, outcome: &CallOutcome, took: Duration) {
     let target = plan.rule().target;
     let took = match outcome {
--- a/crates/ragwortroad_edge/src/endpoint_choice.rs
+++ b/crates/ragwortroad_edge/src/endpoint_choice.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to, from what the edge knows now.
+//! Selects the endpoint for a request from the edge's current state.
 
 use std::{
     net::SocketAddr,
@@ -17,41 +17,41 @@
     request_plan::RequestPlan, //
 };
 
-/// An endpoint chosen for a request.
+/// An endpoint selected for a request.
 #[derive(Clone, Debug)]
 pub(crate) struct ChosenEndpoint {
     pub(crate) key: EndpointKey,
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub(crate) zone: String,
-    /// Requests there by the best knowledge here.
+    /// Estimated number of requests at the endpoint.
     pub(crate) load: u32,
-    /// Age of what other edges told of their requests there; nothing where they tell nothing.
+    /// Age of the other edges' load reports; `None` if they report nothing.
     pub(crate) load_age: Option<Duration>,
-    /// Endpoints among which it was chosen.
+    /// Number of endpoints that could have been selected.
     pub(crate) candidate_count: usize,
-    /// Whether it has read the request's shared text.
+    /// Whether the endpoint already has the request's shared prefix cached.
     pub(crate) holds_prefix: bool,
-    /// The engine that it copies that text from, where it has not read it.
+    /// The engine to copy the shared prefix from, if the endpoint does not have it cached.
     pub(crate) prefix_source: Option<ChosenSource>,
 }
 
 impl ChosenEndpoint {
-    /// The age of the load, for log lines.
+    /// Age of the load in milliseconds, for logs.
     pub(crate) fn load_age_ms(&self) -> Option<u64> {
         self.load_age.map(|age| age.as_millis() as u64)
     }
 }
 
-/// An engine from which another one copies text.
+/// An engine from which another one copies a cached prefix.
 #[derive(Clone, Debug)]
 pub(crate) struct ChosenSource {
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
 }
 
-/// Chooses an endpoint that was not tried, if there is one.
+/// Selects an endpoint that has not been tried yet, and records the selection.
 pub(crate) fn choose_endpoint(
     shared: &EdgeShared,
     plan: &RequestPlan,
@@ -74,17 +74,17 @@
     Some(chosen)
 }
 
-/// What an edge knows at the moment of one choice.
+/// Snapshot of the state for one selection.
 struct ChoiceContext<'a> {
     state: &'a EdgeState,
     plan: &'a RequestPlan,
-    /// Figures of the service's engines; nothing for a plain service.
+    /// Rule for the service's engines; `None` for a service without engines.
     engine: Option<&'a EngineRule>,
-    /// Requests a second that the service's endpoints tolerate while they warm up.
+    /// Requests per second that the service's endpoints tolerate while warming up.
     warmup_rate: Option<f64>,
-    /// Engines that hold the request's shared text.
+    /// Engines that have the request's shared prefix cached.
     holders: Vec<EndpointKey>,
-    /// The request's shared text, where places of texts count.
+    /// Key of the request's shared prefix; `None` if prefix locations are disabled.
     prefix: Option<u64>,
     mechanisms: &'a MechanismSettings,
     tried: &'a [EndpointKey],
@@ -163,7 +163,7 @@
         };
         let (open, paused): (Vec<_>, Vec<_>) =
             untried.partition(|(key, record)| is_open(*key, record));
-        // Where all of them failed lately, one of them is still a better guess than a refusal.
+        // If all of them failed recently, trying one is still better than a refusal.
         let usable = if open.is_empty() { paused } else { open };
         let usable = usable.into_iter();
         usable
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Whether the endpoint is warm, or this edge may send it a request while it warms up.
+    /// Whether the endpoint is warm, or its warm-up limit allows this edge another request.
     fn may_send(&self, key: EndpointKey, record: &EndpointRecord) -> bool {
         let is_bounded = self.warmup_rate.is_some() && self.is_warming(key);
         let tag = || EndpointTag::of(&record.name);
@@ -212,9 +212,9 @@
         }
     }
 
-    /// The engine from which `target` copies the request's shared text.
+    /// Selects the engine from which `target` copies the shared prefix.
     ///
-    /// One that leaves is asked too, as long as nobody has said that it is gone.
+    /// An engine that is draining is also used, as long as it is not known to be gone.
     fn find_source(&self, engine: &EngineRule, target: &EndpointRecord) -> Option<ChosenSource> {
         let untried = self.holders.iter().filter(|key| !self.tried.contains(key));
         let sources = untried.filter_map(|&key| self.source(key, target));
@@ -242,7 +242,7 @@
     }
 }
 
-/// Remembers that an engine reads a text, and has the other edges told if they do not know.
+/// Records that an engine caches a prefix, and queues it for the other edges if it is new.
 fn record_location(shared: &EdgeShared, text: u64, chosen: &ChosenEndpoint) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
--- a/crates/ragwortroad_edge/src/endpoint_connection.rs
+++ b/crates/ragwortroad_edge/src/endpoint_connection.rs
@@ -27,42 +27,42 @@
     time::timeout, //
 };
 
-/// Time for a connection to an endpoint to be established.
+/// Timeout for connecting to an endpoint.
 ///
-/// Within a region it takes a few milliseconds; a lost packet costs a second until it is sent
-/// again, and another endpoint is sooner there.
+/// Within a region connecting takes a few milliseconds. A lost packet is retransmitted only after a
+/// second, and trying another endpoint is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time after which unacknowledged bytes end a connection.
+/// Time after which a connection with unacknowledged data is closed.
 ///
-/// An endpoint without power, or behind a cut, answers nothing; without this a request there hangs
-/// until its deadline, and nobody is told that the endpoint is gone.
+/// An endpoint that lost power or is partitioned sends nothing. Without this timeout a request
+/// there hangs until its deadline, and the endpoint is not detected as lost.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Silence after which an idle connection is probed, and the pause between probes.
+/// Idle time before the first TCP keepalive probe, and interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which a connection ends.
+/// Number of unanswered keepalive probes after which a connection is closed.
 const KEEPALIVE_RETRIES: u32 = 2;
 
 /// A connection to an endpoint; dropping it closes it.
 pub(crate) struct EndpointConnection {
     sender: http1::SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// Whether a request has been answered on it before.
+    /// Whether a request has been completed on this connection before.
     pub(crate) is_reused: bool,
 }
 
-/// Why a request came back without an answer.
+/// Reason why sending a request produced no response.
 #[derive(Debug)]
 pub(crate) enum SendFailure {
-    /// No byte of it was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// It may have reached the endpoint.
+    /// The request may have reached the endpoint.
     Lost(hyper::Error),
 }
 
-/// Whether an error means that nothing at all has come back from an endpoint's VM.
+/// Whether an error means that the endpoint's VM sent no packet at all in return.
 pub(crate) fn is_timeout_error(error: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(error) = cause {
@@ -76,7 +76,6 @@
 }
 
 impl EndpointConnection {
-    /// Connects to an endpoint.
     pub(crate) async fn open(address: SocketAddr) -> io::Result<Self> {
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = connected.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
@@ -102,7 +101,7 @@
         })
     }
 
-    /// Sends a request; returns its answer's head and body.
+    /// Sends a request and returns the head of the response with its unread body.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -117,19 +116,20 @@
         })
     }
 
-    /// Whether the next request can be sent.
+    /// Whether the connection can accept a request.
     pub(crate) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Whether the endpoint has closed it.
+    /// Whether the endpoint has closed the connection.
     pub(crate) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 }
 
 impl Drop for EndpointConnection {
-    /// Closes the connection at once, so that the endpoint stops work for a caller that has left.
+    /// Closes the connection immediately, so that the endpoint stops working for a client that has
+    /// disconnected.
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/ragwortroad_edge/src/event_framer.rs
+++ b/crates/ragwortroad_edge/src/event_framer.rs
@@ -4,21 +4,22 @@
     BytesMut, //
 };
 
-/// Cuts a stream of bytes into whole events.
+/// Splits a byte stream into complete server-sent events.
 ///
-/// An endpoint can break off in the middle of an event. A caller that was handed the half and then
-/// the next run's events would join the two; so only whole events are handed over.
+/// An endpoint can fail in the middle of an event. A client that received the partial event
+/// followed by events from a resumed stream would join the two, so only complete events are
+/// forwarded.
 #[derive(Debug, Default)]
 pub struct EventFramer {
-    /// Bytes that do not make a whole event yet.
+    /// Bytes of an incomplete event.
     buffer: BytesMut,
     last_event_id: Option<u64>,
 }
 
 impl EventFramer {
-    /// Takes bytes; returns the whole events that they complete, if any.
+    /// Appends bytes and returns the events that are now complete; `None` if there are none.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
-        // The end mark can begin in what was there before.
+        // The terminator may have started in the bytes received earlier.
         let searched = self.buffer.len().saturating_sub(MAX_END_MARK_OVERLAP);
         self.buffer.extend_from_slice(bytes);
         let end = last_event_end(&self.buffer[searched..])? + searched;
@@ -29,26 +30,26 @@
         Some(events)
     }
 
-    /// Number of the last whole event, once one has come that has a number.
+    /// Id of the last complete event that had a numeric id; `None` before the first one.
     pub fn last_event_id(&self) -> Option<u64> {
         self.last_event_id
     }
 
-    /// Whether an event has begun and not ended.
+    /// Whether an event has started but is not complete.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Forgets the half of an event, before another run goes on behind the last whole one.
+    /// Discards a partial event before the stream resumes after the last complete one.
     pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 }
 
-/// Bytes of the longest end mark, less one.
+/// Length of the longest event terminator, minus one.
 const MAX_END_MARK_OVERLAP: usize = 3;
 
-/// Where the last whole event ends: behind an empty line.
+/// Position after the last complete event, which is terminated by an empty line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     for end in (1..=bytes.len()).rev() {
         let prefix = &bytes[..end];
@@ -59,7 +60,7 @@
     None
 }
 
-/// The number of the last event that has one.
+/// Id of the last event that has a numeric id.
 fn last_event_id(bytes: &[u8]) -> Option<u64> {
     let mut lines = bytes.split(|byte| *byte == b'\n').rev();
     lines.find_map(|line| {
--- a/crates/ragwortroad_edge/src/gate_permit.rs
+++ b/crates/ragwortroad_edge/src/gate_permit.rs
@@ -19,13 +19,13 @@
     service_gate::GateDecision, //
 };
 
-/// Leave to send a request to a service's endpoints; given back when this is dropped.
+/// Permit to send a request to a service's endpoints, released when dropped.
 ///
-/// One that was not given back would take a place from this edge's callers for good.
+/// A permit that is never released reduces the capacity for this edge's clients permanently.
 pub(crate) struct GatePermit {
     shared: Rc<EdgeShared>,
     plan: Rc<RequestPlan>,
-    /// Time that the request waited at the gate.
+    /// Time that the request was queued at the gate.
     pub(crate) waited: Duration,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A task that waits at a gate; its place goes back where nobody takes it.
+/// A request queued at a gate; on drop it releases a slot that was granted but not used.
 struct GateWait<'a> {
     shared: &'a EdgeShared,
     plan: &'a RequestPlan,
@@ -49,7 +49,7 @@
 }
 
 impl GateWait<'_> {
-    /// Ends the wait; tells whether the request may go on.
+    /// Ends the wait; returns whether the request was admitted.
     fn finish(&mut self) -> bool {
         self.is_finished = true;
         let now = self.shared.now();
@@ -72,7 +72,7 @@
     }
 }
 
-/// Waits until a request may go on; nothing if it cannot be served in time.
+/// Waits for admission; returns `None` if the request cannot be admitted in time.
 pub(crate) async fn acquire_permit(
     shared: &Rc<EdgeShared>,
     plan: &Rc<RequestPlan>,
--- a/crates/ragwortroad_edge/src/http_server.rs
+++ b/crates/ragwortroad_edge/src/http_server.rs
@@ -34,13 +34,13 @@
     request_flow::handle_request, //
 };
 
-/// Pause after an accept that failed, so that a lack of descriptors does not make the loop spin.
+/// Delay after a failed accept, so that the loop does not spin when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The HTTP library's least buffer for a head.
+/// Minimum buffer size for a request head that hyper accepts.
 const MIN_HEAD_BUFFER_BYTES: usize = 8192;
 
-/// Accepts callers for as long as the process runs.
+/// Accepts client connections for as long as the process runs.
 pub(crate) async fn serve_clients(shared: Rc<EdgeShared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -63,7 +63,7 @@
     let map = shared.state.borrow().map.clone();
     let limits = map.map_or_else(CallerLimits::default, |map| map.config().limits);
     let service = service_fn(|request| handle_request(Rc::clone(&shared), request));
-    // The library counts the time between two requests into the time for a head.
+    // Hyper includes the idle time between two requests in the head timeout.
     let head_timeout = limits.idle_timeout + limits.head_timeout;
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -76,7 +76,7 @@
     }
 }
 
-/// Tells whoever asks whether this edge takes callers.
+/// Serves readiness probes for as long as the process runs.
 pub(crate) async fn serve_readiness(shared: Rc<EdgeShared>, listener: TcpListener) {
     loop {
         let stream = match listener.accept().await {
--- a/crates/ragwortroad_edge/src/in_flight_guard.rs
+++ b/crates/ragwortroad_edge/src/in_flight_guard.rs
@@ -4,16 +4,16 @@
 
 use crate::edge_state::EdgeShared;
 
-/// A request at an endpoint, counted there until this is dropped.
+/// Counts a request as in flight at an endpoint until dropped.
 ///
-/// A count that is not taken back on some path would close the endpoint for good.
+/// If any path failed to decrement the count, the endpoint would appear fully loaded permanently.
 pub(crate) struct InFlightGuard {
     shared: Rc<EdgeShared>,
     key: EndpointKey,
 }
 
 impl InFlightGuard {
-    /// Counts a request at an endpoint.
+    /// Increments the endpoint's number of in-flight requests.
     pub(crate) fn new(shared: &Rc<EdgeShared>, key: EndpointKey) -> Self {
         shared.state.borrow_mut().load_mut(key).begin();
         Self {
@@ -22,7 +22,6 @@
         }
     }
 
-    /// The endpoint.
     pub(crate) fn key(&self) -> EndpointKey {
         self.key
     }
--- a/crates/ragwortroad_edge/src/lib.rs
+++ b/crates/ragwortroad_edge/src/lib.rs
@@ -1,9 +1,9 @@
-//! The process that takes callers' requests and passes them on to endpoints.
+//! Edge proxy that forwards client requests to endpoints.
 //!
-//! An edge keeps nothing that must survive. It connects to every registry, learns the site's
-//! configuration and its endpoints from them, and forwards each request by host and path. How
-//! callers and endpoints name things is not known here: an [`EdgePort`](prelude::EdgePort) reads
-//! their headers and writes ours.
+//! An edge has no persistent state. It connects to every registry, receives the site's
+//! configuration and endpoints from them, and forwards each request by host and path. The protocol
+//! of clients and endpoints is not known here: an [`EdgePort`](prelude::EdgePort) parses their
+//! headers and writes the edge's own.
 
 mod config_exchange;
 mod config_update;
@@ -36,7 +36,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Everything a dependent crate usually needs.
+/// The items that dependent crates usually import.
 pub mod prelude {
     pub use crate::{
         edge_error::EdgeError,
--- a/crates/ragwortroad_edge/src/refusal_reason.rs
+++ b/crates/ragwortroad_edge/src/refusal_reason.rs
@@ -1,38 +1,38 @@
 use hyper::StatusCode;
 
-/// Why an edge answers a request by itself.
+/// Reason why the edge responds to a request itself instead of forwarding a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RefusalReason {
-    /// No configuration is known here yet.
+    /// The edge has no configuration yet.
     Starting,
-    /// No route leads anywhere.
+    /// No route matches.
     NoRoute,
-    /// The key is unknown.
+    /// The API key is missing or unknown.
     UnknownKey,
-    /// The request names no identity.
+    /// The request has no id.
     NoIdentity,
-    /// The body is larger than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     SlowBody,
-    /// The body ended before its end.
+    /// The connection ended before the body was complete.
     CutBody,
-    /// No endpoint of the service takes work.
+    /// The service has no available endpoint.
     NoEndpoint,
-    /// The endpoints carry all that they can.
+    /// The service has reached its concurrency limit.
     Overload,
-    /// The endpoints refused the request.
+    /// The endpoints rejected the request without running it.
     NotRun,
-    /// An endpoint may have run the request, and no answer came of it.
+    /// An endpoint may have run the request but returned no usable response.
     Unknown,
-    /// The time is over.
+    /// The deadline passed.
     TimedOut,
-    /// This edge stops before an answer could be whole.
+    /// The edge stops before the response could be complete.
     Stopping,
 }
 
 impl RefusalReason {
-    /// The status that tells a caller whether the request has run.
+    /// Status code, which tells the client whether the request may have run.
     pub(crate) fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Its name in metrics.
+    /// Metric label.
     pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Starting => "starting",
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What callers are told.
+    /// Text of the response body.
     pub(crate) fn message(self) -> &'static str {
         match self {
             Self::Starting => "no configuration yet; try another address",
--- a/crates/ragwortroad_edge/src/refusal_response.rs
+++ b/crates/ragwortroad_edge/src/refusal_response.rs
@@ -14,7 +14,7 @@
     refusal_reason::RefusalReason, //
 };
 
-/// The answer to a request that is not passed on, or from which nothing came.
+/// Builds the response to a request that was not forwarded, or that no endpoint answered.
 pub(crate) fn refusal_response(
     reason: RefusalReason,
     retry_after: Option<Duration>,
--- a/crates/ragwortroad_edge/src/registry_link.rs
+++ b/crates/ragwortroad_edge/src/registry_link.rs
@@ -6,33 +6,33 @@
 use ragwortroad_dispatch::prelude::*;
 use ragwortroad_link::prelude::*;
 
-/// A registry as an edge knows it.
+/// Connection to a registry and the state received over it.
 #[derive(Debug)]
 pub(crate) struct RegistryLink {
     pub(crate) address: SocketAddr,
-    /// Takes what it is told, while it is connected.
+    /// Send queue; `None` while disconnected.
     pub(crate) queue: Option<LinkQueue>,
-    /// Version that it has announced on this connection.
+    /// Configuration version announced on this connection.
     pub(crate) version: Option<u64>,
-    /// Voters among the registries by its word; none where it has not joined the group.
+    /// Number of voting registries that it reports; zero if it has not joined the group.
     pub(crate) voters: u32,
-    /// Registries that it hears by its word.
+    /// Number of registries that it receives messages from, as it reports.
     pub(crate) hears: u32,
-    /// Whether it has told all that it knows on this connection.
+    /// Whether it has sent its complete set of endpoints on this connection.
     pub(crate) has_sent_all: bool,
-    /// Whether this edge takes it for its home: tells it its loads and places of texts, and hears
-    /// those of the other edges from it.
+    /// Whether this registry is the edge's home: the edge reports its loads and prefix locations to
+    /// it and receives those of the other edges.
     ///
-    /// Invariant: of one link at most, and only while that is connected.
+    /// Invariant: true for at most one link, and only while that link is connected.
     pub(crate) is_home: bool,
-    /// Requests of all edges by its word, by endpoint.
+    /// In-flight requests of all edges that it reports, by endpoint.
     pub(crate) totals: HashMap<EndpointTag, u32>,
-    /// This edge's own requests as it told this registry last.
+    /// This edge's in-flight requests as last reported to this registry.
     pub(crate) report: CountReport,
 }
 
 impl RegistryLink {
-    /// The link to a registry that is not connected yet.
+    /// Creates the link to a registry that is not connected yet.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The registry as it may be this edge's home.
+    /// The registry as a candidate for this edge's home.
     pub(crate) fn home_candidate(&self) -> HomeCandidate {
         HomeCandidate {
             address: self.address,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Starts anew, with a connection or without.
+    /// Clears the received state, after connecting (`Some`) or disconnecting (`None`).
     pub(crate) fn reset(&mut self, queue: Option<LinkQueue>) {
         *self = Self {
             queue,
@@ -64,7 +64,7 @@
         };
     }
 
-    /// Requests of other edges at an endpoint, as far as this registry tells.
+    /// In-flight requests of other edges at an endpoint, as reported by this registry.
     pub(crate) fn other_edges_load(&self, endpoint: EndpointTag) -> u32 {
         let total = self.totals.get(&endpoint).copied().unwrap_or(0);
         total.saturating_sub(self.report.count(endpoint))
--- a/crates/ragwortroad_edge/src/request_completion.rs
+++ b/crates/ragwortroad_edge/src/request_completion.rs
@@ -1,4 +1,4 @@
-//! How a request ends: what its caller is answered, what the lines and metrics tell of it.
+//! Completion of requests: responses, logs and metrics.
 
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
     request_progress::RequestProgress, //
 };
 
-/// Shortest and longest time after which a refused caller may come back.
+/// Minimum and maximum delay after which a refused client may retry, in milliseconds.
 ///
-/// Spread, so that callers refused together do not return together.
+/// The delay is random, so that clients refused together do not retry together.
 const RETRY_AFTER_RANGE_MS: (u64, u64) = (80, 240);
 
-/// Hands a whole answer over.
+/// Forwards a complete response to the client.
 pub(crate) fn forward_response(
     plan: &RequestPlan,
     progress: &RequestProgress,
@@ -58,14 +58,14 @@
     response
 }
 
-/// Answers a request that no endpoint has answered.
+/// Responds to a request that no endpoint has answered.
 pub(crate) fn refuse(
     shared: &EdgeShared,
     plan: &RequestPlan,
     progress: &RequestProgress,
     reason: RefusalReason,
 ) -> Response<EdgeBody> {
-    // A refusal that says "not run" must be true of every attempt, not just of the last one.
+    // A refusal that claims "not run" must hold for every attempt, not just the last one.
     let claims_not_run = matches!(
         reason,
         RefusalReason::Overload | RefusalReason::NotRun | RefusalReason::NoEndpoint
@@ -98,7 +98,7 @@
     refusal_response(reason, retry_after)
 }
 
-/// The kind of a request, for metrics.
+/// Metric label for the kind of a request.
 pub(crate) fn kind_label(plan: &RequestPlan) -> &'static str {
     match plan.rule().kind {
         RequestKind::Safe => "safe",
@@ -107,13 +107,13 @@
     }
 }
 
-/// Counts a request that is over.
+/// Counts a completed request.
 pub(crate) fn count_request(kind: &'static str, outcome: &'static str, reason: &'static str) {
     let labels = [("kind", kind), ("outcome", outcome), ("reason", reason)];
     metrics::counter!(metric_names::REQUESTS, &labels).increment(1);
 }
 
-/// Notes how long an answer took, and what was believed of the endpoint that gave it.
+/// Records the response time, and the state assumed for the endpoint that responded.
 pub(crate) fn record_response(plan: &RequestPlan, chosen: &ChosenEndpoint) {
     let kind = kind_label(plan);
     let took = plan.received_at.elapsed();
@@ -125,7 +125,7 @@
     }
 }
 
-/// Says what decided that a request was refused for load.
+/// Logs the inputs of the decision to refuse a request because of overload.
 fn log_overload(shared: &EdgeShared, plan: &RequestPlan) {
     let now = shared.now();
     let state = shared.state.borrow();
@@ -149,7 +149,7 @@
     );
 }
 
-/// When there will be less to do, for a caller that was refused for that.
+/// Delay until the load is expected to drop, for a client refused because of overload.
 fn overload_retry_after(shared: &EdgeShared, plan: &RequestPlan) -> Duration {
     let state = shared.state.borrow();
     let gate = state.gates.get(&plan.service);
@@ -163,7 +163,7 @@
     come_back_time(shedding, time_left, rand::random())
 }
 
-/// A short time, for callers whose refusal has nothing to do with the load.
+/// Short random delay, for clients refused for reasons other than load.
 pub(crate) fn short_retry_after() -> Duration {
     let (min, max) = RETRY_AFTER_RANGE_MS;
     Duration::from_millis(rand::rng().random_range(min..=max))
--- a/crates/ragwortroad_edge/src/request_flow.rs
+++ b/crates/ragwortroad_edge/src/request_flow.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Handling of one client request, from its head to its response.
 
 use std::{
     convert::Infallible,
@@ -57,7 +57,7 @@
     stream_body::StreamBody, //
 };
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn handle_request(
     shared: Rc<EdgeShared>,
     request: Request<Incoming>,
@@ -93,7 +93,8 @@
     Ok(response)
 }
 
-/// Counts a request as under way until its answer is there, or its stream counts itself.
+/// Counts a request as in flight until its response is ready; a streamed response then takes over
+/// the count.
 struct RequestCounter {
     shared: Rc<EdgeShared>,
     is_transferred: bool,
@@ -107,20 +108,21 @@
     }
 }
 
-/// Passes a request on until an endpoint has answered it or it must be refused.
+/// Forwards a request until an endpoint responds or it must be refused.
 async fn forward_request(shared: &Rc<EdgeShared>, plan: Rc<RequestPlan>) -> Response<EdgeBody> {
     let mut progress = RequestProgress::default();
     deposit_retry(shared, &plan);
     let Some(permit) = acquire_permit(shared, &plan).await else {
         return refuse(shared, &plan, &progress, RefusalReason::Overload);
     };
-    // Endpoints announce themselves anew once registries are there.
+    // Endpoints announce themselves again once registries are up.
     let time_left = plan.deadline.saturating_duration_since(plan.received_at);
     let wait_until = plan.received_at + shared.start_wait(time_left);
     loop {
         let may_wait = progress.tried.is_empty() && Instant::now() < wait_until;
-        // If callers of a whole second were all sent to the first engines that announced themselves,
-        // those would read all texts anew, and each caller would wait for two seconds.
+        // If the clients of a whole second were all sent to the first engines that announced
+        // themselves, these would compute all prefixes again, and each client would wait two
+        // seconds.
         let waits_for_holder = shared.settings.mechanisms.holder_wait && may_wait;
         if waits_for_holder && awaits_holder(shared, &plan) {
             sleep(STARTUP_POLL_INTERVAL).await;
@@ -184,7 +186,7 @@
     }
 }
 
-/// Waits for an endpoint to answer, as long as that is the best for the caller.
+/// Waits for an endpoint's response, unless trying another endpoint is better for the client.
 async fn await_endpoint(
     shared: &Rc<EdgeShared>,
     plan: &RequestPlan,
@@ -194,7 +196,7 @@
     let time_left = plan.deadline.saturating_duration_since(Instant::now());
     let patience = answer_patience(plan.rule().target, time_left);
     let mut shutdown_imminent = shared.shutdown_imminent.subscribe();
-    // The sender lives as long as the edge, so this ends only by the last call.
+    // The sender lives as long as the edge, so this completes only on shutdown.
     let shutdown_notice = shutdown_imminent.wait_for(|is_imminent| *is_imminent);
     let call = call_endpoint(shared, plan, chosen, plan.facts.last_event_id);
     tokio::pin!(shutdown_notice, call);
@@ -214,17 +216,17 @@
     }
 }
 
-/// Whether requests for the same service were refused for load a moment ago.
+/// Whether requests for the same service were recently refused because of overload.
 ///
-/// Then a first event is late because engines have too much to do, and a second run would take the
-/// place of a caller who is refused instead.
+/// In that case a late first event means that the engines are overloaded, and a second attempt
+/// would take the slot of a client that is refused instead.
 fn is_shedding(shared: &EdgeShared, plan: &RequestPlan) -> bool {
     let state = shared.state.borrow();
     let gate = state.gates.get(&plan.service);
     gate.is_some_and(|gate| gate.gate().is_shedding(shared.now()))
 }
 
-/// Whether the engine that holds the request's text has yet to announce itself.
+/// Whether the engine that caches the request's prefix has yet to announce itself.
 fn awaits_holder(shared: &EdgeShared, plan: &RequestPlan) -> bool {
     let prefix = plan.facts.shared_prefix();
     let state = shared.state.borrow();
--- a/crates/ragwortroad_edge/src/request_plan.rs
+++ b/crates/ragwortroad_edge/src/request_plan.rs
@@ -20,27 +20,27 @@
     refusal_reason::RefusalReason, //
 };
 
-/// A caller's request, as it goes to endpoints.
+/// A parsed client request, ready to be sent to endpoints.
 pub(crate) struct RequestPlan {
-    /// The configuration it is handled by, from its beginning to its end.
+    /// Configuration used for the request from start to end.
     pub(crate) map: Rc<RouteMap>,
     pub(crate) route: RouteKey,
     pub(crate) customer: Option<CustomerKey>,
     pub(crate) service: String,
     pub(crate) facts: RequestMetadata,
-    /// Identity of the caller's attempt.
+    /// Id of the client's attempt.
     pub(crate) id: String,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
-    /// The caller's headers without those of its connection.
+    /// Client headers without hop-by-hop headers.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) received_at: Instant,
-    /// When the caller or the operator ends it.
+    /// Earlier of the client's deadline and the route's timeout.
     pub(crate) deadline: Instant,
 }
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -53,9 +53,9 @@
     "upgrade",
 ];
 
-/// Removes headers that concern one connection only, with those that it names.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 ///
-/// Passed on, they would make the next hop read the message's end elsewhere than we do.
+/// If they were forwarded, the next hop could disagree with the edge on where the message ends.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -72,14 +72,14 @@
     }
 }
 
-/// What a request is about, before its body has come.
+/// Target of a request, known before its body has arrived.
 pub(crate) struct RequestTarget {
     pub(crate) route: RouteKey,
     pub(crate) customer: Option<CustomerKey>,
     pub(crate) id: String,
 }
 
-/// Finds route and customer of a request.
+/// Finds the route and the customer of a request, and checks its API key and id.
 pub(crate) fn find_target<B>(
     map: &RouteMap,
     request: &Request<B>,
@@ -107,7 +107,7 @@
 }
 
 impl RequestPlan {
-    /// The rule of its route.
+    /// Rule of the matched route.
     pub(crate) fn rule(&self) -> &RouteRule {
         self.map.route(self.route)
     }
--- a/crates/ragwortroad_edge/src/request_progress.rs
+++ b/crates/ragwortroad_edge/src/request_progress.rs
@@ -14,25 +14,25 @@
     request_plan::RequestPlan, //
 };
 
-/// Endpoints that are dialled in vain before a request is refused.
+/// Number of failed connection attempts after which a request is refused.
 ///
-/// A failure to connect costs up to the connect timeout; after several, a refusal that names a time
-/// serves the caller better than further attempts.
+/// A failed attempt takes up to the connect timeout; after several of them, a refusal with a retry
+/// time serves the client better than further attempts.
 const MAX_FAILED_DIALS: u32 = 3;
 
-/// What has become of a request so far.
+/// Attempts made for a request so far.
 #[derive(Default)]
 pub(crate) struct RequestProgress {
     pub(crate) tried: Vec<EndpointKey>,
-    /// Endpoints that were sent the request.
+    /// Number of endpoints that were sent the request.
     pub(crate) attempts: u32,
-    /// Endpoints that could not be reached.
+    /// Number of endpoints that could not be reached.
     pub(crate) failed_dials: u32,
-    /// Whether some endpoint may have run it.
+    /// Whether any endpoint may have run the request.
     pub(crate) may_have_run: bool,
 }
 
-/// What comes next.
+/// Next step after an attempt.
 pub(crate) enum NextStep {
     Retry,
     Refuse(RefusalReason),
@@ -41,7 +41,7 @@
 }
 
 impl RequestProgress {
-    /// Takes what came of one endpoint, and says what comes next.
+    /// Records the outcome of an attempt and decides the next step.
     pub(crate) fn record(
         &mut self,
         shared: &EdgeShared,
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Passes an answer on, unless it is a failure that another endpoint may do better.
+    /// Returns the response to the client, unless it is a server error and another endpoint may be
+    /// tried.
     fn handle_response(
         &mut self,
         shared: &EdgeShared,
@@ -113,7 +114,7 @@
         NextStep::Retry
     }
 
-    /// Whether a request under way at an endpoint may be sent to another one instead.
+    /// Whether an attempt in flight may be abandoned in favor of another endpoint.
     pub(crate) fn may_abandon(&self, shared: &EdgeShared, plan: &RequestPlan) -> bool {
         let is_last = self.attempts + 1 >= plan.rule().max_attempts;
         plan.rule().is_repeatable() && !is_last && self.try_retry(shared, plan)
--- a/crates/ragwortroad_edge/src/request_reading.rs
+++ b/crates/ragwortroad_edge/src/request_reading.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request and finds out where it leads.
+//! Reads a client request and resolves its route.
 
 use std::{
     rc::Rc,
@@ -34,16 +34,16 @@
     }, //
 };
 
-/// Time between two looks of a request that waits for a starting edge; each costs a wake-up.
+/// Poll interval of a request that waits for a starting edge; each poll costs a wake-up.
 pub(crate) const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Longest time for which a request without a deadline of its own is kept.
+/// Timeout of a request without a deadline of its own.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time in which nearly all answers of plain services are there.
+/// Time within which nearly all responses of services without engines are complete.
 const TYPICAL_RESPONSE_TIME: Duration = Duration::from_millis(1200);
 
-/// Reads a request in full and finds out what it is about.
+/// Reads a request completely and resolves its route, customer and service.
 pub(crate) async fn read_plan(
     shared: &EdgeShared,
     request: Request<Incoming>,
@@ -60,7 +60,7 @@
             loaded.map_err(|reason| (reason, id.clone()))?
         }
     };
-    // What is left of the request once its body is taken out.
+    // The request without its body.
     let request = Request::from_parts(head, ());
     let target = find_target(&map, &request, &facts).map_err(|reason| (reason, id.clone()))?;
     let rule = map.route(target.route);
@@ -99,15 +99,15 @@
     })
 }
 
-/// A request's body, still on its way or read before anything was known of its route.
+/// The body of a request, either unread or read before its route was known.
 enum RequestBody {
     Unread(Incoming),
     Read(Bytes),
 }
 
-/// Waits for the first configuration, as long as this edge is starting.
+/// Waits for the first configuration while the edge is starting.
 ///
-/// The body is read first: callers take an edge that does not read for one that is gone.
+/// The body is read first, because clients take an edge that does not read for a dead one.
 async fn await_config(
     shared: &EdgeShared,
     facts: &RequestMetadata,
@@ -130,16 +130,17 @@
     }
 }
 
-/// Whether an answer can be whole before this edge ends, if it is stopping.
+/// Whether the response can be complete before this edge stops; always true if it is not draining.
 ///
-/// Callers who keep an answer of the directory for long come some seconds after an edge was told to
-/// stop. What it takes on then and cannot finish is cut; refused at once, they go elsewhere.
+/// Clients that cache a directory response for long arrive seconds after the drain began. Requests
+/// that are accepted then and cannot finish are cut off; if refused immediately, the client tries
+/// another edge.
 fn can_finish_before_shutdown(shared: &EdgeShared, rule: &RouteRule, deadline: Instant) -> bool {
     let Some(shutdown_at) = shared.state.borrow().shutdown_at else {
         return true;
     };
     match rule.kind {
-        // How long a stream takes is known when it is over.
+        // The duration of a stream is not known in advance.
         RequestKind::Stream => shutdown_at >= deadline,
         RequestKind::Safe | RequestKind::Unsafe => {
             shutdown_at >= deadline.min(Instant::now() + TYPICAL_RESPONSE_TIME)
--- a/crates/ragwortroad_edge/src/service_gate.rs
+++ b/crates/ragwortroad_edge/src/service_gate.rs
@@ -7,19 +7,19 @@
 use ragwortroad_types::prelude::*;
 use tokio::sync::oneshot;
 
-/// The gate of one service, with the tasks that wait at it.
+/// Admission gate of one service, with the tasks queued at it.
 #[derive(Debug)]
 pub(crate) struct ServiceGate {
     gate: AdmissionGate,
-    /// Learned limit, where the fleet's load does not tell one.
+    /// Limit learned from response times, used if the fleet's load does not provide one.
     latency_limit: LatencyLimit,
     /// Whether the limit comes from the fleet's load.
     has_fleet_limit: bool,
-    /// Tells a waiting task that it may go on; dropped where it may not.
+    /// Wakes a queued task on admission; dropped if the request is shed.
     waiting: HashMap<WaitTicket, oneshot::Sender<()>>,
 }
 
-/// How a request gets past a gate.
+/// Decision of a gate on a request.
 pub(crate) enum GateDecision {
     Admitted,
     Queued(WaitTicket, oneshot::Receiver<()>),
@@ -35,17 +35,17 @@
         }
     }
 
-    /// Whether some request has yet to leave it.
+    /// Whether any request is in flight or queued.
     pub(crate) fn is_used(&self) -> bool {
         self.gate.under_way() > 0 || self.gate.waiting() > 0
     }
 
-    /// The gate's figures.
+    /// The underlying gate, for its counters and limit.
     pub(crate) fn gate(&self) -> &AdmissionGate {
         &self.gate
     }
 
-    /// Sets the limit by what is known of the engines' load, or else by what was learned.
+    /// Sets the limit from the load of the fleet, or else from the learned response times.
     pub(crate) fn update_limit(&mut self, fleet: Option<FleetLoad>, now: ClockTime) {
         self.has_fleet_limit = fleet.is_some();
         let limit = fleet.map_or(self.latency_limit.limit(), |fleet| fleet.own_limit());
@@ -53,7 +53,7 @@
         self.wake_waiters(now);
     }
 
-    /// Notes how long an answer of a plain service took, and the time it should take.
+    /// Records the response time of a service without engines, and its target.
     pub(crate) fn record_response(&mut self, took: Duration, target: Duration, now: ClockTime) {
         let under_way = self.gate.under_way();
         if !self.has_fleet_limit && self.latency_limit.note(took, target, under_way) {
@@ -79,11 +79,11 @@
         self.wake_waiters(now);
     }
 
-    /// The task of a ticket waits no longer; tells whether it was called, and so has a place.
+    /// Ends the wait of a queued request; returns whether it was admitted and so holds a slot.
     ///
-    /// A task may end after it was called and before it has noticed, as its caller leaves or its
-    /// patience ends at that moment. The place of one that was not asked here would be lost for good,
-    /// and after some hundred of them the edge would refuse everybody.
+    /// A task can end between its admission and noticing it, when its client disconnects or its
+    /// queue timeout expires at that moment. Without this check its slot would leak, and after a
+    /// few hundred leaked slots the edge would refuse all requests.
     pub(crate) fn finish_wait(
         &mut self,
         ticket: WaitTicket,
@@ -100,11 +100,12 @@
         admission.try_recv().is_ok()
     }
 
-    /// Lets go on who may, and ends the wait of who waits in vain.
+    /// Admits queued requests as far as the limit allows, and sheds those that cannot be served in
+    /// time.
     fn wake_waiters(&mut self, now: ClockTime) {
         while let Some(ticket) = self.gate.call_next(now) {
             let sender = self.waiting.remove(&ticket);
-            // A task that has just ended leaves its place to the next one.
+            // A task that has just ended passes its slot to the next one.
             if sender.is_none_or(|sender| sender.send(()).is_err()) {
                 self.gate.leave(now);
             }
--- a/crates/ragwortroad_edge/src/stream_body.rs
+++ b/crates/ragwortroad_edge/src/stream_body.rs
@@ -38,16 +38,17 @@
     request_plan::RequestPlan, //
 };
 
-/// Silence after which a stream that can be resumed goes on at another endpoint.
+/// Time without data after which a resumable stream continues at another endpoint.
 ///
-/// Callers give a stream up after two seconds without an event at least. An engine that is well
-/// sends one every quarter of a second, so this is no engine at work, and the caller still waits.
+/// Clients give up on a stream after two seconds or more without an event. A healthy engine sends
+/// an event every quarter of a second, so after this time the engine is not working, and the client
+/// is still waiting.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Time beyond the deadline in which a stream's last events may still come.
+/// Time beyond the deadline during which the last events of a stream may still arrive.
 const FINAL_EVENTS_GRACE: Duration = Duration::from_millis(200);
 
-/// A stream that cannot be brought to its end; the caller's connection breaks off.
+/// A stream could not be completed; the client's connection is closed.
 #[derive(Clone, Copy, Debug)]
 #[derive(Snafu)]
 #[snafu(display("the stream broke off ({reason}); resume it behind its last event"))]
@@ -55,34 +56,35 @@
     reason: &'static str,
 }
 
-/// What a caller gets next; nothing at the end.
+/// Result of polling the stream; `None` at its end.
 type NextEvents = Option<Result<Frame<Bytes>, StreamError>>;
 
-/// The search for a run that goes on with a stream.
+/// Search for an endpoint that resumes the stream.
 type ResumeFuture = Pin<Box<dyn Future<Output = Option<Box<EventStream>>>>>;
 
-/// Events of an endpoint on their way to a caller.
+/// Forwards an endpoint's event stream to a client.
 ///
-/// Only whole events are handed over. When the endpoint breaks off and the route allows it, another
-/// endpoint goes on behind the last one; the caller sees one answer with the first one's head.
+/// Only complete events are forwarded. If the endpoint fails and the route allows it, another
+/// endpoint resumes after the last event; the client sees a single response with the head of the
+/// first one.
 pub(crate) struct StreamBody {
     shared: Rc<EdgeShared>,
     plan: Rc<RequestPlan>,
-    /// The present run; nothing while another one is sought.
+    /// The current upstream response; `None` while another one is being sought.
     upstream: Option<Box<EventStream>>,
     resuming: Option<ResumeFuture>,
     framer: EventFramer,
     tried: Vec<EndpointKey>,
-    /// Endpoints that have been sent the request.
+    /// Number of endpoints that were sent the request.
     attempts: u32,
     events: u64,
-    /// Longest time without bytes between two events.
+    /// Longest time without data between two chunks.
     longest_pause: Duration,
-    /// Latest time at which something must have come.
+    /// Fires when the deadline or the idle timeout expires.
     timer: Pin<Box<Sleep>>,
     last_bytes_at: Instant,
     is_over: bool,
-    /// Held until the caller has everything, or has left.
+    /// Held until the client has received everything or has disconnected.
     _permit: GatePermit,
 }
 
@@ -115,7 +117,7 @@
         body
     }
 
-    /// The next whole events.
+    /// Polls for the next complete events.
     pub(crate) fn poll_events(&mut self, context: &mut Context<'_>) -> Poll<NextEvents> {
         loop {
             if self.is_over {
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Why the stream cannot go on here, once its time or the endpoint's is over.
+    /// Returns why the stream cannot continue here, once its deadline or idle timeout has expired.
     fn poll_timer(&mut self, context: &mut Context<'_>) -> Option<&'static str> {
         while self.timer.as_mut().poll(context).is_ready() {
             let now = Instant::now();
@@ -228,7 +230,8 @@
         self.plan.rule().is_repeatable()
     }
 
-    /// Ends the present run and seeks another one; the failure, if there can be none.
+    /// Drops the current upstream and starts the search for another one; returns the failure if the
+    /// stream cannot be resumed.
     fn handle_break(&mut self, reason: &'static str) -> Option<Poll<NextEvents>> {
         let now = self.shared.now();
         if let Some(upstream) = self.upstream.take() {
@@ -325,7 +328,7 @@
     }
 }
 
-/// What came of looking at the present run.
+/// Result of polling the current upstream.
 enum UpstreamStep {
     Events(Bytes),
     Partial,
@@ -333,7 +336,7 @@
     Broken(&'static str),
 }
 
-/// Seeks an endpoint that goes on behind `after`.
+/// Finds an endpoint that resumes the stream after `last_event_id`.
 async fn resume(
     shared: Rc<EdgeShared>,
     plan: Rc<RequestPlan>,
@@ -345,7 +348,7 @@
         tried.push(chosen.key);
         match call_endpoint(&shared, &plan, &chosen, last_event_id).await {
             CallOutcome::Events(upstream) => return Some(upstream),
-            // Nothing reached it, so this costs no attempt.
+            // The request did not reach the endpoint, so this does not count as an attempt.
             CallOutcome::NotSent { .. } => {}
             _ => return None,
         }
--- a/crates/ragwortroad_edge/src/tests.rs
+++ b/crates/ragwortroad_edge/src/tests.rs
@@ -1,4 +1,4 @@
-//! What an edge does between the decisions of its gates and the tasks that wait at them.
+//! Accounting of gate slots between admission decisions and the tasks that wait for them.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// A gate with one place, which is taken, and a request that waits for it.
+/// A gate with one slot, which is taken, and one queued request.
 fn full_gate_with_one_waiter(
     now: ClockTime,
 ) -> (ServiceGate, WaitTicket, tokio::sync::oneshot::Receiver<()>) {
@@ -36,7 +36,8 @@
     }
 }
 
-/// Guards against places that are lost for good when a caller leaves.
+/// A slot granted at the moment when its client disconnects would leak and reduce the capacity
+/// permanently.
 #[test]
 fn a_slot_granted_to_an_ended_wait_can_be_released() {
     let now = ClockTime(1000);
--- a/crates/ragwortroad_link/src/config_delta.rs
+++ b/crates/ragwortroad_link/src/config_delta.rs
@@ -7,20 +7,20 @@
 
 use crate::unpack_document;
 
-/// A configuration as it goes between processes: against the one before it, or whole.
+/// A configuration document in transit: compressed against an earlier version, or in full.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConfigDelta {
-    /// Its version.
+    /// Version of the configuration that results from this step.
     pub version: u64,
-    /// Version of the document it was compressed against; nothing where it is whole.
+    /// Version of the document it was compressed against; `None` if it contains the full document.
     pub base: Option<u64>,
-    /// The document, compressed.
+    /// The compressed document.
     pub packed: Vec<u8>,
 }
 
 impl ConfigDelta {
-    /// The document, given the one of the base's version.
+    /// Decompresses the document. `base` is the document of version [`base`](Self::base).
     pub fn unpack(&self, base: Option<&[u8]>) -> io::Result<Vec<u8>> {
         unpack_document(&self.packed, base)
     }
--- a/crates/ragwortroad_link/src/dial_backoff.rs
+++ b/crates/ragwortroad_link/src/dial_backoff.rs
@@ -1,36 +1,37 @@
 use std::time::Duration;
 
-/// Pause before a process that was not reached is dialled again.
+/// Delay after the first failed attempt, doubled on each further one.
 const INITIAL_DELAY: Duration = Duration::from_millis(150);
 
-/// Longest pause; a process that comes back is found within it.
+/// Upper bound of the delay; a peer that comes back is reached within it.
 const MAX_DELAY: Duration = Duration::from_millis(1200);
 
-/// Time after the own start in which pauses stay short.
+/// Time since process start during which the delay does not grow.
 const EARLY_PERIOD: Duration = Duration::from_secs(3);
 
-/// Time that an attempt may take while pauses are short.
+/// Timeout of one attempt during the early period.
 ///
-/// Connections within a region are there after some milliseconds, and twice the longest way on earth
-/// takes a quarter of a second.
+/// Connections within a region take a few milliseconds, and the longest round trip on Earth takes a
+/// quarter of a second.
 const EARLY_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time after the own start in which others are most likely coming up too.
+/// Time since process start during which peers are most likely starting too.
 const STARTUP_PERIOD: Duration = Duration::from_secs(1);
 
-/// Pause between attempts in that time.
+/// Delay between attempts during the startup period.
 const STARTUP_DELAY: Duration = Duration::from_millis(50);
 
-/// Time that an attempt may take in that time.
+/// Timeout of one attempt during the startup period.
 ///
-/// Processes of the own region answer within it; those of others are reached a second later.
+/// Peers in the same region respond within it; peers in other regions are reached a second later.
 const STARTUP_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Pauses between attempts to reach another process of the fleet.
+/// Exponential backoff for connection attempts to another process of the fleet.
 ///
-/// They double, for a VM that is gone would otherwise cost all others a few attempts a second for as
-/// long. After a common restart processes are up within a second of each other; with pauses that had
-/// grown meanwhile edges would find registries late, and nobody would be served until then.
+/// Without it a VM that is gone would cost all others a few attempts per second until it returns.
+/// After a restart of the whole fleet, processes start within a second of each other. If delays had
+/// already grown by then, edges would find registries late and no client would be served in the
+/// meantime, so delays stay short at first.
 #[derive(Clone, Copy, Debug)]
 pub struct DialBackoff {
     delay: Duration,
@@ -45,7 +46,7 @@
 }
 
 impl DialBackoff {
-    /// The pause before the next attempt of a process that started `running` ago.
+    /// Returns the delay before the next attempt. `uptime` is the time since this process started.
     pub fn next_delay(&mut self, uptime: Duration) -> Duration {
         if uptime < STARTUP_PERIOD {
             return STARTUP_DELAY;
@@ -57,12 +58,12 @@
         delay
     }
 
-    /// How long an attempt of a process that started `running` ago may take, `whole` at the most.
+    /// Returns the timeout for one connection attempt, at most `max_timeout`.
     ///
-    /// A VM that has no power yet does not refuse a connection: what is sent to it is lost, and the
-    /// system sends it again only after a second. After a common loss of power the edges that
-    /// start first would wait so long for registries that are up a moment later; short attempts
-    /// that are repeated find them then.
+    /// `uptime` is the time since this process started. A VM that is still powered off does not
+    /// refuse connections: the SYN is lost, and the kernel retransmits it only after a second.
+    /// After a power failure of the whole fleet, the edges that start first would wait that long
+    /// for registries that are up a moment later; short, repeated attempts reach them sooner.
     pub fn attempt_timeout(&self, uptime: Duration, max_timeout: Duration) -> Duration {
         let timeout = match uptime {
             uptime if uptime < STARTUP_PERIOD => STARTUP_ATTEMPT_TIMEOUT,
@@ -72,7 +73,7 @@
         max_timeout.min(timeout)
     }
 
-    /// The process was reached.
+    /// Resets the delay after a successful connection.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
--- a/crates/ragwortroad_link/src/encoded_message.rs
+++ b/crates/ragwortroad_link/src/encoded_message.rs
@@ -12,18 +12,18 @@
     unpack_document, //
 };
 
-/// Bytes from which a message is compressed.
+/// Size from which messages are compressed, in bytes.
 ///
-/// Records of endpoints repeat themselves: those of a thousand take a quarter, and after a common
-/// restart each edge is told all of them. Of a handful little is gained.
+/// Endpoint records are repetitive: a thousand of them compress to a quarter, and after a restart
+/// of the whole fleet each edge receives all of them. A handful of records gains little.
 const MIN_PACK_BYTES: usize = 600;
 
-/// A message as it goes into a frame, for one receiver or several.
+/// A message encoded for a frame, to be sent to one or more receivers.
 #[derive(Clone, Debug)]
 pub struct EncodedMessage {
-    /// The message's kind, for metrics.
+    /// Kind of the message, used as a metric label.
     pub kind: &'static str,
-    /// What goes into the frame.
+    /// Payload of the frame.
     pub bytes: Bytes,
 }
 
@@ -40,7 +40,7 @@
         let packed = pack_document(&bytes, None).context(IoSnafu)?;
         let packed = LinkMessage::Packed(packed);
         let packed = postcard::to_stdvec(&packed).context(InvalidMessageSnafu)?;
-        // What is compressed already does not shrink.
+        // Data that is already compressed does not shrink further.
         let bytes = match packed.len() < bytes.len() {
             true => packed.into(),
             false => bytes.into(),
@@ -49,10 +49,11 @@
     }
 }
 
-/// Whether a message shrinks by compression.
+/// Whether compression makes the message smaller.
 ///
-/// Hashes do not. After a common restart a registry tells each edge thousands of places of texts while
-/// the group elects a leader; compressed in vain, they would take the processor of a small VM.
+/// Hashes are incompressible. After a restart of the whole fleet a registry sends thousands of
+/// prefix locations to each edge while the group elects a leader; trying to compress them would use
+/// up the CPU of a small VM.
 fn is_compressible(message: &LinkMessage) -> bool {
     !matches!(
         message,
@@ -64,7 +65,7 @@
     )
 }
 
-/// The message in a frame.
+/// Decodes the message of a frame, decompressing it if needed.
 pub fn decode_message(frame: &[u8]) -> Result<LinkMessage, LinkError> {
     match postcard::from_bytes(frame).context(InvalidMessageSnafu)? {
         LinkMessage::Packed(packed) => {
--- a/crates/ragwortroad_link/src/lib.rs
+++ b/crates/ragwortroad_link/src/lib.rs
@@ -1,8 +1,8 @@
-//! Framed connections between edges and registries, and what is said on them.
+//! Framed TCP connections between edges, registries and directories, and their message types.
 //!
-//! Each message is one postcard value in a length-delimited frame over TCP. A connection carries
-//! messages both ways, says when its other end is silent for too long, and never makes its user
-//! wait: what does not fit into the queue ends the connection, and the user connects anew.
+//! Each message is one postcard value in a length-delimited frame. A connection carries messages in
+//! both directions, detects a peer that stops sending, and never blocks the sender: if the send
+//! queue overflows, the connection is closed and the caller is expected to reconnect.
 
 mod config_delta;
 mod dial_backoff;
@@ -13,7 +13,7 @@
 mod link_settings;
 mod packed_document;
 
-/// Everything a dependent crate usually needs.
+/// The items that dependent crates usually import.
 pub mod prelude {
     pub use crate::{
         config_delta::ConfigDelta,
--- a/crates/ragwortroad_link/src/link_connection.rs
+++ b/crates/ragwortroad_link/src/link_connection.rs
@@ -49,15 +49,15 @@
     }, //
 };
 
-/// The end of a connection that its user writes to.
+/// Sending side of a connection. Clones share one queue.
 #[derive(Clone, Debug)]
 pub struct LinkQueue {
     sender: Sender<QueuedMessage>,
-    /// Told when the connection is to end.
+    /// Notified to close the connection.
     end: Arc<Notify>,
 }
 
-/// A message that waits to be written.
+/// An encoded message waiting to be written.
 #[derive(Debug)]
 pub struct QueuedMessage {
     bytes: Bytes,
@@ -65,22 +65,22 @@
 }
 
 impl LinkQueue {
-    /// A queue, and the end that [`run_link`] empties.
+    /// Creates a queue and the receiver that [`run_link`] drains.
     pub fn new(settings: &LinkSettings) -> (Self, Receiver<QueuedMessage>) {
         let (sender, receiver) = flume::bounded(settings.queue_capacity);
         let end = Arc::new(Notify::new());
         (Self { sender, end }, receiver)
     }
 
-    /// Ends the connection.
+    /// Closes the connection.
     pub fn close(&self) {
         self.end.notify_one();
     }
 
-    /// Queues a message; tells whether it was taken.
+    /// Encodes and queues a message; returns whether it was accepted.
     ///
-    /// A peer that reads too slowly loses its connection rather than messages in the middle of it:
-    /// what it has missed comes as a whole when it connects again.
+    /// If the queue is full, because the peer reads too slowly, the connection is closed rather
+    /// than single messages dropped: on reconnection the peer receives the full state again.
     pub fn send(&self, message: &LinkMessage) -> bool {
         match EncodedMessage::try_from(message) {
             Ok(encoded) => self.send_encoded(&encoded),
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Queues a message that was encoded for several receivers.
+    /// Queues a message that was encoded once for several receivers; returns whether it was
+    /// accepted.
     pub fn send_encoded(&self, encoded: &EncodedMessage) -> bool {
         let queued = QueuedMessage {
             bytes: encoded.bytes.clone(),
@@ -109,10 +110,10 @@
     }
 }
 
-/// Room for one reading from a connection: a dozen messages of the usual size.
+/// Buffer space reserved per read; holds about a dozen messages of the usual size.
 const READ_BUFFER_BYTES: usize = 2048;
 
-/// Connects to another process within `limit`.
+/// Connects to another process, or fails after `limit`.
 pub async fn dial_link(address: SocketAddr, limit: Duration) -> Result<TcpStream, LinkError> {
     match timeout(limit, TcpStream::connect(address)).await {
         Ok(connected) => connected.context(DialSnafu),
@@ -120,10 +121,11 @@
     }
 }
 
-/// Carries messages over `stream` until it breaks, falls silent, or the queue's user closes it.
+/// Transfers messages over `stream` until the connection fails, times out, or is closed through its
+/// queue, and returns the cause.
 ///
-/// `dialled` tells which side this is: the dialling one sends a keepalive when there is nothing else to
-/// say, the other one answers it.
+/// `is_dialer` is true on the side that opened the connection. That side sends keepalives when the
+/// connection is idle, and the other side replies to them.
 pub async fn run_link(
     stream: TcpStream,
     queue: (LinkQueue, Receiver<QueuedMessage>),
@@ -153,11 +155,11 @@
     }
 }
 
-/// Reads messages until the connection ends or falls silent.
+/// Reads messages until the connection ends or the idle timeout expires.
 ///
-/// Silence is the lack of any byte, not of a whole message: a large one takes a small link longer
-/// than the limit, and a connection that is given up in its middle is dialled again, asks for the
-/// same message again, and never gets it.
+/// Any received byte resets the timeout, not just a complete message. A large message can take
+/// longer than the timeout on a slow link; if the connection were closed halfway, the peer would
+/// reconnect, request the same message again, and never receive it.
 async fn read_messages(
     mut read_half: OwnedReadHalf,
     mut codec: LengthDelimitedCodec,
@@ -236,7 +238,7 @@
     }
 }
 
-/// Writes what is queued with one call where it fits, since each call costs a wake-up there.
+/// Writes all queued messages in one flush where they fit, since each write wakes up the receiver.
 async fn write_batch(
     writer: &mut FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
     first: QueuedMessage,
--- a/crates/ragwortroad_link/src/link_error.rs
+++ b/crates/ragwortroad_link/src/link_error.rs
@@ -5,45 +5,45 @@
 
 use snafu::Snafu;
 
-/// Why a connection to another process of the fleet ended.
+/// Reason why a connection to another process of the fleet ended or was not established.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LinkError {
-    /// It could not be established.
+    /// The connection attempt failed.
     #[snafu(display("cannot connect: {source}; check that the process there runs"))]
     Dial {
-        /// What the system said.
+        /// Error reported by the operating system.
         source: io::Error,
     },
-    /// It could not be established in time.
+    /// The connection attempt timed out.
     #[snafu(display("no connection within {limit:?}; check the network between the two VMs"))]
     DialTimeout {
-        /// The time allowed.
+        /// The timeout that expired.
         limit: Duration,
     },
-    /// Reading or writing failed.
+    /// Reading from or writing to the connection failed.
     #[snafu(display("the connection broke: {source}; it is dialled again"))]
     Io {
-        /// What the system said.
+        /// Error reported by the operating system.
         source: io::Error,
     },
-    /// The other side closed it.
+    /// The peer closed the connection.
     #[snafu(display("the other side closed the connection; it is dialled again"))]
     ClosedByPeer,
-    /// Nothing was heard for too long.
+    /// No data arrived within the idle timeout.
     #[snafu(display("nothing was heard for {limit:?}; the connection is dialled again"))]
     IdleTimeout {
-        /// The time allowed.
+        /// The timeout that expired.
         limit: Duration,
     },
     /// A message could not be encoded or decoded.
     #[snafu(display("a message means nothing ({source}); run one version on all VMs"))]
     InvalidMessage {
-        /// What the codec said.
+        /// Error reported by the codec.
         source: postcard::Error,
     },
-    /// The owner of this end dropped it.
+    /// This side closed the connection or dropped its queue.
     #[snafu(display("this end was given up"))]
     ClosedLocally,
 }
--- a/crates/ragwortroad_link/src/link_message.rs
+++ b/crates/ragwortroad_link/src/link_message.rs
@@ -8,119 +8,127 @@
 
 use crate::ConfigDelta;
 
-/// What edges and registries say to each other.
+/// Messages between edges, registries and directories.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum LinkMessage {
-    /// The dialling side is there; the other side answers with the same.
+    /// Sent by the dialer when the connection is idle; the other side replies with the same
+    /// message.
     Keepalive,
     /// Another message, compressed.
     Packed(Vec<u8>),
-    /// An edge presents itself; its first message.
+    /// First message of an edge on a connection.
     EdgeHello {
-        /// Its name.
+        /// Name of the edge.
         node: String,
-        /// Where callers reach it.
+        /// Address at which clients reach the edge.
         address: SocketAddr,
-        /// Where other edges ask it for the configuration.
+        /// Address at which other edges can fetch the configuration from it.
         inner: SocketAddr,
-        /// Whether it takes callers.
+        /// Lifecycle stage of the edge.
         stage: EdgeStage,
     },
-    /// A directory presents itself; its first message.
+    /// First message of a directory on a connection.
     DirectoryHello {
-        /// Its name.
+        /// Name of the directory.
         node: String,
     },
-    /// Edges, as a registry tells directories where that has changed.
+    /// Set of edges, sent by a registry to directories whenever it changes.
     EdgesKnown(EdgeView),
-    /// An edge's stage has changed.
+    /// The edge's lifecycle stage has changed.
     EdgeStaged(EdgeStage),
-    /// An edge wants the configuration, if it is above the version it has.
+    /// An edge requests the configuration if a newer one than its own is available.
     WantConfig {
-        /// That version, if it has any.
+        /// Version that the edge has; `None` if it has no configuration.
         above: Option<u64>,
-        /// Whether it is not to be referred to another edge.
+        /// If true, the registry must send the configuration itself instead of referring to another
+        /// edge.
         direct: bool,
     },
-    /// An edge takes a registry for its home: it tells it loads and places of texts, and is told those
-    /// of the whole fleet.
+    /// An edge selects this registry as its home. It reports its loads and prefix locations to the
+    /// home and receives those of the whole fleet from it.
     Subscribe,
-    /// It has another home now.
+    /// The edge has selected another home.
     Unsubscribe,
-    /// Requests that an edge has under way where that has changed, or that all have together.
+    /// Changed numbers of in-flight requests per endpoint: those of one edge when sent by an edge,
+    /// the totals of all edges when sent by a registry.
     Loads(Vec<LoadCount>),
-    /// Requests that the edges of one registry have under way together, where that has changed.
+    /// Changed totals of in-flight requests per endpoint, over the edges of one registry.
     PartialLoads(Vec<LoadCount>),
-    /// Texts that were sent to engines which had not read them.
+    /// Prefixes sent to engines that did not have them cached.
     TextsPlaced(Vec<PlacedText>),
-    /// The same of another registry's edges, which it tells all registries itself.
+    /// Prefix locations reported by the edges of one registry, which that registry sends to all
+    /// other registries itself.
     PartialPlaces(Vec<PlacedText>),
-    /// A registry tells an edge what it knows of the fleet.
+    /// A registry's view of the fleet, sent to edges.
     Fleet {
-        /// Where registries listen for links.
+        /// Addresses at which registries listen for links.
         registries: Vec<SocketAddr>,
-        /// Registries that vote.
+        /// Number of registries that vote.
         voters: u32,
-        /// Registries that this one hears, itself among them.
+        /// Number of registries that the sender receives messages from, including itself.
         hears: u32,
-        /// Edges that are connected here.
+        /// Number of edges connected to the sender.
         edges: u32,
     },
-    /// The version that a registry has in force.
+    /// Version of the configuration in force at a registry.
     ConfigVersion(u64),
-    /// Steps that lead from the version an edge has, or from nothing, to the one in force.
+    /// Steps from the version that an edge has, or from no configuration, to the one in force.
     ConfigDeltas(Vec<ConfigDelta>),
-    /// An edge that has the configuration, to be asked for it instead.
+    /// Refers the edge to another edge that has the configuration.
     ConfigAt(SocketAddr),
-    /// Failure domains that are drained, by a registry's state.
+    /// Drained failure domains according to the state of a registry.
     DomainDrains(DomainDrains),
-    /// This edge's part of the requests for an endpoint that warms up.
+    /// The edge's share of the request rate for an endpoint that is warming up.
     WarmupShare(WarmupShare),
-    /// What a registry heard from endpoints itself; with it an edge knows all of it.
+    /// All endpoints that a registry heard from directly. After this message the edge has the
+    /// registry's complete view.
     EndpointsWhole(Vec<EndpointRecord>),
-    /// What a registry heard from endpoints since, in its order.
+    /// Endpoint changes since then that the registry heard directly, in its order.
     EndpointUpdates(Vec<RegistryChange>),
-    /// A registry presents itself to another; its first message, and again from time to time.
+    /// A registry introduces itself to another one; sent first on a connection and repeated
+    /// periodically.
     MemberHello(MemberHello),
-    /// A frame of the agreement.
+    /// A consensus frame.
     Consensus(Vec<u8>),
-    /// A registry that does not lead passes on a configuration.
+    /// A follower forwards a configuration to the leader.
     ForwardPut {
-        /// Returned with the outcome.
+        /// Token returned with the outcome.
         token: u64,
-        /// The configuration, whole.
+        /// The full configuration.
         step: ConfigDelta,
     },
-    /// What became of a command that was passed on.
+    /// Outcome of a forwarded command.
     ForwardDone {
-        /// The token that came with it.
+        /// Token of the forwarded command.
         token: u64,
-        /// What became of it.
+        /// Result of the command.
         outcome: PutOutcome,
     },
-    /// A registry that does not lead passes on a drain order; it finds it among the applied commands.
+    /// A follower forwards a drain order to the leader and waits to see it among the applied
+    /// commands.
     ForwardDrain(DrainOrder),
-    /// A registry that does not lead asks for a proof that its state is current.
+    /// A follower asks the leader to confirm that its state is current (read index).
     ReadAsk {
-        /// Returned with the answer.
+        /// Token returned with the response.
         token: u64,
     },
-    /// The index to which a state must be applied to be current; nothing if none can be told.
+    /// Response to a [`ReadAsk`](Self::ReadAsk).
     ReadDone {
-        /// The token that came with the question.
+        /// Token of the request.
         token: u64,
-        /// The index.
+        /// Log index that must be applied for the state to be current; `None` if it cannot be
+        /// determined.
         index: Option<u64>,
     },
-    /// A registry that keeps places of texts asks an edge for all that it knows.
+    /// A registry that stores prefix locations asks an edge for all it knows.
     WantPlaces,
-    /// Those places, the newest last.
+    /// All prefix locations an edge knows, newest last.
     PlacesKnown(Vec<PlacedText>),
 }
 
 impl LinkMessage {
-    /// Its kind, for metrics.
+    /// Kind of the message, used as a metric label.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Keepalive => "keepalive",
@@ -157,41 +165,41 @@
     }
 }
 
-/// Whether an edge takes callers.
+/// Lifecycle stage of an edge; only a ready edge is listed for clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum EdgeStage {
-    /// It has no configuration yet.
+    /// Waiting for the first configuration.
     #[default]
     Starting,
-    /// It does.
+    /// Accepts clients.
     Ready,
-    /// It finishes what it has.
+    /// Completes requests in flight before it stops.
     Draining,
 }
 
-/// What a registry says of itself to another.
+/// A registry's introduction to another registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberHello {
-    /// Where it listens for links; this also names its VM.
+    /// Address at which it listens for links; also identifies its VM.
     pub address: SocketAddr,
-    /// Identity of its data folder; nothing while the folder cannot be opened.
+    /// Member id stored in its data folder; `None` while the folder cannot be opened.
     pub member: Option<u64>,
-    /// Whether the folder has never been part of a group.
+    /// Whether the data folder has never been part of a group.
     pub is_empty: bool,
-    /// Registries that it knows.
+    /// Addresses of all registries it knows.
     pub known: Vec<SocketAddr>,
 }
 
-/// What became of a command.
+/// Outcome of a command submitted to the consensus log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum PutOutcome {
-    /// It is durable on a quorum.
+    /// Committed: durable on a quorum.
     Committed,
-    /// It may or may not come into force; send it again.
+    /// The command may or may not take effect; the sender should retry it.
     Unknown,
-    /// It was not taken; send it again.
+    /// The command was not accepted; the sender should retry it.
     NotTaken,
 }
--- a/crates/ragwortroad_link/src/link_settings.rs
+++ b/crates/ragwortroad_link/src/link_settings.rs
@@ -1,22 +1,22 @@
 use std::time::Duration;
 
-/// Figures of a connection.
+/// Timeouts and limits of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkSettings {
-    /// Time without anything to send after which a side that dialled sends a keepalive.
+    /// Idle time after which the dialer sends a keepalive.
     ///
-    /// Each costs two wake-ups, and a registry has a connection to every edge.
+    /// Each keepalive costs two wake-ups, and a registry has a connection to every edge.
     pub keepalive_interval: Duration,
-    /// Time without a message after which the other side counts as lost.
+    /// Time without any received byte after which the peer is considered lost.
     ///
-    /// A connection can go silent for good without an error, and only this shows it. Two keepalives may
-    /// be late before it ends.
+    /// A connection can stop delivering data permanently without an error, and only this timeout
+    /// detects it. The default allows two late keepalives.
     pub idle_timeout: Duration,
-    /// Time for a connection to be established.
+    /// Timeout for establishing a connection.
     pub dial_timeout: Duration,
-    /// Messages that wait to be written.
+    /// Maximum number of messages waiting to be written.
     pub queue_capacity: usize,
-    /// Bytes of one message; a packed configuration of some thousand routes fits.
+    /// Maximum size of one message; a compressed configuration of several thousand routes fits.
     pub max_message_bytes: usize,
 }
 
--- a/crates/ragwortroad_link/src/packed_document.rs
+++ b/crates/ragwortroad_link/src/packed_document.rs
@@ -9,21 +9,22 @@
     write::Encoder, //
 };
 
-/// Bytes of one document at most, unpacked; some ten thousand routes fit.
+/// Maximum size of a decompressed document, in bytes; several ten thousand routes fit.
 pub const MAX_DOCUMENT_BYTES: u64 = 16 << 20;
 
-/// Effort of the compression: the fastest, since registries have little processor time.
+/// Fastest zstd level, since registries have little CPU time.
 const COMPRESSION_LEVEL: i32 = 1;
 
-/// Least and greatest logarithm of the bytes that a match may reach back.
+/// Minimum and maximum base-2 logarithm of the zstd window size in bytes.
 const WINDOW_LOG_RANGE: (u32, u32) = (17, 25);
 
-/// A document compressed for the way between processes and for the log.
+/// Compresses a document for transfer between processes and for the log.
 ///
-/// With `base`, a document that the receiver has, only what differs takes room. A configuration of
-/// thousands of routes takes a small link a second for a few receivers, and heartbeats would wait
-/// behind it until another leader is elected. Against the configuration before it, a change of one
-/// route takes some dozen bytes (`tests/documents.rs` prints the sizes).
+/// With `base`, a document that the receiver already has, only the differences take space. A full
+/// configuration of thousands of routes occupies a slow link for a second with just a few
+/// receivers, and heartbeats queue behind it until another leader is elected. Relative to the
+/// previous configuration, a change of one route takes a few dozen bytes (`tests/documents.rs`
+/// prints the sizes).
 pub fn pack_document(document: &[u8], base: Option<&[u8]>) -> io::Result<Vec<u8>> {
     let base = base.unwrap_or_default();
     let match_range = (document.len() + base.len()).max(1);
@@ -31,14 +32,16 @@
     let window_log = (match_range.ilog2() + 1).clamp(min_log, max_log);
     let mut encoder = Encoder::with_ref_prefix(Vec::new(), COMPRESSION_LEVEL, base)?;
     encoder.window_log(window_log)?;
-    // Finds what stands far back, which the tables of the fastest effort forget.
+    // Finds distant matches, which the small hash tables of the fastest level miss.
     encoder.long_distance_matching(!base.is_empty())?;
     encoder.include_contentsize(false)?;
     encoder.write_all(document)?;
     encoder.finish()
 }
 
-/// The document that was packed, with the same base.
+/// Decompresses a document, given the same base it was compressed with.
+///
+/// Fails if the data is corrupt, the base differs, or the document exceeds [`MAX_DOCUMENT_BYTES`].
 pub fn unpack_document(packed: &[u8], base: Option<&[u8]>) -> io::Result<Vec<u8>> {
     let base = base.unwrap_or_default();
     let decoder = Decoder::with_ref_prefix(packed, base)?;
--- a/crates/ragwortroad_link/tests/documents.rs
+++ b/crates/ragwortroad_link/tests/documents.rs
@@ -1,11 +1,12 @@
-//! What documents take on the way between processes.
+//! Sizes and round trips of compressed documents and messages.
 
 use std::fmt::Write;
 
 use ragwortroad_dispatch::prelude::*;
 use ragwortroad_link::prelude::*;
 
-/// A configuration of `routes` routes whose names repeat nothing, with one timeout set apart.
+/// A configuration of `routes` routes with unique names, in which route `changed` has its own
+/// `timeout`.
 fn document(routes: u64, changed: u64, timeout: u64) -> Vec<u8> {
     let mut text = String::new();
     for route in 0..routes {
@@ -23,7 +24,8 @@
     text.into_bytes()
 }
 
-/// A registry tells an edge of a thousand endpoints. Packed, they are the same, and take little.
+/// An uncompressed list of a thousand endpoints, sent to each edge, would fill slow links.
+/// Compression must save at least a fifth and keep the content.
 #[test]
 fn large_messages_are_compressed() {
     let updates = (0..1000_u64).map(|index| {
@@ -54,7 +56,7 @@
     }
 }
 
-/// Guards against small links filled by each change of a large configuration.
+/// Sending every change of a large configuration in full would saturate slow links.
 #[test]
 fn a_delta_of_a_large_document_is_small() {
     let before = document(2000, 5, 1000);
@@ -77,7 +79,8 @@
     assert_eq!(unpacked, after);
 }
 
-/// A process that lacks the base, or has another one, must notice and not take half a document.
+/// A process without the base, or with another one, must get an error instead of a corrupt
+/// document.
 #[test]
 fn a_delta_without_its_base_is_rejected() {
     let before = document(300, 5, 1000);
--- a/crates/ragwortroad_link/tests/links.rs
+++ b/crates/ragwortroad_link/tests/links.rs
@@ -1,4 +1,4 @@
-//! Connections that are slow or silent.
+//! Slow and unresponsive connections, message sizes, and dial backoff.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     time::sleep, //
 };
 
-/// A connection that counts as silent after a second.
+/// Settings with an idle timeout of one second.
 fn short_timeout_settings() -> LinkSettings {
     LinkSettings {
         idle_timeout: Duration::from_secs(1),
@@ -24,7 +24,7 @@
 
 fn endpoint_records(count: u64) -> Vec<EndpointRecord> {
     let record = |index: u64| EndpointRecord {
-        // Spread like a hash, as names of incarnations are.
+        // Spread like a hash, as the names of endpoint incarnations are.
         name: format!("i-{:010x}", index.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24),
         service: "jeny53a".to_owned(),
         address: format!("10.{}.{}.{}:8485", index % 3, index % 64, index % 251)
@@ -40,7 +40,8 @@
     (0..count).map(record).collect()
 }
 
-/// Guards against a connection that is given up while a large message is on its way.
+/// A large message on a slow link takes longer than the idle timeout.
+/// The connection must stay open while bytes arrive, and time out once they stop.
 #[test]
 fn a_slow_large_message_does_not_hit_the_idle_timeout() {
     let runtime = Builder::new_current_thread()
@@ -60,7 +61,7 @@
                 sleep(Duration::from_millis(100)).await;
                 stream.write_all(piece).await.expect("writes");
             }
-            // Nothing more comes, but the connection stays.
+            // Sends nothing more but keeps the connection open.
             sleep(Duration::from_secs(20)).await;
         };
         let receiver = async {
@@ -80,7 +81,7 @@
     });
 }
 
-/// Guards against records that fill a link for longer than heartbeats can wait.
+/// Large endpoint records would occupy a link for longer than heartbeats can wait.
 #[test]
 fn an_endpoint_record_takes_at_most_thirty_bytes() {
     for count in [22, 100, 333] {
@@ -99,7 +100,8 @@
     }
 }
 
-/// Guards against edges that find registries late, and endless attempts to reach lost VMs.
+/// Growing delays right after a start make edges find registries late.
+/// Constant short delays later cause endless frequent attempts to reach lost VMs.
 #[test]
 fn dial_delays_are_short_after_start_and_grow_later() {
     let mut backoff = DialBackoff::default();
@@ -115,7 +117,8 @@
     assert_eq!(backoff.next_delay(Duration::from_secs(60)), early_delays[0]);
 }
 
-/// Guards against a process that is looked for too late after it has come up.
+/// A peer that starts shortly after this process must not be found late.
+/// Both start together after a power failure of the whole fleet.
 #[test]
 fn a_peer_that_starts_within_two_seconds_is_reached_quickly() {
     let max_timeout = LinkSettings::default().dial_timeout;
@@ -132,7 +135,8 @@
             delay_after_start <= Duration::from_millis(400),
             "reached {delay_after_start:?} after the peer started at {up_at:?}"
         );
-        // Most come up within the first second, and all others wait for the last of them.
+        // Most processes start within the first second, and the rest of the fleet waits for the
+        // last one.
         let is_within_startup_bound =
             up_at_ms > 850 || delay_after_start <= Duration::from_millis(150);
         assert!(
--- a/crates/ragwortroad_telemetry/src/lib.rs
+++ b/crates/ragwortroad_telemetry/src/lib.rs
@@ -1,12 +1,12 @@
-//! Metrics of one process: their names, and the page they are read from.
+//! Prometheus metrics of one process: metric names and the HTTP page that exposes them.
 //!
-//! The number of series is bounded: labels name kinds of requests, outcomes and reasons, never a
-//! request, a customer or an endpoint.
+//! The number of time series is bounded: labels hold request kinds, outcomes and reasons, never
+//! request ids, customers or endpoints.
 
 pub mod metric_names;
 mod metrics_page;
 
-/// Everything a dependent crate usually needs.
+/// The items that dependent crates usually import.
 pub mod prelude {
     pub use crate::{
         metric_names,
--- a/crates/ragwortroad_telemetry/src/metric_names.rs
+++ b/crates/ragwortroad_telemetry/src/metric_names.rs
@@ -1,54 +1,58 @@
-//! Names of all metrics of edges and registries, with what they count.
+//! Names and labels of all metrics that edges and registries export.
 
-/// Requests that are over, by `kind`, `outcome` and `reason`.
+/// Completed requests, by `kind`, `outcome` and `reason`.
 pub const REQUESTS: &str = "ragwortroad_requests_total";
-/// Seconds from a request's head to its answer's head, by `kind`.
+/// Seconds from receiving a request's head to sending its response head, by `kind`.
 pub const ANSWER_SECONDS: &str = "ragwortroad_answer_seconds";
-/// Longest pause between two pieces of a stream, in seconds.
+/// Longest pause in seconds between two chunks of one stream.
 pub const STREAM_PAUSE_SECONDS: &str = "ragwortroad_stream_pause_seconds";
-/// Streams that are over, by `outcome`.
+/// Completed streams, by `outcome`.
 pub const STREAMS: &str = "ragwortroad_streams_total";
-/// Attempts at endpoints that brought no usable answer, by `reason`.
+/// Attempts at endpoints that produced no usable response, by `reason`.
 pub const FAILED_ATTEMPTS: &str = "ragwortroad_failed_attempts_total";
-/// Requests sent once more, by `outcome`: made, or refused by the budget.
+/// Retry decisions, by `outcome`: `made`, or `over_budget` if the retry budget denied the retry.
 pub const REPEATS: &str = "ragwortroad_repeats_total";
-/// Seconds for which requests waited for a place at a gate, of those that did.
+/// Seconds that requests spent queued at an admission gate; requests admitted at once are not
+/// recorded.
 pub const GATE_WAIT_SECONDS: &str = "ragwortroad_gate_wait_seconds";
-/// Requests that this edge may have under way, by `service`; absent where there is no limit.
+/// Maximum number of concurrent requests from this edge, by `service`; absent if there is no limit.
 pub const GATE_LIMIT: &str = "ragwortroad_gate_limit";
-/// Requests that wait for a place, by `service`.
+/// Requests queued at the admission gate, by `service`.
 pub const GATE_WAITING: &str = "ragwortroad_gate_waiting";
-/// Requests under way.
+/// Requests currently in flight.
 pub const REQUESTS_IN_FLIGHT: &str = "ragwortroad_requests_in_flight";
-/// Requests at an endpoint by this edge's belief as it sent one more.
+/// Estimated number of requests at the chosen endpoint when this edge sent another one there.
 pub const BELIEVED_LOAD: &str = "ragwortroad_believed_load";
-/// Whether the engine chosen had read the request's shared text, by `held`.
+/// Requests with a prompt prefix, by `held`: whether the chosen engine already had the shared
+/// prefix cached.
 pub const TEXT_PLACES: &str = "ragwortroad_text_places_total";
-/// Version of the configuration in force here.
+/// Version of the configuration that is in force in this process.
 pub const CONFIG_VERSION: &str = "ragwortroad_config_version";
-/// Registries that this edge is connected to.
+/// Registries to which this edge is connected.
 pub const REGISTRIES_CONNECTED: &str = "ragwortroad_registries_connected";
-/// Endpoints that take work, as known here.
+/// Endpoints that accept work according to this edge.
 pub const ENDPOINTS_READY: &str = "ragwortroad_endpoints_ready";
-/// Calls at a registry, by `outcome`.
+/// Control API calls at a registry, by `outcome`.
 pub const CONTROL_CALLS: &str = "ragwortroad_control_calls_total";
-/// Seconds from a call read at a registry to its answer, by `outcome`.
+/// Seconds from reading a control API call at a registry to sending its response, by `outcome`.
 pub const CONTROL_CALL_SECONDS: &str = "ragwortroad_control_call_seconds";
-/// Bytes queued for other processes of the fleet, by `kind` of message.
+/// Bytes queued for other processes of the fleet, by message `kind`.
 pub const LINK_BYTES: &str = "ragwortroad_link_bytes_total";
-/// Seconds for which messages to another process waited until the connection took them.
+/// Seconds that messages to another process waited in the queue before they were written to the
+/// socket.
 pub const LINK_WAIT_SECONDS: &str = "ragwortroad_link_wait_seconds";
-/// Connections to other processes that ended, by who was at the other end (`peer`).
+/// Connections to other processes that ended, by the role of the peer (`peer`).
 pub const LINKS_LOST: &str = "ragwortroad_links_lost_total";
-/// Endpoints that missed their announcements at this registry.
+/// Endpoints that this registry marked as lost because their announcements stopped.
 pub const ENDPOINTS_LOST: &str = "ragwortroad_endpoints_lost_total";
-/// Edges whose home this registry is.
+/// Edges that use this registry as their home.
 pub const EDGES_SUBSCRIBED: &str = "ragwortroad_edges_subscribed";
-/// Changes of the leader that this registry knows of.
+/// Leader changes that this registry has observed.
 pub const LEADER_CHANGES: &str = "ragwortroad_leader_changes_total";
-/// Voters of the group.
+/// Voters of the consensus group.
 pub const VOTERS: &str = "ragwortroad_voters";
-/// Edges that are connected to this registry.
+/// Edges connected to this registry.
 pub const EDGES_CONNECTED: &str = "ragwortroad_edges_connected";
-/// Log lines that were dropped, by `reason`: nobody read them in time, or there were too many.
+/// Dropped log lines, by `reason`: the reader was too slow (`unread`), or the rate limit applied
+/// (`limit`).
 pub const LOG_LINES_DROPPED: &str = "ragwortroad_log_lines_dropped_total";
--- a/crates/ragwortroad_telemetry/src/metrics_page.rs
+++ b/crates/ragwortroad_telemetry/src/metrics_page.rs
@@ -39,35 +39,37 @@
     STREAM_PAUSE_SECONDS, //
 };
 
-/// Bounds of the histograms of time, in seconds: from a local answer to a request's longest life.
+/// Histogram buckets for durations in seconds, from a local response to the longest request
+/// lifetime.
 const DURATION_BUCKETS_SECONDS: [f64; 13] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 2.5, 5.0, 15.0,
 ];
 
-/// Bounds of the histogram of loads, in requests.
+/// Histogram buckets for endpoint load, in requests.
 const LOAD_BUCKETS: [f64; 9] = [0.0, 1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0];
 
-/// Time between two foldings of the samples into their histograms, which else pile up unread.
+/// Interval at which buffered samples are drained into their histograms. Without it samples
+/// accumulate in memory until the page is read.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Pause after an accept that failed.
+/// Delay before accepting again after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why metrics cannot be kept.
+/// The metrics recorder could not be installed.
 #[derive(Debug, Snafu)]
 #[snafu(display("metrics cannot be kept: {source}; start one process only once"))]
 pub struct MetricsError {
     source: BuildError,
 }
 
-/// The page that a process's metrics are read from.
+/// Exposes the metrics of this process in the Prometheus text format.
 #[derive(Clone, Debug)]
 pub struct MetricsPage {
     handle: PrometheusHandle,
 }
 
 impl MetricsPage {
-    /// Keeps this process's metrics from now on.
+    /// Installs the global metrics recorder. Fails if the process already has one.
     pub fn install() -> Result<Self, MetricsError> {
         let handle = builder()
             .and_then(PrometheusBuilder::install_recorder)
@@ -75,12 +77,12 @@
         Ok(Self { handle })
     }
 
-    /// The page as text.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         self.handle.render()
     }
 
-    /// Folds samples from time to time for as long as the process runs.
+    /// Drains buffered samples into histograms every five seconds, for as long as the process runs.
     pub async fn run_upkeep(self) {
         loop {
             sleep(UPKEEP_INTERVAL).await;
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Serves the page to whoever asks, on any path.
+    /// Serves the page over HTTP on any path, for as long as the process runs.
     pub async fn serve(self, listener: TcpListener) {
         loop {
             let stream = match listener.accept().await {
--- a/crates/ragwortroad_telemetry/tests/page.rs
+++ b/crates/ragwortroad_telemetry/tests/page.rs
@@ -1,4 +1,4 @@
-//! What the page of a process's metrics shows.
+//! Rendering of the metrics page.
 
 use ragwortroad_telemetry::prelude::*;
 
