--- a/crates/ragwortroad_edge/src/config_exchange.rs
+++ b/crates/ragwortroad_edge/src/config_exchange.rs
@@ -51,7 +51,7 @@
                 spawn_local(serve_peer(Rc::clone(&shared), stream));
             }
             Err(error) => {
-                tracing::warn!(%error, "a connection of another edge could not be accepted");
+                tracing::warn!(%error, "failed to accept a connection from another edge");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -68,10 +68,10 @@
             let steps = step.into_iter().collect();
             reply_queue.send(&LinkMessage::ConfigDeltas(steps));
         }
-        other => tracing::warn!(?other, "a message that no edge sends an edge"),
+        other => tracing::warn!(?other, "unexpected message from another edge"),
     };
     let ended = run_link(stream, (queue, receiver), false, &settings, on_message).await;
-    tracing::debug!(%ended, "a connection of another edge ended");
+    tracing::debug!(%ended, "connection from another edge closed");
 }
 
 /// Returns the full configuration if its version is higher than `above`.
@@ -87,7 +87,7 @@
                     packed,
                 });
             }
-            Err(error) => tracing::error!(%error, "the configuration cannot be packed"),
+            Err(error) => tracing::error!(%error, "failed to compress the configuration"),
         }
     }
     state.full_config.clone()
@@ -100,13 +100,13 @@
     let fetched = timeout(FETCH_TIMEOUT, request_from_edge(&shared, helper, before)).await;
     let version = shared.state.borrow().version();
     if version > before {
-        tracing::info!(%helper, version, "configuration given by another edge");
+        tracing::info!(%helper, version, "received configuration from another edge");
     } else {
         let reason = match fetched {
             Ok(ended) => ended.to_string(),
-            Err(_) => "it did not answer in time".to_owned(),
+            Err(_) => "timed out".to_owned(),
         };
-        tracing::info!(%helper, reason, "another edge gave no configuration");
+        tracing::info!(%helper, reason, "failed to fetch the configuration from another edge");
         shared.state.borrow_mut().fetch.note_failed();
     }
     refresh_config(&shared);
--- a/crates/ragwortroad_edge/src/config_update.rs
+++ b/crates/ragwortroad_edge/src/config_update.rs
@@ -47,7 +47,7 @@
     let document = match unpack_deltas(state.document.clone(), state.version(), steps) {
         Ok(document) => document,
         Err(error) => {
-            tracing::error!(version, %error, "a configuration cannot be unpacked");
+            tracing::error!(version, %error, "failed to decompress a configuration");
             return;
         }
     };
@@ -64,7 +64,7 @@
             state.full_config = Some(last).filter(|last| last.base.is_none()).cloned();
             state.document = Some(document.into());
         }
-        Err(fault) => tracing::error!(version, %fault, "a configuration cannot be used"),
+        Err(fault) => tracing::error!(version, %fault, "rejected an invalid configuration"),
     }
 }
 
@@ -78,13 +78,13 @@
     let mut version = current_version;
     for step in steps {
         if step.base.is_some() && step.base != version {
-            return Err(io::Error::other("it was made against another one"));
+            return Err(io::Error::other("the delta is based on another version"));
         }
         let base = step.base.and(document.as_deref());
         document = Some(step.unpack(base)?);
         version = Some(step.version);
     }
-    document.ok_or_else(|| io::Error::other("there is no step"))
+    document.ok_or_else(|| io::Error::other("the list of deltas is empty"))
 }
 
 /// Requests a newer configuration if one is known, and announces this edge as ready once its
--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -63,11 +63,13 @@
                 let message_shared = Rc::clone(&shared);
                 let on_message = move |message| handle_message(&message_shared, source, message);
                 let ended = run_link(stream, (queue, receiver), true, &settings, on_message).await;
-                tracing::info!(registry = %address, %ended, "registry lost");
+                tracing::info!(registry = %address, %ended, "registry disconnected");
                 metrics::counter!(metric_names::LINKS_LOST, "peer" => "registry").increment(1);
                 close_link(&shared, source);
             }
-            Err(error) => tracing::debug!(registry = %address, %error, "registry not reached"),
+            Err(error) => {
+                tracing::debug!(registry = %address, %error, "failed to connect to registry")
+            }
         }
         sleep(backoff.next_delay(shared.uptime())).await;
     }
@@ -166,7 +168,7 @@
                 apply_update(&mut state, source, change, now);
             }
         }
-        other => tracing::warn!(?other, "a message that no registry sends an edge"),
+        other => tracing::warn!(?other, "unexpected message from a registry"),
     }
     refresh_config(shared);
 }
--- a/crates/ragwortroad_edge/src/edge_process.rs
+++ b/crates/ragwortroad_edge/src/edge_process.rs
@@ -185,7 +185,7 @@
     while let Ok(signal) = signals.recv_async().await {
         match signal {
             EdgeSignal::Reload(settings) => {
-                tracing::info!(seeds = settings.seeds.len(), "settings read again");
+                tracing::info!(seeds = settings.seeds.len(), "settings reloaded");
                 dial_seeds(&shared, &settings.seeds);
             }
             EdgeSignal::Stop => shared.stop.notify_one(),
@@ -198,19 +198,19 @@
 /// Idle connections stay open: closing one could lose a request that a client sends at the same
 /// moment. Instead, each response from now on closes its connection.
 async fn drain(shared: &EdgeShared) {
-    let begun = shared.now();
+    let started_at = shared.now();
     let limit = shared.settings.grace.saturating_sub(GRACE_MARGIN);
     begin_drain(&mut shared.state.borrow_mut(), limit);
     loop {
         sleep(TICK_INTERVAL).await;
         let now = shared.now();
-        if now.since(begun) + FINAL_RESPONSE_WINDOW >= limit {
+        if now.since(started_at) + FINAL_RESPONSE_WINDOW >= limit {
             shared.shutdown_imminent.send_replace(true);
         }
         let state = shared.state.borrow();
         let is_quiet = now.since(state.last_activity_at) > DRAIN_QUIET_PERIOD;
-        let is_done = state.in_flight == 0 && is_quiet && now.since(begun) > MIN_DRAIN;
-        if is_done || now.since(begun) >= limit {
+        let is_done = state.in_flight == 0 && is_quiet && now.since(started_at) > MIN_DRAIN;
+        if is_done || now.since(started_at) >= limit {
             tracing::info!(in_flight = state.in_flight, "stopped");
             return;
         }
@@ -218,7 +218,7 @@
 }
 
 fn begin_drain(state: &mut EdgeState, limit: Duration) {
-    tracing::info!(in_flight = state.in_flight, "stopping");
+    tracing::info!(in_flight = state.in_flight, "draining");
     state.shutdown_at = Some(Instant::now() + limit);
     state.set_stage(EdgeStage::Draining);
 }
--- a/crates/ragwortroad_edge/src/edge_state.rs
+++ b/crates/ragwortroad_edge/src/edge_state.rs
@@ -148,7 +148,11 @@
             self.endpoints.return_domain(domain, warm_at);
         }
         let drained: Vec<&str> = drains.drained().collect();
-        tracing::info!(?drained, revision = drains.revision(), "drained domains");
+        tracing::info!(
+            ?drained,
+            revision = drains.revision(),
+            "drained failure domains changed"
+        );
         self.drains = drains;
     }
 
@@ -226,7 +230,7 @@
                 false => LinkMessage::Unsubscribe,
             };
             if let Some(queue) = &link.queue {
-                tracing::info!(registry = %link.address, is_home, "the home of this edge");
+                tracing::info!(registry = %link.address, is_home, "home registry changed");
                 queue.send(&message);
             }
         }
@@ -302,7 +306,7 @@
         if self.stage == stage {
             return;
         }
-        tracing::info!(?stage, version = self.version(), "this edge's stage");
+        tracing::info!(?stage, version = self.version(), "lifecycle stage changed");
         self.stage = stage;
         for link in self.links.values() {
             if let Some(queue) = &link.queue {
--- a/crates/ragwortroad_edge/src/endpoint_call.rs
+++ b/crates/ragwortroad_edge/src/endpoint_call.rs
@@ -137,13 +137,13 @@
             Err(SendFailure::NotSent) if was_pooled => {}
             Err(SendFailure::NotSent) => {
                 return CallOutcome::NotSent {
-                    reason: "closed before the request".to_owned(),
+                    reason: "connection closed before the request was sent".to_owned(),
                     is_timeout: false,
                 };
             }
             Err(SendFailure::Lost(error)) => {
                 return CallOutcome::Lost {
-                    reason: format!("{error} (kept connection: {was_pooled})"),
+                    reason: format!("{error} (reused connection: {was_pooled})"),
                     is_timeout: is_timeout_error(&error),
                 };
             }
@@ -192,7 +192,7 @@
     if facts.id.as_deref().is_some_and(|id| id != plan.id) {
         // A late response to an earlier request on a reused connection. Forwarding it could expose
         // another customer's data.
-        return unusable_response("the answer names another request");
+        return unusable_response("response carries another request id");
     }
     if let Some(load) = facts.load {
         let now = shared.now();
@@ -205,7 +205,7 @@
     }
     let is_success = head.status.is_success();
     if is_success && (!facts.is_signed || facts.is_encoded || facts.id.is_none()) {
-        return unusable_response("a success without the endpoint's signature");
+        return unusable_response("successful response is unsigned, encoded or without request id");
     }
     let mut headers = head.headers;
     strip_hop_by_hop(&mut headers);
@@ -224,7 +224,7 @@
         Ok(body) => body.to_bytes(),
         Err(error) => {
             return CallOutcome::Lost {
-                reason: format!("the answer broke off: {error}"),
+                reason: format!("response body incomplete: {error}"),
                 is_timeout: is_timeout_error(&error),
             };
         }
--- a/crates/ragwortroad_edge/src/endpoint_connection.rs
+++ b/crates/ragwortroad_edge/src/endpoint_connection.rs
@@ -91,7 +91,7 @@
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         let task = spawn_local(async move {
             if let Err(error) = connection.await {
-                tracing::debug!(%error, "a connection to an endpoint ended");
+                tracing::debug!(%error, "endpoint connection failed");
             }
         });
         Ok(Self {
--- a/crates/ragwortroad_edge/src/http_server.rs
+++ b/crates/ragwortroad_edge/src/http_server.rs
@@ -48,7 +48,7 @@
                 spawn_local(serve_client(Rc::clone(&shared), stream));
             }
             Err(error) => {
-                tracing::warn!(%error, "a caller could not be accepted");
+                tracing::warn!(%error, "failed to accept a client connection");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -57,7 +57,7 @@
 
 async fn serve_client(shared: Rc<EdgeShared>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!(%error, "a caller's socket is gone");
+        tracing::debug!(%error, "client disconnected before the first request");
         return;
     }
     let map = shared.state.borrow().map.clone();
@@ -72,7 +72,7 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        tracing::debug!(%error, "a caller's connection ended");
+        tracing::debug!(%error, "client connection failed");
     }
 }
 
@@ -82,7 +82,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!(%error, "a question for readiness could not be accepted");
+                tracing::warn!(%error, "failed to accept a readiness probe");
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -94,7 +94,7 @@
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
-                tracing::debug!(%error, "a question for readiness ended early");
+                tracing::debug!(%error, "readiness probe connection failed");
             }
         });
     }
--- a/crates/ragwortroad_edge/src/request_completion.rs
+++ b/crates/ragwortroad_edge/src/request_completion.rs
@@ -145,7 +145,7 @@
         shedding_ms = gate.shedding_for(now).as_millis() as u64,
         load_age_ms = loads_received_at
             .map(|loads_received_at| now.since(loads_received_at).as_millis() as u64),
-        "no room at the gate"
+        "request refused by the admission gate"
     );
 }
 
--- a/crates/ragwortroad_edge/src/request_flow.rs
+++ b/crates/ragwortroad_edge/src/request_flow.rs
@@ -194,7 +194,7 @@
     chosen: &ChosenEndpoint,
 ) -> CallOutcome {
     let time_left = plan.deadline.saturating_duration_since(Instant::now());
-    let patience = answer_patience(plan.rule().target, time_left);
+    let response_timeout = answer_patience(plan.rule().target, time_left);
     let mut shutdown_imminent = shared.shutdown_imminent.subscribe();
     // The sender lives as long as the edge, so this completes only on shutdown.
     let shutdown_notice = shutdown_imminent.wait_for(|is_imminent| *is_imminent);
@@ -203,7 +203,7 @@
     tokio::select! {
         outcome = &mut call => return outcome,
         _ = &mut shutdown_notice => return CallOutcome::TimedOut,
-        () = sleep(patience) => {}
+        () = sleep(response_timeout) => {}
     }
     let is_enabled = shared.settings.mechanisms.silence && !is_shedding(shared, plan);
     if is_enabled && progress.may_abandon(shared, plan) {
--- a/crates/ragwortroad_edge/src/request_progress.rs
+++ b/crates/ragwortroad_edge/src/request_progress.rs
@@ -77,7 +77,7 @@
             }
             CallOutcome::NotRun => ("not run".to_owned(), RefusalReason::NotRun),
             CallOutcome::Misdirected => (
-                "another endpoint is there".to_owned(),
+                "another endpoint has this address".to_owned(),
                 RefusalReason::NotRun,
             ),
             CallOutcome::Lost { reason, .. } => {
--- a/crates/ragwortroad_edge/src/request_reading.rs
+++ b/crates/ragwortroad_edge/src/request_reading.rs
@@ -157,7 +157,7 @@
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RefusalReason::TooLarge),
         Ok(Err(error)) => {
-            tracing::debug!(%error, "a body ended early");
+            tracing::debug!(%error, "request body incomplete");
             Err(RefusalReason::CutBody)
         }
         Err(_) => Err(RefusalReason::SlowBody),
--- a/crates/ragwortroad_edge/src/stream_body.rs
+++ b/crates/ragwortroad_edge/src/stream_body.rs
@@ -51,7 +51,7 @@
 /// A stream could not be completed; the client's connection is closed.
 #[derive(Clone, Copy, Debug)]
 #[derive(Snafu)]
-#[snafu(display("the stream broke off ({reason}); resume it behind its last event"))]
+#[snafu(display("the stream was interrupted ({reason}); resume it after the last event"))]
 pub(crate) struct StreamError {
     reason: &'static str,
 }
@@ -129,7 +129,7 @@
                 };
                 self.resuming = None;
                 let Some(upstream) = upstream else {
-                    return self.fail("no endpoint goes on with it");
+                    return self.fail("no endpoint could resume the stream");
                 };
                 self.tried.push(upstream.guard.key());
                 self.upstream = Some(upstream);
@@ -165,7 +165,7 @@
 
     fn poll_upstream(&mut self, context: &mut Context<'_>) -> Poll<UpstreamStep> {
         let Some(upstream) = &mut self.upstream else {
-            return Poll::Ready(UpstreamStep::Broken("no run"));
+            return Poll::Ready(UpstreamStep::Broken("no upstream response"));
         };
         let body: Pin<&mut Incoming> = Pin::new(&mut upstream.body);
         let frame = match body.poll_frame(context) {
@@ -174,12 +174,12 @@
         };
         Poll::Ready(match frame {
             None if self.framer.has_partial_event() => {
-                UpstreamStep::Broken("it ended within an event")
+                UpstreamStep::Broken("stream ended in the middle of an event")
             }
             None => UpstreamStep::End,
             Some(Err(error)) => {
-                tracing::debug!(%error, "a stream broke");
-                UpstreamStep::Broken("the endpoint broke off")
+                tracing::debug!(%error, "failed to read the stream from the endpoint");
+                UpstreamStep::Broken("the endpoint closed the connection")
             }
             Some(Ok(frame)) => self.take_frame(frame),
         })
@@ -207,10 +207,10 @@
         while self.timer.as_mut().poll(context).is_ready() {
             let now = Instant::now();
             if now >= self.plan.deadline + FINAL_EVENTS_GRACE {
-                return Some("its time is over");
+                return Some("deadline exceeded");
             }
             if self.is_resumable() && now >= self.last_bytes_at + STREAM_IDLE_TIMEOUT {
-                return Some("the endpoint fell silent");
+                return Some("no data within the idle timeout");
             }
             self.reset_timer();
         }
@@ -322,7 +322,7 @@
             tracing::debug!(
                 request = self.plan.id,
                 events = self.events,
-                "the caller left"
+                "client disconnected"
             );
         }
     }
--- a/crates/ragwortroad_edge/src/tests.rs
+++ b/crates/ragwortroad_edge/src/tests.rs
@@ -32,7 +32,7 @@
     assert!(matches!(gate.offer(offer(), now), GateDecision::Admitted));
     match gate.offer(offer(), now) {
         GateDecision::Queued(ticket, admission) => (gate, ticket, admission),
-        GateDecision::Admitted => panic!("the place is taken"),
+        GateDecision::Admitted => panic!("the only slot is taken"),
     }
 }
 
@@ -46,7 +46,7 @@
     assert_eq!(
         gate.gate().under_way(),
         1,
-        "the one that waited has the place"
+        "the queued request holds the slot"
     );
     assert!(gate.finish_wait(ticket, &mut admission, now));
     gate.release(now);
--- a/crates/ragwortroad_link/src/link_connection.rs
+++ b/crates/ragwortroad_link/src/link_connection.rs
@@ -68,13 +68,19 @@
     /// Creates a queue and the receiver that [`run_link`] drains.
     pub fn new(settings: &LinkSettings) -> (Self, Receiver<QueuedMessage>) {
         let (sender, receiver) = flume::bounded(settings.queue_capacity);
-        let end = Arc::new(Notify::new());
-        (Self { sender, end }, receiver)
+        let close_signal = Arc::new(Notify::new());
+        (
+            Self {
+                sender,
+                close_signal,
+            },
+            receiver,
+        )
     }
 
     /// Closes the connection.
     pub fn close(&self) {
-        self.end.notify_one();
+        self.close_signal.notify_one();
     }
 
     /// Encodes and queues a message; returns whether it was accepted.
@@ -85,7 +91,7 @@
         match EncodedMessage::try_from(message) {
             Ok(encoded) => self.send_encoded(&encoded),
             Err(error) => {
-                tracing::error!(%error, "a message to another process could not be encoded");
+                tracing::error!(%error, "failed to encode a message");
                 false
             }
         }
@@ -146,12 +152,12 @@
         .new_codec();
     let writer = FramedWrite::new(write_half, codec.clone());
     let keepalive_interval = is_dialer.then_some(settings.keepalive_interval);
-    let end = Arc::clone(&local_queue.end);
+    let close_signal = Arc::clone(&local_queue.close_signal);
     let reply_queue = (!is_dialer).then_some(local_queue);
     tokio::select! {
         error = read_messages(read_half, codec, reply_queue, settings.idle_timeout, on_message) => error,
         error = write_messages(writer, receiver, keepalive_interval) => error,
-        () = end.notified() => LinkError::ClosedLocally,
+        () = close_signal.notified() => LinkError::ClosedLocally,
     }
 }
 
--- a/crates/ragwortroad_link/src/packed_document.rs
+++ b/crates/ragwortroad_link/src/packed_document.rs
@@ -50,9 +50,7 @@
         .take(MAX_DOCUMENT_BYTES + 1)
         .read_to_end(&mut document)?;
     if read_bytes as u64 > MAX_DOCUMENT_BYTES {
-        return Err(io::Error::other(
-            "the document is larger than any that is accepted",
-        ));
+        return Err(io::Error::other("the document exceeds the size limit"));
     }
     Ok(document)
 }
--- a/crates/ragwortroad_link/tests/documents.rs
+++ b/crates/ragwortroad_link/tests/documents.rs
@@ -19,7 +19,7 @@
             name >> 40,
             name >> 20,
         )
-        .expect("a string takes all");
+        .expect("write to a string");
     }
     text.into_bytes()
 }
@@ -33,15 +33,23 @@
         RegistryChange::Lost(name)
     });
     let message = LinkMessage::EndpointUpdates(updates.collect());
-    let plain = postcard::to_stdvec(&message).expect("encodes").len();
-    let frame = EncodedMessage::try_from(&message).expect("encodes").bytes;
-    assert!(frame.len() * 10 < plain * 8, "{} of {plain}", frame.len());
-    assert_eq!(decode_message(&frame).expect("decodes"), message);
+    let plain = postcard::to_stdvec(&message)
+        .expect("message encodes")
+        .len();
+    let frame = EncodedMessage::try_from(&message)
+        .expect("message encodes")
+        .bytes;
+    assert!(
+        frame.len() * 10 < plain * 8,
+        "{} of {plain} bytes",
+        frame.len()
+    );
+    assert_eq!(decode_message(&frame).expect("message decodes"), message);
     let small = EncodedMessage::try_from(&LinkMessage::Keepalive)
-        .expect("encodes")
+        .expect("message encodes")
         .bytes;
     assert_eq!(
-        decode_message(&small).expect("decodes"),
+        decode_message(&small).expect("message decodes"),
         LinkMessage::Keepalive
     );
     assert!(decode_message(&frame[..frame.len() / 2]).is_err());
@@ -51,8 +59,11 @@
 fn a_document_survives_a_pack_and_unpack_round_trip() {
     for routes in [0, 1, 40, 3000] {
         let document = document(routes, 0, 1);
-        let packed = pack_document(&document, None).expect("packs");
-        assert_eq!(unpack_document(&packed, None).expect("unpacks"), document);
+        let packed = pack_document(&document, None).expect("document compresses");
+        assert_eq!(
+            unpack_document(&packed, None).expect("document decompresses"),
+            document
+        );
     }
 }
 
@@ -61,21 +72,21 @@
 fn a_delta_of_a_large_document_is_small() {
     let before = document(2000, 5, 1000);
     let after = document(2000, 1500, 2000);
-    let full = pack_document(&after, None).expect("packs");
-    let delta = pack_document(&after, Some(&before)).expect("packs");
+    let full = pack_document(&after, None).expect("document compresses");
+    let delta = pack_document(&after, Some(&before)).expect("document compresses");
     println!(
-        "{} bytes: whole {}, a change {}",
+        "{} bytes: full {}, delta {}",
         after.len(),
         full.len(),
         delta.len()
     );
     assert!(
         delta.len() * 20 < full.len(),
-        "{} of {}",
+        "delta {} of {} bytes",
         delta.len(),
         full.len()
     );
-    let unpacked = unpack_document(&delta, Some(&before)).expect("unpacks");
+    let unpacked = unpack_document(&delta, Some(&before)).expect("document decompresses");
     assert_eq!(unpacked, after);
 }
 
@@ -85,7 +96,7 @@
 fn a_delta_without_its_base_is_rejected() {
     let before = document(300, 5, 1000);
     let after = document(300, 100, 2000);
-    let delta = pack_document(&after, Some(&before)).expect("packs");
+    let delta = pack_document(&after, Some(&before)).expect("document compresses");
     let unpacked = unpack_document(&delta, None);
     assert!(unpacked.is_err(), "{unpacked:?}");
 }
--- a/crates/ragwortroad_link/tests/links.rs
+++ b/crates/ragwortroad_link/tests/links.rs
@@ -29,7 +29,7 @@
         service: "jeny53a".to_owned(),
         address: format!("10.{}.{}.{}:8485", index % 3, index % 64, index % 251)
             .parse()
-            .expect("an address"),
+            .expect("valid address"),
         zone: "rvk-a".to_owned(),
         slots: 128,
         stage: EndpointStage::Ready,
@@ -47,25 +47,31 @@
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("runtime starts");
     runtime.block_on(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("binds");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("listener binds");
+        let address = listener.local_addr().expect("valid address");
         let message = LinkMessage::EndpointsWhole(endpoint_records(400));
-        let bytes = EncodedMessage::try_from(&message).expect("encodes").bytes;
+        let bytes = EncodedMessage::try_from(&message)
+            .expect("message encodes")
+            .bytes;
         let sender = async move {
-            let mut stream = TcpStream::connect(address).await.expect("connects");
+            let mut stream = TcpStream::connect(address)
+                .await
+                .expect("connection succeeds");
             let length = (bytes.len() as u32).to_be_bytes();
-            stream.write_all(&length).await.expect("writes");
+            stream.write_all(&length).await.expect("write succeeds");
             for piece in bytes.chunks(bytes.len() / 20) {
                 sleep(Duration::from_millis(100)).await;
-                stream.write_all(piece).await.expect("writes");
+                stream.write_all(piece).await.expect("write succeeds");
             }
             // Sends nothing more but keeps the connection open.
             sleep(Duration::from_secs(20)).await;
         };
         let receiver = async {
-            let (stream, _) = listener.accept().await.expect("accepts");
+            let (stream, _) = listener.accept().await.expect("accept succeeds");
             let queue = LinkQueue::new(&short_timeout_settings());
             let mut received = Vec::new();
             let on_message = |message| received.push(message);
@@ -73,7 +79,7 @@
             (received, ended)
         };
         let (received, ended) = tokio::select! {
-            () = sender => panic!("the silent connection was kept"),
+            () = sender => panic!("the idle connection was not closed"),
             got = receiver => got,
         };
         assert_eq!(received, [message]);
@@ -89,7 +95,7 @@
             .into_iter()
             .map(RegistryChange::Told);
         let message = LinkMessage::EndpointUpdates(updates.collect());
-        let encoded = EncodedMessage::try_from(&message).expect("encodes");
+        let encoded = EncodedMessage::try_from(&message).expect("message encodes");
         let bytes = encoded.bytes.len();
         let bytes_per_record = bytes as f64 / count as f64;
         println!("{count} records: {bytes_per_record:.1} bytes each");
@@ -145,5 +151,8 @@
         );
     }
     let later = DialBackoff::default().attempt_timeout(Duration::from_secs(60), max_timeout);
-    assert_eq!(later, max_timeout, "regions may be far apart");
+    assert_eq!(
+        later, max_timeout,
+        "peers in distant regions need the full timeout"
+    );
 }
--- a/crates/ragwortroad_telemetry/src/metrics_page.rs
+++ b/crates/ragwortroad_telemetry/src/metrics_page.rs
@@ -57,7 +57,9 @@
 
 /// The metrics recorder could not be installed.
 #[derive(Debug, Snafu)]
-#[snafu(display("metrics cannot be kept: {source}; start one process only once"))]
+#[snafu(display(
+    "cannot install the metrics recorder: {source}; install it only once per process"
+))]
 pub struct MetricsError {
     source: BuildError,
 }
@@ -96,7 +98,7 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    tracing::warn!(%error, "a reader of metrics could not be accepted");
+                    tracing::warn!(%error, "failed to accept a metrics connection");
                     sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
@@ -109,7 +111,7 @@
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
                 if let Err(error) = served {
-                    tracing::debug!(%error, "a reader of metrics left early");
+                    tracing::debug!(%error, "metrics connection failed");
                 }
             });
         }
