--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -68,7 +68,7 @@
                 close_link(&shared, source);
             }
             Err(error) => {
-                tracing::debug!(registry = %address, %error, "failed to connect to registry")
+                tracing::debug!(registry = %address, %error, "registry unreachable")
             }
         }
         sleep(backoff.next_delay(shared.uptime())).await;
--- a/crates/ragwortroad_edge/src/event_framer.rs
+++ b/crates/ragwortroad_edge/src/event_framer.rs
@@ -20,7 +20,7 @@
     /// Appends bytes and returns the events that are now complete; `None` if there are none.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         // The terminator may have started in the bytes received earlier.
-        let searched = self.buffer.len().saturating_sub(MAX_END_MARK_OVERLAP);
+        let searched = self.buffer.len().saturating_sub(MAX_TERMINATOR_OVERLAP);
         self.buffer.extend_from_slice(bytes);
         let end = last_event_end(&self.buffer[searched..])? + searched;
         let events = self.buffer.copy_to_bytes(end);
@@ -47,7 +47,7 @@
 }
 
 /// Length of the longest event terminator, minus one.
-const MAX_END_MARK_OVERLAP: usize = 3;
+const MAX_TERMINATOR_OVERLAP: usize = 3;
 
 /// Position after the last complete event, which is terminated by an empty line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
--- a/crates/ragwortroad_link/src/link_connection.rs
+++ b/crates/ragwortroad_link/src/link_connection.rs
@@ -54,7 +54,7 @@
 pub struct LinkQueue {
     sender: Sender<QueuedMessage>,
     /// Notified to close the connection.
-    end: Arc<Notify>,
+    close_signal: Arc<Notify>,
 }
 
 /// An encoded message waiting to be written.
@@ -155,7 +155,13 @@
     let close_signal = Arc::clone(&local_queue.close_signal);
     let reply_queue = (!is_dialer).then_some(local_queue);
     tokio::select! {
-        error = read_messages(read_half, codec, reply_queue, settings.idle_timeout, on_message) => error,
+        error = read_messages(
+            read_half,
+            codec,
+            reply_queue,
+            settings.idle_timeout,
+            on_message
+        ) => error,
         error = write_messages(writer, receiver, keepalive_interval) => error,
         () = close_signal.notified() => LinkError::ClosedLocally,
     }
@@ -224,7 +230,8 @@
             Some(at) => tokio::select! {
                 received = receiver.recv_async() => received.ok(),
                 () = tokio::time::sleep_until(at) => {
-                    next_keepalive_at = keepalive_interval.map(|interval| Instant::now() + interval);
+                    next_keepalive_at =
+                        keepalive_interval.map(|interval| Instant::now() + interval);
                     match EncodedMessage::try_from(&LinkMessage::Keepalive) {
                         Ok(encoded) => Some(QueuedMessage {
                             bytes: encoded.bytes,
--- a/crates/ragwortroad_link/tests/links.rs
+++ b/crates/ragwortroad_link/tests/links.rs
@@ -114,11 +114,11 @@
     let early_delays: Vec<_> = (0..20)
         .map(|_| backoff.next_delay(Duration::from_secs(2)))
         .collect();
-    assert!(early_delays.iter().all(|pause| *pause == early_delays[0]));
-    let delay_after_start: Vec<_> = (0..20)
+    assert!(early_delays.iter().all(|delay| *delay == early_delays[0]));
+    let later_delays: Vec<_> = (0..20)
         .map(|_| backoff.next_delay(Duration::from_secs(60)))
         .collect();
-    assert!(delay_after_start.is_sorted() && delay_after_start[19] >= early_delays[0] * 8);
+    assert!(later_delays.is_sorted() && later_delays[19] >= early_delays[0] * 8);
     backoff.reset();
     assert_eq!(backoff.next_delay(Duration::from_secs(60)), early_delays[0]);
 }
