--- a/crates/ragwortroad_edge/src/edge_gates.rs
+++ b/crates/ragwortroad_edge/src/edge_gates.rs
@@ -17,7 +17,7 @@
 impl EdgeState {
     /// Estimates how long the client has already waited elsewhere, from its remaining time.
     pub(crate) fn time_spent(&mut self, plan: &RequestPlan) -> Duration {
-        let Some(time_left) = plan.facts.time_left else {
+        let Some(time_left) = plan.metadata.time_left else {
             return Duration::ZERO;
         };
         // Routes come and go with configurations, and the estimates are learned again quickly.
--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -67,9 +67,7 @@
                 metrics::counter!(metric_names::LINKS_LOST, "peer" => "registry").increment(1);
                 close_link(&shared, source);
             }
-            Err(error) => {
-                tracing::debug!(registry = %address, %error, "registry unreachable")
-            }
+            Err(error) => tracing::debug!(registry = %address, %error, "registry unreachable"),
         }
         sleep(backoff.next_delay(shared.uptime())).await;
     }
--- a/crates/ragwortroad_edge/src/endpoint_call.rs
+++ b/crates/ragwortroad_edge/src/endpoint_call.rs
@@ -72,7 +72,7 @@
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
-    pub(crate) facts: ResponseMetadata,
+    pub(crate) metadata: ResponseMetadata,
     pub(crate) connection: EndpointConnection,
     pub(crate) address: SocketAddr,
     pub(crate) guard: InFlightGuard,
@@ -188,33 +188,33 @@
     guard: InFlightGuard,
 ) -> CallOutcome {
     let (head, body) = response.into_parts();
-    let facts = (shared.port.parse_response)(head.status, &head.headers);
-    if facts.id.as_deref().is_some_and(|id| id != plan.id) {
+    let metadata = (shared.port.parse_response)(head.status, &head.headers);
+    if metadata.id.as_deref().is_some_and(|id| id != plan.id) {
         // A late response to an earlier request on a reused connection. Forwarding it could expose
         // another customer's data.
         return unusable_response("response carries another request id");
     }
-    if let Some(load) = facts.load {
+    if let Some(load) = metadata.load {
         let now = shared.now();
         let mut state = shared.state.borrow_mut();
         state.load_mut(chosen.key).read(load, now);
     }
-    if facts.is_misdirected {
-        return_connection(shared, chosen.address, connection, &facts);
+    if metadata.is_misdirected {
+        return_connection(shared, chosen.address, connection, &metadata);
         return CallOutcome::Misdirected;
     }
     let is_success = head.status.is_success();
-    if is_success && (!facts.is_signed || facts.is_encoded || facts.id.is_none()) {
+    if is_success && (!metadata.is_signed || metadata.is_encoded || metadata.id.is_none()) {
         return unusable_response("successful response is unsigned, encoded or without request id");
     }
     let mut headers = head.headers;
     strip_hop_by_hop(&mut headers);
-    if is_success && facts.is_event_stream {
+    if is_success && metadata.is_event_stream {
         return CallOutcome::Events(Box::new(EventStream {
             status: head.status,
             headers,
             body,
-            facts,
+            metadata,
             connection,
             address: chosen.address,
             guard,
@@ -229,8 +229,8 @@
             };
         }
     };
-    return_connection(shared, chosen.address, connection, &facts);
-    if facts.is_not_run {
+    return_connection(shared, chosen.address, connection, &metadata);
+    if metadata.is_not_run {
         return CallOutcome::NotRun;
     }
     CallOutcome::Full(FullResponse {
@@ -253,14 +253,14 @@
     shared: &EdgeShared,
     address: SocketAddr,
     mut connection: EndpointConnection,
-    facts: &ResponseMetadata,
+    metadata: &ResponseMetadata,
 ) {
-    if !facts.is_closing {
+    if !metadata.is_closing {
         connection.is_reused = true;
         let now = shared.now();
         shared
             .pool
-            .keep(address, connection, facts.keep_alive_timeout, now);
+            .keep(address, connection, metadata.keep_alive_timeout, now);
     }
 }
 
--- a/crates/ragwortroad_edge/src/endpoint_choice.rs
+++ b/crates/ragwortroad_edge/src/endpoint_choice.rs
@@ -60,7 +60,7 @@
     let state = shared.state.borrow();
     let choice = ChoiceContext::new(shared, &state, plan, tried);
     let chosen = choice.choose(shared.settings.load_multiple)?;
-    let prefix = choice.engine.and(plan.facts.shared_prefix());
+    let prefix = choice.engine.and(plan.metadata.shared_prefix());
     let warmup_rate = choice.warmup_rate.filter(|_| choice.is_warming(chosen.key));
     drop(state);
     if let Some(rate) = warmup_rate {
@@ -102,7 +102,7 @@
         let mechanisms = &shared.settings.mechanisms;
         let service = plan.map.service(&plan.service);
         let prefix = plan
-            .facts
+            .metadata
             .shared_prefix()
             .filter(|_| mechanisms.text_places);
         let holders = prefix.map(|prefix| state.prefixes.holders(prefix, now).collect());
@@ -219,7 +219,7 @@
         let untried = self.holders.iter().filter(|key| !self.tried.contains(key));
         let sources = untried.filter_map(|&key| self.source(key, target));
         let sources: Vec<TextSource> = sources.collect();
-        let key = choose_source(&sources, self.plan.facts.shared_prefix_tokens(), engine)?;
+        let key = choose_source(&sources, self.plan.metadata.shared_prefix_tokens(), engine)?;
         let record = self.state.endpoints.record(key)?;
         Some(ChosenSource {
             name: record.name.clone(),
--- a/crates/ragwortroad_edge/src/request_completion.rs
+++ b/crates/ragwortroad_edge/src/request_completion.rs
@@ -119,7 +119,7 @@
     let took = plan.received_at.elapsed();
     metrics::histogram!(metric_names::ANSWER_SECONDS, "kind" => kind).record(took);
     metrics::histogram!(metric_names::BELIEVED_LOAD).record(chosen.load);
-    if !plan.facts.prompt_parts.is_empty() {
+    if !plan.metadata.prompt_parts.is_empty() {
         let held = if chosen.holds_prefix { "yes" } else { "no" };
         metrics::counter!(metric_names::TEXT_PLACES, "held" => held).increment(1);
     }
@@ -156,7 +156,7 @@
     let shedding = gate.map_or(Duration::ZERO, |gate| {
         gate.gate().shedding_for(shared.now())
     });
-    let time_left = plan.facts.time_left.unwrap_or(plan.rule().timeout);
+    let time_left = plan.metadata.time_left.unwrap_or(plan.rule().timeout);
     if !shared.settings.mechanisms.long_return {
         return short_retry_after();
     }
--- a/crates/ragwortroad_edge/src/request_flow.rs
+++ b/crates/ragwortroad_edge/src/request_flow.rs
@@ -156,8 +156,8 @@
                     load_age_ms = chosen.load_age_ms(),
                     version = plan.map.config().version,
                     among = chosen.candidate_count,
-                    text = plan.facts.shared_prefix(),
-                    tokens = plan.facts.shared_prefix_tokens(),
+                    text = plan.metadata.shared_prefix(),
+                    tokens = plan.metadata.shared_prefix_tokens(),
                     holds_text = chosen.holds_prefix,
                     text_from = chosen
                         .prefix_source
@@ -198,7 +198,7 @@
     let mut shutdown_imminent = shared.shutdown_imminent.subscribe();
     // The sender lives as long as the edge, so this completes only on shutdown.
     let shutdown_notice = shutdown_imminent.wait_for(|is_imminent| *is_imminent);
-    let call = call_endpoint(shared, plan, chosen, plan.facts.last_event_id);
+    let call = call_endpoint(shared, plan, chosen, plan.metadata.last_event_id);
     tokio::pin!(shutdown_notice, call);
     tokio::select! {
         outcome = &mut call => return outcome,
@@ -228,7 +228,7 @@
 
 /// Whether the engine that caches the request's prefix has yet to announce itself.
 fn awaits_holder(shared: &EdgeShared, plan: &RequestPlan) -> bool {
-    let prefix = plan.facts.shared_prefix();
+    let prefix = plan.metadata.shared_prefix();
     let state = shared.state.borrow();
     prefix.is_some_and(|prefix| state.awaits_holder(prefix, shared.now()))
 }
--- a/crates/ragwortroad_edge/src/request_plan.rs
+++ b/crates/ragwortroad_edge/src/request_plan.rs
@@ -27,7 +27,7 @@
     pub(crate) route: RouteKey,
     pub(crate) customer: Option<CustomerKey>,
     pub(crate) service: String,
-    pub(crate) facts: RequestMetadata,
+    pub(crate) metadata: RequestMetadata,
     /// Id of the client's attempt.
     pub(crate) id: String,
     pub(crate) method: Method,
@@ -83,14 +83,14 @@
 pub(crate) fn find_target<B>(
     map: &RouteMap,
     request: &Request<B>,
-    facts: &RequestMetadata,
+    metadata: &RequestMetadata,
 ) -> Result<RequestTarget, RefusalReason> {
     let host = request.headers().get(HOST);
     let host = host.and_then(|value| value.to_str().ok());
     let host = host.or(request.uri().host()).unwrap_or_default();
     let route = map.find(host, request.uri().path());
     let route = route.ok_or(RefusalReason::NoRoute)?;
-    let known_customer = facts
+    let known_customer = metadata
         .api_key
         .as_deref()
         .and_then(|key| map.customer_of(key));
@@ -98,7 +98,7 @@
     if needs_key && known_customer.is_none() {
         return Err(RefusalReason::UnknownKey);
     }
-    let id = facts.id.clone().ok_or(RefusalReason::NoIdentity)?;
+    let id = metadata.id.clone().ok_or(RefusalReason::NoIdentity)?;
     Ok(RequestTarget {
         route,
         customer: known_customer,
--- a/crates/ragwortroad_edge/src/request_reading.rs
+++ b/crates/ragwortroad_edge/src/request_reading.rs
@@ -49,22 +49,25 @@
     request: Request<Incoming>,
 ) -> Result<RequestPlan, (RefusalReason, Option<String>)> {
     let received_at = Instant::now();
-    let facts = (shared.port.parse_request)(request.headers());
-    let id = facts.id.clone();
+    let metadata = (shared.port.parse_request)(request.headers());
+    let id = metadata.id.clone();
     let (head, body) = request.into_parts();
     let current_map = shared.state.borrow().map.clone();
     let (map, body) = match current_map {
         Some(map) => (map, RequestBody::Unread(body)),
         None => {
-            let loaded = await_config(shared, &facts, body, received_at).await;
+            let loaded = await_config(shared, &metadata, body, received_at).await;
             loaded.map_err(|reason| (reason, id.clone()))?
         }
     };
     // The request without its body.
     let request = Request::from_parts(head, ());
-    let target = find_target(&map, &request, &facts).map_err(|reason| (reason, id.clone()))?;
+    let target = find_target(&map, &request, &metadata).map_err(|reason| (reason, id.clone()))?;
     let rule = map.route(target.route);
-    let timeout = facts.time_left.unwrap_or(DEFAULT_TIMEOUT).min(rule.timeout);
+    let timeout = metadata
+        .time_left
+        .unwrap_or(DEFAULT_TIMEOUT)
+        .min(rule.timeout);
     let deadline = received_at + timeout;
     if !can_finish_before_shutdown(shared, rule, deadline) {
         return Err((RefusalReason::Stopping, id));
@@ -84,9 +87,9 @@
         route: target.route,
         customer: target.customer,
         service,
-        facts: RequestMetadata {
+        metadata: RequestMetadata {
             api_key: None,
-            ..facts
+            ..metadata
         },
         id: target.id,
         method: parts.method,
@@ -110,11 +113,11 @@
 /// The body is read first, because clients take an edge that does not read for a dead one.
 async fn await_config(
     shared: &EdgeShared,
-    facts: &RequestMetadata,
+    metadata: &RequestMetadata,
     body: Incoming,
     received_at: Instant,
 ) -> Result<(Rc<RouteMap>, RequestBody), RefusalReason> {
-    let time_left = facts.time_left.unwrap_or(DEFAULT_TIMEOUT);
+    let time_left = metadata.time_left.unwrap_or(DEFAULT_TIMEOUT);
     let wait_until = received_at + shared.start_wait(time_left);
     let limit = CallerLimits::default().max_body_bytes;
     let body = read_body(body, limit, received_at + time_left).await?;
--- a/crates/ragwortroad_edge/src/stream_body.rs
+++ b/crates/ragwortroad_edge/src/stream_body.rs
@@ -264,7 +264,7 @@
         let last_event_id = self
             .framer
             .last_event_id()
-            .or(self.plan.facts.last_event_id);
+            .or(self.plan.metadata.last_event_id);
         let shared = Rc::clone(&self.shared);
         let plan = Rc::clone(&self.plan);
         let tried = self.tried.clone();
@@ -306,10 +306,10 @@
             let EventStream {
                 connection,
                 address,
-                facts,
+                metadata,
                 ..
             } = *upstream;
-            return_connection(&self.shared, address, connection, &facts);
+            return_connection(&self.shared, address, connection, &metadata);
         }
     }
 }
