--- a/crates/ragwortroad_edge/src/lib.rs
+++ b/crates/ragwortroad_edge/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! An edge has no persistent state. It connects to every registry, receives the site's
 //! configuration and endpoints from them, and forwards each request by host and path. The protocol
-//! of clients and endpoints is not known here: an [`EdgePort`] parses their
-//! headers and writes the edge's own.
+//! of clients and endpoints is not known here: an [`EdgePort`] parses their headers and writes the
+//! edge's own.
 
 mod config_exchange;
 mod config_update;
