--- a/crates/ragwortroad_edge/src/config_intake.rs
+++ b/crates/ragwortroad_edge/src/config_update.rs
@@ -1,4 +1,4 @@
-//! How an edge takes the configuration that registries and other edges give it.
+//! Applies configurations received from registries and other edges.
 
 use std::{
     io,
@@ -15,13 +15,15 @@
     EdgeState, //
 };
 
-/// Time after a start in which a configuration is awaited that is surely the newest.
+/// Time after the start during which the edge waits until its configuration is certain to be the
+/// newest.
 ///
-/// A registry that was cut off may have an older one; with the word of more than half of the
-/// voters there is none newer. Without them the edge still serves with what it has.
-const CERTAINTY_TIME: Duration = Duration::from_millis(1500);
+/// A registry that was partitioned may have an older one; once a majority of the voters has
+/// reported, there is none newer. Without a majority the edge serves with what it has after this
+/// time.
+const NEWEST_CONFIG_WAIT: Duration = Duration::from_millis(1500);
 
-pub(crate) fn take_version(shared: &EdgeShared, source: SourceKey, version: u64) {
+pub(crate) fn record_version(shared: &EdgeShared, source: SourceKey, version: u64) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
     if let Some(link) = state.links.get_mut(&source) {
@@ -30,22 +32,22 @@
     state.fetch.note_announced(version, now);
 }
 
-/// Takes the steps to a configuration.
-pub(crate) fn take_deltas(shared: &EdgeShared, steps: &[ConfigDelta]) {
+/// Applies the steps that lead to a newer configuration.
+pub(crate) fn apply_deltas(shared: &EdgeShared, steps: &[ConfigDelta]) {
     let mut state = shared.state.borrow_mut();
     state.fetch.note_answered();
     let Some(last) = steps.last() else {
         return;
     };
-    // An older one would take back what is in force here.
+    // An older configuration would roll back the one in force.
     if state.version().is_some_and(|known| last.version <= known) {
         return;
     }
     let version = last.version;
-    let document = match open_deltas(state.document.clone(), state.version(), steps) {
+    let document = match unpack_deltas(state.document.clone(), state.version(), steps) {
         Ok(document) => document,
         Err(error) => {
-            tracing::error!(version, %error, "a configuration cannot be unpacked");
+            tracing::error!(version, %error, "failed to decompress a configuration");
             return;
         }
     };
@@ -59,61 +61,62 @@
                 "configuration in force"
             );
             state.map = Some(Rc::new(RouteMap::new(config)));
-            state.whole = Some(last).filter(|last| last.base.is_none()).cloned();
+            state.full_config = Some(last).filter(|last| last.base.is_none()).cloned();
             state.document = Some(document.into());
         }
-        Err(fault) => tracing::error!(version, %fault, "a configuration cannot be used"),
+        Err(fault) => tracing::error!(version, %fault, "rejected an invalid configuration"),
     }
 }
 
-/// The document that steps lead to from the one in force here.
-fn open_deltas(
-    own: Option<Rc<[u8]>>,
-    own_version: Option<u64>,
+/// Applies the steps to the current document and returns the result.
+fn unpack_deltas(
+    current: Option<Rc<[u8]>>,
+    current_version: Option<u64>,
     steps: &[ConfigDelta],
 ) -> io::Result<Vec<u8>> {
-    let mut document = own.map(|own| own.to_vec());
-    let mut version = own_version;
+    let mut document = current.map(|current| current.to_vec());
+    let mut version = current_version;
     for step in steps {
         if step.base.is_some() && step.base != version {
-            return Err(io::Error::other("it was made against another one"));
+            return Err(io::Error::other("the delta is based on another version"));
         }
         let base = step.base.and(document.as_deref());
         document = Some(step.unpack(base)?);
         version = Some(step.version);
     }
-    document.ok_or_else(|| io::Error::other("there is no step"))
+    document.ok_or_else(|| io::Error::other("the list of deltas is empty"))
 }
 
-/// Asks for the configuration where one is known to be newer, and says so once this edge is ready.
-pub(crate) fn settle_config(shared: &EdgeShared) {
+/// Requests a newer configuration if one is known, and announces this edge as ready once its
+/// configuration is current.
+pub(crate) fn refresh_config(shared: &EdgeShared) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
-    ask_config(shared, &mut state, now);
-    if state.stage == EdgeStage::Starting && is_settled(&state, shared.running()) {
+    request_config(shared, &mut state, now);
+    if state.stage == EdgeStage::Starting && is_ready_to_serve(&state, shared.uptime()) {
         state.set_stage(EdgeStage::Ready);
     }
 }
 
-fn is_settled(state: &EdgeState, running: Duration) -> bool {
+fn is_ready_to_serve(state: &EdgeState, uptime: Duration) -> bool {
     let Some(version) = state.version() else {
         return false;
     };
     let is_newest = state.fetch.is_newest(version);
-    // One that has just lost its disk knows of no voters, and must not make others count for less.
+    // A registry that has just lost its disk reports no voters and must not lower the majority.
     let voters = state
         .links
         .values()
         .map(|link| link.voters)
         .max()
         .unwrap_or(0);
-    let heard = state.links.values();
-    let heard = heard.filter(|link| link.version.is_some() && link.has_told);
-    let is_certain = heard.count() as u32 > voters / 2 && voters > 0;
-    is_newest && (is_certain || running > CERTAINTY_TIME)
+    let synced = state.links.values();
+    let synced = synced.filter(|link| link.version.is_some() && link.has_sent_all);
+    let has_majority = synced.count() as u32 > voters / 2 && voters > 0;
+    is_newest && (has_majority || uptime > NEWEST_CONFIG_WAIT)
 }
 
-fn ask_config(shared: &EdgeShared, state: &mut EdgeState, now: ClockTime) {
+fn request_config(shared: &EdgeShared, state: &mut EdgeState, now: ClockTime) {
     let connected = state.links.values().filter(|link| link.queue.is_some());
     let sources = connected.map(|link| ConfigSource {
         address: link.address,
--- a/crates/ragwortroad_edge/src/edge_state.rs
+++ b/crates/ragwortroad_edge/src/edge_state.rs
@@ -30,84 +30,82 @@
     service_gate::ServiceGate, //
 };
 
-/// Places of texts that a registry is told at once: as many as it keeps.
-const MAX_TOLD_PLACES: usize = 4000;
+/// Maximum number of prefix locations sent to a registry at once; it stores as many.
+const MAX_SENT_LOCATIONS: usize = 4000;
 
-/// Time after a start for which an edge waits for the registry that it prefers as its home.
-const HOME_PATIENCE: Duration = Duration::from_millis(600);
+/// Time after the start during which the edge waits for the registry it prefers as its home.
+const PREFERRED_HOME_WAIT: Duration = Duration::from_millis(600);
 
-/// What the tasks of an edge share; all of them run on one thread.
+/// State shared by the tasks of an edge, all of which run on one thread.
 pub(crate) struct EdgeShared {
     pub(crate) settings: ForwardSettings,
     pub(crate) port: EdgePort,
     pub(crate) clock: RealClock,
     pub(crate) state: RefCell<EdgeState>,
     pub(crate) pool: ConnectionPool,
-    /// Told when the edge is to stop.
+    /// Notified when the edge should stop.
     pub(crate) stop: Notify,
-    /// Turns true shortly before a stopping edge ends: what has no answer by then gets one.
-    pub(crate) end_soon: watch::Sender<bool>,
+    /// Set to true shortly before a draining edge stops; pending requests then get an error
+    /// response.
+    pub(crate) shutdown_imminent: watch::Sender<bool>,
 }
 
-/// All that an edge knows.
+/// Mutable state of an edge.
 ///
-/// Borrowed for moments only, never across an await.
+/// Borrowed only briefly, never across an await point.
 #[derive(Default)]
 pub(crate) struct EdgeState {
-    /// The configuration in force here; nothing before the first one.
+    /// Routes of the configuration in force; `None` before the first one.
     pub(crate) map: Option<Rc<RouteMap>>,
-    /// The document it was made of, against which the next one comes.
+    /// Document of the configuration in force, which the next delta is based on.
     pub(crate) document: Option<Rc<[u8]>>,
-    /// The same as it is given to another edge; made when it is asked for.
-    pub(crate) whole: Option<ConfigDelta>,
+    /// The configuration in force as a full delta for other edges, created on demand.
+    pub(crate) full_config: Option<ConfigDelta>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) loads: BTreeMap<EndpointKey, EndpointLoad>,
-    /// Failure domains that are drained.
     pub(crate) drains: DomainDrains,
-    /// Failure domains that this edge can reach.
     pub(crate) reach: DomainReach,
-    /// When this edge may send requests to endpoints that warm up.
+    /// Limits this edge's requests to endpoints that are warming up.
     pub(crate) warmups: WarmupPace,
-    pub(crate) texts: PrefixTable,
-    /// Places at engines that have not been heard of yet.
-    strays: PendingLocations,
-    /// Places of texts that the other edges are still to be told.
-    pub(crate) placed: Vec<PrefixLocation>,
+    pub(crate) prefixes: PrefixTable,
+    /// Prefix locations at engines that have not announced themselves yet.
+    pending_locations: PendingLocations,
+    /// Prefix locations that have yet to be sent to the other edges.
+    pub(crate) unsent_locations: Vec<PrefixLocation>,
     budgets: BTreeMap<String, RetryBudget>,
-    /// Who may go on, of the requests for each service.
+    /// Admission gates by service.
     pub(crate) gates: BTreeMap<String, ServiceGate>,
-    /// How long callers wait at first, by route.
-    pub(crate) patiences: BTreeMap<String, DeadlineEstimate>,
+    /// Usual timeout of clients, by route.
+    pub(crate) usual_timeouts: BTreeMap<String, DeadlineEstimate>,
     pub(crate) links: BTreeMap<SourceKey, RegistryLink>,
     pub(crate) registries: BTreeSet<SocketAddr>,
     pub(crate) next_source: u32,
-    /// Edges of the fleet, as the registries told last.
+    /// Number of edges in the fleet, as last reported by a registry.
     pub(crate) edges: u32,
     pub(crate) stage: EdgeStage,
-    /// When a stopping edge ends in any case.
-    pub(crate) ends_at: Option<Instant>,
-    /// How this edge comes by the configuration in force.
+    /// When a draining edge stops in any case.
+    pub(crate) shutdown_at: Option<Instant>,
+    /// Progress of fetching the configuration in force.
     pub(crate) fetch: ConfigFetch,
-    /// When a registry told last what all edges have under way.
-    pub(crate) loads_at: Option<ClockTime>,
-    /// Requests under way.
+    /// When a registry last reported the loads of all edges.
+    pub(crate) loads_received_at: Option<ClockTime>,
+    /// Number of requests in flight.
     pub(crate) in_flight: usize,
-    /// When a connection or a request came last.
-    pub(crate) end_sooner_at: ClockTime,
+    /// When the most recent request arrived.
+    pub(crate) last_activity_at: ClockTime,
 }
 
 impl EdgeState {
-    /// The version in force here.
+    /// Version of the configuration in force; `None` before the first one.
     pub(crate) fn version(&self) -> Option<u64> {
         self.map.as_ref().map(|map| map.config().version)
     }
 
-    /// The load of an endpoint.
     pub(crate) fn load_mut(&mut self, key: EndpointKey) -> &mut EndpointLoad {
         self.loads.entry(key).or_default()
     }
 
-    /// The budget of a service.
+    /// Returns the retry budget of a service, creating it if needed.
     pub(crate) fn budget_mut(
         &mut self,
         service: &str,
@@ -116,22 +114,22 @@
     ) -> &mut RetryBudget {
         let edges = self.edges;
         if !self.budgets.contains_key(service) {
-            let figures = BudgetSettings {
+            let budget_settings = BudgetSettings {
                 ratio: settings.retry_ratio,
                 slack: settings.retry_slack,
                 window: settings.retry_window,
             };
-            let budget = RetryBudget::new(figures, edges, now);
+            let budget = RetryBudget::new(budget_settings, edges, now);
             self.budgets.insert(service.to_owned(), budget);
         }
-        // The entry was made above where there was none.
+        // The entry exists, since it was inserted above.
         self.budgets
             .entry(service.to_owned())
             .or_insert_with(|| RetryBudget::new(BudgetSettings::default(), edges, now))
     }
 
-    /// Endpoints of a service that get new work.
-    pub(crate) fn open_endpoints(
+    /// Ready endpoints of a service whose failure domain is not drained.
+    pub(crate) fn available_endpoints(
         &self,
         service: &str,
     ) -> impl Iterator<Item = (EndpointKey, &EndpointRecord)> {
@@ -139,10 +137,10 @@
         ready.filter(|(_, record)| !self.drains.is_drained(&record.zone))
     }
 
-    /// Takes which failure domains are drained, unless a later word is known.
+    /// Applies the set of drained failure domains unless a newer revision is known.
     ///
     /// Endpoints of a domain that is no longer drained count as warming up until `warm_at`.
-    pub(crate) fn take_drains(&mut self, drains: DomainDrains, warm_at: ClockTime) {
+    pub(crate) fn apply_drains(&mut self, drains: DomainDrains, warm_at: ClockTime) {
         if drains.revision() <= self.drains.revision() {
             return;
         }
@@ -150,35 +148,40 @@
             self.endpoints.undrain_domain(domain, warm_at);
         }
         let drained: Vec<&str> = drains.drained().collect();
-        tracing::info!(?drained, revision = drains.revision(), "drained domains");
+        tracing::info!(
+            ?drained,
+            revision = drains.revision(),
+            "drained failure domains changed"
+        );
         self.drains = drains;
     }
 
-    /// Takes where another edge has placed a text, or an earlier process of the fleet.
-    pub(crate) fn take_place(&mut self, place: PrefixLocation, now: ClockTime) {
-        match self.endpoints.find(place.engine) {
+    /// Applies a prefix location reported by another edge or by an earlier process of the fleet.
+    pub(crate) fn apply_location(&mut self, location: PrefixLocation, now: ClockTime) {
+        match self.endpoints.find(location.engine) {
             Some(key) => {
-                self.texts.note(place.text, key, now);
+                self.prefixes.note(location.text, key, now);
             }
-            None => self.strays.add(place.engine, place.text),
+            None => self.pending_locations.add(location.engine, location.text),
         }
     }
 
-    /// Whether a text is known to be at an engine that has not announced itself yet, and at no other.
-    pub(crate) fn awaits_holder(&self, text: u64, now: ClockTime) -> bool {
-        self.strays.contains(text) && self.texts.holders(text, now).next().is_none()
+    /// Whether a prefix is known only at an engine that has not announced itself yet.
+    pub(crate) fn awaits_holder(&self, prefix: u64, now: ClockTime) -> bool {
+        self.pending_locations.contains(prefix)
+            && self.prefixes.holders(prefix, now).next().is_none()
     }
 
-    /// Follows a change of an endpoint.
-    pub(crate) fn follow_change(&mut self, change: EndpointChange, now: ClockTime) {
+    /// Applies an endpoint change to loads and prefix locations.
+    pub(crate) fn apply_change(&mut self, change: EndpointChange, now: ClockTime) {
         match change {
             EndpointChange::Started(key) => {
                 self.load_mut(key).reset();
-                self.texts.forget(key);
+                self.prefixes.forget(key);
                 let name = self.endpoints.record(key).map(|record| &record.name);
                 let tag = name.map(|name| EndpointTag::of(name));
-                for text in tag.map_or_else(Vec::new, |tag| self.strays.take(tag)) {
-                    self.texts.note(text, key, now);
+                for prefix in tag.map_or_else(Vec::new, |tag| self.pending_locations.take(tag)) {
+                    self.prefixes.note(prefix, key, now);
                 }
             }
             EndpointChange::Stopped(_) | EndpointChange::Changed(_) | EndpointChange::Unchanged => {
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Brings the metrics of what is known up to date.
+    /// Updates the gauges that reflect the current state.
     pub(crate) fn set_gauges(&self) {
         let connected = self.links.values().filter(|link| link.queue.is_some());
         metrics::gauge!(metric_names::REQUESTS_IN_FLIGHT).set(self.in_flight as f64);
@@ -204,15 +207,17 @@
         metrics::gauge!(metric_names::CONFIG_VERSION).set(self.version().unwrap_or(0) as f64);
     }
 
-    /// Takes the registry for its home that this edge prefers of those it is connected to.
+    /// Selects this edge's preferred registry among the connected ones as its home.
     ///
-    /// What a former home told and was told counts no longer.
-    pub(crate) fn settle_home(&mut self, edge: &str, running: Duration) {
-        // Just started, most edges reach the same registries first: as their homes these would tell
-        // all places of texts to far more edges than their part, a moment before these move on.
-        let may_take = |link: &RegistryLink| link.queue.is_some() || running < HOME_PATIENCE;
-        let links = self.links.values().filter(|link| may_take(link));
-        let candidates: Vec<HomeCandidate> = links.map(RegistryLink::as_home).collect();
+    /// State exchanged with the previous home is discarded.
+    pub(crate) fn update_home(&mut self, edge: &str, uptime: Duration) {
+        // Right after a start, most edges reach the same registries first. If they selected these
+        // as their homes, the registries would send all prefix locations to far more edges than
+        // their share, moments before these edges move to another home.
+        let is_candidate =
+            |link: &RegistryLink| link.queue.is_some() || uptime < PREFERRED_HOME_WAIT;
+        let links = self.links.values().filter(|link| is_candidate(link));
+        let candidates: Vec<HomeCandidate> = links.map(RegistryLink::home_candidate).collect();
         let chosen = choose_home(edge, &candidates);
         for link in self.links.values_mut() {
             let is_home = link.queue.is_some() && Some(link.address) == chosen;
@@ -227,13 +232,13 @@
                 false => LinkMessage::Unsubscribe,
             };
             if let Some(queue) = &link.queue {
-                tracing::info!(registry = %link.address, is_home, "the home of this edge");
+                tracing::info!(registry = %link.address, is_home, "home registry changed");
                 queue.send(&message);
             }
         }
     }
 
-    /// Tells this edge's home what it has under way where that has changed.
+    /// Reports changed numbers of in-flight requests to the home registry.
     pub(crate) fn send_loads(&mut self) {
         let Self {
             links,
@@ -255,14 +260,14 @@
         }
     }
 
-    /// Requests of other edges at an endpoint.
-    pub(crate) fn others_at(&self, name: &str) -> u32 {
+    /// Number of requests that other edges have in flight at an endpoint.
+    pub(crate) fn other_edges_load(&self, name: &str) -> u32 {
         let home = self.home();
-        home.map_or(0, |link| link.others(EndpointTag::of(name)))
+        home.map_or(0, |link| link.other_edges_load(EndpointTag::of(name)))
     }
 
-    /// Requests of this edge at an endpoint, as it told its home.
-    pub(crate) fn told_at(&self, name: &str) -> u32 {
+    /// Number of requests at an endpoint that this edge last reported to its home.
+    pub(crate) fn reported_load(&self, name: &str) -> u32 {
         let home = self.home();
         home.map_or(0, |link| link.report.count(EndpointTag::of(name)))
     }
@@ -271,39 +276,39 @@
         self.links.values().find(|link| link.is_home)
     }
 
-    /// Tells the other edges, by way of this edge's home, where texts were placed here.
-    pub(crate) fn send_places(&mut self) {
-        if self.placed.is_empty() {
+    /// Sends new prefix locations to the other edges through the home registry.
+    pub(crate) fn send_locations(&mut self) {
+        if self.unsent_locations.is_empty() {
             return;
         }
         let home = self.links.values().find(|link| link.is_home);
         if let Some(queue) = home.and_then(|link| link.queue.as_ref()) {
-            let placed = std::mem::take(&mut self.placed);
-            queue.send(&LinkMessage::TextsPlaced(placed));
+            let locations = std::mem::take(&mut self.unsent_locations);
+            queue.send(&LinkMessage::TextsPlaced(locations));
         }
     }
 
-    /// Tells a registry that asks for it where texts are, as far as this edge knows.
-    pub(crate) fn send_all_places(&self, source: SourceKey) {
+    /// Sends all known prefix locations to a registry that asked for them.
+    pub(crate) fn send_all_locations(&self, source: SourceKey) {
         let link = self.links.get(&source);
         let Some(queue) = link.and_then(|link| link.queue.as_ref()) else {
             return;
         };
-        let newest = self.texts.newest(MAX_TOLD_PLACES).into_iter();
-        let places = newest.filter_map(|(text, key)| {
+        let newest = self.prefixes.newest(MAX_SENT_LOCATIONS).into_iter();
+        let locations = newest.filter_map(|(text, key)| {
             let record = self.endpoints.record(key)?;
             let engine = EndpointTag::of(&record.name);
             Some(PrefixLocation { text, engine })
         });
-        queue.send(&LinkMessage::PlacesKnown(places.collect()));
+        queue.send(&LinkMessage::PlacesKnown(locations.collect()));
     }
 
-    /// Tells all registries this edge's stage.
+    /// Changes this edge's lifecycle stage and reports it to all registries.
     pub(crate) fn set_stage(&mut self, stage: EdgeStage) {
         if self.stage == stage {
             return;
         }
-        tracing::info!(?stage, version = self.version(), "this edge's stage");
+        tracing::info!(?stage, version = self.version(), "lifecycle stage changed");
         self.stage = stage;
         for link in self.links.values() {
             if let Some(queue) = &link.queue {
@@ -314,22 +319,22 @@
 }
 
 impl EdgeShared {
-    /// The time.
     pub(crate) fn now(&self) -> ClockTime {
         self.clock.now()
     }
 
-    /// How long a request with `time_left` waits for what this edge still lacks.
+    /// Maximum time for which a request with `time_left` waits for state that a starting edge still
+    /// lacks.
     pub(crate) fn start_wait(&self, time_left: Duration) -> Duration {
         match self.settings.mechanisms.start_wait {
-            true => start_wait(self.running(), time_left),
+            true => start_wait(self.uptime(), time_left),
             false => Duration::ZERO,
         }
     }
 
     /// Time since the process started.
-    pub(crate) fn running(&self) -> Duration {
-        // Readings of a process's clock start an hour after zero.
+    pub(crate) fn uptime(&self) -> Duration {
+        // The clock of a process starts at one hour.
         self.now()
             .since(ClockTime::ZERO.after(Duration::from_secs(3600)))
     }
--- a/crates/ragwortroad_edge/src/flight_guard.rs
+++ b/crates/ragwortroad_edge/src/in_flight_guard.rs
@@ -4,16 +4,16 @@
 
 use crate::edge_state::EdgeShared;
 
-/// A request at an endpoint, counted there until this is dropped.
+/// Counts a request as in flight at an endpoint until dropped.
 ///
-/// A count that is not taken back on some path would close the endpoint for good.
-pub(crate) struct FlightGuard {
+/// If any path failed to decrement the count, the endpoint would appear fully loaded permanently.
+pub(crate) struct InFlightGuard {
     shared: Rc<EdgeShared>,
     key: EndpointKey,
 }
 
-impl FlightGuard {
-    /// Counts a request at an endpoint.
+impl InFlightGuard {
+    /// Increments the endpoint's number of in-flight requests.
     pub(crate) fn new(shared: &Rc<EdgeShared>, key: EndpointKey) -> Self {
         shared.state.borrow_mut().load_mut(key).start_request();
         Self {
@@ -22,13 +22,12 @@
         }
     }
 
-    /// The endpoint.
     pub(crate) fn key(&self) -> EndpointKey {
         self.key
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.shared
             .state
--- a/crates/ragwortroad_edge/src/lib.rs
+++ b/crates/ragwortroad_edge/src/lib.rs
@@ -1,13 +1,12 @@
-//! The process that takes callers' requests and passes them on to endpoints.
+//! Edge proxy that forwards client requests to endpoints.
 //!
-//! An edge keeps nothing that must survive. It connects to every registry, learns the site's
-//! configuration and its endpoints from them, and forwards each request by host and path. How
-//! callers and endpoints name things is not known here: an [`EdgePort`](prelude::EdgePort) reads
-//! their headers and writes ours.
+//! An edge has no persistent state. It connects to every registry, receives the site's
+//! configuration and endpoints from them, and forwards each request by host and path. The protocol
+//! of clients and endpoints is not known here: an [`EdgePort`] parses their headers and writes the
+//! edge's own.
 
-mod caller_server;
-mod config_intake;
-mod config_share;
+mod config_exchange;
+mod config_update;
 mod connection_pool;
 mod domain_probe;
 mod edge_body;
@@ -21,31 +20,32 @@
 mod endpoint_choice;
 mod endpoint_connection;
 mod event_framer;
-mod flight_guard;
-mod gate_pass;
-mod refusal_answer;
+mod gate_permit;
+mod http_server;
+mod in_flight_guard;
 mod refusal_reason;
+mod refusal_response;
 mod registry_link;
-mod request_end;
+mod request_completion;
 mod request_flow;
 mod request_plan;
+mod request_progress;
 mod request_reading;
-mod request_way;
 mod service_gate;
 mod stream_body;
 #[cfg(test)]
 mod tests;
 
-/// Everything a dependent crate usually needs.
+/// The items that dependent crates usually import.
 pub mod prelude {
     pub use crate::{
         edge_error::EdgeError,
         edge_port::{
             EdgePort,
             ForwardMetadata,
-            PromptPart, //
+            PromptPart,
             RequestMetadata,
-            ResponseMetadata,
+            ResponseMetadata, //
         },
         edge_process::{
             EdgeSignal,
--- /dev/null
+++ b/crates/ragwortroad_edge/src/request_completion.rs
@@ -0,0 +1,170 @@
+//! Completion of requests: responses, logs and metrics.
+
+use std::time::Duration;
+
+use hyper::Response;
+use ragwortroad_dispatch::prelude::*;
+use ragwortroad_telemetry::prelude::*;
+use rand::RngExt;
+
+use crate::{
+    edge_body::EdgeBody,
+    edge_state::EdgeShared,
+    endpoint_call::FullResponse,
+    endpoint_choice::ChosenEndpoint,
+    gate_permit::GatePermit,
+    refusal_reason::RefusalReason,
+    refusal_response::refusal_response,
+    request_plan::RequestPlan,
+    request_progress::RequestProgress, //
+};
+
+/// Minimum and maximum delay after which a refused client may retry, in milliseconds.
+///
+/// The delay is random, so that clients refused together do not retry together.
+const RETRY_AFTER_RANGE_MS: (u64, u64) = (80, 240);
+
+/// Forwards a complete response to the client.
+pub(crate) fn forward_response(
+    plan: &RequestPlan,
+    progress: &RequestProgress,
+    chosen: &ChosenEndpoint,
+    permit: &GatePermit,
+    upstream: FullResponse,
+) -> Response<EdgeBody> {
+    let reason = match upstream.status.is_server_error() {
+        true => "endpoint_failed",
+        false => "",
+    };
+    count_request(kind_label(plan), "answered", reason);
+    record_response(plan, chosen);
+    tracing::info!(
+        request = plan.id,
+        outcome = "answered",
+        route = plan.rule().name,
+        status = upstream.status.as_u16(),
+        endpoint = chosen.name,
+        load = chosen.load,
+        load_age_ms = chosen.load_age_ms(),
+        version = plan.map.config().version,
+        attempts = progress.attempts,
+        waited_ms = permit.waited.as_millis() as u64,
+        took_ms = plan.received_at.elapsed().as_millis() as u64,
+        "request over"
+    );
+    let mut response = Response::new(EdgeBody::full(upstream.body));
+    *response.status_mut() = upstream.status;
+    *response.headers_mut() = upstream.headers;
+    response
+}
+
+/// Responds to a request that no endpoint has answered.
+pub(crate) fn refuse(
+    shared: &EdgeShared,
+    plan: &RequestPlan,
+    progress: &RequestProgress,
+    reason: RefusalReason,
+) -> Response<EdgeBody> {
+    // A refusal that claims "not run" must hold for every attempt, not just the last one.
+    let claims_not_run = matches!(
+        reason,
+        RefusalReason::Overload | RefusalReason::NotRun | RefusalReason::NoEndpoint
+    );
+    let reason = match claims_not_run && progress.may_have_run {
+        true => RefusalReason::Unknown,
+        false => reason,
+    };
+    count_request(kind_label(plan), "refused", reason.label());
+    if reason == RefusalReason::Overload {
+        log_overload(shared, plan);
+    }
+    let retry_after = claims_not_run && !progress.may_have_run;
+    let retry_after = retry_after.then(|| match reason {
+        RefusalReason::Overload => overload_retry_after(shared, plan),
+        _ => short_retry_after(),
+    });
+    tracing::info!(
+        request = plan.id,
+        outcome = "refused",
+        route = plan.rule().name,
+        ?reason,
+        version = plan.map.config().version,
+        attempts = progress.attempts,
+        dials = progress.failed_dials,
+        come_back_ms = retry_after.map(|delay| delay.as_millis() as u64),
+        took_ms = plan.received_at.elapsed().as_millis() as u64,
+        "request over"
+    );
+    refusal_response(reason, retry_after)
+}
+
+/// Metric label for the kind of a request.
+pub(crate) fn kind_label(plan: &RequestPlan) -> &'static str {
+    match plan.rule().kind {
+        RequestKind::Safe => "safe",
+        RequestKind::Unsafe => "unsafe",
+        RequestKind::Stream => "stream",
+    }
+}
+
+/// Counts a completed request.
+pub(crate) fn count_request(kind: &'static str, outcome: &'static str, reason: &'static str) {
+    let labels = [("kind", kind), ("outcome", outcome), ("reason", reason)];
+    metrics::counter!(metric_names::REQUESTS, &labels).increment(1);
+}
+
+/// Records the response time, and the state assumed for the endpoint that responded.
+pub(crate) fn record_response(plan: &RequestPlan, chosen: &ChosenEndpoint) {
+    let kind = kind_label(plan);
+    let took = plan.received_at.elapsed();
+    metrics::histogram!(metric_names::ANSWER_SECONDS, "kind" => kind).record(took);
+    metrics::histogram!(metric_names::BELIEVED_LOAD).record(chosen.load);
+    if !plan.metadata.prompt_parts.is_empty() {
+        let held = if chosen.holds_prefix { "yes" } else { "no" };
+        metrics::counter!(metric_names::TEXT_PLACES, "held" => held).increment(1);
+    }
+}
+
+/// Logs the inputs of the decision to refuse a request because of overload.
+fn log_overload(shared: &EdgeShared, plan: &RequestPlan) {
+    let now = shared.now();
+    let state = shared.state.borrow();
+    let Some(gate) = state.gates.get(&plan.service) else {
+        return;
+    };
+    let loads_received_at = state.loads_received_at;
+    let gate = gate.gate();
+    tracing::info!(
+        request = plan.id,
+        service = plan.service,
+        rank = plan.map.rank(plan.route, plan.customer),
+        route_rank = plan.rule().rank,
+        limit = gate.limit().ceil() as u32,
+        under_way = gate.in_flight(),
+        waiting = gate.waiting(),
+        shedding_ms = gate.shedding_duration(now).as_millis() as u64,
+        load_age_ms = loads_received_at
+            .map(|loads_received_at| now.since(loads_received_at).as_millis() as u64),
+        "request refused by the admission gate"
+    );
+}
+
+/// Delay until the load is expected to drop, for a client refused because of overload.
+fn overload_retry_after(shared: &EdgeShared, plan: &RequestPlan) -> Duration {
+    let state = shared.state.borrow();
+    let gate = state.gates.get(&plan.service);
+    let shedding = gate.map_or(Duration::ZERO, |gate| {
+        gate.gate().shedding_duration(shared.now())
+    });
+    let time_left = plan.metadata.time_left.unwrap_or(plan.rule().timeout);
+    if !shared.settings.mechanisms.long_return {
+        return short_retry_after();
+    }
+    retry_after_delay(shedding, time_left, rand::random())
+}
+
+/// Short random delay, for clients refused for reasons other than load.
+pub(crate) fn short_retry_after() -> Duration {
+    let (min, max) = RETRY_AFTER_RANGE_MS;
+    Duration::from_millis(rand::rng().random_range(min..=max))
+}
--- a/crates/ragwortroad_edge/src/request_plan.rs
+++ b/crates/ragwortroad_edge/src/request_plan.rs
@@ -20,28 +20,28 @@
     refusal_reason::RefusalReason, //
 };
 
-/// A caller's request, as it goes to endpoints.
+/// A parsed client request, ready to be sent to endpoints.
 pub(crate) struct RequestPlan {
-    /// The configuration it is handled by, from its beginning to its end.
+    /// Configuration used for the request from start to end.
     pub(crate) map: Rc<RouteMap>,
     pub(crate) route: RouteKey,
     pub(crate) customer: Option<CustomerKey>,
     pub(crate) service: String,
-    pub(crate) facts: RequestMetadata,
-    /// Identity of the caller's attempt.
+    pub(crate) metadata: RequestMetadata,
+    /// Id of the client's attempt.
     pub(crate) id: String,
     pub(crate) method: Method,
-    pub(crate) target: Uri,
-    /// The caller's headers without those of its connection.
+    pub(crate) uri: Uri,
+    /// Client headers without hop-by-hop headers.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    pub(crate) came_at: Instant,
-    /// When the caller or the operator ends it.
+    pub(crate) received_at: Instant,
+    /// Earlier of the client's deadline and the route's timeout.
     pub(crate) deadline: Instant,
 }
 
-/// Headers that concern one connection only.
-const CONNECTION_HEADERS: [&str; 9] = [
+/// Headers that apply to a single connection.
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -53,10 +53,10 @@
     "upgrade",
 ];
 
-/// Removes headers that concern one connection only, with those that it names.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 ///
-/// Passed on, they would make the next hop read the message's end elsewhere than we do.
-pub(crate) fn strip_connection(headers: &mut HeaderMap) {
+/// If they were forwarded, the next hop could disagree with the edge on where the message ends.
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -67,47 +67,47 @@
     for name in named {
         headers.remove(name);
     }
-    for name in CONNECTION_HEADERS {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
 
-/// What a request is about, before its body has come.
+/// Target of a request, known before its body has arrived.
 pub(crate) struct RequestTarget {
     pub(crate) route: RouteKey,
     pub(crate) customer: Option<CustomerKey>,
     pub(crate) id: String,
 }
 
-/// Finds route and customer of a request.
+/// Finds the route and the customer of a request, and checks its API key and id.
 pub(crate) fn find_target<B>(
     map: &RouteMap,
     request: &Request<B>,
-    facts: &RequestMetadata,
+    metadata: &RequestMetadata,
 ) -> Result<RequestTarget, RefusalReason> {
     let host = request.headers().get(HOST);
     let host = host.and_then(|value| value.to_str().ok());
     let host = host.or(request.uri().host()).unwrap_or_default();
     let route = map.find(host, request.uri().path());
     let route = route.ok_or(RefusalReason::NoRoute)?;
-    let known = facts
+    let known_customer = metadata
         .api_key
         .as_deref()
         .and_then(|key| map.customer_of(key));
     let needs_key = map.requires_keys() && !map.route(route).is_open;
-    if needs_key && known.is_none() {
+    if needs_key && known_customer.is_none() {
         return Err(RefusalReason::UnknownKey);
     }
-    let id = facts.id.clone().ok_or(RefusalReason::NoIdentity)?;
+    let id = metadata.id.clone().ok_or(RefusalReason::NoIdentity)?;
     Ok(RequestTarget {
         route,
-        customer: known,
+        customer: known_customer,
         id,
     })
 }
 
 impl RequestPlan {
-    /// The rule of its route.
+    /// Rule of the matched route.
     pub(crate) fn rule(&self) -> &RouteRule {
         self.map.route(self.route)
     }
--- a/crates/ragwortroad_link/src/dial_backoff.rs
+++ b/crates/ragwortroad_link/src/dial_backoff.rs
@@ -1,76 +1,79 @@
 use std::time::Duration;
 
-/// Pause before a process that was not reached is dialled again.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after the first failed attempt, doubled on each further one.
+const INITIAL_DELAY: Duration = Duration::from_millis(150);
 
-/// Longest pause; a process that comes back is found within it.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1200);
+/// Upper bound of the delay; a peer that comes back is reached within it.
+const MAX_DELAY: Duration = Duration::from_millis(1200);
 
-/// Time after the own start in which pauses stay short.
-const EAGER_TIME: Duration = Duration::from_secs(3);
+/// Time since process start during which the delay does not grow.
+const EARLY_PERIOD: Duration = Duration::from_secs(3);
 
-/// Time that an attempt may take while pauses are short.
+/// Timeout of one attempt during the early period.
 ///
-/// Connections within a region are there after some milliseconds, and twice the longest way on earth
-/// takes a quarter of a second.
-const EAGER_PATIENCE: Duration = Duration::from_millis(250);
+/// Connections within a region take a few milliseconds, and the longest round trip on Earth takes a
+/// quarter of a second.
+const EARLY_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time after the own start in which others are most likely coming up too.
-const PROMPT_TIME: Duration = Duration::from_secs(1);
+/// Time since process start during which peers are most likely starting too.
+const STARTUP_PERIOD: Duration = Duration::from_secs(1);
 
-/// Pause between attempts in that time.
-const PROMPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay between attempts during the startup period.
+const STARTUP_DELAY: Duration = Duration::from_millis(50);
 
-/// Time that an attempt may take in that time.
+/// Timeout of one attempt during the startup period.
 ///
-/// Processes of the own region answer within it; those of others are reached a second later.
-const PROMPT_PATIENCE: Duration = Duration::from_millis(100);
+/// Peers in the same region respond within it; peers in other regions are reached a second later.
+const STARTUP_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Pauses between attempts to reach another process of the fleet.
+/// Exponential backoff for connection attempts to another process of the fleet.
 ///
-/// They double, for a VM that is gone would otherwise cost all others a few attempts a second for as
-/// long. After a common restart processes are up within a second of each other; with pauses that had
-/// grown meanwhile edges would find registries late, and nobody would be served until then.
+/// Without it a VM that is gone would cost all others a few attempts per second until it returns.
+/// After a restart of the whole fleet, processes start within a second of each other. If delays had
+/// already grown by then, edges would find registries late and no client would be served in the
+/// meantime, so delays stay short at first.
 #[derive(Clone, Copy, Debug)]
 pub struct DialBackoff {
-    pause: Duration,
+    delay: Duration,
 }
 
 impl Default for DialBackoff {
     fn default() -> Self {
-        Self { pause: FIRST_PAUSE }
+        Self {
+            delay: INITIAL_DELAY,
+        }
     }
 }
 
 impl DialBackoff {
-    /// The pause before the next attempt of a process that started `running` ago.
-    pub fn next_delay(&mut self, running: Duration) -> Duration {
-        if running < PROMPT_TIME {
-            return PROMPT_PAUSE;
+    /// Returns the delay before the next attempt. `uptime` is the time since this process started.
+    pub fn next_delay(&mut self, uptime: Duration) -> Duration {
+        if uptime < STARTUP_PERIOD {
+            return STARTUP_DELAY;
         }
-        let pause = self.pause;
-        if running >= EAGER_TIME {
-            self.pause = (pause * 2).min(LONGEST_PAUSE);
+        let delay = self.delay;
+        if uptime >= EARLY_PERIOD {
+            self.delay = (delay * 2).min(MAX_DELAY);
         }
-        pause
+        delay
     }
 
-    /// How long an attempt of a process that started `running` ago may take, `whole` at the most.
+    /// Returns the timeout for one connection attempt, at most `max_timeout`.
     ///
-    /// A VM that has no power yet does not refuse a connection: what is sent to it is lost, and the
-    /// system sends it again only after a second. After a common loss of power the edges that
-    /// start first would wait so long for registries that are up a moment later; short attempts
-    /// that are repeated find them then.
-    pub fn attempt_timeout(&self, running: Duration, whole: Duration) -> Duration {
-        let longest = match running {
-            running if running < PROMPT_TIME => PROMPT_PATIENCE,
-            running if running < EAGER_TIME => EAGER_PATIENCE,
-            _ => whole,
+    /// `uptime` is the time since this process started. A VM that is still powered off does not
+    /// refuse connections: the SYN is lost, and the kernel retransmits it only after a second.
+    /// After a power failure of the whole fleet, the edges that start first would wait that long
+    /// for registries that are up a moment later; short, repeated attempts reach them sooner.
+    pub fn attempt_timeout(&self, uptime: Duration, max_timeout: Duration) -> Duration {
+        let timeout = match uptime {
+            uptime if uptime < STARTUP_PERIOD => STARTUP_ATTEMPT_TIMEOUT,
+            uptime if uptime < EARLY_PERIOD => EARLY_ATTEMPT_TIMEOUT,
+            _ => max_timeout,
         };
-        whole.min(longest)
+        max_timeout.min(timeout)
     }
 
-    /// The process was reached.
+    /// Resets the delay after a successful connection.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
--- a/crates/ragwortroad_link/src/link_connection.rs
+++ b/crates/ragwortroad_link/src/link_connection.rs
@@ -44,20 +44,20 @@
     LinkSettings,
     decode_message,
     link_error::{
-        DialSnafu, //
-        IoSnafu,
+        DialSnafu,
+        IoSnafu, //
     }, //
 };
 
-/// The end of a connection that its user writes to.
+/// Sending side of a connection. Clones share one queue.
 #[derive(Clone, Debug)]
 pub struct LinkQueue {
     sender: Sender<QueuedMessage>,
-    /// Told when the connection is to end.
-    end: Arc<Notify>,
+    /// Notified to close the connection.
+    close_signal: Arc<Notify>,
 }
 
-/// A message that waits to be written.
+/// An encoded message waiting to be written.
 #[derive(Debug)]
 pub struct QueuedMessage {
     bytes: Bytes,
@@ -65,54 +65,61 @@
 }
 
 impl LinkQueue {
-    /// A queue, and the end that [`run_link`] empties.
+    /// Creates a queue and the receiver that [`run_link`] drains.
     pub fn new(settings: &LinkSettings) -> (Self, Receiver<QueuedMessage>) {
         let (sender, receiver) = flume::bounded(settings.queue_capacity);
-        let end = Arc::new(Notify::new());
-        (Self { sender, end }, receiver)
+        let close_signal = Arc::new(Notify::new());
+        (
+            Self {
+                sender,
+                close_signal,
+            },
+            receiver,
+        )
     }
 
-    /// Ends the connection.
+    /// Closes the connection.
     pub fn close(&self) {
-        self.end.notify_one();
+        self.close_signal.notify_one();
     }
 
-    /// Queues a message; tells whether it was taken.
+    /// Encodes and queues a message; returns whether it was accepted.
     ///
-    /// A peer that reads too slowly loses its connection rather than messages in the middle of it:
-    /// what it has missed comes as a whole when it connects again.
+    /// If the queue is full, because the peer reads too slowly, the connection is closed rather
+    /// than single messages dropped: on reconnection the peer receives the full state again.
     pub fn send(&self, message: &LinkMessage) -> bool {
         match EncodedMessage::try_from(message) {
             Ok(encoded) => self.send_encoded(&encoded),
             Err(error) => {
-                tracing::error!(%error, "a message to another process could not be encoded");
+                tracing::error!(%error, "failed to encode a message");
                 false
             }
         }
     }
 
-    /// Queues a message that was encoded for several receivers.
+    /// Queues a message that was encoded once for several receivers; returns whether it was
+    /// accepted.
     pub fn send_encoded(&self, encoded: &EncodedMessage) -> bool {
         let queued = QueuedMessage {
             bytes: encoded.bytes.clone(),
             queued_at: Instant::now(),
         };
         let bytes = queued.bytes.len() as u64;
-        let taken = self.sender.try_send(queued).is_ok();
-        match taken {
+        let is_queued = self.sender.try_send(queued).is_ok();
+        match is_queued {
             true => {
                 metrics::counter!(metric_names::LINK_BYTES, "kind" => encoded.kind).increment(bytes)
             }
             false => self.close(),
         }
-        taken
+        is_queued
     }
 }
 
-/// Room for one reading from a connection: a dozen messages of the usual size.
-const READ_BYTES: usize = 2048;
+/// Buffer space reserved per read; holds about a dozen messages of the usual size.
+const READ_BUFFER_BYTES: usize = 2048;
 
-/// Connects to another process within `limit`.
+/// Connects to another process, or fails after `limit`.
 pub async fn dial_link(address: SocketAddr, limit: Duration) -> Result<TcpStream, LinkError> {
     match timeout(limit, TcpStream::connect(address)).await {
         Ok(connected) => connected.context(DialSnafu),
@@ -120,57 +127,64 @@
     }
 }
 
-/// Carries messages over `stream` until it breaks, falls silent, or the queue's user closes it.
+/// Transfers messages over `stream` until the connection fails, times out, or is closed through its
+/// queue, and returns the cause.
 ///
-/// `dialled` tells which side this is: the dialling one sends a keepalive when there is nothing else to
-/// say, the other one answers it.
+/// `is_dialer` is true on the side that opened the connection. That side sends keepalives when the
+/// connection is idle, and the other side replies to them.
 pub async fn run_link(
     stream: TcpStream,
     queue: (LinkQueue, Receiver<QueuedMessage>),
-    dialled: bool,
+    is_dialer: bool,
     settings: &LinkSettings,
     on_message: impl FnMut(LinkMessage),
 ) -> LinkError {
-    let (own_queue, receiver) = queue;
-    let prepared = stream.set_nodelay(true);
+    let (local_queue, receiver) = queue;
+    let configured = stream.set_nodelay(true);
     let limit = Some(settings.idle_timeout);
-    let prepared = prepared.and_then(|()| SockRef::from(&stream).set_tcp_user_timeout(limit));
-    if let Err(source) = prepared {
+    let configured = configured.and_then(|()| SockRef::from(&stream).set_tcp_user_timeout(limit));
+    if let Err(source) = configured {
         return LinkError::Io { source };
     }
-    let (reading, writing) = stream.into_split();
+    let (read_half, write_half) = stream.into_split();
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(settings.max_message_bytes)
         .new_codec();
-    let writer = FramedWrite::new(writing, codec.clone());
-    let keepalive = dialled.then_some(settings.keepalive_interval);
-    let end = Arc::clone(&own_queue.end);
-    let answers = (!dialled).then_some(own_queue);
+    let writer = FramedWrite::new(write_half, codec.clone());
+    let keepalive_interval = is_dialer.then_some(settings.keepalive_interval);
+    let close_signal = Arc::clone(&local_queue.close_signal);
+    let reply_queue = (!is_dialer).then_some(local_queue);
     tokio::select! {
-        error = read_messages(reading, codec, answers, settings.idle_timeout, on_message) => error,
-        error = write_messages(writer, receiver, keepalive) => error,
-        () = end.notified() => LinkError::ClosedLocally,
+        error = read_messages(
+            read_half,
+            codec,
+            reply_queue,
+            settings.idle_timeout,
+            on_message
+        ) => error,
+        error = write_messages(writer, receiver, keepalive_interval) => error,
+        () = close_signal.notified() => LinkError::ClosedLocally,
     }
 }
 
-/// Reads messages until the connection ends or falls silent.
+/// Reads messages until the connection ends or the idle timeout expires.
 ///
-/// Silence is the lack of any byte, not of a whole message: a large one takes a small link longer
-/// than the limit, and a connection that is given up in its middle is dialled again, asks for the
-/// same message again, and never gets it.
+/// Any received byte resets the timeout, not just a complete message. A large message can take
+/// longer than the timeout on a slow link; if the connection were closed halfway, the peer would
+/// reconnect, request the same message again, and never receive it.
 async fn read_messages(
-    mut reading: OwnedReadHalf,
+    mut read_half: OwnedReadHalf,
     mut codec: LengthDelimitedCodec,
-    answers: Option<LinkQueue>,
+    reply_queue: Option<LinkQueue>,
     limit: Duration,
     mut on_message: impl FnMut(LinkMessage),
 ) -> LinkError {
     let mut buffer = BytesMut::new();
     loop {
-        buffer.reserve(READ_BYTES);
+        buffer.reserve(READ_BUFFER_BYTES);
         match codec.decode(&mut buffer) {
             Ok(Some(frame)) => {
-                if let Err(error) = take_frame(&frame, answers.as_ref(), &mut on_message) {
+                if let Err(error) = handle_frame(&frame, reply_queue.as_ref(), &mut on_message) {
                     return error;
                 }
                 continue;
@@ -178,7 +192,7 @@
             Ok(None) => {}
             Err(source) => return LinkError::Io { source },
         }
-        match timeout(limit, reading.read_buf(&mut buffer)).await {
+        match timeout(limit, read_half.read_buf(&mut buffer)).await {
             Err(_) => return LinkError::IdleTimeout { limit },
             Ok(Ok(0)) => return LinkError::ClosedByPeer,
             Ok(Ok(_)) => {}
@@ -187,15 +201,15 @@
     }
 }
 
-fn take_frame(
+fn handle_frame(
     frame: &[u8],
-    answers: Option<&LinkQueue>,
+    reply_queue: Option<&LinkQueue>,
     on_message: &mut impl FnMut(LinkMessage),
 ) -> Result<(), LinkError> {
     match decode_message(frame)? {
         LinkMessage::Keepalive => {
-            let answered = answers.is_none_or(|queue| queue.send(&LinkMessage::Keepalive));
-            if !answered {
+            let is_queued = reply_queue.is_none_or(|queue| queue.send(&LinkMessage::Keepalive));
+            if !is_queued {
                 return Err(LinkError::ClosedLocally);
             }
         }
@@ -207,16 +221,17 @@
 async fn write_messages(
     mut writer: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
     receiver: Receiver<QueuedMessage>,
-    keepalive: Option<Duration>,
+    keepalive_interval: Option<Duration>,
 ) -> LinkError {
-    let mut next_keepalive = keepalive.map(|every| Instant::now() + every);
+    let mut next_keepalive_at = keepalive_interval.map(|interval| Instant::now() + interval);
     loop {
-        let queued = match next_keepalive {
+        let queued = match next_keepalive_at {
             None => receiver.recv_async().await.ok(),
             Some(at) => tokio::select! {
                 received = receiver.recv_async() => received.ok(),
                 () = tokio::time::sleep_until(at) => {
-                    next_keepalive = keepalive.map(|every| Instant::now() + every);
+                    next_keepalive_at =
+                        keepalive_interval.map(|interval| Instant::now() + interval);
                     match EncodedMessage::try_from(&LinkMessage::Keepalive) {
                         Ok(encoded) => Some(QueuedMessage {
                             bytes: encoded.bytes,
@@ -236,7 +251,7 @@
     }
 }
 
-/// Writes what is queued with one call where it fits, since each call costs a wake-up there.
+/// Writes all queued messages in one flush where they fit, since each write wakes up the receiver.
 async fn write_batch(
     writer: &mut FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
     first: QueuedMessage,
--- a/crates/ragwortroad_link/tests/documents.rs
+++ b/crates/ragwortroad_link/tests/documents.rs
@@ -1,11 +1,12 @@
-//! What documents take on the way between processes.
+//! Sizes and round trips of compressed documents and messages.
 
 use std::fmt::Write;
 
 use ragwortroad_dispatch::prelude::*;
 use ragwortroad_link::prelude::*;
 
-/// A configuration of `routes` routes whose names repeat nothing, with one timeout set apart.
+/// A configuration of `routes` routes with unique names, in which route `changed` has its own
+/// `timeout`.
 fn document(routes: u64, changed: u64, timeout: u64) -> Vec<u8> {
     let mut text = String::new();
     for route in 0..routes {
@@ -18,71 +19,84 @@
             name >> 40,
             name >> 20,
         )
-        .expect("a string takes all");
+        .expect("write to a string");
     }
     text.into_bytes()
 }
 
-/// A registry tells an edge of a thousand endpoints. Packed, they are the same, and take little.
+/// An uncompressed list of a thousand endpoints, sent to each edge, would fill slow links.
+/// Compression must save at least a fifth and keep the content.
 #[test]
-fn large_messages_are_packed_on_the_way() {
-    let news = (0..1000_u64).map(|index| {
+fn large_messages_are_compressed() {
+    let updates = (0..1000_u64).map(|index| {
         let name = format!("i-{:x}", index.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24);
         RegistryChange::Lost(name)
     });
-    let message = LinkMessage::EndpointUpdates(news.collect());
-    let plain = postcard::to_stdvec(&message).expect("encodes").len();
-    let frame = EncodedMessage::try_from(&message).expect("encodes").bytes;
-    assert!(frame.len() * 10 < plain * 8, "{} of {plain}", frame.len());
-    assert_eq!(decode_message(&frame).expect("decodes"), message);
+    let message = LinkMessage::EndpointUpdates(updates.collect());
+    let plain = postcard::to_stdvec(&message)
+        .expect("message encodes")
+        .len();
+    let frame = EncodedMessage::try_from(&message)
+        .expect("message encodes")
+        .bytes;
+    assert!(
+        frame.len() * 10 < plain * 8,
+        "{} of {plain} bytes",
+        frame.len()
+    );
+    assert_eq!(decode_message(&frame).expect("message decodes"), message);
     let small = EncodedMessage::try_from(&LinkMessage::Keepalive)
-        .expect("encodes")
+        .expect("message encodes")
         .bytes;
     assert_eq!(
-        decode_message(&small).expect("decodes"),
+        decode_message(&small).expect("message decodes"),
         LinkMessage::Keepalive
     );
     assert!(decode_message(&frame[..frame.len() / 2]).is_err());
 }
 
 #[test]
-fn a_document_comes_back_as_it_was() {
+fn a_document_survives_a_pack_and_unpack_round_trip() {
     for routes in [0, 1, 40, 3000] {
         let document = document(routes, 0, 1);
-        let packed = pack_document(&document, None).expect("packs");
-        assert_eq!(unpack_document(&packed, None).expect("unpacks"), document);
+        let packed = pack_document(&document, None).expect("document compresses");
+        assert_eq!(
+            unpack_document(&packed, None).expect("document decompresses"),
+            document
+        );
     }
 }
 
-/// Guards against small links filled by each change of a large configuration.
+/// Sending every change of a large configuration in full would saturate slow links.
 #[test]
-fn a_change_of_a_large_document_takes_little() {
+fn a_delta_of_a_large_document_is_small() {
     let before = document(2000, 5, 1000);
     let after = document(2000, 1500, 2000);
-    let whole = pack_document(&after, None).expect("packs");
-    let change = pack_document(&after, Some(&before)).expect("packs");
+    let full = pack_document(&after, None).expect("document compresses");
+    let delta = pack_document(&after, Some(&before)).expect("document compresses");
     println!(
-        "{} bytes: whole {}, a change {}",
+        "{} bytes: full {}, delta {}",
         after.len(),
-        whole.len(),
-        change.len()
+        full.len(),
+        delta.len()
     );
     assert!(
-        change.len() * 20 < whole.len(),
-        "{} of {}",
-        change.len(),
-        whole.len()
+        delta.len() * 20 < full.len(),
+        "delta {} of {} bytes",
+        delta.len(),
+        full.len()
     );
-    let unpacked = unpack_document(&change, Some(&before)).expect("unpacks");
+    let unpacked = unpack_document(&delta, Some(&before)).expect("document decompresses");
     assert_eq!(unpacked, after);
 }
 
-/// A process that lacks the base, or has another one, must notice and not take half a document.
+/// A process without the base, or with another one, must get an error instead of a corrupt
+/// document.
 #[test]
-fn a_change_against_another_base_is_refused_or_differs() {
+fn a_delta_without_its_base_is_rejected() {
     let before = document(300, 5, 1000);
     let after = document(300, 100, 2000);
-    let change = pack_document(&after, Some(&before)).expect("packs");
-    let unpacked = unpack_document(&change, None);
+    let delta = pack_document(&after, Some(&before)).expect("document compresses");
+    let unpacked = unpack_document(&delta, None);
     assert!(unpacked.is_err(), "{unpacked:?}");
 }
