--- a/crates/ragwortroad_membership/src/blob_table.rs
+++ b/crates/ragwortroad_membership/src/blob_table.rs
@@ -35,7 +35,7 @@
     }
 
     /// Drops all blobs of `node`.
-    pub(crate) fn drop_node(&mut self, node: NodeId) {
+    pub(crate) fn remove_node(&mut self, node: NodeId) {
         self.blobs.retain(|(owner, _), _| *owner != node);
     }
 
--- a/crates/ragwortroad_membership/src/endpoint_record.rs
+++ b/crates/ragwortroad_membership/src/endpoint_record.rs
@@ -69,11 +69,11 @@
     ///
     /// A released endpoint does: its next home follows in a moment.
     pub fn accepts_new_work(&self) -> bool {
-        let there = matches!(
+        let is_active = matches!(
             self.presence,
             EndpointPresence::Present | EndpointPresence::Released
         );
-        there && !self.damped
+        is_active && !self.damped
     }
 
     /// What decides which of two records is newer.
@@ -82,7 +82,7 @@
     }
 
     /// Whether everything but load and version numbers is equal.
-    pub(crate) fn same_facts(&self, other: &Self) -> bool {
+    pub(crate) fn same_metadata(&self, other: &Self) -> bool {
         self.incarnation == other.incarnation
             && self.home_epoch == other.home_epoch
             && self.home == other.home
--- a/crates/ragwortroad_membership/src/endpoint_table.rs
+++ b/crates/ragwortroad_membership/src/endpoint_table.rs
@@ -13,7 +13,7 @@
     /// The record as told to others.
     pub(crate) record: EndpointRecord,
     /// When the record (not the load) arrived or was written.
-    pub(crate) changed: ClockTime,
+    pub(crate) updated_at: ClockTime,
 }
 
 /// All endpoints known.
@@ -24,7 +24,7 @@
     /// Endpoints that are not gone by their home; counted here, as every announcement asks for it.
     ///
     /// Invariant: no count is zero, and their sum is `total`.
-    counts: BTreeMap<NodeId, usize>,
+    home_counts: BTreeMap<NodeId, usize>,
     /// Endpoints that are not gone.
     total: usize,
 }
@@ -42,46 +42,46 @@
 
     /// Puts `record` in place of what was known; a load that is newer than the record's stays.
     pub(crate) fn put(&mut self, mut record: EndpointRecord, now: ClockTime) {
-        if let Some(former) = self.entries.get(&record.id) {
-            let former = &former.record;
-            let newer_load = former.load_sequence > record.load_sequence;
-            if former.incarnation == record.incarnation && newer_load {
-                record.load = former.load;
-                record.load_sequence = former.load_sequence;
+        if let Some(previous) = self.entries.get(&record.id) {
+            let previous = &previous.record;
+            let newer_load = previous.load_sequence > record.load_sequence;
+            if previous.incarnation == record.incarnation && newer_load {
+                record.load = previous.load;
+                record.load_sequence = previous.load_sequence;
             }
         }
         let entry = EndpointEntry {
             record,
-            changed: now,
+            updated_at: now,
         };
-        let counted = entry.record.home;
-        let there = entry.record.presence != EndpointPresence::Gone;
-        let former = self.entries.insert(entry.record.id, entry);
-        self.uncount(former.as_ref());
-        if there {
-            *self.counts.entry(counted).or_insert(0) += 1;
+        let home = entry.record.home;
+        let is_counted = entry.record.presence != EndpointPresence::Gone;
+        let previous = self.entries.insert(entry.record.id, entry);
+        self.remove_from_counts(previous.as_ref());
+        if is_counted {
+            *self.home_counts.entry(home).or_insert(0) += 1;
             self.total += 1;
         }
     }
 
     /// Takes an entry that was replaced or removed out of the counts.
-    fn uncount(&mut self, former: Option<&EndpointEntry>) {
-        let there = |entry: &&EndpointEntry| entry.record.presence != EndpointPresence::Gone;
-        let Some(entry) = former.filter(there) else {
+    fn remove_from_counts(&mut self, previous: Option<&EndpointEntry>) {
+        let is_counted = |entry: &&EndpointEntry| entry.record.presence != EndpointPresence::Gone;
+        let Some(entry) = previous.filter(is_counted) else {
             return;
         };
         self.total -= 1;
-        if let Some(count) = self.counts.get_mut(&entry.record.home) {
+        if let Some(count) = self.home_counts.get_mut(&entry.record.home) {
             *count -= 1;
             if *count == 0 {
-                self.counts.remove(&entry.record.home);
+                self.home_counts.remove(&entry.record.home);
             }
         }
     }
 
     /// Number of endpoints that are not gone, by home.
     pub(crate) fn home_counts(&self) -> &BTreeMap<NodeId, usize> {
-        &self.counts
+        &self.home_counts
     }
 
     /// Number of endpoints that are not gone.
@@ -95,8 +95,8 @@
             return false;
         };
         let record = &mut entry.record;
-        let same = record.incarnation as u8 == load.incarnation;
-        if !same || load.sequence <= record.load_sequence {
+        let same_incarnation = record.incarnation as u8 == load.incarnation;
+        if !same_incarnation || load.sequence <= record.load_sequence {
             return false;
         }
         record.load = load.load;
@@ -106,8 +106,8 @@
 
     /// Forgets `endpoint`.
     pub(crate) fn remove(&mut self, endpoint: EndpointId) {
-        let former = self.entries.remove(&endpoint);
-        self.uncount(former.as_ref());
+        let previous = self.entries.remove(&endpoint);
+        self.remove_from_counts(previous.as_ref());
     }
 
     /// All endpoints.
--- a/crates/ragwortroad_membership/src/home_claim.rs
+++ b/crates/ragwortroad_membership/src/home_claim.rs
@@ -25,23 +25,23 @@
     /// The last announcement.
     pub(crate) sequence: u64,
     /// When we answered the last announcement.
-    pub(crate) answered: ClockTime,
+    pub(crate) answered_at: ClockTime,
     /// When the endpoint turned to us, for the shortest stay.
     pub(crate) held_since: ClockTime,
     /// By then every earlier home's right has ended.
     pub(crate) exclusive_from: ClockTime,
     /// Our right ends before this time; nothing while no second announcement came.
-    pub(crate) until: Option<ClockTime>,
+    pub(crate) lease_end: Option<ClockTime>,
     /// The home before us, as long as its word would shorten the wait.
-    pub(crate) former: Option<NodeId>,
+    pub(crate) previous_home: Option<NodeId>,
     /// When the former home was last asked.
-    pub(crate) last_asked: Option<ClockTime>,
+    pub(crate) last_handover_request: Option<ClockTime>,
     /// Whether we gave it up or lost it; never undone within the epoch.
     pub(crate) ended: bool,
     /// Recent restarts of the endpoint.
-    pub(crate) flaps: FlapPenalty,
+    pub(crate) penalty: FlapPenalty,
     /// When the fleet was last told of the load.
-    pub(crate) load_told: ClockTime,
+    pub(crate) load_published_at: ClockTime,
     /// The exact load of the last announcement.
     pub(crate) load: LoadReport,
     /// Whether the fleet was told of this claim.
@@ -53,11 +53,14 @@
     pub(crate) fn renew(&mut self, sequence: u64, now: ClockTime, lease: Duration) {
         // After a gap nothing proves that our last answer arrived.
         if sequence == self.sequence + 1 {
-            let until = self.answered.after(lease);
-            self.until = Some(self.until.map_or(until, |known| known.max(until)));
+            let lease_end = self.answered_at.after(lease);
+            self.lease_end = Some(
+                self.lease_end
+                    .map_or(lease_end, |current| current.max(lease_end)),
+            );
         }
         self.sequence = sequence;
-        self.answered = now;
+        self.answered_at = now;
     }
 
     /// What the claim amounts to at `now`; nothing once it has ended or its lease is over.
@@ -65,25 +68,25 @@
         if self.ended {
             return None;
         }
-        match self.until {
+        match self.lease_end {
             None => Some(HomeState::Claiming),
-            Some(until) if now < until => Some(HomeState::Home {
+            Some(lease_end) if now < lease_end => Some(HomeState::Home {
                 exclusive_from: self.exclusive_from,
-                until,
+                lease_end,
             }),
             Some(_) => None,
         }
     }
 
     /// Whether the fleet should hear of the last announcement's load.
-    pub(crate) fn load_is_news(
+    pub(crate) fn should_publish_load(
         &self,
-        told: CoarseLoad,
+        published: CoarseLoad,
         capacity: u32,
         now: ClockTime,
         spacing: Duration,
     ) -> bool {
         let load = CoarseLoad::new(&self.load, capacity);
-        now.since(self.load_told) >= spacing && load.is_significant_change_from(told)
+        now.since(self.load_published_at) >= spacing && load.is_significant_change_from(published)
     }
 }
--- a/crates/ragwortroad_membership/src/home_choice.rs
+++ b/crates/ragwortroad_membership/src/home_selector.rs
@@ -13,37 +13,37 @@
     /// Its zone.
     pub(crate) zone: &'a str,
     /// Whether it has been up for long enough.
-    pub(crate) settled: bool,
+    pub(crate) is_stable: bool,
 }
 
 /// Candidates and how many endpoints each is home to.
 #[derive(Debug)]
-pub(crate) struct HomeChoice<'a> {
+pub(crate) struct HomeSelector<'a> {
     /// Settled nodes, or all where none is settled yet.
     candidates: Vec<HomeCandidate<'a>>,
     /// Endpoints by home.
     counts: &'a BTreeMap<NodeId, usize>,
     /// Most endpoints a node should be home to.
-    pub(crate) cap: usize,
+    pub(crate) max_homed: usize,
 }
 
-impl<'a> HomeChoice<'a> {
+impl<'a> HomeSelector<'a> {
     /// A choice among `candidates`, given how many endpoints each node has.
     pub(crate) fn new(
         mut candidates: Vec<HomeCandidate<'a>>,
         counts: &'a BTreeMap<NodeId, usize>,
-        total: usize,
-        multiple: f64,
+        endpoint_count: usize,
+        balance_factor: f64,
     ) -> Self {
-        if candidates.iter().any(|candidate| candidate.settled) {
-            candidates.retain(|candidate| candidate.settled);
+        if candidates.iter().any(|candidate| candidate.is_stable) {
+            candidates.retain(|candidate| candidate.is_stable);
         }
-        let mean = total as f64 / candidates.len().max(1) as f64;
-        let cap = ((mean * multiple).ceil() as usize).max(1);
+        let mean = endpoint_count as f64 / candidates.len().max(1) as f64;
+        let max_homed = ((mean * balance_factor).ceil() as usize).max(1);
         Self {
             candidates,
             counts,
-            cap,
+            max_homed,
         }
     }
 
@@ -53,30 +53,43 @@
     }
 
     /// Whether `node` is a candidate and no candidate stands in `zone` while it does not.
-    pub(crate) fn suits(&self, node: NodeId, zone: &str) -> bool {
-        let Some(own) = self.candidates.iter().find(|one| one.node == node) else {
+    pub(crate) fn is_suitable(&self, node: NodeId, zone: &str) -> bool {
+        let Some(own) = self
+            .candidates
+            .iter()
+            .find(|candidate| candidate.node == node)
+        else {
             return false;
         };
-        own.zone == zone || !self.candidates.iter().any(|one| one.zone == zone)
+        own.zone == zone
+            || !self
+                .candidates
+                .iter()
+                .any(|candidate| candidate.zone == zone)
     }
 
     /// The best nodes for `endpoint` in `zone`, best first.
     ///
     /// Nodes in the endpoint's zone go first, among these nodes with room, and among these the
     /// highest random weight: a node that comes or goes moves only endpoints of its own.
-    pub(crate) fn best(&self, endpoint: EndpointId, zone: &str, most: usize) -> Vec<NodeId> {
+    pub(crate) fn ranked_nodes(
+        &self,
+        endpoint: EndpointId,
+        zone: &str,
+        limit: usize,
+    ) -> Vec<NodeId> {
         let mut ranked: Vec<_> = self
             .candidates
             .iter()
             .map(|candidate| {
-                let elsewhere = candidate.zone != zone;
-                let full = self.count(candidate.node) >= self.cap;
+                let in_other_zone = candidate.zone != zone;
+                let is_full = self.count(candidate.node) >= self.max_homed;
                 let weight = xxh3_64_with_seed(&endpoint.0.to_le_bytes(), candidate.node.0);
-                (elsewhere, full, u64::MAX - weight, candidate.node)
+                (in_other_zone, is_full, u64::MAX - weight, candidate.node)
             })
             .collect();
         ranked.sort_unstable();
-        ranked.truncate(most);
+        ranked.truncate(limit);
         ranked.into_iter().map(|rank| rank.3).collect()
     }
 }
--- a/crates/ragwortroad_membership/src/home_state.rs
+++ b/crates/ragwortroad_membership/src/home_state.rs
@@ -8,7 +8,7 @@
         /// From then on no other node can admit work to the endpoint.
         exclusive_from: ClockTime,
         /// The lease's end, unless another announcement renews it.
-        until: ClockTime,
+        lease_end: ClockTime,
     },
     /// The endpoint turned to this node, but has not confirmed it by a second announcement.
     Claiming,
@@ -27,8 +27,8 @@
         match *self {
             Self::Home {
                 exclusive_from,
-                until,
-            } => exclusive_from <= now && now < until,
+                lease_end,
+            } => exclusive_from <= now && now < lease_end,
             _ => false,
         }
     }
--- a/crates/ragwortroad_membership/src/membership_settings.rs
+++ b/crates/ragwortroad_membership/src/membership_settings.rs
@@ -125,7 +125,7 @@
 
 impl MembershipSettings {
     /// Time a suspected node has in a fleet of `nodes`.
-    pub(crate) fn suspicion_among(&self, nodes: usize) -> Duration {
+    pub(crate) fn suspicion_timeout_for(&self, nodes: usize) -> Duration {
         let growth = (nodes.max(10) as f64).log10();
         self.suspicion_timeout.mul_f64(growth)
     }
--- a/crates/ragwortroad_membership/src/node_record.rs
+++ b/crates/ragwortroad_membership/src/node_record.rs
@@ -70,7 +70,7 @@
     }
 
     /// A hash over what stays the same while only incarnation and state change.
-    pub(crate) fn facts_hash(&self) -> u16 {
+    pub(crate) fn metadata_hash(&self) -> u16 {
         let text = format!(
             "{}\n{}\n{}\n{}\n{}",
             self.name, self.zone, self.region, self.gossip_address, self.caller_address
--- a/crates/ragwortroad_membership/src/node_table.rs
+++ b/crates/ragwortroad_membership/src/node_table.rs
@@ -13,9 +13,9 @@
     /// The record as told to others.
     pub(crate) record: NodeRecord,
     /// Hash of the record's facts.
-    pub(crate) facts: u16,
+    pub(crate) metadata_hash: u16,
     /// When its present facts were first known.
-    pub(crate) facts_since: ClockTime,
+    pub(crate) metadata_since: ClockTime,
     /// When it appeared or last came back from being down.
     pub(crate) up_since: ClockTime,
     /// When its state last changed.
@@ -55,21 +55,21 @@
     /// Puts `record` in place of what was known of its node.
     pub(crate) fn put(&mut self, record: NodeRecord, now: ClockTime) {
         let id = record.id();
-        let former = self.entries.get(&id);
-        let same_state = former.is_some_and(|entry| entry.record.state == record.state);
-        let was_present = former.is_some_and(|entry| entry.record.state.is_present());
-        let facts = record.facts_hash();
+        let previous = self.entries.get(&id);
+        let same_state = previous.is_some_and(|entry| entry.record.state == record.state);
+        let was_present = previous.is_some_and(|entry| entry.record.state.is_present());
+        let metadata_hash = record.metadata_hash();
         let entry = NodeEntry {
-            facts,
-            facts_since: match former {
-                Some(entry) if entry.facts == facts => entry.facts_since,
+            metadata_hash,
+            metadata_since: match previous {
+                Some(entry) if entry.metadata_hash == metadata_hash => entry.metadata_since,
                 _ => now,
             },
-            up_since: match former {
+            up_since: match previous {
                 Some(entry) if was_present => entry.up_since,
                 _ => now,
             },
-            state_since: match former {
+            state_since: match previous {
                 Some(entry) if same_state => entry.state_since,
                 _ => now,
             },
@@ -79,15 +79,15 @@
             self.generation += 1;
         }
         let state = entry.record.state;
-        let former = self.entries.insert(id, entry);
+        let previous = self.entries.insert(id, entry);
         self.present += usize::from(state.is_present());
         self.suspected += usize::from(state == NodeState::Suspected);
-        self.uncount(former.as_ref());
+        self.remove_from_counts(previous.as_ref());
     }
 
     /// Takes an entry that was replaced or removed out of the counts.
-    fn uncount(&mut self, former: Option<&NodeEntry>) {
-        if let Some(entry) = former {
+    fn remove_from_counts(&mut self, previous: Option<&NodeEntry>) {
+        if let Some(entry) = previous {
             let state = entry.record.state;
             self.present -= usize::from(state.is_present());
             self.suspected -= usize::from(state == NodeState::Suspected);
@@ -106,11 +106,11 @@
 
     /// Forgets `node`.
     pub(crate) fn remove(&mut self, node: NodeId) {
-        let former = self.entries.remove(&node);
-        if former.is_some() {
+        let previous = self.entries.remove(&node);
+        if previous.is_some() {
             self.generation += 1;
         }
-        self.uncount(former.as_ref());
+        self.remove_from_counts(previous.as_ref());
     }
 
     /// All nodes.
--- a/crates/ragwortroad_membership/src/record_key.rs
+++ b/crates/ragwortroad_membership/src/record_key.rs
@@ -20,7 +20,7 @@
     ///
     /// Two records may share it (about one chance in 7,000 at a thousand records); whoever finds
     /// several records under a short name treats it as naming all of them.
-    pub(crate) fn short(self) -> u32 {
+    pub(crate) fn short_hash(self) -> u32 {
         match self {
             Self::Node(id) => xxh3_64_with_seed(&id.0.to_le_bytes(), NODE_SEED) as u32,
             Self::Endpoint(id) => xxh3_64_with_seed(&id.0.to_le_bytes(), ENDPOINT_SEED) as u32,
@@ -30,7 +30,7 @@
 
 /// Names a piece of news that waits to be sent to a neighbour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum NewsKey {
+pub(crate) enum UpdateKey {
     /// A node's record.
     Node(NodeId),
     /// An endpoint's record.
@@ -41,7 +41,7 @@
     Blob(NodeId, u8),
 }
 
-impl From<RecordKey> for NewsKey {
+impl From<RecordKey> for UpdateKey {
     fn from(key: RecordKey) -> Self {
         match key {
             RecordKey::Node(id) => Self::Node(id),
--- a/crates/ragwortroad_membership/src/relay_table.rs
+++ b/crates/ragwortroad_membership/src/relay_table.rs
@@ -3,9 +3,9 @@
 use ragwortroad_types::prelude::*;
 
 /// Probes under way at once for others; more are ignored.
-const MOST_RELAYS: usize = 64;
+const MAX_RELAYS: usize = 64;
 /// Time for which the answer to a probe matters to whoever asked.
-const RELAY_TIME: Duration = Duration::from_secs(3);
+const RELAY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Probes this node makes for others.
 #[derive(Debug, Default)]
@@ -18,40 +18,40 @@
 #[derive(Clone, Copy, Debug)]
 struct RelayProbe {
     /// Who wants to know.
-    asked_by: NodeId,
+    requester: NodeId,
     /// Whom it is about.
     target: NodeId,
     /// When the answer stops to matter.
-    until: ClockTime,
+    expires_at: ClockTime,
 }
 
 impl RelayTable {
     /// Notes a probe; whether there was room.
-    pub(crate) fn add(&mut self, asked_by: NodeId, target: NodeId, now: ClockTime) -> bool {
-        self.relays.retain(|relay| relay.until > now);
-        if self.relays.len() >= MOST_RELAYS {
+    pub(crate) fn add(&mut self, requester: NodeId, target: NodeId, now: ClockTime) -> bool {
+        self.relays.retain(|relay| relay.expires_at > now);
+        if self.relays.len() >= MAX_RELAYS {
             return false;
         }
         self.relays.push(RelayProbe {
-            asked_by,
+            requester,
             target,
-            until: now.after(RELAY_TIME),
+            expires_at: now.after(RELAY_TIMEOUT),
         });
         true
     }
 
     /// Who is to be told that `target` was heard.
-    pub(crate) fn heard(&mut self, target: NodeId, now: ClockTime) -> Vec<NodeId> {
+    pub(crate) fn take_requesters(&mut self, target: NodeId, now: ClockTime) -> Vec<NodeId> {
         if self.relays.is_empty() {
             return Vec::new();
         }
-        let told = self
+        let requesters = self
             .relays
             .iter()
-            .filter(|relay| relay.target == target && relay.until > now)
-            .map(|relay| relay.asked_by)
+            .filter(|relay| relay.target == target && relay.expires_at > now)
+            .map(|relay| relay.requester)
             .collect();
         self.relays.retain(|relay| relay.target != target);
-        told
+        requesters
     }
 }
--- a/crates/ragwortroad_membership/src/sync_digest.rs
+++ b/crates/ragwortroad_membership/src/sync_digest.rs
@@ -8,7 +8,7 @@
 };
 
 /// Buckets that records are sorted into by their short names.
-pub(crate) const BUCKETS: usize = 32;
+pub(crate) const BUCKET_COUNT: usize = 32;
 
 /// Hashes over all records, to tell cheaply whether and where two views differ.
 ///
@@ -21,21 +21,21 @@
     /// Invariant: `buckets` is the exclusive-or of these, bucket by bucket.
     versions: HashMap<RecordKey, u32>,
     /// Keys by short name, present or not.
-    shorts: HashMap<u32, Vec<RecordKey>>,
+    keys_by_hash: HashMap<u32, Vec<RecordKey>>,
     /// Hash of each bucket.
-    buckets: [u32; BUCKETS],
+    buckets: [u32; BUCKET_COUNT],
 }
 
 impl SyncDigest {
     /// Notes that `key` now has a version with this hash, or is no part of the digest.
     pub(crate) fn set(&mut self, key: RecordKey, version: Option<u32>) {
-        let bucket = &mut self.buckets[bucket_of(key.short())];
-        let former = match version {
+        let bucket = &mut self.buckets[bucket_of(key.short_hash())];
+        let previous = match version {
             Some(hash) => self.versions.insert(key, hash),
             None => self.versions.remove(&key),
         };
-        *bucket ^= former.unwrap_or(0) ^ version.unwrap_or(0);
-        let keys = self.shorts.entry(key.short()).or_default();
+        *bucket ^= previous.unwrap_or(0) ^ version.unwrap_or(0);
+        let keys = self.keys_by_hash.entry(key.short_hash()).or_default();
         if !keys.contains(&key) {
             keys.push(key);
         }
@@ -44,17 +44,17 @@
     /// Forgets `key` altogether.
     pub(crate) fn forget(&mut self, key: RecordKey) {
         self.set(key, None);
-        if let Some(keys) = self.shorts.get_mut(&key.short()) {
+        if let Some(keys) = self.keys_by_hash.get_mut(&key.short_hash()) {
             keys.retain(|known| *known != key);
             if keys.is_empty() {
-                self.shorts.remove(&key.short());
+                self.keys_by_hash.remove(&key.short_hash());
             }
         }
     }
 
     /// One hash over everything.
     pub(crate) fn root(&self) -> u32 {
-        let mut bytes = Vec::with_capacity(BUCKETS * 4);
+        let mut bytes = Vec::with_capacity(BUCKET_COUNT * 4);
         for bucket in self.buckets {
             bytes.extend_from_slice(&bucket.to_le_bytes());
         }
@@ -75,7 +75,7 @@
             .versions
             .iter()
             .map(|(key, version)| BucketEntry {
-                key: key.short(),
+                key: key.short_hash(),
                 version: *version as u16,
             })
             .filter(|entry| bucket_of(entry.key) == usize::from(bucket))
@@ -85,20 +85,22 @@
     }
 
     /// The records that `short` may name.
-    pub(crate) fn keys(&self, short: u32) -> &[RecordKey] {
-        self.shorts.get(&short).map_or(&[], Vec::as_slice)
+    pub(crate) fn keys(&self, short_hash: u32) -> &[RecordKey] {
+        self.keys_by_hash
+            .get(&short_hash)
+            .map_or(&[], Vec::as_slice)
     }
 }
 
 /// The bucket of a short name.
-fn bucket_of(short: u32) -> usize {
-    short as usize % BUCKETS
+fn bucket_of(short_hash: u32) -> usize {
+    short_hash as usize % BUCKET_COUNT
 }
 
 /// A hash over what decides about a record's age.
 pub(crate) fn version_hash(key: RecordKey, parts: [u64; 3]) -> u32 {
     let mut bytes = Vec::with_capacity(28);
-    bytes.extend_from_slice(&key.short().to_le_bytes());
+    bytes.extend_from_slice(&key.short_hash().to_le_bytes());
     for part in parts {
         bytes.extend_from_slice(&part.to_le_bytes());
     }
--- a/crates/ragwortroad_membership/src/table/announcements.rs
+++ b/crates/ragwortroad_membership/src/table/announcements.rs
@@ -16,26 +16,26 @@
     },
     flap_penalty::FlapPenalty,
     home_claim::HomeClaim,
-    pending_queue::NewsClass,
-    record_key::NewsKey, //
+    pending_queue::UpdatePriority,
+    record_key::UpdateKey, //
 };
 
 /// Longest time for which news of a damped endpoint is held back, in load spacings.
-const DAMPED_SPACINGS: u32 = 3;
+const DAMPED_INTERVAL_FACTOR: u32 = 3;
 
 impl MembershipTable {
     /// Takes an announcement.
-    pub(super) fn take_announce(&mut self, announce: &AnnounceWire, now: ClockTime) {
+    pub(super) fn handle_announcement(&mut self, announce: &AnnounceWire, now: ClockTime) {
         let id = EndpointId::from_name(&announce.name);
         let address: Result<SocketAddr, _> = announce.address.parse();
-        let (Ok(address), false) = (address, self.is_late(id, announce)) else {
+        let (Ok(address), false) = (address, self.is_stale(id, announce)) else {
             self.stats.announcements_ignored += 1;
             return;
         };
         self.stats.announcements += 1;
         let before = self.home_state(id, now);
         self.renew_claim(id, announce, now);
-        self.publish(id, announce, address, now);
+        self.publish_record(id, announce, address, now);
         let after = self.home_state(id, now);
         if std::mem::discriminant(&before) != std::mem::discriminant(&after) {
             self.actions.push(GossipAction::HomeChanged(id));
@@ -46,22 +46,26 @@
     ///
     /// One that was delayed, or that this process took in after a pause, may have been overtaken:
     /// the endpoint has turned to another node since. Taking it for news would make two homes.
-    fn is_late(&self, id: EndpointId, announce: &AnnounceWire) -> bool {
-        let announced = (announce.incarnation, announce.home_epoch);
+    fn is_stale(&self, id: EndpointId, announce: &AnnounceWire) -> bool {
+        let announced_version = (announce.incarnation, announce.home_epoch);
         if let Some(claim) = self.claims.get(&id) {
-            let claimed = (claim.incarnation, claim.epoch);
-            let repeated = announced == claimed && announce.sequence <= claim.sequence;
-            if announced < claimed || repeated || (announced == claimed && claim.ended) {
+            let claimed_version = (claim.incarnation, claim.epoch);
+            let is_repeated =
+                announced_version == claimed_version && announce.sequence <= claim.sequence;
+            if announced_version < claimed_version
+                || is_repeated
+                || (announced_version == claimed_version && claim.ended)
+            {
                 return true;
             }
         }
         self.endpoints.record(id).is_some_and(|record| {
             let known = (record.incarnation, record.home_epoch);
-            let foreign = record.home != self.own;
-            let old = announce.incarnation == record.incarnation
+            let is_foreign = record.home != self.own;
+            let is_old = announce.incarnation == record.incarnation
                 && announce.sequence <= record.sequence
-                && foreign;
-            announced < known || old
+                && is_foreign;
+            announced_version < known || is_old
         })
     }
 
@@ -77,81 +81,82 @@
         }
         let claim = self.new_claim(id, announce, now);
         self.claims.insert(id, claim);
-        self.ask_former(id, now);
+        self.request_handover(id, now);
     }
 
     /// The claim that an endpoint's turning to this node makes.
     fn new_claim(&self, id: EndpointId, announce: &AnnounceWire, now: ClockTime) -> HomeClaim {
-        let (exclusive_from, former) = self.takeover(id, announce, now);
+        let (exclusive_from, previous_home) = self.takeover(id, announce, now);
         HomeClaim {
             incarnation: announce.incarnation,
             epoch: announce.home_epoch,
             sequence: announce.sequence,
-            answered: now,
+            answered_at: now,
             held_since: now,
             exclusive_from,
-            until: None,
-            former,
-            last_asked: None,
+            lease_end: None,
+            previous_home,
+            last_handover_request: None,
             ended: self.leaving,
-            flaps: self.count_flap(id, announce, now),
-            load_told: ClockTime::ZERO,
+            penalty: self.flap_penalty(id, announce, now),
+            load_published_at: ClockTime::ZERO,
             load: announce.load,
             published: false,
         }
     }
 
     /// The endpoint's recent restarts, this announcement's included if it shows one.
-    fn count_flap(&self, id: EndpointId, announce: &AnnounceWire, now: ClockTime) -> FlapPenalty {
+    fn flap_penalty(&self, id: EndpointId, announce: &AnnounceWire, now: ClockTime) -> FlapPenalty {
         let half_life = self.settings.flap_half_life;
         let Some(entry) = self.endpoints.get(id) else {
             return FlapPenalty::from_quarters(0, now);
         };
-        let mut flaps = match self.claims.get(&id) {
-            Some(claim) if entry.record.home == self.own => claim.flaps,
-            _ => FlapPenalty::from_quarters(entry.record.flaps, entry.changed),
+        let mut penalty = match self.claims.get(&id) {
+            Some(claim) if entry.record.home == self.own => claim.penalty,
+            _ => FlapPenalty::from_quarters(entry.record.flaps, entry.updated_at),
         };
         let restarted = announce.incarnation > entry.record.incarnation;
         if restarted || entry.record.presence == EndpointPresence::Gone {
-            flaps.add(now, half_life);
+            penalty.add(now, half_life);
         }
-        flaps
+        penalty
     }
 
     /// Tells the fleet what an announcement changed.
-    fn publish(
+    fn publish_record(
         &mut self,
         id: EndpointId,
         announce: &AnnounceWire,
         address: SocketAddr,
         now: ClockTime,
     ) {
-        self.count_return(id, now);
+        self.count_endpoint_return(id, now);
         let Some(claim) = self.claims.get(&id) else {
             return;
         };
         let known = self.endpoints.get(id);
-        let record = self.record_from(claim, announce, address, now);
-        if known.is_some_and(|known| known.record.same_facts(&record)) {
+        let record = self.build_record(claim, announce, address, now);
+        if known.is_some_and(|known| known.record.same_metadata(&record)) {
             self.publish_load(id, now);
             return;
         }
         // Restarts of a flapping endpoint are told together, not one by one.
-        let pause = self.settings.min_load_interval * DAMPED_SPACINGS;
-        let held_back =
-            |known: &EndpointEntry| known.record.damped && now.since(known.changed) < pause;
-        if record.damped && !announce.leaving && known.is_some_and(held_back) {
+        let min_interval = self.settings.min_load_interval * DAMPED_INTERVAL_FACTOR;
+        let is_delayed = |known: &EndpointEntry| {
+            known.record.damped && now.since(known.updated_at) < min_interval
+        };
+        if record.damped && !announce.leaving && known.is_some_and(is_delayed) {
             return;
         }
         if let Some(claim) = self.claims.get_mut(&id) {
             claim.published = true;
-            claim.load_told = now;
+            claim.load_published_at = now;
         }
         self.change_endpoint(record, None, now);
     }
 
     /// Counts the return of an endpoint that this node had taken for gone.
-    fn count_return(&mut self, id: EndpointId, now: ClockTime) {
+    fn count_endpoint_return(&mut self, id: EndpointId, now: ClockTime) {
         let Some(record) = self.endpoints.record(id) else {
             return;
         };
@@ -163,12 +168,12 @@
             && record.incarnation == claim.incarnation
             && claim.published
         {
-            claim.flaps.add(now, half_life);
+            claim.penalty.add(now, half_life);
         }
     }
 
     /// The record that an announcement amounts to.
-    fn record_from(
+    fn build_record(
         &self,
         claim: &HomeClaim,
         announce: &AnnounceWire,
@@ -181,8 +186,8 @@
             .endpoints
             .record(id)
             .is_some_and(|record| record.damped);
-        let flaps = claim.flaps.at_time(now, settings.flap_half_life);
-        let limit = if was_damped {
+        let penalty = claim.penalty.decayed(now, settings.flap_half_life);
+        let threshold = if was_damped {
             settings.flap_reuse_threshold
         } else {
             settings.flap_suppress_threshold
@@ -207,8 +212,8 @@
             home_epoch: announce.home_epoch,
             home: self.own,
             presence,
-            damped: flaps >= limit,
-            flaps: claim.flaps.quarters(now, settings.flap_half_life),
+            damped: penalty >= threshold,
+            flaps: claim.penalty.quarters(now, settings.flap_half_life),
             load: CoarseLoad::new(&announce.load, announce.capacity),
             load_sequence: announce.sequence,
         }
@@ -223,10 +228,10 @@
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
         };
-        if !claim.load_is_news(record.load, record.capacity, now, spacing) {
+        if !claim.should_publish_load(record.load, record.capacity, now, spacing) {
             return;
         }
-        claim.load_told = now;
+        claim.load_published_at = now;
         let load = LoadUpdate {
             incarnation: record.incarnation as u8,
             sequence: claim.sequence,
@@ -234,7 +239,7 @@
         };
         if self.endpoints.put_load(id, &load) {
             self.stats.load_updates_published += 1;
-            self.spread(NewsKey::Load(id), NewsClass::Load, None);
+            self.broadcast(UpdateKey::Load(id), UpdatePriority::Load, None);
             self.actions.push(GossipAction::EndpointLoadChanged(id));
         }
     }
--- a/crates/ragwortroad_membership/src/table/blobs.rs
+++ b/crates/ragwortroad_membership/src/table/blobs.rs
@@ -6,8 +6,8 @@
     GossipAction,
     MembershipTable,
     blob_table::BlobEntry,
-    pending_queue::NewsClass,
-    record_key::NewsKey,
+    pending_queue::UpdatePriority,
+    record_key::UpdateKey,
     wire::wire_item::BlobItem, //
 };
 
@@ -15,11 +15,11 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct OwnBlob {
     /// Content that did not go out yet.
-    waiting: Option<Vec<u8>>,
+    unpublished: Option<Vec<u8>>,
     /// Versions so far.
     version: u64,
     /// When the last version went out.
-    spread: Option<ClockTime>,
+    published_at: Option<ClockTime>,
 }
 
 impl MembershipTable {
@@ -30,9 +30,9 @@
             return false;
         }
         let blob = self.own_blobs.entry(kind).or_default();
-        let told = self.blobs.get(self.own, kind);
-        let same = told.is_some_and(|entry| entry.bytes == bytes);
-        blob.waiting = (!same).then_some(bytes);
+        let current = self.blobs.get(self.own, kind);
+        let unchanged = current.is_some_and(|entry| entry.bytes == bytes);
+        blob.unpublished = (!unchanged).then_some(bytes);
         true
     }
 
@@ -42,44 +42,44 @@
     }
 
     /// Sends own blobs whose spacing has passed.
-    pub(super) fn spread_blobs(&mut self, now: ClockTime) {
+    pub(super) fn publish_blobs(&mut self, now: ClockTime) {
         let spacing = self.settings.min_blob_interval;
         let incarnation = self.own_incarnation();
         let mut due = Vec::new();
         for (kind, blob) in &mut self.own_blobs {
-            let recent = blob.spread.is_some_and(|at| now.since(at) < spacing);
+            let recent = blob.published_at.is_some_and(|at| now.since(at) < spacing);
             if recent {
                 continue;
             }
-            if let Some(bytes) = blob.waiting.take() {
+            if let Some(bytes) = blob.unpublished.take() {
                 blob.version += 1;
-                blob.spread = Some(now);
+                blob.published_at = Some(now);
                 let version = (incarnation, blob.version);
                 due.push((*kind, BlobEntry { version, bytes }));
             }
         }
         for (kind, entry) in due {
             self.blobs.put(self.own, kind, entry);
-            self.spread(NewsKey::Blob(self.own, kind), NewsClass::Blob, None);
+            self.broadcast(UpdateKey::Blob(self.own, kind), UpdatePriority::Blob, None);
         }
     }
 
     /// Takes another node's blob.
-    pub(super) fn learn_blob(&mut self, from: NodeId, item: BlobItem) {
+    pub(super) fn merge_blob(&mut self, from: NodeId, item: BlobItem) {
         let node = NodeId(item.node);
         let present = self.nodes.state(node).is_present();
-        let small = item.bytes.len() <= self.settings.max_blob_bytes;
-        if node == self.own || !present || !small {
+        let fits = item.bytes.len() <= self.settings.max_blob_bytes;
+        if node == self.own || !present || !fits {
             return;
         }
-        let key = NewsKey::Blob(node, item.kind);
+        let key = UpdateKey::Blob(node, item.kind);
         let version = (item.incarnation, item.version);
         let entry = BlobEntry {
             version,
             bytes: item.bytes,
         };
         if self.blobs.put(node, item.kind, entry) {
-            self.spread(key, NewsClass::Blob, Some(from));
+            self.broadcast(key, UpdatePriority::Blob, Some(from));
             self.actions.push(GossipAction::BlobChanged {
                 node,
                 kind: item.kind,
@@ -87,7 +87,7 @@
         } else if let Some(link) = self.links.get_mut(&from) {
             let known = self.blobs.get(node, item.kind);
             if known.is_some_and(|entry| entry.version == version) {
-                link.pending.take_back(key);
+                link.pending.cancel(key);
             }
         }
     }
--- a/crates/ragwortroad_membership/src/table/endpoint_news.rs
+++ b/crates/ragwortroad_membership/src/table/endpoint_updates.rs
@@ -7,31 +7,31 @@
     EndpointRecord,
     GossipAction,
     MembershipTable,
-    pending_queue::NewsClass,
+    pending_queue::UpdatePriority,
     record_key::{
-        NewsKey,
         RecordKey, //
+        UpdateKey,
     },
     sync_digest::version_hash, //
 };
 
 impl MembershipTable {
     /// Takes what `from` says of an endpoint.
-    pub(super) fn learn_endpoint(&mut self, record: EndpointRecord, from: NodeId, now: ClockTime) {
+    pub(super) fn merge_endpoint(&mut self, record: EndpointRecord, from: NodeId, now: ClockTime) {
         let id = record.id;
         match self.endpoints.record(id) {
             // What is gone and unknown stays unknown, or nobody would ever forget it.
             None if record.presence == EndpointPresence::Gone => return,
             Some(known) if known.version() >= record.version() => {
-                let same = known.version() == record.version();
-                if same && let Some(link) = self.links.get_mut(&from) {
-                    link.pending.take_back(NewsKey::Endpoint(id));
+                let same_version = known.version() == record.version();
+                if same_version && let Some(link) = self.links.get_mut(&from) {
+                    link.pending.cancel(UpdateKey::Endpoint(id));
                 }
                 return;
             }
             _ => {}
         }
-        self.yield_claim(&record);
+        self.end_superseded_claim(&record);
         self.change_endpoint(record, Some(from), now);
     }
 
@@ -46,16 +46,16 @@
         let presence = record.presence;
         let key = RecordKey::Endpoint(id);
         let parts = [record.incarnation, record.sequence, presence as u64];
-        let there = presence != EndpointPresence::Gone;
+        let is_present = presence != EndpointPresence::Gone;
         self.digest
-            .set(key, there.then(|| version_hash(key, parts)));
+            .set(key, is_present.then(|| version_hash(key, parts)));
         self.endpoints.put(record, now);
-        let class = match presence {
-            EndpointPresence::Leaving | EndpointPresence::Released => NewsClass::Urgent,
-            EndpointPresence::Present | EndpointPresence::Gone => NewsClass::Prompt,
+        let priority = match presence {
+            EndpointPresence::Leaving | EndpointPresence::Released => UpdatePriority::Urgent,
+            EndpointPresence::Present | EndpointPresence::Gone => UpdatePriority::Normal,
         };
-        self.spread(NewsKey::Endpoint(id), class, from);
-        self.actions.push(if there {
+        self.broadcast(UpdateKey::Endpoint(id), priority, from);
+        self.actions.push(if is_present {
             GossipAction::EndpointChanged(id)
         } else {
             GossipAction::EndpointGone(id)
--- a/crates/ragwortroad_membership/src/table/home_wishes.rs
+++ b/crates/ragwortroad_membership/src/table/home_placement.rs
@@ -8,22 +8,22 @@
     HomeState,
     MembershipTable,
     NodeState,
-    home_choice::{
+    home_selector::{
         HomeCandidate,
-        HomeChoice, //
+        HomeSelector, //
     }, //
 };
 
 /// Nodes that an endpoint is told of.
-const ADDRESSES: usize = 4;
+const MAX_ANNOUNCE_ADDRESSES: usize = 4;
 /// Time until the next announcement that is wanted of an endpoint which has yet to confirm its
 /// home, or must turn to another one.
-const QUICK_ANNOUNCE: Duration = Duration::from_millis(100);
+const FAST_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl MembershipTable {
     /// The node that should be home to `endpoint` in `zone`: the present home as long as it suits.
     pub fn preferred_home(&self, endpoint: EndpointId, zone: &str, now: ClockTime) -> NodeId {
-        self.wanted_homes(endpoint, zone, now)
+        self.ranked_homes(endpoint, zone, now)
             .first()
             .copied()
             .unwrap_or(self.own)
@@ -36,48 +36,48 @@
             .endpoints
             .record(endpoint)
             .map_or("", |record| record.zone.as_str());
-        let homes = self.wanted_homes(endpoint, zone, now);
-        let stays = homes.first() == Some(&self.own);
+        let homes = self.ranked_homes(endpoint, zone, now);
+        let should_stay = homes.first() == Some(&self.own);
         let confirmed = matches!(self.home_state(endpoint, now), HomeState::Home { .. });
         let announce_to = homes
             .iter()
             .filter_map(|id| self.nodes.record(*id))
             .map(|record| record.caller_address.to_string())
             .collect();
-        let every = if stays && confirmed {
+        let interval = if should_stay && confirmed {
             self.settings.announce_interval
         } else {
-            QUICK_ANNOUNCE
+            FAST_ANNOUNCE_INTERVAL
         };
         AnnounceAnswer {
             announce_to,
-            every_ms: every.as_millis() as u64,
+            every_ms: interval.as_millis() as u64,
         }
     }
 
     /// The nodes that `endpoint` should announce itself to, best first.
-    fn wanted_homes(&self, endpoint: EndpointId, zone: &str, now: ClockTime) -> Vec<NodeId> {
-        let choice = self.home_choice(now);
-        let mut best = choice.best(endpoint, zone, ADDRESSES);
+    fn ranked_homes(&self, endpoint: EndpointId, zone: &str, now: ClockTime) -> Vec<NodeId> {
+        let selector = self.home_selector(now);
+        let mut ranked = selector.ranked_nodes(endpoint, zone, MAX_ANNOUNCE_ADDRESSES);
         let home = self.endpoints.record(endpoint).map(|record| record.home);
         let Some(home) = home else {
-            return best;
+            return ranked;
         };
-        if self.stays(endpoint, zone, home, &choice, now) {
-            best.retain(|node| *node != home);
-            best.insert(0, home);
-            best.truncate(ADDRESSES);
+        if self.should_stay(endpoint, zone, home, &selector, now) {
+            ranked.retain(|node| *node != home);
+            ranked.insert(0, home);
+            ranked.truncate(MAX_ANNOUNCE_ADDRESSES);
         }
-        best
+        ranked
     }
 
     /// Whether `endpoint` should stay with its present home.
-    fn stays(
+    fn should_stay(
         &self,
         endpoint: EndpointId,
         zone: &str,
         home: NodeId,
-        choice: &HomeChoice<'_>,
+        selector: &HomeSelector<'_>,
         now: ClockTime,
     ) -> bool {
         if self.nodes.state(home) != NodeState::Alive {
@@ -88,17 +88,17 @@
         if let Some(claim) = self.claims.get(&endpoint)
             && home == self.own
         {
-            let is_new = claim.epoch == 0 && claim.until.is_none();
+            let is_new = claim.epoch == 0 && claim.lease_end.is_none();
             if !is_new && now.since(claim.held_since) < self.settings.min_home_duration {
                 return true;
             }
         }
-        choice.suits(home, zone) && !self.is_surplus(endpoint, home, choice)
+        selector.is_suitable(home, zone) && !self.is_surplus(endpoint, home, selector)
     }
 
     /// Whether `endpoint` is among those that `home` has too many of.
-    fn is_surplus(&self, endpoint: EndpointId, home: NodeId, choice: &HomeChoice<'_>) -> bool {
-        let surplus = choice.count(home).saturating_sub(choice.cap);
+    fn is_surplus(&self, endpoint: EndpointId, home: NodeId, selector: &HomeSelector<'_>) -> bool {
+        let surplus = selector.count(home).saturating_sub(selector.max_homed);
         if surplus == 0 {
             return false;
         }
@@ -111,7 +111,7 @@
     }
 
     /// The nodes that may be home to endpoints, and how many each has.
-    fn home_choice(&self, now: ClockTime) -> HomeChoice<'_> {
+    fn home_selector(&self, now: ClockTime) -> HomeSelector<'_> {
         let candidates = self
             .nodes
             .iter()
@@ -119,10 +119,10 @@
             .map(|(node, entry)| HomeCandidate {
                 node,
                 zone: &entry.record.zone,
-                settled: now.since(entry.up_since) >= self.settings.home_min_uptime,
+                is_stable: now.since(entry.up_since) >= self.settings.home_min_uptime,
             })
             .collect();
-        HomeChoice::new(
+        HomeSelector::new(
             candidates,
             self.endpoints.home_counts(),
             self.endpoints.total(),
--- a/crates/ragwortroad_membership/src/table/homes.rs
+++ b/crates/ragwortroad_membership/src/table/homes.rs
@@ -18,7 +18,7 @@
 };
 
 /// Time between questions to a former home.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+const HANDOVER_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 impl MembershipTable {
     /// Who is home to `endpoint`.
     pub fn home_state(&self, endpoint: EndpointId, now: ClockTime) -> HomeState {
@@ -62,8 +62,8 @@
             return (if epoch == 0 { now } else { wait }, None);
         }
         if record.home_epoch + 1 != epoch {
-            let ours = epoch == 0 && record.home_epoch == 0 && record.home == self.own;
-            return (if ours { now } else { wait }, None);
+            let is_own = epoch == 0 && record.home_epoch == 0 && record.home == self.own;
+            return (if is_own { now } else { wait }, None);
         }
         if record.presence == EndpointPresence::Released {
             return (now, None);
@@ -72,23 +72,25 @@
     }
 
     /// Asks the former home whether it is done, as often as useful.
-    pub(super) fn ask_former(&mut self, id: EndpointId, now: ClockTime) {
+    pub(super) fn request_handover(&mut self, id: EndpointId, now: ClockTime) {
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
         };
-        let recently = claim.last_asked.is_some_and(|at| now.since(at) < ASK_PAUSE);
-        let settled = claim.ended || claim.exclusive_from <= now;
-        let Some(former) = claim.former.filter(|_| !recently && !settled) else {
+        let recently = claim
+            .last_handover_request
+            .is_some_and(|at| now.since(at) < HANDOVER_REQUEST_INTERVAL);
+        let is_resolved = claim.ended || claim.exclusive_from <= now;
+        let Some(previous_home) = claim.previous_home.filter(|_| !recently && !is_resolved) else {
             return;
         };
-        claim.last_asked = Some(now);
+        claim.last_handover_request = Some(now);
         let item = WireItem::HandoverAsk(HandoverAskItem {
             endpoint: id.0,
             incarnation: claim.incarnation,
             epoch: claim.epoch,
         });
-        if self.nodes.state(former).is_present() {
-            self.open_link(former, now).push_direct(item);
+        if self.nodes.state(previous_home).is_present() {
+            self.open_link(previous_home, now).push_direct(item);
         }
     }
 
@@ -118,31 +120,31 @@
     }
 
     /// Takes the former home's word.
-    pub(super) fn take_handover(&mut self, from: NodeId, item: HandoverItem, now: ClockTime) {
+    pub(super) fn handle_handover(&mut self, from: NodeId, item: HandoverItem, now: ClockTime) {
         let id = EndpointId(item.endpoint);
         let drift = self.settings.clock_drift.clamp(0.0, 0.5);
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
         };
-        let fits = claim.incarnation == item.incarnation && claim.epoch == item.epoch + 1;
-        if !fits || claim.former != Some(from) {
+        let matches_claim = claim.incarnation == item.incarnation && claim.epoch == item.epoch + 1;
+        if !matches_claim || claim.previous_home != Some(from) {
             return;
         }
-        claim.former = None;
+        claim.previous_home = None;
         // The wait was measured by a clock that may run slower than ours.
         let wait = (item.wait_ms as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as u64;
-        let safe = match wait {
+        let exclusive_from = match wait {
             0 => now,
             wait => now.after(Duration::from_millis(wait + 2)),
         };
-        if safe < claim.exclusive_from {
-            claim.exclusive_from = safe;
+        if exclusive_from < claim.exclusive_from {
+            claim.exclusive_from = exclusive_from;
             self.actions.push(GossipAction::HomeChanged(id));
         }
     }
 
     /// Gives up the home because the endpoint has turned elsewhere.
-    pub(super) fn yield_claim(&mut self, record: &EndpointRecord) {
+    pub(super) fn end_superseded_claim(&mut self, record: &EndpointRecord) {
         let Some(claim) = self.claims.get_mut(&record.id) else {
             return;
         };
@@ -165,31 +167,31 @@
             }
             claim.ended = true;
             self.actions.push(GossipAction::HomeChanged(id));
-            let vouches = claim.exclusive_from <= now;
-            self.write_end(id, EndpointPresence::Released, vouches, now);
+            let is_exclusive = claim.exclusive_from <= now;
+            self.publish_claim_end(id, EndpointPresence::Released, is_exclusive, now);
         }
     }
 
     /// Publishes the end of this node's home of `id`, if its record still is ours and `wanted`.
-    fn write_end(
+    fn publish_claim_end(
         &mut self,
         id: EndpointId,
         presence: EndpointPresence,
-        wanted: bool,
+        is_valid: bool,
         now: ClockTime,
     ) {
         let (Some(claim), Some(record)) = (self.claims.get(&id), self.endpoints.record(id)) else {
             return;
         };
-        let ours = record.home == self.own
+        let is_own = record.home == self.own
             && (record.incarnation, record.home_epoch) == (claim.incarnation, claim.epoch);
         let leaving =
             record.presence == EndpointPresence::Leaving && presence == EndpointPresence::Released;
-        if wanted && ours && !leaving {
+        if is_valid && is_own && !leaving {
             let record = EndpointRecord {
                 presence,
                 sequence: claim.sequence.max(record.sequence),
-                flaps: claim.flaps.quarters(now, self.settings.flap_half_life),
+                flaps: claim.penalty.quarters(now, self.settings.flap_half_life),
                 ..record.clone()
             };
             self.change_endpoint(record, None, now);
@@ -197,34 +199,34 @@
     }
 
     /// Asks former homes, and ends claims of silent endpoints.
-    pub(super) fn tend_claims(&mut self, now: ClockTime) {
+    pub(super) fn update_claims(&mut self, now: ClockTime) {
         let ids: Vec<EndpointId> = self.claims.keys().copied().collect();
         for id in ids {
-            self.ask_former(id, now);
-            self.end_if_silent(id, now);
+            self.request_handover(id, now);
+            self.expire_silent_endpoint(id, now);
         }
     }
 
     /// Takes an endpoint for gone that has fallen silent.
-    fn end_if_silent(&mut self, id: EndpointId, now: ClockTime) {
+    fn expire_silent_endpoint(&mut self, id: EndpointId, now: ClockTime) {
         let Some(claim) = self.claims.get(&id) else {
             return;
         };
-        if claim.ended || now.since(claim.answered) < self.settings.endpoint_timeout {
+        if claim.ended || now.since(claim.answered_at) < self.settings.endpoint_timeout {
             return;
         }
         let record = self.endpoints.record(id);
         if record.is_some_and(|record| record.presence != EndpointPresence::Gone) {
-            self.write_end(id, EndpointPresence::Gone, true, now);
+            self.publish_claim_end(id, EndpointPresence::Gone, true, now);
         }
     }
 
     /// Takes endpoints for gone that name this node as home but never announced themselves to
     /// this process.
-    pub(super) fn bury_orphans(&mut self, now: ClockTime) {
-        let patience = self.settings.endpoint_timeout;
-        let young = self.started.is_none_or(|at| now.since(at) < patience);
-        if young {
+    pub(super) fn expire_orphans(&mut self, now: ClockTime) {
+        let timeout = self.settings.endpoint_timeout;
+        let in_startup = self.started.is_none_or(|at| now.since(at) < timeout);
+        if in_startup {
             return;
         }
         let orphans: Vec<EndpointRecord> = self
@@ -233,7 +235,7 @@
             .filter(|(id, _)| !self.claims.contains_key(id))
             .filter(|(_, entry)| entry.record.home == self.own)
             .filter(|(_, entry)| entry.record.presence != EndpointPresence::Gone)
-            .filter(|(_, entry)| now.since(entry.changed) >= patience)
+            .filter(|(_, entry)| now.since(entry.updated_at) >= timeout)
             .map(|(_, entry)| entry.record.clone())
             .collect();
         for record in orphans {
--- a/crates/ragwortroad_membership/src/table/links.rs
+++ b/crates/ragwortroad_membership/src/table/links.rs
@@ -8,26 +8,26 @@
     GossipAction,
     MembershipTable,
     peer_link::{
-        FlightPacket,
         PeerLink, //
+        SentPacket,
     },
-    pending_queue::NewsClass,
-    record_key::NewsKey,
+    pending_queue::UpdatePriority,
+    record_key::UpdateKey,
     wire::{
-        packet_head::PacketHead,
+        packet_header::PacketHeader,
         packet_reader::encode,
         wire_item::WireItem, //
     }, //
 };
 
 /// Shortest time between packets to one peer that hold nothing urgent.
-const PROMPT_PAUSE: Duration = Duration::from_millis(100);
+const MIN_PACKET_INTERVAL: Duration = Duration::from_millis(100);
 /// Loads that are worth a packet before the next heartbeat.
-const LOADS_WORTH_SENDING: usize = 32;
+const MIN_LOAD_BATCH: usize = 32;
 /// Packets to one peer at once.
-const MOST_PACKETS: usize = 16;
+const MAX_PACKETS_PER_FLUSH: usize = 16;
 /// Unacknowledged packets to one peer beyond which only urgent news goes out.
-const MOST_IN_FLIGHT: usize = 64;
+const MAX_IN_FLIGHT: usize = 64;
 /// Acknowledgements in one packet.
 const ACKS_PER_PACKET: usize = 32;
 
@@ -38,10 +38,15 @@
     }
 
     /// Tells all neighbours but `except` of something.
-    pub(super) fn spread(&mut self, key: NewsKey, class: NewsClass, except: Option<NodeId>) {
+    pub(super) fn broadcast(
+        &mut self,
+        key: UpdateKey,
+        priority: UpdatePriority,
+        except: Option<NodeId>,
+    ) {
         for (peer, link) in &mut self.links {
-            if link.neighbour && Some(*peer) != except {
-                link.pending.push(class, key);
+            if link.is_neighbour && Some(*peer) != except {
+                link.pending.push(priority, key);
             }
         }
     }
@@ -51,13 +56,13 @@
         let settings = &self.settings;
         for link in self.links.values_mut() {
             // A peer that has been silent gets less, lest one broken way eats the budget.
-            let patience = if link.silence(now) > settings.probe_after {
+            let backoff_factor = if link.silence(now) > settings.probe_after {
                 4
             } else {
                 1
             };
-            let normal = settings.resend_after * patience;
-            let urgent = settings.resend_urgent_after * patience;
+            let normal = settings.resend_after * backoff_factor;
+            let urgent = settings.resend_urgent_after * backoff_factor;
             link.requeue_lost(now, normal, urgent);
         }
     }
@@ -68,11 +73,11 @@
         let mut peers: Vec<NodeId> = self.links.keys().copied().collect();
         if !peers.is_empty() {
             // Whoever comes first gets what is left of the budget, so each does in turn.
-            self.turn = (self.turn + 1) % peers.len();
-            peers.rotate_left(self.turn);
+            self.round_robin_start = (self.round_robin_start + 1) % peers.len();
+            peers.rotate_left(self.round_robin_start);
         }
         for peer in peers {
-            for _ in 0..MOST_PACKETS {
+            for _ in 0..MAX_PACKETS_PER_FLUSH {
                 if !self.is_due(peer, now) || !self.send_packet(peer, now) {
                     break;
                 }
@@ -85,19 +90,21 @@
         let Some(link) = self.links.get(&peer) else {
             return false;
         };
-        let urgent = link.pending.count(NewsClass::Urgent) > 0;
+        let urgent = link.pending.count(UpdatePriority::Urgent) > 0;
         let answer = link.ack_due.is_some_and(|due| due <= now);
-        if urgent || answer || link.asking || !link.direct.is_empty() {
+        if urgent || answer || link.probe_due || !link.direct_items.is_empty() {
             return true;
         }
-        let pause = link.last_sent.map_or(Duration::MAX, |sent| now.since(sent));
-        if link.neighbour && pause >= self.settings.heartbeat_interval {
+        let since_last_sent = link
+            .last_sent
+            .map_or(Duration::MAX, |sent_at| now.since(sent_at));
+        if link.is_neighbour && since_last_sent >= self.settings.heartbeat_interval {
             return true;
         }
-        let prompt = link.pending.count(NewsClass::Prompt) > 0;
-        let loads = link.pending.count(NewsClass::Load) >= LOADS_WORTH_SENDING;
-        let room = self.budget.has_left() && link.in_flight.len() < MOST_IN_FLIGHT;
-        pause >= PROMPT_PAUSE && room && (prompt || loads)
+        let prompt = link.pending.count(UpdatePriority::Normal) > 0;
+        let loads = link.pending.count(UpdatePriority::Load) >= MIN_LOAD_BATCH;
+        let room = self.budget.has_available() && link.in_flight.len() < MAX_IN_FLIGHT;
+        since_last_sent >= MIN_PACKET_INTERVAL && room && (prompt || loads)
     }
 
     /// Sends one packet to `peer`; whether its address is known.
@@ -141,95 +148,97 @@
             .settings
             .max_packet_bytes
             .saturating_sub(32 + 5 * ACKS_PER_PACKET.min(link.acks.len()));
-        if !link.met
+        if !link.peer_knows_us
             && let Some(own) = self.nodes.record(self.own)
         {
             body = encode(&WireItem::Node(own.into()));
         }
         self.fill_direct(link, &mut body, room);
-        let news = self.fill_news(link, &mut body, room, now);
-        let urgent = news.iter().any(|(class, _)| *class == NewsClass::Urgent);
+        let updates = self.fill_updates(link, &mut body, room, now);
+        let urgent = updates
+            .iter()
+            .any(|(priority, _)| *priority == UpdatePriority::Urgent);
         let mut sequence = 0;
-        if !news.is_empty() {
+        if !updates.is_empty() {
             link.sequence += 1;
             sequence = link.sequence;
-            link.in_flight.push_back(FlightPacket {
+            link.in_flight.push_back(SentPacket {
                 sequence,
-                sent: now,
+                sent_at: now,
                 urgent,
-                news,
+                updates,
             });
         }
         let acked = link.acks.len().min(ACKS_PER_PACKET);
-        let head = PacketHead {
+        let header = PacketHeader {
             session: self.session,
             to_session: link.session.unwrap_or(0),
             sequence,
-            urgent: urgent || link.asking,
+            urgent: urgent || link.probe_due,
             acks: link.acks.drain(..acked).collect(),
             root: self.digest.root(),
         };
         if link.acks.is_empty() {
             link.ack_due = None;
         }
-        if link.asking {
-            link.asking = false;
-            link.last_asked = Some(now);
+        if link.probe_due {
+            link.probe_due = false;
+            link.last_probe = Some(now);
         }
         link.last_sent = Some(now);
-        let mut bytes = encode(&head);
+        let mut bytes = encode(&header);
         bytes.extend_from_slice(&body);
         bytes
     }
 
     /// Adds questions and answers; the first one always, however large it is.
     fn fill_direct(&mut self, link: &mut PeerLink, body: &mut Vec<u8>, room: usize) {
-        while let Some(item) = link.direct.front() {
+        while let Some(item) = link.direct_items.front() {
             let bytes = encode(item);
             if !body.is_empty() && body.len() + bytes.len() > room {
                 return;
             }
             self.stats.direct_bytes += bytes.len() as u64;
             body.extend_from_slice(&bytes);
-            link.direct.pop_front();
+            link.direct_items.pop_front();
         }
     }
 
     /// Adds news, the most urgent first, as far as room and budget allow.
-    fn fill_news(
+    fn fill_updates(
         &mut self,
         link: &mut PeerLink,
         body: &mut Vec<u8>,
         room: usize,
         now: ClockTime,
-    ) -> Vec<(NewsClass, NewsKey)> {
-        let mut news = Vec::new();
-        let generous = self.budget.has_left() && link.in_flight.len() < MOST_IN_FLIGHT;
-        let classes: &[NewsClass] = if generous {
+    ) -> Vec<(UpdatePriority, UpdateKey)> {
+        let mut updates = Vec::new();
+        let within_budget = self.budget.has_available() && link.in_flight.len() < MAX_IN_FLIGHT;
+        let priorities: &[UpdatePriority] = if within_budget {
             &[
-                NewsClass::Urgent,
-                NewsClass::Prompt,
-                NewsClass::Load,
-                NewsClass::Blob,
+                UpdatePriority::Urgent,
+                UpdatePriority::Normal,
+                UpdatePriority::Load,
+                UpdatePriority::Blob,
             ]
         } else {
-            &[NewsClass::Urgent]
+            &[UpdatePriority::Urgent]
         };
-        for class in classes.iter().copied() {
-            while let Some(key) = link.pending.pop(class) {
-                let Some(item) = self.item(key, now) else {
+        for priority in priorities.iter().copied() {
+            while let Some(key) = link.pending.pop(priority) {
+                let Some(item) = self.update_item(key, now) else {
                     continue;
                 };
                 let bytes = encode(&item);
                 if !body.is_empty() && body.len() + bytes.len() > room {
-                    link.pending.push_front(class, key);
-                    return news;
+                    link.pending.push_front(priority, key);
+                    return updates;
                 }
-                self.count_news(key, bytes.len());
+                self.count_update_bytes(key, bytes.len());
                 body.extend_from_slice(&bytes);
-                news.push((class, key));
+                updates.push((priority, key));
             }
         }
-        news
+        updates
     }
 }
--- a/crates/ragwortroad_membership/src/table/mod.rs
+++ b/crates/ragwortroad_membership/src/table/mod.rs
@@ -2,17 +2,17 @@
 
 mod announcements;
 mod blobs;
-mod endpoint_news;
-mod home_wishes;
+mod endpoint_updates;
+mod home_placement;
 mod homes;
 mod links;
 pub(crate) mod membership_stats;
-mod news_items;
-mod node_news;
+mod node_updates;
 mod packets;
 mod probes;
 mod queries;
 mod sync;
+mod update_items;
 
 use std::{
     collections::BTreeMap,
@@ -43,7 +43,7 @@
 };
 
 /// Time between looking through all records.
-const CHORES_PAUSE: Duration = Duration::from_secs(1);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One node's view of all nodes and endpoints.
 ///
@@ -79,7 +79,7 @@
     /// Bytes left to spend.
     budget: ByteBudget,
     /// Which peer is served first, by its place among the links.
-    turn: usize,
+    round_robin_start: usize,
     /// Seeded randomness.
     rng: Pcg64Mcg,
     /// State of the node table for which neighbours were last chosen.
@@ -87,11 +87,11 @@
     /// When neighbours were last chosen.
     ring_chosen: ClockTime,
     /// When a node that is down, or a seed, was last called.
-    last_revive: ClockTime,
+    last_reconnect: ClockTime,
     /// When a random live node was last called.
-    last_stray: ClockTime,
+    last_random_contact: ClockTime,
     /// When all records were last looked through.
-    last_chores: ClockTime,
+    last_maintenance: ClockTime,
     /// Counters.
     stats: MembershipStats,
     /// Actions of the input at hand.
@@ -120,13 +120,13 @@
             digest: SyncDigest::default(),
             claims: BTreeMap::new(),
             budget: ByteBudget::new(settings.bytes_per_second, settings.burst_bytes),
-            turn: 0,
+            round_robin_start: 0,
             rng,
             ring_generation: None,
             ring_chosen: ClockTime::ZERO,
-            last_revive: ClockTime::ZERO,
-            last_stray: ClockTime::ZERO,
-            last_chores: ClockTime::ZERO,
+            last_reconnect: ClockTime::ZERO,
+            last_random_contact: ClockTime::ZERO,
+            last_maintenance: ClockTime::ZERO,
             stats: MembershipStats::default(),
             actions: Vec::new(),
             settings,
@@ -142,9 +142,9 @@
         }
         match input {
             GossipInput::Tick => self.tick(now),
-            GossipInput::Packet { from, bytes } => self.take_packet(from, &bytes, now),
-            GossipInput::Announce(announce) => self.take_announce(&announce, now),
-            GossipInput::LeaveStarted => self.leave(now),
+            GossipInput::Packet { from, bytes } => self.handle_packet(from, &bytes, now),
+            GossipInput::Announce(announce) => self.handle_announcement(&announce, now),
+            GossipInput::LeaveStarted => self.start_leaving(now),
         }
         self.flush(now);
         std::mem::take(&mut self.actions)
@@ -153,8 +153,8 @@
     /// Sets everything that counts from the first input.
     fn start(&mut self, now: ClockTime) {
         self.started = Some(now);
-        self.last_stray = now;
-        self.last_revive = now;
+        self.last_random_contact = now;
+        self.last_reconnect = now;
         self.budget.refill(now);
         if let Some(record) = self.nodes.record(self.own).cloned() {
             self.nodes.remove(self.own);
@@ -165,17 +165,17 @@
     /// Does everything that time alone brings about.
     fn tick(&mut self, now: ClockTime) {
         self.choose_neighbours(now);
-        self.watch_neighbours(now);
-        self.judge_suspects(now);
-        self.call_strangers(now);
+        self.probe_silent_neighbours(now);
+        self.expire_suspicions(now);
+        self.contact_non_neighbours(now);
         self.requeue_lost(now);
         self.start_syncs(now);
-        self.tend_claims(now);
-        self.spread_blobs(now);
-        if now.since(self.last_chores) >= CHORES_PAUSE {
-            self.last_chores = now;
-            self.bury_orphans(now);
-            self.forget_old(now);
+        self.update_claims(now);
+        self.publish_blobs(now);
+        if now.since(self.last_maintenance) >= MAINTENANCE_INTERVAL {
+            self.last_maintenance = now;
+            self.expire_orphans(now);
+            self.remove_expired(now);
         }
     }
 }
--- a/crates/ragwortroad_membership/src/table/node_news.rs
+++ b/crates/ragwortroad_membership/src/table/node_updates.rs
@@ -8,10 +8,10 @@
     MembershipTable,
     NodeRecord,
     NodeState,
-    pending_queue::NewsClass,
+    pending_queue::UpdatePriority,
     record_key::{
-        NewsKey,
         RecordKey, //
+        UpdateKey,
     },
     sync_digest::version_hash, //
 };
@@ -29,10 +29,10 @@
     }
 
     /// Takes what `from` says of a node.
-    pub(super) fn learn_node(&mut self, record: NodeRecord, from: NodeId, now: ClockTime) {
+    pub(super) fn merge_node(&mut self, record: NodeRecord, from: NodeId, now: ClockTime) {
         let id = record.id();
         if id == self.own {
-            self.speak_up(&record, now);
+            self.refute(&record, now);
             return;
         }
         let Some(known) = self.nodes.record(id) else {
@@ -43,9 +43,10 @@
             return;
         };
         if !known.is_older_than(record.incarnation, record.state) {
-            let same = known.incarnation == record.incarnation && known.state == record.state;
-            if same && let Some(link) = self.links.get_mut(&from) {
-                link.pending.take_back(NewsKey::Node(id));
+            let same_version =
+                known.incarnation == record.incarnation && known.state == record.state;
+            if same_version && let Some(link) = self.links.get_mut(&from) {
+                link.pending.cancel(UpdateKey::Node(id));
             }
             return;
         }
@@ -64,50 +65,55 @@
     }
 
     /// Answers news of this node that is newer than what it says of itself.
-    fn speak_up(&mut self, news: &NodeRecord, now: ClockTime) {
+    fn refute(&mut self, reported: &NodeRecord, now: ClockTime) {
         let Some(own) = self.nodes.record(self.own).cloned() else {
             return;
         };
-        if !own.is_older_than(news.incarnation, news.state) {
+        if !own.is_older_than(reported.incarnation, reported.state) {
             return;
         }
         self.stats.refutations += 1;
         let record = NodeRecord {
-            incarnation: news.incarnation + 1,
+            incarnation: reported.incarnation + 1,
             ..own
         };
         self.put_node(record, now);
-        self.spread(NewsKey::Node(self.own), NewsClass::Urgent, None);
+        self.broadcast(UpdateKey::Node(self.own), UpdatePriority::Urgent, None);
     }
 
     /// Puts changed news of another node in place, tells the neighbours and the owner.
     pub(super) fn change_node(&mut self, record: NodeRecord, from: Option<NodeId>, now: ClockTime) {
         let id = record.id();
-        let former = self.nodes.record(id).map(|known| known.state);
+        let previous_state = self.nodes.record(id).map(|known| known.state);
         let state = record.state;
         self.put_node(record, now);
-        let class = match (former, state) {
-            (_, NodeState::Suspected | NodeState::Leaving) => NewsClass::Urgent,
-            (Some(NodeState::Suspected), NodeState::Alive) => NewsClass::Urgent,
-            _ => NewsClass::Prompt,
+        let priority = match (previous_state, state) {
+            (_, NodeState::Suspected | NodeState::Leaving) => UpdatePriority::Urgent,
+            (Some(NodeState::Suspected), NodeState::Alive) => UpdatePriority::Urgent,
+            _ => UpdatePriority::Normal,
         };
         // Everybody who suspects a node takes it for down by itself, in its own time.
-        let own_verdict = former == Some(NodeState::Suspected) && state == NodeState::Down;
-        if !own_verdict {
-            self.spread(NewsKey::Node(id), class, from);
+        let own_timeout = previous_state == Some(NodeState::Suspected) && state == NodeState::Down;
+        if !own_timeout {
+            self.broadcast(UpdateKey::Node(id), priority, from);
         }
-        self.report_node(id, former, state);
+        self.report_node_state(id, previous_state, state);
         if state == NodeState::Down {
-            self.drop_node(id);
+            self.remove_node(id);
         }
     }
 
     /// Tells the owner of a node's change of state.
-    fn report_node(&mut self, id: NodeId, former: Option<NodeState>, state: NodeState) {
-        if former == Some(state) {
+    fn report_node_state(
+        &mut self,
+        id: NodeId,
+        previous_state: Option<NodeState>,
+        state: NodeState,
+    ) {
+        if previous_state == Some(state) {
             return;
         }
-        let was_absent = !former.is_some_and(NodeState::is_present);
+        let was_absent = !previous_state.is_some_and(NodeState::is_present);
         if was_absent && state.is_present() {
             self.actions.push(GossipAction::NodeUp(id));
             self.report_endpoints_of(id, GossipAction::EndpointChanged);
@@ -122,9 +128,9 @@
     }
 
     /// Ends what depends on a node that is down.
-    fn drop_node(&mut self, id: NodeId) {
+    fn remove_node(&mut self, id: NodeId) {
         self.links.remove(&id);
-        self.blobs.drop_node(id);
+        self.blobs.remove_node(id);
         self.report_endpoints_of(id, GossipAction::EndpointGone);
     }
 
@@ -135,24 +141,26 @@
     }
 
     /// Takes suspected nodes for down that did not speak up in time.
-    pub(super) fn judge_suspects(&mut self, now: ClockTime) {
+    pub(super) fn expire_suspicions(&mut self, now: ClockTime) {
         if !self.nodes.has_suspects() {
             return;
         }
-        let patience = self.settings.suspicion_among(self.nodes.present_count());
-        let heard_lately = |id: &NodeId| {
+        let timeout = self
+            .settings
+            .suspicion_timeout_for(self.nodes.present_count());
+        let heard_recently = |id: &NodeId| {
             let link = self.links.get(id);
             link.is_some_and(|link| link.silence(now) < self.settings.probe_after)
         };
-        let late: Vec<NodeRecord> = self
+        let expired: Vec<NodeRecord> = self
             .nodes
             .iter()
             .filter(|(_, entry)| entry.record.state == NodeState::Suspected)
-            .filter(|(_, entry)| now.since(entry.state_since) >= patience)
-            .filter(|(id, _)| !heard_lately(id))
+            .filter(|(_, entry)| now.since(entry.state_since) >= timeout)
+            .filter(|(id, _)| !heard_recently(id))
             .map(|(_, entry)| entry.record.clone())
             .collect();
-        for record in late {
+        for record in expired {
             let record = NodeRecord {
                 state: NodeState::Down,
                 ..record
@@ -162,7 +170,7 @@
     }
 
     /// Says that this node is shutting down, and gives up its endpoints.
-    pub(super) fn leave(&mut self, now: ClockTime) {
+    pub(super) fn start_leaving(&mut self, now: ClockTime) {
         let Some(own) = self.nodes.record(self.own).cloned() else {
             return;
         };
@@ -172,12 +180,12 @@
             ..own
         };
         self.put_node(record, now);
-        self.spread(NewsKey::Node(self.own), NewsClass::Urgent, None);
+        self.broadcast(UpdateKey::Node(self.own), UpdatePriority::Urgent, None);
         self.release_claims(now);
     }
 
     /// Forgets nodes and endpoints that have been away for long.
-    pub(super) fn forget_old(&mut self, now: ClockTime) {
+    pub(super) fn remove_expired(&mut self, now: ClockTime) {
         let settings = &self.settings;
         let nodes: Vec<NodeId> = self
             .nodes
@@ -193,7 +201,7 @@
                 let gone = entry.record.presence == EndpointPresence::Gone;
                 gone || !self.nodes.state(entry.record.home).is_present()
             })
-            .filter(|(_, entry)| now.since(entry.changed) >= settings.forget_endpoint_after)
+            .filter(|(_, entry)| now.since(entry.updated_at) >= settings.forget_endpoint_after)
             .map(|(id, _)| id)
             .collect();
         for id in nodes {
--- a/crates/ragwortroad_membership/src/table/probes.rs
+++ b/crates/ragwortroad_membership/src/table/probes.rs
@@ -20,23 +20,23 @@
 };
 
 /// Time after which neighbours are chosen anew even if no node changed.
-const RING_TIME: Duration = Duration::from_secs(5);
+const RING_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 /// Time after which a link that is no neighbour's and is not used is closed.
-const IDLE_LINK: Duration = Duration::from_secs(10);
+const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for which a node with a broken direct way is no neighbour.
-const AVOID_TIME: Duration = Duration::from_secs(30);
+const AVOID_DURATION: Duration = Duration::from_secs(30);
 /// Time between calls to absent seeds while this node is new or knows nobody.
-const SEED_PAUSE: Duration = Duration::from_secs(1);
+const SEED_CONTACT_INTERVAL: Duration = Duration::from_secs(1);
 /// Time for which a node is new.
-const JOIN_TIME: Duration = Duration::from_secs(20);
+const JOIN_PERIOD: Duration = Duration::from_secs(20);
 /// Time between questions to a silent neighbour.
-const ASK_PAUSE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl MembershipTable {
     /// Chooses the neighbours from the nodes that are present.
     pub(super) fn choose_neighbours(&mut self, now: ClockTime) {
         let unchanged = self.ring_generation == Some(self.nodes.generation);
-        if unchanged && now.since(self.ring_chosen) < RING_TIME {
+        if unchanged && now.since(self.ring_chosen) < RING_REFRESH_INTERVAL {
             return;
         }
         self.ring_generation = Some(self.nodes.generation);
@@ -55,40 +55,40 @@
             .filter(|(id, _)| !avoided(id))
             .map(|(id, entry)| (id, &entry.record))
             .collect();
-        let chosen = neighbours(own, &present, self.settings.rings);
-        for peer in &chosen {
+        let selected = neighbours(own, &present, self.settings.rings);
+        for peer in &selected {
             let link = self.open_link(*peer, now);
-            if link.neighbour {
+            if link.is_neighbour {
                 continue;
             }
-            link.neighbour = true;
+            link.is_neighbour = true;
             link.since = now;
         }
         for (peer, link) in &mut self.links {
-            if link.neighbour && !chosen.contains(peer) {
-                link.neighbour = false;
+            if link.is_neighbour && !selected.contains(peer) {
+                link.is_neighbour = false;
                 link.pending.clear();
                 link.in_flight.clear();
             }
         }
         self.links.retain(|_, link| {
-            link.neighbour || link.idle(now) < IDLE_LINK || link.avoid_until > now
+            link.is_neighbour || link.idle(now) < LINK_IDLE_TIMEOUT || link.avoid_until > now
         });
     }
 
     /// Asks silent neighbours, directly and through others, and suspects those who stay silent.
-    pub(super) fn watch_neighbours(&mut self, now: ClockTime) {
+    pub(super) fn probe_silent_neighbours(&mut self, now: ClockTime) {
         let silent: Vec<(NodeId, Duration)> = self
             .links
             .iter()
-            .filter(|(_, link)| link.neighbour)
+            .filter(|(_, link)| link.is_neighbour)
             .map(|(peer, link)| (*peer, link.silence(now)))
             .filter(|(_, silence)| *silence >= self.settings.heartbeat_interval * 3 / 2)
             .collect();
         for (peer, silence) in silent {
-            self.ask_directly(peer, now);
+            self.probe_directly(peer, now);
             if silence >= self.settings.probe_after {
-                self.ask_helpers(peer, now);
+                self.probe_indirectly(peer, now);
             }
             if silence >= self.settings.suspect_after {
                 self.suspect(peer, now);
@@ -97,20 +97,26 @@
     }
 
     /// Asks a silent neighbour for a sign of life.
-    fn ask_directly(&mut self, peer: NodeId, now: ClockTime) {
+    fn probe_directly(&mut self, peer: NodeId, now: ClockTime) {
         let link = self.open_link(peer, now);
-        if link.last_asked.is_none_or(|at| now.since(at) >= ASK_PAUSE) {
-            link.asking = true;
+        if link
+            .last_probe
+            .is_none_or(|at| now.since(at) >= PROBE_INTERVAL)
+        {
+            link.probe_due = true;
         }
     }
 
     /// Asks a few others whether they reach a silent neighbour.
-    fn ask_helpers(&mut self, peer: NodeId, now: ClockTime) {
+    fn probe_indirectly(&mut self, peer: NodeId, now: ClockTime) {
         let link = self.open_link(peer, now);
-        if link.last_helped.is_some_and(|at| now.since(at) < ASK_PAUSE) {
+        if link
+            .last_indirect_probe
+            .is_some_and(|at| now.since(at) < PROBE_INTERVAL)
+        {
             return;
         }
-        link.last_helped = Some(now);
+        link.last_indirect_probe = Some(now);
         let others: Vec<NodeId> = self
             .nodes
             .iter()
@@ -130,11 +136,14 @@
 
     /// Suspects a silent neighbour, unless others still reach it.
     fn suspect(&mut self, peer: NodeId, now: ClockTime) {
-        let patience = self.settings.suspect_after;
+        let timeout = self.settings.suspect_after;
         let link = self.open_link(peer, now);
-        if link.last_reached.is_some_and(|at| now.since(at) < patience) {
+        if link
+            .last_indirect_ack
+            .is_some_and(|at| now.since(at) < timeout)
+        {
             // Only the direct way is broken: news must go round it.
-            link.avoid_until = now.after(AVOID_TIME);
+            link.avoid_until = now.after(AVOID_DURATION);
             self.ring_generation = None;
             return;
         }
@@ -150,37 +159,37 @@
     }
 
     /// Asks `target` for a sign of life on behalf of `asked_by`.
-    pub(super) fn probe_for(&mut self, asked_by: NodeId, target: NodeId, now: ClockTime) {
+    pub(super) fn relay_probe(&mut self, requester: NodeId, target: NodeId, now: ClockTime) {
         let known = self.nodes.get(target).is_some();
-        if target != self.own && known && self.relays.add(asked_by, target, now) {
-            self.open_link(target, now).asking = true;
+        if target != self.own && known && self.relays.add(requester, target, now) {
+            self.open_link(target, now).probe_due = true;
         }
     }
 
     /// Calls nodes beyond the neighbours, so that views which grew apart find together.
-    pub(super) fn call_strangers(&mut self, now: ClockTime) {
-        let alone = self.nodes.present_count() == 1;
+    pub(super) fn contact_non_neighbours(&mut self, now: ClockTime) {
+        let is_isolated = self.nodes.present_count() == 1;
         // Nodes that start together may each find another seed first, and so form several fleets.
-        let young = self.started.is_some_and(|at| now.since(at) < JOIN_TIME);
-        let pause = if alone || young {
-            SEED_PAUSE
+        let is_joining = self.started.is_some_and(|at| now.since(at) < JOIN_PERIOD);
+        let interval = if is_isolated || is_joining {
+            SEED_CONTACT_INTERVAL
         } else {
             self.settings.reconnect_interval
         };
         // The very first call goes out at once.
-        let first = alone && self.links.is_empty();
-        if first || now.since(self.last_revive) >= pause {
-            self.last_revive = now;
-            self.call_absent(now);
+        let is_first = is_isolated && self.links.is_empty();
+        if is_first || now.since(self.last_reconnect) >= interval {
+            self.last_reconnect = now;
+            self.contact_absent_node(now);
         }
-        if now.since(self.last_stray) >= self.settings.random_contact_interval {
-            self.last_stray = now;
-            self.call_present(now);
+        if now.since(self.last_random_contact) >= self.settings.random_contact_interval {
+            self.last_random_contact = now;
+            self.contact_present_node(now);
         }
     }
 
     /// Calls a node that is down, or a seed that nobody knows.
-    fn call_absent(&mut self, now: ClockTime) {
+    fn contact_absent_node(&mut self, now: ClockTime) {
         let down = self
             .nodes
             .iter()
@@ -196,11 +205,11 @@
         let Some(peer) = absent.choose(&mut self.rng).copied() else {
             return;
         };
-        self.open_link(peer, now).asking = true;
+        self.open_link(peer, now).probe_due = true;
     }
 
     /// Calls any node that is present and no neighbour.
-    fn call_present(&mut self, now: ClockTime) {
+    fn contact_present_node(&mut self, now: ClockTime) {
         let others: Vec<NodeId> = self
             .nodes
             .present()
@@ -212,6 +221,6 @@
             return;
         }
         let peer = others[self.rng.random_range(0..others.len())];
-        self.open_link(peer, now).asking = true;
+        self.open_link(peer, now).probe_due = true;
     }
 }
--- a/crates/ragwortroad_membership/src/table/queries.rs
+++ b/crates/ragwortroad_membership/src/table/queries.rs
@@ -59,7 +59,7 @@
     pub fn neighbours(&self) -> impl Iterator<Item = NodeId> {
         self.links
             .iter()
-            .filter(|(_, link)| link.neighbour)
+            .filter(|(_, link)| link.is_neighbour)
             .map(|(peer, _)| *peer)
     }
 
--- a/crates/ragwortroad_membership/src/table/sync.rs
+++ b/crates/ragwortroad_membership/src/table/sync.rs
@@ -7,12 +7,12 @@
 
 use crate::{
     MembershipTable,
-    pending_queue::NewsClass,
+    pending_queue::UpdatePriority,
     record_key::{
-        NewsKey,
         RecordKey, //
+        UpdateKey,
     },
-    sync_digest::BUCKETS,
+    sync_digest::BUCKET_COUNT,
     wire::wire_item::{
         BucketItem,
         WireItem, //
@@ -20,44 +20,41 @@
 };
 
 /// Buckets compared in one go; the others follow in the next.
-const BUCKETS_AT_ONCE: usize = 4;
+const MAX_BUCKETS_PER_SYNC: usize = 4;
 
 /// Time after the start in which a node fetches what it lacks without waiting for the news that
 /// would otherwise bring it.
-const FRESH_TIME: Duration = Duration::from_secs(20);
+const STARTUP_PERIOD: Duration = Duration::from_secs(20);
 
 /// Time for which a fresh node's view may differ from a peer's before it compares.
 ///
 /// A node that takes callers but knows no endpoint refuses them all; callers see a fleet that
 /// answers on some addresses only for as long as this takes.
-const FRESH_SYNC: Duration = Duration::from_millis(400);
+const STARTUP_SYNC_DELAY: Duration = Duration::from_millis(400);
 
 impl MembershipTable {
     /// Whether this node has started only a moment ago.
-    fn is_fresh(&self, now: ClockTime) -> bool {
-        self.started.is_some_and(|at| now.since(at) < FRESH_TIME)
+    fn is_starting(&self, now: ClockTime) -> bool {
+        self.started
+            .is_some_and(|at| now.since(at) < STARTUP_PERIOD)
     }
 
     /// Starts comparing views with peers whose view has differed for long.
     pub(super) fn start_syncs(&mut self, now: ClockTime) {
-        if !self.budget.has_left() {
+        if !self.budget.has_available() {
             return;
         }
-        let patience = match self.is_fresh(now) {
-            true => FRESH_SYNC.min(self.settings.sync_after),
+        let delay = match self.is_starting(now) {
+            true => STARTUP_SYNC_DELAY.min(self.settings.sync_after),
             false => self.settings.sync_after,
         };
         let hashes = self.digest.bucket_hashes();
         for (peer, link) in &mut self.links {
             // One side is enough; the other one helps out where the first does not act.
-            let patience = if *peer > self.own {
-                patience
-            } else {
-                patience * 2
-            };
+            let delay = if *peer > self.own { delay } else { delay * 2 };
             let differs = link.differs_since.map(|since| now.since(since));
-            let rested = link.last_sync.is_none_or(|at| now.since(at) >= patience);
-            if rested && differs.is_some_and(|span| span >= patience) {
+            let interval_elapsed = link.last_sync.is_none_or(|at| now.since(at) >= delay);
+            if interval_elapsed && differs.is_some_and(|duration| duration >= delay) {
                 link.last_sync = Some(now);
                 link.push_direct(WireItem::Buckets(hashes.clone()));
             }
@@ -69,15 +66,15 @@
         let own = self.digest.bucket_hashes();
         // Comparing comes after telling: a node that many compare with at once would otherwise
         // spend everything on lists of what differs, and nothing on the records themselves.
-        if hashes.len() != own.len() || !self.budget.has_left() {
+        if hashes.len() != own.len() || !self.budget.has_available() {
             return;
         }
         // A random start spreads different buckets over the neighbours of a node that lacks all.
-        let start = self.rng.random_range(0..BUCKETS);
-        let differing: Vec<usize> = (0..BUCKETS)
-            .map(|step| (start + step) % BUCKETS)
+        let start = self.rng.random_range(0..BUCKET_COUNT);
+        let differing: Vec<usize> = (0..BUCKET_COUNT)
+            .map(|step| (start + step) % BUCKET_COUNT)
             .filter(|bucket| own[*bucket] != hashes[*bucket])
-            .take(BUCKETS_AT_ONCE)
+            .take(MAX_BUCKETS_PER_SYNC)
             .collect();
         let link = self.open_link(from, now);
         link.last_sync = Some(now);
@@ -104,62 +101,63 @@
 
     /// Queues for `from` what it lacks or has differently, and asks for the same in return.
     pub(super) fn compare_keys(&mut self, from: NodeId, item: BucketItem, now: ClockTime) {
-        if usize::from(item.bucket) >= BUCKETS {
+        if usize::from(item.bucket) >= BUCKET_COUNT {
             return;
         }
         let own = self.digest.entries(item.bucket);
-        let mut ours = Vec::new();
+        let mut keys = Vec::new();
         for entry in &own {
             if !item.entries.contains(entry) {
-                ours.extend_from_slice(self.digest.keys(entry.key));
+                keys.extend_from_slice(self.digest.keys(entry.key));
             }
         }
-        let mut lacking = false;
+        let mut lacks_records = false;
         for entry in &item.entries {
             if own.contains(entry) {
                 continue;
             }
-            lacking = true;
+            lacks_records = true;
             // What we hold as gone or down is in no bucket, but is what the peer should hear.
-            ours.extend_from_slice(self.digest.keys(entry.key));
+            keys.extend_from_slice(self.digest.keys(entry.key));
         }
-        ours.sort_unstable();
-        ours.dedup();
-        for key in ours {
-            self.push_record(from, key, now);
+        keys.sort_unstable();
+        keys.dedup();
+        for key in keys {
+            self.queue_record(from, key, now);
         }
-        if lacking && !item.answer {
+        if lacks_records && !item.answer {
             self.send_bucket(from, item.bucket, true, now);
         }
     }
 
     /// Sends the records a peer asked for, whole.
-    pub(super) fn send_wanted(&mut self, from: NodeId, keys: &[u32], now: ClockTime) {
-        for short in keys {
-            for key in self.digest.keys(*short).to_vec() {
+    pub(super) fn send_requested(&mut self, from: NodeId, keys: &[u32], now: ClockTime) {
+        for short_hash in keys {
+            for key in self.digest.keys(*short_hash).to_vec() {
                 if let RecordKey::Node(id) = key
                     && let Some(record) = self.nodes.record(id)
                 {
                     let item = WireItem::Node(record.into());
                     self.open_link(from, now).push_direct(item);
                 } else {
-                    self.push_record(from, key, now);
+                    self.queue_record(from, key, now);
                 }
             }
         }
     }
 
     /// Queues one record for `to`, and what its node attached.
-    fn push_record(&mut self, to: NodeId, key: RecordKey, now: ClockTime) {
+    fn queue_record(&mut self, to: NodeId, key: RecordKey, now: ClockTime) {
         let kinds = match key {
             RecordKey::Node(id) => self.blobs.kinds(id),
             RecordKey::Endpoint(_) => Vec::new(),
         };
         let link = self.open_link(to, now);
-        link.pending.push(NewsClass::Prompt, key.into());
+        link.pending.push(UpdatePriority::Normal, key.into());
         if let RecordKey::Node(id) = key {
             for kind in kinds {
-                link.pending.push(NewsClass::Blob, NewsKey::Blob(id, kind));
+                link.pending
+                    .push(UpdatePriority::Blob, UpdateKey::Blob(id, kind));
             }
         }
     }
--- a/crates/ragwortroad_membership/src/table/news_items.rs
+++ b/crates/ragwortroad_membership/src/table/update_items.rs
@@ -8,8 +8,8 @@
     EndpointPresence,
     MembershipTable,
     record_key::{
-        NewsKey,
         RecordKey, //
+        UpdateKey,
     },
     wire::{
         node_item::state_number,
@@ -24,40 +24,40 @@
 
 /// Time after a node appeared or moved in which its whole record is told; later its state alone,
 /// and whoever does not know the rest asks for it.
-const NEW_NODE_TIME: Duration = Duration::from_secs(60);
+const FULL_RECORD_PERIOD: Duration = Duration::from_secs(60);
 impl MembershipTable {
     /// The item that tells the news named by `key` as it stands now.
-    pub(super) fn item(&self, key: NewsKey, now: ClockTime) -> Option<WireItem> {
+    pub(super) fn update_item(&self, key: UpdateKey, now: ClockTime) -> Option<WireItem> {
         match key {
-            NewsKey::Node(id) => {
+            UpdateKey::Node(id) => {
                 let entry = self.nodes.get(id)?;
-                if now.since(entry.facts_since) < NEW_NODE_TIME {
+                if now.since(entry.metadata_since) < FULL_RECORD_PERIOD {
                     return Some(WireItem::Node((&entry.record).into()));
                 }
                 Some(WireItem::NodeState(NodeStateItem {
                     node: id.0,
                     incarnation: entry.record.incarnation,
                     state: state_number(entry.record.state),
-                    facts: entry.facts,
+                    facts: entry.metadata_hash,
                 }))
             }
-            NewsKey::Endpoint(id) => {
+            UpdateKey::Endpoint(id) => {
                 let record = self.endpoints.record(id)?;
                 Some(WireItem::Endpoint(record.into()))
             }
-            NewsKey::Load(id) => {
+            UpdateKey::Load(id) => {
                 let record = self.endpoints.record(id)?;
-                let there = record.presence != EndpointPresence::Gone;
-                there.then(|| {
+                let is_present = record.presence != EndpointPresence::Gone;
+                is_present.then(|| {
                     WireItem::Load(LoadItem {
-                        key: RecordKey::Endpoint(id).short(),
+                        key: RecordKey::Endpoint(id).short_hash(),
                         incarnation: record.incarnation as u8,
                         sequence: record.load_sequence,
                         load: record.load.0,
                     })
                 })
             }
-            NewsKey::Blob(node, kind) => {
+            UpdateKey::Blob(node, kind) => {
                 let entry = self.blobs.get(node, kind)?;
                 Some(WireItem::Blob(BlobItem {
                     node: node.0,
@@ -71,12 +71,12 @@
     }
 
     /// Counts the bytes of one piece of news.
-    pub(super) fn count_news(&mut self, key: NewsKey, bytes: usize) {
+    pub(super) fn count_update_bytes(&mut self, key: UpdateKey, bytes: usize) {
         let counter = match key {
-            NewsKey::Node(_) => &mut self.stats.node_bytes,
-            NewsKey::Endpoint(_) => &mut self.stats.endpoint_bytes,
-            NewsKey::Load(_) => &mut self.stats.load_bytes,
-            NewsKey::Blob(..) => &mut self.stats.blob_bytes,
+            UpdateKey::Node(_) => &mut self.stats.node_bytes,
+            UpdateKey::Endpoint(_) => &mut self.stats.endpoint_bytes,
+            UpdateKey::Load(_) => &mut self.stats.load_bytes,
+            UpdateKey::Blob(..) => &mut self.stats.blob_bytes,
         };
         *counter += bytes as u64;
     }
--- a/crates/ragwortroad_membership/src/wire/mod.rs
+++ b/crates/ragwortroad_membership/src/wire/mod.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod endpoint_item;
 pub(crate) mod node_item;
-pub(crate) mod packet_head;
+pub(crate) mod packet_header;
 pub(crate) mod packet_reader;
 pub(crate) mod wire_error;
 pub(crate) mod wire_item;
--- a/crates/ragwortroad_membership/src/wire/packet_head.rs
+++ b/crates/ragwortroad_membership/src/wire/packet_header.rs
@@ -6,7 +6,7 @@
 /// What every packet opens with; items follow until its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub(crate) struct PacketHead {
+pub(crate) struct PacketHeader {
     /// Drawn at random by the sender's process, so that a restart is noticed.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) session: u16,
--- a/crates/ragwortroad_membership/src/wire/packet_reader.rs
+++ b/crates/ragwortroad_membership/src/wire/packet_reader.rs
@@ -1,7 +1,7 @@
 use snafu::ResultExt;
 
 use crate::wire::{
-    packet_head::PacketHead,
+    packet_header::PacketHeader,
     wire_error::{
         MalformedSnafu,
         WireError, //
@@ -13,21 +13,21 @@
 #[derive(Debug)]
 pub(crate) struct DecodedPacket {
     /// Its head.
-    pub(crate) head: PacketHead,
+    pub(crate) header: PacketHeader,
     /// Its items.
     pub(crate) items: Vec<WireItem>,
 }
 
 /// Decodes a packet as a whole: a malformed item voids what stands before it too.
 pub(crate) fn read_packet(bytes: &[u8]) -> Result<DecodedPacket, WireError> {
-    let (head, mut rest) = postcard::take_from_bytes(bytes).context(MalformedSnafu)?;
+    let (header, mut rest) = postcard::take_from_bytes(bytes).context(MalformedSnafu)?;
     let mut items = Vec::new();
     while !rest.is_empty() {
         let (item, after) = postcard::take_from_bytes(rest).context(MalformedSnafu)?;
         items.push(item);
         rest = after;
     }
-    Ok(DecodedPacket { head, items })
+    Ok(DecodedPacket { header, items })
 }
 
 /// Encodes one part of a packet; nothing where the codec refuses, which it does for none of ours.
--- a/crates/ragwortroad_membership/tests/handover.rs
+++ b/crates/ragwortroad_membership/tests/handover.rs
@@ -114,7 +114,7 @@
     let mut fleet = SmallFleet::new(3);
     fleet.announce(0, 0, 1);
     fleet.announce(0, 0, 2);
-    let HomeState::Home { until, .. } = fleet.state(0) else {
+    let HomeState::Home { lease_end, .. } = fleet.state(0) else {
         panic!("node 0 must be home");
     };
     // Node 0 hears nothing from here on, and nobody hears it.
@@ -133,7 +133,7 @@
     fleet.announce(2, 2, 5);
     fleet.announce(2, 2, 6);
     let mut sequence = 6;
-    while fleet.now < until {
+    while fleet.now < lease_end {
         let engine = EndpointId::from_name("engine");
         assert!(cut_off.home_state(engine, fleet.now).admits_at(fleet.now));
         assert!(!fleet.admits(1) && !fleet.admits(2), "at {}", fleet.now);
