--- a/crates/ragwortroad_membership/examples/gossip_cost.rs
+++ b/crates/ragwortroad_membership/examples/gossip_cost.rs
@@ -17,15 +17,15 @@
 use rand::RngExt;
 
 /// Bytes of a handshake on one side.
-const HANDSHAKE: u64 = 2337;
+const HANDSHAKE_BYTES: u64 = 2337;
 /// Measured time of each situation.
 const SPAN_MS: u64 = 300_000;
 /// Restarts a day in a fleet of 340.
-const RESTARTS_A_DAY: u64 = 260;
+const RESTARTS_PER_DAY: u64 = 260;
 
 /// What is going on while the cost is measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum FleetMood {
+enum FleetPhase {
     /// Nothing changes.
     Quiet,
     /// Every second each endpoint's load moves with a chance of one half.
@@ -39,15 +39,15 @@
 struct CostReading {
     bytes: Vec<u64>,
     packets: u64,
-    busy: std::time::Duration,
+    table_time: std::time::Duration,
     parts: [u64; 4],
 }
 
 impl CostReading {
     fn new(fleet: &FakeFleet) -> Self {
         let overhead = u64::from(fleet.settings.packet_overhead_bytes);
-        let wire = fleet.nodes.iter().map(|node| {
-            node.bytes_out + node.packets_out * overhead + node.connections_opened * HANDSHAKE
+        let wire_bytes = fleet.nodes.iter().map(|node| {
+            node.bytes_out + node.packets_out * overhead + node.connections_opened * HANDSHAKE_BYTES
         });
         let mut parts = [0; 4];
         for stats in fleet.tables().map(MembershipTable::stats) {
@@ -62,9 +62,9 @@
             }
         }
         Self {
-            bytes: wire.collect(),
+            bytes: wire_bytes.collect(),
             packets: fleet.nodes.iter().map(|node| node.packets_out).sum(),
-            busy: fleet.busy,
+            table_time: fleet.table_time,
             parts,
         }
     }
@@ -72,7 +72,7 @@
 
 fn churn(fleet: &mut FakeFleet, span: u64) {
     let nodes = fleet.nodes.len();
-    let restarts = (10 * RESTARTS_A_DAY * span * nodes as u64).div_ceil(340 * 86_400_000);
+    let restarts = (10 * RESTARTS_PER_DAY * span * nodes as u64).div_ceil(340 * 86_400_000);
     let steps = span / 10_000;
     for step in 0..steps {
         let endpoint = fleet.rng.random_range(0..fleet.endpoints.len());
@@ -85,16 +85,16 @@
     }
 }
 
-fn measure(fleet: &mut FakeFleet, mood: FleetMood) {
-    let chance = if mood == FleetMood::Quiet { 0.0 } else { 0.5 };
+fn measure(fleet: &mut FakeFleet, phase: FleetPhase) {
+    let chance = if phase == FleetPhase::Quiet { 0.0 } else { 0.5 };
     for endpoint in &mut fleet.endpoints {
         endpoint.load_change = chance;
     }
     fleet.run(30_000);
     let before = CostReading::new(fleet);
-    match mood {
-        FleetMood::Churn => churn(fleet, SPAN_MS),
-        FleetMood::Quiet | FleetMood::Load => fleet.run(SPAN_MS),
+    match phase {
+        FleetPhase::Churn => churn(fleet, SPAN_MS),
+        FleetPhase::Quiet | FleetPhase::Load => fleet.run(SPAN_MS),
     }
     let after = CostReading::new(fleet);
     let nodes = fleet.nodes.len() as u64;
@@ -114,14 +114,15 @@
         .zip(before.parts)
         .map(|(to, from)| (to.saturating_sub(from) / nodes / seconds).to_string())
         .collect();
-    let busy = (after.busy - before.busy).as_secs_f64() / (nodes * seconds) as f64;
-    let mood = format!("{mood:?}").to_lowercase();
+    let table_time =
+        (after.table_time - before.table_time).as_secs_f64() / (nodes * seconds) as f64;
+    let phase = format!("{phase:?}").to_lowercase();
     let endpoints = fleet.endpoints.len();
     let each = mean as f64 / endpoints as f64;
     println!(
-        "{nodes:>5} {endpoints:>5} {mood:>6} {mean:>7} {most:>7} {packets:>7.1} {each:>8.1}   {:<22} {:>8.4}%",
+        "{nodes:>5} {endpoints:>5} {phase:>6} {mean:>7} {most:>7} {packets:>7.1} {each:>8.1}   {:<22} {:>8.4}%",
         parts.join("/"),
-        busy * 100.0
+        table_time * 100.0
     );
 }
 
@@ -134,12 +135,12 @@
 }
 
 /// Two regions lose each other for `span` and meet again.
-fn part(fleet: &mut FakeFleet, span: u64) {
-    fleet.network.parted_regions.insert(0);
+fn partition_regions(fleet: &mut FakeFleet, span: u64) {
+    fleet.network.partitioned_regions.insert(0);
     fleet.run(span);
     let before = CostReading::new(fleet);
     let downs = fleet.findings.node_downs;
-    fleet.network.parted_regions.clear();
+    fleet.network.partitioned_regions.clear();
     let start = fleet.now;
     let mut peak = 0;
     let mut last = before.bytes.clone();
@@ -165,19 +166,19 @@
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args().collect();
+    let args: Vec<String> = std::env::args().collect();
     let number = |flag: &str| -> Option<u64> {
-        let at = words.iter().position(|word| word == flag)?;
-        words.get(at + 1)?.parse().ok()
+        let at = args.iter().position(|word| word == flag)?;
+        args.get(at + 1)?.parse().ok()
     };
     let seed = number("--seed").unwrap_or(1);
     let only = number("--nodes");
-    let long = words.iter().any(|word| word == "--long");
+    let long = args.iter().any(|word| word == "--long");
     println!(
         "bytes and packets are per node and second; content is nodes/endpoints/load/comparing"
     );
     println!(
-        "nodes  ends   mood   bytes    most packets  per end   content                    core"
+        "nodes  ends  phase   bytes    most packets  per end   content                    core"
     );
     let all = [(9, 23, 3), (40, 90, 6), (120, 265, 9), (340, 750, 11)];
     for (nodes, endpoints, zones) in all {
@@ -192,14 +193,14 @@
             zones,
             &MembershipSettings::default(),
         );
-        fleet.watch_homes = false;
+        fleet.verify_homes = false;
         let joined = fleet.settle(600_000);
-        for mood in [FleetMood::Quiet, FleetMood::Load, FleetMood::Churn] {
-            measure(&mut fleet, mood);
+        for phase in [FleetPhase::Quiet, FleetPhase::Load, FleetPhase::Churn] {
+            measure(&mut fleet, phase);
         }
         let kib = resident_kib().saturating_sub(empty) / nodes as u64;
         println!("{nodes:>5} nodes started at once agreed after {joined} ms; {kib} KiB a node");
         fleet.settle(600_000);
-        part(&mut fleet, if long { 3_600_000 } else { 120_000 });
+        partition_regions(&mut fleet, if long { 3_600_000 } else { 120_000 });
     }
 }
--- a/crates/ragwortroad_membership/src/home_claim.rs
+++ b/crates/ragwortroad_membership/src/home_claim.rs
@@ -84,9 +84,10 @@
         published: CoarseLoad,
         capacity: u32,
         now: ClockTime,
-        spacing: Duration,
+        min_interval: Duration,
     ) -> bool {
         let load = CoarseLoad::new(&self.load, capacity);
-        now.since(self.load_published_at) >= spacing && load.is_significant_change_from(published)
+        now.since(self.load_published_at) >= min_interval
+            && load.is_significant_change_from(published)
     }
 }
--- a/crates/ragwortroad_membership/src/peer_link.rs
+++ b/crates/ragwortroad_membership/src/peer_link.rs
@@ -106,8 +106,8 @@
 
     /// Time since the peer was heard, or since it could first be expected to speak.
     pub(crate) fn silence(&self, now: ClockTime) -> Duration {
-        let take_requesters = self.last_received.unwrap_or(self.since);
-        now.since(take_requesters.max(self.since))
+        let last_activity = self.last_received.unwrap_or(self.since);
+        now.since(last_activity.max(self.since))
     }
 
     /// Time since anything passed in either direction.
--- a/crates/ragwortroad_membership/src/table/announcements.rs
+++ b/crates/ragwortroad_membership/src/table/announcements.rs
@@ -141,10 +141,9 @@
             return;
         }
         // Restarts of a flapping endpoint are told together, not one by one.
-        let min_interval = self.settings.min_load_interval * DAMPED_INTERVAL_FACTOR;
-        let is_delayed = |known: &EndpointEntry| {
-            known.record.damped && now.since(known.updated_at) < min_interval
-        };
+        let interval = self.settings.min_load_interval * DAMPED_INTERVAL_FACTOR;
+        let is_delayed =
+            |known: &EndpointEntry| known.record.damped && now.since(known.updated_at) < interval;
         if record.damped && !announce.leaving && known.is_some_and(is_delayed) {
             return;
         }
@@ -221,14 +220,14 @@
 
     /// Tells the fleet of a load that changed enough.
     fn publish_load(&mut self, id: EndpointId, now: ClockTime) {
-        let spacing = self.settings.min_load_interval;
+        let interval = self.settings.min_load_interval;
         let Some(record) = self.endpoints.record(id) else {
             return;
         };
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
         };
-        if !claim.should_publish_load(record.load, record.capacity, now, spacing) {
+        if !claim.should_publish_load(record.load, record.capacity, now, interval) {
             return;
         }
         claim.load_published_at = now;
--- a/crates/ragwortroad_membership/src/table/blobs.rs
+++ b/crates/ragwortroad_membership/src/table/blobs.rs
@@ -43,11 +43,11 @@
 
     /// Sends own blobs whose spacing has passed.
     pub(super) fn publish_blobs(&mut self, now: ClockTime) {
-        let spacing = self.settings.min_blob_interval;
+        let interval = self.settings.min_blob_interval;
         let incarnation = self.own_incarnation();
         let mut due = Vec::new();
         for (kind, blob) in &mut self.own_blobs {
-            let recent = blob.published_at.is_some_and(|at| now.since(at) < spacing);
+            let recent = blob.published_at.is_some_and(|at| now.since(at) < interval);
             if recent {
                 continue;
             }
--- a/crates/ragwortroad_membership/src/table/node_updates.rs
+++ b/crates/ragwortroad_membership/src/table/node_updates.rs
@@ -99,7 +99,7 @@
         }
         self.report_node_state(id, previous_state, state);
         if state == NodeState::Down {
-            self.remove_node(id);
+            self.clean_up_down_node(id);
         }
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Ends what depends on a node that is down.
-    fn remove_node(&mut self, id: NodeId) {
+    fn clean_up_down_node(&mut self, id: NodeId) {
         self.links.remove(&id);
         self.blobs.remove_node(id);
         self.report_endpoints_of(id, GossipAction::EndpointGone);
--- a/crates/ragwortroad_membership/tests/cost.rs
+++ b/crates/ragwortroad_membership/tests/cost.rs
@@ -9,7 +9,7 @@
 fn bytes_per_second(nodes: usize, endpoints: usize, zones: usize) -> u64 {
     let settings = MembershipSettings::default();
     let mut fleet = FakeFleet::new(1, nodes, endpoints, zones, &settings);
-    fleet.watch_homes = false;
+    fleet.verify_homes = false;
     fleet.settle(120_000);
     for endpoint in &mut fleet.endpoints {
         endpoint.load_change = 0.5;
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_endpoint.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_endpoint.rs
@@ -13,7 +13,7 @@
     pub(crate) zone: usize,
     pub(crate) up: bool,
     pub(crate) leaving: bool,
-    pub(crate) life: u64,
+    pub(crate) generation: u64,
     pub(crate) sequence: u64,
     pub(crate) epoch: u64,
     pub(crate) switches: u64,
@@ -21,7 +21,7 @@
     pub(crate) load_change: f64,
     load: u32,
     targets: Vec<String>,
-    waiting: bool,
+    awaiting_answer: bool,
     sent: BTreeMap<(u64, u64), AnnounceWire>,
 }
 
@@ -32,14 +32,14 @@
             zone,
             up: false,
             leaving: false,
-            life: 0,
+            generation: 0,
             sequence: 0,
             epoch: 0,
             switches: 0,
             load_change: 0.0,
             load: 0,
             targets,
-            waiting: false,
+            awaiting_answer: false,
             sent: BTreeMap::new(),
         }
     }
@@ -52,21 +52,26 @@
     pub(crate) fn start(&mut self, targets: Vec<String>) {
         self.up = true;
         self.leaving = false;
-        self.life += 1;
+        self.generation += 1;
         self.sequence = 1;
         self.epoch = 0;
-        self.waiting = false;
+        self.awaiting_answer = false;
         self.targets = targets;
     }
 
     pub(crate) fn stop(&mut self) {
         self.up = false;
-        self.life += 1;
+        self.generation += 1;
     }
 
     /// The address the next announcement goes to; nothing if it is void.
-    pub(crate) fn send(&mut self, life: u64, sequence: u64, rng: &mut Pcg64Mcg) -> Option<String> {
-        if !self.up || life != self.life || sequence != self.sequence {
+    pub(crate) fn send(
+        &mut self,
+        generation: u64,
+        sequence: u64,
+        rng: &mut Pcg64Mcg,
+    ) -> Option<String> {
+        if !self.up || generation != self.generation || sequence != self.sequence {
             return None;
         }
         if rng.random_bool(self.load_change) {
@@ -74,8 +79,8 @@
             self.load = (self.load + step).saturating_sub(2).min(2 * CAPACITY);
         }
         let wire = self.wire();
-        self.sent.insert((life, sequence), wire);
-        self.waiting = true;
+        self.sent.insert((generation, sequence), wire);
+        self.awaiting_answer = true;
         self.targets.first().cloned()
     }
 
@@ -94,7 +99,7 @@
             models: vec![offer],
             capacity: CAPACITY,
             checks_fencing: false,
-            incarnation: self.life,
+            incarnation: self.generation,
             sequence: self.sequence,
             home_epoch: self.epoch,
             load: LoadReport {
@@ -108,16 +113,25 @@
     }
 
     /// An announcement on its way, taken off it.
-    pub(crate) fn take_sent(&mut self, life: u64, sequence: u64) -> Option<AnnounceWire> {
-        self.sent.remove(&(life, sequence))
+    pub(crate) fn take_sent(&mut self, generation: u64, sequence: u64) -> Option<AnnounceWire> {
+        self.sent.remove(&(generation, sequence))
     }
 
     /// Takes an answer; the next sequence, or nothing if it came too late.
-    pub(crate) fn take_answer(&mut self, life: u64, sequence: u64, to: Vec<String>) -> Option<u64> {
-        if !self.up || life != self.life || sequence != self.sequence || !self.waiting {
+    pub(crate) fn take_answer(
+        &mut self,
+        generation: u64,
+        sequence: u64,
+        to: Vec<String>,
+    ) -> Option<u64> {
+        if !self.up
+            || generation != self.generation
+            || sequence != self.sequence
+            || !self.awaiting_answer
+        {
             return None;
         }
-        self.waiting = false;
+        self.awaiting_answer = false;
         if !to.is_empty() {
             if to.first() != self.targets.first() {
                 self.switches += 1;
@@ -137,11 +151,15 @@
     }
 
     /// Turns to the next address, as no answer came; the next sequence.
-    pub(crate) fn give_up(&mut self, life: u64, sequence: u64) -> Option<u64> {
-        if !self.up || life != self.life || sequence != self.sequence || !self.waiting {
+    pub(crate) fn give_up(&mut self, generation: u64, sequence: u64) -> Option<u64> {
+        if !self.up
+            || generation != self.generation
+            || sequence != self.sequence
+            || !self.awaiting_answer
+        {
             return None;
         }
-        self.waiting = false;
+        self.awaiting_answer = false;
         self.targets.rotate_left(1);
         self.epoch += 1;
         self.switches += 1;
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_network.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_network.rs
@@ -13,13 +13,13 @@
     /// Chance that a packet is lost.
     pub(crate) loss: f64,
     /// Chance that a packet arrives twice.
-    pub(crate) doubling: f64,
+    pub(crate) duplication: f64,
     /// Chance that a packet or announcement is late by up to some seconds.
-    pub(crate) lateness: f64,
+    pub(crate) long_delay: f64,
     /// One-way cuts.
     pub(crate) cuts: BTreeSet<(usize, usize)>,
     /// Regions that nothing enters or leaves.
-    pub(crate) parted_regions: BTreeSet<usize>,
+    pub(crate) partitioned_regions: BTreeSet<usize>,
     /// Packets lost, doubled or late.
     pub(crate) faults: u64,
     /// When something was last cut.
@@ -31,10 +31,10 @@
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             loss: 0.0,
-            doubling: 0.0,
-            lateness: 0.0,
+            duplication: 0.0,
+            long_delay: 0.0,
             cuts: BTreeSet::new(),
-            parted_regions: BTreeSet::new(),
+            partitioned_regions: BTreeSet::new(),
             faults: 0,
             last_cut: 0,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x006e_6574_776f_726b),
@@ -43,9 +43,10 @@
 
     pub(crate) fn is_cut(&self, from: usize, to: usize, nodes: &[FakeNode]) -> bool {
         let (left, right) = (nodes[from].region(), nodes[to].region());
-        let parted = left != right
-            && (self.parted_regions.contains(&left) || self.parted_regions.contains(&right));
-        parted || self.cuts.contains(&(from, to)) || self.cuts.contains(&(to, from))
+        let is_partitioned = left != right
+            && (self.partitioned_regions.contains(&left)
+                || self.partitioned_regions.contains(&right));
+        is_partitioned || self.cuts.contains(&(from, to)) || self.cuts.contains(&(to, from))
     }
 
     pub(crate) fn recently_cut(&self, now: u64) -> bool {
@@ -55,14 +56,15 @@
     /// When copies of a packet arrive, in milliseconds from now.
     pub(crate) fn delays(&mut self, from: usize, to: usize, nodes: &[FakeNode]) -> Vec<u64> {
         let (left, right) = (nodes[from].region(), nodes[to].region());
-        let parted = left != right
-            && (self.parted_regions.contains(&left) || self.parted_regions.contains(&right));
-        if parted || self.cuts.contains(&(from, to)) || self.rng.random_bool(self.loss) {
+        let is_partitioned = left != right
+            && (self.partitioned_regions.contains(&left)
+                || self.partitioned_regions.contains(&right));
+        if is_partitioned || self.cuts.contains(&(from, to)) || self.rng.random_bool(self.loss) {
             self.faults += 1;
             return Vec::new();
         }
         let mut delays = vec![self.delay(nodes[from].zone != nodes[to].zone)];
-        if self.rng.random_bool(self.doubling) {
+        if self.rng.random_bool(self.duplication) {
             self.faults += 1;
             delays.push(self.delay(true));
         }
@@ -78,7 +80,7 @@
     }
 
     fn delay(&mut self, far: bool) -> u64 {
-        if self.rng.random_bool(self.lateness) {
+        if self.rng.random_bool(self.long_delay) {
             self.faults += 1;
             return self.rng.random_range(100..8000);
         }
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_node.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_node.rs
@@ -15,7 +15,7 @@
     pub(crate) zone: usize,
     pub(crate) table: Option<MembershipTable>,
     /// Counts up with every start, so that what was meant for a former process is void.
-    pub(crate) life: u64,
+    pub(crate) generation: u64,
     pub(crate) started_at: u64,
     pub(crate) paused_until: u64,
     pub(crate) packets_out: u64,
@@ -31,7 +31,7 @@
             index,
             zone,
             table: None,
-            life: 0,
+            generation: 0,
             started_at: 0,
             paused_until: 0,
             packets_out: 0,
@@ -90,7 +90,7 @@
             incarnation,
             ..NodeRecord::new(&self.name(), &zone, self.gossip_address())
         };
-        self.life += 1;
+        self.generation += 1;
         self.paused_until = 0;
         self.table = Some(MembershipTable::new(settings, record, seed));
     }
--- a/crates/ragwortroad_membership/tests/fake_fleet/fleet_checks.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fleet_checks.rs
@@ -8,7 +8,7 @@
 impl FakeFleet {
     /// Checks that at most one node may admit work to an endpoint now, each by its own clock.
     pub(crate) fn check_home(&mut self, endpoint: usize) {
-        if !self.watch_homes {
+        if !self.verify_homes {
             return;
         }
         let id = self.endpoints[endpoint].id();
@@ -27,8 +27,9 @@
         holders.sort_unstable();
         for pair in holders.windows(2) {
             if pair[0].0 == pair[1].0 {
-                let found = format!("{} ms: endpoint {endpoint} at nodes {holders:?}", self.now);
-                self.findings.double_homes.push(found);
+                let violation =
+                    format!("{} ms: endpoint {endpoint} at nodes {holders:?}", self.now);
+                self.findings.double_homes.push(violation);
             }
         }
     }
@@ -84,7 +85,7 @@
                 }
             }
         }
-        for endpoint in self.endpoints.iter().filter(|one| one.up) {
+        for endpoint in self.endpoints.iter().filter(|candidate| candidate.up) {
             let holders = self.nodes.iter().filter(|node| {
                 let clock = node.clock(self.now);
                 let state = node
@@ -102,13 +103,16 @@
     }
 
     /// Lets time pass until all views are equal and right; the time it took.
-    pub(crate) fn settle(&mut self, most: u64) -> u64 {
+    pub(crate) fn settle(&mut self, timeout_ms: u64) -> u64 {
         let start = self.now;
         loop {
-            let Some(why) = self.disagreement() else {
+            let Some(reason) = self.disagreement() else {
                 return self.now - start;
             };
-            assert!(self.now - start < most, "after {most} ms still: {why}");
+            assert!(
+                self.now - start < timeout_ms,
+                "after {timeout_ms} ms still: {reason}"
+            );
             self.run(250);
         }
     }
--- a/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum FakeEvent {
     /// A node's tick; void if the node was restarted since.
-    Tick { node: usize, life: u64 },
+    Tick { node: usize, generation: u64 },
     /// A packet arrives.
     Packet {
         to: usize,
@@ -54,20 +54,20 @@
     /// An endpoint announces itself.
     Announce {
         endpoint: usize,
-        life: u64,
+        generation: u64,
         sequence: u64,
     },
     /// An announcement arrives, as number in the endpoint's list of those under way.
     Arrive {
         node: usize,
         endpoint: usize,
-        life: u64,
+        generation: u64,
         sequence: u64,
     },
     /// An answer arrives.
     Answer {
         endpoint: usize,
-        life: u64,
+        generation: u64,
         sequence: u64,
         to: Vec<String>,
         every: u64,
@@ -75,7 +75,7 @@
     /// An endpoint stops waiting for an answer.
     GiveUp {
         endpoint: usize,
-        life: u64,
+        generation: u64,
         sequence: u64,
     },
 }
@@ -111,9 +111,9 @@
     pub(crate) rng: Pcg64Mcg,
     pub(crate) settings: MembershipSettings,
     /// Whether homes are checked at every announcement; measurements go without.
-    pub(crate) watch_homes: bool,
+    pub(crate) verify_homes: bool,
     /// Time spent in the tables, for measurements only.
-    pub(crate) busy: Duration,
+    pub(crate) table_time: Duration,
     /// When a packet last passed between two nodes.
     connections: BTreeMap<(usize, usize), u64>,
     queue: BinaryHeap<Reverse<(u64, u64, FakeEvent)>>,
@@ -138,8 +138,8 @@
             findings: FleetFindings::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             settings: settings.clone(),
-            watch_homes: true,
-            busy: Duration::ZERO,
+            verify_homes: true,
+            table_time: Duration::ZERO,
             connections: BTreeMap::new(),
             queue: BinaryHeap::new(),
             order: 0,
@@ -176,9 +176,15 @@
         let incarnation = (self.now + 10_000).saturating_sub(self.rng.random_range(0..20_000));
         let node = &mut self.nodes[index];
         node.start(settings, incarnation.max(1), seed);
-        let life = node.life;
+        let generation = node.generation;
         let first = self.now + self.rng.random_range(0..TICK_MS);
-        self.push(first, FakeEvent::Tick { node: index, life });
+        self.push(
+            first,
+            FakeEvent::Tick {
+                node: index,
+                generation,
+            },
+        );
     }
 
     /// Starts or restarts an endpoint.
@@ -186,13 +192,13 @@
         let targets = self.shuffled_addresses();
         let endpoint = &mut self.endpoints[index];
         endpoint.start(targets);
-        let (life, sequence) = (endpoint.life, endpoint.sequence);
+        let (generation, sequence) = (endpoint.generation, endpoint.sequence);
         let at = self.now + self.rng.random_range(0..1000);
         self.push(
             at,
             FakeEvent::Announce {
                 endpoint: index,
-                life,
+                generation,
                 sequence,
             },
         );
@@ -227,12 +233,16 @@
         }
         self.now = end;
         self.findings.network_faults = self.network.faults;
-        self.findings.switches = self.endpoints.iter().map(|one| one.switches).sum();
+        self.findings.switches = self
+            .endpoints
+            .iter()
+            .map(|candidate| candidate.switches)
+            .sum();
     }
 
     fn dispatch(&mut self, event: FakeEvent) {
         match event {
-            FakeEvent::Tick { node, life } => self.tick(node, life),
+            FakeEvent::Tick { node, generation } => self.tick(node, generation),
             FakeEvent::Packet { to, from, bytes } => {
                 let until = self.nodes[to].paused_until;
                 if until > self.now {
@@ -242,28 +252,28 @@
             }
             FakeEvent::Announce {
                 endpoint,
-                life,
+                generation,
                 sequence,
-            } => self.announce(endpoint, life, sequence),
+            } => self.announce(endpoint, generation, sequence),
             FakeEvent::Arrive {
                 node,
                 endpoint,
-                life,
+                generation,
                 sequence,
-            } => self.arrive(node, endpoint, life, sequence),
+            } => self.arrive(node, endpoint, generation, sequence),
             FakeEvent::Answer {
                 endpoint,
-                life,
+                generation,
                 sequence,
                 to,
                 every,
             } => {
-                if let Some(next) = self.endpoints[endpoint].take_answer(life, sequence, to) {
+                if let Some(next) = self.endpoints[endpoint].take_answer(generation, sequence, to) {
                     self.push(
                         self.now + every,
                         FakeEvent::Announce {
                             endpoint,
-                            life,
+                            generation,
                             sequence: next,
                         },
                     );
@@ -271,15 +281,15 @@
             }
             FakeEvent::GiveUp {
                 endpoint,
-                life,
+                generation,
                 sequence,
             } => {
-                if let Some(next) = self.endpoints[endpoint].give_up(life, sequence) {
+                if let Some(next) = self.endpoints[endpoint].give_up(generation, sequence) {
                     self.push(
                         self.now,
                         FakeEvent::Announce {
                             endpoint,
-                            life,
+                            generation,
                             sequence: next,
                         },
                     );
@@ -288,20 +298,21 @@
         }
     }
 
-    fn tick(&mut self, node: usize, life: u64) {
-        let fake = &self.nodes[node];
-        if fake.life != life || fake.table.is_none() {
+    fn tick(&mut self, node: usize, generation: u64) {
+        let fake_node = &self.nodes[node];
+        if fake_node.generation != generation || fake_node.table.is_none() {
             return;
         }
-        if fake.paused_until > self.now {
-            return self.push(fake.paused_until, FakeEvent::Tick { node, life });
+        if fake_node.paused_until > self.now {
+            return self.push(fake_node.paused_until, FakeEvent::Tick { node, generation });
         }
         self.input(node, GossipInput::Tick);
-        self.push(self.now + TICK_MS, FakeEvent::Tick { node, life });
+        self.push(self.now + TICK_MS, FakeEvent::Tick { node, generation });
     }
 
-    fn announce(&mut self, endpoint: usize, life: u64, sequence: u64) {
-        let Some(address) = self.endpoints[endpoint].send(life, sequence, &mut self.rng) else {
+    fn announce(&mut self, endpoint: usize, generation: u64, sequence: u64) {
+        let Some(address) = self.endpoints[endpoint].send(generation, sequence, &mut self.rng)
+        else {
             return;
         };
         self.findings.announces += 1;
@@ -309,7 +320,7 @@
             self.now + ANNOUNCE_TIMEOUT_MS,
             FakeEvent::GiveUp {
                 endpoint,
-                life,
+                generation,
                 sequence,
             },
         );
@@ -322,14 +333,14 @@
                 FakeEvent::Arrive {
                     node,
                     endpoint,
-                    life,
+                    generation,
                     sequence,
                 },
             );
         }
     }
 
-    fn arrive(&mut self, node: usize, endpoint: usize, life: u64, sequence: u64) {
+    fn arrive(&mut self, node: usize, endpoint: usize, generation: u64, sequence: u64) {
         let until = self.nodes[node].paused_until;
         if until > self.now {
             return self.push(
@@ -337,12 +348,12 @@
                 FakeEvent::Arrive {
                     node,
                     endpoint,
-                    life,
+                    generation,
                     sequence,
                 },
             );
         }
-        let Some(wire) = self.endpoints[endpoint].take_sent(life, sequence) else {
+        let Some(wire) = self.endpoints[endpoint].take_sent(generation, sequence) else {
             return;
         };
         if self.nodes[node].table.is_none() {
@@ -355,16 +366,16 @@
         let Some(table) = &self.nodes[node].table else {
             return;
         };
-        let began = Instant::now();
+        let start = Instant::now();
         let answer = table.announce_answer(id, clock);
-        self.busy += began.elapsed();
+        self.table_time += start.elapsed();
         if let Some(delay) = self.network.announce_delay(&self.nodes[node]) {
             let (to, every) = (answer.announce_to, answer.every_ms);
             self.push(
                 self.now + delay,
                 FakeEvent::Answer {
                     endpoint,
-                    life,
+                    generation,
                     sequence,
                     to,
                     every,
@@ -380,15 +391,19 @@
             return;
         };
         let from = table.own_id();
-        let began = Instant::now();
+        let start = Instant::now();
         let actions = table.handle(input, clock);
-        self.busy += began.elapsed();
+        self.table_time += start.elapsed();
         for action in actions {
             match action {
                 GossipAction::Send { address, bytes, .. } => self.send(node, from, address, &bytes),
-                GossipAction::NodeDown(id) => self.watch_down(node, id),
+                GossipAction::NodeDown(id) => self.check_node_down(node, id),
                 GossipAction::HomeChanged(id) => {
-                    if let Some(index) = self.endpoints.iter().position(|one| one.id() == id) {
+                    if let Some(index) = self
+                        .endpoints
+                        .iter()
+                        .position(|candidate| candidate.id() == id)
+                    {
                         self.check_home(index);
                     }
                 }
@@ -398,9 +413,9 @@
     }
 
     fn send(&mut self, node: usize, from: NodeId, address: std::net::SocketAddr, bytes: &[u8]) {
-        let fake = &mut self.nodes[node];
-        fake.packets_out += 1;
-        fake.bytes_out += bytes.len() as u64;
+        let fake_node = &mut self.nodes[node];
+        fake_node.packets_out += 1;
+        fake_node.bytes_out += bytes.len() as u64;
         let Some(to) = FakeNode::index_at(address) else {
             return;
         };
@@ -417,17 +432,17 @@
         }
     }
 
-    fn watch_down(&mut self, watcher: usize, id: NodeId) {
+    fn check_node_down(&mut self, observer: usize, id: NodeId) {
         self.findings.node_downs += 1;
-        let Some(target) = self.nodes.iter().position(|one| one.id() == id) else {
+        let Some(target) = self.nodes.iter().position(|candidate| candidate.id() == id) else {
             return;
         };
-        let fake = &self.nodes[target];
-        let up = fake.table.is_some() && fake.paused_until + 5000 < self.now;
-        let settled = self.now > fake.started_at + 20_000;
+        let fake_node = &self.nodes[target];
+        let up = fake_node.table.is_some() && fake_node.paused_until + 5000 < self.now;
+        let settled = self.now > fake_node.started_at + 20_000;
         if up
             && settled
-            && !self.network.is_cut(watcher, target, &self.nodes)
+            && !self.network.is_cut(observer, target, &self.nodes)
             && !self.network.recently_cut(self.now)
         {
             self.findings.false_downs += 1;
--- a/crates/ragwortroad_membership/tests/handover.rs
+++ b/crates/ragwortroad_membership/tests/handover.rs
@@ -32,7 +32,7 @@
             tables,
             now: ClockTime(1000),
         };
-        fleet.pass(5000);
+        fleet.advance(5000);
         fleet
     }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    fn pass(&mut self, span: u64) {
+    fn advance(&mut self, span: u64) {
         let end = self.now.0 + span;
         while self.now.0 < end {
             self.now.0 = (self.now.0 + 50).min(end);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_endpoint_moves_without_a_wait_while_both_homes_talk() {
+fn an_endpoint_moves_without_a_wait_while_both_homes_are_connected() {
     let mut fleet = SmallFleet::new(3);
     fleet.announce(0, 0, 1);
     assert_eq!(fleet.state(0), HomeState::Claiming);
@@ -104,13 +104,13 @@
     fleet.announce(1, 1, 4);
     assert!(fleet.admits(1));
     // News that is not urgent waits for the pause between two packets.
-    fleet.pass(300);
+    fleet.advance(300);
     assert_eq!(fleet.state(2), HomeState::Elsewhere { home: fleet.id(1) });
 }
 
 /// Guards against two homes that admit at once after an endpoint turned twice.
 #[test]
-fn a_home_that_was_still_waiting_passes_its_wait_on() {
+fn a_home_that_is_still_waiting_passes_on_its_wait() {
     let mut fleet = SmallFleet::new(3);
     fleet.announce(0, 0, 1);
     fleet.announce(0, 0, 2);
@@ -119,16 +119,16 @@
     };
     // Node 0 hears nothing from here on, and nobody hears it.
     let cut_off = fleet.tables.remove(0);
-    let stand_in = MembershipTable::new(
+    let replacement = MembershipTable::new(
         MembershipSettings::default(),
         NodeRecord::new("nobody", "zone", SocketAddr::from(([127, 0, 0, 1], 7000))),
         1,
     );
-    fleet.tables.insert(0, stand_in);
+    fleet.tables.insert(0, replacement);
     fleet.announce(1, 1, 3);
     fleet.announce(1, 1, 4);
     // Node 2 must know whom to ask, or it would wait in any case.
-    fleet.pass(300);
+    fleet.advance(300);
     assert_eq!(fleet.state(2), HomeState::Elsewhere { home: fleet.id(1) });
     fleet.announce(2, 2, 5);
     fleet.announce(2, 2, 6);
@@ -137,11 +137,11 @@
         let engine = EndpointId::from_name("engine");
         assert!(cut_off.home_state(engine, fleet.now).admits_at(fleet.now));
         assert!(!fleet.admits(1) && !fleet.admits(2), "at {}", fleet.now);
-        fleet.pass(50);
+        fleet.advance(50);
         sequence += 1;
         fleet.announce(2, 2, sequence);
     }
-    fleet.pass(200);
+    fleet.advance(200);
     fleet.announce(2, 2, sequence + 1);
     assert!(fleet.admits(2));
 }
@@ -155,10 +155,10 @@
     fleet.announce(1, 1, 4);
     fleet.announce(1, 1, 5);
     assert!(fleet.admits(1));
-    fleet.pass(300);
+    fleet.advance(300);
     fleet.announce(0, 0, 3);
     assert_eq!(fleet.state(0), HomeState::Elsewhere { home: fleet.id(1) });
-    fleet.pass(300);
+    fleet.advance(300);
     assert!(fleet.admits(1));
 }
 
@@ -201,7 +201,7 @@
         assert_eq!(fleet.admits(1), !waits, "epoch {epoch}");
         let from = fleet.now;
         for sequence in 5..12 {
-            fleet.pass(500);
+            fleet.advance(500);
             fleet.announce(1, epoch, sequence);
         }
         assert!(
--- a/crates/ragwortroad_membership/tests/healing.rs
+++ b/crates/ragwortroad_membership/tests/healing.rs
@@ -5,7 +5,7 @@
 use fake_fleet::FakeFleet;
 use ragwortroad_membership::prelude::*;
 
-fn settled(seed: u64, nodes: usize, endpoints: usize, zones: usize) -> FakeFleet {
+fn settled_fleet(seed: u64, nodes: usize, endpoints: usize, zones: usize) -> FakeFleet {
     let settings = MembershipSettings::default();
     let mut fleet = FakeFleet::new(seed, nodes, endpoints, zones, &settings);
     fleet.settle(120_000);
@@ -17,7 +17,7 @@
 fn a_leaving_endpoint_is_unavailable_everywhere_within_three_seconds() {
     let mut slowest = 0;
     for seed in 0..10 {
-        let mut fleet = settled(seed, 40, 60, 6);
+        let mut fleet = settled_fleet(seed, 40, 60, 6);
         fleet.network.loss = 0.1;
         fleet.run(5_000);
         fleet.endpoints[7].leaving = true;
@@ -28,15 +28,15 @@
             fleet.run(10);
             assert!(fleet.now - start < 5_000, "nobody heard of it");
         }
-        let said = fleet.now;
+        let announced_at = fleet.now;
         while fleet.tables().any(|table| table.is_available(id)) {
             fleet.run(10);
         }
-        slowest = slowest.max(fleet.now - said);
+        slowest = slowest.max(fleet.now - announced_at);
         assert!(
-            fleet.now - said < 3_000,
+            fleet.now - announced_at < 3_000,
             "seed {seed}: {} ms",
-            fleet.now - said
+            fleet.now - announced_at
         );
     }
     println!("10 runs, 40 nodes, 10 % loss: the slowest took {slowest} ms");
@@ -44,9 +44,9 @@
 
 /// Guards against a node that counts as down because one way to it is cut.
 #[test]
-fn a_one_way_cut_takes_no_node_down() {
+fn a_one_way_cut_marks_no_node_down() {
     for seed in 0..10 {
-        let mut fleet = settled(seed, 12, 12, 3);
+        let mut fleet = settled_fleet(seed, 12, 12, 3);
         let neighbour = fleet.nodes[0]
             .table
             .as_ref()
@@ -72,7 +72,7 @@
 fn a_paused_node_refutes_the_suspicion() {
     let mut refuted = 0;
     for seed in 0..10 {
-        let mut fleet = settled(seed, 12, 12, 3);
+        let mut fleet = settled_fleet(seed, 12, 12, 3);
         let downs = fleet.findings.node_downs;
         fleet.nodes[3].paused_until = fleet.now + 8_000;
         fleet.run(40_000);
@@ -85,9 +85,9 @@
 
 /// Guards against an exchange beyond the budget when parted regions meet.
 #[test]
-fn regions_parted_for_an_hour_heal_within_the_budget() {
-    let mut fleet = settled(1, 18, 36, 6);
-    fleet.network.parted_regions.insert(1);
+fn regions_partitioned_for_an_hour_converge_within_the_budget() {
+    let mut fleet = settled_fleet(1, 18, 36, 6);
+    fleet.network.partitioned_regions.insert(1);
     fleet.network.last_cut = fleet.now;
     fleet.run(120_000);
     for node in &fleet.nodes {
@@ -102,24 +102,27 @@
         fleet.start_endpoint(endpoint);
     }
     fleet.run(3_480_000);
-    fleet.network.parted_regions.clear();
+    fleet.network.partitioned_regions.clear();
     let before: Vec<(u64, u64)> = fleet
         .nodes
         .iter()
         .map(|node| (node.bytes_out, node.packets_out))
         .collect();
     let downs = fleet.findings.node_downs;
-    let took = fleet.settle(120_000);
-    assert_eq!(fleet.findings.node_downs, downs, "healing took nodes down");
+    let converged_ms = fleet.settle(120_000);
+    assert_eq!(
+        fleet.findings.node_downs, downs,
+        "a node was marked down after the partition healed"
+    );
     let settings = &fleet.settings;
-    let allowed =
-        u64::from(settings.bytes_per_second) * took / 1000 + 2 * u64::from(settings.burst_bytes);
+    let allowed = u64::from(settings.bytes_per_second) * converged_ms / 1000
+        + 2 * u64::from(settings.burst_bytes);
     let mut most = 0;
     for (node, (bytes, packets)) in fleet.nodes.iter().zip(before) {
         let overhead = (node.packets_out - packets) * u64::from(settings.packet_overhead_bytes);
         most = most.max(node.bytes_out - bytes + overhead);
     }
-    println!("healed in {took} ms; at most {most} bytes from one node, {allowed} allowed");
+    println!("views converged in {converged_ms} ms; at most {most} bytes from one node, {allowed} allowed");
     assert!(most < allowed);
 }
 
@@ -128,7 +131,7 @@
 fn a_lost_failure_domain_is_noticed_and_its_endpoints_move() {
     let mut slowest = 0;
     for seed in 0..5 {
-        let mut fleet = settled(seed, 15, 30, 3);
+        let mut fleet = settled_fleet(seed, 15, 30, 3);
         for index in 0..fleet.nodes.len() {
             if fleet.nodes[index].zone == 0 {
                 fleet.nodes[index].table = None;
@@ -145,7 +148,7 @@
 /// Guards against a flapping endpoint that gets work, or none for good.
 #[test]
 fn a_flapping_endpoint_is_damped_and_comes_back() {
-    let mut fleet = settled(3, 12, 12, 3);
+    let mut fleet = settled_fleet(3, 12, 12, 3);
     let id = fleet.endpoints[5].id();
     let bytes = |fleet: &FakeFleet| -> u64 {
         fleet
@@ -160,7 +163,7 @@
         fleet.start_endpoint(5);
         fleet.run(1500);
     }
-    let told = bytes(&fleet) - start;
+    let sent_bytes = bytes(&fleet) - start;
     assert!(
         fleet.tables().all(|table| !table.is_available(id)),
         "still gets work"
@@ -170,8 +173,10 @@
         fleet.tables().all(|table| !table.is_available(id)),
         "came back too soon"
     );
-    let quiet = fleet.settle(400_000);
-    println!("30 restarts in 60 s told in {told} bytes over 12 nodes; back after {quiet} ms more");
+    let recovery_ms = fleet.settle(400_000);
+    println!(
+        "30 restarts in 60 s cost {sent_bytes} bytes over 12 nodes; available again after {recovery_ms} ms more"
+    );
     // Each of 30 restarts told to 12 nodes, three copies of 130 bytes each, would be 140,000.
-    assert!(told < 70_000, "{told} bytes");
+    assert!(sent_bytes < 70_000, "{sent_bytes} bytes");
 }
--- a/crates/ragwortroad_membership/tests/packets.rs
+++ b/crates/ragwortroad_membership/tests/packets.rs
@@ -20,7 +20,7 @@
 }
 
 /// Packets that two tables send each other on meeting.
-fn sound_packets() -> Vec<Vec<u8>> {
+fn valid_packets() -> Vec<Vec<u8>> {
     let mut tables = [table("a", 7000), table("b", 7001)];
     let mut packets = Vec::new();
     for step in 0..100 {
@@ -41,7 +41,7 @@
 proptest! {
     /// A faulty or hostile sender must neither stop a node nor put itself in another's place.
     #[test]
-    fn bytes_of_any_kind_stop_nothing(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_packet_bytes_leave_the_node_alive(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut table = table("a", 7000);
         let from = NodeId::from_name("b");
         table.handle(GossipInput::Packet { from, bytes }, ClockTime(10));
@@ -51,8 +51,8 @@
 
     /// A bit that flips on the way past all checks below must not stop a node either.
     #[test]
-    fn a_changed_packet_stops_nothing(pick in any::<prop::sample::Index>(), at in any::<prop::sample::Index>(), mask in 1u8..) {
-        let packets = sound_packets();
+    fn a_corrupted_packet_does_not_panic(pick in any::<prop::sample::Index>(), at in any::<prop::sample::Index>(), mask in 1u8..) {
+        let packets = valid_packets();
         prop_assert!(packets.len() > 10);
         let mut bytes = pick.get(&packets).clone();
         let at = at.index(bytes.len());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn nobody_is_answered_before_it_says_who_it_is() {
+fn a_packet_from_an_unknown_node_without_its_record_is_refused() {
     let mut table = table("a", 7000);
     let from = NodeId::from_name("stranger");
     let bytes = vec![1, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0];
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_blob_reaches_every_node_and_a_large_one_is_refused() {
+fn a_blob_reaches_its_peer_and_an_oversized_one_is_refused() {
     let mut tables = [table("a", 7000), table("b", 7001)];
     assert!(!tables[0].set_blob(1, vec![0; 513]));
     for (step, content) in [(0, b"one"), (40, b"two")] {
--- a/crates/ragwortroad_membership/tests/schedules.rs
+++ b/crates/ragwortroad_membership/tests/schedules.rs
@@ -46,11 +46,11 @@
 }
 
 /// Ends every disturbance; everything that was stopped or leaving is started anew.
-fn mend(fleet: &mut FakeFleet) {
+fn end_disturbances(fleet: &mut FakeFleet) {
     fleet.network.loss = 0.0;
-    fleet.network.lateness = 0.0;
+    fleet.network.long_delay = 0.0;
     fleet.network.cuts.clear();
-    fleet.network.parted_regions.clear();
+    fleet.network.partitioned_regions.clear();
     for node in 0..fleet.nodes.len() {
         fleet.nodes[node].paused_until = 0;
         let own = fleet.nodes[node].id();
@@ -73,8 +73,8 @@
 fn run_schedule(seed: u64, settings: &MembershipSettings) -> FakeFleet {
     let mut fleet = FakeFleet::new(seed, 9, 23, 3, settings);
     fleet.network.loss = 0.05;
-    fleet.network.doubling = 0.02;
-    fleet.network.lateness = 0.03;
+    fleet.network.duplication = 0.02;
+    fleet.network.long_delay = 0.03;
     for endpoint in &mut fleet.endpoints {
         endpoint.load_change = 0.5;
     }
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_small_fleet_finds_together_and_agrees() {
+fn a_small_fleet_converges() {
     for seed in 0..5 {
         let mut fleet = FakeFleet::new(seed, 9, 23, 3, &MembershipSettings::default());
         fleet.settle(30_000);
@@ -101,11 +101,11 @@
 
 /// Guards against two homes at once, and views that never heal.
 #[test]
-fn no_schedule_makes_two_homes_and_all_heal() {
+fn no_schedule_grants_two_homes_and_all_fleets_converge() {
     let mut total = fake_fleet::FleetFindings::default();
     for seed in 0..40 {
         let mut fleet = run_schedule(seed, &MembershipSettings::default());
-        mend(&mut fleet);
+        end_disturbances(&mut fleet);
         fleet.settle(400_000);
         let found = &fleet.findings;
         assert!(
@@ -126,8 +126,8 @@
 
 /// Guards against schedules that do not notice two homes at once.
 #[test]
-fn a_node_with_a_longer_lease_than_the_others_assume_is_caught() {
-    let mut caught = 0;
+fn a_node_with_a_longer_lease_than_its_peers_assume_is_detected() {
+    let mut detected = 0;
     for seed in 0..10 {
         let mut fleet = FakeFleet::new(seed, 9, 23, 3, &MembershipSettings::default());
         let longer = MembershipSettings {
@@ -142,7 +142,7 @@
             fleet.nodes[0].paused_until = fleet.now + 1500;
             fleet.run_checked(if round % 2 == 0 { 10_000 } else { 70_000 });
         }
-        caught += usize::from(!fleet.findings.double_homes.is_empty());
+        detected += usize::from(!fleet.findings.double_homes.is_empty());
     }
-    assert!(caught > 0, "no schedule showed the fault");
+    assert!(detected > 0, "no schedule showed the fault");
 }
