--- a/crates/ragwortroad_membership/examples/gossip_cost.rs
+++ b/crates/ragwortroad_membership/examples/gossip_cost.rs
@@ -1,13 +1,14 @@
-//! What membership costs each node, by size of the fleet and by what goes on.
+//! Measures what the membership protocol costs each node, by fleet size and workload.
 //!
 //! ```text
 //! cargo run --release -p ragwortroad_membership --example gossip_cost -- \
 //!     [--seed N] [--nodes N] [--long]
 //! ```
 //!
-//! Bytes are those a node sends, on the wire: packets' content, 140 bytes for each packet (QUIC,
-//! UDP, IP and the acknowledgement, as `message_cost` of the transport measures), and 2,337 bytes
-//! for each connection opened. Everything but the columns `core` and `KiB` follows from the seed.
+//! Bytes are those that a node sends on the wire: the content of packets, 140 bytes for each packet
+//! (QUIC, UDP, IP and the acknowledgement, as measured by the transport's `message_cost`), and 2,337
+//! bytes for each connection opened. Everything except the `core` and `KiB` values is determined by
+//! the seed.
 
 #[path = "../tests/fake_fleet/mod.rs"]
 mod fake_fleet;
@@ -16,26 +17,26 @@
 use ragwortroad_membership::prelude::*;
 use rand::RngExt;
 
-/// Bytes of a handshake on one side.
+/// Bytes that a QUIC handshake adds on each side of a connection.
 const HANDSHAKE_BYTES: u64 = 2337;
-/// Measured time of each situation.
+/// Duration of each measured phase.
 const SPAN_MS: u64 = 300_000;
-/// Restarts a day in a fleet of 340.
+/// Node restarts per day in a fleet of 340 nodes.
 const RESTARTS_PER_DAY: u64 = 260;
 
-/// What is going on while the cost is measured.
+/// The workload during one measurement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FleetPhase {
-    /// Nothing changes.
+    /// No restarts and no load changes.
     Quiet,
-    /// Every second each endpoint's load moves with a chance of one half.
+    /// Every second, each endpoint's load changes with a probability of one half.
     Load,
-    /// As before, and nodes restart at ten times the rate of an ordinary day, and an endpoint
-    /// restarts every ten seconds.
+    /// Load changes as in `Load`. In addition, nodes restart at ten times the usual rate, and an
+    /// endpoint restarts every ten seconds.
     Churn,
 }
 
-/// What all nodes had sent at some moment.
+/// Cumulative traffic and processing time of all nodes at one point in time.
 struct CostReading {
     bytes: Vec<u64>,
     packets: u64,
@@ -105,8 +106,8 @@
         .zip(&before.bytes)
         .map(|(to, from)| to - from)
         .collect();
-    let mean = spent.iter().sum::<u64>() / nodes / seconds;
-    let most = spent.iter().max().copied().unwrap_or(0) / seconds;
+    let mean_rate = spent.iter().sum::<u64>() / nodes / seconds;
+    let max_rate = spent.iter().max().copied().unwrap_or(0) / seconds;
     let packets = (after.packets - before.packets) as f64 / (nodes * seconds) as f64;
     let parts: Vec<String> = after
         .parts
@@ -118,15 +119,15 @@
         (after.table_time - before.table_time).as_secs_f64() / (nodes * seconds) as f64;
     let phase = format!("{phase:?}").to_lowercase();
     let endpoints = fleet.endpoints.len();
-    let each = mean as f64 / endpoints as f64;
+    let per_endpoint = mean_rate as f64 / endpoints as f64;
     println!(
-        "{nodes:>5} {endpoints:>5} {phase:>6} {mean:>7} {most:>7} {packets:>7.1} {each:>8.1}   {:<22} {:>8.4}%",
+        "{nodes:>5} {endpoints:>5} {phase:>6} {mean_rate:>7} {max_rate:>7} {packets:>7.1} {per_endpoint:>8.1}   {:<22} {:>8.4}%",
         parts.join("/"),
         table_time * 100.0
     );
 }
 
-/// Kibibytes of memory that this process has in use.
+/// Resident memory of this process in KiB.
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -134,7 +135,7 @@
     number.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-/// Two regions lose each other for `span` and meet again.
+/// Partitions two regions for `span` milliseconds and reports the cost of reconciling them.
 fn partition_regions(fleet: &mut FakeFleet, span: u64) {
     fleet.network.partitioned_regions.insert(0);
     fleet.run(span);
@@ -157,7 +158,7 @@
         .map(|(to, from)| to - from)
         .sum();
     println!(
-        "parted for {} s: equal views after {} ms, {} bytes a node in that time, at most {peak} by one node in a second, {} nodes taken for down by healing",
+        "partitioned for {} s: equal views after {} ms, {} bytes per node in that time, at most {peak} by one node in a second, {} nodes marked down after the partition healed",
         span / 1000,
         fleet.now - start,
         spent / fleet.nodes.len() as u64,
@@ -168,24 +169,24 @@
 fn main() {
     let args: Vec<String> = std::env::args().collect();
     let number = |flag: &str| -> Option<u64> {
-        let at = args.iter().position(|word| word == flag)?;
+        let at = args.iter().position(|arg| arg == flag)?;
         args.get(at + 1)?.parse().ok()
     };
     let seed = number("--seed").unwrap_or(1);
     let only = number("--nodes");
-    let long = args.iter().any(|word| word == "--long");
+    let long = args.iter().any(|arg| arg == "--long");
     println!(
-        "bytes and packets are per node and second; content is nodes/endpoints/load/comparing"
+        "bytes and packets are per node and second; content is nodes/endpoints/loads/requests and sync"
     );
     println!(
-        "nodes  ends  phase   bytes    most packets  per end   content                    core"
+        "nodes  ends  phase   bytes     max packets  per end   content                    core"
     );
     let all = [(9, 23, 3), (40, 90, 6), (120, 265, 9), (340, 750, 11)];
     for (nodes, endpoints, zones) in all {
         if only.is_some_and(|only| only != nodes as u64) {
             continue;
         }
-        let empty = resident_kib();
+        let baseline_kib = resident_kib();
         let mut fleet = FakeFleet::new(
             seed,
             nodes,
@@ -194,12 +195,14 @@
             &MembershipSettings::default(),
         );
         fleet.verify_homes = false;
-        let joined = fleet.settle(600_000);
+        let joined_ms = fleet.settle(600_000);
         for phase in [FleetPhase::Quiet, FleetPhase::Load, FleetPhase::Churn] {
             measure(&mut fleet, phase);
         }
-        let kib = resident_kib().saturating_sub(empty) / nodes as u64;
-        println!("{nodes:>5} nodes started at once agreed after {joined} ms; {kib} KiB a node");
+        let kib = resident_kib().saturating_sub(baseline_kib) / nodes as u64;
+        println!(
+            "{nodes:>5} nodes started at once converged after {joined_ms} ms; {kib} KiB per node"
+        );
         fleet.settle(600_000);
         partition_regions(&mut fleet, if long { 3_600_000 } else { 120_000 });
     }
--- a/crates/ragwortroad_membership/src/byte_budget.rs
+++ b/crates/ragwortroad_membership/src/byte_budget.rs
@@ -1,25 +1,24 @@
 use ragwortroad_types::prelude::*;
 
-/// Bytes that may be spent, refilled at a steady rate.
+/// A token bucket that limits the bytes sent. It may be overdrawn by up to one burst.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ByteBudget {
-    /// Bytes refilled each second.
     bytes_per_second: u32,
-    /// Most bytes that can be saved up, and most that can be overdrawn.
+    /// Upper bound for both the saved-up and the overdrawn bytes.
     burst_bytes: u32,
-    /// Bytes left, in thousandths; negative while overdrawn.
+    /// Balance in thousandths of a byte; negative while overdrawn.
     ///
-    /// Invariant: between minus and plus `burst`.
+    /// Invariant: lies between minus and plus `burst_bytes`.
     available_millibytes: i64,
-    /// When it was last refilled.
     last_refill: ClockTime,
 }
 
-/// Thousandths of a byte in a byte, so that a refill of one millisecond loses nothing.
+/// Balances are kept in thousandths of a byte, so that a refill after one millisecond loses nothing
+/// to rounding.
 const MILLIBYTES_PER_BYTE: i64 = 1000;
 
 impl ByteBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub(crate) fn new(bytes_per_second: u32, burst_bytes: u32) -> Self {
         Self {
             bytes_per_second,
@@ -29,7 +28,7 @@
         }
     }
 
-    /// Adds what the time since the last refill brings.
+    /// Adds the bytes earned since the last refill.
     pub(crate) fn refill(&mut self, now: ClockTime) {
         let elapsed_ms = now.since(self.last_refill).as_millis().min(3_600_000) as i64;
         let max_millibytes = i64::from(self.burst_bytes) * MILLIBYTES_PER_BYTE;
@@ -39,12 +38,11 @@
         self.last_refill = self.last_refill.max(now);
     }
 
-    /// Whether anything is left.
     pub(crate) fn has_available(&self) -> bool {
         self.available_millibytes > 0
     }
 
-    /// Takes `bytes`, overdrawing if need be.
+    /// Deducts `bytes`, overdrawing the budget if necessary.
     pub(crate) fn spend(&mut self, bytes: usize) {
         let min_millibytes = -i64::from(self.burst_bytes) * MILLIBYTES_PER_BYTE;
         self.available_millibytes =
--- a/crates/ragwortroad_membership/src/endpoint_record.rs
+++ b/crates/ragwortroad_membership/src/endpoint_record.rs
@@ -4,70 +4,73 @@
 
 use crate::CoarseLoad;
 
-/// Whether an endpoint is there, as its home says.
+/// Whether an endpoint is available, as reported by its home node.
 ///
-/// Invariant: the order is the one in which news of one announcement replaces other news.
+/// Invariant: variants are ordered by precedence. Of two records from the same announcement, the
+/// one with the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointPresence {
-    /// It announces itself.
+    /// The endpoint sends announcements.
     Present,
-    /// It announces itself and said that it will stop; it gets no new work.
+    /// The endpoint has announced that it is shutting down; it gets no new work.
     Leaving,
-    /// Its home gave it up, as that node is leaving; another home follows.
+    /// Its home node is shutting down and gave up its claim; the endpoint is about to choose
+    /// another home.
     Released,
-    /// It fell silent.
+    /// Its home node has not received an announcement for the endpoint timeout.
     Gone,
 }
 
-/// One endpoint, as everybody knows it.
+/// The replicated record of one endpoint. Every node holds a copy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Its identity.
+    /// Identity, derived from `name`.
     pub id: EndpointId,
-    /// The name under which it announces itself.
+    /// The name that the endpoint announces.
     pub name: String,
-    /// Where it takes requests.
+    /// Address at which the endpoint accepts requests.
     pub address: SocketAddr,
-    /// What it does with a request.
+    /// How the endpoint processes a request.
     pub kind: EndpointKind,
-    /// Its failure domain (zone).
+    /// The endpoint's failure domain (zone).
     pub zone: String,
-    /// The service's name, for a plain service.
+    /// Name of the service; present only for an endpoint that runs a plain service.
     pub service: Option<String>,
-    /// Models it holds ready.
+    /// Models that are loaded and ready to serve.
     pub models: Vec<ModelOffer>,
-    /// Requests it works on at once before they queue.
+    /// Number of requests processed concurrently; more are queued.
     pub capacity: u32,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the endpoint rejects orders with an outdated fencing number.
     pub checks_fencing: bool,
-    /// Counts up with every restart of the endpoint.
+    /// Incremented whenever the endpoint restarts.
     pub incarnation: u64,
-    /// The announcement that the record (but not the load) is from.
+    /// Sequence number of the announcement that the record was created from; the load may be newer.
     ///
-    /// Invariant: of two records of one incarnation the one with the higher sequence is newer, or
-    /// with the higher presence where the sequences are equal. Endpoints number announcements
-    /// across homes, and only the home that heard an announcement writes a record from it.
+    /// Invariant: of two records of one incarnation, the one with the higher sequence is newer; at
+    /// equal sequences, the one with the higher presence. Endpoints number their announcements
+    /// across homes, and only the home that received an announcement creates a record from it.
     pub sequence: u64,
-    /// Counts up whenever the endpoint turns to another home.
+    /// Incremented whenever the endpoint switches to another home.
     pub home_epoch: u64,
-    /// The one node it announces itself to.
+    /// The only node that the endpoint currently announces itself to.
     pub home: NodeId,
-    /// Whether it is there.
+    /// Availability as reported by the home node.
     pub presence: EndpointPresence,
-    /// Whether it flaps and gets no new work until it has calmed down.
+    /// Whether the endpoint restarts too often. It gets no new work until its flap penalty has
+    /// decayed below the reuse threshold.
     pub damped: bool,
-    /// Its recent restarts, in quarters, when the record was written.
+    /// Flap penalty at the time the record was created, in quarters of a restart.
     pub flaps: u8,
-    /// Its load as last told.
+    /// The last published load.
     pub load: CoarseLoad,
-    /// The announcement that the load is from.
+    /// Sequence number of the announcement that the load is from.
     pub load_sequence: u64,
 }
 
 impl EndpointRecord {
-    /// Whether it wants new work, as far as its home knows.
+    /// Whether the endpoint accepts new work, as far as its home knows.
     ///
-    /// A released endpoint does: its next home follows in a moment.
+    /// A released endpoint does, since it chooses its next home within moments.
     pub fn accepts_new_work(&self) -> bool {
         let is_active = matches!(
             self.presence,
@@ -76,12 +79,12 @@
         is_active && !self.damped
     }
 
-    /// What decides which of two records is newer.
+    /// The version that decides which of two records is newer.
     pub(crate) fn version(&self) -> (u64, u64, EndpointPresence) {
         (self.incarnation, self.sequence, self.presence)
     }
 
-    /// Whether everything but load and version numbers is equal.
+    /// Whether the records are equal apart from load, flap penalty and sequence numbers.
     pub(crate) fn same_metadata(&self, other: &Self) -> bool {
         self.incarnation == other.incarnation
             && self.home_epoch == other.home_epoch
--- a/crates/ragwortroad_membership/src/endpoint_table.rs
+++ b/crates/ragwortroad_membership/src/endpoint_table.rs
@@ -7,40 +7,39 @@
     EndpointRecord, //
 };
 
-/// What is known of one endpoint.
+/// A record with the time it was last updated.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointEntry {
-    /// The record as told to others.
+    /// The record as replicated to other nodes.
     pub(crate) record: EndpointRecord,
-    /// When the record (not the load) arrived or was written.
+    /// When the record was received or created; load updates do not count.
     pub(crate) updated_at: ClockTime,
 }
 
-/// All endpoints known.
+/// All known endpoints.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
-    /// Ordered, so that a run can be replayed.
+    /// Ordered, so that a replay with the same seed visits endpoints in the same order.
     entries: BTreeMap<EndpointId, EndpointEntry>,
-    /// Endpoints that are not gone by their home; counted here, as every announcement asks for it.
+    /// Number of endpoints by home, leaving out those that are gone. It is cached, as every
+    /// announcement needs it.
     ///
     /// Invariant: no count is zero, and their sum is `total`.
     home_counts: BTreeMap<NodeId, usize>,
-    /// Endpoints that are not gone.
+    /// Number of endpoints that are not gone.
     total: usize,
 }
 
 impl EndpointTable {
-    /// What is known of `endpoint`.
     pub(crate) fn get(&self, endpoint: EndpointId) -> Option<&EndpointEntry> {
         self.entries.get(&endpoint)
     }
 
-    /// The record of `endpoint`.
     pub(crate) fn record(&self, endpoint: EndpointId) -> Option<&EndpointRecord> {
         self.entries.get(&endpoint).map(|entry| &entry.record)
     }
 
-    /// Puts `record` in place of what was known; a load that is newer than the record's stays.
+    /// Inserts or replaces a record. Keeps the stored load if it is newer than the record's.
     pub(crate) fn put(&mut self, mut record: EndpointRecord, now: ClockTime) {
         if let Some(previous) = self.entries.get(&record.id) {
             let previous = &previous.record;
@@ -64,7 +63,7 @@
         }
     }
 
-    /// Takes an entry that was replaced or removed out of the counts.
+    /// Subtracts a replaced or removed entry from the cached counts.
     fn remove_from_counts(&mut self, previous: Option<&EndpointEntry>) {
         let is_counted = |entry: &&EndpointEntry| entry.record.presence != EndpointPresence::Gone;
         let Some(entry) = previous.filter(is_counted) else {
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Number of endpoints that are not gone, by home.
+    /// Number of endpoints by home, leaving out those that are gone.
     pub(crate) fn home_counts(&self) -> &BTreeMap<NodeId, usize> {
         &self.home_counts
     }
@@ -89,7 +88,7 @@
         self.total
     }
 
-    /// Takes over a newer load; whether it was one.
+    /// Applies a load update if it is newer than the stored load, and returns whether it was.
     pub(crate) fn put_load(&mut self, endpoint: EndpointId, load: &LoadUpdate) -> bool {
         let Some(entry) = self.entries.get_mut(&endpoint) else {
             return false;
@@ -104,18 +103,17 @@
         true
     }
 
-    /// Forgets `endpoint`.
     pub(crate) fn remove(&mut self, endpoint: EndpointId) {
         let previous = self.entries.remove(&endpoint);
         self.remove_from_counts(previous.as_ref());
     }
 
-    /// All endpoints.
+    /// Iterates over all endpoints in the order of their identities.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (EndpointId, &EndpointEntry)> {
         self.entries.iter().map(|(id, entry)| (*id, entry))
     }
 
-    /// Endpoints that are not gone, whose home is `node`.
+    /// Endpoints whose home is `node`, leaving out those that are gone.
     pub(crate) fn homed_at(&self, node: NodeId) -> impl Iterator<Item = EndpointId> + '_ {
         self.iter()
             .filter(move |(_, entry)| {
@@ -125,13 +123,12 @@
     }
 }
 
-/// A load with what is needed to order it among others.
+/// A load together with the version that orders it among other loads.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadUpdate {
-    /// Low byte of the incarnation.
+    /// Low byte of the endpoint's incarnation.
     pub(crate) incarnation: u8,
-    /// The announcement.
+    /// Sequence number of the announcement that the load is from.
     pub(crate) sequence: u64,
-    /// The load.
     pub(crate) load: crate::CoarseLoad,
 }
--- a/crates/ragwortroad_membership/src/gossip_action.rs
+++ b/crates/ragwortroad_membership/src/gossip_action.rs
@@ -2,37 +2,38 @@
 
 use ragwortroad_types::prelude::*;
 
-/// What a [`MembershipTable`](crate::MembershipTable) wants done, or has found out.
+/// A side effect that [`MembershipTable`](crate::MembershipTable) requests, or a change that it
+/// reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GossipAction {
-    /// Send a packet; it may get lost.
+    /// Send a packet. Delivery need not be reliable.
     Send {
-        /// To this node.
+        /// The receiving node.
         to: NodeId,
-        /// At this address.
+        /// The receiver's gossip address.
         address: SocketAddr,
-        /// The packet.
+        /// The encoded packet.
         bytes: Vec<u8>,
     },
-    /// A node appeared or came back.
+    /// A node joined, came back after being down, or refuted a suspicion.
     NodeUp(NodeId),
-    /// A node is silent, and may speak up yet.
+    /// A node does not respond and is suspected to be down; it may still refute this.
     NodeSuspected(NodeId),
-    /// A node is taken for gone.
+    /// A node is considered down.
     NodeDown(NodeId),
     /// A node is shutting down.
     NodeLeaving(NodeId),
-    /// An endpoint appeared, or something of its record but the load changed.
+    /// An endpoint appeared, or a field of its record other than the load changed.
     EndpointChanged(EndpointId),
-    /// An endpoint's load as told to the fleet changed.
+    /// An endpoint's published load changed.
     EndpointLoadChanged(EndpointId),
-    /// An endpoint is gone, or its home has been down for long.
+    /// An endpoint is gone, or its home node is down.
     EndpointGone(EndpointId),
-    /// This node's right to admit work to an endpoint began, moved or ended.
+    /// This node's right to admit work to an endpoint began, ended, or got another start time.
     HomeChanged(EndpointId),
     /// A node's blob of this kind changed.
     BlobChanged {
-        /// The node.
+        /// The node that published the blob.
         node: NodeId,
         /// The blob's kind.
         kind: u8,
--- a/crates/ragwortroad_membership/src/gossip_input.rs
+++ b/crates/ragwortroad_membership/src/gossip_input.rs
@@ -1,19 +1,19 @@
 use ragwortroad_types::prelude::*;
 
-/// What happens to a [`MembershipTable`](crate::MembershipTable).
+/// An event that [`MembershipTable`](crate::MembershipTable) has to process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GossipInput {
-    /// Time has passed; wanted about every 100 ms.
+    /// Time has passed. Expected about every 100 ms.
     Tick,
-    /// A peer sent a packet.
+    /// A packet arrived from a peer.
     Packet {
-        /// The sender, proved by its certificate.
+        /// The sender, as authenticated by its certificate.
         from: NodeId,
-        /// The packet.
+        /// The encoded packet.
         bytes: Vec<u8>,
     },
     /// An endpoint announced itself to this node.
     Announce(AnnounceWire),
-    /// This node is shutting down: it gives up its endpoints and says so.
+    /// This node starts to shut down: it releases its endpoints and tells its peers.
     LeaveStarted,
 }
--- a/crates/ragwortroad_membership/src/home_claim.rs
+++ b/crates/ragwortroad_membership/src/home_claim.rs
@@ -8,50 +8,52 @@
     flap_penalty::FlapPenalty, //
 };
 
-/// This node's claim to be home to one endpoint.
+/// This node's claim to be the home of one endpoint.
 ///
-/// The endpoint grants the home; it turns to another node under a higher epoch whenever it likes.
-/// How long an announcement was on the way is not known, so receiving one proves nothing about
-/// now. But an endpoint sends the next announcement of an epoch only after it got the answer to
-/// the last one, so a second announcement proves that it was still with us when we answered the
-/// first. The lease therefore runs from the answer before, and a new home that waits longer than a
-/// lease after it first heard the endpoint cannot overlap, whatever was delayed or paused.
+/// The endpoint chooses its home. It may switch to another node at any time, under a higher epoch.
+/// The transit time of an announcement is unknown, so an announcement alone does not prove that the
+/// endpoint still uses this home. But within one epoch an endpoint sends the next announcement only
+/// after it received the answer to the last one. A second announcement thus proves that the
+/// endpoint still used this home when the first one was answered. The lease therefore starts at the
+/// previous answer. A new home that waits longer than one lease after the first announcement it
+/// receives cannot overlap with the previous home, no matter which messages were delayed or which
+/// processes were paused.
 #[derive(Clone, Debug)]
 pub(crate) struct HomeClaim {
     /// The endpoint's incarnation.
     pub(crate) incarnation: u64,
-    /// The epoch in which the endpoint turned to us.
+    /// The epoch in which the endpoint switched to this node.
     pub(crate) epoch: u64,
-    /// The last announcement.
+    /// Sequence number of the last announcement.
     pub(crate) sequence: u64,
-    /// When we answered the last announcement.
+    /// When this node answered the last announcement.
     pub(crate) answered_at: ClockTime,
-    /// When the endpoint turned to us, for the shortest stay.
+    /// When the endpoint switched to this node. It decides how long the endpoint is kept at least.
     pub(crate) held_since: ClockTime,
-    /// By then every earlier home's right has ended.
+    /// Time at which the leases of all earlier homes have ended.
     pub(crate) exclusive_from: ClockTime,
-    /// Our right ends before this time; nothing while no second announcement came.
+    /// Exclusive end of this node's lease; absent until a second announcement confirms the claim.
     pub(crate) lease_end: Option<ClockTime>,
-    /// The home before us, as long as its word would shorten the wait.
+    /// The previous home, while its answer could still shorten the wait.
     pub(crate) previous_home: Option<NodeId>,
-    /// When the former home was last asked.
+    /// When the previous home was last asked to hand over.
     pub(crate) last_handover_request: Option<ClockTime>,
-    /// Whether we gave it up or lost it; never undone within the epoch.
+    /// Whether the claim was released or superseded. It stays so for the rest of the epoch.
     pub(crate) ended: bool,
-    /// Recent restarts of the endpoint.
+    /// Flap penalty of the endpoint.
     pub(crate) penalty: FlapPenalty,
-    /// When the fleet was last told of the load.
+    /// When the load was last published.
     pub(crate) load_published_at: ClockTime,
     /// The exact load of the last announcement.
     pub(crate) load: LoadReport,
-    /// Whether the fleet was told of this claim.
+    /// Whether a record of this claim was published.
     pub(crate) published: bool,
 }
 
 impl HomeClaim {
-    /// Takes a later announcement of the same epoch.
+    /// Processes a later announcement of the same epoch.
     pub(crate) fn renew(&mut self, sequence: u64, now: ClockTime, lease: Duration) {
-        // After a gap nothing proves that our last answer arrived.
+        // After a gap in the sequence, nothing proves that the last answer arrived.
         if sequence == self.sequence + 1 {
             let lease_end = self.answered_at.after(lease);
             self.lease_end = Some(
@@ -63,7 +65,8 @@
         self.answered_at = now;
     }
 
-    /// What the claim amounts to at `now`; nothing once it has ended or its lease is over.
+    /// Returns the state of the claim at `now`, or `None` once it has ended or its lease has
+    /// expired.
     pub(crate) fn state(&self, now: ClockTime) -> Option<HomeState> {
         if self.ended {
             return None;
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Whether the fleet should hear of the last announcement's load.
+    /// Whether the load of the last announcement is to be published.
     pub(crate) fn should_publish_load(
         &self,
         published: CoarseLoad,
--- a/crates/ragwortroad_membership/src/home_selector.rs
+++ b/crates/ragwortroad_membership/src/home_selector.rs
@@ -1,34 +1,34 @@
-//! Which node should be home to an endpoint.
+//! Selection of the home node for an endpoint.
 
 use std::collections::BTreeMap;
 
 use ragwortroad_types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A node that may be home to endpoints.
+/// A node that may become the home of endpoints.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HomeCandidate<'a> {
-    /// The node.
     pub(crate) node: NodeId,
-    /// Its zone.
+    /// The node's failure domain (zone).
     pub(crate) zone: &'a str,
-    /// Whether it has been up for long enough.
+    /// Whether the node has been up for at least the required time.
     pub(crate) is_stable: bool,
 }
 
-/// Candidates and how many endpoints each is home to.
+/// Ranks home candidates, given the number of endpoints that each node already has.
 #[derive(Debug)]
 pub(crate) struct HomeSelector<'a> {
-    /// Settled nodes, or all where none is settled yet.
+    /// The stable nodes, or all nodes if none is stable yet.
     candidates: Vec<HomeCandidate<'a>>,
-    /// Endpoints by home.
+    /// Number of endpoints by home.
     counts: &'a BTreeMap<NodeId, usize>,
-    /// Most endpoints a node should be home to.
+    /// Number of endpoints from which a node counts as full.
     pub(crate) max_homed: usize,
 }
 
 impl<'a> HomeSelector<'a> {
-    /// A choice among `candidates`, given how many endpoints each node has.
+    /// Creates a selector for `candidates`. A node may hold the mean number of endpoints times
+    /// `balance_factor`, rounded up.
     pub(crate) fn new(
         mut candidates: Vec<HomeCandidate<'a>>,
         counts: &'a BTreeMap<NodeId, usize>,
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Number of endpoints that `node` is home to.
+    /// Number of endpoints whose home is `node`.
     pub(crate) fn count(&self, node: NodeId) -> usize {
         self.counts.get(&node).copied().unwrap_or(0)
     }
 
-    /// Whether `node` is a candidate and no candidate stands in `zone` while it does not.
+    /// Whether `node` is a candidate and lies in `zone`, or no candidate lies there.
     pub(crate) fn is_suitable(&self, node: NodeId, zone: &str) -> bool {
         let Some(own) = self
             .candidates
@@ -68,10 +68,11 @@
                 .any(|candidate| candidate.zone == zone)
     }
 
-    /// The best nodes for `endpoint` in `zone`, best first.
+    /// Returns up to `limit` candidates for `endpoint` in `zone`, best first.
     ///
-    /// Nodes in the endpoint's zone go first, among these nodes with room, and among these the
-    /// highest random weight: a node that comes or goes moves only endpoints of its own.
+    /// Candidates in the endpoint's zone come first, then those that are not full, then those with
+    /// the highest rendezvous hash. A node that joins or leaves thus only moves endpoints of its
+    /// own.
     pub(crate) fn ranked_nodes(
         &self,
         endpoint: EndpointId,
--- a/crates/ragwortroad_membership/src/home_state.rs
+++ b/crates/ragwortroad_membership/src/home_state.rs
@@ -1,23 +1,26 @@
 use ragwortroad_types::prelude::*;
 
-/// Who is home to an endpoint, as this node sees it.
+/// Which node is the home of an endpoint, as seen by this node.
+///
+/// Only the home may admit work to the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HomeState {
-    /// This node is, and may admit work from `exclusive_from` until before `until`.
+    /// This node is the home. It may admit work from `exclusive_from` until just before
+    /// `lease_end`.
     Home {
-        /// From then on no other node can admit work to the endpoint.
+        /// From this time on, no other node can admit work to the endpoint.
         exclusive_from: ClockTime,
-        /// The lease's end, unless another announcement renews it.
+        /// End of the lease, unless a further announcement renews it.
         lease_end: ClockTime,
     },
-    /// The endpoint turned to this node, but has not confirmed it by a second announcement.
+    /// The endpoint switched to this node, but no second announcement has confirmed it yet.
     Claiming,
-    /// Another node is.
+    /// Another node is the home.
     Elsewhere {
-        /// That node.
+        /// The home node.
         home: NodeId,
     },
-    /// Nobody is known to be.
+    /// No home is known.
     Unknown,
 }
 
--- a/crates/ragwortroad_membership/src/lib.rs
+++ b/crates/ragwortroad_membership/src/lib.rs
@@ -1,12 +1,13 @@
-//! Which nodes and endpoints exist: gossip, suspicion, homes.
+//! Fleet membership by gossip: node and endpoint records, failure detection, endpoint homes.
 //!
 //! [`MembershipTable`] is one node's view of the fleet. It takes time, packets and announcements
-//! as inputs and returns what to send and what changed; it does no input or output itself.
+//! as inputs and returns packets to send and changes to report. It performs no I/O itself.
 //!
-//! * Every node knows a compact record of every node and endpoint; it exchanges news with a few
-//!   neighbours only, so its cost hardly grows with the fleet.
-//! * A silent node is suspected, asked about through others, and only then taken for down.
-//! * Each endpoint has one home node at a time, which alone may admit work to it.
+//! * Every node holds a compact record of every node and endpoint. It exchanges updates with a few
+//!   neighbours only, so its cost hardly grows with the size of the fleet.
+//! * A silent node is probed directly and through other nodes, then suspected, and only marked as
+//!   down if it does not refute the suspicion in time.
+//! * Each endpoint has one home node at a time, and only the home may admit work to it.
 //!
 //! ```
 //! use ragwortroad_membership::prelude::*;
@@ -62,7 +63,7 @@
 mod table;
 mod wire;
 
-/// Everything a dependent crate usually needs.
+/// The types that dependent crates usually need.
 pub mod prelude {
     pub use crate::{
         coarse_load::CoarseLoad,
--- a/crates/ragwortroad_membership/src/membership_settings.rs
+++ b/crates/ragwortroad_membership/src/membership_settings.rs
@@ -5,83 +5,90 @@
 
 use ragwortroad_types::prelude::*;
 
-/// A node to ask first.
+/// A node that is contacted in order to join the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeedNode {
-    /// Its identity.
+    /// The seed's identity.
     pub node: NodeId,
-    /// Its address for gossip.
+    /// The seed's gossip address.
     pub address: SocketAddr,
 }
 
-/// Time limits and budgets of [`MembershipTable`](crate::MembershipTable).
+/// Timeouts and budgets of a [`MembershipTable`](crate::MembershipTable).
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipSettings {
-    /// Nodes to ask first.
+    /// Nodes to contact in order to join the fleet.
     pub seeds: Vec<SeedNode>,
-    /// Rings in which each node has two neighbours; the first keeps zones together.
+    /// Number of rings. A node has two neighbours in each; the first ring keeps the nodes of a zone
+    /// adjacent.
     pub rings: u32,
-    /// Longest silence towards a neighbour.
+    /// Maximum time without a packet to a neighbour.
     pub heartbeat_interval: Duration,
-    /// Silence of a neighbour after which it is asked, also through others.
+    /// Silence of a neighbour after which other nodes are asked to probe it.
     pub probe_after: Duration,
     /// Silence of a neighbour after which it is suspected.
     pub suspect_after: Duration,
-    /// Time a suspected node has to speak up in a fleet of ten; grows with the logarithm of the
-    /// fleet's size, as news needs more steps there.
+    /// Time that a suspected node has to refute the suspicion in a fleet of up to ten nodes. It
+    /// grows with the logarithm of the fleet's size, since updates need more hops in a larger
+    /// fleet.
     pub suspicion_timeout: Duration,
-    /// Nodes asked to probe a silent neighbour.
+    /// Number of nodes that are asked to probe a silent neighbour.
     pub indirect_probe_count: usize,
-    /// Time between calls to nodes that are down, or to seeds never heard of; each costs some
-    /// handshake packets that nobody answers.
+    /// Interval between attempts to contact nodes that are down or seeds that are not present. Each
+    /// attempt may cost a few handshake packets that nobody answers.
     pub reconnect_interval: Duration,
-    /// Time between calls to any live node, which finds views that have grown apart; each costs a
-    /// handshake.
+    /// Interval between contacts to a random present node, which detect diverged views. Each costs
+    /// a handshake.
     pub random_contact_interval: Duration,
-    /// Time after which a node that is down is forgotten.
+    /// Time after which a node that is down is removed.
     pub forget_node_after: Duration,
-    /// Time after which an endpoint that is gone is forgotten.
+    /// Time after which an endpoint that is gone, or whose home is down, is removed.
     pub forget_endpoint_after: Duration,
-    /// Bytes a second this node may spend on news; urgent news may overdraw it.
+    /// Budget for updates in bytes per second. Every packet is charged to it, and urgent updates
+    /// may overdraw it.
     pub bytes_per_second: u32,
-    /// Bytes that may be sent in one burst after a quiet time.
+    /// Bytes that may be sent in one burst after a quiet period.
     pub burst_bytes: u32,
-    /// Bytes counted for each packet beside its content: what QUIC, UDP and IP add, and the
-    /// acknowledgement that QUIC sends for it.
+    /// Bytes charged to the budget for each packet besides its content: the headers of QUIC, UDP
+    /// and IP, and the acknowledgement that QUIC sends for it.
     pub packet_overhead_bytes: u32,
-    /// Largest packet.
+    /// Maximum size of a packet in bytes. A single item that is larger is still sent in a packet of
+    /// its own.
     pub max_packet_bytes: usize,
-    /// Time after which unacknowledged news is sent again.
+    /// Time after which unacknowledged updates are sent again.
     pub resend_after: Duration,
-    /// Time after which unacknowledged urgent news is sent again.
+    /// Time after which unacknowledged urgent updates are sent again.
     pub resend_urgent_after: Duration,
-    /// Shortest time between two load reports of one endpoint to the fleet.
+    /// Minimum interval between two published loads of one endpoint.
     pub min_load_interval: Duration,
-    /// Time that two views must differ before they are compared in detail.
+    /// Time for which the digests of two nodes must differ before they are compared in detail.
     pub sync_after: Duration,
-    /// Time between announcements that endpoints are asked for.
+    /// Interval at which endpoints are asked to announce themselves.
     pub announce_interval: Duration,
-    /// Silence after which the home takes an endpoint for gone.
+    /// Time without an announcement after which the home considers an endpoint gone.
     pub endpoint_timeout: Duration,
-    /// Time a home may admit work after it answered an announcement that was followed by another.
+    /// Length of a home lease. It starts when the home answers an announcement, and takes effect
+    /// once the next announcement confirms that answer.
     pub home_lease: Duration,
-    /// How much faster or slower than true time any clock in the fleet may run, as a fraction.
+    /// Maximum deviation of any clock in the fleet from true time, as a fraction.
     pub clock_drift: f64,
-    /// Time a node must have been up before endpoints are asked to move to it.
+    /// Time that a node must have been up before endpoints are asked to move to it.
     pub home_min_uptime: Duration,
-    /// Shortest time a home keeps an endpoint before it asks it to move for balance.
+    /// Minimum time that a home keeps an endpoint before it asks the endpoint to move for better
+    /// balance.
     pub min_home_duration: Duration,
-    /// A node may be home to this multiple of the mean number of endpoints, rounded up.
+    /// A node may be the home of this multiple of the mean number of endpoints per node, rounded
+    /// up.
     pub home_balance_factor: f64,
-    /// Restarts and returns of an endpoint, decayed, from which it gets no new work.
+    /// Flap penalty from which an endpoint gets no new work.
     pub flap_suppress_threshold: f64,
-    /// Decayed restarts below which a damped endpoint gets work again.
+    /// Flap penalty below which a damped endpoint gets work again.
     pub flap_reuse_threshold: f64,
-    /// Time in which the count of restarts falls to half.
+    /// Half-life of the flap penalty.
     pub flap_half_life: Duration,
-    /// Largest blob a node may attach.
+    /// Maximum size in bytes of a blob that a node may publish.
     pub max_blob_bytes: usize,
-    /// Shortest time between two versions of one blob.
+    /// Minimum interval between two versions of one blob.
     pub min_blob_interval: Duration,
 }
 
@@ -124,19 +131,19 @@
 }
 
 impl MembershipSettings {
-    /// Time a suspected node has in a fleet of `nodes`.
+    /// Suspicion timeout in a fleet of `nodes` nodes.
     pub(crate) fn suspicion_timeout_for(&self, nodes: usize) -> Duration {
         let growth = (nodes.max(10) as f64).log10();
         self.suspicion_timeout.mul_f64(growth)
     }
 
-    /// Time a new home waits so that the former one's lease is over by any clock.
+    /// Time that a new home waits, so that the previous home's lease has ended by any clock.
     ///
-    /// The former home's clock may run slow and ours fast, each by the assumed drift.
+    /// The previous home's clock may run slow and this node's fast, each by the maximum drift.
     pub(crate) fn takeover_wait(&self) -> Duration {
         let drift = self.clock_drift.clamp(0.0, 0.5);
         let wait = self.home_lease.mul_f64((1.0 + drift) / (1.0 - drift));
-        // Clock readings are whole milliseconds on both sides.
+        // Clock readings are rounded to whole milliseconds on both sides.
         wait + Duration::from_millis(2)
     }
 }
--- a/crates/ragwortroad_membership/src/node_record.rs
+++ b/crates/ragwortroad_membership/src/node_record.rs
@@ -2,51 +2,53 @@
 
 use ragwortroad_types::prelude::*;
 
-/// What is believed of a node.
+/// The state that a node is believed to be in.
 ///
-/// Invariant: the order is the one in which news of one incarnation replaces other news.
+/// Invariant: variants are ordered by precedence. Of two updates for the same incarnation, the one
+/// with the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NodeState {
-    /// It is heard of.
+    /// The node responds.
     Alive,
-    /// It is silent; it may still speak up.
+    /// The node does not respond; it may still refute the suspicion.
     Suspected,
-    /// It is shutting down and takes no new work or endpoints.
+    /// The node is shutting down and accepts neither new work nor endpoints.
     Leaving,
-    /// It is gone.
+    /// The node is considered gone.
     Down,
 }
 
 impl NodeState {
-    /// Whether messages to the node make sense.
+    /// Whether packets may be sent to the node; true in every state but `Down`.
     pub fn is_present(self) -> bool {
         self != Self::Down
     }
 }
 
-/// One node, as everybody knows it.
+/// The replicated record of one node. Every node holds a copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeRecord {
-    /// Its name.
+    /// The node's unique name.
     pub name: String,
-    /// Its failure domain (zone).
+    /// The node's failure domain (zone).
     pub zone: String,
-    /// Its region.
+    /// The node's region; empty if none is set.
     pub region: String,
-    /// Where other nodes reach it.
+    /// Address for packets from other nodes.
     pub gossip_address: SocketAddr,
-    /// Where callers and endpoints reach it.
+    /// Address for clients and endpoints.
     pub caller_address: SocketAddr,
-    /// Counts up whenever the node starts, or speaks up against false news of itself.
+    /// Incremented when the node starts, or when it refutes an update about itself.
     ///
-    /// Invariant: only the node itself raises it.
+    /// Invariant: only the node itself increments it.
     pub incarnation: u64,
-    /// What is believed of it.
+    /// The state that the node is believed to be in.
     pub state: NodeState,
 }
 
 impl NodeRecord {
-    /// A live record with one address for everything; set other fields by update syntax.
+    /// Creates a record of a live node that uses one address for everything. Other fields can be
+    /// set with struct update syntax.
     pub fn new(name: &str, zone: &str, gossip_address: SocketAddr) -> Self {
         Self {
             name: name.to_owned(),
@@ -59,17 +61,17 @@
         }
     }
 
-    /// The node's identity.
+    /// Returns the node's identity, derived from its name.
     pub fn id(&self) -> NodeId {
         NodeId::from_name(&self.name)
     }
 
-    /// Whether news of `incarnation` and `state` replaces this record's.
+    /// Whether an update with this `incarnation` and `state` supersedes the record.
     pub(crate) fn is_older_than(&self, incarnation: u64, state: NodeState) -> bool {
         (self.incarnation, self.state) < (incarnation, state)
     }
 
-    /// A hash over what stays the same while only incarnation and state change.
+    /// Hashes the fields other than incarnation and state.
     pub(crate) fn metadata_hash(&self) -> u16 {
         let text = format!(
             "{}\n{}\n{}\n{}\n{}",
--- a/crates/ragwortroad_membership/src/node_table.rs
+++ b/crates/ragwortroad_membership/src/node_table.rs
@@ -7,52 +7,50 @@
     NodeState, //
 };
 
-/// What is known of one node.
+/// A node's record with the times of its last changes.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeEntry {
-    /// The record as told to others.
+    /// The record as replicated to other nodes.
     pub(crate) record: NodeRecord,
-    /// Hash of the record's facts.
+    /// Hash of the fields other than incarnation and state.
     pub(crate) metadata_hash: u16,
-    /// When its present facts were first known.
+    /// When the current metadata was first seen.
     pub(crate) metadata_since: ClockTime,
-    /// When it appeared or last came back from being down.
+    /// When the node joined or last came back from being down.
     pub(crate) up_since: ClockTime,
-    /// When its state last changed.
+    /// When the node's state last changed.
     pub(crate) state_since: ClockTime,
 }
 
-/// All nodes known, this one included.
+/// All known nodes, including this one.
 #[derive(Debug, Default)]
 pub(crate) struct NodeTable {
-    /// Ordered, so that a run can be replayed.
+    /// Ordered, so that a replay with the same seed visits nodes in the same order.
     entries: BTreeMap<NodeId, NodeEntry>,
-    /// Nodes that are not down; counted here, as it is asked for at every tick.
+    /// Number of nodes that are not down; cached, since every tick needs it.
     present: usize,
-    /// Nodes that are suspected.
+    /// Number of suspected nodes.
     suspected: usize,
-    /// Counts up when a node appears, changes state or goes.
+    /// Incremented when a node is added, changes state or is removed.
     pub(crate) generation: u64,
 }
 
 impl NodeTable {
-    /// What is known of `node`.
     pub(crate) fn get(&self, node: NodeId) -> Option<&NodeEntry> {
         self.entries.get(&node)
     }
 
-    /// The record of `node`.
     pub(crate) fn record(&self, node: NodeId) -> Option<&NodeRecord> {
         self.entries.get(&node).map(|entry| &entry.record)
     }
 
-    /// The state of `node`; an unknown one counts as down.
+    /// Returns the state of `node`; unknown nodes count as down.
     pub(crate) fn state(&self, node: NodeId) -> NodeState {
         self.record(node)
             .map_or(NodeState::Down, |record| record.state)
     }
 
-    /// Puts `record` in place of what was known of its node.
+    /// Inserts or replaces a node's record and updates the times of its changes.
     pub(crate) fn put(&mut self, record: NodeRecord, now: ClockTime) {
         let id = record.id();
         let previous = self.entries.get(&id);
@@ -85,7 +83,7 @@
         self.remove_from_counts(previous.as_ref());
     }
 
-    /// Takes an entry that was replaced or removed out of the counts.
+    /// Subtracts a replaced or removed entry from the cached counts.
     fn remove_from_counts(&mut self, previous: Option<&NodeEntry>) {
         if let Some(entry) = previous {
             let state = entry.record.state;
@@ -94,17 +92,15 @@
         }
     }
 
-    /// Number of nodes that are not down, this one included.
+    /// Number of nodes that are not down, including this one.
     pub(crate) fn present_count(&self) -> usize {
         self.present
     }
 
-    /// Whether any node is suspected.
     pub(crate) fn has_suspects(&self) -> bool {
         self.suspected > 0
     }
 
-    /// Forgets `node`.
     pub(crate) fn remove(&mut self, node: NodeId) {
         let previous = self.entries.remove(&node);
         if previous.is_some() {
@@ -113,12 +109,12 @@
         self.remove_from_counts(previous.as_ref());
     }
 
-    /// All nodes.
+    /// Iterates over all nodes in the order of their identities.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (NodeId, &NodeEntry)> {
         self.entries.iter().map(|(id, entry)| (*id, entry))
     }
 
-    /// Nodes that are not down.
+    /// Iterates over the nodes that are not down.
     pub(crate) fn present(&self) -> impl Iterator<Item = (NodeId, &NodeEntry)> {
         self.iter()
             .filter(|(_, entry)| entry.record.state.is_present())
--- a/crates/ragwortroad_membership/src/peer_link.rs
+++ b/crates/ragwortroad_membership/src/peer_link.rs
@@ -14,71 +14,73 @@
     wire::wire_item::WireItem, //
 };
 
-/// Acknowledgements kept for one packet; the rest is sent again by the peer, which does no harm.
+/// Maximum number of acknowledgements queued for a peer. The peer resends packets that are not
+/// acknowledged, which is harmless.
 const MAX_QUEUED_ACKS: usize = 64;
-/// Questions and answers kept for one peer; they are asked again where they matter.
+/// Maximum number of requests and replies queued for a peer. Dropped ones are requested again if
+/// they still matter.
 const MAX_DIRECT_ITEMS: usize = 64;
 
-/// What is exchanged with one peer.
+/// Protocol state for one peer.
 #[derive(Debug)]
 pub(crate) struct PeerLink {
-    /// Whether it is a neighbour, so that all news goes to it.
+    /// Whether the peer is a neighbour; all updates are sent to neighbours.
     pub(crate) is_neighbour: bool,
-    /// When the link was opened or became a neighbour's.
+    /// When the link was opened or the peer became a neighbour.
     pub(crate) since: ClockTime,
-    /// When the peer was last heard.
+    /// When the last packet from the peer arrived.
     pub(crate) last_received: Option<ClockTime>,
-    /// When somebody else last reached the peer for us.
+    /// When another node last reached the peer on behalf of this one.
     pub(crate) last_indirect_ack: Option<ClockTime>,
-    /// When a packet was last sent to it.
+    /// When the last packet was sent to the peer.
     pub(crate) last_sent: Option<ClockTime>,
-    /// When it was last asked for a sign of life.
+    /// When the peer was last probed.
     pub(crate) last_probe: Option<ClockTime>,
-    /// When helpers were last asked about it.
+    /// When other nodes were last asked to probe the peer.
     pub(crate) last_indirect_probe: Option<ClockTime>,
-    /// When it was last told of false news of itself.
+    /// When the peer was last sent a correction of an outdated update about itself.
     pub(crate) last_correction: Option<ClockTime>,
-    /// When its digest began to differ from ours.
+    /// Since when the peer's digest has differed from the local one.
     pub(crate) differs_since: Option<ClockTime>,
-    /// When views were last compared in detail.
+    /// When the digests were last compared in detail.
     pub(crate) last_sync: Option<ClockTime>,
-    /// Not a neighbour before this time, as the direct way to it is broken.
+    /// The peer is not chosen as a neighbour before this time, because the direct path to it is
+    /// broken.
     pub(crate) avoid_until: ClockTime,
-    /// The peer's session, once heard.
+    /// The peer's session, once a packet has arrived from it.
     pub(crate) session: Option<u16>,
-    /// Whether the peer has heard us; until then packets to it hold our record.
+    /// Whether the peer has received a packet from this node. Until then, packets to it include the
+    /// local node's record.
     pub(crate) peer_knows_us: bool,
-    /// Sequence of the last packet with news.
+    /// Sequence number of the last packet that contained updates.
     pub(crate) sequence: u32,
-    /// Sequences to acknowledge.
+    /// Sequence numbers to acknowledge.
     pub(crate) acks: Vec<u32>,
-    /// When the acknowledgements must be out.
+    /// Latest time to send the queued acknowledgements.
     pub(crate) ack_due: Option<ClockTime>,
-    /// Whether the next packet asks for an answer at once.
+    /// Whether the next packet requests an immediate reply.
     pub(crate) probe_due: bool,
-    /// News that waits.
+    /// Updates that have not been sent yet.
     pub(crate) pending: PendingQueue,
-    /// Questions and answers that wait.
+    /// Requests and replies that have not been sent yet.
     pub(crate) direct_items: VecDeque<WireItem>,
-    /// Packets not acknowledged yet, oldest first.
+    /// Unacknowledged packets, oldest first.
     pub(crate) in_flight: VecDeque<SentPacket>,
 }
 
-/// A packet that was sent and not acknowledged yet.
+/// A packet that was sent and has not been acknowledged.
 #[derive(Debug)]
 pub(crate) struct SentPacket {
-    /// Its sequence.
     pub(crate) sequence: u32,
-    /// When it was sent.
     pub(crate) sent_at: ClockTime,
-    /// Whether it held urgent news.
+    /// Whether the packet contained urgent updates.
     pub(crate) urgent: bool,
-    /// The news in it.
+    /// The updates in the packet.
     pub(crate) updates: Vec<(UpdatePriority, UpdateKey)>,
 }
 
 impl PeerLink {
-    /// A link without any traffic yet.
+    /// Creates a link without any traffic yet.
     pub(crate) fn new(now: ClockTime) -> Self {
         Self {
             is_neighbour: false,
@@ -104,19 +106,20 @@
         }
     }
 
-    /// Time since the peer was heard, or since it could first be expected to speak.
+    /// Time since the last packet from the peer, or since `since` if that is later.
     pub(crate) fn silence(&self, now: ClockTime) -> Duration {
         let last_activity = self.last_received.unwrap_or(self.since);
         now.since(last_activity.max(self.since))
     }
 
-    /// Time since anything passed in either direction.
+    /// Time since the last packet in either direction.
     pub(crate) fn idle(&self, now: ClockTime) -> Duration {
         let sent_at = self.last_sent.unwrap_or(self.since);
         self.silence(now).min(now.since(sent_at))
     }
 
-    /// Notes the peer's session; a restarted peer has lost what it was told.
+    /// Stores the peer's session. If it has changed, the peer has restarted and lost its state, so
+    /// unacknowledged updates are sent again.
     pub(crate) fn update_session(&mut self, session: u16) {
         if self.session.is_some_and(|known| known != session) {
             self.acks.clear();
@@ -126,7 +129,7 @@
         self.session = Some(session);
     }
 
-    /// Notes a received packet that must be acknowledged by `due`.
+    /// Queues an acknowledgement that must be sent by `due`.
     pub(crate) fn queue_ack(&mut self, sequence: u32, due: ClockTime) {
         if self.acks.len() < MAX_QUEUED_ACKS {
             self.acks.push(sequence);
@@ -134,13 +137,13 @@
         self.ack_due = Some(self.ack_due.map_or(due, |known| known.min(due)));
     }
 
-    /// Drops packets that the peer has acknowledged.
+    /// Drops the packets that the peer has acknowledged.
     pub(crate) fn remove_acked(&mut self, acks: &[u32]) {
         self.in_flight
             .retain(|packet| !acks.contains(&packet.sequence));
     }
 
-    /// Puts news back into the queue whose packets were not acknowledged in time.
+    /// Requeues the updates of packets that were not acknowledged in time.
     pub(crate) fn requeue_lost(&mut self, now: ClockTime, normal: Duration, urgent: Duration) {
         self.requeue_matching(|packet| {
             let limit = if packet.urgent { urgent } else { normal };
@@ -148,7 +151,7 @@
         });
     }
 
-    /// Puts the news of all packets that `lost` picks back into the queue.
+    /// Requeues the updates of all packets for which `is_lost` returns true.
     fn requeue_matching(&mut self, is_lost: impl Fn(&SentPacket) -> bool) {
         let mut remaining = VecDeque::with_capacity(self.in_flight.len());
         for packet in self.in_flight.drain(..) {
@@ -163,7 +166,7 @@
         self.in_flight = remaining;
     }
 
-    /// Queues a question or answer.
+    /// Queues a request or reply, unless the queue is full or already holds an equal one.
     pub(crate) fn push_direct(&mut self, item: WireItem) {
         if self.direct_items.len() < MAX_DIRECT_ITEMS && !self.direct_items.contains(&item) {
             self.direct_items.push_back(item);
--- a/crates/ragwortroad_membership/src/pending_queue.rs
+++ b/crates/ragwortroad_membership/src/pending_queue.rs
@@ -5,42 +5,44 @@
 
 use crate::record_key::UpdateKey;
 
-/// How soon news must go out.
+/// How soon an update must be sent. The variants are ordered by priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum UpdatePriority {
-    /// At once, even beyond the budget: leaving, suspicion, homes.
+    /// Sent at once, even beyond the budget: shutdowns, suspicions, changes of home.
     Urgent,
-    /// Within the budget, before load: records that appear or change.
+    /// Sent within the budget, before loads: new and changed records.
     Normal,
-    /// With the next heartbeat: load.
+    /// Sent with the next heartbeat: loads.
     Load,
-    /// What the budget leaves: blobs.
+    /// Sent with the remaining budget: blobs.
     Blob,
 }
 
-/// Number of classes.
+/// Number of variants of [`UpdatePriority`].
 const PRIORITY_COUNT: usize = 4;
 
-/// News that waits for one neighbour; each piece once, whatever changed how often.
+/// Updates queued for one neighbour. A key is queued once per priority, however often its value
+/// changes.
 #[derive(Debug, Default)]
 pub(crate) struct PendingQueue {
-    /// Waiting news in order of arrival, by class.
+    /// Queued updates by priority, in order of arrival.
     queues: [VecDeque<UpdateKey>; PRIORITY_COUNT],
-    /// What waits, with its class.
+    /// The queued updates with their priorities.
     ///
-    /// Invariant: each pair is in `queues` at least once; what stands only there was taken back.
+    /// Invariant: every pair is in `queues` at least once. An entry that is only in `queues` was
+    /// cancelled.
     queued: HashSet<(UpdatePriority, UpdateKey)>,
 }
 
 impl PendingQueue {
-    /// Adds news unless it waits already.
+    /// Queues an update unless it is already queued with this priority.
     pub(crate) fn push(&mut self, priority: UpdatePriority, key: UpdateKey) {
         if self.queued.insert((priority, key)) {
             self.queues[priority as usize].push_back(key);
         }
     }
 
-    /// Takes the oldest news of `class`.
+    /// Removes and returns the oldest update with this priority.
     pub(crate) fn pop(&mut self, priority: UpdatePriority) -> Option<UpdateKey> {
         loop {
             let key = self.queues[priority as usize].pop_front()?;
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Takes news back that the neighbour turned out to know.
+    /// Cancels an update that the neighbour already has.
     pub(crate) fn cancel(&mut self, key: UpdateKey) {
         for priority in [
             UpdatePriority::Urgent,
@@ -62,24 +64,24 @@
         }
     }
 
-    /// Puts news back that did not fit, to be the next.
+    /// Puts an update that did not fit into the packet back to the front.
     pub(crate) fn push_front(&mut self, priority: UpdatePriority, key: UpdateKey) {
         if self.queued.insert((priority, key)) {
             self.queues[priority as usize].push_front(key);
         }
     }
 
-    /// About how many pieces of `class` wait; never less than do.
+    /// Upper bound on the number of queued updates with this priority; cancelled ones may be
+    /// counted.
     pub(crate) fn count(&self, priority: UpdatePriority) -> usize {
         self.queues[priority as usize].len()
     }
 
-    /// Drops everything.
     pub(crate) fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Pieces of news that wait.
+    /// Number of queued updates.
     pub(crate) fn len(&self) -> usize {
         self.queued.len()
     }
--- a/crates/ragwortroad_membership/src/record_key.rs
+++ b/crates/ragwortroad_membership/src/record_key.rs
@@ -1,12 +1,12 @@
 use ragwortroad_types::prelude::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Sets node keys apart from endpoint keys in [`RecordKey::short`].
+/// Separates the hashes of nodes from those of endpoints in [`RecordKey::short_hash`].
 const NODE_SEED: u64 = 1;
-/// Sets endpoint keys apart from node keys in [`RecordKey::short`].
+/// Separates the hashes of endpoints from those of nodes in [`RecordKey::short_hash`].
 const ENDPOINT_SEED: u64 = 2;
 
-/// Names a record that all nodes hold.
+/// Key of a replicated record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum RecordKey {
     /// A node's record.
@@ -16,10 +16,10 @@
 }
 
 impl RecordKey {
-    /// A short name for packets.
+    /// A 32-bit hash that identifies the record in packets.
     ///
-    /// Two records may share it (about one chance in 7,000 at a thousand records); whoever finds
-    /// several records under a short name treats it as naming all of them.
+    /// Two records may share a hash (with a probability of about 1 in 7,000 at a thousand records).
+    /// A receiver that finds several records for a hash treats it as naming all of them.
     pub(crate) fn short_hash(self) -> u32 {
         match self {
             Self::Node(id) => xxh3_64_with_seed(&id.0.to_le_bytes(), NODE_SEED) as u32,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Names a piece of news that waits to be sent to a neighbour.
+/// Key of an update that is queued for a neighbour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum UpdateKey {
     /// A node's record.
--- a/crates/ragwortroad_membership/src/relay_table.rs
+++ b/crates/ragwortroad_membership/src/relay_table.rs
@@ -2,31 +2,30 @@
 
 use ragwortroad_types::prelude::*;
 
-/// Probes under way at once for others; more are ignored.
+/// Maximum number of concurrent probes on behalf of other nodes; further requests are ignored.
 const MAX_RELAYS: usize = 64;
-/// Time for which the answer to a probe matters to whoever asked.
+/// Time after which the requester no longer needs the result of a probe.
 const RELAY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Probes this node makes for others.
+/// Probes that this node makes on behalf of other nodes.
 #[derive(Debug, Default)]
 pub(crate) struct RelayTable {
-    /// What is under way.
+    /// Probes that have not been answered.
     relays: Vec<RelayProbe>,
 }
 
-/// One probe made for another node.
+/// One probe on behalf of another node.
 #[derive(Clone, Copy, Debug)]
 struct RelayProbe {
-    /// Who wants to know.
+    /// The node that asked for the probe.
     requester: NodeId,
-    /// Whom it is about.
+    /// The node that is probed.
     target: NodeId,
-    /// When the answer stops to matter.
     expires_at: ClockTime,
 }
 
 impl RelayTable {
-    /// Notes a probe; whether there was room.
+    /// Registers a probe and returns whether there was room for it.
     pub(crate) fn add(&mut self, requester: NodeId, target: NodeId, now: ClockTime) -> bool {
         self.relays.retain(|relay| relay.expires_at > now);
         if self.relays.len() >= MAX_RELAYS {
@@ -40,7 +39,7 @@
         true
     }
 
-    /// Who is to be told that `target` was heard.
+    /// Removes the probes of `target` and returns the nodes that asked for them.
     pub(crate) fn take_requesters(&mut self, target: NodeId, now: ClockTime) -> Vec<NodeId> {
         if self.relays.is_empty() {
             return Vec::new();
--- a/crates/ragwortroad_membership/src/ring_view.rs
+++ b/crates/ragwortroad_membership/src/ring_view.rs
@@ -1,10 +1,10 @@
-//! Who exchanges news with whom.
+//! Selection of the neighbours that a node exchanges updates with.
 //!
-//! Every node orders all present nodes in the same few rings and talks to the two next to it in
-//! each. As all nodes know the same records, neighbours agree on being neighbours without any
-//! negotiation, and one ring alone connects everybody. The first ring keeps regions and zones
-//! together, so that most traffic stays within a zone; the others mix all nodes, which makes ways
-//! short.
+//! Every node sorts all present nodes into the same few rings, and its neighbours are the two
+//! adjacent nodes in each ring. All nodes hold the same records and thus agree on who is whose
+//! neighbour without negotiation. A single ring already connects all nodes. The first ring keeps
+//! the nodes of a region and zone adjacent, so that most traffic stays within a zone; the others
+//! shuffle all nodes, which keeps paths short.
 
 use std::collections::BTreeSet;
 
@@ -16,10 +16,10 @@
 
 use crate::NodeRecord;
 
-/// A node's place in a ring.
+/// Sort key of a node in a ring.
 type RingPlace = (u64, u64, NodeId);
 
-/// The neighbours of `own` among `present`, which need not hold `own`.
+/// Returns the neighbours of `own` among `present`; `own` itself may be missing there.
 pub(crate) fn neighbours(
     own: &NodeRecord,
     present: &[(NodeId, &NodeRecord)],
@@ -40,21 +40,21 @@
     found
 }
 
-/// The candidates next to a place in a ring, in both directions.
+/// The candidates adjacent to a place in a ring, in both directions.
 #[derive(Default)]
 struct RingSides {
-    /// The lowest place above ours.
+    /// The lowest place above the own one.
     above: Option<RingPlace>,
-    /// The highest place below ours.
+    /// The highest place below the own one.
     below: Option<RingPlace>,
-    /// The lowest place of all, next above the highest.
+    /// The lowest place of all; follows the highest, as the ring wraps around.
     lowest: Option<RingPlace>,
-    /// The highest place of all, next below the lowest.
+    /// The highest place of all; precedes the lowest.
     highest: Option<RingPlace>,
 }
 
 impl RingSides {
-    /// Looks at one more node.
+    /// Takes one more node into account.
     fn consider(&mut self, own: RingPlace, other: RingPlace) {
         if other > own {
             self.above = Some(self.above.map_or(other, |place| place.min(other)));
@@ -65,7 +65,7 @@
         self.highest = Some(self.highest.map_or(other, |place| place.max(other)));
     }
 
-    /// The two neighbours.
+    /// Returns the two adjacent nodes.
     fn neighbours(&self) -> impl Iterator<Item = NodeId> + use<> {
         let above = self.above.or(self.lowest);
         let below = self.below.or(self.highest);
@@ -73,7 +73,7 @@
     }
 }
 
-/// The place of a node in `ring`.
+/// Returns the place of a node in `ring`.
 fn place(id: NodeId, record: &NodeRecord, ring: u32) -> RingPlace {
     if ring == 0 {
         let region = xxh3_64(record.region.as_bytes());
--- a/crates/ragwortroad_membership/src/sync_digest.rs
+++ b/crates/ragwortroad_membership/src/sync_digest.rs
@@ -7,27 +7,26 @@
     wire::wire_item::BucketEntry, //
 };
 
-/// Buckets that records are sorted into by their short names.
+/// Number of buckets that records are assigned to by their short hashes.
 pub(crate) const BUCKET_COUNT: usize = 32;
 
-/// Hashes over all records, to tell cheaply whether and where two views differ.
+/// Hashes over all records, used to detect cheaply whether and where two views differ.
 ///
-/// Records of nodes that are down and endpoints that are gone are not part of it: nodes forget
-/// them at different times, and views would differ for ever.
+/// Nodes that are down and endpoints that are gone are left out: nodes remove them at different
+/// times, so that views would never become equal.
 #[derive(Debug, Default)]
 pub(crate) struct SyncDigest {
-    /// Hash of each record's version by its short name and key.
+    /// Hash of each record's version.
     ///
-    /// Invariant: `buckets` is the exclusive-or of these, bucket by bucket.
+    /// Invariant: each entry of `buckets` is the exclusive or of the hashes in that bucket.
     versions: HashMap<RecordKey, u32>,
-    /// Keys by short name, present or not.
+    /// Keys by short hash, including records that are not part of the digest.
     keys_by_hash: HashMap<u32, Vec<RecordKey>>,
-    /// Hash of each bucket.
     buckets: [u32; BUCKET_COUNT],
 }
 
 impl SyncDigest {
-    /// Notes that `key` now has a version with this hash, or is no part of the digest.
+    /// Sets the version hash of `key`; `None` takes the record out of the digest.
     pub(crate) fn set(&mut self, key: RecordKey, version: Option<u32>) {
         let bucket = &mut self.buckets[bucket_of(key.short_hash())];
         let previous = match version {
@@ -41,7 +40,7 @@
         }
     }
 
-    /// Forgets `key` altogether.
+    /// Removes all entries of `key`.
     pub(crate) fn forget(&mut self, key: RecordKey) {
         self.set(key, None);
         if let Some(keys) = self.keys_by_hash.get_mut(&key.short_hash()) {
@@ -52,7 +51,7 @@
         }
     }
 
-    /// One hash over everything.
+    /// Returns one hash over all buckets.
     pub(crate) fn root(&self) -> u32 {
         let mut bytes = Vec::with_capacity(BUCKET_COUNT * 4);
         for bucket in self.buckets {
@@ -61,7 +60,7 @@
         xxh3_64(&bytes) as u32
     }
 
-    /// The hash of each bucket, shortened.
+    /// Returns the hash of each bucket, folded to 16 bits.
     pub(crate) fn bucket_hashes(&self) -> Vec<u16> {
         self.buckets
             .iter()
@@ -69,7 +68,7 @@
             .collect()
     }
 
-    /// What is in `bucket`, ordered.
+    /// Returns the entries of `bucket`, sorted.
     pub(crate) fn entries(&self, bucket: u8) -> Vec<BucketEntry> {
         let mut entries: Vec<BucketEntry> = self
             .versions
@@ -84,7 +83,7 @@
         entries
     }
 
-    /// The records that `short` may name.
+    /// Returns the records that have this short hash.
     pub(crate) fn keys(&self, short_hash: u32) -> &[RecordKey] {
         self.keys_by_hash
             .get(&short_hash)
@@ -92,12 +91,11 @@
     }
 }
 
-/// The bucket of a short name.
 fn bucket_of(short_hash: u32) -> usize {
     short_hash as usize % BUCKET_COUNT
 }
 
-/// A hash over what decides about a record's age.
+/// Hashes the parts of a record's version.
 pub(crate) fn version_hash(key: RecordKey, parts: [u64; 3]) -> u32 {
     let mut bytes = Vec::with_capacity(28);
     bytes.extend_from_slice(&key.short_hash().to_le_bytes());
--- a/crates/ragwortroad_membership/src/table/announcements.rs
+++ b/crates/ragwortroad_membership/src/table/announcements.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves to this node.
+//! Handling of announcements that endpoints send to this node.
 
 use std::net::SocketAddr;
 
@@ -20,11 +20,12 @@
     record_key::UpdateKey, //
 };
 
-/// Longest time for which news of a damped endpoint is held back, in load spacings.
+/// Minimum interval between two records of a damped endpoint, as a multiple of the minimum load
+/// interval.
 const DAMPED_INTERVAL_FACTOR: u32 = 3;
 
 impl MembershipTable {
-    /// Takes an announcement.
+    /// Processes an announcement.
     pub(super) fn handle_announcement(&mut self, announce: &AnnounceWire, now: ClockTime) {
         let id = EndpointId::from_name(&announce.name);
         let address: Result<SocketAddr, _> = announce.address.parse();
@@ -42,10 +43,11 @@
         }
     }
 
-    /// Whether an announcement is from before what is known already.
+    /// Whether an announcement is older than what is already known.
     ///
-    /// One that was delayed, or that this process took in after a pause, may have been overtaken:
-    /// the endpoint has turned to another node since. Taking it for news would make two homes.
+    /// An announcement that was delayed, or that this process handles after a pause, may be
+    /// outdated: the endpoint may have switched to another node since. Accepting it would create
+    /// two homes.
     fn is_stale(&self, id: EndpointId, announce: &AnnounceWire) -> bool {
         let announced_version = (announce.incarnation, announce.home_epoch);
         if let Some(claim) = self.claims.get(&id) {
@@ -69,7 +71,7 @@
         })
     }
 
-    /// Renews the claim to be home, or makes a new one.
+    /// Renews the existing claim or creates a new one.
     fn renew_claim(&mut self, id: EndpointId, announce: &AnnounceWire, now: ClockTime) {
         let lease = self.settings.home_lease;
         if let Some(claim) = self.claims.get_mut(&id)
@@ -84,7 +86,7 @@
         self.request_handover(id, now);
     }
 
-    /// The claim that an endpoint's turning to this node makes.
+    /// Creates the claim for an endpoint that has switched to this node.
     fn new_claim(&self, id: EndpointId, announce: &AnnounceWire, now: ClockTime) -> HomeClaim {
         let (exclusive_from, previous_home) = self.takeover(id, announce, now);
         HomeClaim {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The endpoint's recent restarts, this announcement's included if it shows one.
+    /// Returns the endpoint's flap penalty, including a restart that this announcement reveals.
     fn flap_penalty(&self, id: EndpointId, announce: &AnnounceWire, now: ClockTime) -> FlapPenalty {
         let half_life = self.settings.flap_half_life;
         let Some(entry) = self.endpoints.get(id) else {
@@ -122,7 +124,7 @@
         penalty
     }
 
-    /// Tells the fleet what an announcement changed.
+    /// Publishes the changes that an announcement brings.
     fn publish_record(
         &mut self,
         id: EndpointId,
@@ -140,7 +142,7 @@
             self.publish_load(id, now);
             return;
         }
-        // Restarts of a flapping endpoint are told together, not one by one.
+        // Restarts of a flapping endpoint are combined into one record per interval.
         let interval = self.settings.min_load_interval * DAMPED_INTERVAL_FACTOR;
         let is_delayed =
             |known: &EndpointEntry| known.record.damped && now.since(known.updated_at) < interval;
@@ -154,7 +156,7 @@
         self.change_endpoint(record, None, now);
     }
 
-    /// Counts the return of an endpoint that this node had taken for gone.
+    /// Counts the reappearance of an endpoint that this node had considered gone.
     fn count_endpoint_return(&mut self, id: EndpointId, now: ClockTime) {
         let Some(record) = self.endpoints.record(id) else {
             return;
@@ -171,7 +173,7 @@
         }
     }
 
-    /// The record that an announcement amounts to.
+    /// Builds the endpoint's record from an announcement.
     fn build_record(
         &self,
         claim: &HomeClaim,
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Tells the fleet of a load that changed enough.
+    /// Publishes the endpoint's load if it has changed enough.
     fn publish_load(&mut self, id: EndpointId, now: ClockTime) {
         let interval = self.settings.min_load_interval;
         let Some(record) = self.endpoints.record(id) else {
--- a/crates/ragwortroad_membership/src/table/blobs.rs
+++ b/crates/ragwortroad_membership/src/table/blobs.rs
@@ -1,4 +1,4 @@
-//! What nodes attach for other parts of the system.
+//! Small opaque payloads that nodes publish for other components.
 
 use ragwortroad_types::prelude::*;
 
@@ -11,20 +11,22 @@
     wire::wire_item::BlobItem, //
 };
 
-/// An own blob and when it went out.
+/// A blob of this node with its publication state.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OwnBlob {
-    /// Content that did not go out yet.
+    /// Content that has not been published yet.
     unpublished: Option<Vec<u8>>,
-    /// Versions so far.
+    /// Number of versions published so far.
     version: u64,
-    /// When the last version went out.
+    /// When the last version was published.
     published_at: Option<ClockTime>,
 }
 
 impl MembershipTable {
-    /// Attaches `bytes` as this node's blob of `kind`, for every node to have; whether it is
-    /// small enough. It goes out at the next tick, or later where the last one is too recent.
+    /// Sets this node's blob of `kind`, which is replicated to every node. It is published at the
+    /// next tick, or once the minimum interval since the last version has passed.
+    ///
+    /// Returns false, and changes nothing, if `bytes` exceeds the maximum size.
     pub fn set_blob(&mut self, kind: u8, bytes: Vec<u8>) -> bool {
         if bytes.len() > self.settings.max_blob_bytes {
             return false;
@@ -36,12 +38,12 @@
         true
     }
 
-    /// All nodes' blobs of `kind` that are known, this node's included.
+    /// Iterates over the known blobs of `kind`, including this node's.
     pub fn blobs(&self, kind: u8) -> impl Iterator<Item = (NodeId, &[u8])> {
         self.blobs.of_kind(kind)
     }
 
-    /// Sends own blobs whose spacing has passed.
+    /// Publishes the blobs of this node whose minimum interval has passed.
     pub(super) fn publish_blobs(&mut self, now: ClockTime) {
         let interval = self.settings.min_blob_interval;
         let incarnation = self.own_incarnation();
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Takes another node's blob.
+    /// Merges another node's blob.
     pub(super) fn merge_blob(&mut self, from: NodeId, item: BlobItem) {
         let node = NodeId(item.node);
         let present = self.nodes.state(node).is_present();
@@ -92,7 +94,6 @@
         }
     }
 
-    /// This node's incarnation.
     pub(super) fn own_incarnation(&self) -> u64 {
         self.nodes
             .record(self.own)
--- a/crates/ragwortroad_membership/src/table/endpoint_updates.rs
+++ b/crates/ragwortroad_membership/src/table/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! What is believed of endpoints, and how it changes.
+//! Merging and publishing of endpoint records.
 
 use ragwortroad_types::prelude::*;
 
@@ -16,11 +16,12 @@
 };
 
 impl MembershipTable {
-    /// Takes what `from` says of an endpoint.
+    /// Merges the record of an endpoint that `from` has sent.
     pub(super) fn merge_endpoint(&mut self, record: EndpointRecord, from: NodeId, now: ClockTime) {
         let id = record.id;
         match self.endpoints.record(id) {
-            // What is gone and unknown stays unknown, or nobody would ever forget it.
+            // An unknown endpoint that is gone is not added; otherwise nodes would keep sending it
+            // to each other and never remove it.
             None if record.presence == EndpointPresence::Gone => return,
             Some(known) if known.version() >= record.version() => {
                 let same_version = known.version() == record.version();
@@ -35,7 +36,8 @@
         self.change_endpoint(record, Some(from), now);
     }
 
-    /// Puts a changed record in place, tells the neighbours and the owner.
+    /// Stores a changed record, queues it for the neighbours other than `from`, and reports the
+    /// change.
     pub(super) fn change_endpoint(
         &mut self,
         record: EndpointRecord,
--- a/crates/ragwortroad_membership/src/table/home_placement.rs
+++ b/crates/ragwortroad_membership/src/table/home_placement.rs
@@ -1,4 +1,4 @@
-//! Where endpoints should announce themselves.
+//! Decision on which node an endpoint should announce itself to.
 
 use std::time::Duration;
 
@@ -14,14 +14,15 @@
     }, //
 };
 
-/// Nodes that an endpoint is told of.
+/// Maximum number of addresses in the answer to an announcement.
 const MAX_ANNOUNCE_ADDRESSES: usize = 4;
-/// Time until the next announcement that is wanted of an endpoint which has yet to confirm its
-/// home, or must turn to another one.
+/// Announcement interval for an endpoint whose home is not confirmed yet, or which should switch to
+/// another home.
 const FAST_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl MembershipTable {
-    /// The node that should be home to `endpoint` in `zone`: the present home as long as it suits.
+    /// Returns the node that should be the home of `endpoint` in `zone`. The current home is kept
+    /// as long as it is suitable.
     pub fn preferred_home(&self, endpoint: EndpointId, zone: &str, now: ClockTime) -> NodeId {
         self.ranked_homes(endpoint, zone, now)
             .first()
@@ -29,8 +30,8 @@
             .unwrap_or(self.own)
     }
 
-    /// The answer to an announcement of `endpoint`, to be asked for after the announcement was
-    /// handled.
+    /// Builds the answer to an announcement of `endpoint`. Call it after [`handle`](Self::handle)
+    /// has processed the announcement.
     pub fn announce_answer(&self, endpoint: EndpointId, now: ClockTime) -> AnnounceAnswer {
         let zone = self
             .endpoints
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The nodes that `endpoint` should announce itself to, best first.
+    /// Returns the nodes that `endpoint` should announce itself to, best first.
     fn ranked_homes(&self, endpoint: EndpointId, zone: &str, now: ClockTime) -> Vec<NodeId> {
         let selector = self.home_selector(now);
         let mut ranked = selector.ranked_nodes(endpoint, zone, MAX_ANNOUNCE_ADDRESSES);
@@ -71,7 +72,7 @@
         ranked
     }
 
-    /// Whether `endpoint` should stay with its present home.
+    /// Whether `endpoint` should keep its current home.
     fn should_stay(
         &self,
         endpoint: EndpointId,
@@ -83,8 +84,9 @@
         if self.nodes.state(home) != NodeState::Alive {
             return false;
         }
-        // An endpoint that has just turned to us stays for a while, so that two nodes with
-        // different views do not send it back and forth; one that is new has nothing to lose.
+        // An endpoint is kept for a while after it switched to this node, so that two nodes with
+        // different views do not send it back and forth. A new endpoint may move at once, as it has
+        // no confirmed home to lose.
         if let Some(claim) = self.claims.get(&endpoint)
             && home == self.own
         {
@@ -96,7 +98,7 @@
         selector.is_suitable(home, zone) && !self.is_surplus(endpoint, home, selector)
     }
 
-    /// Whether `endpoint` is among those that `home` has too many of.
+    /// Whether `endpoint` is one of those that exceed the maximum number for `home`.
     fn is_surplus(&self, endpoint: EndpointId, home: NodeId, selector: &HomeSelector<'_>) -> bool {
         let surplus = selector.count(home).saturating_sub(selector.max_homed);
         if surplus == 0 {
@@ -110,7 +112,7 @@
         rank < surplus
     }
 
-    /// The nodes that may be home to endpoints, and how many each has.
+    /// Creates a selector over all live nodes with the current endpoint counts.
     fn home_selector(&self, now: ClockTime) -> HomeSelector<'_> {
         let candidates = self
             .nodes
--- a/crates/ragwortroad_membership/src/table/homes.rs
+++ b/crates/ragwortroad_membership/src/table/homes.rs
@@ -1,4 +1,4 @@
-//! Which node is home to an endpoint: claims and handovers.
+//! Claims to be the home of an endpoint, and handovers between homes.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
     }, //
 };
 
-/// Time between questions to a former home.
+/// Minimum interval between two handover requests to a previous home.
 const HANDOVER_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 impl MembershipTable {
-    /// Who is home to `endpoint`.
+    /// Returns which node is the home of `endpoint`.
     pub fn home_state(&self, endpoint: EndpointId, now: ClockTime) -> HomeState {
         if let Some(claim) = self.claims.get(&endpoint)
             && let Some(state) = claim.state(now)
@@ -33,12 +33,14 @@
         }
     }
 
-    /// The exact load that `endpoint` last reported to this node as its home.
+    /// Returns the exact load that `endpoint` last reported to this node; absent if it never
+    /// announced itself here.
     pub fn home_load(&self, endpoint: EndpointId) -> Option<LoadReport> {
         self.claims.get(&endpoint).map(|claim| claim.load)
     }
 
-    /// By when all earlier homes' rights have ended, and whose word can shorten that.
+    /// Returns when the leases of all earlier homes have ended, and the previous home whose answer
+    /// can shorten that wait.
     pub(super) fn takeover(
         &self,
         id: EndpointId,
@@ -47,7 +49,8 @@
     ) -> (ClockTime, Option<NodeId>) {
         let wait = now.after(self.settings.takeover_wait());
         let (incarnation, epoch) = (announce.incarnation, announce.home_epoch);
-        // We were home in the epoch before, so what ended for us then has ended.
+        // This node was the home in the previous epoch, so earlier leases end no later than its own
+        // claim determined.
         if let Some(claim) = self.claims.get(&id)
             && claim.incarnation == incarnation
             && claim.epoch + 1 == epoch
@@ -55,7 +58,8 @@
             return (claim.exclusive_from.min(wait), None);
         }
         let Some(record) = self.endpoints.record(id) else {
-            // Nobody can have been home to a new incarnation that has turned to nobody yet.
+            // In epoch 0 the endpoint has not switched homes in this incarnation, so there is no
+            // earlier home.
             return (if epoch == 0 { now } else { wait }, None);
         };
         if record.incarnation != incarnation {
@@ -71,7 +75,8 @@
         (wait, Some(record.home).filter(|home| *home != self.own))
     }
 
-    /// Asks the former home whether it is done, as often as useful.
+    /// Requests a handover from the previous home, unless that was done recently or is no longer
+    /// useful.
     pub(super) fn request_handover(&mut self, id: EndpointId, now: ClockTime) {
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
@@ -94,14 +99,15 @@
         }
     }
 
-    /// Gives up the home for good, as the endpoint has turned to `from`, and says when those
-    /// before us are done.
+    /// Ends this node's claim, as the endpoint has switched to `from`, and replies with the
+    /// remaining wait for earlier homes.
     pub(super) fn answer_handover(&mut self, from: NodeId, item: HandoverAskItem, now: ClockTime) {
         let id = EndpointId(item.endpoint);
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
         };
-        // Only the home of the epoch right before can vouch that no other stood between.
+        // Only the home of the directly preceding epoch can guarantee that there was no other home
+        // in between.
         if claim.incarnation != item.incarnation || claim.epoch + 1 != item.epoch {
             return;
         }
@@ -119,7 +125,7 @@
         self.open_link(from, now).push_direct(answer);
     }
 
-    /// Takes the former home's word.
+    /// Processes the previous home's reply to a handover request.
     pub(super) fn handle_handover(&mut self, from: NodeId, item: HandoverItem, now: ClockTime) {
         let id = EndpointId(item.endpoint);
         let drift = self.settings.clock_drift.clamp(0.0, 0.5);
@@ -131,7 +137,7 @@
             return;
         }
         claim.previous_home = None;
-        // The wait was measured by a clock that may run slower than ours.
+        // The wait was measured by a clock that may run slower than the local one.
         let wait = (item.wait_ms as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as u64;
         let exclusive_from = match wait {
             0 => now,
@@ -143,7 +149,7 @@
         }
     }
 
-    /// Gives up the home because the endpoint has turned elsewhere.
+    /// Ends this node's claim if `record` shows that the endpoint has switched to another home.
     pub(super) fn end_superseded_claim(&mut self, record: &EndpointRecord) {
         let Some(claim) = self.claims.get_mut(&record.id) else {
             return;
@@ -155,7 +161,7 @@
         }
     }
 
-    /// Gives up all homes, and tells the fleet of those whose next home then need not wait.
+    /// Ends all claims, and publishes the release of those whose next home then need not wait.
     pub(super) fn release_claims(&mut self, now: ClockTime) {
         let ids: Vec<EndpointId> = self.claims.keys().copied().collect();
         for id in ids {
@@ -172,7 +178,8 @@
         }
     }
 
-    /// Publishes the end of this node's home of `id`, if its record still is ours and `wanted`.
+    /// Publishes the end of this node's claim to `id`, if `is_valid` holds and the current record
+    /// is from this claim.
     fn publish_claim_end(
         &mut self,
         id: EndpointId,
@@ -198,7 +205,7 @@
         }
     }
 
-    /// Asks former homes, and ends claims of silent endpoints.
+    /// Requests pending handovers and ends the claims of silent endpoints.
     pub(super) fn update_claims(&mut self, now: ClockTime) {
         let ids: Vec<EndpointId> = self.claims.keys().copied().collect();
         for id in ids {
@@ -207,7 +214,7 @@
         }
     }
 
-    /// Takes an endpoint for gone that has fallen silent.
+    /// Publishes a silent endpoint as gone.
     fn expire_silent_endpoint(&mut self, id: EndpointId, now: ClockTime) {
         let Some(claim) = self.claims.get(&id) else {
             return;
@@ -221,8 +228,8 @@
         }
     }
 
-    /// Takes endpoints for gone that name this node as home but never announced themselves to
-    /// this process.
+    /// Publishes endpoints as gone whose record names this node as home, but which have never
+    /// announced themselves to this process.
     pub(super) fn expire_orphans(&mut self, now: ClockTime) {
         let timeout = self.settings.endpoint_timeout;
         let in_startup = self.started.is_none_or(|at| now.since(at) < timeout);
--- a/crates/ragwortroad_membership/src/table/links.rs
+++ b/crates/ragwortroad_membership/src/table/links.rs
@@ -1,4 +1,4 @@
-//! What is sent when.
+//! Scheduling and encoding of outgoing packets.
 
 use std::time::Duration;
 
@@ -20,24 +20,24 @@
     }, //
 };
 
-/// Shortest time between packets to one peer that hold nothing urgent.
+/// Minimum interval between two packets to a peer that contain nothing urgent.
 const MIN_PACKET_INTERVAL: Duration = Duration::from_millis(100);
-/// Loads that are worth a packet before the next heartbeat.
+/// Number of queued loads that justify a packet before the next heartbeat.
 const MIN_LOAD_BATCH: usize = 32;
-/// Packets to one peer at once.
+/// Maximum number of packets to one peer per flush.
 const MAX_PACKETS_PER_FLUSH: usize = 16;
-/// Unacknowledged packets to one peer beyond which only urgent news goes out.
+/// Number of unacknowledged packets to a peer from which only urgent updates are sent.
 const MAX_IN_FLIGHT: usize = 64;
-/// Acknowledgements in one packet.
+/// Maximum number of acknowledgements in one packet.
 const ACKS_PER_PACKET: usize = 32;
 
 impl MembershipTable {
-    /// The link with `peer`, opened if need be.
+    /// Returns the link with `peer`, opening it if necessary.
     pub(super) fn open_link(&mut self, peer: NodeId, now: ClockTime) -> &mut PeerLink {
         self.links.entry(peer).or_insert_with(|| PeerLink::new(now))
     }
 
-    /// Tells all neighbours but `except` of something.
+    /// Queues an update for all neighbours other than `except`.
     pub(super) fn broadcast(
         &mut self,
         key: UpdateKey,
@@ -51,11 +51,12 @@
         }
     }
 
-    /// Puts news back into the queues whose packets were not acknowledged.
+    /// Requeues the updates of packets that were not acknowledged in time.
     pub(super) fn requeue_lost(&mut self, now: ClockTime) {
         let settings = &self.settings;
         for link in self.links.values_mut() {
-            // A peer that has been silent gets less, lest one broken way eats the budget.
+            // Resends to a silent peer are less frequent, so that a broken path does not use up the
+            // budget.
             let backoff_factor = if link.silence(now) > settings.probe_after {
                 4
             } else {
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Sends to every peer what is due.
+    /// Sends every peer the packets that are due.
     pub(super) fn flush(&mut self, now: ClockTime) {
         self.budget.refill(now);
         let mut peers: Vec<NodeId> = self.links.keys().copied().collect();
         if !peers.is_empty() {
-            // Whoever comes first gets what is left of the budget, so each does in turn.
+            // Peers that are served first can use up the budget, so the starting peer rotates.
             self.round_robin_start = (self.round_robin_start + 1) % peers.len();
             peers.rotate_left(self.round_robin_start);
         }
@@ -107,13 +108,13 @@
         since_last_sent >= MIN_PACKET_INTERVAL && room && (prompt || loads)
     }
 
-    /// Sends one packet to `peer`; whether its address is known.
+    /// Sends one packet to `peer`. Returns false, and closes the link, if its address is unknown.
     fn send_packet(&mut self, peer: NodeId, now: ClockTime) -> bool {
         let Some(address) = self.address_of(peer) else {
             self.links.remove(&peer);
             return false;
         };
-        // Taken out while the packet is filled from the tables beside it.
+        // Removed from the map while `fill_packet` borrows the other tables.
         let Some(mut link) = self.links.remove(&peer) else {
             return false;
         };
@@ -131,7 +132,7 @@
         true
     }
 
-    /// Where `peer` is reached.
+    /// Returns the gossip address of `peer`.
     fn address_of(&self, peer: NodeId) -> Option<std::net::SocketAddr> {
         let seeds = &self.settings.seeds;
         let seed = || seeds.iter().find(|seed| seed.node == peer);
@@ -141,7 +142,7 @@
             .or_else(|| seed().map(|seed| seed.address))
     }
 
-    /// Builds a packet of what waits on `link`.
+    /// Encodes a packet from the items queued on `link`.
     fn fill_packet(&mut self, link: &mut PeerLink, now: ClockTime) -> Vec<u8> {
         let mut body = Vec::new();
         let room = self
@@ -191,7 +192,8 @@
         bytes
     }
 
-    /// Adds questions and answers; the first one always, however large it is.
+    /// Appends requests and replies. If the body is still empty, the first one is added regardless
+    /// of its size.
     fn fill_direct(&mut self, link: &mut PeerLink, body: &mut Vec<u8>, room: usize) {
         while let Some(item) = link.direct_items.front() {
             let bytes = encode(item);
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Adds news, the most urgent first, as far as room and budget allow.
+    /// Appends updates in order of priority, within the size limit and the budget.
     fn fill_updates(
         &mut self,
         link: &mut PeerLink,
--- a/crates/ragwortroad_membership/src/table/membership_stats.rs
+++ b/crates/ragwortroad_membership/src/table/membership_stats.rs
@@ -1,30 +1,31 @@
-/// Counters since the table was made.
+/// Counters since the table was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MembershipStats {
     /// Packets sent.
     pub packets_sent: u64,
-    /// Bytes in them, without anything below.
+    /// Bytes of the packets sent, without the overhead of lower protocol layers.
     pub bytes_sent: u64,
-    /// Packets received.
+    /// Packets received and processed.
     pub packets_received: u64,
-    /// Packets that could not be read, or came from nobody known.
+    /// Packets dropped because they could not be decoded, came from an unknown node, or named this
+    /// node as sender.
     pub packets_refused: u64,
-    /// Bytes of records of nodes in packets sent.
+    /// Bytes of node records in packets sent.
     pub node_bytes: u64,
-    /// Bytes of records of endpoints in packets sent.
+    /// Bytes of endpoint records in packets sent.
     pub endpoint_bytes: u64,
-    /// Bytes of load in packets sent.
+    /// Bytes of endpoint loads in packets sent.
     pub load_bytes: u64,
     /// Bytes of blobs in packets sent.
     pub blob_bytes: u64,
-    /// Bytes of questions, answers and comparisons of views in packets sent.
+    /// Bytes of requests, replies and digest comparisons in packets sent.
     pub direct_bytes: u64,
-    /// Loads told to the fleet as a home.
+    /// Load updates that this node published as the home of an endpoint.
     pub load_updates_published: u64,
-    /// Times this node spoke up against false news of itself.
+    /// Number of times this node refuted an update about itself.
     pub refutations: u64,
-    /// Announcements taken in.
+    /// Announcements processed.
     pub announcements: u64,
-    /// Announcements ignored, as they were late, repeated or malformed.
+    /// Announcements ignored because they were outdated, repeated or malformed.
     pub announcements_ignored: u64,
 }
--- a/crates/ragwortroad_membership/src/table/mod.rs
+++ b/crates/ragwortroad_membership/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! One node's view of the fleet, and what it does about it.
+//! The membership table: one node's view of the fleet.
 
 mod announcements;
 mod blobs;
@@ -42,67 +42,65 @@
     sync_digest::SyncDigest, //
 };
 
-/// Time between looking through all records.
+/// Interval between scans of all records.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One node's view of all nodes and endpoints.
 ///
-/// The owner passes in everything that happens with the time it happens at, and carries out the
-/// returned actions. The same seed and the same inputs give the same actions.
+/// The caller passes in every event with the time at which it happens, and carries out the returned
+/// actions. The same seed and the same inputs produce the same actions.
 pub struct MembershipTable {
-    /// Limits.
     settings: MembershipSettings,
-    /// This node.
+    /// Identity of this node.
     own: NodeId,
-    /// Told to peers, so that they notice a restart.
+    /// Sent to peers, so that they detect a restart of this node.
     session: u16,
     /// Whether this node is shutting down.
     leaving: bool,
-    /// The time of the first input.
+    /// Time of the first input.
     started: Option<ClockTime>,
-    /// All nodes, this one included.
+    /// All known nodes, including this one.
     nodes: NodeTable,
-    /// All endpoints.
     endpoints: EndpointTable,
-    /// What nodes attached.
+    /// The latest blobs of all nodes.
     blobs: BlobTable,
-    /// Own blobs that wait for their spacing: kind, and when it was last spread.
+    /// Publication state of this node's blobs by kind.
     own_blobs: BTreeMap<u8, blobs::OwnBlob>,
-    /// Peers with whom something is exchanged.
+    /// Links with neighbours and with other peers that packets were recently exchanged with.
     links: BTreeMap<NodeId, PeerLink>,
-    /// Probes made for others.
+    /// Probes made on behalf of other nodes.
     relays: RelayTable,
     /// Hashes over all records.
     digest: SyncDigest,
-    /// Endpoints that announced themselves here.
+    /// Claims to the endpoints that have announced themselves to this node.
     claims: BTreeMap<EndpointId, HomeClaim>,
-    /// Bytes left to spend.
     budget: ByteBudget,
-    /// Which peer is served first, by its place among the links.
+    /// Index of the peer that the next flush serves first.
     round_robin_start: usize,
-    /// Seeded randomness.
+    /// Random number generator with a fixed seed.
     rng: Pcg64Mcg,
-    /// State of the node table for which neighbours were last chosen.
+    /// Generation of the node table for which the neighbours were last chosen; `None` forces a new
+    /// choice.
     ring_generation: Option<u64>,
-    /// When neighbours were last chosen.
+    /// When the neighbours were last chosen.
     ring_chosen: ClockTime,
-    /// When a node that is down, or a seed, was last called.
+    /// When a node that is down, or an absent seed, was last contacted.
     last_reconnect: ClockTime,
-    /// When a random live node was last called.
+    /// When a random present node was last contacted.
     last_random_contact: ClockTime,
-    /// When all records were last looked through.
+    /// When all records were last scanned.
     last_maintenance: ClockTime,
-    /// Counters.
     stats: MembershipStats,
-    /// Actions of the input at hand.
+    /// Actions produced by the current input.
     actions: Vec<GossipAction>,
 }
 
 impl MembershipTable {
-    /// A view that knows only `record`, this node's own.
+    /// Creates a table that only knows `record`, this node's own.
     ///
-    /// The record's incarnation should be higher than at the process's last start, such as the
-    /// wall clock's milliseconds; if it is not, the node corrects it when it hears of itself.
+    /// The record's incarnation should be higher than at the last start of the process; a wall clock
+    /// reading in milliseconds will do. If it is lower, the node raises it once it receives a
+    /// record of itself from an earlier run.
     pub fn new(settings: MembershipSettings, record: NodeRecord, seed: u64) -> Self {
         let own = record.id();
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ own.0);
@@ -135,7 +133,7 @@
         table
     }
 
-    /// Takes one input at `now`, and returns what is to be done.
+    /// Processes one input at `now` and returns the resulting actions.
     pub fn handle(&mut self, input: GossipInput, now: ClockTime) -> Vec<GossipAction> {
         if self.started.is_none() {
             self.start(now);
@@ -150,7 +148,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Sets everything that counts from the first input.
+    /// Sets the timers that start with the first input.
     fn start(&mut self, now: ClockTime) {
         self.started = Some(now);
         self.last_random_contact = now;
@@ -162,7 +160,7 @@
         }
     }
 
-    /// Does everything that time alone brings about.
+    /// Performs all actions that depend on time alone.
     fn tick(&mut self, now: ClockTime) {
         self.choose_neighbours(now);
         self.probe_silent_neighbours(now);
--- a/crates/ragwortroad_membership/src/table/node_updates.rs
+++ b/crates/ragwortroad_membership/src/table/node_updates.rs
@@ -1,4 +1,4 @@
-//! What is believed of nodes, and how it changes.
+//! Merging and publishing of node records, and failure detection.
 
 use ragwortroad_types::prelude::*;
 
@@ -17,18 +17,18 @@
 };
 
 impl MembershipTable {
-    /// Puts a record in place and keeps the digest true.
+    /// Stores a record and updates the digest.
     pub(super) fn put_node(&mut self, record: NodeRecord, now: ClockTime) {
         let key = RecordKey::Node(record.id());
         let leaving = u64::from(record.state == NodeState::Leaving);
         let hash = version_hash(key, [record.incarnation, leaving, 0]);
-        // Suspicion comes and goes by itself and counts as no difference between views.
+        // Suspicions are left out of the digest, since they resolve without reconciliation.
         let version = record.state.is_present().then_some(hash);
         self.digest.set(key, version);
         self.nodes.put(record, now);
     }
 
-    /// Takes what `from` says of a node.
+    /// Merges the record of a node that `from` has sent.
     pub(super) fn merge_node(&mut self, record: NodeRecord, from: NodeId, now: ClockTime) {
         let id = record.id();
         if id == self.own {
@@ -36,7 +36,8 @@
             return;
         }
         let Some(known) = self.nodes.record(id) else {
-            // Who is down and unknown stays unknown, or nobody would ever forget it.
+            // An unknown node that is down is not added; otherwise nodes would keep sending it to
+            // each other and never remove it.
             if record.state.is_present() {
                 self.change_node(record, Some(from), now);
             }
@@ -53,8 +54,9 @@
         let known_state = known.state;
         let mut record = record;
         if record.state == NodeState::Down {
-            // Regions that were parted hold each other for down. Whoever is alive must get the
-            // chance to say so before it is dropped, or healing would take down every node once.
+            // After a network partition, each side considers the other down. A live node is only
+            // suspected at first, so that it can refute; otherwise every node would be marked down
+            // once when the partition heals.
             match known_state {
                 NodeState::Alive => record.state = NodeState::Suspected,
                 NodeState::Suspected => return,
@@ -64,7 +66,7 @@
         self.change_node(record, Some(from), now);
     }
 
-    /// Answers news of this node that is newer than what it says of itself.
+    /// Refutes an update about this node that is newer than its own record.
     fn refute(&mut self, reported: &NodeRecord, now: ClockTime) {
         let Some(own) = self.nodes.record(self.own).cloned() else {
             return;
@@ -81,7 +83,8 @@
         self.broadcast(UpdateKey::Node(self.own), UpdatePriority::Urgent, None);
     }
 
-    /// Puts changed news of another node in place, tells the neighbours and the owner.
+    /// Stores another node's changed record, queues it for the neighbours other than `from`, and
+    /// reports the change.
     pub(super) fn change_node(&mut self, record: NodeRecord, from: Option<NodeId>, now: ClockTime) {
         let id = record.id();
         let previous_state = self.nodes.record(id).map(|known| known.state);
@@ -92,7 +95,8 @@
             (Some(NodeState::Suspected), NodeState::Alive) => UpdatePriority::Urgent,
             _ => UpdatePriority::Normal,
         };
-        // Everybody who suspects a node takes it for down by itself, in its own time.
+        // Every node that suspects another marks it as down after its own timeout, so this need not
+        // be sent.
         let own_timeout = previous_state == Some(NodeState::Suspected) && state == NodeState::Down;
         if !own_timeout {
             self.broadcast(UpdateKey::Node(id), priority, from);
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Tells the owner of a node's change of state.
+    /// Reports a node's change of state to the caller.
     fn report_node_state(
         &mut self,
         id: NodeId,
@@ -127,20 +131,20 @@
         }
     }
 
-    /// Ends what depends on a node that is down.
+    /// Drops the link and blobs of a node that is down, and reports its endpoints as gone.
     fn clean_up_down_node(&mut self, id: NodeId) {
         self.links.remove(&id);
         self.blobs.remove_node(id);
         self.report_endpoints_of(id, GossipAction::EndpointGone);
     }
 
-    /// Tells the owner of each endpoint whose home is `node`.
+    /// Reports an action for each endpoint whose home is `node`.
     fn report_endpoints_of(&mut self, node: NodeId, action: fn(EndpointId) -> GossipAction) {
         let homed: Vec<EndpointId> = self.endpoints.homed_at(node).collect();
         self.actions.extend(homed.into_iter().map(action));
     }
 
-    /// Takes suspected nodes for down that did not speak up in time.
+    /// Marks nodes as down that did not refute their suspicion in time.
     pub(super) fn expire_suspicions(&mut self, now: ClockTime) {
         if !self.nodes.has_suspects() {
             return;
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Says that this node is shutting down, and gives up its endpoints.
+    /// Announces that this node is shutting down, and releases its endpoints.
     pub(super) fn start_leaving(&mut self, now: ClockTime) {
         let Some(own) = self.nodes.record(self.own).cloned() else {
             return;
@@ -184,7 +188,7 @@
         self.release_claims(now);
     }
 
-    /// Forgets nodes and endpoints that have been away for long.
+    /// Removes nodes that have been down, and endpoints that have been gone, for long enough.
     pub(super) fn remove_expired(&mut self, now: ClockTime) {
         let settings = &self.settings;
         let nodes: Vec<NodeId> = self
--- a/crates/ragwortroad_membership/src/table/packets.rs
+++ b/crates/ragwortroad_membership/src/table/packets.rs
@@ -1,4 +1,4 @@
-//! What a received packet does.
+//! Handling of received packets.
 
 use std::time::Duration;
 
@@ -28,22 +28,23 @@
     }, //
 };
 
-/// Longest time an acknowledgement waits for other things to send.
+/// Maximum time that an acknowledgement is delayed in order to be sent along with other items.
 const MAX_ACK_DELAY: Duration = Duration::from_millis(500);
-/// Nodes that a stranger is told of at once.
+/// Number of nodes that are introduced to a node that has just joined.
 const MAX_INTRODUCED_NODES: usize = 8;
-/// Shortest time between two corrections to one peer of news about itself.
+/// Minimum interval between two corrections to one peer.
 const MIN_CORRECTION_INTERVAL: Duration = Duration::from_secs(1);
 
 impl MembershipTable {
-    /// Takes a packet whose sender is proved.
+    /// Processes a packet from an authenticated sender.
     pub(super) fn handle_packet(&mut self, from: NodeId, bytes: &[u8], now: ClockTime) {
         let Ok(packet) = read_packet(bytes) else {
             self.stats.packets_refused += 1;
             return;
         };
         let mut items = packet.items;
-        // A stranger introduces itself: its record goes first, whatever stands before it.
+        // The sender's own record is processed first, wherever it is in the packet, because the
+        // packet of an unknown sender is only accepted with it.
         items.sort_by_key(|item| !is_record_of(item, from));
         let introduced = items.first().is_some_and(|item| is_record_of(item, from));
         let stranger = self.nodes.get(from).is_none();
@@ -63,7 +64,7 @@
         self.send_correction(from, now);
     }
 
-    /// Takes the packet's head: signs of life, acknowledgements, the peer's digest.
+    /// Processes the header: liveness, acknowledgements and the peer's digest.
     fn handle_header(&mut self, from: NodeId, header: &PacketHeader, now: ClockTime) {
         let own_session = self.session;
         let same_view = header.root == self.digest.root();
@@ -91,7 +92,6 @@
         };
     }
 
-    /// Takes one item.
     fn handle_item(&mut self, from: NodeId, item: WireItem, now: ClockTime) {
         match item {
             WireItem::Node(item) => {
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Takes incarnation and state of a node whose other facts we should know.
+    /// Merges the incarnation and state of a node. Requests the full record if its metadata is not
+    /// known.
     fn merge_node_state(&mut self, from: NodeId, item: NodeStateItem, now: ClockTime) {
         let id = NodeId(item.node);
         let Ok(state) = state_from_number(item.state) else {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Takes an endpoint's load.
+    /// Merges an endpoint's load.
     fn merge_load(&mut self, from: NodeId, item: LoadItem, now: ClockTime) {
         let keys = self.digest.keys(item.key).to_vec();
         let load = LoadUpdate {
@@ -153,7 +154,8 @@
             load: crate::CoarseLoad(item.load),
         };
         let [RecordKey::Endpoint(id)] = keys.as_slice() else {
-            // Unknown, or a short name that two records share: the whole record tells its load.
+            // The hash is unknown or shared by two records. The load will arrive with the full
+            // record.
             return;
         };
         let key = UpdateKey::Load(*id);
@@ -171,10 +173,10 @@
         }
     }
 
-    /// Tells a node that has just joined of a few others.
+    /// Introduces a few other nodes to a node that has just joined.
     ///
-    /// A fleet that starts as a whole knows only its seeds at first. If every node went on to
-    /// learn everything from these, they would spend their budget on answers for minutes.
+    /// In a fleet whose nodes all start at once, they know only the seeds. If all of them learned
+    /// everything from the seeds, those would spend their budget on replies for minutes.
     fn send_introductions(&mut self, from: NodeId, now: ClockTime) {
         let others: Vec<NodeId> = self
             .nodes
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Tells whoever asked us to probe `from` that it answers.
+    /// Confirms to the nodes that requested a probe of `from` that it responds.
     fn confirm_relayed_probes(&mut self, from: NodeId, now: ClockTime) {
         for requester in self.relays.take_requesters(from, now) {
             let reached = WireItem::Reached(ProbeItem { target: from.0 });
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Tells a peer of false news about it that we hold, so that it can speak up.
+    /// Sends a peer the update that it is suspected or down, so that it can refute it.
     fn send_correction(&mut self, from: NodeId, now: ClockTime) {
         let state = self.nodes.state(from);
         if !matches!(state, NodeState::Suspected | NodeState::Down) {
@@ -219,7 +221,7 @@
     }
 }
 
-/// Whether `item` is the whole record of `node`.
+/// Whether `item` is the full record of `node`.
 fn is_record_of(item: &WireItem, node: NodeId) -> bool {
     match item {
         WireItem::Node(item) => {
--- a/crates/ragwortroad_membership/src/table/probes.rs
+++ b/crates/ragwortroad_membership/src/table/probes.rs
@@ -1,4 +1,4 @@
-//! Whom this node talks to, and how it notices that a node is gone.
+//! Choice of peers, and detection of failed nodes.
 
 use std::time::Duration;
 
@@ -19,21 +19,21 @@
     }, //
 };
 
-/// Time after which neighbours are chosen anew even if no node changed.
+/// Interval after which the neighbours are chosen again even if no node has changed.
 const RING_REFRESH_INTERVAL: Duration = Duration::from_secs(5);
-/// Time after which a link that is no neighbour's and is not used is closed.
+/// Time without packets after which a link is closed, unless it belongs to a neighbour.
 const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for which a node with a broken direct way is no neighbour.
+/// Time for which a node is not chosen as a neighbour after the direct path to it broke.
 const AVOID_DURATION: Duration = Duration::from_secs(30);
-/// Time between calls to absent seeds while this node is new or knows nobody.
+/// Interval between contacts to absent nodes while this node is joining or isolated.
 const SEED_CONTACT_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which a node is new.
+/// Time after the start during which a node counts as joining.
 const JOIN_PERIOD: Duration = Duration::from_secs(20);
-/// Time between questions to a silent neighbour.
+/// Minimum interval between two probes of a silent neighbour.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl MembershipTable {
-    /// Chooses the neighbours from the nodes that are present.
+    /// Chooses the neighbours among the present nodes.
     pub(super) fn choose_neighbours(&mut self, now: ClockTime) {
         let unchanged = self.ring_generation == Some(self.nodes.generation);
         if unchanged && now.since(self.ring_chosen) < RING_REFRESH_INTERVAL {
@@ -76,7 +76,8 @@
         });
     }
 
-    /// Asks silent neighbours, directly and through others, and suspects those who stay silent.
+    /// Probes silent neighbours, directly and through other nodes, and suspects those that stay
+    /// silent.
     pub(super) fn probe_silent_neighbours(&mut self, now: ClockTime) {
         let silent: Vec<(NodeId, Duration)> = self
             .links
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Asks a silent neighbour for a sign of life.
+    /// Probes a silent neighbour directly.
     fn probe_directly(&mut self, peer: NodeId, now: ClockTime) {
         let link = self.open_link(peer, now);
         if link
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Asks a few others whether they reach a silent neighbour.
+    /// Asks a few random nodes to probe a silent neighbour.
     fn probe_indirectly(&mut self, peer: NodeId, now: ClockTime) {
         let link = self.open_link(peer, now);
         if link
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Suspects a silent neighbour, unless others still reach it.
+    /// Suspects a silent neighbour, unless other nodes still reach it.
     fn suspect(&mut self, peer: NodeId, now: ClockTime) {
         let timeout = self.settings.suspect_after;
         let link = self.open_link(peer, now);
@@ -142,7 +143,7 @@
             .last_indirect_ack
             .is_some_and(|at| now.since(at) < timeout)
         {
-            // Only the direct way is broken: news must go round it.
+            // Only the direct path is broken, so updates have to take another one.
             link.avoid_until = now.after(AVOID_DURATION);
             self.ring_generation = None;
             return;
@@ -158,7 +159,7 @@
         self.change_node(NodeRecord { state, ..record }, None, now);
     }
 
-    /// Asks `target` for a sign of life on behalf of `asked_by`.
+    /// Probes `target` on behalf of `requester`.
     pub(super) fn relay_probe(&mut self, requester: NodeId, target: NodeId, now: ClockTime) {
         let known = self.nodes.get(target).is_some();
         if target != self.own && known && self.relays.add(requester, target, now) {
@@ -166,17 +167,18 @@
         }
     }
 
-    /// Calls nodes beyond the neighbours, so that views which grew apart find together.
+    /// Contacts nodes other than the neighbours, so that diverged views are reconciled.
     pub(super) fn contact_non_neighbours(&mut self, now: ClockTime) {
         let is_isolated = self.nodes.present_count() == 1;
-        // Nodes that start together may each find another seed first, and so form several fleets.
+        // Nodes that start at the same time may each reach a different seed first and form separate
+        // fleets.
         let is_joining = self.started.is_some_and(|at| now.since(at) < JOIN_PERIOD);
         let interval = if is_isolated || is_joining {
             SEED_CONTACT_INTERVAL
         } else {
             self.settings.reconnect_interval
         };
-        // The very first call goes out at once.
+        // The first contact is made without delay.
         let is_first = is_isolated && self.links.is_empty();
         if is_first || now.since(self.last_reconnect) >= interval {
             self.last_reconnect = now;
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Calls a node that is down, or a seed that nobody knows.
+    /// Contacts a random node that is down, or a seed that is not present.
     fn contact_absent_node(&mut self, now: ClockTime) {
         let down = self
             .nodes
@@ -208,7 +210,7 @@
         self.open_link(peer, now).probe_due = true;
     }
 
-    /// Calls any node that is present and no neighbour.
+    /// Contacts a random node that is present and has no link.
     fn contact_present_node(&mut self, now: ClockTime) {
         let others: Vec<NodeId> = self
             .nodes
--- a/crates/ragwortroad_membership/src/table/queries.rs
+++ b/crates/ragwortroad_membership/src/table/queries.rs
@@ -8,40 +8,41 @@
     NodeState, //
 };
 
-/// Questions, which change nothing.
+/// Read-only queries.
 impl MembershipTable {
-    /// This node.
+    /// Returns the identity of this node.
     pub fn own_id(&self) -> NodeId {
         self.own
     }
 
-    /// The record of `node`, this one included.
+    /// Returns the record of `node`, which may be this node; absent if it is unknown.
     pub fn node(&self, node: NodeId) -> Option<&NodeRecord> {
         self.nodes.record(node)
     }
 
-    /// All known nodes, this one and those that are down included.
+    /// Iterates over all known nodes, including this one and those that are down.
     pub fn nodes(&self) -> impl Iterator<Item = (NodeId, &NodeRecord)> {
         self.nodes.iter().map(|(id, entry)| (id, &entry.record))
     }
 
-    /// Nodes that may be sent callers: alive and not leaving, this one included.
+    /// Iterates over the nodes that clients may be sent to: those that are alive, including this
+    /// one.
     pub fn live_nodes(&self) -> impl Iterator<Item = (NodeId, &NodeRecord)> {
         self.nodes()
             .filter(|(_, record)| record.state == NodeState::Alive)
     }
 
-    /// The record of `endpoint`.
+    /// Returns the record of `endpoint`; absent if it is unknown.
     pub fn endpoint(&self, endpoint: EndpointId) -> Option<&EndpointRecord> {
         self.endpoints.record(endpoint)
     }
 
-    /// All known endpoints, those that are gone included.
+    /// Iterates over all known endpoints, including those that are gone.
     pub fn endpoints(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.endpoints.iter().map(|(_, entry)| &entry.record)
     }
 
-    /// Whether new work may be meant for `endpoint`: it wants work and its home is not down.
+    /// Whether `endpoint` may be given new work: it accepts new work and its home is not down.
     pub fn is_available(&self, endpoint: EndpointId) -> bool {
         let Some(record) = self.endpoints.record(endpoint) else {
             return false;
@@ -49,13 +50,13 @@
         record.accepts_new_work() && self.nodes.state(record.home).is_present()
     }
 
-    /// Endpoints that new work may be meant for.
+    /// Iterates over the endpoints that may be given new work.
     pub fn available_endpoints(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.endpoints()
             .filter(|record| self.is_available(record.id))
     }
 
-    /// The peers that this node exchanges news with.
+    /// Iterates over the peers that this node sends all updates to.
     pub fn neighbours(&self) -> impl Iterator<Item = NodeId> {
         self.links
             .iter()
@@ -63,17 +64,17 @@
             .map(|(peer, _)| *peer)
     }
 
-    /// Counters.
+    /// Returns the counters since the table was created.
     pub fn stats(&self) -> MembershipStats {
         self.stats
     }
 
-    /// A hash over all nodes and endpoints known; equal views have equal hashes.
+    /// Returns a hash over all nodes and endpoints that are present. Equal views have equal hashes.
     pub fn view_hash(&self) -> u32 {
         self.digest.root()
     }
 
-    /// Pieces of news that wait to be sent, over all peers.
+    /// Returns the number of updates that are queued, summed over all peers.
     pub fn pending_update_count(&self) -> usize {
         self.links.values().map(|link| link.pending.len()).sum()
     }
--- a/crates/ragwortroad_membership/src/table/sync.rs
+++ b/crates/ragwortroad_membership/src/table/sync.rs
@@ -1,4 +1,4 @@
-//! Comparing views, so that news lost for any reason arrives in the end.
+//! Anti-entropy: views are compared, so that lost updates arrive eventually.
 
 use std::time::Duration;
 
@@ -19,27 +19,27 @@
     }, //
 };
 
-/// Buckets compared in one go; the others follow in the next.
+/// Maximum number of buckets compared at once; further ones follow in the next comparison.
 const MAX_BUCKETS_PER_SYNC: usize = 4;
 
-/// Time after the start in which a node fetches what it lacks without waiting for the news that
-/// would otherwise bring it.
+/// Time after the start during which a node fetches missing records early, without waiting for the
+/// updates that would bring them.
 const STARTUP_PERIOD: Duration = Duration::from_secs(20);
 
-/// Time for which a fresh node's view may differ from a peer's before it compares.
+/// Time for which views may differ before a node that has just started compares them.
 ///
-/// A node that takes callers but knows no endpoint refuses them all; callers see a fleet that
-/// answers on some addresses only for as long as this takes.
+/// A node that accepts clients but knows no endpoints rejects all their requests. Until it has
+/// caught up, clients see a fleet that only answers on some of its addresses.
 const STARTUP_SYNC_DELAY: Duration = Duration::from_millis(400);
 
 impl MembershipTable {
-    /// Whether this node has started only a moment ago.
+    /// Whether this node has only just started.
     fn is_starting(&self, now: ClockTime) -> bool {
         self.started
             .is_some_and(|at| now.since(at) < STARTUP_PERIOD)
     }
 
-    /// Starts comparing views with peers whose view has differed for long.
+    /// Starts a comparison with each peer whose view has differed for long enough.
     pub(super) fn start_syncs(&mut self, now: ClockTime) {
         if !self.budget.has_available() {
             return;
@@ -50,7 +50,8 @@
         };
         let hashes = self.digest.bucket_hashes();
         for (peer, link) in &mut self.links {
-            // One side is enough; the other one helps out where the first does not act.
+            // One side is enough. The other waits twice as long and takes over if the first does
+            // not act.
             let delay = if *peer > self.own { delay } else { delay * 2 };
             let differs = link.differs_since.map(|since| now.since(since));
             let interval_elapsed = link.last_sync.is_none_or(|at| now.since(at) >= delay);
@@ -61,15 +62,16 @@
         }
     }
 
-    /// Answers a comparison of all buckets with the content of some that differ.
+    /// Replies to a peer's bucket hashes with the content of some buckets that differ.
     pub(super) fn compare_buckets(&mut self, from: NodeId, hashes: &[u16], now: ClockTime) {
         let own = self.digest.bucket_hashes();
-        // Comparing comes after telling: a node that many compare with at once would otherwise
-        // spend everything on lists of what differs, and nothing on the records themselves.
+        // Records take precedence over comparisons. Otherwise a node that many peers compare with
+        // would spend its whole budget on lists of differences and none on the records themselves.
         if hashes.len() != own.len() || !self.budget.has_available() {
             return;
         }
-        // A random start spreads different buckets over the neighbours of a node that lacks all.
+        // With a random start, a node that lacks all records gets different buckets from its
+        // neighbours.
         let start = self.rng.random_range(0..BUCKET_COUNT);
         let differing: Vec<usize> = (0..BUCKET_COUNT)
             .map(|step| (start + step) % BUCKET_COUNT)
@@ -79,7 +81,8 @@
         let link = self.open_link(from, now);
         link.last_sync = Some(now);
         if differing.is_empty() {
-            // Any packet tells the peer our root, and so that there is nothing left to compare.
+            // Any packet carries the digest's root, which tells the peer that nothing is left to
+            // compare.
             link.ack_due = Some(now);
         }
         for bucket in differing {
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Sends what is in one bucket.
+    /// Sends the entries of one bucket.
     fn send_bucket(&mut self, to: NodeId, bucket: u8, answer: bool, now: ClockTime) {
         let entries = self.digest.entries(bucket);
         let item = BucketItem {
@@ -99,7 +102,8 @@
             .push_direct(WireItem::BucketKeys(item));
     }
 
-    /// Queues for `from` what it lacks or has differently, and asks for the same in return.
+    /// Queues the records that `from` lacks or holds in another version. Sends back the local
+    /// bucket if `from` holds records that are missing or different here.
     pub(super) fn compare_keys(&mut self, from: NodeId, item: BucketItem, now: ClockTime) {
         if usize::from(item.bucket) >= BUCKET_COUNT {
             return;
@@ -117,7 +121,8 @@
                 continue;
             }
             lacks_records = true;
-            // What we hold as gone or down is in no bucket, but is what the peer should hear.
+            // Records that are gone or down are in no bucket, but the peer must learn that they
+            // are.
             keys.extend_from_slice(self.digest.keys(entry.key));
         }
         keys.sort_unstable();
@@ -130,7 +135,7 @@
         }
     }
 
-    /// Sends the records a peer asked for, whole.
+    /// Sends the full records that a peer has requested.
     pub(super) fn send_requested(&mut self, from: NodeId, keys: &[u32], now: ClockTime) {
         for short_hash in keys {
             for key in self.digest.keys(*short_hash).to_vec() {
@@ -146,7 +151,7 @@
         }
     }
 
-    /// Queues one record for `to`, and what its node attached.
+    /// Queues a record for `to`, for a node together with its blobs.
     fn queue_record(&mut self, to: NodeId, key: RecordKey, now: ClockTime) {
         let kinds = match key {
             RecordKey::Node(id) => self.blobs.kinds(id),
--- a/crates/ragwortroad_membership/src/table/update_items.rs
+++ b/crates/ragwortroad_membership/src/table/update_items.rs
@@ -1,4 +1,4 @@
-//! How news is put into packets.
+//! Conversion of queued updates to packet items.
 
 use std::time::Duration;
 
@@ -22,11 +22,11 @@
     }, //
 };
 
-/// Time after a node appeared or moved in which its whole record is told; later its state alone,
-/// and whoever does not know the rest asks for it.
+/// Time after a node joined or changed its metadata during which its full record is sent. Later
+/// only its state is sent, and a receiver that lacks the rest requests it.
 const FULL_RECORD_PERIOD: Duration = Duration::from_secs(60);
 impl MembershipTable {
-    /// The item that tells the news named by `key` as it stands now.
+    /// Builds the item for `key` from the current record; absent if there is nothing to send.
     pub(super) fn update_item(&self, key: UpdateKey, now: ClockTime) -> Option<WireItem> {
         match key {
             UpdateKey::Node(id) => {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Counts the bytes of one piece of news.
+    /// Adds the encoded size of an update to the counters.
     pub(super) fn count_update_bytes(&mut self, key: UpdateKey, bytes: usize) {
         let counter = match key {
             UpdateKey::Node(_) => &mut self.stats.node_bytes,
--- a/crates/ragwortroad_membership/src/wire/endpoint_item.rs
+++ b/crates/ragwortroad_membership/src/wire/endpoint_item.rs
@@ -16,7 +16,7 @@
     }, //
 };
 
-/// A whole [`EndpointRecord`]; the identity follows from the name.
+/// A full [`EndpointRecord`]; its identity is derived from the name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct EndpointItem {
@@ -37,7 +37,7 @@
     damped: bool,
     flaps: u8,
     load: u8,
-    /// How much newer the load is than the record.
+    /// Sequence number of the load minus that of the record.
     load_lead: u64,
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// The number that stands for `presence` in packets.
+/// Encodes `presence` as a number.
 fn presence_number(presence: EndpointPresence) -> u8 {
     match presence {
         EndpointPresence::Present => 0,
@@ -102,7 +102,7 @@
     }
 }
 
-/// The presence that `number` stands for.
+/// Decodes a presence from its number.
 fn presence_from_number(number: u8) -> Result<EndpointPresence, WireError> {
     match number {
         0 => Ok(EndpointPresence::Present),
--- a/crates/ragwortroad_membership/src/wire/mod.rs
+++ b/crates/ragwortroad_membership/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! What travels between nodes, as types of its own.
+//! Types of the gossip protocol, kept apart from the records in memory.
 
 pub(crate) mod endpoint_item;
 pub(crate) mod node_item;
--- a/crates/ragwortroad_membership/src/wire/node_item.rs
+++ b/crates/ragwortroad_membership/src/wire/node_item.rs
@@ -14,7 +14,7 @@
     }, //
 };
 
-/// A whole [`NodeRecord`].
+/// A full [`NodeRecord`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct NodeItem {
@@ -22,7 +22,7 @@
     zone: String,
     region: String,
     gossip_address: SocketAddr,
-    /// Nothing where it equals the gossip address.
+    /// Absent if equal to the gossip address.
     caller_address: Option<SocketAddr>,
     incarnation: u64,
     state: u8,
@@ -59,7 +59,7 @@
     }
 }
 
-/// The number that stands for `state` in packets.
+/// Encodes `state` as a number.
 pub(crate) fn state_number(state: NodeState) -> u8 {
     match state {
         NodeState::Alive => 0,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The state that `number` stands for.
+/// Decodes a state from its number.
 pub(crate) fn state_from_number(number: u8) -> Result<NodeState, WireError> {
     match number {
         0 => Ok(NodeState::Alive),
--- a/crates/ragwortroad_membership/src/wire/packet_header.rs
+++ b/crates/ragwortroad_membership/src/wire/packet_header.rs
@@ -3,23 +3,25 @@
     Serialize, //
 };
 
-/// What every packet opens with; items follow until its end.
+/// The header of every packet. Items follow until the end of the packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct PacketHeader {
-    /// Drawn at random by the sender's process, so that a restart is noticed.
+    /// Random number of the sender's process, which reveals a restart.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) session: u16,
-    /// The receiver's session as the sender knows it; acknowledgements are void for another.
+    /// The receiver's session as known to the sender; if it is outdated, the acknowledgements are
+    /// ignored.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) to_session: u16,
-    /// Counts packets with news to this receiver; zero for a packet that needs no acknowledgement.
+    /// Number of packets with updates sent to this receiver so far; zero if the packet needs no
+    /// acknowledgement.
     pub(crate) sequence: u32,
-    /// Whether the sender wants an answer at once.
+    /// Whether the sender requests an immediate reply.
     pub(crate) urgent: bool,
-    /// Sequences received since the last packet to this receiver.
+    /// Sequence numbers received since the last packet to this receiver.
     pub(crate) acks: Vec<u32>,
-    /// The root of the sender's digest.
+    /// Root hash of the sender's digest.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) root: u32,
 }
--- a/crates/ragwortroad_membership/src/wire/packet_reader.rs
+++ b/crates/ragwortroad_membership/src/wire/packet_reader.rs
@@ -9,16 +9,13 @@
     wire_item::WireItem, //
 };
 
-/// A packet, decoded.
 #[derive(Debug)]
 pub(crate) struct DecodedPacket {
-    /// Its head.
     pub(crate) header: PacketHeader,
-    /// Its items.
     pub(crate) items: Vec<WireItem>,
 }
 
-/// Decodes a packet as a whole: a malformed item voids what stands before it too.
+/// Decodes a whole packet. A malformed item invalidates the items before it as well.
 pub(crate) fn read_packet(bytes: &[u8]) -> Result<DecodedPacket, WireError> {
     let (header, mut rest) = postcard::take_from_bytes(bytes).context(MalformedSnafu)?;
     let mut items = Vec::new();
@@ -30,7 +27,8 @@
     Ok(DecodedPacket { header, items })
 }
 
-/// Encodes one part of a packet; nothing where the codec refuses, which it does for none of ours.
+/// Encodes one part of a packet. Returns nothing if encoding fails, which does not happen for any
+/// of the protocol's types.
 pub(crate) fn encode<T: serde::Serialize>(part: &T) -> Vec<u8> {
     postcard::to_stdvec(part).unwrap_or_default()
 }
--- a/crates/ragwortroad_membership/src/wire/wire_error.rs
+++ b/crates/ragwortroad_membership/src/wire/wire_error.rs
@@ -1,20 +1,22 @@
 use snafu::Snafu;
 
-/// Why a packet could not be read.
+/// Reason why a packet could not be decoded.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum WireError {
-    /// The bytes are not what this version writes.
-    #[snafu(display("the packet is malformed: {source}; run the same version on all nodes"))]
+    /// The bytes do not match this version of the protocol.
+    #[snafu(display("packet is malformed: {source}; all nodes must run the same version"))]
     Malformed {
-        /// The codec's reason.
+        /// The error of the decoder.
         source: postcard::Error,
     },
-    /// A number stands for no state.
-    #[snafu(display("the packet holds the unknown state {number}; run the same version"))]
+    /// A number does not stand for any state.
+    #[snafu(display(
+        "packet contains unknown state number {number}; all nodes must run the same version"
+    ))]
     UnknownState {
-        /// The number.
+        /// The number found.
         number: u8,
     },
 }
--- a/crates/ragwortroad_membership/src/wire/wire_item.rs
+++ b/crates/ragwortroad_membership/src/wire/wire_item.rs
@@ -8,33 +8,33 @@
     node_item::NodeItem, //
 };
 
-/// One piece of news, question or answer in a packet.
+/// An update, request or reply in a packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum WireItem {
-    /// A node's whole record.
+    /// A node's full record.
     Node(NodeItem),
-    /// Incarnation and state of a node whose other facts the receiver should know.
+    /// Incarnation and state of a node whose metadata the receiver should know.
     NodeState(NodeStateItem),
-    /// An endpoint's whole record.
+    /// An endpoint's full record.
     Endpoint(EndpointItem),
     /// An endpoint's load.
     Load(LoadItem),
-    /// What a node attached.
+    /// A node's blob.
     Blob(BlobItem),
-    /// Please find out whether this node answers.
+    /// Asks the receiver to probe a node.
     ProbeFor(ProbeItem),
-    /// This node answered me.
+    /// Confirms that the probed node responded.
     Reached(ProbeItem),
-    /// Are you done as home of an earlier epoch of this endpoint?
+    /// Asks the home of the previous epoch to give up an endpoint.
     HandoverAsk(HandoverAskItem),
-    /// I am done; earlier homes are by the time given.
+    /// Confirms that the sender gave up the endpoint, with the wait for homes before it.
     Handover(HandoverItem),
     /// Hashes of all buckets of the sender's digest.
     Buckets(Vec<u16>),
-    /// What the sender holds in one bucket.
+    /// The entries that the sender holds in one bucket.
     BucketKeys(BucketItem),
-    /// Please send these records.
+    /// Requests the full records with these short hashes.
     Wants(Vec<u32>),
 }
 
@@ -42,14 +42,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct NodeStateItem {
-    /// The node.
+    /// Identity of the node.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) node: u64,
-    /// Its incarnation.
     pub(crate) incarnation: u64,
-    /// Its state's number.
+    /// Number of the state.
     pub(crate) state: u8,
-    /// Hash of its other facts.
+    /// Hash of the node's other fields.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) facts: u16,
 }
@@ -58,91 +57,91 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct LoadItem {
-    /// Short name of the endpoint.
+    /// Short hash of the endpoint's key.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) key: u32,
-    /// Low byte of the endpoint's incarnation, so that news of a former one is not taken for this.
+    /// Low byte of the endpoint's incarnation, so that a load of an earlier incarnation is not
+    /// applied.
     pub(crate) incarnation: u8,
-    /// The announcement it is from.
+    /// Sequence number of the announcement that the load is from.
     pub(crate) sequence: u64,
-    /// The load.
+    /// Load in steps of a [`CoarseLoad`](crate::CoarseLoad).
     pub(crate) load: u8,
 }
 
-/// What a node attached.
+/// A node's blob.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct BlobItem {
-    /// The node.
+    /// Identity of the node that published the blob.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) node: u64,
-    /// Its kind.
+    /// Kind of the blob.
     pub(crate) kind: u8,
-    /// The node's incarnation.
+    /// Incarnation of the node at publication.
     pub(crate) incarnation: u64,
-    /// Counts up within the incarnation.
+    /// Incremented with every version of the blob within the incarnation.
     pub(crate) version: u64,
-    /// The content.
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Names a node to probe.
+/// Names the node of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct ProbeItem {
-    /// The node.
+    /// Identity of the probed node.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) target: u64,
 }
 
-/// Asks a former home to give up.
+/// Asks the previous home to give up an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct HandoverAskItem {
-    /// The endpoint.
+    /// Identity of the endpoint.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) endpoint: u64,
-    /// Its incarnation.
+    /// Incarnation of the endpoint.
     pub(crate) incarnation: u64,
-    /// The asking node's epoch.
+    /// Epoch of the requesting node's claim.
     pub(crate) epoch: u64,
 }
 
-/// A former home's answer.
+/// The previous home's reply to a handover request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct HandoverItem {
-    /// The endpoint.
+    /// Identity of the endpoint.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) endpoint: u64,
-    /// Its incarnation.
+    /// Incarnation of the endpoint.
     pub(crate) incarnation: u64,
-    /// The former home's epoch, which has ended.
+    /// Epoch of the previous home's claim, which has ended.
     pub(crate) epoch: u64,
-    /// Milliseconds by the former home's clock until homes before it are done as well.
+    /// Milliseconds, by the previous home's clock, until the leases of still earlier homes have
+    /// ended.
     pub(crate) wait_ms: u64,
 }
 
-/// What a node holds in one bucket of its digest.
+/// The entries that a node holds in one bucket of its digest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct BucketItem {
-    /// The bucket.
+    /// Index of the bucket.
     pub(crate) bucket: u8,
-    /// Whether it answers such an item, and so wants none back.
+    /// Whether this is a reply to such an item, which must not be answered in turn.
     pub(crate) answer: bool,
-    /// What is in it.
     pub(crate) entries: Vec<BucketEntry>,
 }
 
-/// One record in a bucket.
+/// A record in a bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct BucketEntry {
-    /// Short name of the record.
+    /// Short hash of the record's key.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) key: u32,
-    /// Hash of its version.
+    /// Low 16 bits of the record's version hash.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) version: u16,
 }
--- a/crates/ragwortroad_membership/tests/cost.rs
+++ b/crates/ragwortroad_membership/tests/cost.rs
@@ -1,11 +1,12 @@
-//! What membership may cost; the measurement itself is the example `gossip_cost`.
+//! Upper bounds on the traffic of the membership protocol. The example `gossip_cost` measures it in
+//! detail.
 
 mod fake_fleet;
 
 use fake_fleet::FakeFleet;
 use ragwortroad_membership::prelude::*;
 
-/// Bytes a node sends each second with loads changing, QUIC's share included.
+/// Bytes per second that a node sends while loads change, including the overhead of QUIC.
 fn bytes_per_second(nodes: usize, endpoints: usize, zones: usize) -> u64 {
     let settings = MembershipSettings::default();
     let mut fleet = FakeFleet::new(1, nodes, endpoints, zones, &settings);
@@ -26,7 +27,7 @@
     (sent(&fleet) - before) / nodes as u64 / 60
 }
 
-/// Guards against changes that cost more control bytes.
+/// Guards against changes that increase the protocol's traffic.
 #[test]
 fn control_bytes_stay_within_their_bounds() {
     let (small, larger) = (bytes_per_second(9, 23, 3), bytes_per_second(40, 90, 6));
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_endpoint.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_endpoint.rs
@@ -4,10 +4,10 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Largest number of requests a fake endpoint works on at once.
+/// Number of requests that a fake endpoint processes concurrently.
 const CAPACITY: u32 = 16;
 
-/// An endpoint that announces itself as the interface asks it to.
+/// A fake endpoint that follows the announcement protocol.
 pub(crate) struct FakeEndpoint {
     pub(crate) name: String,
     pub(crate) zone: usize,
@@ -17,7 +17,7 @@
     pub(crate) sequence: u64,
     pub(crate) epoch: u64,
     pub(crate) switches: u64,
-    /// Chance that its load changes by one between two announcements.
+    /// Probability that the load changes between two announcements.
     pub(crate) load_change: f64,
     load: u32,
     targets: Vec<String>,
@@ -64,7 +64,7 @@
         self.generation += 1;
     }
 
-    /// The address the next announcement goes to; nothing if it is void.
+    /// Prepares the next announcement and returns its address, or nothing if the event is outdated.
     pub(crate) fn send(
         &mut self,
         generation: u64,
@@ -112,12 +112,12 @@
         }
     }
 
-    /// An announcement on its way, taken off it.
+    /// Removes and returns an announcement that is in transit.
     pub(crate) fn take_sent(&mut self, generation: u64, sequence: u64) -> Option<AnnounceWire> {
         self.sent.remove(&(generation, sequence))
     }
 
-    /// Takes an answer; the next sequence, or nothing if it came too late.
+    /// Processes an answer. Returns the next sequence number, or nothing if the answer is outdated.
     pub(crate) fn take_answer(
         &mut self,
         generation: u64,
@@ -137,7 +137,7 @@
                 self.switches += 1;
                 self.epoch += 1;
             }
-            // Addresses known before stay at the end, for when all of these fail.
+            // Previously known addresses stay at the end as a fallback.
             let mut targets = to;
             for address in &self.targets {
                 if !targets.contains(address) {
@@ -150,7 +150,8 @@
         Some(self.sequence)
     }
 
-    /// Turns to the next address, as no answer came; the next sequence.
+    /// Switches to the next address after a timeout. Returns the next sequence number, or nothing
+    /// if the event is outdated.
     pub(crate) fn give_up(&mut self, generation: u64, sequence: u64) -> Option<u64> {
         if !self.up
             || generation != self.generation
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_network.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_network.rs
@@ -8,21 +8,22 @@
 
 use super::fake_node::FakeNode;
 
-/// Loses, delays, doubles and cuts.
+/// A network that loses, delays and duplicates packets and can be partitioned.
 pub(crate) struct FakeNetwork {
-    /// Chance that a packet is lost.
+    /// Probability that a packet is lost; a quarter of it applies to announcements and their
+    /// answers.
     pub(crate) loss: f64,
-    /// Chance that a packet arrives twice.
+    /// Probability that a packet arrives twice.
     pub(crate) duplication: f64,
-    /// Chance that a packet or announcement is late by up to some seconds.
+    /// Probability that a packet or announcement is delayed by up to eight seconds.
     pub(crate) long_delay: f64,
-    /// One-way cuts.
+    /// Pairs of nodes between which packets are dropped in one direction.
     pub(crate) cuts: BTreeSet<(usize, usize)>,
-    /// Regions that nothing enters or leaves.
+    /// Regions whose links to other regions are cut.
     pub(crate) partitioned_regions: BTreeSet<usize>,
-    /// Packets lost, doubled or late.
+    /// Number of packets lost, duplicated or delayed.
     pub(crate) faults: u64,
-    /// When something was last cut.
+    /// When a link was last cut.
     pub(crate) last_cut: u64,
     rng: Pcg64Mcg,
 }
@@ -53,7 +54,7 @@
         self.last_cut > 0 && now < self.last_cut + 60_000
     }
 
-    /// When copies of a packet arrive, in milliseconds from now.
+    /// Returns the delays in milliseconds of all copies of a packet that arrive.
     pub(crate) fn delays(&mut self, from: usize, to: usize, nodes: &[FakeNode]) -> Vec<u64> {
         let (left, right) = (nodes[from].region(), nodes[to].region());
         let is_partitioned = left != right
@@ -71,7 +72,8 @@
         delays
     }
 
-    /// How long an announcement or its answer takes; nothing if it is lost.
+    /// Returns the delay in milliseconds of an announcement or its answer, or nothing if it is
+    /// lost.
     pub(crate) fn announce_delay(&mut self, node: &FakeNode) -> Option<u64> {
         if node.table.is_none() || self.rng.random_bool(self.loss / 4.0) {
             return None;
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_node.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_node.rs
@@ -6,15 +6,15 @@
 use ragwortroad_membership::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// Gossip ports start here; callers' ports, ten thousand above.
+/// First gossip port. The ports for clients and endpoints start 10,000 above it.
 const FIRST_PORT: u16 = 10_000;
 
-/// One node with its clock.
+/// A simulated node with its own clock.
 pub(crate) struct FakeNode {
     pub(crate) index: usize,
     pub(crate) zone: usize,
     pub(crate) table: Option<MembershipTable>,
-    /// Counts up with every start, so that what was meant for a former process is void.
+    /// Incremented at every start, so that events for an earlier process are ignored.
     pub(crate) generation: u64,
     pub(crate) started_at: u64,
     pub(crate) paused_until: u64,
@@ -86,7 +86,10 @@
         let zone = format!("zone-{}", self.zone);
         let record = NodeRecord {
             region: format!("region-{}", self.region()),
-            caller_address: self.caller_address().parse().expect("an address"),
+            caller_address: self
+                .caller_address()
+                .parse()
+                .expect("caller address is valid"),
             incarnation,
             ..NodeRecord::new(&self.name(), &zone, self.gossip_address())
         };
--- a/crates/ragwortroad_membership/tests/fake_fleet/fleet_checks.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fleet_checks.rs
@@ -1,4 +1,4 @@
-//! What must hold in a fake fleet.
+//! Invariants of a simulated fleet.
 
 use ragwortroad_membership::prelude::*;
 use ragwortroad_types::prelude::*;
@@ -6,7 +6,8 @@
 use super::FakeFleet;
 
 impl FakeFleet {
-    /// Checks that at most one node may admit work to an endpoint now, each by its own clock.
+    /// Checks that at most one node may currently admit work to an endpoint, each node by its own
+    /// clock.
     pub(crate) fn check_home(&mut self, endpoint: usize) {
         if !self.verify_homes {
             return;
@@ -34,14 +35,13 @@
         }
     }
 
-    /// Checks all endpoints.
     pub(crate) fn check_homes(&mut self) {
         for endpoint in 0..self.endpoints.len() {
             self.check_home(endpoint);
         }
     }
 
-    /// Lets time pass in small steps, checking all homes after each.
+    /// Advances the time in small steps and checks all homes after each.
     pub(crate) fn run_checked(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
@@ -50,27 +50,27 @@
         }
     }
 
-    /// The views of nodes that run.
+    /// Iterates over the tables of running nodes.
     pub(crate) fn tables(&self) -> impl Iterator<Item = &MembershipTable> {
         self.nodes.iter().filter_map(|node| node.table.as_ref())
     }
 
-    /// Why the views are not all equal and right; nothing if they are.
+    /// Returns why the views are not all equal and correct, or nothing if they are.
     pub(crate) fn disagreement(&self) -> Option<String> {
         let up: Vec<NodeId> = self.tables().map(MembershipTable::own_id).collect();
         let first = self.tables().next()?.view_hash();
         for table in self.tables() {
             let own = table.own_id();
             if table.view_hash() != first {
-                return Some(format!("{own} has another view"));
+                return Some(format!("{own} has a different view"));
             }
             let live: Vec<NodeId> = table.live_nodes().map(|(id, _)| id).collect();
             if let Some(id) = up.iter().find(|id| !live.contains(id)) {
-                return Some(format!("{own} misses node {id}"));
+                return Some(format!("{own} does not list node {id} as live"));
             }
             if live.len() != up.len() {
                 return Some(format!(
-                    "{own} believes {} of {} nodes live",
+                    "{own} considers {} of {} nodes live",
                     live.len(),
                     up.len()
                 ));
@@ -79,7 +79,7 @@
                 let available = table.is_available(endpoint.id());
                 if available != (endpoint.up && !endpoint.leaving) {
                     return Some(format!(
-                        "{own} has {} available: {available}",
+                        "{own} considers {} available: {available}",
                         endpoint.name
                     ));
                 }
@@ -102,7 +102,7 @@
         None
     }
 
-    /// Lets time pass until all views are equal and right; the time it took.
+    /// Runs until all views are equal and correct, and returns the milliseconds it took.
     pub(crate) fn settle(&mut self, timeout_ms: u64) -> u64 {
         let start = self.now;
         loop {
@@ -111,7 +111,7 @@
             };
             assert!(
                 self.now - start < timeout_ms,
-                "after {timeout_ms} ms still: {reason}"
+                "views have not converged after {timeout_ms} ms: {reason}"
             );
             self.run(250);
         }
--- a/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Many membership tables with a fake network, drifting clocks, and endpoints that announce
-//! themselves; everything follows from one seed.
+//! A deterministic simulation of many membership tables with a fake network, drifting clocks and
+//! endpoints that announce themselves. One seed determines everything.
 
 #![allow(dead_code)]
 
@@ -32,18 +32,18 @@
 use fake_network::FakeNetwork;
 use fake_node::FakeNode;
 
-/// Time between ticks of a node, by its own clock.
+/// Interval between ticks of a node.
 const TICK_MS: u64 = 100;
-/// Time after which an endpoint gives up on an announcement.
+/// Time after which an endpoint stops waiting for the answer to an announcement.
 const ANNOUNCE_TIMEOUT_MS: u64 = 1000;
 
 /// Time without packets after which a connection between two nodes is closed.
 const CONNECTION_IDLE_MS: u64 = 15_000;
 
-/// Something that happens at a node or an endpoint.
+/// A simulated event at a node or an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum FakeEvent {
-    /// A node's tick; void if the node was restarted since.
+    /// A tick of a node; ignored if the node has restarted since.
     Tick { node: usize, generation: u64 },
     /// A packet arrives.
     Packet {
@@ -57,14 +57,14 @@
         generation: u64,
         sequence: u64,
     },
-    /// An announcement arrives, as number in the endpoint's list of those under way.
+    /// An announcement arrives at a node.
     Arrive {
         node: usize,
         endpoint: usize,
         generation: u64,
         sequence: u64,
     },
-    /// An answer arrives.
+    /// The answer to an announcement arrives.
     Answer {
         endpoint: usize,
         generation: u64,
@@ -72,7 +72,7 @@
         to: Vec<String>,
         every: u64,
     },
-    /// An endpoint stops waiting for an answer.
+    /// An endpoint's announcement times out.
     GiveUp {
         endpoint: usize,
         generation: u64,
@@ -80,28 +80,28 @@
     },
 }
 
-/// What was found out by watching.
+/// Violations and statistics collected during a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct FleetFindings {
-    /// Moments at which two nodes could admit work to one endpoint.
+    /// Descriptions of each moment at which two nodes could admit work to one endpoint.
     pub(crate) double_homes: Vec<String>,
-    /// Checks made for that.
+    /// Number of checks for such moments.
     pub(crate) home_checks: u64,
-    /// Events handled.
+    /// Number of events processed.
     pub(crate) events: u64,
-    /// Packets lost, delayed for long, or sent twice by the network.
+    /// Number of packets lost, long delayed or duplicated by the network.
     pub(crate) network_faults: u64,
-    /// Times a node that was up and reachable was taken for down by another.
+    /// Number of times that a running and reachable node was marked down by another.
     pub(crate) false_downs: u64,
-    /// `NodeDown` actions in all.
+    /// Total number of `NodeDown` actions.
     pub(crate) node_downs: u64,
-    /// Switches of endpoints to another home.
+    /// Number of times that endpoints switched to another home.
     pub(crate) switches: u64,
-    /// Announcements under way.
+    /// Number of announcements sent.
     pub(crate) announces: u64,
 }
 
-/// The whole fake fleet.
+/// A simulated fleet.
 pub(crate) struct FakeFleet {
     pub(crate) now: u64,
     pub(crate) nodes: Vec<FakeNode>,
@@ -110,19 +110,20 @@
     pub(crate) findings: FleetFindings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) settings: MembershipSettings,
-    /// Whether homes are checked at every announcement; measurements go without.
+    /// Whether homes are checked at every announcement. Measurements switch this off.
     pub(crate) verify_homes: bool,
-    /// Time spent in the tables, for measurements only.
+    /// Processing time spent in the tables; used by measurements only.
     pub(crate) table_time: Duration,
-    /// When a packet last passed between two nodes.
+    /// When a packet was last sent between two nodes.
     connections: BTreeMap<(usize, usize), u64>,
     queue: BinaryHeap<Reverse<(u64, u64, FakeEvent)>>,
     order: u64,
 }
 
 impl FakeFleet {
-    /// `nodes` nodes in `zones` zones, three zones a region, with clocks that drift by up to the
-    /// settings' bound, and `endpoints` endpoints spread over the zones.
+    /// Creates a fleet of `nodes` nodes in `zones` zones, three zones per region, with clocks that
+    /// drift by up to the bound in the settings. The `endpoints` endpoints are distributed over the
+    /// zones.
     pub(crate) fn new(
         seed: u64,
         nodes: usize,
@@ -164,7 +165,7 @@
         fleet
     }
 
-    /// Starts or restarts a node without any memory.
+    /// Starts a node, or restarts it with empty state.
     pub(crate) fn start_node(&mut self, index: usize) {
         let seeds = self.nodes.iter().take(3).map(FakeNode::seed).collect();
         let settings = MembershipSettings {
@@ -172,7 +173,7 @@
             ..self.settings.clone()
         };
         let seed = self.rng.random();
-        // A wall clock that was set back between two starts is part of the game.
+        // Includes a wall clock that is set back between two starts.
         let incarnation = (self.now + 10_000).saturating_sub(self.rng.random_range(0..20_000));
         let node = &mut self.nodes[index];
         node.start(settings, incarnation.max(1), seed);
@@ -217,7 +218,7 @@
         self.queue.push(Reverse((at, self.order, event)));
     }
 
-    /// Lets `span` milliseconds pass.
+    /// Advances the time by `span` milliseconds.
     pub(crate) fn run(&mut self, span: u64) {
         let end = self.now + span;
         while let Some(Reverse((at, _, _))) = self.queue.peek() {
@@ -384,7 +385,7 @@
         }
     }
 
-    /// Hands an input to a node and carries out what it wants.
+    /// Passes an input to a node and carries out the resulting actions.
     pub(crate) fn input(&mut self, node: usize, input: GossipInput) {
         let clock = self.nodes[node].clock(self.now);
         let Some(table) = &mut self.nodes[node].table else {
--- a/crates/ragwortroad_membership/tests/handover.rs
+++ b/crates/ragwortroad_membership/tests/handover.rs
@@ -1,11 +1,11 @@
-//! Handing an endpoint from home to home, step by step.
+//! Handovers of an endpoint between homes, step by step.
 
 use std::net::SocketAddr;
 
 use ragwortroad_membership::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// A few tables that know each other, with a network that delivers at once.
+/// A few connected tables, with a network that delivers at once.
 struct SmallFleet {
     tables: Vec<MembershipTable>,
     now: ClockTime,
@@ -100,24 +100,28 @@
     fleet.announce(0, 0, 2);
     assert!(fleet.admits(0));
     fleet.announce(1, 1, 3);
-    assert!(!fleet.admits(0), "the former home must have given up");
+    assert!(
+        !fleet.admits(0),
+        "the previous home must have ended its claim"
+    );
     fleet.announce(1, 1, 4);
     assert!(fleet.admits(1));
-    // News that is not urgent waits for the pause between two packets.
+    // Updates that are not urgent wait for the minimum interval between two packets.
     fleet.advance(300);
     assert_eq!(fleet.state(2), HomeState::Elsewhere { home: fleet.id(1) });
 }
 
-/// Guards against two homes that admit at once after an endpoint turned twice.
+/// Guards against two homes that admit work at once after an endpoint switched twice: the second
+/// home is itself still waiting for the first one's lease to end.
 #[test]
 fn a_home_that_is_still_waiting_passes_on_its_wait() {
     let mut fleet = SmallFleet::new(3);
     fleet.announce(0, 0, 1);
     fleet.announce(0, 0, 2);
     let HomeState::Home { lease_end, .. } = fleet.state(0) else {
-        panic!("node 0 must be home");
+        panic!("node 0 must be the home");
     };
-    // Node 0 hears nothing from here on, and nobody hears it.
+    // From here on node 0 is isolated.
     let cut_off = fleet.tables.remove(0);
     let replacement = MembershipTable::new(
         MembershipSettings::default(),
@@ -127,7 +131,7 @@
     fleet.tables.insert(0, replacement);
     fleet.announce(1, 1, 3);
     fleet.announce(1, 1, 4);
-    // Node 2 must know whom to ask, or it would wait in any case.
+    // Node 2 must know which node to ask, or it would wait in any case.
     fleet.advance(300);
     assert_eq!(fleet.state(2), HomeState::Elsewhere { home: fleet.id(1) });
     fleet.announce(2, 2, 5);
@@ -146,7 +150,7 @@
     assert!(fleet.admits(2));
 }
 
-/// Guards against a former home that a late announcement brings back.
+/// Guards against a delayed announcement that makes a previous home the current one again.
 #[test]
 fn a_late_announcement_does_not_bring_a_former_home_back() {
     let mut fleet = SmallFleet::new(3);
@@ -162,7 +166,7 @@
     assert!(fleet.admits(1));
 }
 
-/// Guards against endpoints that wait for the lease of a node that left in good order.
+/// Guards against endpoints that wait for the lease of a node that has shut down properly.
 #[test]
 fn a_leaving_node_frees_its_endpoints_at_once() {
     let mut fleet = SmallFleet::new(3);
@@ -184,7 +188,7 @@
     assert!(fleet.tables[2].is_available(engine));
 }
 
-/// Guards against a restarted home that knows nothing of its former waits.
+/// Guards against a home that restarts, loses its pending waits and admits work too early.
 #[test]
 fn a_restarted_home_waits_unless_the_endpoint_never_moved() {
     for (epoch, waits) in [(0, false), (1, true)] {
--- a/crates/ragwortroad_membership/tests/healing.rs
+++ b/crates/ragwortroad_membership/tests/healing.rs
@@ -1,4 +1,4 @@
-//! Failures of nodes, ways between them, and endpoints, and how views heal.
+//! Failures of nodes, network paths and endpoints, and the reconciliation of views afterwards.
 
 mod fake_fleet;
 
@@ -12,7 +12,7 @@
     fleet
 }
 
-/// Guards against new work for an endpoint that leaves while packets are lost.
+/// Guards against new work for an endpoint that is shutting down while packets are lost.
 #[test]
 fn a_leaving_endpoint_is_unavailable_everywhere_within_three_seconds() {
     let mut slowest = 0;
@@ -23,10 +23,13 @@
         fleet.endpoints[7].leaving = true;
         let id = fleet.endpoints[7].id();
         let start = fleet.now;
-        // From the announcement that says so; the next one is due within a second.
+        // Measures from the announcement that reports the shutdown; it is due within a second.
         while fleet.tables().all(|table| table.is_available(id)) {
             fleet.run(10);
-            assert!(fleet.now - start < 5_000, "nobody heard of it");
+            assert!(
+                fleet.now - start < 5_000,
+                "no node received the announcement"
+            );
         }
         let announced_at = fleet.now;
         while fleet.tables().any(|table| table.is_available(id)) {
@@ -42,7 +45,7 @@
     println!("10 runs, 40 nodes, 10 % loss: the slowest took {slowest} ms");
 }
 
-/// Guards against a node that counts as down because one way to it is cut.
+/// Guards against a node that is marked down because a path to it is cut in one direction.
 #[test]
 fn a_one_way_cut_marks_no_node_down() {
     for seed in 0..10 {
@@ -67,7 +70,8 @@
     }
 }
 
-/// Guards against a node that is taken for down after a pause.
+/// Guards against a node that is marked down although its pause ends before the suspicion
+/// expires.
 #[test]
 fn a_paused_node_refutes_the_suspicion() {
     let mut refuted = 0;
@@ -80,10 +84,10 @@
         refuted += fleet.nodes[3].table.as_ref().unwrap().stats().refutations;
         fleet.settle(30_000);
     }
-    assert!(refuted >= 10, "nobody suspected the node: {refuted}");
+    assert!(refuted >= 10, "no node suspected the paused one: {refuted}");
 }
 
-/// Guards against an exchange beyond the budget when parted regions meet.
+/// Guards against traffic beyond the budget when partitioned regions reconnect.
 #[test]
 fn regions_partitioned_for_an_hour_converge_within_the_budget() {
     let mut fleet = settled_fleet(1, 18, 36, 6);
@@ -95,7 +99,7 @@
         assert_eq!(
             table.live_nodes().count(),
             9,
-            "both halves must go on by themselves"
+            "each side of the partition must keep its 9 nodes"
         );
     }
     for endpoint in 0..12 {
@@ -117,16 +121,18 @@
     let settings = &fleet.settings;
     let allowed = u64::from(settings.bytes_per_second) * converged_ms / 1000
         + 2 * u64::from(settings.burst_bytes);
-    let mut most = 0;
+    let mut max_bytes = 0;
     for (node, (bytes, packets)) in fleet.nodes.iter().zip(before) {
         let overhead = (node.packets_out - packets) * u64::from(settings.packet_overhead_bytes);
-        most = most.max(node.bytes_out - bytes + overhead);
+        max_bytes = max_bytes.max(node.bytes_out - bytes + overhead);
     }
-    println!("views converged in {converged_ms} ms; at most {most} bytes from one node, {allowed} allowed");
-    assert!(most < allowed);
+    println!(
+        "views converged in {converged_ms} ms; at most {max_bytes} bytes from one node, {allowed} allowed"
+    );
+    assert!(max_bytes < allowed);
 }
 
-/// Guards against endpoints without a home after a failure domain was lost.
+/// Guards against endpoints that are left without a home after a failure domain is lost.
 #[test]
 fn a_lost_failure_domain_is_noticed_and_its_endpoints_move() {
     let mut slowest = 0;
@@ -142,10 +148,10 @@
         }
         slowest = slowest.max(fleet.settle(60_000));
     }
-    println!("5 runs, 15 nodes, a third gone: agreed after at most {slowest} ms");
+    println!("5 runs, 15 nodes, a third lost: converged after at most {slowest} ms");
 }
 
-/// Guards against a flapping endpoint that gets work, or none for good.
+/// Guards against a flapping endpoint that still gets work, or never gets work again.
 #[test]
 fn a_flapping_endpoint_is_damped_and_comes_back() {
     let mut fleet = settled_fleet(3, 12, 12, 3);
@@ -166,17 +172,18 @@
     let sent_bytes = bytes(&fleet) - start;
     assert!(
         fleet.tables().all(|table| !table.is_available(id)),
-        "still gets work"
+        "the flapping endpoint still gets work"
     );
     fleet.run(30_000);
     assert!(
         fleet.tables().all(|table| !table.is_available(id)),
-        "came back too soon"
+        "the endpoint became available too soon"
     );
     let recovery_ms = fleet.settle(400_000);
     println!(
         "30 restarts in 60 s cost {sent_bytes} bytes over 12 nodes; available again after {recovery_ms} ms more"
     );
-    // Each of 30 restarts told to 12 nodes, three copies of 130 bytes each, would be 140,000.
+    // If each of 30 restarts were sent to 12 nodes in three copies of 130 bytes, that would be
+    // 140,000 bytes.
     assert!(sent_bytes < 70_000, "{sent_bytes} bytes");
 }
--- a/crates/ragwortroad_membership/tests/packets.rs
+++ b/crates/ragwortroad_membership/tests/packets.rs
@@ -1,4 +1,4 @@
-//! Packets that no sound node sends.
+//! Packets that no correct node sends.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
     MembershipTable::new(settings, NodeRecord::new(name, "zone", address(port)), 1)
 }
 
-/// Packets that two tables send each other on meeting.
+/// Returns the packets that two tables exchange when they first meet.
 fn valid_packets() -> Vec<Vec<u8>> {
     let mut tables = [table("a", 7000), table("b", 7001)];
     let mut packets = Vec::new();
@@ -39,17 +39,17 @@
 }
 
 proptest! {
-    /// A faulty or hostile sender must neither stop a node nor put itself in another's place.
+    /// Guards against a faulty or malicious sender that makes a node panic or takes its place.
     #[test]
     fn arbitrary_packet_bytes_leave_the_node_alive(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut table = table("a", 7000);
         let from = NodeId::from_name("b");
         table.handle(GossipInput::Packet { from, bytes }, ClockTime(10));
-        let own = table.node(table.own_id()).expect("its own record");
+        let own = table.node(table.own_id()).expect("table holds its own record");
         prop_assert_eq!(own.state, NodeState::Alive);
     }
 
-    /// A bit that flips on the way past all checks below must not stop a node either.
+    /// Guards against a panic on a bit flip that all lower layers miss.
     #[test]
     fn a_corrupted_packet_does_not_panic(pick in any::<prop::sample::Index>(), at in any::<prop::sample::Index>(), mask in 1u8..) {
         let packets = valid_packets();
--- a/crates/ragwortroad_membership/tests/schedules.rs
+++ b/crates/ragwortroad_membership/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Seeded schedules over many membership tables.
+//! Random schedules of failures over many membership tables, generated from seeds.
 
 mod fake_fleet;
 
@@ -6,7 +6,7 @@
 use ragwortroad_membership::prelude::*;
 use rand::RngExt;
 
-/// Draws a disturbance and brings it about.
+/// Causes a random disturbance and returns its name.
 fn disturb(fleet: &mut FakeFleet) -> &'static str {
     let node = fleet.rng.random_range(0..fleet.nodes.len());
     let other = fleet.rng.random_range(0..fleet.nodes.len());
@@ -45,7 +45,7 @@
     }
 }
 
-/// Ends every disturbance; everything that was stopped or leaving is started anew.
+/// Ends all disturbances and restarts every node and endpoint that is stopped or leaving.
 fn end_disturbances(fleet: &mut FakeFleet) {
     fleet.network.loss = 0.0;
     fleet.network.long_delay = 0.0;
@@ -69,7 +69,7 @@
     }
 }
 
-/// One schedule: some minutes of disturbances, then mending.
+/// Runs one schedule of 30 disturbances over some minutes.
 fn run_schedule(seed: u64, settings: &MembershipSettings) -> FakeFleet {
     let mut fleet = FakeFleet::new(seed, 9, 23, 3, settings);
     fleet.network.loss = 0.05;
@@ -99,7 +99,7 @@
     }
 }
 
-/// Guards against two homes at once, and views that never heal.
+/// Guards against two homes at once, and against views that never converge.
 #[test]
 fn no_schedule_grants_two_homes_and_all_fleets_converge() {
     let mut total = fake_fleet::FleetFindings::default();
@@ -124,7 +124,8 @@
     println!("40 schedules of 30 disturbances: {total:?}");
 }
 
-/// Guards against schedules that do not notice two homes at once.
+/// Guards against schedules that fail to detect two homes: here one node uses a longer lease than
+/// the others assume.
 #[test]
 fn a_node_with_a_longer_lease_than_its_peers_assume_is_detected() {
     let mut detected = 0;
@@ -144,5 +145,5 @@
         }
         detected += usize::from(!fleet.findings.double_homes.is_empty());
     }
-    assert!(detected > 0, "no schedule showed the fault");
+    assert!(detected > 0, "no schedule detected two homes");
 }
