--- a/crates/ragwortroad_membership/examples/gossip_cost.rs
+++ b/crates/ragwortroad_membership/examples/gossip_cost.rs
@@ -135,7 +135,8 @@
     number.and_then(|text| text.parse().ok()).unwrap_or(0)
 }
 
-/// Partitions two regions for `span` milliseconds and reports the cost of reconciling them.
+/// Cuts one region off from the others for `span` milliseconds, and reports the cost of reconciling
+/// the views afterwards.
 fn partition_regions(fleet: &mut FakeFleet, span: u64) {
     fleet.network.partitioned_regions.insert(0);
     fleet.run(span);
--- a/crates/ragwortroad_membership/src/peer_link.rs
+++ b/crates/ragwortroad_membership/src/peer_link.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     pending_queue::{
-        PendingQueue, //
-        UpdatePriority,
+        PendingQueue,
+        UpdatePriority, //
     },
     record_key::UpdateKey,
     wire::wire_item::WireItem, //
@@ -38,7 +38,7 @@
     pub(crate) last_probe: Option<ClockTime>,
     /// When other nodes were last asked to probe the peer.
     pub(crate) last_indirect_probe: Option<ClockTime>,
-    /// When the peer was last sent a correction of an outdated update about itself.
+    /// When the peer was last told that this node considers it suspected or down.
     pub(crate) last_correction: Option<ClockTime>,
     /// Since when the peer's digest has differed from the local one.
     pub(crate) differs_since: Option<ClockTime>,
@@ -51,7 +51,7 @@
     pub(crate) session: Option<u16>,
     /// Whether the peer has received a packet from this node. Until then, packets to it include the
     /// local node's record.
-    pub(crate) peer_knows_us: bool,
+    pub(crate) known_to_peer: bool,
     /// Sequence number of the last packet that contained updates.
     pub(crate) sequence: u32,
     /// Sequence numbers to acknowledge.
@@ -95,7 +95,7 @@
             last_sync: None,
             avoid_until: ClockTime::ZERO,
             session: None,
-            peer_knows_us: false,
+            known_to_peer: false,
             sequence: 0,
             acks: Vec::new(),
             ack_due: None,
@@ -123,7 +123,7 @@
     pub(crate) fn update_session(&mut self, session: u16) {
         if self.session.is_some_and(|known| known != session) {
             self.acks.clear();
-            self.peer_knows_us = false;
+            self.known_to_peer = false;
             self.requeue_matching(|_| true);
         }
         self.session = Some(session);
--- a/crates/ragwortroad_membership/src/table/endpoint_updates.rs
+++ b/crates/ragwortroad_membership/src/table/endpoint_updates.rs
@@ -9,8 +9,8 @@
     MembershipTable,
     pending_queue::UpdatePriority,
     record_key::{
-        RecordKey, //
-        UpdateKey,
+        RecordKey,
+        UpdateKey, //
     },
     sync_digest::version_hash, //
 };
--- a/crates/ragwortroad_membership/src/table/homes.rs
+++ b/crates/ragwortroad_membership/src/table/homes.rs
@@ -19,6 +19,7 @@
 
 /// Minimum interval between two handover requests to a previous home.
 const HANDOVER_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
+
 impl MembershipTable {
     /// Returns which node is the home of `endpoint`.
     pub fn home_state(&self, endpoint: EndpointId, now: ClockTime) -> HomeState {
@@ -49,8 +50,8 @@
     ) -> (ClockTime, Option<NodeId>) {
         let wait = now.after(self.settings.takeover_wait());
         let (incarnation, epoch) = (announce.incarnation, announce.home_epoch);
-        // This node was the home in the previous epoch, so earlier leases end no later than its own
-        // claim determined.
+        // This node was the home in the previous epoch, so it already knows when all earlier leases
+        // have ended.
         if let Some(claim) = self.claims.get(&id)
             && claim.incarnation == incarnation
             && claim.epoch + 1 == epoch
@@ -178,13 +179,13 @@
         }
     }
 
-    /// Publishes the end of this node's claim to `id`, if `is_valid` holds and the current record
-    /// is from this claim.
+    /// Publishes the end of this node's claim to `id`, if `should_publish` is set and the
+    /// current record is from this claim.
     fn publish_claim_end(
         &mut self,
         id: EndpointId,
         presence: EndpointPresence,
-        is_valid: bool,
+        should_publish: bool,
         now: ClockTime,
     ) {
         let (Some(claim), Some(record)) = (self.claims.get(&id), self.endpoints.record(id)) else {
@@ -194,7 +195,7 @@
             && (record.incarnation, record.home_epoch) == (claim.incarnation, claim.epoch);
         let leaving =
             record.presence == EndpointPresence::Leaving && presence == EndpointPresence::Released;
-        if is_valid && is_own && !leaving {
+        if should_publish && is_own && !leaving {
             let record = EndpointRecord {
                 presence,
                 sequence: claim.sequence.max(record.sequence),
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Requests pending handovers and ends the claims of silent endpoints.
+    /// Requests pending handovers, and publishes silent endpoints as gone.
     pub(super) fn update_claims(&mut self, now: ClockTime) {
         let ids: Vec<EndpointId> = self.claims.keys().copied().collect();
         for id in ids {
--- a/crates/ragwortroad_membership/src/table/links.rs
+++ b/crates/ragwortroad_membership/src/table/links.rs
@@ -8,8 +8,8 @@
     GossipAction,
     MembershipTable,
     peer_link::{
-        PeerLink, //
-        SentPacket,
+        PeerLink,
+        SentPacket, //
     },
     pending_queue::UpdatePriority,
     record_key::UpdateKey,
@@ -26,7 +26,7 @@
 const MIN_LOAD_BATCH: usize = 32;
 /// Maximum number of packets to one peer per flush.
 const MAX_PACKETS_PER_FLUSH: usize = 16;
-/// Number of unacknowledged packets to a peer from which only urgent updates are sent.
+/// Number of unacknowledged packets to a peer at which everything but urgent updates is held back.
 const MAX_IN_FLIGHT: usize = 64;
 /// Maximum number of acknowledgements in one packet.
 const ACKS_PER_PACKET: usize = 32;
@@ -102,10 +102,10 @@
         if link.is_neighbour && since_last_sent >= self.settings.heartbeat_interval {
             return true;
         }
-        let prompt = link.pending.count(UpdatePriority::Normal) > 0;
+        let normal = link.pending.count(UpdatePriority::Normal) > 0;
         let loads = link.pending.count(UpdatePriority::Load) >= MIN_LOAD_BATCH;
         let room = self.budget.has_available() && link.in_flight.len() < MAX_IN_FLIGHT;
-        since_last_sent >= MIN_PACKET_INTERVAL && room && (prompt || loads)
+        since_last_sent >= MIN_PACKET_INTERVAL && room && (normal || loads)
     }
 
     /// Sends one packet to `peer`. Returns false, and closes the link, if its address is unknown.
@@ -149,7 +149,7 @@
             .settings
             .max_packet_bytes
             .saturating_sub(32 + 5 * ACKS_PER_PACKET.min(link.acks.len()));
-        if !link.peer_knows_us
+        if !link.known_to_peer
             && let Some(own) = self.nodes.record(self.own)
         {
             body = encode(&WireItem::Node(own.into()));
--- a/crates/ragwortroad_membership/src/table/node_updates.rs
+++ b/crates/ragwortroad_membership/src/table/node_updates.rs
@@ -10,8 +10,8 @@
     NodeState,
     pending_queue::UpdatePriority,
     record_key::{
-        RecordKey, //
-        UpdateKey,
+        RecordKey,
+        UpdateKey, //
     },
     sync_digest::version_hash, //
 };
--- a/crates/ragwortroad_membership/src/table/packets.rs
+++ b/crates/ragwortroad_membership/src/table/packets.rs
@@ -12,8 +12,8 @@
     endpoint_table::LoadUpdate,
     pending_queue::UpdatePriority,
     record_key::{
-        RecordKey, //
-        UpdateKey,
+        RecordKey,
+        UpdateKey, //
     },
     wire::{
         node_item::state_from_number,
@@ -30,7 +30,7 @@
 
 /// Maximum time that an acknowledgement is delayed in order to be sent along with other items.
 const MAX_ACK_DELAY: Duration = Duration::from_millis(500);
-/// Number of nodes that are introduced to a node that has just joined.
+/// Maximum number of nodes that are introduced to a node that has just joined.
 const MAX_INTRODUCED_NODES: usize = 8;
 /// Minimum interval between two corrections to one peer.
 const MIN_CORRECTION_INTERVAL: Duration = Duration::from_secs(1);
@@ -46,9 +46,9 @@
         // The sender's own record is processed first, wherever it is in the packet, because the
         // packet of an unknown sender is only accepted with it.
         items.sort_by_key(|item| !is_record_of(item, from));
-        let introduced = items.first().is_some_and(|item| is_record_of(item, from));
-        let stranger = self.nodes.get(from).is_none();
-        if from == self.own || (stranger && !introduced) {
+        let has_own_record = items.first().is_some_and(|item| is_record_of(item, from));
+        let is_unknown = self.nodes.get(from).is_none();
+        if from == self.own || (is_unknown && !has_own_record) {
             self.stats.packets_refused += 1;
             return;
         }
@@ -57,7 +57,7 @@
         for item in items {
             self.handle_item(from, item, now);
         }
-        if stranger {
+        if is_unknown {
             self.send_introductions(from, now);
         }
         self.confirm_relayed_probes(from, now);
@@ -72,7 +72,7 @@
         link.last_received = Some(now);
         link.update_session(header.session);
         if header.to_session == own_session {
-            link.peer_knows_us = true;
+            link.known_to_peer = true;
             link.remove_acked(&header.acks);
         }
         if header.sequence != 0 {
--- a/crates/ragwortroad_membership/src/table/update_items.rs
+++ b/crates/ragwortroad_membership/src/table/update_items.rs
@@ -8,8 +8,8 @@
     EndpointPresence,
     MembershipTable,
     record_key::{
-        RecordKey, //
-        UpdateKey,
+        RecordKey,
+        UpdateKey, //
     },
     wire::{
         node_item::state_number,
@@ -25,6 +25,7 @@
 /// Time after a node joined or changed its metadata during which its full record is sent. Later
 /// only its state is sent, and a receiver that lacks the rest requests it.
 const FULL_RECORD_PERIOD: Duration = Duration::from_secs(60);
+
 impl MembershipTable {
     /// Builds the item for `key` from the current record; absent if there is nothing to send.
     pub(super) fn update_item(&self, key: UpdateKey, now: ClockTime) -> Option<WireItem> {
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_endpoint.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_endpoint.rs
@@ -118,7 +118,7 @@
     }
 
     /// Processes an answer. Returns the next sequence number, or nothing if the answer is outdated.
-    pub(crate) fn take_answer(
+    pub(crate) fn handle_answer(
         &mut self,
         generation: u64,
         sequence: u64,
@@ -152,7 +152,7 @@
 
     /// Switches to the next address after a timeout. Returns the next sequence number, or nothing
     /// if the event is outdated.
-    pub(crate) fn give_up(&mut self, generation: u64, sequence: u64) -> Option<u64> {
+    pub(crate) fn handle_timeout(&mut self, generation: u64, sequence: u64) -> Option<u64> {
         if !self.up
             || generation != self.generation
             || sequence != self.sequence
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_network.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_network.rs
@@ -17,7 +17,7 @@
     pub(crate) duplication: f64,
     /// Probability that a packet or announcement is delayed by up to eight seconds.
     pub(crate) long_delay: f64,
-    /// Pairs of nodes between which packets are dropped in one direction.
+    /// Pairs of sender and receiver whose packets are dropped; the opposite direction still works.
     pub(crate) cuts: BTreeSet<(usize, usize)>,
     /// Regions whose links to other regions are cut.
     pub(crate) partitioned_regions: BTreeSet<usize>,
--- a/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
@@ -73,7 +73,7 @@
         every: u64,
     },
     /// An endpoint's announcement times out.
-    GiveUp {
+    AnnounceTimeout {
         endpoint: usize,
         generation: u64,
         sequence: u64,
@@ -173,7 +173,7 @@
             ..self.settings.clone()
         };
         let seed = self.rng.random();
-        // Includes a wall clock that is set back between two starts.
+        // The random offset covers wall clocks that were set back between two starts.
         let incarnation = (self.now + 10_000).saturating_sub(self.rng.random_range(0..20_000));
         let node = &mut self.nodes[index];
         node.start(settings, incarnation.max(1), seed);
@@ -269,7 +269,8 @@
                 to,
                 every,
             } => {
-                if let Some(next) = self.endpoints[endpoint].take_answer(generation, sequence, to) {
+                if let Some(next) = self.endpoints[endpoint].handle_answer(generation, sequence, to)
+                {
                     self.push(
                         self.now + every,
                         FakeEvent::Announce {
@@ -280,12 +281,12 @@
                     );
                 }
             }
-            FakeEvent::GiveUp {
+            FakeEvent::AnnounceTimeout {
                 endpoint,
                 generation,
                 sequence,
             } => {
-                if let Some(next) = self.endpoints[endpoint].give_up(generation, sequence) {
+                if let Some(next) = self.endpoints[endpoint].handle_timeout(generation, sequence) {
                     self.push(
                         self.now,
                         FakeEvent::Announce {
@@ -319,7 +320,7 @@
         self.findings.announces += 1;
         self.push(
             self.now + ANNOUNCE_TIMEOUT_MS,
-            FakeEvent::GiveUp {
+            FakeEvent::AnnounceTimeout {
                 endpoint,
                 generation,
                 sequence,
--- a/crates/ragwortroad_membership/tests/handover.rs
+++ b/crates/ragwortroad_membership/tests/handover.rs
@@ -122,7 +122,7 @@
         panic!("node 0 must be the home");
     };
     // From here on node 0 is isolated.
-    let cut_off = fleet.tables.remove(0);
+    let isolated = fleet.tables.remove(0);
     let replacement = MembershipTable::new(
         MembershipSettings::default(),
         NodeRecord::new("nobody", "zone", SocketAddr::from(([127, 0, 0, 1], 7000))),
@@ -139,7 +139,7 @@
     let mut sequence = 6;
     while fleet.now < lease_end {
         let engine = EndpointId::from_name("engine");
-        assert!(cut_off.home_state(engine, fleet.now).admits_at(fleet.now));
+        assert!(isolated.home_state(engine, fleet.now).admits_at(fleet.now));
         assert!(!fleet.admits(1) && !fleet.admits(2), "at {}", fleet.now);
         fleet.advance(50);
         sequence += 1;
@@ -152,7 +152,7 @@
 
 /// Guards against a delayed announcement that makes a previous home the current one again.
 #[test]
-fn a_late_announcement_does_not_bring_a_former_home_back() {
+fn a_delayed_announcement_does_not_restore_a_previous_home() {
     let mut fleet = SmallFleet::new(3);
     fleet.announce(0, 0, 1);
     fleet.announce(0, 0, 2);
@@ -168,7 +168,7 @@
 
 /// Guards against endpoints that wait for the lease of a node that has shut down properly.
 #[test]
-fn a_leaving_node_frees_its_endpoints_at_once() {
+fn a_leaving_node_releases_its_endpoints_at_once() {
     let mut fleet = SmallFleet::new(3);
     fleet.announce(0, 0, 1);
     fleet.announce(0, 0, 2);
