--- a/crates/ragwortroad_membership/examples/gossip_cost.rs
+++ b/crates/ragwortroad_membership/examples/gossip_cost.rs
@@ -196,7 +196,7 @@
             &MembershipSettings::default(),
         );
         fleet.verify_homes = false;
-        let joined_ms = fleet.settle(600_000);
+        let joined_ms = fleet.run_until_converged(600_000);
         for phase in [FleetPhase::Quiet, FleetPhase::Load, FleetPhase::Churn] {
             measure(&mut fleet, phase);
         }
@@ -204,7 +204,7 @@
         println!(
             "{nodes:>5} nodes started at once converged after {joined_ms} ms; {kib} KiB per node"
         );
-        fleet.settle(600_000);
+        fleet.run_until_converged(600_000);
         partition_regions(&mut fleet, if long { 3_600_000 } else { 120_000 });
     }
 }
--- a/crates/ragwortroad_membership/src/ring_view.rs
+++ b/crates/ragwortroad_membership/src/ring_view.rs
@@ -43,9 +43,9 @@
 /// The candidates adjacent to a place in a ring, in both directions.
 #[derive(Default)]
 struct RingSides {
-    /// The lowest place above the own one.
+    /// The lowest place above the node's own.
     above: Option<RingPlace>,
-    /// The highest place below the own one.
+    /// The highest place below the node's own.
     below: Option<RingPlace>,
     /// The lowest place of all; follows the highest, as the ring wraps around.
     lowest: Option<RingPlace>,
--- a/crates/ragwortroad_membership/tests/cost.rs
+++ b/crates/ragwortroad_membership/tests/cost.rs
@@ -11,7 +11,7 @@
     let settings = MembershipSettings::default();
     let mut fleet = FakeFleet::new(1, nodes, endpoints, zones, &settings);
     fleet.verify_homes = false;
-    fleet.settle(120_000);
+    fleet.run_until_converged(120_000);
     for endpoint in &mut fleet.endpoints {
         endpoint.load_change = 0.5;
     }
--- a/crates/ragwortroad_membership/tests/fake_fleet/fleet_checks.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fleet_checks.rs
@@ -103,7 +103,7 @@
     }
 
     /// Runs until all views are equal and correct, and returns the milliseconds it took.
-    pub(crate) fn settle(&mut self, timeout_ms: u64) -> u64 {
+    pub(crate) fn run_until_converged(&mut self, timeout_ms: u64) -> u64 {
         let start = self.now;
         loop {
             let Some(reason) = self.disagreement() else {
--- a/crates/ragwortroad_membership/tests/healing.rs
+++ b/crates/ragwortroad_membership/tests/healing.rs
@@ -5,10 +5,10 @@
 use fake_fleet::FakeFleet;
 use ragwortroad_membership::prelude::*;
 
-fn settled_fleet(seed: u64, nodes: usize, endpoints: usize, zones: usize) -> FakeFleet {
+fn converged_fleet(seed: u64, nodes: usize, endpoints: usize, zones: usize) -> FakeFleet {
     let settings = MembershipSettings::default();
     let mut fleet = FakeFleet::new(seed, nodes, endpoints, zones, &settings);
-    fleet.settle(120_000);
+    fleet.run_until_converged(120_000);
     fleet
 }
 
@@ -17,7 +17,7 @@
 fn a_leaving_endpoint_is_unavailable_everywhere_within_three_seconds() {
     let mut slowest = 0;
     for seed in 0..10 {
-        let mut fleet = settled_fleet(seed, 40, 60, 6);
+        let mut fleet = converged_fleet(seed, 40, 60, 6);
         fleet.network.loss = 0.1;
         fleet.run(5_000);
         fleet.endpoints[7].leaving = true;
@@ -49,7 +49,7 @@
 #[test]
 fn a_one_way_cut_marks_no_node_down() {
     for seed in 0..10 {
-        let mut fleet = settled_fleet(seed, 12, 12, 3);
+        let mut fleet = converged_fleet(seed, 12, 12, 3);
         let neighbour = fleet.nodes[0]
             .table
             .as_ref()
@@ -76,13 +76,13 @@
 fn a_paused_node_refutes_the_suspicion() {
     let mut refuted = 0;
     for seed in 0..10 {
-        let mut fleet = settled_fleet(seed, 12, 12, 3);
+        let mut fleet = converged_fleet(seed, 12, 12, 3);
         let downs = fleet.findings.node_downs;
         fleet.nodes[3].paused_until = fleet.now + 8_000;
         fleet.run(40_000);
         assert_eq!(fleet.findings.node_downs, downs, "seed {seed}");
         refuted += fleet.nodes[3].table.as_ref().unwrap().stats().refutations;
-        fleet.settle(30_000);
+        fleet.run_until_converged(30_000);
     }
     assert!(refuted >= 10, "no node suspected the paused one: {refuted}");
 }
@@ -90,7 +90,7 @@
 /// Guards against traffic beyond the budget when partitioned regions reconnect.
 #[test]
 fn regions_partitioned_for_an_hour_converge_within_the_budget() {
-    let mut fleet = settled_fleet(1, 18, 36, 6);
+    let mut fleet = converged_fleet(1, 18, 36, 6);
     fleet.network.partitioned_regions.insert(1);
     fleet.network.last_cut = fleet.now;
     fleet.run(120_000);
@@ -113,7 +113,7 @@
         .map(|node| (node.bytes_out, node.packets_out))
         .collect();
     let downs = fleet.findings.node_downs;
-    let converged_ms = fleet.settle(120_000);
+    let converged_ms = fleet.run_until_converged(120_000);
     assert_eq!(
         fleet.findings.node_downs, downs,
         "a node was marked down after the partition healed"
@@ -137,7 +137,7 @@
 fn a_lost_failure_domain_is_noticed_and_its_endpoints_move() {
     let mut slowest = 0;
     for seed in 0..5 {
-        let mut fleet = settled_fleet(seed, 15, 30, 3);
+        let mut fleet = converged_fleet(seed, 15, 30, 3);
         for index in 0..fleet.nodes.len() {
             if fleet.nodes[index].zone == 0 {
                 fleet.nodes[index].table = None;
@@ -146,7 +146,7 @@
         for endpoint in fleet.endpoints.iter_mut().filter(|one| one.zone == 0) {
             endpoint.stop();
         }
-        slowest = slowest.max(fleet.settle(60_000));
+        slowest = slowest.max(fleet.run_until_converged(60_000));
     }
     println!("5 runs, 15 nodes, a third lost: converged after at most {slowest} ms");
 }
@@ -154,7 +154,7 @@
 /// Guards against a flapping endpoint that still gets work, or never gets work again.
 #[test]
 fn a_flapping_endpoint_is_damped_and_comes_back() {
-    let mut fleet = settled_fleet(3, 12, 12, 3);
+    let mut fleet = converged_fleet(3, 12, 12, 3);
     let id = fleet.endpoints[5].id();
     let bytes = |fleet: &FakeFleet| -> u64 {
         fleet
@@ -179,7 +179,7 @@
         fleet.tables().all(|table| !table.is_available(id)),
         "the endpoint became available too soon"
     );
-    let recovery_ms = fleet.settle(400_000);
+    let recovery_ms = fleet.run_until_converged(400_000);
     println!(
         "30 restarts in 60 s cost {sent_bytes} bytes over 12 nodes; available again after {recovery_ms} ms more"
     );
--- a/crates/ragwortroad_membership/tests/schedules.rs
+++ b/crates/ragwortroad_membership/tests/schedules.rs
@@ -91,7 +91,7 @@
 fn a_small_fleet_converges() {
     for seed in 0..5 {
         let mut fleet = FakeFleet::new(seed, 9, 23, 3, &MembershipSettings::default());
-        fleet.settle(30_000);
+        fleet.run_until_converged(30_000);
         fleet.run_checked(30_000);
         assert_eq!(fleet.disagreement(), None);
         assert_eq!(fleet.findings.node_downs, 0);
@@ -106,7 +106,7 @@
     for seed in 0..40 {
         let mut fleet = run_schedule(seed, &MembershipSettings::default());
         end_disturbances(&mut fleet);
-        fleet.settle(400_000);
+        fleet.run_until_converged(400_000);
         let found = &fleet.findings;
         assert!(
             found.double_homes.is_empty(),
