--- a/crates/ragwortroad_membership/src/table/homes.rs
+++ b/crates/ragwortroad_membership/src/table/homes.rs
@@ -1,4 +1,4 @@
-//! Which node is home to an endpoint: claims and handovers.
+//! Claims to be the home of an endpoint, and handovers between homes.
 
 use std::time::Duration;
 
@@ -17,10 +17,11 @@
     }, //
 };
 
-/// Time between questions to a former home.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+/// Minimum interval between two handover requests to a previous home.
+const HANDOVER_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
+
 impl MembershipTable {
-    /// Who is home to `endpoint`.
+    /// Returns which node is the home of `endpoint`.
     pub fn home_state(&self, endpoint: EndpointId, now: ClockTime) -> HomeState {
         if let Some(claim) = self.claims.get(&endpoint)
             && let Some(state) = claim.state(now)
@@ -33,12 +34,14 @@
         }
     }
 
-    /// The exact load that `endpoint` last reported to this node as its home.
+    /// Returns the exact load that `endpoint` last reported to this node; absent if it never
+    /// announced itself here.
     pub fn home_load(&self, endpoint: EndpointId) -> Option<LoadReport> {
         self.claims.get(&endpoint).map(|claim| claim.load)
     }
 
-    /// By when all earlier homes' rights have ended, and whose word can shorten that.
+    /// Returns when the leases of all earlier homes have ended, and the previous home whose answer
+    /// can shorten that wait.
     pub(super) fn takeover(
         &self,
         id: EndpointId,
@@ -47,7 +50,8 @@
     ) -> (ClockTime, Option<NodeId>) {
         let wait = now.after(self.settings.takeover_wait());
         let (incarnation, epoch) = (announce.incarnation, announce.home_epoch);
-        // We were home in the epoch before, so what ended for us then has ended.
+        // This node was the home in the previous epoch, so it already knows when all earlier leases
+        // have ended.
         if let Some(claim) = self.claims.get(&id)
             && claim.incarnation == incarnation
             && claim.epoch + 1 == epoch
@@ -55,15 +59,16 @@
             return (claim.exclusive_from.min(wait), None);
         }
         let Some(record) = self.endpoints.record(id) else {
-            // Nobody can have been home to a new incarnation that has turned to nobody yet.
+            // In epoch 0 the endpoint has not switched homes in this incarnation, so there is no
+            // earlier home.
             return (if epoch == 0 { now } else { wait }, None);
         };
         if record.incarnation != incarnation {
             return (if epoch == 0 { now } else { wait }, None);
         }
         if record.home_epoch + 1 != epoch {
-            let ours = epoch == 0 && record.home_epoch == 0 && record.home == self.own;
-            return (if ours { now } else { wait }, None);
+            let is_own = epoch == 0 && record.home_epoch == 0 && record.home == self.own;
+            return (if is_own { now } else { wait }, None);
         }
         if record.presence == EndpointPresence::Released {
             return (now, None);
@@ -71,35 +76,39 @@
         (wait, Some(record.home).filter(|home| *home != self.own))
     }
 
-    /// Asks the former home whether it is done, as often as useful.
-    pub(super) fn ask_former(&mut self, id: EndpointId, now: ClockTime) {
+    /// Requests a handover from the previous home, unless that was done recently or is no longer
+    /// useful.
+    pub(super) fn request_handover(&mut self, id: EndpointId, now: ClockTime) {
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
         };
-        let recently = claim.last_asked.is_some_and(|at| now.since(at) < ASK_PAUSE);
-        let settled = claim.ended || claim.exclusive_from <= now;
-        let Some(former) = claim.former.filter(|_| !recently && !settled) else {
+        let recently = claim
+            .last_handover_request
+            .is_some_and(|at| now.since(at) < HANDOVER_REQUEST_INTERVAL);
+        let is_resolved = claim.ended || claim.exclusive_from <= now;
+        let Some(previous_home) = claim.previous_home.filter(|_| !recently && !is_resolved) else {
             return;
         };
-        claim.last_asked = Some(now);
+        claim.last_handover_request = Some(now);
         let item = WireItem::HandoverAsk(HandoverAskItem {
             endpoint: id.0,
             incarnation: claim.incarnation,
             epoch: claim.epoch,
         });
-        if self.nodes.state(former).is_present() {
-            self.open_link(former, now).push_direct(item);
+        if self.nodes.state(previous_home).is_present() {
+            self.open_link(previous_home, now).push_direct(item);
         }
     }
 
-    /// Gives up the home for good, as the endpoint has turned to `from`, and says when those
-    /// before us are done.
+    /// Ends this node's claim, as the endpoint has switched to `from`, and replies with the
+    /// remaining wait for earlier homes.
     pub(super) fn answer_handover(&mut self, from: NodeId, item: HandoverAskItem, now: ClockTime) {
         let id = EndpointId(item.endpoint);
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
         };
-        // Only the home of the epoch right before can vouch that no other stood between.
+        // Only the home of the directly preceding epoch can guarantee that there was no other home
+        // in between.
         if claim.incarnation != item.incarnation || claim.epoch + 1 != item.epoch {
             return;
         }
@@ -117,32 +126,32 @@
         self.open_link(from, now).push_direct(answer);
     }
 
-    /// Takes the former home's word.
-    pub(super) fn take_handover(&mut self, from: NodeId, item: HandoverItem, now: ClockTime) {
+    /// Processes the previous home's reply to a handover request.
+    pub(super) fn handle_handover(&mut self, from: NodeId, item: HandoverItem, now: ClockTime) {
         let id = EndpointId(item.endpoint);
         let drift = self.settings.clock_drift.clamp(0.0, 0.5);
         let Some(claim) = self.claims.get_mut(&id) else {
             return;
         };
-        let fits = claim.incarnation == item.incarnation && claim.epoch == item.epoch + 1;
-        if !fits || claim.former != Some(from) {
+        let matches_claim = claim.incarnation == item.incarnation && claim.epoch == item.epoch + 1;
+        if !matches_claim || claim.previous_home != Some(from) {
             return;
         }
-        claim.former = None;
-        // The wait was measured by a clock that may run slower than ours.
+        claim.previous_home = None;
+        // The wait was measured by a clock that may run slower than the local one.
         let wait = (item.wait_ms as f64 * (1.0 + drift) / (1.0 - drift)).ceil() as u64;
-        let safe = match wait {
+        let exclusive_from = match wait {
             0 => now,
             wait => now.after(Duration::from_millis(wait + 2)),
         };
-        if safe < claim.exclusive_from {
-            claim.exclusive_from = safe;
+        if exclusive_from < claim.exclusive_from {
+            claim.exclusive_from = exclusive_from;
             self.actions.push(GossipAction::HomeChanged(id));
         }
     }
 
-    /// Gives up the home because the endpoint has turned elsewhere.
-    pub(super) fn yield_claim(&mut self, record: &EndpointRecord) {
+    /// Ends this node's claim if `record` shows that the endpoint has switched to another home.
+    pub(super) fn end_superseded_claim(&mut self, record: &EndpointRecord) {
         let Some(claim) = self.claims.get_mut(&record.id) else {
             return;
         };
@@ -153,7 +162,7 @@
         }
     }
 
-    /// Gives up all homes, and tells the fleet of those whose next home then need not wait.
+    /// Ends all claims, and publishes the release of those whose next home then need not wait.
     pub(super) fn release_claims(&mut self, now: ClockTime) {
         let ids: Vec<EndpointId> = self.claims.keys().copied().collect();
         for id in ids {
@@ -165,66 +174,67 @@
             }
             claim.ended = true;
             self.actions.push(GossipAction::HomeChanged(id));
-            let vouches = claim.exclusive_from <= now;
-            self.write_end(id, EndpointPresence::Released, vouches, now);
+            let is_exclusive = claim.exclusive_from <= now;
+            self.publish_claim_end(id, EndpointPresence::Released, is_exclusive, now);
         }
     }
 
-    /// Publishes the end of this node's home of `id`, if its record still is ours and `wanted`.
-    fn write_end(
+    /// Publishes the end of this node's claim to `id`, if `should_publish` is set and the
+    /// current record is from this claim.
+    fn publish_claim_end(
         &mut self,
         id: EndpointId,
         presence: EndpointPresence,
-        wanted: bool,
+        should_publish: bool,
         now: ClockTime,
     ) {
         let (Some(claim), Some(record)) = (self.claims.get(&id), self.endpoints.record(id)) else {
             return;
         };
-        let ours = record.home == self.own
+        let is_own = record.home == self.own
             && (record.incarnation, record.home_epoch) == (claim.incarnation, claim.epoch);
         let leaving =
             record.presence == EndpointPresence::Leaving && presence == EndpointPresence::Released;
-        if wanted && ours && !leaving {
+        if should_publish && is_own && !leaving {
             let record = EndpointRecord {
                 presence,
                 sequence: claim.sequence.max(record.sequence),
-                flaps: claim.flaps.quarters(now, self.settings.flap_half_life),
+                flaps: claim.penalty.quarters(now, self.settings.flap_half_life),
                 ..record.clone()
             };
             self.change_endpoint(record, None, now);
         }
     }
 
-    /// Asks former homes, and ends claims of silent endpoints.
-    pub(super) fn tend_claims(&mut self, now: ClockTime) {
+    /// Requests pending handovers, and publishes silent endpoints as gone.
+    pub(super) fn update_claims(&mut self, now: ClockTime) {
         let ids: Vec<EndpointId> = self.claims.keys().copied().collect();
         for id in ids {
-            self.ask_former(id, now);
-            self.end_if_silent(id, now);
+            self.request_handover(id, now);
+            self.expire_silent_endpoint(id, now);
         }
     }
 
-    /// Takes an endpoint for gone that has fallen silent.
-    fn end_if_silent(&mut self, id: EndpointId, now: ClockTime) {
+    /// Publishes a silent endpoint as gone.
+    fn expire_silent_endpoint(&mut self, id: EndpointId, now: ClockTime) {
         let Some(claim) = self.claims.get(&id) else {
             return;
         };
-        if claim.ended || now.since(claim.answered) < self.settings.endpoint_timeout {
+        if claim.ended || now.since(claim.answered_at) < self.settings.endpoint_timeout {
             return;
         }
         let record = self.endpoints.record(id);
         if record.is_some_and(|record| record.presence != EndpointPresence::Gone) {
-            self.write_end(id, EndpointPresence::Gone, true, now);
+            self.publish_claim_end(id, EndpointPresence::Gone, true, now);
         }
     }
 
-    /// Takes endpoints for gone that name this node as home but never announced themselves to
-    /// this process.
-    pub(super) fn bury_orphans(&mut self, now: ClockTime) {
-        let patience = self.settings.endpoint_timeout;
-        let young = self.started.is_none_or(|at| now.since(at) < patience);
-        if young {
+    /// Publishes endpoints as gone whose record names this node as home, but which have never
+    /// announced themselves to this process.
+    pub(super) fn expire_orphans(&mut self, now: ClockTime) {
+        let timeout = self.settings.endpoint_timeout;
+        let in_startup = self.started.is_none_or(|at| now.since(at) < timeout);
+        if in_startup {
             return;
         }
         let orphans: Vec<EndpointRecord> = self
@@ -233,7 +243,7 @@
             .filter(|(id, _)| !self.claims.contains_key(id))
             .filter(|(_, entry)| entry.record.home == self.own)
             .filter(|(_, entry)| entry.record.presence != EndpointPresence::Gone)
-            .filter(|(_, entry)| now.since(entry.changed) >= patience)
+            .filter(|(_, entry)| now.since(entry.updated_at) >= timeout)
             .map(|(_, entry)| entry.record.clone())
             .collect();
         for record in orphans {
--- a/crates/ragwortroad_membership/src/table/mod.rs
+++ b/crates/ragwortroad_membership/src/table/mod.rs
@@ -1,18 +1,18 @@
-//! One node's view of the fleet, and what it does about it.
+//! The membership table: one node's view of the fleet.
 
 mod announcements;
 mod blobs;
-mod endpoint_news;
-mod home_wishes;
+mod endpoint_updates;
+mod home_placement;
 mod homes;
 mod links;
 pub(crate) mod membership_stats;
-mod news_items;
-mod node_news;
+mod node_updates;
 mod packets;
 mod probes;
 mod queries;
 mod sync;
+mod update_items;
 
 use std::{
     collections::BTreeMap,
@@ -42,67 +42,65 @@
     sync_digest::SyncDigest, //
 };
 
-/// Time between looking through all records.
-const CHORES_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between scans of all records.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One node's view of all nodes and endpoints.
 ///
-/// The owner passes in everything that happens with the time it happens at, and carries out the
-/// returned actions. The same seed and the same inputs give the same actions.
+/// The caller passes in every event with the time at which it happens, and carries out the returned
+/// actions. The same seed and the same inputs produce the same actions.
 pub struct MembershipTable {
-    /// Limits.
     settings: MembershipSettings,
-    /// This node.
+    /// Identity of this node.
     own: NodeId,
-    /// Told to peers, so that they notice a restart.
+    /// Sent to peers, so that they detect a restart of this node.
     session: u16,
     /// Whether this node is shutting down.
     leaving: bool,
-    /// The time of the first input.
+    /// Time of the first input.
     started: Option<ClockTime>,
-    /// All nodes, this one included.
+    /// All known nodes, including this one.
     nodes: NodeTable,
-    /// All endpoints.
     endpoints: EndpointTable,
-    /// What nodes attached.
+    /// The latest blobs of all nodes.
     blobs: BlobTable,
-    /// Own blobs that wait for their spacing: kind, and when it was last spread.
+    /// Publication state of this node's blobs by kind.
     own_blobs: BTreeMap<u8, blobs::OwnBlob>,
-    /// Peers with whom something is exchanged.
+    /// Links with neighbours and with other peers that packets were recently exchanged with.
     links: BTreeMap<NodeId, PeerLink>,
-    /// Probes made for others.
+    /// Probes made on behalf of other nodes.
     relays: RelayTable,
     /// Hashes over all records.
     digest: SyncDigest,
-    /// Endpoints that announced themselves here.
+    /// Claims to the endpoints that have announced themselves to this node.
     claims: BTreeMap<EndpointId, HomeClaim>,
-    /// Bytes left to spend.
     budget: ByteBudget,
-    /// Which peer is served first, by its place among the links.
-    turn: usize,
-    /// Seeded randomness.
+    /// Index of the peer that the next flush serves first.
+    round_robin_start: usize,
+    /// Random number generator with a fixed seed.
     rng: Pcg64Mcg,
-    /// State of the node table for which neighbours were last chosen.
+    /// Generation of the node table for which the neighbours were last chosen; `None` forces a new
+    /// choice.
     ring_generation: Option<u64>,
-    /// When neighbours were last chosen.
+    /// When the neighbours were last chosen.
     ring_chosen: ClockTime,
-    /// When a node that is down, or a seed, was last called.
-    last_revive: ClockTime,
-    /// When a random live node was last called.
-    last_stray: ClockTime,
-    /// When all records were last looked through.
-    last_chores: ClockTime,
-    /// Counters.
+    /// When a node that is down, or an absent seed, was last contacted.
+    last_reconnect: ClockTime,
+    /// When a random present node was last contacted.
+    last_random_contact: ClockTime,
+    /// When all records were last scanned.
+    last_maintenance: ClockTime,
     stats: MembershipStats,
-    /// Actions of the input at hand.
+    /// Actions produced by the current input.
     actions: Vec<GossipAction>,
 }
 
 impl MembershipTable {
-    /// A view that knows only `record`, this node's own.
+    /// Creates a table that only knows `record`, this node's own.
     ///
-    /// The record's incarnation should be higher than at the process's last start, such as the
-    /// wall clock's milliseconds; if it is not, the node corrects it when it hears of itself.
+    /// The record's incarnation should be higher than at the last start of the process; a wall clock
+    /// reading in milliseconds will do. If it is lower, the node raises it once it receives a
+    /// record of itself from an earlier run.
     pub fn new(settings: MembershipSettings, record: NodeRecord, seed: u64) -> Self {
         let own = record.id();
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ own.0);
@@ -120,13 +118,13 @@
             digest: SyncDigest::default(),
             claims: BTreeMap::new(),
             budget: ByteBudget::new(settings.bytes_per_second, settings.burst_bytes),
-            turn: 0,
+            round_robin_start: 0,
             rng,
             ring_generation: None,
             ring_chosen: ClockTime::ZERO,
-            last_revive: ClockTime::ZERO,
-            last_stray: ClockTime::ZERO,
-            last_chores: ClockTime::ZERO,
+            last_reconnect: ClockTime::ZERO,
+            last_random_contact: ClockTime::ZERO,
+            last_maintenance: ClockTime::ZERO,
             stats: MembershipStats::default(),
             actions: Vec::new(),
             settings,
@@ -135,26 +133,26 @@
         table
     }
 
-    /// Takes one input at `now`, and returns what is to be done.
+    /// Processes one input at `now` and returns the resulting actions.
     pub fn handle(&mut self, input: GossipInput, now: ClockTime) -> Vec<GossipAction> {
         if self.started.is_none() {
             self.start(now);
         }
         match input {
             GossipInput::Tick => self.tick(now),
-            GossipInput::Packet { from, bytes } => self.take_packet(from, &bytes, now),
-            GossipInput::Announce(announce) => self.take_announce(&announce, now),
-            GossipInput::LeaveStarted => self.leave(now),
+            GossipInput::Packet { from, bytes } => self.handle_packet(from, &bytes, now),
+            GossipInput::Announce(announce) => self.handle_announcement(&announce, now),
+            GossipInput::LeaveStarted => self.start_leaving(now),
         }
         self.flush(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Sets everything that counts from the first input.
+    /// Sets the timers that start with the first input.
     fn start(&mut self, now: ClockTime) {
         self.started = Some(now);
-        self.last_stray = now;
-        self.last_revive = now;
+        self.last_random_contact = now;
+        self.last_reconnect = now;
         self.budget.refill(now);
         if let Some(record) = self.nodes.record(self.own).cloned() {
             self.nodes.remove(self.own);
@@ -162,20 +160,20 @@
         }
     }
 
-    /// Does everything that time alone brings about.
+    /// Performs all actions that depend on time alone.
     fn tick(&mut self, now: ClockTime) {
         self.choose_neighbours(now);
-        self.watch_neighbours(now);
-        self.judge_suspects(now);
-        self.call_strangers(now);
+        self.probe_silent_neighbours(now);
+        self.expire_suspicions(now);
+        self.contact_non_neighbours(now);
         self.requeue_lost(now);
         self.start_syncs(now);
-        self.tend_claims(now);
-        self.spread_blobs(now);
-        if now.since(self.last_chores) >= CHORES_PAUSE {
-            self.last_chores = now;
-            self.bury_orphans(now);
-            self.forget_old(now);
+        self.update_claims(now);
+        self.publish_blobs(now);
+        if now.since(self.last_maintenance) >= MAINTENANCE_INTERVAL {
+            self.last_maintenance = now;
+            self.expire_orphans(now);
+            self.remove_expired(now);
         }
     }
 }
