--- a/crates/ragwortroad_dispatch/src/address_choice.rs
+++ b/crates/ragwortroad_dispatch/src/address_choice.rs
@@ -8,13 +8,13 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Edges that a caller is told to use, `most` of those that take callers.
+/// Selects up to `most` of the ready edges for one caller to connect to.
 ///
-/// Callers drop connections to addresses that a new answer lacks, so each has to be told the same ones
-/// for as long as they live. Answers that were the same for all callers would leave all other
-/// edges idle, and give those that are named several times the mean. Ranked by a hash of the caller's
-/// address and the edge's, the answers to one caller change only with edges that come and go, and
-/// those to all callers name each edge about as often.
+/// Callers close connections to addresses that a new answer omits, so a caller has to get the same
+/// edges for as long as these exist. The same answer for all callers would leave the other edges
+/// idle, and overload those that are named several times. Ranking edges by a hash of the caller's
+/// address and the edge's (rendezvous hashing) changes one caller's answer only when edges come or
+/// go, and names each edge about equally often over all callers.
 pub fn choose_addresses(asker: IpAddr, mut ready: Vec<SocketAddr>, most: usize) -> Vec<SocketAddr> {
     if ready.len() > most {
         ready.sort_by_cached_key(|edge| xxh3_64(format!("{asker} {edge}").as_bytes()));
@@ -23,16 +23,16 @@
     ready
 }
 
-/// Times as long as they are told that some callers keep an answer.
-const LONGEST_KEEP: u32 = 3;
+/// Multiple of the TTL for which some callers keep an answer.
+const MAX_TTL_MULTIPLE: u32 = 3;
 
-/// How long callers are told to keep an answer, `most` at the longest.
+/// Returns the TTL of an answer with edge addresses, at least one second and at most `most`.
 ///
-/// An edge that stops has to be forgotten by all callers within its grace time. Up to that, longer is
-/// better: where a registry has lost its power, each caller that asks it waits a second, and those
-/// that ask on behalf of a request with less time than that fail.
+/// All callers have to drop the address of a stopping edge within its grace time. Up to that, a
+/// longer TTL is better: when a registry has lost its power, each caller that queries it waits a
+/// second, and lookups made for a request with a shorter deadline fail.
 pub fn answer_ttl(grace: Duration, most: Duration) -> Duration {
-    // One part more is for the edge to finish what came last.
-    let longest = grace / (LONGEST_KEEP + 1);
-    longest.min(most).max(Duration::from_secs(1))
+    // The additional share leaves the edge time to finish the last requests.
+    let max_ttl = grace / (MAX_TTL_MULTIPLE + 1);
+    max_ttl.min(most).max(Duration::from_secs(1))
 }
--- a/crates/ragwortroad_dispatch/src/admission_gate.rs
+++ b/crates/ragwortroad_dispatch/src/admission_gate.rs
@@ -10,84 +10,85 @@
     admission_ratio::AdmissionRatio, //
 };
 
-/// A request that waits at a gate.
+/// Identifies a request in the queue of an [`AdmissionGate`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueueTicket(pub u64);
 
-/// A request that comes to a gate.
+/// A request for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// Urgency.
+    /// Priority; the lowest value is served first.
     pub rank: RequestRank,
-    /// Whether its caller has waited elsewhere for longer than the aim.
+    /// Whether the caller has already spent its latency target waiting elsewhere.
     pub is_late: bool,
-    /// How long it can wait and still be served within its aim.
+    /// Longest time in the queue after which the request can still meet its latency target.
     pub queue_timeout: Duration,
 }
 
-/// What a gate says to a request.
+/// Outcome of [`AdmissionGate::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It goes on to an endpoint, and is counted until [`AdmissionGate::leave`].
+    /// The request proceeds to an endpoint. It is counted until [`AdmissionGate::release`].
     Admitted,
-    /// It waits until the gate calls its ticket, or its queue timeout ends.
+    /// The request is queued until [`AdmissionGate::admit_next`] or [`AdmissionGate::shed_next`]
+    /// returns its ticket, or the caller cancels it.
     Queued(QueueTicket),
 }
 
-/// Part of a route's aim for which a request waits at a gate.
+/// Divisor of a route's latency target that gives the longest time in the queue.
 ///
-/// Engines with all places taken begin within half of an aim for most requests; what waits longer at
-/// the gate would be late.
+/// Engines with all slots busy start most requests within half of the latency target; a request
+/// that queues longer at the gate would miss it.
 const QUEUE_TIME_DIVISOR: u32 = 3;
 
-/// How long a request of a route with this aim may wait at a gate.
+/// Returns how long a request may be queued, given its route's latency target and the time left
+/// until its deadline.
 pub fn max_queue_time(target: Duration, time_left: Duration) -> Duration {
     target.min(time_left) / QUEUE_TIME_DIVISOR
 }
 
-/// Part of what the next more urgent rank is granted that each rank is granted at least.
+/// Smallest admission ratio of a rank, relative to that of the next more urgent rank.
 ///
-/// Urgent requests go first, but none starves: users see a kind of request that is never answered
-/// as broken, however unimportant it is. Two fifths keep a third rank above a seventh of the first.
+/// Prevents starvation: users take a kind of request that is never answered for broken, however
+/// unimportant it is. At 0.4 the third rank stays above a seventh of the first.
 const RANK_FLOOR_RATIO: f64 = 0.4;
 
-/// Weight of one more second in the completion_rate at which requests end.
+/// Weight of the newest sample in the moving average of the completion rate.
 const RATE_WEIGHT: f64 = 0.5;
 
-/// Time over which the completion_rate is counted before it is averaged.
+/// Shortest time over which completions are counted for one sample of the rate.
 const RATE_WINDOW: Duration = Duration::from_millis(500);
 
-/// Decides which requests of one service go on, wait for a moment, or are refused at one edge.
+/// Admission control of one edge for the requests of one service.
 ///
-/// Below the limit nothing waits. At the limit a request waits only as long as it can still be
-/// served within its aim, and only behind as many as leave in that time; everything else is told at
-/// once to come back. The more urgent rank goes first. Holds no clock and no network.
+/// Below the concurrency limit all requests are admitted. At the limit, a request is queued only
+/// while it can still meet its latency target, and only behind as many requests as complete in that
+/// time; all others are shed at once and told when to retry. More urgent ranks are served first.
 #[derive(Debug)]
 pub struct AdmissionGate {
-    /// Requests that may be under way.
+    /// Largest number of requests in flight.
     limit: f64,
-    /// Requests that were admitted and are not over.
     in_flight: u32,
-    /// Requests that wait, by rank and in the order in which they came.
+    /// Queued requests by rank, in order of arrival.
     ///
     /// Invariant: no queue is empty.
     waiting: BTreeMap<QueueRank, BTreeMap<QueueTicket, QueuedRequest>>,
     shares: BTreeMap<QueueRank, AdmissionRatio>,
     next_ticket: u64,
-    /// Requests that completed since the completion_rate was averaged last.
+    /// Requests completed since the completion rate was last updated.
     completed: u32,
     rate_updated_at: ClockTime,
-    /// Requests that end in a second.
+    /// Completed requests per second, as a moving average.
     completion_rate: f64,
-    /// When the gate began to refuse, if it has refused lately.
+    /// The current load shedding period; kept after it has ended.
     shedding: Option<SheddingPeriod>,
 }
 
-/// Whose turn it is; the least goes first.
+/// Position in the order of service; the lowest value is first.
 ///
-/// Of requests with the same urgency, those that can be answered within their aim go before those
-/// that are late already: in a long overload every caller is refused once, and if all were served in
-/// the order in which they came first, all would be late.
+/// Among requests of equal priority, those that can still meet their latency target precede those
+/// that cannot: in a long overload every caller is rejected once, and serving all in the order of
+/// their first attempt would make all of them late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueRank {
     rank: RequestRank,
@@ -96,23 +97,23 @@
 
 #[derive(Clone, Copy, Debug)]
 struct QueuedRequest {
-    /// When it is of no use any more.
+    /// When the queue timeout expires.
     until: ClockTime,
     queue_timeout: Duration,
 }
 
-/// A time during which requests were refused.
+/// A period in which requests were shed.
 #[derive(Clone, Copy, Debug)]
 struct SheddingPeriod {
     since: ClockTime,
     last: ClockTime,
 }
 
-/// Time without a refusal after which load shedding is over.
+/// Time without a shed request after which load shedding counts as over.
 const SHEDDING_GAP: Duration = Duration::from_secs(1);
 
 impl AdmissionGate {
-    /// A gate without a limit.
+    /// Creates a gate without a limit.
     pub fn new(now: ClockTime) -> Self {
         Self {
             limit: f64::INFINITY,
@@ -127,13 +128,14 @@
         }
     }
 
-    /// Takes how many requests may be under way.
+    /// Sets the largest number of requests in flight.
     pub fn set_limit(&mut self, limit: f64, now: ClockTime) {
         self.limit = limit;
         self.update_completion_rate(now);
     }
 
-    /// Takes a request; whether it waits in vain is told by [`AdmissionGate::take_displaced`].
+    /// Admits or queues a request. The caller then has to reject those that
+    /// [`AdmissionGate::shed_next`] returns.
     pub fn offer(&mut self, offer: AdmissionRequest, now: ClockTime) -> AdmissionDecision {
         let AdmissionRequest {
             rank,
@@ -157,14 +159,15 @@
         AdmissionDecision::Queued(ticket)
     }
 
-    /// An admitted request is over.
+    /// Records that an admitted request has completed, whatever its outcome.
     pub fn release(&mut self, now: ClockTime) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.completed += 1;
         self.update_completion_rate(now);
     }
 
-    /// The next request that goes on, if there is room for one.
+    /// Admits the next queued request, or returns `None` if the limit is reached or the queue is
+    /// empty.
     pub fn admit_next(&mut self, now: ClockTime) -> Option<QueueTicket> {
         if !self.has_room() {
             return None;
@@ -177,45 +180,46 @@
         Some(ticket)
     }
 
-    /// A request that waits in vain: too many go before it, or its time is over.
+    /// Removes a request that cannot be served in time, because its timeout has expired or too many
+    /// requests precede it. Returns `None` if there is none.
     pub fn shed_next(&mut self, now: ClockTime) -> Option<QueueTicket> {
         let all = self.waiting.values().flatten();
-        let late = all.filter(|(_, entry)| now >= entry.until);
-        let late = late.map(|(&ticket, _)| ticket).next();
-        let displaced = late.or_else(|| self.last_hopeless())?;
-        self.remove(displaced);
+        let expired = all.filter(|(_, entry)| now >= entry.until);
+        let expired = expired.map(|(&ticket, _)| ticket).next();
+        let shed = expired.or_else(|| self.last_unservable())?;
+        self.remove(shed);
         self.note_refusal(now);
-        Some(displaced)
+        Some(shed)
     }
 
-    /// A request has stopped waiting by itself.
+    /// Removes a queued request whose caller has left.
     pub fn cancel(&mut self, ticket: QueueTicket) {
         self.remove(ticket);
     }
 
-    /// How long requests have been refused, up to the last one; nothing if none was lately.
+    /// Returns how long load shedding has lasted, or zero if it is over.
     pub fn shedding_duration(&self, now: ClockTime) -> Duration {
         let shedding = self.shedding.filter(|_| self.is_shedding(now));
         shedding.map_or(Duration::ZERO, |shedding| now.since(shedding.since))
     }
 
-    /// Whether a request was refused lately.
+    /// Returns whether a request was shed within the last second.
     pub fn is_shedding(&self, now: ClockTime) -> bool {
         let shedding = self.shedding;
         shedding.is_some_and(|shedding| now.since(shedding.last) < SHEDDING_GAP)
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.values().map(BTreeMap::len).sum()
     }
 
-    /// Requests that were admitted and are not over.
+    /// Returns the number of requests admitted and not yet released.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Requests that may be under way.
+    /// Returns the largest number of requests in flight; infinite if none was set.
     pub fn limit(&self) -> f64 {
         self.limit
     }
@@ -238,22 +242,23 @@
         self.waiting.retain(|_, queue| !queue.is_empty());
     }
 
-    /// The rank whose turn it is: the most urgent one, unless another is below its floor.
+    /// Returns the most urgent rank, or another one that is below its admission floor.
     fn next_rank(&self) -> Option<QueueRank> {
         let ranks: Vec<QueueRank> = self.waiting.keys().copied().collect();
-        let starved = ranks.iter().find(|&&rank| self.is_below_floor(rank));
-        starved.or(ranks.first()).copied()
+        let below_floor = ranks.iter().find(|&&rank| self.is_below_floor(rank));
+        below_floor.or(ranks.first()).copied()
     }
 
-    /// The rank that is refused first: the least urgent one.
+    /// Returns the rank to shed from: the least urgent one.
     ///
-    /// One request of a rank below its floor stays, so that it is there when its turn comes.
+    /// The last request of a rank below its floor stays queued, so that it can be admitted at the
+    /// rank's turn.
     fn shed_rank(&self) -> Option<QueueRank> {
-        let is_spared = |turn: QueueRank, queue: &BTreeMap<QueueTicket, QueuedRequest>| {
+        let is_kept = |turn: QueueRank, queue: &BTreeMap<QueueTicket, QueuedRequest>| {
             queue.len() == 1 && self.is_below_floor(turn)
         };
         let mut ranks = self.waiting.iter().rev();
-        let refused = ranks.find(|&(&turn, queue)| !is_spared(turn, queue));
+        let refused = ranks.find(|&(&turn, queue)| !is_kept(turn, queue));
         let last = self.waiting.last_key_value();
         refused.or(last).map(|(&turn, _)| turn)
     }
@@ -267,22 +272,23 @@
         more_urgent.is_some_and(|(_, urgent)| share.ratio() < urgent.ratio() * RANK_FLOOR_RATIO)
     }
 
-    /// The request that would be served last, if it would be so only after its queue timeout.
+    /// Returns the last request in the order of service if it would exceed its queue timeout.
     ///
-    /// At least one may wait: at an edge with few requests, the completion_rate is a guess.
-    fn last_hopeless(&self) -> Option<QueueTicket> {
+    /// One request may always wait, because the completion rate of an edge with few requests is
+    /// inaccurate.
+    fn last_unservable(&self) -> Option<QueueTicket> {
         let rank = self.shed_rank()?;
         let (&ticket, entry) = self.waiting.get(&rank)?.last_key_value()?;
-        let in_time = self.completion_rate * entry.queue_timeout.as_secs_f64();
-        let most = in_time.max(1.0);
-        (self.waiting() as f64 > most).then_some(ticket)
+        let completions = self.completion_rate * entry.queue_timeout.as_secs_f64();
+        let capacity = completions.max(1.0);
+        (self.waiting() as f64 > capacity).then_some(ticket)
     }
 
     fn note_refusal(&mut self, now: ClockTime) {
-        let begun = self.shedding;
-        let begun = begun.filter(|shedding| now.since(shedding.last) < SHEDDING_GAP);
+        let current = self.shedding;
+        let current = current.filter(|shedding| now.since(shedding.last) < SHEDDING_GAP);
         self.shedding = Some(SheddingPeriod {
-            since: begun.map_or(now, |shedding| shedding.since),
+            since: current.map_or(now, |shedding| shedding.since),
             last: now,
         });
     }
@@ -292,8 +298,8 @@
         if elapsed < RATE_WINDOW {
             return;
         }
-        let present = f64::from(self.completed) / elapsed.as_secs_f64();
-        self.completion_rate += (present - self.completion_rate) * RATE_WEIGHT;
+        let sample = f64::from(self.completed) / elapsed.as_secs_f64();
+        self.completion_rate += (sample - self.completion_rate) * RATE_WEIGHT;
         self.completed = 0;
         self.rate_updated_at = now;
     }
--- a/crates/ragwortroad_dispatch/src/admission_ratio.rs
+++ b/crates/ragwortroad_dispatch/src/admission_ratio.rs
@@ -2,18 +2,18 @@
 
 use ragwortroad_types::prelude::*;
 
-/// Time in which what was counted loses half of its weight.
+/// Half-life of the counts.
 ///
-/// Some dozen requests of a rank come in it at one of eighty edges, and a surge is noticed well
-/// within the seconds that it lasts.
+/// At one of eighty edges it covers some dozen requests of a rank, and it is well below the seconds
+/// that a surge lasts, so a surge is noticed in time.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Requests of one rank lately: how many came, and how many of them were admitted.
+/// Decaying counts of the requests of one rank: offered and admitted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AdmissionRatio {
     offered: f64,
     admitted: f64,
-    counted_at: ClockTime,
+    decayed_at: ClockTime,
 }
 
 impl AdmissionRatio {
@@ -21,37 +21,37 @@
         Self {
             offered: 0.0,
             admitted: 0.0,
-            counted_at: now,
+            decayed_at: now,
         }
     }
 
-    /// Counts a request that came.
+    /// Counts an offered request.
     pub(crate) fn offer(&mut self, now: ClockTime) {
-        self.fade(now);
+        self.decay(now);
         self.offered += 1.0;
     }
 
-    /// Counts a request that was admitted.
+    /// Counts an admitted request.
     pub(crate) fn admit(&mut self, now: ClockTime) {
-        self.fade(now);
+        self.decay(now);
         self.admitted += 1.0;
     }
 
-    /// Part of the requests that was admitted.
+    /// Returns the admitted share of the offered requests, 1 if there were none.
     pub(crate) fn ratio(&self) -> f64 {
-        share_of(self.admitted, self.offered)
+        ratio_or_one(self.admitted, self.offered)
     }
 
-    fn fade(&mut self, now: ClockTime) {
-        let halves = now.since(self.counted_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
-        let left = 0.5_f64.powf(halves);
-        self.offered *= left;
-        self.admitted *= left;
-        self.counted_at = now;
+    fn decay(&mut self, now: ClockTime) {
+        let half_lives = now.since(self.decayed_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+        let factor = 0.5_f64.powf(half_lives);
+        self.offered *= factor;
+        self.admitted *= factor;
+        self.decayed_at = now;
     }
 }
 
-/// `part` of `whole`; everything where there is nothing to divide.
-fn share_of(part: f64, whole: f64) -> f64 {
+/// Divides `part` by `whole`; returns 1 if `whole` is zero.
+fn ratio_or_one(part: f64, whole: f64) -> f64 {
     if whole > 0.0 { part / whole } else { 1.0 }
 }
--- a/crates/ragwortroad_dispatch/src/config_fault.rs
+++ b/crates/ragwortroad_dispatch/src/config_fault.rs
@@ -1,51 +1,52 @@
 use snafu::Snafu;
 
-/// Why a declared configuration cannot come into force.
+/// Reason for rejecting a declared configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(visibility(pub))]
 pub enum ConfigFault {
-    /// The document has no such shape.
+    /// The document cannot be parsed.
     #[snafu(display("the document cannot be read: {reason}; send it again in full"))]
     Unreadable {
-        /// What the codec said.
+        /// Error message of the parser.
         reason: String,
     },
-    /// A target does not exist.
+    /// A route has a target that is not declared as a service.
     #[snafu(display(
         "route '{route}' leads to service '{service}', which is not declared; declare it or \
          change the route"
     ))]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// What it names.
+        /// Name of the undeclared service.
         service: String,
     },
-    /// Nobody could tell which of the two has a request.
+    /// Two routes have the same host and path prefix, so requests cannot be matched to one of them.
     #[snafu(display(
         "route '{route}' has the host and path of another one; remove one of the two"
     ))]
     DuplicateRoute {
-        /// The later route.
+        /// Name of the later of the two routes.
         route: String,
     },
-    /// No target would get a request.
+    /// The weights of a route's targets do not add up to a positive number, so none would get a
+    /// request.
     #[snafu(display("the weights of route '{route}' add up to nothing; give one a weight"))]
     NoWeight {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
-    /// Every request would end at once.
+    /// The timeout of a route is zero, so every request would fail at once.
     #[snafu(display("route '{route}' has a timeout of 0; give it one above"))]
     NoTimeout {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
-    /// Nobody could tell whose request it is.
+    /// Two customers have the same key, so a request's customer would be ambiguous.
     #[snafu(display("customer '{customer}' has a key of another one; give each its own"))]
     SharedKey {
-        /// The later customer.
+        /// Name of the later of the two customers.
         customer: String,
     },
 }
--- a/crates/ragwortroad_dispatch/src/config_fetch.rs
+++ b/crates/ragwortroad_dispatch/src/config_fetch.rs
@@ -10,90 +10,97 @@
     prefer_registry, //
 };
 
-/// Time after which a whole configuration that was asked for is asked of another registry.
+/// Time without an answer after which a request for the whole configuration is sent to another
+/// registry.
 ///
-/// A large one takes a second over a registry's link, and asking twice would send it twice.
-const ASK_AGAIN_WHOLE: Duration = Duration::from_millis(1200);
+/// A large configuration takes a second over a registry's link, and a second request would have it
+/// sent twice.
+const FULL_CONFIG_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// The same for the steps from a configuration that the edge has, which are small.
+/// Time without an answer after which a request for changes since the edge's version, which are
+/// small, is sent to another registry.
 ///
-/// A registry whose link is choked or whose VM hangs keeps its connections for seconds; sites bound
-/// the time until a change is in force to two or three.
-const ASK_AGAIN_STEPS: Duration = Duration::from_millis(500);
+/// A registry whose link is saturated or whose VM hangs keeps its connections open for seconds,
+/// while sites require a change to be in force within two or three seconds.
+const CHANGES_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time that an edge's own registry has to announce a version before another is asked.
+/// Time that the edge's preferred registry has to announce a version before another one is asked.
 ///
-/// All edges hear of a change from the leader first; if all asked it, its link would carry every
-/// copy. A registry that follows knows of a change a heartbeat later.
-const OWN_REGISTRY_TIME: Duration = Duration::from_millis(250);
+/// All edges learn of a change from the leader first; if all of them asked it, its link would carry
+/// every copy. Followers learn of a change one heartbeat later.
+const PREFERRED_REGISTRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The same for an edge that has no configuration and cannot serve anybody.
+/// The same for an edge without a configuration, which cannot serve any request.
 ///
-/// After a common restart registries learn of the configuration within some tenths of a second of
-/// each other, and copies for all edges take the links of all of them a second. If the first ones
-/// were asked for all copies, the last edges would serve seconds late.
-const FIRST_CONFIG_TIME: Duration = Duration::from_millis(400);
+/// After a restart of the whole fleet, registries learn of the configuration within some tenths of
+/// a second of each other, and the copies for all edges occupy the links of all registries for a
+/// second. If the first registries had to send all copies, the last edges would start serving
+/// seconds late.
+const FIRST_CONFIG_DELAY: Duration = Duration::from_millis(400);
 
-/// A registry that an edge is connected to.
+/// A registry that the edge is connected to.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigSource {
-    /// Where it is.
+    /// Address of the registry.
     pub address: SocketAddr,
-    /// The version that it has announced on this connection.
+    /// Last version that the registry has announced on this connection; `None` before the first.
     pub version: Option<u64>,
 }
 
-/// How an edge comes by the configuration in force.
+/// Decides when and from which registry an edge fetches the configuration in force.
 ///
-/// Registries announce versions; the edge asks one of them for what it lacks. Each edge prefers
-/// another registry, so that all of them carry a part of the copies. One that does not answer is
-/// not asked twice in a row: it may be connected and choked, and the edge would refuse callers
-/// by an old configuration for as long as it keeps the connection. Where it is the only one that
-/// can be asked, it is asked for a copy of its own: the edge that it named last time may be gone.
+/// Registries announce versions, and the edge asks one of them for the changes that it lacks. Edges
+/// prefer different registries, so that the copies are spread over all of them. A registry that
+/// does not answer is not asked twice in a row: it may be connected and overloaded, and the edge
+/// would reject callers by an old configuration for as long as the connection lasts. If no other
+/// registry has the version, the same one is asked for a direct copy, since the edge that it
+/// referred to may be gone.
 #[derive(Debug, Default)]
 pub struct ConfigFetch {
-    /// Highest version that a registry has announced, and when it was first.
+    /// Highest announced version, and when it was first announced.
     announced: Option<(u64, ClockTime)>,
-    /// The registry that was asked last, and when, while its answer is awaited.
+    /// The registry with an outstanding request, and when that was sent.
     asked: Option<(SocketAddr, ClockTime)>,
 }
 
 impl ConfigFetch {
-    /// A registry has announced a version.
+    /// Records that a registry has announced a version.
     pub fn note_announced(&mut self, version: u64, now: ClockTime) {
         if self.announced.is_none_or(|(known, _)| version > known) {
             self.announced = Some((version, now));
         }
     }
 
-    /// A registry was asked.
+    /// Records that a request was sent to a registry.
     pub fn note_asked(&mut self, registry: SocketAddr, now: ClockTime) {
         self.asked = Some((registry, now));
     }
 
-    /// A registry has answered.
+    /// Records that the outstanding request was answered.
     pub fn note_answered(&mut self) {
         self.asked = None;
     }
 
-    /// Who was asked, or whom that one named, cannot give it; another registry is asked at once.
+    /// Records that the registry asked, or the edge that it referred to, cannot provide the
+    /// configuration. The next request is due at once, preferably to another registry.
     pub fn note_failed(&mut self) {
         self.asked = self.asked.map(|(registry, _)| (registry, ClockTime::ZERO));
     }
 
-    /// The connection to a registry has ended, which may have been asked.
+    /// Records that the connection to a registry was lost, along with any outstanding request.
     pub fn note_lost(&mut self, registry: SocketAddr) {
         if self.asked.is_some_and(|(asked, _)| asked == registry) {
             self.asked = None;
         }
     }
 
-    /// Whether no registry has announced a version above `own`.
+    /// Returns whether no registry has announced a version above `own`.
     pub fn is_newest(&self, own: u64) -> bool {
         self.announced.is_none_or(|(known, _)| own >= known)
     }
 
-    /// What an edge with the version `own` is to ask now, if anything.
+    /// Returns the request that an edge with the version `own` has to send now, or `None` if it is
+    /// up to date or has to wait.
     pub fn next(
         &self,
         edge: &str,
@@ -105,29 +112,32 @@
         if own.is_some_and(|own| own >= announced) {
             return None;
         }
-        let (ask_again, patience) = match own {
-            Some(_) => (ASK_AGAIN_STEPS, OWN_REGISTRY_TIME),
-            None => (ASK_AGAIN_WHOLE, FIRST_CONFIG_TIME),
+        let (answer_timeout, preferred_delay) = match own {
+            Some(_) => (CHANGES_TIMEOUT, PREFERRED_REGISTRY_DELAY),
+            None => (FULL_CONFIG_TIMEOUT, FIRST_CONFIG_DELAY),
         };
         if let Some((_, asked_at)) = self.asked
-            && now.since(asked_at) < ask_again
+            && now.since(asked_at) < answer_timeout
         {
             return None;
         }
-        let able = sources
+        let up_to_date = sources
             .iter()
             .filter(|source| source.version >= Some(announced));
-        let able: Vec<SocketAddr> = able.map(|source| source.address).collect();
-        let silent = self.asked.map(|(registry, _)| registry);
-        let others = able.iter().copied().filter(|one| Some(*one) != silent);
-        let chosen =
-            prefer_registry(edge, others).or_else(|| prefer_registry(edge, able.into_iter()))?;
+        let up_to_date: Vec<SocketAddr> = up_to_date.map(|source| source.address).collect();
+        let unresponsive = self.asked.map(|(registry, _)| registry);
+        let others = up_to_date
+            .iter()
+            .copied()
+            .filter(|one| Some(*one) != unresponsive);
+        let chosen = prefer_registry(edge, others)
+            .or_else(|| prefer_registry(edge, up_to_date.into_iter()))?;
         let preferred = prefer_registry(edge, sources.iter().map(|source| source.address));
         let may_wait = self.asked.is_none() && Some(chosen) != preferred;
-        let is_early = may_wait && now.since(first_at) < patience;
+        let is_early = may_wait && now.since(first_at) < preferred_delay;
         (!is_early).then_some(ConfigRequest {
             registry: chosen,
-            direct: Some(chosen) == silent,
+            direct: Some(chosen) == unresponsive,
         })
     }
 }
--- a/crates/ragwortroad_dispatch/src/config_request.rs
+++ b/crates/ragwortroad_dispatch/src/config_request.rs
@@ -1,10 +1,11 @@
 use std::net::SocketAddr;
 
-/// Whom an edge asks for a configuration, and how.
+/// A configuration request that an edge is to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigRequest {
-    /// The registry.
+    /// Address of the registry to ask.
     pub registry: SocketAddr,
-    /// Whether the registry is to give a copy of its own, and not refer the edge to another edge.
+    /// Whether the registry has to send the copy itself instead of referring the edge to another
+    /// edge.
     pub direct: bool,
 }
--- a/crates/ragwortroad_dispatch/src/copy_queue.rs
+++ b/crates/ragwortroad_dispatch/src/copy_queue.rs
@@ -3,55 +3,56 @@
     net::SocketAddr, //
 };
 
-/// Edges that one edge gives copies to at once; a dozen copies of a large configuration take even a
-/// small VM's link a fifth of a second.
-const COPIES_A_HELPER: usize = 3;
+/// Copies that one edge sends to other edges at a time; a dozen copies of a large configuration
+/// occupy even a small VM's link for a fifth of a second.
+const COPIES_PER_HELPER: usize = 3;
 
-/// Edges that need a whole configuration from one registry, in the order in which they asked.
+/// Queue of edges that need the whole configuration from one registry, in order of arrival.
 ///
-/// After a common restart all edges of a fleet need one. The registries' links carry the copies for a
-/// few dozen edges in a tenth of a second, and for hundreds in seconds, in which nobody is served by
-/// the last ones. Edges have links of their own: a registry gives the first copies itself, and
-/// refers the others to edges that have one by then.
+/// After a restart of the whole fleet all edges need a copy. The registries' links carry the copies
+/// for a few dozen edges in a tenth of a second, but those for hundreds take seconds, during which
+/// the last edges cannot serve. Edges have links of their own, so a registry sends the first copies
+/// itself and refers the other edges to those that already have one.
 #[derive(Debug, Default)]
 pub struct CopyQueue {
-    /// Edges that this registry serves or refers.
+    /// Edges that this registry may serve itself or refer to a helper.
     waiting: VecDeque<u64>,
-    /// Edges that this registry has to serve itself, before the others.
+    /// Edges that this registry has to serve itself, ahead of the others.
     ///
-    /// Invariant: none of them is among those of `waiting`.
+    /// Invariant: none of them is in `waiting`.
     direct: VecDeque<u64>,
-    /// Place among the helpers from which the next referral is made.
-    turn: usize,
+    /// Round-robin counter for the choice of helpers.
+    next_helper: usize,
 }
 
-/// What becomes of those that wait.
+/// Edges that are served in one round.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CopyPlan {
-    /// Edges to which the registry sends a copy.
+    /// Edges to which the registry sends a copy, by connection number.
     pub direct: Vec<u64>,
-    /// Edges that get one from another edge.
+    /// Edges that the registry refers to another edge.
     pub referred: Vec<CopyReferral>,
 }
 
-/// An edge that is to ask another one.
+/// Refers an edge to another edge for a copy of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyReferral {
-    /// The edge, by the number of its connection.
+    /// Connection number of the edge that needs the copy.
     pub edge: u64,
-    /// Where the other one is asked.
+    /// Address of the edge that provides the copy.
     pub helper: SocketAddr,
 }
 
 impl CopyQueue {
-    /// An edge needs a copy.
+    /// Adds an edge that needs a copy, unless it is queued already.
     pub fn enqueue(&mut self, edge: u64) {
         if !self.waiting.contains(&edge) && !self.direct.contains(&edge) {
             self.waiting.push_back(edge);
         }
     }
 
-    /// An edge needs a copy from this registry: another edge gave it none.
+    /// Adds an edge that needs a copy from this registry, because the referral to another edge has
+    /// failed.
     pub fn enqueue_direct(&mut self, edge: u64) {
         self.waiting.retain(|waiting| *waiting != edge);
         if !self.direct.contains(&edge) {
@@ -59,34 +60,34 @@
         }
     }
 
-    /// An edge is gone.
+    /// Removes an edge that has disconnected.
     pub fn drop_edge(&mut self, edge: u64) {
         self.waiting.retain(|waiting| *waiting != edge);
         self.direct.retain(|waiting| *waiting != edge);
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no edge is queued.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty() && self.direct.is_empty()
     }
 
-    /// Edges that wait.
+    /// Returns the number of queued edges.
     pub fn len(&self) -> usize {
         self.waiting.len() + self.direct.len()
     }
 
-    /// Takes those that get a copy now: up to `most` from this registry, and as many from the
-    /// `helpers`, edges that have the configuration, as these can give at once.
+    /// Removes the edges that are served now: up to `most` by this registry, and as many by the
+    /// `helpers`, edges that have the configuration, as these can serve at a time.
     pub fn plan(&mut self, most: usize, helpers: &[SocketAddr]) -> CopyPlan {
         let count = self.direct.len().min(most);
         let mut direct: Vec<u64> = self.direct.drain(..count).collect();
         let count = self.waiting.len().min(most - count);
         direct.extend(self.waiting.drain(..count));
-        let count = self.waiting.len().min(helpers.len() * COPIES_A_HELPER);
+        let count = self.waiting.len().min(helpers.len() * COPIES_PER_HELPER);
         let mut referred = Vec::new();
         for edge in self.waiting.drain(..count) {
-            self.turn = self.turn.wrapping_add(1);
-            let helper = helpers[self.turn % helpers.len()];
+            self.next_helper = self.next_helper.wrapping_add(1);
+            let helper = helpers[self.next_helper % helpers.len()];
             referred.push(CopyReferral { edge, helper });
         }
         CopyPlan { direct, referred }
--- a/crates/ragwortroad_dispatch/src/domain_drains.rs
+++ b/crates/ragwortroad_dispatch/src/domain_drains.rs
@@ -5,41 +5,42 @@
     Serialize, //
 };
 
-/// An operator's order to drain a failure domain, or to take that back.
+/// An operator's order to drain or undrain a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DrainOrder {
-    /// Random number by which its sender finds it again among the applied commands.
+    /// Random number by which the sender recognizes the order among the applied commands.
     pub id: u64,
-    /// The failure domain.
+    /// Name of the failure domain.
     pub domain: String,
-    /// Whether its endpoints get no new work from now on.
+    /// Whether the domain's endpoints stop receiving new work.
     pub is_drained: bool,
-    /// Revision of the drains known where the order came in.
+    /// Revision of the drains known to the registry that received the order.
     ///
-    /// An order that was held up on its way must not undo a later one.
+    /// Keeps a delayed order from undoing a later one.
     pub seen: u64,
 }
 
-/// What a drain order has led to.
+/// Outcome of applying a drain order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainOutcome {
-    /// The domain has changed.
+    /// The state of the domain has changed.
     Changed,
-    /// The domain was in the ordered state already.
+    /// The domain was already in the requested state.
     Unchanged,
-    /// The domain was changed by an order that the sender of this one did not know.
+    /// The order was rejected, because the domain has changed since the revision that its sender
+    /// knew.
     Superseded,
 }
 
-/// Failure domains that operators have drained.
+/// Failure domains drained by operators.
 ///
-/// Part of the replicated state: commands are applied in the same order everywhere, so equal
-/// revisions mean equal drains.
+/// Part of the replicated state: commands are applied in the same order on all replicas, so equal
+/// revisions imply equal drains.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DomainDrains {
-    /// Invariant: no two domains share a revision, and a domain's revision never goes down.
+    /// Invariant: no two domains share a revision, and a domain's revision never decreases.
     domains: BTreeMap<String, DrainState>,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl DomainDrains {
-    /// Applies an order.
+    /// Applies an order. Only [`DrainOutcome::Changed`] alters the state.
     pub fn apply(&mut self, order: &DrainOrder) -> DrainOutcome {
         let known = self.domains.get(&order.domain);
         let is_drained = known.is_some_and(|state| state.is_drained);
@@ -70,26 +71,27 @@
         DrainOutcome::Changed
     }
 
-    /// Number of changes so far; of two sets the one with the higher revision is the later.
+    /// Returns the number of changes so far; of two sets, the one with the higher revision is
+    /// newer.
     pub fn revision(&self) -> u64 {
         let revisions = self.domains.values().map(|state| state.revision);
         revisions.max().unwrap_or(0)
     }
 
-    /// Whether the endpoints of a domain get no new work.
+    /// Returns whether the endpoints of a domain receive no new work.
     pub fn is_drained(&self, domain: &str) -> bool {
         let state = self.domains.get(domain);
         state.is_some_and(|state| state.is_drained)
     }
 
-    /// Domains that are drained.
+    /// Returns the names of the drained domains, in alphabetical order.
     pub fn drained(&self) -> impl Iterator<Item = &str> {
         let domains = self.domains.iter();
         let drained = domains.filter(|(_, state)| state.is_drained);
         drained.map(|(domain, _)| domain.as_str())
     }
 
-    /// Domains that are drained in `former` and no longer here.
+    /// Returns the domains that are drained in `former` and not in `self`.
     pub fn undrained_since<'a>(&'a self, former: &'a Self) -> impl Iterator<Item = &'a str> {
         former.drained().filter(|domain| !self.is_drained(domain))
     }
--- a/crates/ragwortroad_dispatch/src/domain_reach.rs
+++ b/crates/ragwortroad_dispatch/src/domain_reach.rs
@@ -5,29 +5,31 @@
 
 use crate::EndpointKey;
 
-/// Endpoints of a domain that leave connections unanswered, one after the other, until the whole
-/// domain counts as unreachable.
+/// Number of distinct endpoints without an answer after which their whole domain counts as
+/// unreachable.
 ///
-/// Single endpoints fall silent too; where others of their domain are well, an answer of one of
-/// these comes in between.
-const SILENT_ENDPOINTS: usize = 3;
+/// Single endpoints fail too; while others of their domain are healthy, an answer from one of these
+/// resets the count.
+const UNREACHABLE_THRESHOLD: usize = 3;
 
-/// Which failure domains an edge can reach.
+/// Tracks which failure domains an edge can reach.
 ///
-/// When a domain loses power or the network to it is cut, all of its endpoints go silent at once.
-/// Found out one by one, each of them costs callers the time until a connection is given up; the
-/// registries notice only after several missed announcements. So a few silent endpoints in a row
-/// stand for their domain. Any answer from there shows that it is reachable.
+/// When a domain loses power or its network connection, all of its endpoints stop answering at
+/// once. If an edge detected that for one endpoint at a time, requests to each of them would wait
+/// for a connection timeout; the registries detect it only after several missed announcements. The
+/// edge therefore marks the whole domain unreachable after a few consecutive endpoints without an
+/// answer. Any answer from the domain marks it reachable.
 #[derive(Debug, Default)]
 pub struct DomainReach {
-    /// Endpoints that have been silent since their domain's last answer.
+    /// Endpoints that have not answered since their domain's last answer.
     ///
     /// Invariant: no set is empty.
     silent: BTreeMap<String, BTreeSet<EndpointKey>>,
 }
 
 impl DomainReach {
-    /// An endpoint did not answer at all; tells whether its domain counts as unreachable from now on.
+    /// Records that an endpoint did not answer at all; returns whether this made its domain
+    /// unreachable.
     pub fn note_silent(&mut self, domain: &str, endpoint: EndpointKey) -> bool {
         let was_reachable = self.is_reachable(domain);
         let silent = self.silent.entry(domain.to_owned()).or_default();
@@ -35,20 +37,20 @@
         was_reachable && !self.is_reachable(domain)
     }
 
-    /// Something came back from a domain; tells whether it counted as unreachable.
+    /// Records an answer from a domain; returns whether this made the domain reachable again.
     pub fn note_answer(&mut self, domain: &str) -> bool {
         let was_reachable = self.is_reachable(domain);
         self.silent.remove(domain);
         !was_reachable
     }
 
-    /// Whether requests to a domain are likely to arrive.
+    /// Returns whether requests may be sent to a domain; true for unknown domains.
     pub fn is_reachable(&self, domain: &str) -> bool {
         let silent = self.silent.get(domain);
-        silent.is_none_or(|silent| silent.len() < SILENT_ENDPOINTS)
+        silent.is_none_or(|silent| silent.len() < UNREACHABLE_THRESHOLD)
     }
 
-    /// Domains that count as unreachable.
+    /// Returns the domains that count as unreachable.
     pub fn unreachable(&self) -> impl Iterator<Item = &str> {
         let domains = self.silent.keys().map(String::as_str);
         domains.filter(|domain| !self.is_reachable(domain))
--- a/crates/ragwortroad_dispatch/src/edge_directory.rs
+++ b/crates/ragwortroad_dispatch/src/edge_directory.rs
@@ -20,22 +20,21 @@
     edge_view::EdgeView, //
 };
 
-/// Edges that callers are known of, by the word of all registries.
+/// Directory of the edges that callers can use, merged from the views of all registries.
 ///
-/// An edge that any connected registry calls ready is known: a registry that is cut off from edges
-/// has lost them without their being gone. Answers the loss of the registries of a whole failure
-/// domain, and of all of them for a while.
+/// An edge that any connected registry reports as ready is returned: a registry that is partitioned
+/// from edges has lost them although they are running. The directory tolerates the loss of the
+/// registries of a whole failure domain, and of all registries for a while.
 #[derive(Debug)]
 pub struct EdgeDirectory {
     discovery: EdgeDiscovery,
-    /// The last word of each registry, by where it listens.
+    /// Last view of each registry, by the address that it listens on.
     ///
-    /// Invariant: a registry that is not connected has one only while none is connected that has
-    /// known.
+    /// Invariant: views of disconnected registries are kept only while no connected registry has
+    /// sent one.
     views: BTreeMap<SocketAddr, RegistryView>,
 }
 
-/// The word of one registry.
 #[derive(Debug)]
 struct RegistryView {
     view: EdgeView,
@@ -43,7 +42,7 @@
 }
 
 impl EdgeDirectory {
-    /// A directory that starts now and knows no edge.
+    /// Creates an empty directory whose discovery phase starts now.
     pub fn new(now: ClockTime) -> Self {
         Self {
             discovery: EdgeDiscovery::new(now),
@@ -51,37 +50,50 @@
         }
     }
 
-    /// A registry tells what it knows.
+    /// Records a view received from a registry.
     pub fn note_view(&mut self, registry: SocketAddr, view: EdgeView, now: ClockTime) {
         if view.edges > self.edges() {
             self.discovery.note_joined(now);
         }
-        let known = RegistryView {
+        let registry_view = RegistryView {
             view,
             is_connected: true,
         };
-        self.views.insert(registry, known);
-        self.views.retain(|_, known| known.is_connected);
+        self.views.insert(registry, registry_view);
+        self.views
+            .retain(|_, registry_view| registry_view.is_connected);
     }
 
-    /// The connection to a registry has ended.
+    /// Records that the connection to a registry was lost.
     pub fn note_lost(&mut self, registry: SocketAddr) {
-        if let Some(known) = self.views.get_mut(&registry) {
-            known.is_connected = false;
+        if let Some(registry_view) = self.views.get_mut(&registry) {
+            registry_view.is_connected = false;
         }
-        if self.views.values().any(|known| known.is_connected) {
-            self.views.retain(|_, known| known.is_connected);
+        if self
+            .views
+            .values()
+            .any(|registry_view| registry_view.is_connected)
+        {
+            self.views
+                .retain(|_, registry_view| registry_view.is_connected);
         }
     }
 
-    /// At most `most` edges for a caller that asks from an address.
+    /// Returns at most `most` edges for the caller at the address `asker`.
+    ///
+    /// # Errors
+    ///
+    /// Fails during discovery after a start, and if no edge is ready.
     pub fn find(
         &self,
         asker: IpAddr,
         most: usize,
         now: ClockTime,
     ) -> Result<Vec<SocketAddr>, DirectoryError> {
-        let ready = self.views.values().flat_map(|known| &known.view.ready);
+        let ready = self
+            .views
+            .values()
+            .flat_map(|registry_view| &registry_view.view.ready);
         let ready: BTreeSet<SocketAddr> = ready.copied().collect();
         match self
             .discovery
@@ -92,9 +104,12 @@
         }
     }
 
-    /// Edges that the registry with most of them knows.
+    /// Returns the highest number of edges that any registry knows.
     fn edges(&self) -> u32 {
-        let counts = self.views.values().map(|known| known.view.edges);
+        let counts = self
+            .views
+            .values()
+            .map(|registry_view| registry_view.view.edges);
         counts.max().unwrap_or(0)
     }
 }
--- a/crates/ragwortroad_dispatch/src/edge_discovery.rs
+++ b/crates/ragwortroad_dispatch/src/edge_discovery.rs
@@ -2,36 +2,36 @@
 
 use ragwortroad_types::prelude::*;
 
-/// Longest time after a start in which edges are found.
+/// Longest duration of discovery after a start.
 ///
-/// Callers give up connections to addresses that an answer lacks. An answer before the edges are
-/// known would send all of them to the first one.
-const GATHER_TIME: Duration = Duration::from_millis(1200);
+/// Callers close connections to addresses that an answer omits, so an answer before the edges are
+/// known would send all callers to the first edge.
+const MAX_DISCOVERY_TIME: Duration = Duration::from_millis(1200);
 
-/// Time without another edge after which a process that has just started counts all as found.
+/// Time without a new edge after which discovery counts as complete.
 ///
-/// After a common restart all edges come within a tenth of a second.
-const JOIN_TIME: Duration = Duration::from_millis(250);
+/// After a restart of the whole fleet all edges join within a tenth of a second.
+const QUIET_TIME: Duration = Duration::from_millis(250);
 
-/// Why callers are not told of edges now.
+/// Reason why the directory cannot return any edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DirectoryError {
-    /// This process has just started, and edges are still being found.
+    /// The process has just started and is still discovering edges.
     Discovering,
-    /// No edge takes callers.
+    /// No edge is ready.
     NoEdge,
 }
 
-/// How far a process that has started has found the edges.
+/// Discovery of the edges by a process that has just started.
 #[derive(Clone, Copy, Debug)]
 pub struct EdgeDiscovery {
     started_at: ClockTime,
-    /// When another edge was found last.
+    /// When the last edge was discovered.
     joined_at: ClockTime,
 }
 
 impl EdgeDiscovery {
-    /// A process that starts now.
+    /// Starts discovery.
     pub fn new(now: ClockTime) -> Self {
         Self {
             started_at: now,
@@ -39,20 +39,21 @@
         }
     }
 
-    /// Another edge was found.
+    /// Records that another edge was discovered.
     pub fn note_joined(&mut self, now: ClockTime) {
         self.joined_at = now;
     }
 
-    /// Why callers are not to be told of the `ready` ones among `edges` now, if so.
+    /// Returns why callers cannot be referred to the `ready` edges out of `edges` now, or `None` if
+    /// they can.
     pub fn check_ready(
         &self,
         ready: usize,
         edges: usize,
         now: ClockTime,
     ) -> Option<DirectoryError> {
-        let is_new = now.since(self.started_at) < GATHER_TIME;
-        let is_joined = now.since(self.joined_at) < JOIN_TIME;
+        let is_new = now.since(self.started_at) < MAX_DISCOVERY_TIME;
+        let is_joined = now.since(self.joined_at) < QUIET_TIME;
         if is_new && (is_joined || ready * 2 < edges) {
             return Some(DirectoryError::Discovering);
         }
--- a/crates/ragwortroad_dispatch/src/edge_view.rs
+++ b/crates/ragwortroad_dispatch/src/edge_view.rs
@@ -5,12 +5,12 @@
     Serialize, //
 };
 
-/// What one registry knows of the edges.
+/// The edges that one registry knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EdgeView {
-    /// Where callers reach those that take callers.
+    /// Addresses on which the ready edges accept callers.
     pub ready: Vec<SocketAddr>,
-    /// Edges that are connected, those that start or drain among them.
+    /// Number of connected edges, including those that are starting or draining.
     pub edges: u32,
 }
--- a/crates/ragwortroad_dispatch/src/endpoint_load.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_load.rs
@@ -2,132 +2,135 @@
 
 use ragwortroad_types::prelude::*;
 
-/// After this time an endpoint's own reading says nothing about its load any more.
+/// Age from which an endpoint's own load reading is ignored.
 ///
-/// The counts that edges tell each other are no older than that, and tell the same.
-const READING_LIFE: Duration = Duration::from_millis(600);
+/// The counts that edges exchange are at most that old and cover the same requests.
+const READING_TTL: Duration = Duration::from_millis(600);
 
-/// Time for which an endpoint is left alone after its first failure; doubled by each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+/// Pause after an endpoint's first failure; it doubles with each further one.
+const INITIAL_PAUSE: Duration = Duration::from_millis(500);
 
-/// Longest time for which an endpoint is left alone before one request tries it again.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+/// Longest pause before a single request probes the endpoint again.
+const MAX_PAUSE: Duration = Duration::from_secs(8);
 
-/// Weight of one outcome in the moving share of failures: about the last ten count.
+/// Weight of one outcome in the moving failure rate, which covers about the last ten outcomes.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// Time without an outcome in which the share of failures halves.
+/// Time without an outcome in which the failure rate halves.
 ///
-/// An endpoint that is left alone shows no more whether it fails. Were its share kept, it would get
-/// nothing for good, and the others would carry its part.
-const FAILING_HALF_LIFE: Duration = Duration::from_secs(4);
+/// An endpoint that gets no requests yields no outcomes. Without the decay it would never get
+/// requests again, and the other endpoints would carry its share.
+const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// What an endpoint said of its load with an answer.
+/// Load that an endpoint reports along with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReading {
-    /// Requests it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests queued at the endpoint.
     pub waiting: u32,
 }
 
-/// What one edge knows of one endpoint's load and health.
+/// Load and health of one endpoint, as seen by one edge.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointLoad {
-    /// Requests of this edge that are under way there.
+    /// Requests of this edge in flight at the endpoint.
     own: u32,
-    /// The last reading, with the time and this edge's own requests at that time.
+    /// Last reading, when it arrived, and this edge's requests in flight at that time.
     reading: Option<(LoadReading, ClockTime, u32)>,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// No request goes there before this time.
+    /// The endpoint gets no request before this time.
     paused_until: ClockTime,
-    /// Moving share of requests that failed by the endpoint's fault, from 0 to 1, and when it was so.
-    failing: (f64, ClockTime),
+    /// Moving failure rate, from 0 to 1, and when it was last updated.
+    failure_rate: (f64, ClockTime),
 }
 
 impl EndpointLoad {
-    /// Notes that a request goes there.
+    /// Records that a request is sent to the endpoint.
     pub fn start_request(&mut self) {
         self.own += 1;
     }
 
-    /// Notes that a request there has ended, however it did.
+    /// Records that a request has ended, whatever its outcome.
     pub fn finish_request(&mut self) {
         self.own = self.own.saturating_sub(1);
     }
 
-    /// Requests of this edge that are under way there.
+    /// Returns this edge's requests in flight at the endpoint.
     pub fn own(&self) -> u32 {
         self.own
     }
 
-    /// Takes a reading that came with an answer.
+    /// Records a load reading received with an answer.
     pub fn note_reading(&mut self, reading: LoadReading, now: ClockTime) {
         self.reading = Some((reading, now, self.own));
     }
 
-    /// Requests that are at the endpoint by the best knowledge here, with `others` of other edges.
+    /// Estimates the requests at the endpoint, with `others` being those of the other edges.
     ///
-    /// The endpoint's own reading, moved by what this edge has sent and got back since, or what the
-    /// edges counted together, whichever is more: both miss what was sent a moment ago, and an
-    /// endpoint taken for emptier than it is gets the next rush of all edges.
+    /// Takes the larger of two values: the endpoint's last reading, adjusted by the requests that
+    /// this edge has sent and finished since, and the count exchanged between edges. Both lag
+    /// behind requests sent a moment ago, and underestimating an endpoint would attract the next
+    /// burst of all edges.
     pub fn estimate(&self, others: u32, now: ClockTime) -> u32 {
         let counted = self.own + others;
-        let Some((reading, read_at, own_then)) = self.reading else {
+        let Some((reading, read_at, own_at_reading)) = self.reading else {
             return counted;
         };
-        if now.since(read_at) > READING_LIFE {
+        if now.since(read_at) > READING_TTL {
             return counted;
         }
         let total = reading.running + reading.waiting;
-        let moved = (total + self.own).saturating_sub(own_then);
-        moved.max(counted)
+        let adjusted = (total + self.own).saturating_sub(own_at_reading);
+        adjusted.max(counted)
     }
 
-    /// Notes an answer that shows the endpoint well.
+    /// Records an answer that shows the endpoint healthy.
     pub fn note_success(&mut self, now: ClockTime) {
         self.failures = 0;
-        self.failing = (self.failure_rate(now) * (1.0 - FAILURE_WEIGHT), now);
+        self.failure_rate = (self.failure_rate(now) * (1.0 - FAILURE_WEIGHT), now);
     }
 
-    /// Notes a failure that is the endpoint's own.
+    /// Records a failure caused by the endpoint and pauses it.
     ///
-    /// Without the pause every edge would go on offering requests to a dead endpoint until its
-    /// announcements are missed, some seconds later; with it a handful of requests meet it.
+    /// Without the pause, every edge would keep sending requests to a dead endpoint until the
+    /// registries notice the missed announcements some seconds later; with it, only a handful of
+    /// requests fail.
     pub fn note_failure(&mut self, now: ClockTime) {
         let doublings = self.failures.min(4);
-        let pause = (FIRST_PAUSE * (1 << doublings)).min(LONGEST_PAUSE);
+        let pause = (INITIAL_PAUSE * (1 << doublings)).min(MAX_PAUSE);
         self.failures += 1;
         self.raise_failure_rate(now);
         self.paused_until = now.after(pause);
     }
 
-    /// Notes an answer that the endpoint spoiled while others are well.
+    /// Records an answer that the endpoint failed to deliver properly, without pausing the
+    /// endpoint.
     pub fn note_bad_answer(&mut self, now: ClockTime) {
         self.raise_failure_rate(now);
     }
 
-    /// Share of its requests that failed lately, from 0 to 1.
+    /// Returns the recent failure rate of the endpoint, from 0 to 1.
     pub fn failure_rate(&self, now: ClockTime) -> f64 {
-        let (share, noted_at) = self.failing;
-        let halvings = now.since(noted_at).as_secs_f64() / FAILING_HALF_LIFE.as_secs_f64();
-        share * 0.5_f64.powf(halvings)
+        let (rate, noted_at) = self.failure_rate;
+        let halvings = now.since(noted_at).as_secs_f64() / FAILURE_RATE_HALF_LIFE.as_secs_f64();
+        rate * 0.5_f64.powf(halvings)
     }
 
-    /// Raises the share of failures, from what it was before it halved: one that is tried again and
-    /// fails is left alone at once.
+    /// Raises the failure rate from its value before any decay, so that an endpoint which fails
+    /// when it is probed is avoided again at once.
     fn raise_failure_rate(&mut self, now: ClockTime) {
-        let (share, _) = self.failing;
-        self.failing = (share + FAILURE_WEIGHT * (1.0 - share), now);
+        let (rate, _) = self.failure_rate;
+        self.failure_rate = (rate + FAILURE_WEIGHT * (1.0 - rate), now);
     }
 
-    /// Whether requests may go there.
+    /// Returns whether the endpoint may get requests, i.e. is not paused.
     pub fn is_available(&self, now: ClockTime) -> bool {
         now >= self.paused_until
     }
 
-    /// Starts anew, for an endpoint that has started anew.
+    /// Clears everything but the requests in flight, for an endpoint that has restarted.
     pub fn reset(&mut self) {
         *self = Self {
             own: self.own,
--- a/crates/ragwortroad_dispatch/src/endpoint_record.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_record.rs
@@ -5,44 +5,45 @@
     Serialize, //
 };
 
-/// What an endpoint says of itself in an announcement.
+/// Contents of an endpoint's announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Name of this incarnation; a restart mostly draws a new one.
+    /// Name of this incarnation; a restart usually draws a new one.
     pub name: String,
-    /// The service that it answers for.
+    /// Name of the service that it provides.
     pub service: String,
-    /// Where it takes requests.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub zone: String,
-    /// Requests it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub stage: EndpointStage,
-    /// Start of this incarnation in Unix milliseconds; 0 where it was not told.
+    /// Start of this incarnation in Unix milliseconds; 0 if it is unknown.
     pub started_ms: u64,
-    /// Number of the announcement within the incarnation.
+    /// Sequence number of the announcement within the incarnation.
     pub sequence: u64,
-    /// Milliseconds for which it is still slow after its start.
+    /// Milliseconds until the endpoint is warm; 0 if it is.
     pub warming_ms: u32,
 }
 
-/// Whether an endpoint takes new work.
+/// Lifecycle stage of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum EndpointStage {
-    /// It does.
+    /// It accepts new work.
     Ready,
-    /// It finishes what it has and leaves.
+    /// It finishes its requests and then leaves.
     Draining,
     /// It has left.
     Gone,
 }
 
 impl EndpointRecord {
-    /// Order of what is said under one name: a later start, or a later announcement, is newer.
+    /// Returns the sort key of announcements under one name: a later start is newer, then a higher
+    /// sequence number.
     pub fn freshness(&self) -> (u64, u64) {
         (self.started_ms, self.sequence)
     }
--- a/crates/ragwortroad_dispatch/src/endpoint_selection.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_selection.rs
@@ -2,34 +2,39 @@
 
 use crate::EndpointKey;
 
-/// Figures of the choice of a place.
+/// Parameters of the selection of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SelectionSettings {
-    /// An engine that has read a request's text takes it up to this multiple of the mean load.
+    /// Largest multiple of the mean load at which an engine that holds a request's prefix is
+    /// selected.
     ///
-    /// Lower spreads better, higher reads less text again. Sites bound skew at 2 and three more; the
-    /// rest is room for what other edges sent a moment ago.
+    /// Lower values balance better, higher ones recompute fewer prefixes. Sites bound skew at 2
+    /// times the mean plus three requests; the difference absorbs requests that other edges sent a
+    /// moment ago.
     pub holder_load_multiple: f64,
-    /// An engine that has not read the text takes it up to this multiple.
+    /// Largest multiple of the mean load at which an engine that does not hold the prefix is
+    /// selected.
     ///
-    /// Below the other, so that new texts go where there is room and stay there.
+    /// Lower than the multiple for holders, so that new prefixes go to engines with spare capacity
+    /// and stay there.
     pub load_multiple: f64,
-    /// Requests above those multiples which harm nobody: at small means one request more or less
-    /// is a large multiple.
+    /// Requests allowed above those multiples: at a small mean, a single request is a large
+    /// multiple of it.
     pub load_slack: f64,
 }
 
-/// Part of a site's bound on skew up to which an engine takes requests for text that it holds.
+/// Ratio of the multiple for prefix holders to a site's bound on skew.
 ///
-/// Edges know of each other's requests some tenths of a second late, in which a part of an engine's
-/// requests change.
-const HOLD_PART: f64 = 0.8;
+/// Edges learn of each other's requests some tenths of a second late, during which part of an
+/// engine's requests change.
+const HOLDER_LOAD_RATIO: f64 = 0.8;
 
 impl SelectionSettings {
-    /// Figures for a site that lets no engine carry more than `bound` times the mean.
+    /// Returns the parameters for a site that allows no engine more than `bound` times the mean
+    /// load.
     pub fn within(bound: f64) -> Self {
         let default = Self::default();
-        let holder_load_multiple = (bound * HOLD_PART).max(1.0);
+        let holder_load_multiple = (bound * HOLDER_LOAD_RATIO).max(1.0);
         Self {
             holder_load_multiple,
             load_multiple: default.load_multiple.min(holder_load_multiple),
@@ -48,63 +53,67 @@
     }
 }
 
-/// An endpoint that may take a request.
+/// An endpoint that may be selected for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectionCandidate<'a> {
-    /// Whom it stands for.
+    /// Key of the endpoint.
     pub key: EndpointKey,
-    /// Its name, the same at all edges.
+    /// Name of the endpoint, which is the same at all edges.
     pub name: &'a str,
-    /// Requests that are there by the best knowledge here.
+    /// Estimated requests at the endpoint.
     pub load: u32,
-    /// Requests it works on at once.
+    /// Requests that it processes concurrently; 0 if it is unknown.
     pub slots: u32,
-    /// Share of its requests that failed lately, from 0 to 1.
+    /// Recent failure rate, from 0 to 1.
     pub failure_rate: f64,
-    /// Whether it has read the request's shared text.
+    /// Whether it has the request's shared prefix in its cache.
     pub holds_prefix: bool,
 }
 
 impl SelectionCandidate<'_> {
-    /// Whether it starts on one more request at once, by the best knowledge here.
+    /// Returns whether the endpoint has a free slot, as far as this edge knows.
     ///
-    /// Otherwise the request queues there behind strangers, while other engines have places free.
+    /// Without one the request would queue there while other engines have free slots.
     fn has_room(&self) -> bool {
         self.slots == 0 || self.load < self.slots
     }
 }
 
-/// What matters of a request to where it goes.
+/// Properties of a request that its endpoint is selected by.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectionRequest {
-    /// Key of the text that it shares with others; nothing where it shares none.
+    /// Key of the prompt prefix that it shares with other requests; `None` if it shares none.
     pub shared_prefix: Option<u64>,
-    /// A draw between 0 and 1, for choices that nothing else decides.
+    /// Random number between 0 and 1 for choices that nothing else determines.
     pub draw: f64,
 }
 
-/// Share of failures from which an endpoint counts as failing.
+/// Failure rate from which an endpoint counts as failing.
 ///
-/// Services fail one request in seven for reasons of the request; with the weight of the moving
-/// share, a well endpoint stays below this and one that fails four in ten is above after eight.
-pub(crate) const FAILING_SHARE: f64 = 0.3;
+/// Services fail one request in seven for reasons of the request. With the weight of the moving
+/// rate, a healthy endpoint stays below this threshold, and one that fails four in ten exceeds it
+/// after eight requests.
+pub(crate) const FAILING_THRESHOLD: f64 = 0.3;
 
-/// Where a request to a model engine goes.
+/// Selects the engine for a request to a model.
 ///
-/// First to an engine that has read the request's shared text, while that one is not far above the
-/// mean. Otherwise all edges rank the engines for a text in the same order without a message, by a
-/// hash of text and engine, and the first one that has room takes it. So a text is read by few
-/// engines, the same ones each time, and one that is asked for too often overflows to the next in
-/// its order. Answers the loads of a site with many shared texts, a few of them very busy, whose
-/// engines come and go.
+/// Prefers engines that hold the request's shared prefix, unless their load is far above the mean.
+/// Otherwise all edges rank the engines for a prefix in the same order, by a hash of prefix and
+/// engine (rendezvous hashing), and the first one with spare capacity is selected. So a prefix is
+/// computed by few engines, the same ones each time, and a prefix with too much traffic overflows
+/// to the next engine in its order. This suits sites with many shared prefixes, a few of them very
+/// busy, whose engines come and go.
+///
+/// Returns `None` if there are no candidates.
 pub fn choose_engine(
     candidates: &[SelectionCandidate<'_>],
     request: SelectionRequest,
     settings: &SelectionSettings,
 ) -> Option<EndpointKey> {
-    let well = well_candidates(candidates);
-    let mean = mean_load(&well);
-    // The bound is a multiple of the mean of all, those among them that get nothing now.
+    let healthy = healthy_candidates(candidates);
+    let mean = mean_load(&healthy);
+    // The bound is a multiple of the mean over all engines, including those that get no requests
+    // now.
     let highest = mean_load(candidates) * settings.holder_load_multiple;
     let text = request.shared_prefix.unwrap_or(request.draw.to_bits());
     let rank =
@@ -112,19 +121,19 @@
     let is_below = |candidate: &SelectionCandidate<'_>, multiple: f64| {
         f64::from(candidate.load) <= (mean * multiple).min(highest) + settings.load_slack
     };
-    let holders = well.iter().filter(|candidate| candidate.holds_prefix);
+    let holders = healthy.iter().filter(|candidate| candidate.holds_prefix);
     let open: Vec<_> = holders
         .filter(|candidate| candidate.has_room())
         .filter(|candidate| is_below(candidate, settings.holder_load_multiple))
         .collect();
-    let holder = emptier_of_two(&open, request.draw);
+    let holder = less_loaded_of_two(&open, request.draw);
     let first = || {
-        let free = well.iter();
+        let free = healthy.iter();
         let free = free.filter(|candidate| candidate.has_room());
         let free = free.filter(|candidate| is_below(candidate, settings.load_multiple));
         free.max_by_key(|candidate| rank(candidate))
     };
-    let least = || well.iter().min_by_key(|candidate| candidate.load);
+    let least = || healthy.iter().min_by_key(|candidate| candidate.load);
     let chosen = holder.or_else(first).or_else(least);
     chosen.map(|candidate| candidate.key)
 }
@@ -134,11 +143,12 @@
     f64::from(total) / candidates.len().max(1) as f64
 }
 
-/// The emptier of two drawn candidates.
+/// Selects the less loaded of two random candidates.
 ///
-/// Edges know of each other's requests a quarter of a second late. If all took the emptiest holder
-/// of a busy text, it would be the fullest by then; two drawn ones spread the rush.
-fn emptier_of_two<'a, 'b>(
+/// Edges learn of each other's requests a quarter of a second late. If all selected the least
+/// loaded holder of a busy prefix, it would be the most loaded by then; two random choices spread
+/// the burst.
+fn less_loaded_of_two<'a, 'b>(
     open: &[&'a SelectionCandidate<'b>],
     draw: f64,
 ) -> Option<&'a SelectionCandidate<'b>> {
@@ -154,45 +164,50 @@
     })
 }
 
-/// Where a request to a plain service goes: where least of this edge's is under way, by lot among
-/// those.
+/// Selects the replica of a plain service with the fewest requests of this edge, at random among
+/// equals.
+///
+/// Answers take some ten milliseconds there, so counts that other edges sent a quarter of a second
+/// ago are of no use: all edges would select the replica that was least loaded then. Replicas in
+/// the edge's own domain are not preferred, because a domain with a single replica would overload
+/// it while others are idle.
 ///
-/// Answers take some ten milliseconds there, so what other edges told a quarter of a second ago is
-/// no guide: all would go for the replica that was emptiest then. Near replicas are not preferred,
-/// for a domain that has one would fill it while others stand idle.
+/// Returns `None` if there are no candidates.
 pub fn choose_replica(
     candidates: &[SelectionCandidate<'_>],
     request: SelectionRequest,
 ) -> Option<EndpointKey> {
-    let well = well_candidates(candidates);
-    let offset = (request.draw * well.len() as f64) as usize;
-    let turned = well.iter().cycle().skip(offset).take(well.len());
+    let healthy = healthy_candidates(candidates);
+    let offset = (request.draw * healthy.len() as f64) as usize;
+    let turned = healthy.iter().cycle().skip(offset).take(healthy.len());
     turned
         .min_by_key(|candidate| candidate.load)
         .map(|candidate| candidate.key)
 }
 
-/// The candidates without those that fail often, unless all do.
-fn well_candidates<'a>(candidates: &[SelectionCandidate<'a>]) -> Vec<SelectionCandidate<'a>> {
-    healthy_ones(candidates, |candidate| candidate.failure_rate)
+/// Returns the candidates that are not failing, or all of them if most are.
+fn healthy_candidates<'a>(candidates: &[SelectionCandidate<'a>]) -> Vec<SelectionCandidate<'a>> {
+    filter_healthy(candidates, |candidate| candidate.failure_rate)
 }
 
-/// Those that do not fail often, unless most do; `failing` is the share of failures of one.
-pub(crate) fn healthy_ones<T>(all: &[T], failing: impl Fn(&T) -> f64) -> Vec<T>
+/// Returns the items whose failure rate, given by `failing`, is below the threshold, or all of them
+/// if most exceed it.
+pub(crate) fn filter_healthy<T>(all: &[T], failing: impl Fn(&T) -> f64) -> Vec<T>
 where
     T: Copy,
 {
-    let well = all.iter().filter(|one| failing(one) < FAILING_SHARE);
-    let well: Vec<T> = well.copied().collect();
-    // Where most of a service fails, its requests or the service as a whole are at fault, and the
-    // few others would break down under all of its load.
-    if well.len() * 2 < all.len() {
+    let healthy = all.iter().filter(|one| failing(one) < FAILING_THRESHOLD);
+    let healthy: Vec<T> = healthy.copied().collect();
+    // If most endpoints of a service fail, the requests or the service as a whole are the cause,
+    // and the few others would collapse under the whole load.
+    if healthy.len() * 2 < all.len() {
         return all.to_vec();
     }
-    well
+    healthy
 }
 
-/// Key of a text that is made of parts, all but the last of them shared.
+/// Returns the key of the shared prefix of a prompt made of `parts`, of which all but the last are
+/// shared; `None` if there are fewer than two.
 pub fn shared_prefix_key(parts: &[u64]) -> Option<u64> {
     let (_, shared) = parts.split_last()?;
     let last = shared.last()?;
--- a/crates/ragwortroad_dispatch/src/endpoint_table.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_table.rs
@@ -19,32 +19,32 @@
     }, //
 };
 
-/// A registry that an edge hears of endpoints from.
+/// Key of a registry from which an edge learns of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourceKey(pub u32);
 
-/// An endpoint known to an edge.
+/// Key of an endpoint within one edge's [`EndpointTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointKey(pub u32);
 
-/// How long an endpoint stays known that no registry vouches for any more.
+/// How long an endpoint is kept after its last registry was disconnected.
 ///
-/// A registry that is lost takes its first-hand knowledge along, and its endpoints need a few
-/// announcements to find another one. Removing them at once would leave a site without endpoints
-/// whenever all registries restart; an endpoint that is really gone is noticed by the requests
-/// that fail there, within one of them.
+/// A lost registry takes its first-hand knowledge along, and its endpoints need a few announcements
+/// to find another one. Removing them at once would leave a site without endpoints whenever all
+/// registries restart. An endpoint that is really gone is detected by the first request that fails
+/// there.
 const ORPHAN_TTL: Duration = Duration::from_secs(8);
 
-/// How long an endpoint stays known whose registry has missed its announcements.
+/// How long an endpoint is kept after its last registry has reported it lost.
 ///
-/// It has been silent for several intervals then; this is for one that turned to another registry
-/// a moment ago.
+/// The endpoint has missed several announcements by then; this time is for one that has just
+/// switched to another registry.
 const LOST_TTL: Duration = Duration::from_millis(1500);
 
-/// How long it stays known that an incarnation has left; late announcements are older than that.
+/// How long a departed incarnation is remembered; later announcements of it are not expected.
 const GOODBYE_TTL: Duration = Duration::from_secs(60);
 
-/// What an edge knows of endpoints, merged from all registries.
+/// Endpoints known to an edge, merged from all registries.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     names: BTreeMap<String, EndpointKey>,
@@ -56,33 +56,34 @@
 #[derive(Debug)]
 struct EndpointEntry {
     record: EndpointRecord,
-    /// Registries that add_holder for it.
+    /// Registries that currently report the endpoint.
     holders: BTreeSet<SourceKey>,
-    /// Since when nobody vouches for it, or it is known to be gone.
+    /// Since when no registry has reported the endpoint, or it has been known to be gone.
     unheld_since: Option<ClockTime>,
-    /// Whether the last one that vouched for it has missed its announcements since.
+    /// Whether the last registry that reported it has reported it lost since.
     is_lost: bool,
-    /// When it is warm, by its own word.
+    /// When the endpoint is warm, according to its own announcement.
     warm_at: ClockTime,
-    /// Until when it counts as warming up whatever it said, since its domain was drained.
+    /// Until when the endpoint counts as warming up regardless of its announcements, because its
+    /// domain was undrained.
     undrain_warmup_until: ClockTime,
 }
 
-/// What an update has changed.
+/// Effect of an update on an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointChange {
-    /// Nothing that matters to requests.
+    /// Nothing relevant to requests has changed.
     Unchanged,
-    /// It is new, or started anew.
+    /// The endpoint is new or has restarted.
     Started(EndpointKey),
-    /// It takes no new work any more.
+    /// The endpoint no longer accepts new work.
     Stopped(EndpointKey),
-    /// It takes work as before, with other details.
+    /// The endpoint still accepts work, with changed details.
     Changed(EndpointKey),
 }
 
 impl EndpointTable {
-    /// Takes what `source` heard from an endpoint itself.
+    /// Applies a record that the registry `source` received from an endpoint directly.
     pub fn apply_record(
         &mut self,
         source: SourceKey,
@@ -96,8 +97,8 @@
         let Some(entry) = self.entries.get_mut(&key) else {
             return EndpointChange::Unchanged;
         };
-        // A registry may know of a goodbye and of fewer announcements than others: the goodbye
-        // is the later word all the same.
+        // A registry may have seen the goodbye and fewer announcements than others; the goodbye is
+        // final despite its lower sequence number.
         let same_start = record.started_ms == entry.record.started_ms;
         let is_goodbye = same_start && record.stage == EndpointStage::Gone;
         if is_outdated(&entry.record, &record) && !is_goodbye {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// `source` has not heard of an endpoint for too long.
+    /// Records that the registry `source` has reported an endpoint lost.
     pub fn mark_lost(&mut self, source: SourceKey, name: &str, now: ClockTime) {
         let key = self.names.get(name);
         if let Some(entry) = key.and_then(|key| self.entries.get_mut(key)) {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Another endpoint has answered at the address of this one: this incarnation is gone.
+    /// Marks an endpoint as gone because another one has answered at its address.
     pub fn mark_replaced(&mut self, key: EndpointKey, now: ClockTime) {
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.record.stage = EndpointStage::Gone;
@@ -168,11 +169,11 @@
         }
     }
 
-    /// Ends what was at the address of an endpoint that has started later.
+    /// Marks endpoints at the record's address that started earlier as gone.
     ///
-    /// An endpoint that crashed comes back at its address within a second or two under a new name.
-    /// Its predecessor name goes on being known until announcements are missed; each request sent to it
-    /// meanwhile is turned down, and costs its caller one of few attempts.
+    /// A crashed endpoint comes back at its address within a second or two under a new name. Its
+    /// former name is known until announcements are missed; each request sent to it in the meantime
+    /// is rejected and costs its caller one of few attempts.
     fn retire_predecessors(&mut self, record: &EndpointRecord, now: ClockTime) {
         for entry in self.entries.values_mut() {
             let predecessor = &entry.record;
@@ -187,8 +188,8 @@
         }
     }
 
-    /// Takes it that the endpoints of a domain warm up until `until`: it is no longer drained, and
-    /// they may have gone cold without work and have yet to say so.
+    /// Treats the endpoints of an undrained domain as warming up until `until`, since they may have
+    /// become cold without work and not have announced it yet.
     pub fn undrain_domain(&mut self, domain: &str, until: ClockTime) {
         let entries = self.entries.values_mut();
         for entry in entries.filter(|entry| entry.record.zone == domain) {
@@ -196,13 +197,13 @@
         }
     }
 
-    /// Whether an endpoint warms up.
+    /// Returns whether an endpoint is warming up.
     pub fn is_warming(&self, key: EndpointKey, now: ClockTime) -> bool {
         let entry = self.entries.get(&key);
         entry.is_some_and(|entry| now < entry.warm_at.max(entry.undrain_warmup_until))
     }
 
-    /// An endpoint said goodbye at some registry.
+    /// Applies an endpoint's goodbye, received by any registry.
     pub fn apply_goodbye(&mut self, name: &str, now: ClockTime) -> EndpointChange {
         let Some(&key) = self.names.get(name) else {
             return EndpointChange::Unchanged;
@@ -219,7 +220,8 @@
         }
     }
 
-    /// The connection to `source` ended: its word counts no longer.
+    /// Records that the connection to the registry `source` was lost, so its reports no longer
+    /// count.
     pub fn drop_source(&mut self, source: SourceKey, now: ClockTime) {
         for entry in self.entries.values_mut() {
             if entry.holders.remove(&source) {
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Forgets what nobody has vouched for long enough; returns the endpoints forgotten.
+    /// Removes endpoints that no registry has reported for long enough; returns their keys.
     pub fn expire(&mut self, now: ClockTime) -> Vec<EndpointKey> {
         let mut forgotten = Vec::new();
         self.entries.retain(|&key, entry| {
@@ -251,17 +253,17 @@
         forgotten
     }
 
-    /// The endpoint of a tag.
+    /// Returns the endpoint with a tag.
     pub fn find(&self, tag: EndpointTag) -> Option<EndpointKey> {
         self.tags.get(&tag).copied()
     }
 
-    /// What an endpoint said last.
+    /// Returns the latest record of an endpoint.
     pub fn record(&self, key: EndpointKey) -> Option<&EndpointRecord> {
         self.entries.get(&key).map(|entry| &entry.record)
     }
 
-    /// Addresses of the endpoints of a failure domain that are not known to be gone.
+    /// Returns the addresses of the endpoints in a failure domain that are not known to be gone.
     pub fn addresses(&self, domain: &str) -> impl Iterator<Item = SocketAddr> {
         let records = self.entries.values().map(|entry| &entry.record);
         let there = records.filter(|record| record.stage != EndpointStage::Gone);
@@ -269,14 +271,14 @@
         there.map(|record| record.address)
     }
 
-    /// Number of endpoints that take new work.
+    /// Returns the number of endpoints that accept new work.
     pub fn ready_count(&self) -> usize {
         let entries = self.entries.values();
         let ready = entries.filter(|entry| entry.record.stage == EndpointStage::Ready);
         ready.count()
     }
 
-    /// Endpoints of a service that take new work.
+    /// Returns the endpoints of a service that accept new work.
     pub fn ready(&self, service: &str) -> impl Iterator<Item = (EndpointKey, &EndpointRecord)> {
         let entries = self.entries.iter();
         let records = entries.map(|(&key, entry)| (key, &entry.record));
@@ -287,11 +289,12 @@
 }
 
 impl EndpointEntry {
-    /// A registry hears from this incarnation, though what it says of it is known already.
+    /// Records that a registry hears from this incarnation, although its record is not news.
     ///
-    /// It tells nothing more while the endpoint says the same. Left out among the holders, it would
-    /// not count when the registry that had the later word misses the endpoint: one edge would give
-    /// up all endpoints for good, and refuse its callers while the other edges serve theirs.
+    /// A registry sends nothing more while the endpoint's announcements stay the same. If it were
+    /// left out of the holders, it would not count when the registry with the newer record loses
+    /// the endpoint: one edge would drop all endpoints for good and reject its callers while the
+    /// other edges serve theirs.
     fn add_holder(&mut self, source: SourceKey) {
         if self.record.stage == EndpointStage::Gone {
             return;
--- a/crates/ragwortroad_dispatch/src/first_byte_timeout.rs
+++ b/crates/ragwortroad_dispatch/src/first_byte_timeout.rs
@@ -1,19 +1,20 @@
 use std::time::Duration;
 
-/// Multiple of a route's aim after which an endpoint without a first sign of an answer is given up.
+/// Multiple of a route's latency target after which an endpoint that has sent nothing is given up.
 ///
-/// Whoever waits that long is late anyway. Full engines begin within half of the aim, as what they
-/// cannot begin waits at the edges.
-const AIM_MULTIPLE: u32 = 2;
+/// The request is late by then in any case. Full engines start within half of the target, because
+/// the requests that they cannot start are queued at the edges.
+const TARGET_MULTIPLE: u32 = 2;
 
-/// Part of the time that is left for which one endpoint is waited for; the rest is the next one's.
-const TIME_PART: u32 = 2;
+/// Divisor of the time left until the deadline; the remainder is for the next endpoint.
+const DEADLINE_DIVISOR: u32 = 2;
 
-/// How long an endpoint may take to begin its answer, where another one may be asked instead.
+/// Returns how long to wait for an endpoint's first byte before the request is sent to another one.
 ///
-/// An endpoint can take requests and fall silent with its connections up and its health good. All
-/// that goes there would otherwise wait until its caller leaves: of four engines that held back half
-/// of their answers for five seconds, 83 callers got nothing whom others could have served.
+/// An endpoint can accept requests and stop answering while its connections stay up and its health
+/// checks pass. Without this timeout, requests sent there wait until their callers leave: when four
+/// engines withheld half of their answers for five seconds, 83 callers got no answer although other
+/// engines could have served them.
 pub fn first_byte_timeout(target: Duration, time_left: Duration) -> Duration {
-    (target * AIM_MULTIPLE).min(time_left / TIME_PART)
+    (target * TARGET_MULTIPLE).min(time_left / DEADLINE_DIVISOR)
 }
--- a/crates/ragwortroad_dispatch/src/fleet_load.rs
+++ b/crates/ragwortroad_dispatch/src/fleet_load.rs
@@ -1,71 +1,74 @@
-use crate::endpoint_selection::healthy_ones;
+use crate::endpoint_selection::filter_healthy;
 
-/// One endpoint of a service, for the service's load.
+/// Usage of one endpoint of a service, as input to [`FleetLoad::of`].
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointUsage {
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Requests there of all edges, this one's among them.
+    /// Requests of all edges at the endpoint, including this edge's.
     pub total: u32,
-    /// Requests of this edge there as it told them for that total.
+    /// Requests of this edge at the endpoint, as it reported them for that total.
     pub own: u32,
-    /// Share of its requests that failed lately, from 0 to 1.
+    /// Recent failure rate, from 0 to 1.
     pub failure_rate: f64,
 }
 
-/// What one edge knows of all requests at the endpoints of one service, at one moment.
+/// Load of all edges on the endpoints of one service, as known to one edge.
 ///
-/// The figures are as old as what edges tell each other: about 0.3 s.
+/// The counts are as old as the edges' reports, about 0.3 s.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetLoad {
-    /// Requests that the endpoints carry well together.
+    /// Requests that the endpoints can process concurrently, all together.
     pub capacity: f64,
-    /// Requests of all edges, this one's among them.
+    /// Requests of all edges, including this edge's.
     pub total: u32,
-    /// Requests of this edge as it told them for that total.
+    /// Requests of this edge, as it reported them for that total.
     pub own: u32,
-    /// Edges that take requests.
+    /// Number of edges that serve requests.
     pub edges: u32,
 }
 
-/// Part of the room up to which edges fill it together.
+/// Share of the capacity that the edges fill together.
 ///
-/// The rest takes what edges admit while they do not know of each other. Filled further, no engine has
-/// room, and texts move between engines and are read again.
-const FILLED_PART: f64 = 0.95;
+/// The rest absorbs requests that edges admit before they learn of each other's. At a higher
+/// utilization no engine has spare capacity, and prefixes move between engines and are computed
+/// again.
+const TARGET_UTILIZATION: f64 = 0.95;
 
-/// Part of its places that an endpoint can use while it warms up.
+/// Share of its slots that a warming endpoint can use.
 ///
-/// It is sent requests at a bounded rate then, and the requests that edges admitted for its other
-/// places would queue at the others.
-const WARMING_PART: f64 = 0.5;
+/// It gets requests at a limited rate, so requests admitted for its other slots would queue at the
+/// other endpoints.
+const WARMUP_SLOT_RATIO: f64 = 0.5;
 
-/// Requests that an endpoint can work on at once now.
+/// Returns the number of requests that an endpoint can currently process concurrently.
 pub fn usable_slots(slots: u32, is_warming: bool) -> u32 {
     match is_warming {
-        true => (f64::from(slots) * WARMING_PART) as u32,
+        true => (f64::from(slots) * WARMUP_SLOT_RATIO) as u32,
         false => slots,
     }
 }
 
-/// Part of an edge's limit that is an equal share, rather than in proportion to what it has.
+/// Share of an edge's limit that is equal for all edges; the rest is proportional to its current
+/// load.
 ///
-/// Without it an edge that had little when the fleet filled up would keep little for good, and
-/// its callers would be refused while those of other edges are served.
-const EQUAL_PART: f64 = 0.2;
+/// Without it, an edge with little load when the fleet fills up would keep a low limit for good,
+/// and reject its callers while those of other edges are served.
+const EQUAL_SHARE_RATIO: f64 = 0.2;
 
 impl FleetLoad {
-    /// The load of a service with these endpoints, for one of `edges`; nothing if none takes work.
+    /// Returns the load of a service on these endpoints, for one of `edges`, or `None` if they have
+    /// no slots.
     ///
-    /// Only endpoints that are chosen count. If the places of engines that fail were filled too, the
-    /// requests for them would all queue at the others.
+    /// Counts only endpoints that can be selected. If the slots of failing engines were filled too,
+    /// the requests for them would queue at the others.
     pub fn of(endpoints: &[EndpointUsage], edges: u32) -> Option<Self> {
-        let well = healthy_ones(endpoints, |endpoint| endpoint.failure_rate);
+        let healthy = filter_healthy(endpoints, |endpoint| endpoint.failure_rate);
         let start = Self {
             edges,
             ..Self::default()
         };
-        let load = well.iter().fold(start, |sum, endpoint| Self {
+        let load = healthy.iter().fold(start, |sum, endpoint| Self {
             capacity: sum.capacity + f64::from(endpoint.slots),
             total: sum.total + endpoint.total,
             own: sum.own + endpoint.own,
@@ -74,24 +77,26 @@
         (load.capacity > 0.0).then_some(load)
     }
 
-    /// Requests that this edge may have under way, so that all edges together fill the room.
+    /// Returns the largest number of requests that this edge may have in flight, so that all edges
+    /// together fill the capacity.
     ///
-    /// Each edge scales what it had at the time of the total by the same factor, so the fleet is as
-    /// full as it should be one message later, whatever each edge's part. A limit on what is under
-    /// way stays true while the total is late; a rate would run on. Answers loads past what the
-    /// engines carry: without a limit they queue at the engines until their callers have left, and
-    /// the work is done for nobody.
+    /// Each edge scales its load at the time of the total by the same factor, so the fleet reaches
+    /// the desired utilization after the next exchange of counts, whatever each edge's share. A
+    /// limit on concurrency stays valid while the total is late, unlike a limit on the rate. It
+    /// protects against loads above the engines' capacity: without a limit, requests queue at the
+    /// engines until their callers have left, and the work is wasted.
     pub fn own_limit(&self) -> f64 {
         let edges = f64::from(self.edges.max(1));
-        let room = self.capacity * FILLED_PART;
+        let capacity = self.capacity * TARGET_UTILIZATION;
         let total = f64::from(self.total.max(self.own));
-        let equal = total / edges;
-        let present = equal * EQUAL_PART + f64::from(self.own) * (1.0 - EQUAL_PART);
-        let factor = if total > 0.0 { room / total } else { 1.0 };
-        // An edge that had nothing may take its part of what is free. So that is granted twice, which
-        // only a surge of all edges within one message can use up, and no caller is refused while
-        // there is room.
-        let free = (room - total).max(0.0) / edges;
-        (present * factor + free).max(1.0)
+        let equal_load = total / edges;
+        let weighted_load =
+            equal_load * EQUAL_SHARE_RATIO + f64::from(self.own) * (1.0 - EQUAL_SHARE_RATIO);
+        let factor = if total > 0.0 { capacity / total } else { 1.0 };
+        // An idle edge may take its share of the free capacity. That grants the free capacity
+        // twice, which only a surge at all edges between two exchanges can exhaust, and no caller
+        // is rejected while there is capacity.
+        let free = (capacity - total).max(0.0) / edges;
+        (weighted_load * factor + free).max(1.0)
     }
 }
--- a/crates/ragwortroad_dispatch/src/home_choice.rs
+++ b/crates/ragwortroad_dispatch/src/home_choice.rs
@@ -2,39 +2,39 @@
 
 use ragwortroad_types::prelude::*;
 
-/// A registry that an edge may take for its home.
+/// A registry that an edge can choose as its home registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HomeCandidate {
-    /// Where it is.
+    /// Address of the registry.
     pub address: SocketAddr,
-    /// Registries that it hears, itself among them.
+    /// Number of registries that it has contact with, including itself.
     pub hears: u32,
-    /// Registries that vote, by its word; none where it has not said so yet.
+    /// Number of voting registries that it reports; 0 before its first report.
     pub voters: u32,
 }
 
 impl HomeCandidate {
-    /// Whether it hears more than half of the registries, as far as it has said.
-    fn hears_most(&self) -> bool {
+    /// Returns whether the registry has contact with a majority; true before its first report.
+    fn hears_majority(&self) -> bool {
         self.voters == 0 || self.hears * 2 > self.voters
     }
 }
 
-/// The registry to which an edge tells its loads and the places of its texts.
+/// Chooses the home registry, to which an edge reports its loads and prefix locations.
 ///
-/// Edges divide themselves among all registries without a message, and those of a registry that is
-/// lost divide themselves among the others. If all took the same one, its link would carry what the
-/// whole fleet tells and is told. A registry that is cut off from the others knows the loads of its
-/// own edges only: these would take the engines for empty and fill them up beside all other edges.
-/// So one that hears most of the others goes first; there all edges meet while the registries are
-/// cut in two.
+/// Edges spread over all registries without coordination, and those of a lost registry spread over
+/// the rest. If all edges chose the same one, its link would carry the reports of the whole fleet.
+/// A registry that is partitioned from the others knows only the loads of its own edges, which
+/// would underestimate the engines' load and overload them together with all other edges.
+/// Registries with contact to a majority are therefore preferred; all edges meet there during a
+/// partition.
 pub fn choose_home(edge: &str, candidates: &[HomeCandidate]) -> Option<SocketAddr> {
-    let whole = candidates.iter().filter(|one| one.hears_most());
-    let whole = prefer_registry(edge, whole.map(|one| one.address));
-    whole.or_else(|| prefer_registry(edge, candidates.iter().map(|one| one.address)))
+    let with_majority = candidates.iter().filter(|one| one.hears_majority());
+    let with_majority = prefer_registry(edge, with_majority.map(|one| one.address));
+    with_majority.or_else(|| prefer_registry(edge, candidates.iter().map(|one| one.address)))
 }
 
-/// The registry that an edge prefers: each edge ranks them by a hash of both names.
+/// Returns the registry that an edge prefers, by a hash of both names (rendezvous hashing).
 pub fn prefer_registry(
     edge: &str,
     registries: impl Iterator<Item = SocketAddr>,
--- a/crates/ragwortroad_dispatch/src/latency_limit.rs
+++ b/crates/ragwortroad_dispatch/src/latency_limit.rs
@@ -1,85 +1,91 @@
 use std::time::Duration;
 
-/// Answers that are looked at together.
+/// Answers per measurement round.
 ///
-/// Few enough that one of eighty edges sees a surge within half a second.
-const ROUND: usize = 8;
+/// Low enough that one of eighty edges detects a surge within half a second.
+const SAMPLES_PER_ROUND: usize = 8;
 
-/// Part of the aim above which the middle answer shows that requests queue at the endpoints.
+/// Share of the latency target above which a median answer shows that requests queue at the
+/// endpoints.
 ///
-/// The other half is for what waits at the edge, and for answers slower than the middle one.
-const QUEUED_PART: f64 = 0.6;
+/// The rest of the target is for queueing at the edge and for answers slower than the median.
+const QUEUED_TARGET_RATIO: f64 = 0.6;
 
-/// Multiple of the quickest answers above which a middle answer has queued.
+/// Multiple of the baseline latency above which a median answer shows that requests queue at the
+/// endpoints.
 ///
-/// A service may be slow by itself; without this its requests would be refused for nothing.
-const QUEUED_MULTIPLE: f64 = 2.0;
+/// Without it, a service that is slow by itself would have requests rejected for nothing.
+const QUEUED_BASELINE_MULTIPLE: f64 = 2.0;
 
-/// Weight of a new round's quickest answer where it is slower than the quickest known.
-const QUICKEST_WEIGHT: f64 = 0.02;
+/// Weight of a round's fastest answer in the baseline if it is slower than the baseline.
+const BASELINE_WEIGHT: f64 = 0.02;
 
-/// What is left of the limit after a round that has queued.
-const FALL_PART: f64 = 0.85;
+/// Factor of the limit after a round with queueing.
+const DECREASE_FACTOR: f64 = 0.85;
 
-/// How the limit rises with a round that has not.
-const RISE_PART: f64 = 1.1;
+/// Factor of the limit after a round without queueing.
+const INCREASE_FACTOR: f64 = 1.1;
 
-/// How many requests of one edge a plain service takes at once, learned from its answers' times.
+/// Adaptive limit on one edge's concurrent requests to a plain service, derived from the latency of
+/// its answers.
 ///
-/// Replicas of plain services tell no load, and what edges tell each other is older than their
-/// answers. When most answers of a round have queued, less goes there; one slow replica among
-/// several does not show in the middle of a round, and is avoided by the choice of an endpoint.
-/// Answers loads past what the replicas do: without a limit all answers are late, and the replicas
-/// refuse requests that had to come twice.
+/// Replicas of plain services report no load, and the counts that edges exchange are older than
+/// their answers take. When most answers of a round have queued, the limit decreases; a single slow
+/// replica does not affect the median of a round, and is avoided by endpoint selection. The limit
+/// protects against loads above the replicas' capacity: without one, all answers are late, and the
+/// replicas reject requests that then have to be sent twice.
 #[derive(Clone, Debug)]
 pub struct LatencyLimit {
     limit: f64,
-    /// Times of this round, as parts of the aim.
-    times: Vec<f64>,
-    /// The quickest answers, as a part of the aim; nothing before the first round.
-    quickest: Option<f64>,
+    /// Latencies of the current round, relative to the latency target.
+    latencies: Vec<f64>,
+    /// Baseline latency of the fastest answers, relative to the latency target; `None` before the
+    /// first round.
+    baseline: Option<f64>,
 }
 
 impl Default for LatencyLimit {
     fn default() -> Self {
         Self {
             limit: f64::INFINITY,
-            times: Vec::with_capacity(ROUND),
-            quickest: None,
+            latencies: Vec::with_capacity(SAMPLES_PER_ROUND),
+            baseline: None,
         }
     }
 }
 
 impl LatencyLimit {
-    /// Requests that may be under way; without a bound until some have queued.
+    /// Returns the largest number of requests in flight; infinite until queueing was detected.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Notes an answer that took `took` where `target` was the aim, with `under_way` requests;
-    /// tells whether the limit has changed.
-    pub fn note(&mut self, took: Duration, target: Duration, under_way: u32) -> bool {
+    /// Records an answer that took `took`, with a latency target of `target` and `in_flight`
+    /// requests; returns whether the limit has changed.
+    pub fn note(&mut self, took: Duration, target: Duration, in_flight: u32) -> bool {
         if target.is_zero() {
             return false;
         }
-        self.times.push(took.as_secs_f64() / target.as_secs_f64());
-        if self.times.len() < ROUND {
+        self.latencies
+            .push(took.as_secs_f64() / target.as_secs_f64());
+        if self.latencies.len() < SAMPLES_PER_ROUND {
             return false;
         }
-        self.times.sort_by(f64::total_cmp);
-        let middle = self.times[ROUND / 2];
-        let first = self.times[0];
-        self.times.clear();
-        let quickest = match self.quickest {
-            Some(known) if first > known => known + (first - known) * QUICKEST_WEIGHT,
-            _ => first,
+        self.latencies.sort_by(f64::total_cmp);
+        let median = self.latencies[SAMPLES_PER_ROUND / 2];
+        let fastest = self.latencies[0];
+        self.latencies.clear();
+        let baseline = match self.baseline {
+            Some(known) if fastest > known => known + (fastest - known) * BASELINE_WEIGHT,
+            _ => fastest,
         };
-        self.quickest = Some(quickest);
+        self.baseline = Some(baseline);
         let before = self.limit;
-        let has_queued = middle > QUEUED_PART && middle > quickest * QUEUED_MULTIPLE;
+        let has_queued =
+            median > QUEUED_TARGET_RATIO && median > baseline * QUEUED_BASELINE_MULTIPLE;
         self.limit = match has_queued {
-            true => (before.min(f64::from(under_way)) * FALL_PART).max(1.0),
-            false => before * RISE_PART,
+            true => (before.min(f64::from(in_flight)) * DECREASE_FACTOR).max(1.0),
+            false => before * INCREASE_FACTOR,
         };
         before != self.limit
     }
--- a/crates/ragwortroad_dispatch/src/lib.rs
+++ b/crates/ragwortroad_dispatch/src/lib.rs
@@ -1,10 +1,12 @@
-//! Decisions of a fleet that forwards requests by host and path.
+//! Load balancing, admission and membership decisions of a fleet that routes requests by host and
+//! path.
 //!
-//! An *edge* takes requests from callers and passes them on to endpoints; a *registry* holds the
-//! site's configuration and hears the endpoints' announcements. This crate decides for both: which
-//! route a request has, whose key it carries, which endpoints exist, where a request goes, when it
-//! may be repeated, and who has a seat among the registries that vote. Nothing here reads a clock,
-//! draws unseeded randomness, or does input or output.
+//! An *edge* is a proxy that accepts requests from callers and forwards them to endpoints. A
+//! *registry* stores the site's configuration and receives the endpoints' announcements. This crate
+//! holds the decision logic of both: it matches routes, identifies customers by key, tracks
+//! endpoints, selects an endpoint for each request, limits retries, and plans which registries
+//! vote. It is deterministic: nothing here reads a clock, draws unseeded random numbers, or
+//! performs I/O.
 
 mod address_choice;
 mod admission_gate;
@@ -45,7 +47,7 @@
 mod warmup_pace;
 mod warmup_share;
 
-/// Everything a dependent crate usually needs.
+/// Reexports the public items of this crate.
 pub mod prelude {
     pub use crate::{
         address_choice::{
--- a/crates/ragwortroad_dispatch/src/load_totals.rs
+++ b/crates/ragwortroad_dispatch/src/load_totals.rs
@@ -12,64 +12,65 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-/// An endpoint in messages about load: a hash of its name, a third of its length.
+/// Identifies an endpoint in load messages: a hash of its name, a third of the name's length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct EndpointTag(pub u32);
 
 impl EndpointTag {
-    /// The tag of an endpoint's name.
+    /// Returns the tag of an endpoint's name.
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()) as u32)
     }
 }
 
-/// Requests under way at an endpoint.
+/// Number of requests in flight at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadCount {
-    /// The endpoint.
+    /// Tag of the endpoint.
     pub endpoint: EndpointTag,
-    /// How many.
+    /// Requests in flight.
     pub count: u32,
 }
 
-/// Part of the mean from which an endpoint's load is worth telling.
+/// Share of the mean load from which an endpoint's load is published.
 ///
-/// Edges only have to know which endpoints are near the bound; telling the others too would double
-/// what a registry's link carries.
-const TOLD_PART: f64 = 0.8;
+/// Edges only need to know which endpoints are close to the bound; publishing the others would
+/// double the traffic on a registry's link.
+const PUBLISHED_LOAD_RATIO: f64 = 0.8;
 
-/// Endpoints told of at once, the fullest first: only those near the bound matter, and at thousands
-/// of endpoints and hundreds of edges the rest would fill a registry's link.
-const MAX_CHANGES: usize = 300;
+/// Largest number of changes published at once, the highest loads first: only those close to the
+/// bound matter, and at thousands of endpoints and hundreds of edges the rest would saturate a
+/// registry's link.
+const MAX_PUBLISHED_CHANGES: usize = 300;
 
-/// Edges whose loads one registry takes and tells at the full pace.
+/// Number of edges up to which one registry exchanges loads at the full rate.
 ///
-/// Each sends it five messages a second and is sent as many; far more would take all of a small
-/// VM's processor.
-const EDGES_AT_FULL_PACE: u32 = 100;
+/// Each edge sends it five messages per second and gets as many; far more would take the whole
+/// processor of a small VM.
+const EDGES_AT_FULL_RATE: u32 = 100;
 
-/// How many times rarer loads are told than by a few edges.
+/// Returns the factor by which the interval between load messages grows with the number of edges.
 pub fn load_interval_factor(edges: u32) -> u32 {
-    edges.div_ceil(EDGES_AT_FULL_PACE).max(1)
+    edges.div_ceil(EDGES_AT_FULL_RATE).max(1)
 }
 
-/// What one edge has told one registry of its requests under way.
+/// Request counts that one edge has reported to one registry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CountReport {
     /// Invariant: no count is zero.
-    told: BTreeMap<EndpointTag, u32>,
+    published: BTreeMap<EndpointTag, u32>,
 }
 
 impl CountReport {
-    /// What has to be told so that the registry knows `current`, and nothing besides.
+    /// Returns the changes to report so that the registry knows `current`.
     ///
-    /// A registry that is no longer the one that adds up is told of nothing under way: otherwise it
-    /// would go on telling counts of long ago, all engines would seem fuller than they are, and
-    /// the bound with them.
+    /// A registry that is no longer the edge's home gets zero counts: otherwise it would keep
+    /// publishing outdated counts, and all engines, and the load bound with them, would appear
+    /// higher than they are.
     pub fn changes(&mut self, current: &BTreeMap<EndpointTag, u32>) -> Vec<LoadCount> {
-        let known = self.told.keys().chain(current.keys());
+        let known = self.published.keys().chain(current.keys());
         let endpoints: BTreeSet<EndpointTag> = known.copied().collect();
         let mut changes = Vec::new();
         for endpoint in endpoints {
@@ -78,37 +79,37 @@
                 changes.push(LoadCount { endpoint, count });
             }
         }
-        self.told = current.clone();
-        self.told.retain(|_, count| *count > 0);
+        self.published = current.clone();
+        self.published.retain(|_, count| *count > 0);
         changes
     }
 
-    /// What was told of an endpoint.
+    /// Returns the count last reported for an endpoint.
     pub fn count(&self, endpoint: EndpointTag) -> u32 {
-        self.told.get(&endpoint).copied().unwrap_or(0)
+        self.published.get(&endpoint).copied().unwrap_or(0)
     }
 }
 
-/// Who tells a registry of requests under way, by the address that a new connection has too.
+/// Source of request counts, identified by an address that outlives a connection.
 ///
-/// A process that connects anew may be back seconds before its former connection is found dead. Named
-/// by connections it would count twice until then: engines would seem fuller than they are, and
-/// callers be refused while there is room.
+/// A reconnecting process may be back seconds before its old connection is found dead. If sources
+/// were identified by connection, it would count twice until then: engines would appear to be more
+/// loaded, and callers would be rejected while there is capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LoadSource {
-    /// An edge that takes this registry for its home.
+    /// An edge whose home is this registry.
     Edge(SocketAddr),
-    /// Another registry, with the sums of the edges whose home it is.
+    /// Another registry, which reports the sums over its own edges.
     Registry(SocketAddr),
 }
 
-/// What the edges have under way, added up by the registries together.
+/// Request counts of all edges, summed up by the registries together.
 ///
-/// Sixty edges that each send one request in a while to the engine that holds a busy text see
-/// nothing of each other; one notices engines far above the mean. Readings come with an answer's
-/// beginning, too late and too rarely at one edge. Here every edge's count is known a moment later.
-/// Each registry adds up the edges whose home it is, tells the sums to the other registries, and
-/// the totals to its own edges; so what one of them sends and takes grows with its part of the fleet.
+/// Sixty edges that each send an occasional request to the engine that holds a busy prefix do not
+/// see each other, which results in engines far above the mean load. Load readings arrive with the
+/// first bytes of an answer, too late and too rarely at one edge; the sums make every edge's count
+/// known a moment later. Each registry sums up its own edges, sends the sums to the other
+/// registries and the totals to its edges, so its traffic grows with its share of the fleet.
 #[derive(Debug, Default)]
 pub struct LoadTotals {
     sources: BTreeMap<LoadSource, BTreeMap<EndpointTag, u32>>,
@@ -118,14 +119,14 @@
     own: BTreeMap<EndpointTag, u32>,
     /// Sums over all edges.
     totals: BTreeMap<EndpointTag, u32>,
-    /// What this registry's edges were told last.
-    told: BTreeMap<EndpointTag, u32>,
-    /// What the other registries were told last.
+    /// Counts last published to this registry's edges.
+    published: BTreeMap<EndpointTag, u32>,
+    /// Counts last reported to the other registries.
     report: CountReport,
 }
 
 impl LoadTotals {
-    /// Takes counts of a source that have changed.
+    /// Applies changed counts of a source.
     pub fn update(&mut self, source: LoadSource, counts: &[LoadCount]) {
         let known = self.sources.entry(source).or_default();
         for change in counts {
@@ -134,76 +135,82 @@
                 count => known.insert(change.endpoint, count),
             };
             let before = before.unwrap_or(0);
-            shift(&mut self.totals, change.endpoint, before, change.count);
+            replace_summand(&mut self.totals, change.endpoint, before, change.count);
             if matches!(source, LoadSource::Edge(_)) {
-                shift(&mut self.own, change.endpoint, before, change.count);
+                replace_summand(&mut self.own, change.endpoint, before, change.count);
             }
         }
     }
 
-    /// A source is gone or starts to tell anew, and what it had under way counts no longer.
+    /// Removes the counts of a source that is gone or reports from the beginning.
     pub fn drop_source(&mut self, source: LoadSource) {
         for (endpoint, count) in self.sources.remove(&source).unwrap_or_default() {
-            shift(&mut self.totals, endpoint, count, 0);
+            replace_summand(&mut self.totals, endpoint, count, 0);
             if matches!(source, LoadSource::Edge(_)) {
-                shift(&mut self.own, endpoint, count, 0);
+                replace_summand(&mut self.own, endpoint, count, 0);
             }
         }
     }
 
-    /// Sums over this registry's edges that the other registries have to be told since the last time.
+    /// Returns the changes of this registry's own sums since the last call, for the other
+    /// registries.
     pub fn own_changes(&mut self) -> Vec<LoadCount> {
         self.report.changes(&self.own)
     }
 
-    /// All that the other registries were told, for one that was just reached.
+    /// Returns all sums reported to the other registries so far, for one that has just connected.
     pub fn own_published(&self) -> Vec<LoadCount> {
-        load_counts(&self.report.told)
+        load_counts(&self.report.published)
     }
 
-    /// Totals that this registry's edges have to be told since the last time.
+    /// Returns the changed totals to publish to this registry's edges.
     pub fn changes(&mut self) -> Vec<LoadCount> {
         let sum: u32 = self.totals.values().sum();
         let mean = f64::from(sum) / self.totals.len().max(1) as f64;
-        let is_told = |total: u32| f64::from(total) >= mean * TOLD_PART;
+        let is_published = |total: u32| f64::from(total) >= mean * PUBLISHED_LOAD_RATIO;
         let mut changes = Vec::new();
         for (&endpoint, &count) in &self.totals {
-            let before = self.told.get(&endpoint).copied();
+            let before = self.published.get(&endpoint).copied();
             let is_changed = match before {
                 Some(before) => before != count,
-                None => is_told(count),
+                None => is_published(count),
             };
             if is_changed {
                 changes.push(LoadCount { endpoint, count });
             }
         }
-        for &endpoint in self.told.keys() {
+        for &endpoint in self.published.keys() {
             if !self.totals.contains_key(&endpoint) {
                 let count = 0;
                 changes.push(LoadCount { endpoint, count });
             }
         }
-        if changes.len() > MAX_CHANGES {
+        if changes.len() > MAX_PUBLISHED_CHANGES {
             changes.sort_by_key(|change| std::cmp::Reverse(change.count));
-            changes.truncate(MAX_CHANGES);
+            changes.truncate(MAX_PUBLISHED_CHANGES);
         }
         for change in &changes {
             match change.count {
-                0 => self.told.remove(&change.endpoint),
-                count => self.told.insert(change.endpoint, count),
+                0 => self.published.remove(&change.endpoint),
+                count => self.published.insert(change.endpoint, count),
             };
         }
         changes
     }
 
-    /// All that this registry's edges were told, for one that has just come.
+    /// Returns all totals published so far, for an edge that has just connected.
     pub fn published(&self) -> Vec<LoadCount> {
-        load_counts(&self.told)
+        load_counts(&self.published)
     }
 }
 
-/// Takes into a sum that one of its parts has changed; sums of nothing are left out.
-fn shift(sums: &mut BTreeMap<EndpointTag, u32>, endpoint: EndpointTag, before: u32, after: u32) {
+/// Replaces one summand of an endpoint's sum; removes sums of zero.
+fn replace_summand(
+    sums: &mut BTreeMap<EndpointTag, u32>,
+    endpoint: EndpointTag,
+    before: u32,
+    after: u32,
+) {
     let sum = sums.entry(endpoint).or_default();
     *sum = (*sum + after).saturating_sub(before);
     if *sum == 0 {
--- a/crates/ragwortroad_dispatch/src/location_log.rs
+++ b/crates/ragwortroad_dispatch/src/location_log.rs
@@ -12,180 +12,186 @@
 
 use crate::PrefixLocation;
 
-/// Places remembered for edges that start; each takes some dozen bytes on a link.
-const MAX_PLACES: usize = 4000;
+/// Locations kept for edges that start; each takes some dozen bytes on a link.
+const MAX_LOCATIONS: usize = 4000;
 
-/// Time in which a place that was heard of reaches all edges.
+/// Time in which a location reaches all edges.
 ///
-/// Until then many of them place the same text at the same engine, since all rank engines alike.
-/// An edge that tells it again later has forgotten it, so others may have too.
-const SPREAD_TIME: Duration = Duration::from_secs(5);
+/// Until then, many edges report the same location, since all rank engines for a prefix alike. An
+/// edge that reports it again later has forgotten it, so others may have as well.
+const PROPAGATION_TIME: Duration = Duration::from_secs(5);
 
-/// Time between two times at which places are put on the disk.
+/// Shortest interval between two writes of the locations to disk.
 ///
-/// They change with engines that come, go or fill up, some in a second. A sync takes a disk up to
-/// 5 ms, and the log of the configuration waits for none of them longer than that.
-const KEEP_EVERY: Duration = Duration::from_secs(1);
+/// Locations change with engines that come, go or fill up, some of them every second. A sync takes
+/// a disk up to 5 ms, and the write-ahead log of the configuration is delayed by no more than that.
+const STORE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after which another edge is asked for all that it knows, if the first one did not answer.
-const ASK_AGAIN: Duration = Duration::from_secs(5);
+/// Time after which the snapshot is requested from another edge if the first one has not answered.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Number of the first place noted; what an earlier process has kept is numbered down from it.
-const FIRST_NUMBER: u64 = 1 << 32;
+/// Number of the first entry added at run time; stored entries of an earlier process are numbered
+/// down from it.
+const FIRST_ENTRY_NUMBER: u64 = 1 << 32;
 
-/// Who is told places by a registry.
+/// A subscriber to a registry's locations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LocationReader {
-    /// An edge that takes the registry for its home, by the number of its connection.
+    /// An edge whose home is the registry, by the number of its connection.
     Edge(u64),
-    /// Another registry, which is told only what this one heard from edges itself.
+    /// Another registry, which gets only locations that this one received from edges directly.
     Registry(SocketAddr),
 }
 
-/// Who told a registry of places.
+/// Sender of reported locations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocationOrigin {
-    /// An edge, which has just placed them; the other registries are still to be told.
+    /// An edge, which has just routed requests there; the other registries have to be informed.
     Edge,
-    /// Another registry, which tells all others itself.
+    /// Another registry, which informs all others itself.
     Registry,
 }
 
-/// Places that several readers are to be told.
+/// Locations to send to several readers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocationBatch {
-    /// Who.
+    /// Readers to send to.
     pub readers: Vec<LocationReader>,
-    /// What.
+    /// Locations to send, the oldest first.
     pub locations: Vec<PrefixLocation>,
 }
 
-/// Where edges have placed texts, as one registry knows it, and whom it has told how much.
+/// A registry's log of prefix locations, with the position of each reader.
 ///
-/// Edges tell one registry each, which tells the other registries, and each of them its own edges. So
-/// all edges know a text's engine before most of them meet the text, every registry keeps all
-/// places, and none sends them to the whole fleet. Each reader is told at the pace of the link
-/// from where it has got to; one that is new starts with the oldest.
+/// Each edge reports to one registry, which forwards to the other registries, and each of them to
+/// its own edges. So all edges know a prefix's engine before most of them get requests with that
+/// prefix, every registry has all locations, and none sends them to the whole fleet. Each reader is
+/// sent entries from its position on, at the pace of the link; a new reader starts with the oldest
+/// entry.
 #[derive(Debug)]
 pub struct LocationLog {
-    /// The newest last.
+    /// Entries, the oldest first.
     log: VecDeque<LocationEntry>,
-    /// Number of the first entry of the log.
+    /// Number of the oldest entry.
     first: u64,
-    /// When each place was put into the log last.
-    noted: HashMap<PrefixLocation, ClockTime>,
-    /// Number of the entry that each reader is told next.
+    /// When each location was last added.
+    added: HashMap<PrefixLocation, ClockTime>,
+    /// Number of the next entry for each reader.
     readers: BTreeMap<LocationReader, u64>,
-    /// When some edge was asked for all that it knows; nothing before.
-    asked_at: Option<ClockTime>,
-    /// Whether an edge has answered that.
-    is_whole: bool,
-    /// Whether the disk lacks something of what is known.
-    is_unkept: bool,
-    keep_at: ClockTime,
+    /// When a snapshot was last requested from an edge; `None` before the first request.
+    requested_at: Option<ClockTime>,
+    /// Whether an edge has sent a snapshot.
+    has_snapshot: bool,
+    /// Whether there are entries that were not written to disk.
+    is_dirty: bool,
+    next_store_at: ClockTime,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct LocationEntry {
-    place: PrefixLocation,
+    location: PrefixLocation,
     origin: LocationOrigin,
 }
 
 impl LocationLog {
-    /// A board on which nothing is known.
+    /// Creates an empty log.
     pub fn new(now: ClockTime) -> Self {
         Self {
             log: VecDeque::new(),
-            first: FIRST_NUMBER,
-            noted: HashMap::new(),
+            first: FIRST_ENTRY_NUMBER,
+            added: HashMap::new(),
             readers: BTreeMap::new(),
-            asked_at: None,
-            is_whole: false,
-            is_unkept: false,
-            keep_at: now,
+            requested_at: None,
+            has_snapshot: false,
+            is_dirty: false,
+            next_store_at: now,
         }
     }
 
-    /// Takes where texts were placed; what was told a moment ago is not told again.
-    pub fn add(&mut self, placed: &[PrefixLocation], origin: LocationOrigin, now: ClockTime) {
-        for &place in placed {
-            let noted_at = self.noted.get(&place);
-            if noted_at.is_some_and(|noted_at| now.since(*noted_at) < SPREAD_TIME) {
+    /// Adds reported locations, except those that were added a moment ago.
+    pub fn add(&mut self, locations: &[PrefixLocation], origin: LocationOrigin, now: ClockTime) {
+        for &location in locations {
+            let added_at = self.added.get(&location);
+            if added_at.is_some_and(|added_at| now.since(*added_at) < PROPAGATION_TIME) {
                 continue;
             }
-            self.noted.insert(place, now);
-            self.log.push_back(LocationEntry { place, origin });
-            self.is_unkept = true;
+            self.added.insert(location, now);
+            self.log.push_back(LocationEntry { location, origin });
+            self.is_dirty = true;
         }
         self.trim();
     }
 
-    /// Whether the edge that has just told something is to be asked for all that it knows.
+    /// Returns whether a snapshot has to be requested from the edge that has just reported, and
+    /// records the request.
     ///
-    /// Edges tell only what is new. A registry that has lost its disk would keep a dozen places of a
-    /// thousand; after a common loss of power its edges would have all other texts read anew.
+    /// Edges report only new locations. Without a snapshot, a registry that has lost its disk would
+    /// know a dozen locations of a thousand, and after a power loss of the whole fleet all other
+    /// prefixes would be computed again.
     pub fn should_request_all(&mut self, now: ClockTime) -> bool {
-        let is_awaited = self
-            .asked_at
-            .is_some_and(|asked_at| now.since(asked_at) < ASK_AGAIN);
-        let wants = !self.is_whole && !is_awaited;
+        let is_pending = self
+            .requested_at
+            .is_some_and(|requested_at| now.since(requested_at) < SNAPSHOT_TIMEOUT);
+        let wants = !self.has_snapshot && !is_pending;
         if wants {
-            self.asked_at = Some(now);
+            self.requested_at = Some(now);
         }
         wants
     }
 
-    /// Takes all that an edge knows: older than what was heard since, and known to the other edges.
-    pub fn add_snapshot(&mut self, places: Vec<PrefixLocation>, now: ClockTime) {
-        self.is_whole = true;
-        self.is_unkept |= !places.is_empty();
-        self.put_before(places, now);
+    /// Adds an edge's snapshot, whose locations count as older than all entries and as known to the
+    /// other edges.
+    pub fn add_snapshot(&mut self, locations: Vec<PrefixLocation>, now: ClockTime) {
+        self.has_snapshot = true;
+        self.is_dirty |= !locations.is_empty();
+        self.prepend(locations, now);
     }
 
-    /// Takes what an earlier process has kept: older than all that was heard since.
-    pub fn add_stored(&mut self, found: Vec<PrefixLocation>, now: ClockTime) {
-        self.put_before(found, now);
-        // Edges connect while the disk is read, and have been told nothing of this.
+    /// Adds locations stored by an earlier process, which are older than all entries.
+    pub fn add_stored(&mut self, stored: Vec<PrefixLocation>, now: ClockTime) {
+        self.prepend(stored, now);
+        // Edges connect while the disk is read, and have not received these entries.
         for next in self.readers.values_mut() {
             *next = self.first;
         }
     }
 
-    fn put_before(&mut self, older: Vec<PrefixLocation>, now: ClockTime) {
+    fn prepend(&mut self, older: Vec<PrefixLocation>, now: ClockTime) {
         let origin = LocationOrigin::Registry;
-        for place in older.into_iter().rev() {
-            self.log.push_front(LocationEntry { place, origin });
+        for location in older.into_iter().rev() {
+            self.log.push_front(LocationEntry { location, origin });
             self.first -= 1;
-            self.noted.entry(place).or_insert(now);
+            self.added.entry(location).or_insert(now);
         }
         self.trim();
     }
 
     fn trim(&mut self) {
-        while self.log.len() > MAX_PLACES
+        while self.log.len() > MAX_LOCATIONS
             && let Some(oldest) = self.log.pop_front()
         {
             self.first += 1;
-            self.noted.remove(&oldest.place);
+            self.added.remove(&oldest.location);
         }
     }
 
-    /// Adds someone who is told all places from now on, the known ones first.
+    /// Adds a reader that will be sent all entries from the oldest on.
     pub fn add_reader(&mut self, reader: LocationReader) {
         self.readers.insert(reader, self.first);
     }
 
-    /// Tells someone nothing more.
+    /// Removes a reader.
     pub fn drop_reader(&mut self, reader: LocationReader) {
         self.readers.remove(&reader);
     }
 
-    /// Number of those who are told.
+    /// Returns the number of readers.
     pub fn reader_count(&self) -> usize {
         self.readers.len()
     }
 
-    /// What is to be told now, up to `most` places to each reader, and notes that it was.
+    /// Returns the batches to send now, with up to `most` locations for each reader, and advances
+    /// the readers.
     pub fn next_batches(&mut self, most: usize) -> Vec<LocationBatch> {
         let end = self.first + self.log.len() as u64;
         let mut groups: BTreeMap<(u64, bool), Vec<LocationReader>> = BTreeMap::new();
@@ -202,7 +208,7 @@
             let is_due =
                 |entry: &&LocationEntry| !is_registry || entry.origin == LocationOrigin::Edge;
             let due = entries.take(most).filter(is_due);
-            let locations = due.map(|entry| entry.place).collect();
+            let locations = due.map(|entry| entry.location).collect();
             LocationBatch { readers, locations }
         });
         batches
@@ -210,22 +216,22 @@
             .collect()
     }
 
-    /// All that is known, the newest last.
+    /// Returns all locations, the newest last.
     pub fn known(&self) -> Vec<PrefixLocation> {
-        self.log.iter().map(|entry| entry.place).collect()
+        self.log.iter().map(|entry| entry.location).collect()
     }
 
-    /// All of it, where the disk lacks some and it is time.
+    /// Returns all locations if some were not stored and the next write is due.
     pub fn due_write(&mut self, now: ClockTime) -> Option<Vec<PrefixLocation>> {
-        if !self.is_unkept || now < self.keep_at {
+        if !self.is_dirty || now < self.next_store_at {
             return None;
         }
-        self.keep_at = now.after(KEEP_EVERY);
+        self.next_store_at = now.after(STORE_INTERVAL);
         Some(self.known())
     }
 
-    /// The disk has taken what was due.
+    /// Records that the locations were written to disk.
     pub fn note_stored(&mut self) {
-        self.is_unkept = false;
+        self.is_dirty = false;
     }
 }
--- a/crates/ragwortroad_dispatch/src/pending_locations.rs
+++ b/crates/ragwortroad_dispatch/src/pending_locations.rs
@@ -2,47 +2,50 @@
 
 use crate::EndpointTag;
 
-/// Places kept in all; those of a site with some hundred engines fit.
-const MAX_STRAYS: usize = 4000;
+/// Largest number of locations kept; those of a site with some hundred engines fit.
+const MAX_LOCATIONS: usize = 4000;
 
-/// Where texts are at engines that this edge has not heard of yet.
+/// Locations of prefixes at engines that this edge does not know yet.
 ///
-/// After a common restart the registries tell at once where texts were, but engines announce
-/// themselves again within a second or two. Dropped meanwhile, the places would be told in vain.
+/// After a restart of the whole fleet the registries send prefix locations at once, while the
+/// engines take a second or two to announce themselves again. Locations dropped in the meantime
+/// would be lost.
 #[derive(Debug, Default)]
 pub struct PendingLocations {
-    /// Invariant: no text is without an engine.
-    texts: HashMap<u64, Vec<EndpointTag>>,
-    /// Invariant: places of all texts together.
+    /// Engines by prefix.
+    ///
+    /// Invariant: no list is empty.
+    engines_by_prefix: HashMap<u64, Vec<EndpointTag>>,
+    /// Invariant: the number of locations of all prefixes.
     count: usize,
 }
 
 impl PendingLocations {
-    /// Remembers a text of an engine, while there is room.
-    pub fn add(&mut self, engine: EndpointTag, text: u64) {
-        if self.count >= MAX_STRAYS {
+    /// Adds the location of a prefix, unless the limit is reached.
+    pub fn add(&mut self, engine: EndpointTag, prefix: u64) {
+        if self.count >= MAX_LOCATIONS {
             return;
         }
-        let engines = self.texts.entry(text).or_default();
+        let engines = self.engines_by_prefix.entry(prefix).or_default();
         if !engines.contains(&engine) {
             engines.push(engine);
             self.count += 1;
         }
     }
 
-    /// Whether an engine that was not heard of holds a text.
-    pub fn contains(&self, text: u64) -> bool {
-        self.texts.contains_key(&text)
+    /// Returns whether an unknown engine holds a prefix.
+    pub fn contains(&self, prefix: u64) -> bool {
+        self.engines_by_prefix.contains_key(&prefix)
     }
 
-    /// Texts of an engine that has been heard of.
+    /// Removes an engine that has become known; returns its prefixes.
     pub fn take(&mut self, engine: EndpointTag) -> Vec<u64> {
         let mut taken = Vec::new();
-        self.texts.retain(|&text, engines| {
+        self.engines_by_prefix.retain(|&prefix, engines| {
             let before = engines.len();
             engines.retain(|known| *known != engine);
             if engines.len() < before {
-                taken.push(text);
+                taken.push(prefix);
             }
             !engines.is_empty()
         });
--- a/crates/ragwortroad_dispatch/src/prefix_location.rs
+++ b/crates/ragwortroad_dispatch/src/prefix_location.rs
@@ -5,12 +5,12 @@
 
 use crate::EndpointTag;
 
-/// A shared text that an engine is reading.
+/// Location of a shared prompt prefix: an engine that computes or caches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct PrefixLocation {
-    /// Identity of the text.
+    /// Key of the prefix.
     pub text: u64,
-    /// The engine.
+    /// Tag of the engine.
     pub engine: EndpointTag,
 }
--- a/crates/ragwortroad_dispatch/src/prefix_source.rs
+++ b/crates/ragwortroad_dispatch/src/prefix_source.rs
@@ -1,62 +1,65 @@
 use crate::{
     EndpointKey,
     EngineRule,
-    endpoint_selection::FAILING_SHARE, //
+    endpoint_selection::FAILING_THRESHOLD, //
 };
 
-/// Tokens that an engine reads in a millisecond, at the least.
+/// Prefill speed of an engine in tokens per millisecond, as a lower bound.
 ///
-/// Engines of today read about a hundred. It is only compared with how fast memory moves between
-/// engines, which is some forty times that where links are made for it, so a rough figure will do.
-const READING_PACE: f64 = 100.0;
+/// Current engines reach about a hundred. The value is only compared with the speed of cache
+/// transfers between engines, which is some forty times as high over dedicated links, so a rough
+/// figure suffices.
+const PREFILL_TOKENS_PER_MS: f64 = 100.0;
 
-/// Shared tokens below which an engine reads for itself.
+/// Number of shared tokens below which an engine computes the prefix itself.
 ///
-/// They take it two milliseconds, as long as two engines need to agree on a transfer.
-const LEAST_TOKENS: u32 = 256;
+/// Computing them takes two milliseconds, as long as two engines need to negotiate a transfer.
+const MIN_TOKENS: u32 = 256;
 
-/// An engine that holds a text which another one lacks.
+/// An engine that holds a prefix which another engine lacks.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefixSource {
-    /// Whom it stands for.
+    /// Key of the engine.
     pub key: EndpointKey,
-    /// Whether it is in the failure domain of the engine that lacks the text.
+    /// Whether it is in the failure domain of the engine that lacks the prefix.
     pub is_near: bool,
-    /// Requests that are there by the best knowledge here.
+    /// Estimated requests at the engine.
     pub load: u32,
-    /// Share of its requests that failed lately, from 0 to 1.
+    /// Recent failure rate, from 0 to 1.
     pub failure_rate: f64,
 }
 
-/// The engine from which another one copies `tokens` of shared text, if that is worth it.
+/// Chooses the engine to copy a shared prefix of `tokens` tokens from, or returns `None` if
+/// computing it is faster.
 ///
-/// A text overflows to a second engine when the first has too much to do, and moves when an engine
-/// leaves. Read anew, ten thousand tokens hold up the new engine for 90 ms, the first event of the
-/// request and every stream beside it; copied over a link of 1.1 Tbit/s they take 3 ms. Answers
-/// sites with long shared texts whose engines come, go and fill up. A source that leaves is as good
-/// as any: it is there until its own requests are done.
+/// A prefix overflows to a second engine when the first one is overloaded, and moves when an engine
+/// leaves. Computing ten thousand tokens again delays the new engine by 90 ms, both the first event
+/// of the request and all concurrent streams; copying them over a link of 1.1 Tbit/s takes 3 ms.
+/// This suits sites with long shared prefixes whose engines come, go and fill up. A draining engine
+/// is a valid source, since it stays up until its own requests are done.
 pub fn choose_source(
     sources: &[PrefixSource],
     tokens: u32,
     engine: &EngineRule,
 ) -> Option<EndpointKey> {
-    if tokens < LEAST_TOKENS || moving_pace(engine) <= READING_PACE {
+    if tokens < MIN_TOKENS || transfer_tokens_per_ms(engine) <= PREFILL_TOKENS_PER_MS {
         return None;
     }
-    // An engine that fails requests still has its memory; it is asked where no other one can be.
-    // Domains are some milliseconds apart, which counts twice for a transfer.
+    // A failing engine still has its cache, so it is the last resort. Domains are some milliseconds
+    // apart, and a transfer takes two round trips.
     let best = sources.iter().min_by_key(|source| {
-        let is_failing = source.failure_rate >= FAILING_SHARE;
+        let is_failing = source.failure_rate >= FAILING_THRESHOLD;
         (is_failing, !source.is_near, source.load, source.key)
     });
     best.map(|source| source.key)
 }
 
-/// Tokens whose memory goes from one engine to another in a millisecond; zero where none can.
-fn moving_pace(engine: &EngineRule) -> f64 {
+/// Returns the number of tokens whose cache entries can be transferred between engines per
+/// millisecond; 0 if transfers are not available.
+fn transfer_tokens_per_ms(engine: &EngineRule) -> f64 {
     if engine.token_bytes <= 0.0 {
         return 0.0;
     }
-    let bytes_a_millisecond = engine.link_mbps * 1e3 / 8.0;
-    bytes_a_millisecond / engine.token_bytes
+    let bytes_per_ms = engine.link_mbps * 1e3 / 8.0;
+    bytes_per_ms / engine.token_bytes
 }
--- a/crates/ragwortroad_dispatch/src/prefix_table.rs
+++ b/crates/ragwortroad_dispatch/src/prefix_table.rs
@@ -10,28 +10,29 @@
 
 use crate::EndpointKey;
 
-/// Engines remembered for one prefix; a prefix that a third of a class asks for keeps about ten busy.
+/// Engines kept for one prefix; a prefix used by a third of the requests of a class keeps about ten
+/// engines busy.
 const MAX_HOLDERS: usize = 16;
 
-/// Texts remembered; each takes about a hundred bytes.
+/// Prefixes kept; each takes about a hundred bytes.
 const MAX_PREFIXES: usize = 50_000;
 
-/// How long an engine is taken to hold a prefix that nobody used there since.
+/// Time without use after which an engine no longer counts as holding a prefix.
 ///
-/// Engines drop what was used least recently when memory runs out; a wrong guess costs one reading,
-/// as forgetting does.
+/// Engines evict the least recently used entries when memory runs out. A wrong entry costs one
+/// computation of the prefix, as does a missing one.
 const HOLDER_TTL: Duration = Duration::from_secs(600);
 
-/// Which engines have read which shared prefix, as all edges tell each other.
+/// Engines that hold shared prefixes, as exchanged between all edges.
 ///
-/// Edges agree on a prefix's engine by a hash without any message, but each engine that comes or
-/// goes moves prefixes: one in thirteen when one comes, which all have to be read again although the
-/// engine that has them is well. One notices many tokens read again after each replacement. With
-/// this table a prefix stays where it was read first.
+/// Edges agree on a prefix's engine by hashing, without coordination, but each engine that comes or
+/// goes moves prefixes: one in thirteen if a thirteenth engine joins. All of those would be
+/// computed again although the engine that holds them is healthy, which shows as many recomputed
+/// tokens after each replacement. With this table, a prefix stays where it was computed first.
 #[derive(Debug, Default)]
 pub struct PrefixTable {
     prefixes: HashMap<u64, Vec<PrefixHolder>>,
-    /// Texts by when they were used last, to forget the oldest.
+    /// Prefixes by time of last use, for eviction.
     ///
     /// Invariant: one entry for each prefix.
     ages: BTreeMap<(ClockTime, u64), ()>,
@@ -44,7 +45,7 @@
 }
 
 impl PrefixTable {
-    /// Notes that a prefix is read at an engine; tells whether that was not known.
+    /// Records that an engine computes a prefix; returns whether this location is new.
     pub fn note(&mut self, prefix: u64, engine: EndpointKey, now: ClockTime) -> bool {
         let holders = self.prefixes.entry(prefix).or_default();
         let before = holders.iter().map(|holder| holder.used_at).max();
@@ -53,7 +54,7 @@
         }
         holders.retain(|holder| now.since(holder.used_at) < HOLDER_TTL);
         let known = holders.iter_mut().find(|holder| holder.engine == engine);
-        let is_news = known.is_none();
+        let is_new = known.is_none();
         match known {
             Some(holder) => holder.used_at = now,
             None => holders.push(PrefixHolder {
@@ -74,17 +75,17 @@
         {
             self.prefixes.remove(&oldest);
         }
-        is_news
+        is_new
     }
 
-    /// Engines that hold a prefix, by the best knowledge here.
+    /// Returns the engines believed to hold a prefix.
     pub fn holders(&self, prefix: u64, now: ClockTime) -> impl Iterator<Item = EndpointKey> {
         let holders = self.prefixes.get(&prefix).into_iter().flatten();
         let fresh = holders.filter(move |holder| now.since(holder.used_at) < HOLDER_TTL);
         fresh.map(|holder| holder.engine)
     }
 
-    /// Up to `most` places of the prefixes that were used last, the newest last.
+    /// Returns up to `most` locations of the most recently used prefixes, the newest last.
     pub fn newest(&self, most: usize) -> Vec<(u64, EndpointKey)> {
         let prefixes = self.ages.keys().rev().map(|(_, prefix)| *prefix);
         let holders = prefixes.flat_map(|prefix| {
@@ -96,7 +97,7 @@
         places
     }
 
-    /// An engine has started anew, or is gone: it holds nothing.
+    /// Removes all prefixes of an engine that has restarted or is gone.
     pub fn forget(&mut self, engine: EndpointKey) {
         for holders in self.prefixes.values_mut() {
             holders.retain(|holder| holder.engine != engine);
--- a/crates/ragwortroad_dispatch/src/registry_table.rs
+++ b/crates/ragwortroad_dispatch/src/registry_table.rs
@@ -14,41 +14,42 @@
     EndpointStage, //
 };
 
-/// Announcements that may be missed before an endpoint counts as lost.
+/// Announcements that an endpoint may miss before it counts as lost.
 ///
-/// Endpoints announce themselves about once an interval and try the next registry where one does
-/// not answer within a second; three missed in a row, plus that second, are no accident of timing.
+/// Endpoints announce themselves about once per interval, and try the next registry if one does not
+/// answer within a second. Three consecutive misses plus that second are no coincidence of timing.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 3;
 
-/// Time for an endpoint to find another registry where one did not answer.
+/// Time that an endpoint needs to find another registry when one does not answer.
 const FAILOVER_TIME: Duration = Duration::from_millis(1500);
 
-/// How long it stays known that an incarnation has left.
+/// How long a departed incarnation is remembered.
 ///
-/// An announcement can arrive seconds late; without the note it would bring an endpoint back that
-/// is gone, and requests would run into its closed port. A minute is far beyond such delays.
+/// An announcement can arrive seconds late. Without the entry it would bring a departed endpoint
+/// back, and requests would be sent to its closed port. A minute is far beyond such delays.
 const GOODBYE_TTL: Duration = Duration::from_secs(60);
 
-/// Difference from the time to warm up that edges expect from which they are told of it.
+/// Deviation from the remaining warm-up time known to edges from which they are informed.
 ///
-/// Below it lie the delays of announcements.
+/// Smaller deviations are caused by delays of announcements.
 const WARMUP_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// Announcements for which an endpoint of a domain that was drained counts as warming up.
+/// Number of announcement intervals for which an endpoint of an undrained domain counts as warming
+/// up.
 ///
-/// It may have gone cold without work, and says so with one of its next announcements.
+/// It may have become cold without work, and reports that in one of its next announcements.
 const UNDRAIN_ANNOUNCEMENTS: u32 = 2;
 
-/// Time for which an endpoint counts as warming up once its domain is no longer drained.
+/// Returns how long an endpoint counts as warming up after its domain was undrained.
 pub fn undrain_warmup(announce_every: Duration) -> Duration {
     announce_every * UNDRAIN_ANNOUNCEMENTS
 }
 
-/// What one registry heard from endpoints itself.
+/// Endpoints that have announced themselves to one registry directly.
 ///
-/// Each registry passes on only what it has heard first-hand, to every edge directly; edges merge
-/// (see [`EndpointTable`](crate::EndpointTable)). So news of a drain takes one hop, whichever
-/// registries are cut off from each other.
+/// Each registry forwards only first-hand knowledge, to every edge directly, and edges merge it
+/// (see [`EndpointTable`](crate::EndpointTable)). So a drain reaches the edges in one hop,
+/// whichever registries are partitioned from each other.
 #[derive(Debug)]
 pub struct RegistryTable {
     interval: Duration,
@@ -59,7 +60,7 @@
 struct TableEntry {
     record: EndpointRecord,
     heard_at: ClockTime,
-    /// When it is warm, as edges were told.
+    /// When the endpoint is warm, as published to edges.
     warm_at: ClockTime,
 }
 
@@ -72,7 +73,7 @@
         }
     }
 
-    /// What edges are told now.
+    /// Returns the record to publish to edges now.
     fn current_record(&self, now: ClockTime) -> EndpointRecord {
         let warming = self.warm_at.since(now);
         EndpointRecord {
@@ -82,27 +83,28 @@
     }
 }
 
-/// When an endpoint is warm by what it says now.
+/// Returns when an endpoint is warm, according to a record received at `now`.
 pub(crate) fn warm_at(record: &EndpointRecord, now: ClockTime) -> ClockTime {
     now.after(Duration::from_millis(record.warming_ms.into()))
 }
 
-/// What edges have to be told.
+/// A change to publish to edges.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum RegistryChange {
-    /// What an endpoint says now.
+    /// The current record of an endpoint.
     Told(EndpointRecord),
-    /// A known endpoint has to warm up anew; requests go on at the full rate until edges know.
+    /// A known endpoint has to warm up again. Urgent, since edges send it requests at the full rate
+    /// until they know.
     Cooled(EndpointRecord),
-    /// An endpoint has not been heard of here for too long.
+    /// An endpoint has missed its announcements at this registry.
     Lost(String),
-    /// An endpoint said that it leaves for good.
+    /// An endpoint has announced that it leaves for good.
     Goodbye(String),
 }
 
 impl RegistryChange {
-    /// Name of the endpoint that it is about.
+    /// Returns the name of the endpoint.
     pub fn name(&self) -> &str {
         match self {
             Self::Told(record) | Self::Cooled(record) => &record.name,
@@ -112,7 +114,7 @@
 }
 
 impl RegistryTable {
-    /// A table for endpoints that announce themselves every `interval`.
+    /// Creates a table for endpoints that announce themselves every `interval`.
     pub fn new(interval: Duration) -> Self {
         Self {
             interval,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Takes an announcement; tells what edges must know of it.
+    /// Applies an announcement; returns the change to publish, if any.
     pub fn announce(&mut self, record: EndpointRecord, now: ClockTime) -> Option<RegistryChange> {
         let Some(entry) = self.entries.get_mut(&record.name) else {
             let entry = TableEntry::new(record.clone(), now);
@@ -131,14 +133,14 @@
             return None;
         }
         let expected = entry.warm_at.max(now);
-        let is_news = !has_same_content(&entry.record, &record);
+        let is_new = !has_same_content(&entry.record, &record);
         let latest = TableEntry::new(record.clone(), now);
         let is_cooler = latest.warm_at.since(expected) > WARMUP_TOLERANCE;
         let is_warmer = expected.since(latest.warm_at) > WARMUP_TOLERANCE;
         if !is_cooler && !is_warmer {
             let warm_at = entry.warm_at;
             *entry = TableEntry { warm_at, ..latest };
-            return is_news.then(|| RegistryChange::Told(entry.current_record(now)));
+            return is_new.then(|| RegistryChange::Told(entry.current_record(now)));
         }
         *entry = latest;
         Some(match is_cooler {
@@ -147,8 +149,7 @@
         })
     }
 
-    /// Takes it that the endpoints of a domain warm up, since it is no longer drained; tells what
-    /// edges must know of it.
+    /// Treats the endpoints of an undrained domain as warming up; returns the changes to publish.
     pub fn undrain_domain(&mut self, domain: &str, now: ClockTime) -> Vec<RegistryChange> {
         let warm_at = now.after(undrain_warmup(self.interval));
         let entries = self.entries.values_mut();
@@ -163,10 +164,10 @@
         cooled.collect()
     }
 
-    /// Takes a goodbye, which names nothing but the endpoint; tells what edges must know of it.
+    /// Applies a goodbye, which contains only the endpoint's name; returns the change to publish.
     ///
-    /// Edges are told also where nothing was heard of it here: another registry may have been the
-    /// one it announced itself to, and requests would go on to an endpoint that has left.
+    /// It is published even if the endpoint is unknown here: the endpoint may have announced itself
+    /// to another registry, and requests would continue to be sent to it after it has left.
     pub fn apply_goodbye(&mut self, name: &str, now: ClockTime) -> RegistryChange {
         if let Some(entry) = self.entries.get_mut(name) {
             entry.record.stage = EndpointStage::Gone;
@@ -175,16 +176,16 @@
         RegistryChange::Goodbye(name.to_owned())
     }
 
-    /// Drops what has not been heard of for too long; tells what edges must know of it.
+    /// Removes endpoints that have missed their announcements; returns the changes to publish.
     pub fn expire(&mut self, now: ClockTime) -> Vec<RegistryChange> {
-        let patience = self.interval * (MAX_MISSED_ANNOUNCEMENTS + 1) + FAILOVER_TIME;
+        let timeout = self.interval * (MAX_MISSED_ANNOUNCEMENTS + 1) + FAILOVER_TIME;
         let mut changes = Vec::new();
         self.entries.retain(|name, entry| {
             let silent = now.since(entry.heard_at);
             if entry.record.stage == EndpointStage::Gone {
                 return silent < GOODBYE_TTL;
             }
-            if silent < patience {
+            if silent < timeout {
                 return true;
             }
             changes.push(RegistryChange::Lost(name.clone()));
@@ -193,7 +194,7 @@
         changes
     }
 
-    /// All that an edge must know when it connects.
+    /// Returns the records of all endpoints, for an edge that has just connected.
     pub fn records(&self, now: ClockTime) -> impl Iterator<Item = EndpointRecord> {
         self.entries
             .values()
@@ -201,7 +202,7 @@
     }
 }
 
-/// Whether `record` was overtaken by what is known.
+/// Returns whether `record` is older than the known one.
 pub(crate) fn is_outdated(known: &EndpointRecord, record: &EndpointRecord) -> bool {
     let same_start = known.started_ms == record.started_ms;
     if same_start && known.stage == EndpointStage::Gone {
--- a/crates/ragwortroad_dispatch/src/retry_budget.rs
+++ b/crates/ragwortroad_dispatch/src/retry_budget.rs
@@ -2,19 +2,19 @@
 
 use ragwortroad_types::prelude::*;
 
-/// Figures of the budget for sending requests once more.
+/// Parameters of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats allowed beyond that in each window, over the whole fleet.
+    /// Additional retries allowed per window, over the whole fleet.
     pub slack: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
 impl Default for BudgetSettings {
-    /// A fifth of the requests, as is common for such budgets, and no slack.
+    /// Allows retries for a fifth of the requests, as is common for such budgets, and no slack.
     fn default() -> Self {
         Self {
             ratio: 0.2,
@@ -24,68 +24,72 @@
     }
 }
 
-/// Part of the allowance that is used.
+/// Share of the allowance that is used.
 ///
-/// The edges divide the allowance without a message: each has its own requests' share exactly and
-/// an equal part of the slack. The rest covers requests that move between edges within a window.
-const USED_PART: f64 = 0.7;
+/// The edges divide the allowance without coordination: each has the exact share of its own
+/// requests and an equal part of the slack. The rest covers requests that move between edges within
+/// a window.
+const USED_RATIO: f64 = 0.7;
 
-/// One edge's part of one service's budget for sending requests once more.
+/// One edge's part of the retry budget of one service.
 ///
-/// When a service fails, each repeat is more load on what is left of it, and repeats of repeats
-/// keep it down; one notices arrivals far above the callers' requests. The budget earns a part of a
-/// repeat with each request and holds no more than a window earns, so repeats stay that part.
+/// When a service fails, each retry adds load to what is left of it, and retries of retries keep it
+/// down, which shows as far more requests than callers have sent. Each request deposits a fraction
+/// of a retry, and the balance never exceeds what a window earns, so retries stay within that
+/// ratio.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: BudgetSettings,
-    /// Repeats that may be made now.
+    /// Retries that may be made now.
     ///
-    /// Invariant: between 0 and `most`.
+    /// Invariant: never negative, and at most half of the edge's part of the slack or
+    /// [`MIN_BALANCE_CAP`], whichever is more.
     balance: f64,
-    /// When the slack's part was added last.
-    filled_at: ClockTime,
+    /// When the part of the slack was last added.
+    deposited_at: ClockTime,
 }
 
-/// Repeats that an edge with few requests may save up, so that one failure does not use it up.
-const LEAST_SAVING: f64 = 2.0;
+/// Lower bound of the cap on the balance, so that an edge with few requests does not use it up with
+/// one failure.
+const MIN_BALANCE_CAP: f64 = 2.0;
 
 impl RetryBudget {
-    /// A budget at the time `now`, for one of `edges`.
+    /// Creates the budget of one of `edges` at the time `now`.
     pub fn new(settings: BudgetSettings, edges: u32, now: ClockTime) -> Self {
         let budget = Self {
             settings,
             balance: 0.0,
-            filled_at: now,
+            deposited_at: now,
         };
         Self {
-            balance: budget.slack_part(edges) / 2.0,
+            balance: budget.slack_share(edges) / 2.0,
             ..budget
         }
     }
 
-    /// Notes a request that came for the service.
+    /// Adds the share of a retry that a request to the service earns.
     pub fn deposit(&mut self, edges: u32, now: ClockTime) {
-        let elapsed = now.since(self.filled_at).as_secs_f64();
+        let elapsed = now.since(self.deposited_at).as_secs_f64();
         let window = self.settings.window.as_secs_f64();
-        let slack = self.slack_part(edges);
-        self.filled_at = now;
-        // Half of the slack may be saved and half is earned in a window, so that a window never
-        // sees more than the whole.
-        let earned = self.settings.ratio * USED_PART + slack / 2.0 * elapsed / window;
-        let most = (slack / 2.0).max(LEAST_SAVING);
-        self.balance = (self.balance + earned).min(most);
+        let slack = self.slack_share(edges);
+        self.deposited_at = now;
+        // Half of the slack can be saved up and half is earned per window, so that no window
+        // exceeds the whole slack.
+        let earned = self.settings.ratio * USED_RATIO + slack / 2.0 * elapsed / window;
+        let cap = (slack / 2.0).max(MIN_BALANCE_CAP);
+        self.balance = (self.balance + earned).min(cap);
     }
 
-    /// Takes one repeat out, if there is one.
+    /// Takes one retry out of the budget; returns false if there is none.
     pub fn withdraw(&mut self) -> bool {
-        let has_one = self.balance >= 1.0;
-        if has_one {
+        let is_allowed = self.balance >= 1.0;
+        if is_allowed {
             self.balance -= 1.0;
         }
-        has_one
+        is_allowed
     }
 
-    fn slack_part(&self, edges: u32) -> f64 {
-        self.settings.slack * USED_PART / f64::from(edges.max(1))
+    fn slack_share(&self, edges: u32) -> f64 {
+        self.settings.slack * USED_RATIO / f64::from(edges.max(1))
     }
 }
--- a/crates/ragwortroad_dispatch/src/route_map.rs
+++ b/crates/ragwortroad_dispatch/src/route_map.rs
@@ -13,32 +13,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CustomerKey(pub usize);
 
-/// Urgency of a request; the least goes first.
+/// Priority of a request; the lowest value is served first.
 ///
-/// Operators give most customers the same rank, which hides those of the routes: without the second
-/// part a tag of half a second would take the place of a draft, and the other way round.
+/// Operators give most customers the same rank, which hides the ranks of the routes. Without the
+/// second field, a tag request of half a second could take the slot of a draft, and vice versa.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestRank {
-    /// The customer's rank, or the route's where the customer has none.
+    /// The customer's rank, or the route's if the customer has none.
     pub declared: u8,
     /// The route's rank.
     pub route: u8,
 }
 
-/// One configuration, indexed for looking requests up.
+/// A configuration with indexes for matching requests.
 #[derive(Debug, Default)]
 pub struct RouteMap {
     config: SiteConfig,
     /// Routes of each host.
     ///
-    /// Invariant: the longest prefix comes first.
+    /// Invariant: sorted by descending length of the path prefix.
     hosts: HashMap<String, Vec<RouteKey>>,
     keys: HashMap<String, CustomerKey>,
     services: HashMap<String, usize>,
 }
 
 impl RouteMap {
-    /// Indexes a configuration that was checked.
+    /// Indexes a configuration, which has to pass [`SiteConfig::check`].
     pub fn new(config: SiteConfig) -> Self {
         let mut map = Self {
             config,
@@ -63,46 +63,52 @@
         map
     }
 
-    /// The configuration itself.
+    /// Returns the indexed configuration.
     pub fn config(&self) -> &SiteConfig {
         &self.config
     }
 
-    /// The route of a request: the longest prefix of its host that begins its path.
+    /// Returns the route with the longest path prefix that matches a request, or `None` if no route
+    /// of the host matches.
     ///
-    /// `host` may carry a port and any case.
+    /// `host` may include a port and is not case sensitive.
     pub fn find(&self, host: &str, path: &str) -> Option<RouteKey> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(name) {
             Some(routes) => routes,
             None => self.hosts.get(&name.to_ascii_lowercase())?,
         };
-        let fits = |key: &&RouteKey| path.starts_with(&self.route(**key).path_prefix);
-        routes.iter().find(fits).copied()
+        let matches = |key: &&RouteKey| path.starts_with(&self.route(**key).path_prefix);
+        routes.iter().find(matches).copied()
     }
 
-    /// A route found before.
+    /// Returns the rule of a route of this configuration.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the key is out of range.
     pub fn route(&self, key: RouteKey) -> &RouteRule {
         &self.config.routes[key.0]
     }
 
-    /// Whether requests need a key at all.
+    /// Returns whether the configuration declares customers, so that requests need a key.
     pub fn requires_keys(&self) -> bool {
         self.config.customers.is_some()
     }
 
-    /// Whose key this is.
+    /// Returns the customer to whom a key belongs, or `None` if the key is unknown.
     pub fn customer_of(&self, key: &str) -> Option<CustomerKey> {
         self.keys.get(key).copied()
     }
 
-    /// Name of a customer.
+    /// Returns the name of a customer, or `None` if it is not part of this configuration.
     pub fn customer_name(&self, key: CustomerKey) -> Option<&str> {
         let customers = self.config.customers.as_ref()?;
         customers.get(key.0).map(|rule| rule.name.as_str())
     }
 
-    /// Urgency of a request, also among requests of customers that are equally urgent.
+    /// Returns the priority of a request, with the route's rank as tie-breaker among equal
+    /// customers.
     pub fn request_rank(&self, route: RouteKey, customer: Option<CustomerKey>) -> RequestRank {
         RequestRank {
             declared: self.rank(route, customer),
@@ -110,7 +116,8 @@
         }
     }
 
-    /// Urgency of a request: the customer's own goes before the route's.
+    /// Returns the declared rank of a request: the customer's, or the route's if the customer has
+    /// none.
     pub fn rank(&self, route: RouteKey, customer: Option<CustomerKey>) -> u8 {
         let customers = self.config.customers.as_ref();
         let rule = customer.and_then(|key| customers?.get(key.0));
@@ -118,22 +125,23 @@
             .unwrap_or(self.route(route).rank)
     }
 
-    /// The service of a name.
+    /// Returns the rule of a service, or `None` if it is not declared.
     pub fn service(&self, name: &str) -> Option<&crate::ServiceRule> {
         let index = self.services.get(name)?;
         self.config.services.get(*index)
     }
 
-    /// The service that a draw between 0 and 1 selects among a route's targets.
+    /// Selects one of a route's target services by weight; `draw` is a random number between 0 and
+    /// 1.
     pub fn draw_target(&self, key: RouteKey, draw: f64) -> &str {
         let targets = &self.route(key).targets;
         let total: f64 = targets.iter().map(|target| target.weight).sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         let mut chosen = "";
         for target in targets.iter().filter(|target| target.weight > 0.0) {
             chosen = &target.service;
-            left -= target.weight;
-            if left < 0.0 {
+            remaining -= target.weight;
+            if remaining < 0.0 {
                 break;
             }
         }
--- a/crates/ragwortroad_dispatch/src/send_pace.rs
+++ b/crates/ragwortroad_dispatch/src/send_pace.rs
@@ -1,100 +1,104 @@
 use std::time::Duration;
 
-/// How much of one kind of message a registry may send at once, and when it may send the next.
+/// Pacing of one kind of message from a registry to many receivers.
 ///
-/// A message is small for one edge and large for all of them. Written at once, it queues in
-/// front of the link for seconds; heartbeats of the agreement, answers to callers who ask for
-/// addresses and acknowledgements to endpoints wait behind it, and the others give the registry up
-/// although it is well.
+/// A message that is small for one edge is large for all of them. Sent at once, it occupies the
+/// link for seconds; consensus heartbeats, address lookups and acknowledgements to endpoints queue
+/// behind it, and their receivers take the registry for dead although it is healthy.
 #[derive(Clone, Copy, Debug)]
 pub struct SendPace {
-    /// Bytes a second that the link carries.
+    /// Bytes per second that the link carries.
     pub link_rate: f64,
-    /// Part of the link that this kind may take in the long run.
+    /// Long-term share of the link for this kind of message.
     pub link_share: f64,
-    /// Time for which one message to all may fill the link.
+    /// Longest time for which one message to all receivers may occupy the link.
     pub max_burst: Duration,
 }
 
-/// Time between two messages with loads, and with places of texts.
+/// Shortest interval between two messages with loads or prefix locations.
 ///
-/// An edge that does not know of a place yet finds the same one by its hash unless engines have come
-/// or gone.
+/// An edge that does not know a location yet selects the same engine by hashing, unless engines
+/// have come or gone.
 pub const SPREAD_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Part of a registry's link that loads may take.
+/// Share of a registry's link for loads.
 ///
-/// Beyond it they come later, so that neither drains nor configurations do.
-const LOADS_PART: f64 = 0.3;
+/// Above it, loads are delayed, so that drains and configurations are not.
+const LOADS_LINK_SHARE: f64 = 0.3;
 
-/// Part of a registry's link that places of texts may take.
+/// Share of a registry's link for prefix locations.
 ///
-/// There are many only after a common restart, when edges that do not know them have texts read anew.
-const PLACES_PART: f64 = 0.5;
+/// There are many only after a restart of the whole fleet, when edges without them have prefixes
+/// computed again.
+const LOCATIONS_LINK_SHARE: f64 = 0.5;
 
-/// Time for which one message with these, or whole configurations, may fill a registry's link.
+/// Longest time for which one message with loads, locations or whole configurations may occupy a
+/// registry's link.
 ///
-/// Heartbeats and answers wait as long; of the leader's, a few may be late before an election.
+/// It delays heartbeats and answers as long; the followers tolerate a few late heartbeats of the
+/// leader before an election.
 const SPREAD_BURST: Duration = Duration::from_millis(100);
 
-/// Part of a registry's link that whole configurations may take.
+/// Share of a registry's link for whole configurations.
 ///
-/// Edges ask for one after a start and serve nobody before they have it.
-const CONFIGS_PART: f64 = 0.8;
+/// Edges request one after a start and cannot serve before they have it.
+const CONFIGS_LINK_SHARE: f64 = 0.8;
 
-/// Part of a registry's link that updates of endpoints may take where they can wait.
+/// Share of a registry's link for deferrable endpoint updates.
 ///
-/// There is much of it only after a common restart, when loads and places of texts are few.
-const UPDATES_PART: f64 = 0.6;
+/// There are many only after a restart of the whole fleet, when there are few loads and prefix
+/// locations.
+const UPDATES_LINK_SHARE: f64 = 0.6;
 
-/// Time for which such updates may fill a registry's link.
+/// Longest time for which deferrable endpoint updates may occupy a registry's link.
 ///
-/// A third of the time without a heartbeat after which members elect another leader.
+/// A third of the election timeout.
 const UPDATES_BURST: Duration = Duration::from_millis(250);
 
 impl SendPace {
-    /// The pace of loads.
+    /// Returns the pace of load messages.
     pub fn for_loads(link_rate: f64) -> Self {
         Self {
             link_rate,
-            link_share: LOADS_PART,
+            link_share: LOADS_LINK_SHARE,
             max_burst: SPREAD_BURST,
         }
     }
 
-    /// The pace of places of texts.
+    /// Returns the pace of prefix locations.
     pub fn for_locations(link_rate: f64) -> Self {
         Self {
-            link_share: PLACES_PART,
+            link_share: LOCATIONS_LINK_SHARE,
             ..Self::for_loads(link_rate)
         }
     }
 
-    /// The pace of whole configurations.
+    /// Returns the pace of whole configurations.
     pub fn for_configs(link_rate: f64) -> Self {
         Self {
-            link_share: CONFIGS_PART,
+            link_share: CONFIGS_LINK_SHARE,
             ..Self::for_loads(link_rate)
         }
     }
 
-    /// The pace of endpoints' updates that can wait.
+    /// Returns the pace of deferrable endpoint updates.
     pub fn for_updates(link_rate: f64) -> Self {
         Self {
             link_rate,
-            link_share: UPDATES_PART,
+            link_share: UPDATES_LINK_SHARE,
             max_burst: UPDATES_BURST,
         }
     }
 
-    /// Items that each of `receivers` may be sent at once, at `item_bytes` each; one at least.
+    /// Returns how many items of `item_bytes` each of `receivers` may be sent at once; at least
+    /// one.
     pub fn max_batch_items(&self, receivers: usize, item_bytes: f64) -> usize {
         let bytes = self.link_rate * self.max_burst.as_secs_f64();
         let items = bytes / item_bytes / receivers.max(1) as f64;
         (items as usize).max(1)
     }
 
-    /// Time until the next message after one of `bytes`, all receivers together.
+    /// Returns the delay until the next message after one of `bytes` for all receivers together.
     pub fn delay_after(&self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 / (self.link_rate * self.link_share))
     }
--- a/crates/ragwortroad_dispatch/src/site_config.rs
+++ b/crates/ragwortroad_dispatch/src/site_config.rs
@@ -5,114 +5,115 @@
 
 use crate::ConfigFault;
 
-/// A whole configuration of a site, as declared by its operator.
+/// The whole configuration of a site, as declared by its operator.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteConfig {
-    /// Number of the declaration; the highest one is in force.
+    /// Version of the declaration; the highest one is in force.
     pub version: u64,
-    /// Where requests go.
+    /// Rules that map requests to services.
     pub routes: Vec<RouteRule>,
-    /// What answers them.
+    /// Services that the routes refer to.
     pub services: Vec<ServiceRule>,
-    /// What a caller may send.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
-    /// Who may send; nothing where no key is asked for.
+    /// Customers that may send requests; `None` if no key is required.
     pub customers: Option<Vec<CustomerRule>>,
 }
 
-/// Requests of one host below one path.
+/// Rule for the requests to one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteRule {
-    /// Name, for logs.
+    /// Name for logs.
     pub name: String,
-    /// Host that callers name, in lower case and without a port.
+    /// Host header that callers send, in lower case and without a port.
     pub host: String,
-    /// Beginning of the path.
+    /// Prefix of the path.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub kind: RequestKind,
-    /// Longest time a request is kept waiting.
+    /// Time after which a request fails.
     pub timeout: Duration,
-    /// Time within which an answer is on time.
+    /// Latency target: time within which an answer has to begin.
     pub target: Duration,
-    /// Longest pause between two events of a stream that is on time.
+    /// Longest gap between two events of a stream that is on time; `None` if there is no target.
     pub target_pause: Option<Duration>,
-    /// Urgency; 0 comes first.
+    /// Priority; 0 is served first.
     pub rank: u8,
-    /// Services that share the requests, by weight.
+    /// Services that share the requests by weight.
     pub targets: Vec<RouteTarget>,
-    /// Endpoints to which one request may be sent.
+    /// Largest number of endpoints to which one request is sent.
     pub max_attempts: u32,
-    /// Whether no key is asked for.
+    /// Whether requests need no key.
     pub is_open: bool,
-    /// Whether an interrupted stream may go on elsewhere behind its last event.
+    /// Whether an interrupted stream may be resumed at another endpoint after its last event.
     pub is_resumable: bool,
 }
 
-/// What a failure allows with requests of a route.
+/// Retry semantics of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Idempotent.
+    /// Idempotent; may be retried.
     Safe,
-    /// Runs once at most.
+    /// Runs at most once.
     Unsafe,
-    /// A stream of events; runs once at most unless it can be resumed.
+    /// An event stream, which runs at most once unless it can be resumed.
     Stream,
 }
 
-/// One of the services behind a route.
+/// Weighted target of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTarget {
-    /// The service.
+    /// Name of the service.
     pub service: String,
     /// Share of the requests, relative to the route's other targets.
     pub weight: f64,
 }
 
-/// A service.
+/// Declaration of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRule {
     /// Name under which endpoints announce themselves.
     pub name: String,
-    /// Connections that one endpoint takes from all callers together.
+    /// Connections that one endpoint accepts from all edges together.
     pub max_connections: u32,
-    /// Requests a second that an endpoint tolerates while it warms up; nothing where any number.
+    /// Requests per second that an endpoint tolerates while it warms up; `None` if there is no
+    /// limit.
     pub warmup_per_second: Option<f64>,
-    /// Figures of a model engine; nothing for a plain service.
+    /// Parameters of a model engine; `None` for a plain service.
     pub engine: Option<EngineRule>,
 }
 
-/// Figures of the engines of one service.
+/// Parameters of the model engines of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineRule {
-    /// Requests that run at once.
+    /// Requests processed concurrently.
     pub slots: u32,
-    /// Tokens that fit into memory.
+    /// Tokens that fit into the engine's cache memory.
     pub memory_tokens: u64,
-    /// Tokens that one event of a stream holds.
+    /// Tokens per event of a stream.
     pub event_tokens: u32,
-    /// Bytes of memory that one token takes; 0 where it is not told.
+    /// Bytes of cache memory per token; 0 if unknown.
     pub token_bytes: f64,
-    /// Speed of the links over which engines copy each other's memory, in megabits a second; 0
-    /// where they cannot.
+    /// Speed of the links for cache transfers between engines in megabits per second; 0 if there
+    /// are none.
     pub link_mbps: f64,
 }
 
-/// What a caller may send, and how slowly.
+/// Size limits and timeouts for callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Largest size of a request's head in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Largest size of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// From the first byte of a head to its last.
+    /// Longest time from the first byte of a request's head to its last.
     pub head_timeout: Duration,
-    /// Between two requests on one connection.
+    /// Longest idle time between two requests on one connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Limits for a document that names none: common defaults of HTTP servers.
+    /// Limits for documents without any: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
             max_head_bytes: 16 << 10,
@@ -123,19 +124,19 @@
     }
 }
 
-/// A customer and its keys.
+/// A customer and its API keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CustomerRule {
-    /// Name, told to endpoints in place of the key.
+    /// Name, which endpoints receive in place of the key.
     pub name: String,
-    /// Keys that stand for it.
+    /// API keys of the customer.
     pub keys: Vec<String>,
-    /// Urgency of all its requests; goes before the route's.
+    /// Priority of all its requests, which overrides the route's; `None` if it has none.
     pub rank: Option<u8>,
 }
 
 impl RouteRule {
-    /// Whether a request of this route may run more than once.
+    /// Returns whether a request of this route may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RequestKind::Safe => true,
@@ -146,17 +147,22 @@
 }
 
 impl SiteConfig {
-    /// Refuses a declaration that contradicts itself.
+    /// Validates the declaration.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a route refers to an undeclared service, duplicates another one, or has no weight
+    /// or timeout, or if two customers share a key.
     pub fn check(&self) -> Result<(), ConfigFault> {
         let services: HashSet<&str> = self
             .services
             .iter()
             .map(|rule| rule.name.as_str())
             .collect();
-        let mut places = HashSet::new();
+        let mut host_paths = HashSet::new();
         for route in &self.routes {
             check_route(route, &services)?;
-            if !places.insert((&route.host, &route.path_prefix)) {
+            if !host_paths.insert((&route.host, &route.path_prefix)) {
                 return Err(ConfigFault::DuplicateRoute {
                     route: route.name.clone(),
                 });
@@ -168,7 +174,7 @@
     fn check_keys(&self) -> Result<(), ConfigFault> {
         let mut keys = HashSet::new();
         for customer in self.customers.iter().flatten() {
-            // A key that stands twice with one customer leaves no doubt whose it is.
+            // A key listed twice for one customer is not ambiguous.
             let own: HashSet<&str> = customer.keys.iter().map(String::as_str).collect();
             for key in own {
                 if !keys.insert(key) {
--- a/crates/ragwortroad_dispatch/src/start_wait.rs
+++ b/crates/ragwortroad_dispatch/src/start_wait.rs
@@ -1,50 +1,52 @@
 use std::time::Duration;
 
-/// Time after an edge's start in which it may still lack what it needs.
+/// Time after an edge's start in which it may still lack its configuration or registries.
 ///
-/// Beyond it something is wrong, and callers are told so at once.
-const START_TIME: Duration = Duration::from_secs(3);
+/// After that something is wrong, and callers are rejected at once.
+const MAX_START_TIME: Duration = Duration::from_secs(3);
 
-/// Time from an edge's start until it serves where the whole fleet starts with it, at the least.
+/// Shortest time until an edge serves when the whole fleet starts at once.
 ///
-/// Registries are up some tenths of a second after the first edges, have a leader as much later, and
-/// the configuration takes as long to get here.
-const COMMON_START: Duration = Duration::from_millis(1200);
+/// Registries are up some tenths of a second after the first edges, take as long again to elect a
+/// leader, and the configuration takes as long again to reach the edge.
+const FLEET_START_TIME: Duration = Duration::from_millis(1200);
 
-/// Part of the time that a start has taken so far, beyond that, which it is taken to go on.
-const START_LEFT_PART: u32 = 2;
+/// Divisor of the time since the start that gives the expected remaining time of a start that takes
+/// longer.
+const OVERRUN_DIVISOR: u32 = 2;
 
-/// Longest time for which a request waits for the edge to be ready.
+/// Longest time for which a request waits for the edge to become ready.
 ///
-/// On a fleet of hundreds, copies of the configuration fill the registries' links for so long.
-const LONGEST_WAIT: Duration = Duration::from_millis(2000);
+/// In a fleet of hundreds, copies of the configuration occupy the registries' links for that long.
+const MAX_WAIT: Duration = Duration::from_millis(2000);
 
-/// Part of a caller's time for which its request waits at the most.
+/// Divisor of the time left until the deadline that gives the longest wait.
 ///
-/// Callers take a third of their time without a sign as a failure; with a quarter, one that is
-/// refused in the end still has time to come back.
-const WAIT_PART: u32 = 4;
+/// Callers count a third of their deadline without an answer as a failure; after a quarter, a
+/// rejected caller still has time to retry.
+const DEADLINE_DIVISOR: u32 = 4;
 
-/// How long a request waits at an edge that started `running` ago for what the edge still lacks.
+/// Returns how long a request waits at an edge that is not ready and was started `running` ago.
 ///
-/// After a common restart edges are up a second or two before there is a configuration. Callers who
-/// come then and are refused may come back once, and are refused again for good. One that waits is
-/// served as soon as the edge is ready. Answers restarts only; in an outage nothing waits, nor
-/// longer than until a start counts as one.
+/// After a restart of the whole fleet, edges are up a second or two before they have a
+/// configuration. Callers that are rejected then may retry only once, and would be rejected again
+/// for good; a waiting request is served as soon as the edge is ready. This applies to restarts
+/// only: in an outage no request waits, nor does any wait longer than a start may take.
 pub fn start_wait(running: Duration, time_left: Duration) -> Duration {
-    let left = START_TIME.saturating_sub(running);
-    LONGEST_WAIT.min(time_left / WAIT_PART).min(left)
+    let start_left = MAX_START_TIME.saturating_sub(running);
+    MAX_WAIT.min(time_left / DEADLINE_DIVISOR).min(start_left)
 }
 
-/// When a caller who could not be served by a starting edge finds it ready, at the earliest.
+/// Returns the earliest time until a starting edge is expected to be ready, for callers that it has
+/// to reject; zero if the start has failed.
 ///
-/// A start that takes longer than usual goes on for a part of what it has taken: a caller told to
-/// come at once, who may come back once, would be refused for good by an edge that serves a moment
-/// later.
+/// A start that takes longer than usual is expected to continue for a fraction of its duration so
+/// far: a caller that is told to retry at once, and may do so only once, would be rejected for good
+/// by an edge that is ready a moment later.
 pub fn time_to_ready(running: Duration) -> Duration {
-    if running >= START_TIME {
+    if running >= MAX_START_TIME {
         return Duration::ZERO;
     }
-    let usual = COMMON_START.saturating_sub(running);
-    usual.max(running / START_LEFT_PART)
+    let expected = FLEET_START_TIME.saturating_sub(running);
+    expected.max(running / OVERRUN_DIVISOR)
 }
--- a/crates/ragwortroad_dispatch/src/update_queue.rs
+++ b/crates/ragwortroad_dispatch/src/update_queue.rs
@@ -5,26 +5,26 @@
     RegistryChange, //
 };
 
-/// What a registry heard from endpoints and the edges are still to be told.
+/// Endpoint updates that a registry has to publish to edges.
 ///
-/// After a common restart thousands of endpoints announce themselves to a registry within seconds,
-/// and each edge has to be told of all of them. Sent at once, that fills the registry's link for
-/// half a minute: heartbeats of the agreement and answers to endpoints wait behind it, endpoints
-/// turn to other registries and are announced again, and nothing is served. So updates that can wait are
-/// sent at the pace of the link, and only the last word about each endpoint. That an endpoint leaves
-/// cannot wait, since requests would go on to it.
+/// After a restart of the whole fleet, thousands of endpoints announce themselves to a registry
+/// within seconds, and each has to be published to every edge. Sent at once, these updates occupy
+/// the registry's link for half a minute: consensus heartbeats and answers to endpoints queue
+/// behind them, endpoints switch to other registries and are published again, and nothing is
+/// served. Deferrable updates are therefore paced, and reduced to the latest for each endpoint.
+/// Updates about leaving endpoints are urgent, since requests would continue to be sent to these.
 #[derive(Debug, Default)]
 pub struct UpdateQueue {
     urgent: Vec<RegistryChange>,
-    /// Invariant: nothing here is older than what `urgent` says of the same endpoint.
+    /// Invariant: nothing here is older than the entry in `urgent` for the same endpoint.
     deferrable: BTreeMap<String, RegistryChange>,
 }
 
 impl UpdateQueue {
-    /// Adds a change, which replaces what it overtakes.
+    /// Adds a change, which replaces an older deferrable one for the same endpoint.
     pub fn push(&mut self, change: RegistryChange) {
         let name = change.name().to_owned();
-        // Told after the goodbye, an older announcement would bring the endpoint back.
+        // Published after the goodbye, an older announcement would bring the endpoint back.
         self.deferrable.remove(&name);
         match is_urgent(&change) {
             true => self.urgent.push(change),
@@ -34,12 +34,12 @@
         }
     }
 
-    /// Takes what cannot wait; it has to be told before anything else.
+    /// Removes the urgent changes, which have to be published before any other.
     pub fn take_urgent(&mut self) -> Vec<RegistryChange> {
         std::mem::take(&mut self.urgent)
     }
 
-    /// Takes up to `count` of what can wait.
+    /// Removes up to `count` deferrable changes.
     pub fn take_deferrable(&mut self, count: usize) -> Vec<RegistryChange> {
         let mut taken = Vec::new();
         while taken.len() < count
@@ -50,23 +50,23 @@
         taken
     }
 
-    /// Whether there is something that cannot wait.
+    /// Returns whether there are urgent changes.
     pub fn has_urgent(&self) -> bool {
         !self.urgent.is_empty()
     }
 
-    /// Whether there is something that can wait.
+    /// Returns whether there are deferrable changes.
     pub fn has_deferrable(&self) -> bool {
         !self.deferrable.is_empty()
     }
 }
 
-/// Whether requests go wrong until the edges know.
+/// Returns whether requests fail or overload endpoints until the edges know of the change.
 fn is_urgent(change: &RegistryChange) -> bool {
     match change {
         RegistryChange::Told(record) => record.stage != EndpointStage::Ready,
         RegistryChange::Cooled(_) | RegistryChange::Goodbye(_) => true,
-        // Its requests have failed for seconds by then, and edges have noticed.
+        // Requests have failed there for seconds by then, and edges have noticed.
         RegistryChange::Lost(_) => false,
     }
 }
--- a/crates/ragwortroad_dispatch/src/voter_plan.rs
+++ b/crates/ragwortroad_dispatch/src/voter_plan.rs
@@ -3,15 +3,16 @@
 use ragwortroad_consensus::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// Figures of the plan.
+/// Parameters of a [`VoterPlan`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoterSettings {
-    /// Time without a message after which a voter's seat goes to a learner that is ready.
+    /// Time without a message after which a voter is replaced by a learner that is ready.
     ///
-    /// Longer than a restart and than an election; a voter that is only cut off for that long
-    /// becomes a learner when it is back, which costs one change of members and loses nothing.
+    /// Longer than a restart and than an election. A voter that is only partitioned for longer
+    /// becomes a learner when it is back, which costs one membership change and loses nothing.
     pub absence_timeout: Duration,
-    /// Most voters; more make each change dearer and add no safety that a site asks for.
+    /// Largest number of voters. More voters make each change more expensive and add no fault
+    /// tolerance that a site asks for.
     pub max_voters: usize,
 }
 
@@ -24,34 +25,35 @@
     }
 }
 
-/// A registry with a data folder, as the leader knows it.
+/// State of a registry with a data folder, as known to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// Identity of its data folder.
+    /// Identity of the data folder.
     pub member: MemberId,
-    /// The VM's place: a folder that was lost leaves its node with another identity.
+    /// Identity of the VM, which is kept when the data folder is lost and gets a new identity.
     pub node: NodeId,
-    /// Time since it was last heard of.
+    /// Time since the last message from it.
     pub silent_for: Duration,
-    /// Whether it has nearly all entries.
+    /// Whether it has nearly all log entries.
     pub is_caught_up: bool,
 }
 
-/// Decides which registries vote, one step at a time.
+/// Plans which registries vote, one membership change at a time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct VoterPlan {
-    /// Its figures.
+    /// Parameters of the plan.
     pub settings: VoterSettings,
 }
 
 impl VoterPlan {
-    /// The next step, if there is one, given all registries heard of, the leader among them.
+    /// Returns the next membership change, or `None` if none is needed. `holders` are all known
+    /// registries apart from the leader.
     ///
-    /// Every registry that is heard of becomes a learner. A voter whose node has come back with
-    /// another identity has lost its disk: it must not count any more, and goes first. A voter that
-    /// is silent for too long gives its seat to a learner that is ready. Otherwise learners are
-    /// promoted in pairs, so that the number of voters stays odd: a group of four stands no more
-    /// losses than one of three, and a halved site of four leaves no majority.
+    /// Every reachable registry becomes a learner. A voter whose node has come back with another
+    /// identity has lost its disk, so it must no longer count and is removed first. A voter that
+    /// has been silent for too long is replaced by a learner that is ready. Otherwise learners are
+    /// promoted in pairs, so that the number of voters stays odd: a group of four tolerates no more
+    /// failures than one of three, and a partition into halves leaves it without a majority.
     pub fn next_step(
         &self,
         members: &MemberSet,
@@ -107,27 +109,28 @@
         let learners = members.records().iter();
         let learners = learners.filter(|record| record.role == MemberRole::Learner);
         let mut ready = learners.filter(|record| {
-            find(record.member).is_some_and(|holder| holder.is_caught_up && self.hears(holder))
+            find(record.member).is_some_and(|holder| holder.is_caught_up && self.is_present(holder))
         });
-        let heir = ready.next()?.member;
+        let successor = ready.next()?.member;
         let has_second = ready.next().is_some();
         let is_absent = |voter: &MemberId| {
-            *voter != leader && !find(*voter).is_some_and(|holder| self.hears(holder))
+            *voter != leader && !find(*voter).is_some_and(|holder| self.is_present(holder))
         };
         let voters = members.voters().count();
         if let Some(member) = members.voters().find(is_absent) {
-            // With an even number the promotion comes first: the seat is not missed meanwhile.
+            // With an even number of voters the promotion comes first, so that the group does not
+            // shrink in between.
             return Some(match voters % 2 {
-                0 => MemberChange::Promote { member: heir },
+                0 => MemberChange::Promote { member: successor },
                 _ => MemberChange::Remove { member },
             });
         }
         let fits = voters < self.settings.max_voters;
         let stays_odd = voters.is_multiple_of(2) || has_second;
-        (fits && stays_odd).then_some(MemberChange::Promote { member: heir })
+        (fits && stays_odd).then_some(MemberChange::Promote { member: successor })
     }
 
-    fn hears(&self, holder: &MemberStatus) -> bool {
+    fn is_present(&self, holder: &MemberStatus) -> bool {
         holder.silent_for < self.settings.absence_timeout
     }
 }
