--- a/crates/ragwortroad_dispatch/src/warmup_pace.rs
+++ b/crates/ragwortroad_dispatch/src/warmup_pace.rs
@@ -10,18 +10,19 @@
     WarmupShare, //
 };
 
-/// Part of the rate that endpoints tolerate while they warm up which all edges use together.
+/// Share of the rate tolerated by warming endpoints that all edges use together.
 ///
-/// The rest is for requests that are held up on their way and arrive together with later ones.
-const USED_PART: f64 = 0.8;
+/// The rest covers requests that are delayed on their way and arrive together with later ones.
+const USED_RATIO: f64 = 0.8;
 
-/// Least rate of one edge, in requests a second: also an endpoint that tolerates hardly any is tried.
-const LEAST_RATE: f64 = 0.1;
+/// Lowest rate of one edge in requests per second, so that endpoints which tolerate hardly any
+/// requests are tried too.
+const MIN_EDGE_RATE: f64 = 0.1;
 
-/// When an edge may send requests to endpoints that warm up.
+/// Paces one edge's requests to warming endpoints.
 ///
-/// Requests are spaced evenly: whatever second one looks at, an edge has sent its part of the rate
-/// and one request more at most.
+/// Requests are evenly spaced: in any second, an edge sends at most its share of the rate plus one
+/// request.
 #[derive(Debug, Default)]
 pub struct WarmupPace {
     shares: BTreeMap<EndpointTag, SharePace>,
@@ -36,7 +37,7 @@
 }
 
 impl WarmupPace {
-    /// Takes a part that a registry gives to this edge.
+    /// Adds a share assigned to this edge by a registry, or renews it.
     pub fn add_share(&mut self, share: WarmupShare, now: ClockTime) {
         let known = self.shares.get(&share.endpoint);
         let next_at = known.map_or(now, |known| known.next_at.max(now));
@@ -48,22 +49,22 @@
         self.shares.insert(share.endpoint, pace);
     }
 
-    /// Whether a request may go to an endpoint that warms up now.
+    /// Returns whether a request may be sent to a warming endpoint now.
     pub fn may_send(&self, endpoint: EndpointTag, now: ClockTime) -> bool {
         let share = self.shares.get(&endpoint);
         share.is_some_and(|share| now >= share.next_at && now < share.valid_until)
     }
 
-    /// Notes that a request goes there; `per_second` is the rate that the endpoint tolerates.
+    /// Records that a request is sent; `per_second` is the rate that the endpoint tolerates.
     pub fn note_sent(&mut self, endpoint: EndpointTag, per_second: f64, now: ClockTime) {
         if let Some(share) = self.shares.get_mut(&endpoint) {
-            let rate = per_second * USED_PART / f64::from(share.sharers);
-            let rate = rate.max(LEAST_RATE);
+            let rate = per_second * USED_RATIO / f64::from(share.sharers);
+            let rate = rate.max(MIN_EDGE_RATE);
             share.next_at = now.after(Duration::from_secs_f64(1.0 / rate));
         }
     }
 
-    /// Forgets parts that are no longer valid.
+    /// Removes expired shares.
     pub fn expire(&mut self, now: ClockTime) {
         self.shares.retain(|_, share| now < share.valid_until);
     }
--- a/crates/ragwortroad_dispatch/src/warmup_share.rs
+++ b/crates/ragwortroad_dispatch/src/warmup_share.rs
@@ -8,29 +8,30 @@
 
 use crate::EndpointTag;
 
-/// Edges that share the requests for one endpoint that warms up.
+/// Number of edges that share the requests to one warming endpoint.
 ///
-/// Enough that the loss of one leaves most of the endpoint's rate in use, and few enough that each
-/// still has requests to send at its part of the rate.
+/// High enough that the loss of one leaves most of the endpoint's rate in use, and low enough that
+/// each edge has requests to send at its share of the rate.
 const WARMUP_EDGES: usize = 4;
 
-/// An edge's part of the requests that an endpoint takes while it warms up.
+/// An edge's share of the requests that a warming endpoint tolerates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WarmupShare {
-    /// The endpoint.
+    /// Tag of the endpoint.
     pub endpoint: EndpointTag,
-    /// Edges that have such a part, this one among them.
+    /// Number of edges with a share, including this one.
     pub sharers: u32,
-    /// Milliseconds for which the part is valid.
+    /// Milliseconds until the share expires.
     pub valid_ms: u32,
 }
 
-/// The edges that may send requests to an endpoint while it warms up.
+/// Returns the edges that may send requests to a warming endpoint.
 ///
-/// An endpoint that has just started looks empty to every edge at once; if each sent it a single
-/// request, it would break down under the sum. So few edges send there, each at its part of the
-/// rate. All registries choose the same ones from the same edges, by a hash of both names.
+/// An endpoint that has just started appears idle to every edge at once, and a single request from
+/// each would overload it. Therefore only a few edges send requests there, each at its share of the
+/// rate. All registries choose the same ones from the same set of edges, by a hash of both names
+/// (rendezvous hashing).
 pub fn choose_warmup_edges(
     endpoint: EndpointTag,
     edges: impl Iterator<Item = SocketAddr>,
