--- a/crates/ragwortroad_dispatch/src/edge_discovery.rs
+++ b/crates/ragwortroad_dispatch/src/edge_discovery.rs
@@ -53,8 +53,8 @@
         now: ClockTime,
     ) -> Option<DirectoryError> {
         let is_new = now.since(self.started_at) < MAX_DISCOVERY_TIME;
-        let is_joined = now.since(self.joined_at) < QUIET_TIME;
-        if is_new && (is_joined || ready * 2 < edges) {
+        let has_recent_join = now.since(self.joined_at) < QUIET_TIME;
+        if is_new && (has_recent_join || ready * 2 < edges) {
             return Some(DirectoryError::Discovering);
         }
         (ready == 0).then_some(DirectoryError::NoEdge)
--- a/crates/ragwortroad_dispatch/src/lib.rs
+++ b/crates/ragwortroad_dispatch/src/lib.rs
@@ -128,10 +128,10 @@
             load_interval_factor, //
         },
         location_log::{
-            LocationBatch, //
+            LocationBatch,
             LocationLog,
             LocationOrigin,
-            LocationReader,
+            LocationReader, //
         },
         pending_locations::PendingLocations,
         prefix_location::PrefixLocation,
@@ -171,8 +171,8 @@
             SiteConfig, //
         },
         start_wait::{
-            start_wait, //
-            time_to_ready,
+            start_wait,
+            time_to_ready, //
         },
         update_queue::UpdateQueue,
         voter_plan::{
--- a/crates/ragwortroad_dispatch/src/pending_locations.rs
+++ b/crates/ragwortroad_dispatch/src/pending_locations.rs
@@ -3,7 +3,7 @@
 use crate::EndpointTag;
 
 /// Largest number of locations kept; those of a site with some hundred engines fit.
-const MAX_LOCATIONS: usize = 4000;
+const MAX_PENDING: usize = 4000;
 
 /// Locations of prefixes at engines that this edge does not know yet.
 ///
@@ -23,7 +23,7 @@
 impl PendingLocations {
     /// Adds the location of a prefix, unless the limit is reached.
     pub fn add(&mut self, engine: EndpointTag, prefix: u64) {
-        if self.count >= MAX_LOCATIONS {
+        if self.count >= MAX_PENDING {
             return;
         }
         let engines = self.engines_by_prefix.entry(prefix).or_default();
--- a/crates/ragwortroad_dispatch/src/prefix_source.rs
+++ b/crates/ragwortroad_dispatch/src/prefix_source.rs
@@ -14,7 +14,7 @@
 /// Number of shared tokens below which an engine computes the prefix itself.
 ///
 /// Computing them takes two milliseconds, as long as two engines need to negotiate a transfer.
-const MIN_TOKENS: u32 = 256;
+const MIN_TRANSFER_TOKENS: u32 = 256;
 
 /// An engine that holds a prefix which another engine lacks.
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +42,7 @@
     tokens: u32,
     engine: &EngineRule,
 ) -> Option<EndpointKey> {
-    if tokens < MIN_TOKENS || transfer_tokens_per_ms(engine) <= PREFILL_TOKENS_PER_MS {
+    if tokens < MIN_TRANSFER_TOKENS || transfer_tokens_per_ms(engine) <= PREFILL_TOKENS_PER_MS {
         return None;
     }
     // A failing engine still has its cache, so it is the last resort. Domains are some milliseconds
--- a/crates/ragwortroad_dispatch/src/start_wait.rs
+++ b/crates/ragwortroad_dispatch/src/start_wait.rs
@@ -18,13 +18,13 @@
 /// Longest time for which a request waits for the edge to become ready.
 ///
 /// In a fleet of hundreds, copies of the configuration occupy the registries' links for that long.
-const MAX_WAIT: Duration = Duration::from_millis(2000);
+const MAX_START_WAIT: Duration = Duration::from_millis(2000);
 
 /// Divisor of the time left until the deadline that gives the longest wait.
 ///
 /// Callers count a third of their deadline without an answer as a failure; after a quarter, a
 /// rejected caller still has time to retry.
-const DEADLINE_DIVISOR: u32 = 4;
+const WAIT_DIVISOR: u32 = 4;
 
 /// Returns how long a request waits at an edge that is not ready and was started `running` ago.
 ///
@@ -34,7 +34,7 @@
 /// only: in an outage no request waits, nor does any wait longer than a start may take.
 pub fn start_wait(running: Duration, time_left: Duration) -> Duration {
     let start_left = MAX_START_TIME.saturating_sub(running);
-    MAX_WAIT.min(time_left / DEADLINE_DIVISOR).min(start_left)
+    MAX_START_WAIT.min(time_left / WAIT_DIVISOR).min(start_left)
 }
 
 /// Returns the earliest time until a starting edge is expected to be ready, for callers that it has
--- a/crates/ragwortroad_dispatch/tests/admission.rs
+++ b/crates/ragwortroad_dispatch/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who goes on, waits or is refused when there is more to do than a service carries.
+//! Which requests are admitted, queued or rejected when a service is overloaded.
 
 mod common;
 
@@ -7,17 +7,17 @@
 use common::at;
 use ragwortroad_dispatch::prelude::*;
 
-const PATIENCE: Duration = Duration::from_millis(200);
+const QUEUE_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn offer(route: u8, is_late: bool) -> AdmissionRequest {
     AdmissionRequest {
         rank: RequestRank { declared: 1, route },
         is_late,
-        queue_timeout: PATIENCE,
+        queue_timeout: QUEUE_TIMEOUT,
     }
 }
 
-/// A gate with this limit, all of it taken, at which one request ends every 20 ms.
+/// Returns a gate at its limit, at which one request completes every 20 ms.
 fn full_gate(limit: u32) -> AdmissionGate {
     let mut gate = AdmissionGate::new(at(0));
     gate.set_limit(f64::from(limit), at(0));
@@ -40,12 +40,12 @@
 fn wait(gate: &mut AdmissionGate, offer: AdmissionRequest, now: u64) -> QueueTicket {
     match gate.offer(offer, at(now)) {
         AdmissionDecision::Queued(ticket) => ticket,
-        AdmissionDecision::Admitted => panic!("there is no room"),
+        AdmissionDecision::Admitted => panic!("a request was admitted above the limit"),
     }
 }
 
 #[test]
-fn a_gate_counts_what_is_under_way() {
+fn a_gate_counts_requests_in_flight() {
     let mut gate = AdmissionGate::new(at(0));
     for _ in 0..1000 {
         assert_eq!(
@@ -66,25 +66,25 @@
     assert_eq!(gate.admit_next(at(1000)), None);
 }
 
-/// Guards against places that go to less urgent requests, or to late ones.
+/// Guards against slots that go to less urgent requests, or to late ones.
 #[test]
-fn the_most_urgent_goes_first_and_the_late_last() {
+fn urgent_requests_precede_others_and_late_ones_follow() {
     let mut gate = full_gate(4);
     let notes = wait(&mut gate, offer(1, false), 5001);
     let late = wait(&mut gate, offer(0, true), 5002);
     let draft = wait(&mut gate, offer(0, false), 5003);
     let second = wait(&mut gate, offer(0, false), 5004);
-    let mut called = Vec::new();
+    let mut admitted = Vec::new();
     for step in 0..4 {
         gate.release(at(5010 + step));
-        called.extend(gate.admit_next(at(5010 + step)));
+        admitted.extend(gate.admit_next(at(5010 + step)));
     }
-    // The notes are below their floor after the first draft has gone on.
-    assert_eq!(called.first(), Some(&notes));
-    assert_eq!(called[1..], [draft, second, late]);
+    // The rank of the notes is below its floor after the first draft was admitted.
+    assert_eq!(admitted.first(), Some(&notes));
+    assert_eq!(admitted[1..], [draft, second, late]);
 }
 
-/// A flood of urgent requests. Less urgent ones must go on now and then.
+/// Guards against less urgent requests that are never admitted under a flood of urgent ones.
 #[test]
 fn no_rank_starves() {
     let mut gate = full_gate(10);
@@ -99,14 +99,14 @@
         if step % 8 == 0 {
             gate.release(at(now));
         }
-        while let Some(called) = gate.admit_next(at(now)) {
-            let rank = waiting.remove(&called).expect("it waited");
+        while let Some(ticket) = gate.admit_next(at(now)) {
+            let rank = waiting.remove(&ticket).expect("a queued ticket");
             admitted[usize::from(rank)] += 1;
         }
         while let Some(displaced) = gate.shed_next(at(now)) {
             assert!(waiting.remove(&displaced).is_some());
         }
-        assert!(gate.waiting() <= 11, "{} wait", gate.waiting());
+        assert!(gate.waiting() <= 11, "{} queued", gate.waiting());
         assert_eq!(gate.waiting(), waiting.len());
     }
     let all: u32 = admitted.iter().sum();
@@ -117,11 +117,11 @@
     assert!(admitted[2] * 12 > all, "{admitted:?}");
 }
 
-/// Guards against callers who are held although no place can come in time.
+/// Guards against callers that are kept waiting although no slot can become free in time.
 #[test]
-fn who_waits_in_vain_is_told_at_once() {
+fn requests_that_cannot_be_served_in_time_are_shed_at_once() {
     let mut gate = full_gate(4);
-    // 50 requests end in a second, so ten places become free within the patience.
+    // 50 requests complete per second, so ten slots become free within the queue timeout.
     for _ in 0..20 {
         wait(&mut gate, offer(1, false), 5005);
     }
@@ -133,25 +133,27 @@
     assert!((9..=12).contains(&gate.waiting()), "{}", gate.waiting());
     assert!(!displaced.contains(&urgent));
     assert_eq!(gate.shedding_duration(at(5005)), Duration::ZERO);
-    // The others' patience ends.
-    let mut late = 0;
+    // The queue timeout of the others expires.
+    let mut expired = 0;
     while gate.shed_next(at(5205)).is_some() {
-        late += 1;
+        expired += 1;
     }
     assert_eq!(gate.waiting(), 0);
-    assert!(late >= 9);
+    assert!(expired >= 9);
     assert_eq!(gate.shedding_duration(at(5205)), Duration::from_millis(200));
     assert!(gate.is_shedding(at(5205)) && !gate.is_shedding(at(7000)));
     assert_eq!(
         gate.shedding_duration(at(7000)),
         Duration::ZERO,
-        "long over"
+        "load shedding is over"
     );
 }
 
-/// A caller leaves while its request waits. Its ticket must not take the place of another one.
+/// Guards against a cancelled ticket that takes the slot of another request.
+///
+/// The caller leaves while its request is queued.
 #[test]
-fn a_ticket_that_is_given_up_is_not_called() {
+fn a_cancelled_ticket_is_not_admitted() {
     let mut gate = full_gate(2);
     let first = wait(&mut gate, offer(0, false), 5001);
     let second = wait(&mut gate, offer(0, false), 5002);
@@ -161,9 +163,10 @@
     assert_eq!(gate.admit_next(at(5010)), None);
 }
 
-/// Guards against limits that exceed the capacity together, and edges that keep too little.
+/// Guards against limits that add up to more than the capacity, and edges that get too small a
+/// limit.
 #[test]
-fn limits_of_all_edges_fill_the_room_together() {
+fn limits_of_all_edges_add_up_to_the_capacity() {
     for (edges, capacity) in [(8_u32, 1536.0), (79, 1680.0), (2, 12.0), (40, 60.0)] {
         let mut own: Vec<u32> = (1..=edges).collect();
         for round in 0..10 {
@@ -179,8 +182,8 @@
             });
             own = limits.collect();
             let sum = f64::from(own.iter().sum::<u32>());
-            // What is free when the surge begins is granted twice, until all have told of it; and
-            // a part of a request is a whole one at each edge.
+            // The capacity that is free when the surge begins is granted twice, until all edges
+            // have reported; and a fraction of a request is a whole one at each edge.
             let granted = if round == 0 { capacity * 2.0 } else { capacity };
             let most = granted + f64::from(edges);
             assert!(sum <= most, "{edges}: {sum} of {capacity}");
@@ -198,7 +201,7 @@
 
 /// Guards against requests for failing engines that queue at the others.
 #[test]
-fn places_of_failing_engines_are_not_filled() {
+fn slots_of_failing_engines_do_not_count() {
     let share = |failure_rate| EndpointUsage {
         slots: 10,
         total: 4,
@@ -210,18 +213,23 @@
     for endpoint in &mut some[..4] {
         endpoint.failure_rate = 0.5;
     }
-    let room = |endpoints: &[EndpointUsage]| FleetLoad::of(endpoints, 3).map(|load| load.capacity);
-    assert_eq!(room(&all), Some(120.0));
-    assert_eq!(room(&some), Some(80.0));
-    assert_eq!(room(&vec![share(0.5); 12]), Some(120.0), "all of them fail");
-    assert_eq!(room(&[]), None);
+    let capacity =
+        |endpoints: &[EndpointUsage]| FleetLoad::of(endpoints, 3).map(|load| load.capacity);
+    assert_eq!(capacity(&all), Some(120.0));
+    assert_eq!(capacity(&some), Some(80.0));
+    assert_eq!(
+        capacity(&vec![share(0.5); 12]),
+        Some(120.0),
+        "all of them are failing"
+    );
+    assert_eq!(capacity(&[]), None);
     let load = FleetLoad::of(&some, 3).unwrap_or_default();
     assert_eq!((load.total, load.own, load.edges), (32, 8, 3));
 }
 
-/// Guards against an edge without registries that stops serving, or takes more than its part.
+/// Guards against an edge without registries that stops serving, or exceeds its share.
 #[test]
-fn an_edge_that_knows_nothing_takes_an_equal_part() {
+fn an_edge_without_counts_gets_an_equal_share() {
     let load = FleetLoad {
         capacity: 1600.0,
         total: 0,
@@ -237,40 +245,40 @@
     assert_eq!(alone.own_limit(), 1.0);
 }
 
-/// Guards against queues at plain services, and refusals for one that is slow by itself.
+/// Guards against queues at plain services, and rejections for one that is slow by itself.
 #[test]
-fn a_plain_service_is_limited_once_its_answers_queue() {
-    let aim = Duration::from_millis(300);
+fn a_plain_service_is_limited_once_its_requests_queue() {
+    let target = Duration::from_millis(300);
     let ms = Duration::from_millis;
     let mut limit = LatencyLimit::default();
     for _ in 0..400 {
-        limit.note(ms(60), aim, 10);
+        limit.note(ms(60), target, 10);
     }
     assert!(limit.limit().is_infinite());
     for step in 0..400 {
         // One of three replicas takes ten times as long.
-        limit.note(ms(if step % 3 == 0 { 600 } else { 60 }), aim, 10);
+        limit.note(ms(if step % 3 == 0 { 600 } else { 60 }), target, 10);
     }
     assert!(limit.limit().is_infinite());
     for _ in 0..80 {
-        limit.note(ms(290), aim, 40);
+        limit.note(ms(290), target, 40);
     }
     let fallen = limit.limit();
     assert!((1.0..=20.0).contains(&fallen), "{fallen}");
     for _ in 0..200 {
-        limit.note(ms(70), aim, 8);
+        limit.note(ms(70), target, 8);
     }
     assert!(limit.limit() > 40.0, "{}", limit.limit());
     let mut slow = LatencyLimit::default();
     for _ in 0..400 {
-        slow.note(ms(350), aim, 3);
+        slow.note(ms(350), target, 3);
     }
-    assert!(slow.limit().is_infinite(), "slow by itself");
+    assert!(slow.limit().is_infinite(), "a slow service is not limited");
 }
 
-/// Guards against refused callers who return together, too soon or too late.
+/// Guards against rejected callers that retry together, too early or too late.
 #[test]
-fn refused_callers_return_spread_and_within_their_time() {
+fn rejected_callers_retry_spread_out_and_before_their_deadline() {
     let ms = Duration::from_millis;
     for (shedding, left) in [
         (0, 3000),
@@ -296,26 +304,27 @@
 }
 
 #[test]
-fn callers_that_come_back_are_told_from_new_ones() {
-    let mut usual = DeadlineEstimate::default();
+fn retries_are_told_from_first_requests() {
+    let mut estimate = DeadlineEstimate::default();
     let ms = Duration::from_millis;
     for step in 0..500 {
-        // Most requests of a long overload come from callers who were sent away for two seconds.
-        let (left, spent) = match step % 3 {
+        // Most requests of a long overload come from callers that were told to retry two seconds
+        // later.
+        let (left, waited) = match step % 3 {
             0 => (15_000, 0),
             _ => (13_000, 2000),
         };
-        let found = usual.note(ms(left)).as_millis() as i64;
+        let estimated = estimate.note(ms(left)).as_millis() as i64;
         assert!(
-            (found - spent).abs() <= 400,
-            "step {step}: {found} of {spent}"
+            (estimated - waited).abs() <= 400,
+            "step {step}: {estimated} of {waited}"
         );
     }
 }
 
-/// Guards against requests that wait at a full engine while another has a free place.
+/// Guards against requests that queue at a full engine while another has a free slot.
 #[test]
-fn a_full_engine_gets_nothing_while_another_has_room() {
+fn a_full_engine_is_not_selected_while_another_has_a_free_slot() {
     let engine = |key: u32, load, holds_prefix| SelectionCandidate {
         key: EndpointKey(key),
         name: ["one", "two", "three"][key as usize],
@@ -345,6 +354,6 @@
     assert_eq!(
         chosen,
         Some(EndpointKey(0)),
-        "the text's engine has a place"
+        "the holder of the prefix has a free slot"
     );
 }
--- a/crates/ragwortroad_dispatch/tests/common/mod.rs
+++ b/crates/ragwortroad_dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Things that several tests make.
+//! Fixtures shared by several tests.
 #![allow(dead_code)]
 
 use std::{
@@ -13,18 +13,18 @@
 use ragwortroad_dispatch::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// A reading `ms` milliseconds after the start of a test.
+/// Returns the time `ms` milliseconds after the start of a test.
 pub(crate) fn at(ms: u64) -> ClockTime {
     ClockTime(3_600_000 + ms)
 }
 
-/// Where a registry listens for links.
+/// Returns the address that a registry listens on.
 pub(crate) fn registry(index: usize) -> SocketAddr {
     let ip = Ipv4Addr::new(10, 0, 0, index as u8);
     SocketAddr::new(IpAddr::V4(ip), 7340)
 }
 
-/// An endpoint's first announcement.
+/// Returns an endpoint's first announcement.
 pub(crate) fn record(name: &str) -> EndpointRecord {
     EndpointRecord {
         name: name.to_owned(),
@@ -39,7 +39,7 @@
     }
 }
 
-/// A route to one service.
+/// Returns a route to a single service.
 pub(crate) fn route(host: &str, path_prefix: &str) -> RouteRule {
     RouteRule {
         name: format!("{host}{path_prefix}"),
@@ -60,7 +60,7 @@
     }
 }
 
-/// A configuration with these routes and the service they lead to.
+/// Returns a configuration with these routes and their target service.
 pub(crate) fn config(routes: Vec<RouteRule>) -> SiteConfig {
     SiteConfig {
         version: 1,
--- a/crates/ragwortroad_dispatch/tests/config_fetches.rs
+++ b/crates/ragwortroad_dispatch/tests/config_fetches.rs
@@ -1,4 +1,4 @@
-//! How edges come by a configuration: from whom, when again, and how that is divided.
+//! Which registry an edge fetches a configuration from, when it asks again, and how edges spread.
 
 mod common;
 
@@ -13,7 +13,7 @@
 };
 use ragwortroad_dispatch::prelude::*;
 
-/// Nine registries of which those from `first` on have announced version 9.
+/// Returns nine registries, of which those from `first` on have announced version 9.
 fn sources(first: usize) -> Vec<ConfigSource> {
     let sources = (0..9).map(|index| ConfigSource {
         address: registry(index),
@@ -22,27 +22,29 @@
     sources.collect()
 }
 
-/// Guards against an edge that asks a connected registry which does not answer again and again.
+/// Guards against an edge that repeatedly asks a connected registry which does not answer.
 #[test]
 fn a_registry_that_does_not_answer_is_not_asked_twice() {
     let mut fetch = ConfigFetch::default();
     fetch.note_announced(9, at(0));
     let first = fetch.next("edge-1", Some(8), &sources(0), at(0));
-    let first = first.expect("its own registry has announced it").registry;
+    let first = first
+        .expect("the preferred registry has announced it")
+        .registry;
     fetch.note_asked(first, at(0));
     assert_eq!(fetch.next("edge-1", Some(8), &sources(0), at(100)), None);
     let second = fetch.next("edge-1", Some(8), &sources(0), at(600));
-    let second = second.expect("another one");
+    let second = second.expect("another registry");
     assert_ne!(second.registry, first);
-    assert!(!second.direct, "another one may refer");
+    assert!(!second.direct, "another registry may refer");
     fetch.note_asked(second.registry, at(600));
     fetch.note_answered();
     assert_eq!(fetch.next("edge-1", Some(9), &sources(0), at(700)), None);
 }
 
-/// Guards against an edge that gives up on a slow registry which alone has the version.
+/// Guards against an edge that gives up on a slow registry which is the only one with the version.
 #[test]
-fn the_only_registry_that_has_it_is_asked_again() {
+fn the_only_registry_with_the_version_is_asked_again() {
     let mut fetch = ConfigFetch::default();
     fetch.note_announced(9, at(0));
     fetch.note_asked(registry(8), at(300));
@@ -54,7 +56,7 @@
     assert_eq!(next, Some(again));
 }
 
-/// Guards against edges that a registry refers to a lost edge over and over.
+/// Guards against edges that a registry keeps referring to an edge that is gone.
 #[test]
 fn a_failed_referral_is_not_repeated() {
     let mut fetch = ConfigFetch::default();
@@ -62,16 +64,16 @@
     fetch.note_asked(registry(8), at(300));
     fetch.note_failed();
     let only = fetch.next("edge-1", None, &sources(8), at(301));
-    let only = only.expect("the only registry that has it");
+    let only = only.expect("the only registry with the version");
     assert!(only.registry == registry(8) && only.direct, "{only:?}");
     let other = fetch.next("edge-1", None, &sources(7), at(301));
-    let other = other.expect("the other registry that has it");
+    let other = other.expect("the other registry with the version");
     assert!(other.registry == registry(7) && !other.direct, "{other:?}");
 }
 
 /// Guards against a leader whose link has to carry the copies for all edges.
 #[test]
-fn edges_wait_for_their_own_registry_and_divide_themselves() {
+fn edges_wait_for_their_preferred_registry_and_spread_over_the_others() {
     let mut fetch = ConfigFetch::default();
     fetch.note_announced(9, at(0));
     let mut counts: BTreeMap<SocketAddr, u32> = BTreeMap::new();
@@ -83,19 +85,19 @@
     }
     assert!(
         counts[&registry(8)] < 50,
-        "only its own edges ask: {counts:?}"
+        "only edges that prefer it ask: {counts:?}"
     );
     counts.clear();
     for edge in 0..191 {
         let edge = format!("edge-{edge}");
         let late = fetch.next(&edge, Some(8), &sources(5), at(400));
-        let late = late.expect("someone has it").registry;
+        let late = late.expect("a registry with the version").registry;
         *counts.entry(late).or_default() += 1;
     }
     assert_eq!(counts.len(), 4, "{counts:?}");
     let most = counts.values().max().copied().unwrap_or(0);
     assert!(
         most < 80,
-        "those whose own lacks it divide themselves: {counts:?}"
+        "edges whose preferred registry lacks it do not spread: {counts:?}"
     );
 }
--- a/crates/ragwortroad_dispatch/tests/configurations.rs
+++ b/crates/ragwortroad_dispatch/tests/configurations.rs
@@ -1,4 +1,4 @@
-//! Which configurations are refused, and how requests find their route.
+//! Validation of configurations, and matching of requests to routes.
 
 mod common;
 
@@ -29,13 +29,13 @@
 }
 
 #[test]
-fn a_sound_configuration_is_taken() {
+fn a_valid_configuration_is_accepted() {
     assert_eq!(fault(|_| {}), None);
 }
 
-/// Guards against configurations that send requests nowhere or to two places.
+/// Guards against configurations that leave requests without a target or with two.
 #[test]
-fn each_contradiction_is_refused_with_its_place() {
+fn invalid_configurations_are_rejected_with_the_offending_item() {
     let unknown = fault(|config| config.routes[1].targets[0].service = "other".to_owned());
     assert!(
         matches!(unknown, Some(ConfigFault::UnknownService { route, .. }) if route == "a/x/y/")
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_customers_rank_goes_before_the_routes() {
+fn a_customers_rank_overrides_the_routes() {
     let mut config = config(vec![route("a", "/")]);
     let urgent = CustomerRule {
         rank: Some(0),
--- a/crates/ragwortroad_dispatch/tests/copies.rs
+++ b/crates/ragwortroad_dispatch/tests/copies.rs
@@ -1,4 +1,4 @@
-//! How a whole configuration comes to all edges of a fleet after a common restart.
+//! Distribution of a whole configuration to all edges after a restart of the whole fleet.
 
 use std::{
     collections::VecDeque,
@@ -11,21 +11,21 @@
 
 use ragwortroad_dispatch::prelude::*;
 
-/// A fleet whose edges all ask for the configuration in the same moment.
+/// A fleet whose edges all request the configuration at the same moment.
 struct RestartPlan {
     registries: usize,
     edges: usize,
-    /// Bytes of the configuration, packed.
+    /// Size of the compressed configuration in bytes.
     bytes: f64,
-    /// Bytes a millisecond that a registry's link carries, and an edge's.
+    /// Bytes per millisecond that a registry's link carries, and an edge's.
     registry_rate: f64,
     edge_rate: f64,
-    /// Whether edges give each other copies.
+    /// Whether edges provide copies to each other.
     has_helpers: bool,
 }
 
-/// Time of a message on its way, and of the next round of a registry.
-const WAY_MS: f64 = 10.0;
+/// Latency of a message, and interval of a registry's rounds.
+const LATENCY_MS: f64 = 10.0;
 const ROUND_MS: f64 = 50.0;
 
 fn edge_address(edge: usize) -> SocketAddr {
@@ -33,20 +33,20 @@
     SocketAddr::new(IpAddr::V4(ip), 7340)
 }
 
-/// When each edge has its copy, in milliseconds after all have asked, the last one last.
-fn play(plan: &RestartPlan) -> Vec<f64> {
+/// Returns when each edge has its copy, in milliseconds after the requests, in ascending order.
+fn simulate(plan: &RestartPlan) -> Vec<f64> {
     let mut queues: Vec<CopyQueue> = Vec::new();
     queues.resize_with(plan.registries, CopyQueue::default);
     for edge in 0..plan.edges {
         queues[edge % plan.registries].enqueue(edge as u64);
     }
     let pace = SendPace::for_configs(plan.registry_rate * 1e3);
-    let mut link_free = vec![0.0_f64; plan.registries];
-    let mut edge_free = vec![0.0_f64; plan.edges];
-    let mut has_at = vec![f64::INFINITY; plan.edges];
+    let mut link_free_at = vec![0.0_f64; plan.registries];
+    let mut edge_free_at = vec![0.0_f64; plan.edges];
+    let mut received_at = vec![f64::INFINITY; plan.edges];
     let mut rounds: VecDeque<(f64, usize)> = (0..plan.registries).map(|at| (0.0, at)).collect();
     while let Some((now, at)) = rounds.pop_front() {
-        let ready = (0..plan.edges).filter(|edge| has_at[*edge] + WAY_MS <= now);
+        let ready = (0..plan.edges).filter(|edge| received_at[*edge] + LATENCY_MS <= now);
         let helpers: Vec<SocketAddr> = match plan.has_helpers {
             true => ready.map(edge_address).collect(),
             false => Vec::new(),
@@ -54,25 +54,25 @@
         let most = pace.max_batch_items(1, plan.bytes);
         let copies = queues[at].plan(most, &helpers);
         for edge in &copies.direct {
-            link_free[at] = link_free[at].max(now) + plan.bytes / plan.registry_rate;
-            has_at[*edge as usize] = link_free[at] + WAY_MS;
+            link_free_at[at] = link_free_at[at].max(now) + plan.bytes / plan.registry_rate;
+            received_at[*edge as usize] = link_free_at[at] + LATENCY_MS;
         }
         for referral in &copies.referred {
             let helper = (0..plan.edges).find(|edge| edge_address(*edge) == referral.helper);
             let helper = helper.expect("an edge of the fleet");
-            let asked = now + WAY_MS * 3.0;
-            edge_free[helper] = edge_free[helper].max(asked) + plan.bytes / plan.edge_rate;
-            has_at[referral.edge as usize] = edge_free[helper] + WAY_MS;
+            let asked = now + LATENCY_MS * 3.0;
+            edge_free_at[helper] = edge_free_at[helper].max(asked) + plan.bytes / plan.edge_rate;
+            received_at[referral.edge as usize] = edge_free_at[helper] + LATENCY_MS;
         }
         if !queues[at].is_empty() {
             let span = pace.delay_after(copies.direct.len() * plan.bytes as usize);
             let next = now + (span.as_secs_f64() * 1e3).max(ROUND_MS);
-            let place = rounds.partition_point(|(other, _)| *other <= next);
-            rounds.insert(place, (next, at));
+            let position = rounds.partition_point(|(other, _)| *other <= next);
+            rounds.insert(position, (next, at));
         }
     }
-    has_at.sort_by(f64::total_cmp);
-    has_at
+    received_at.sort_by(f64::total_cmp);
+    received_at
 }
 
 fn large_fleet(has_helpers: bool) -> RestartPlan {
@@ -88,37 +88,37 @@
 
 /// Guards against edges that serve late because the registries' links carry all copies.
 #[test]
-fn edges_give_each_other_the_configuration() {
-    let before = play(&large_fleet(false));
+fn edges_provide_the_configuration_to_each_other() {
+    let before = simulate(&large_fleet(false));
     assert!(before[190] > 800.0, "the last after {} ms", before[190]);
-    let after = play(&large_fleet(true));
+    let after = simulate(&large_fleet(true));
     assert!(after[190] < 500.0, "the last after {} ms", after[190]);
     assert!(
         after[95] <= before[95],
-        "the middle one: {} and {}",
+        "the median edge: {} and {}",
         after[95],
         before[95]
     );
 }
 
-/// The same with a thousand edges: what a registry sends no longer grows with them.
+/// Guards against a registry's traffic that grows with the number of edges, here a thousand.
 #[test]
-fn a_thousand_edges_take_little_longer() {
+fn copies_for_a_thousand_edges_take_little_longer() {
     let plan = RestartPlan {
         edges: 1000,
         ..large_fleet(true)
     };
-    let after = play(&plan);
+    let after = simulate(&plan);
     assert!(after[999] < 1000.0, "the last after {} ms", after[999]);
 }
 
-/// On a site of today all edges get their copies from the registries, as nobody has to wait.
+/// Guards against referrals in a fleet so small that the registries can serve all edges at once.
 #[test]
 fn a_small_fleet_needs_no_helpers() {
     let mut queue = CopyQueue::default();
     (0..3).for_each(|edge| queue.enqueue(edge));
     queue.enqueue(2);
-    assert_eq!(queue.len(), 3, "each once");
+    assert_eq!(queue.len(), 3, "no duplicates");
     queue.drop_edge(1);
     let plan = queue.plan(3, &[edge_address(9)]);
     assert_eq!(plan.direct, [0, 2]);
@@ -127,7 +127,7 @@
 
 /// Guards against a single ready edge whose link has to carry the copies for all.
 #[test]
-fn a_helper_is_named_to_a_few_only() {
+fn a_helper_serves_few_edges_at_a_time() {
     let mut queue = CopyQueue::default();
     (0..50).for_each(|edge| queue.enqueue(edge));
     let plan = queue.plan(3, &[edge_address(9)]);
@@ -136,7 +136,7 @@
     assert_eq!(queue.len(), 44);
 }
 
-/// Guards against an edge that is referred a second time after another edge gave it no copy.
+/// Guards against an edge that is referred again after another edge has failed to provide a copy.
 #[test]
 fn an_edge_that_asks_for_a_direct_copy_is_not_referred() {
     let mut queue = CopyQueue::default();
@@ -149,7 +149,7 @@
     assert_eq!(referred, [0, 1, 2]);
     queue.enqueue_direct(7);
     let plan = queue.plan(0, &[edge_address(9)]);
-    assert!(plan.direct.is_empty(), "its turn comes with the next round");
+    assert!(plan.direct.is_empty(), "it is served in the next round");
     assert_eq!(queue.len(), 1);
     queue.drop_edge(7);
     assert!(queue.is_empty());
--- a/crates/ragwortroad_dispatch/tests/drains.rs
+++ b/crates/ragwortroad_dispatch/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Orders to drain a failure domain, as they are applied to the replicated state.
+//! Orders to drain a failure domain, applied to the replicated state.
 
 use ragwortroad_dispatch::prelude::*;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_drained_domain_returns_by_a_second_order() {
+fn a_second_order_undrains_a_domain() {
     let mut drains = DomainDrains::default();
     assert_eq!(drains.apply(&order("b", true, 0)), DrainOutcome::Changed);
     assert_eq!(drains.apply(&order("a", true, 0)), DrainOutcome::Changed);
@@ -33,9 +33,10 @@
     assert_eq!(returned, ["b"]);
 }
 
-/// Guards against an order that is sent again after a lost answer and is refused or counts twice.
+/// Guards against an order that is rejected or counts twice when it is sent again after a lost
+/// answer.
 #[test]
-fn an_order_that_is_sent_again_changes_nothing() {
+fn a_repeated_order_changes_nothing() {
     let mut drains = DomainDrains::default();
     drains.apply(&order("a", true, 0));
     let before = drains.clone();
@@ -45,9 +46,9 @@
     assert_eq!(drains.apply(&other), DrainOutcome::Unchanged);
 }
 
-/// Guards against an order held up between registries that undoes the withdrawal sent after it.
+/// Guards against an order delayed between registries that undoes the later order to undrain.
 #[test]
-fn an_order_that_was_held_up_undoes_no_later_one() {
+fn a_delayed_order_does_not_undo_a_later_one() {
     let mut drains = DomainDrains::default();
     drains.apply(&order("a", true, 0));
     drains.apply(&order("a", false, 1));
@@ -57,9 +58,9 @@
     assert_eq!(drains.apply(&order("a", true, 2)), DrainOutcome::Changed);
 }
 
-/// Guards against an order for one domain that is refused because another domain has changed.
+/// Guards against an order that is rejected because another domain has changed.
 #[test]
-fn orders_for_other_domains_do_not_overtake() {
+fn orders_for_other_domains_do_not_supersede() {
     let mut drains = DomainDrains::default();
     drains.apply(&order("a", true, 0));
     drains.apply(&order("b", true, 0));
--- a/crates/ragwortroad_dispatch/tests/endpoints.rs
+++ b/crates/ragwortroad_dispatch/tests/endpoints.rs
@@ -1,5 +1,5 @@
-//! What registries and edges believe about endpoints, from announcements that are late, doubled,
-//! or come by several ways.
+//! What registries and edges know about endpoints from announcements that are late, duplicated, or
+//! received over several paths.
 
 mod common;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Guards against work for an endpoint that is about to stop, after a late announcement.
+/// Guards against work for an endpoint that is about to stop, caused by a late announcement.
 #[test]
 fn a_late_announcement_does_not_undo_a_drain() {
     let mut table = EndpointTable::default();
@@ -79,7 +79,7 @@
 
 /// Guards against requests to the former name of an endpoint that is back at its address.
 #[test]
-fn a_later_start_at_an_address_ends_the_former_one() {
+fn a_later_start_at_an_address_replaces_the_earlier_one() {
     let mut table = EndpointTable::default();
     table.apply_record(HERE, record("before"), at(0));
     let after = EndpointRecord {
@@ -102,12 +102,12 @@
     assert_eq!(ready(&table), ["after"]);
 }
 
-/// Guards against late announcements of an endpoint whose address another one has.
+/// Guards against late announcements of an endpoint whose address another one has taken.
 #[test]
-fn a_refuted_endpoint_stays_out_until_it_starts_anew() {
+fn a_replaced_endpoint_stays_gone_until_it_restarts() {
     let mut table = EndpointTable::default();
     let EndpointChange::Started(key) = table.apply_record(HERE, record("e"), at(0)) else {
-        panic!("it is new");
+        panic!("the endpoint is new");
     };
     table.mark_replaced(key, at(10));
     assert!(ready(&table).is_empty());
@@ -127,7 +127,7 @@
 
 /// Guards against a crashed endpoint that is kept for as long as one whose registry was lost.
 #[test]
-fn a_missed_endpoint_is_dropped_soon() {
+fn a_lost_endpoint_is_removed_soon() {
     let mut table = EndpointTable::default();
     table.apply_record(HERE, record("e"), at(0));
     table.mark_lost(HERE, "e", at(1000));
@@ -135,9 +135,9 @@
     assert_eq!(table.expire(at(2600)).len(), 1);
 }
 
-/// Guards against an edge that disbelieves a goodbye because of its number.
+/// Guards against an edge that ignores a goodbye because of its lower sequence number.
 #[test]
-fn a_goodbye_counts_whatever_its_number() {
+fn a_goodbye_counts_whatever_its_sequence_number() {
     let mut table = EndpointTable::default();
     let heard = EndpointRecord {
         sequence: 9,
@@ -156,7 +156,7 @@
     assert!(ready(&table).is_empty());
 }
 
-/// Guards against a fleet that serves nobody while its registries restart.
+/// Guards against a fleet that cannot serve while its registries restart.
 #[test]
 fn endpoints_outlive_the_registries_for_a_while() {
     let mut table = EndpointTable::default();
@@ -178,9 +178,9 @@
     assert_eq!(ready(&table), ["e"]);
 }
 
-/// Guards against the loss of an endpoint that has turned to another registry.
+/// Guards against the loss of an endpoint that has switched to another registry.
 #[test]
-fn the_word_of_one_registry_is_enough() {
+fn one_reporting_registry_keeps_an_endpoint() {
     let mut table = EndpointTable::default();
     table.apply_record(HERE, record("e"), at(0));
     table.apply_record(
@@ -196,7 +196,7 @@
     assert_eq!(ready(&table), ["e"]);
 }
 
-/// Guards against a crashed endpoint that stays known for good.
+/// Guards against a crashed endpoint that stays known forever.
 #[test]
 fn a_silent_endpoint_is_lost() {
     let interval = Duration::from_millis(1000);
@@ -208,9 +208,9 @@
     assert_eq!(table.records(at(0)).count(), 0);
 }
 
-/// Guards against a message to every edge for each announcement that says nothing new.
+/// Guards against a message to every edge for each announcement without changes.
 #[test]
-fn only_news_is_passed_on() {
+fn only_changes_are_published() {
     let mut table = RegistryTable::new(Duration::from_millis(1000));
     let next = |sequence| EndpointRecord {
         sequence,
@@ -222,24 +222,28 @@
     assert_eq!(
         table.announce(next(2), at(1200)),
         None,
-        "a late one is no news"
+        "a late announcement is ignored"
     );
     assert_eq!(
         table.apply_goodbye("e", at(1300)),
         RegistryChange::Goodbye("e".to_owned())
     );
-    assert_eq!(table.announce(next(7), at(1400)), None, "it has left");
+    assert_eq!(
+        table.announce(next(7), at(1400)),
+        None,
+        "a departed endpoint is ignored"
+    );
 }
 
-/// Guards against a goodbye that is not passed on where the endpoint was never heard of.
+/// Guards against a goodbye that is not published because the endpoint is unknown to the registry.
 #[test]
-fn a_goodbye_of_an_unknown_endpoint_is_passed_on() {
+fn a_goodbye_of_an_unknown_endpoint_is_published() {
     let mut table = RegistryTable::new(Duration::from_millis(1000));
     let change = table.apply_goodbye("stranger", at(0));
     assert_eq!(change, RegistryChange::Goodbye("stranger".to_owned()));
 }
 
-/// Guards against callers who each wait for a connection to the same dead endpoint.
+/// Guards against callers that each wait for a connection to the same dead endpoint.
 #[test]
 fn failures_pause_an_endpoint_for_longer_each_time() {
     let mut load = EndpointLoad::default();
@@ -256,33 +260,36 @@
     load.note_failure(at(20_000));
     assert!(
         load.is_available(at(20_600)),
-        "a success forgets the failures before"
+        "a success resets the consecutive failures"
     );
 }
 
-/// Guards against an endpoint that failed once and gets nothing for good.
+/// Guards against an endpoint that gets no requests ever again after it has failed.
 #[test]
-fn an_endpoint_that_failed_is_tried_again() {
+fn a_failed_endpoint_is_probed_again() {
     let mut load = EndpointLoad::default();
     for step in 0..40 {
         load.note_bad_answer(at(step * 10));
     }
     let failing = load.failure_rate(at(400));
     assert!(failing > 0.9, "{failing}");
-    assert!(load.failure_rate(at(1400)) > 0.7, "it is not tried at once");
-    assert!(load.failure_rate(at(9000)) < 0.3, "it is tried again");
+    assert!(
+        load.failure_rate(at(1400)) > 0.7,
+        "it is not probed at once"
+    );
+    assert!(load.failure_rate(at(9000)) < 0.3, "it is probed again");
     load.note_bad_answer(at(9000));
     assert!(
         load.failure_rate(at(9000)) > failing * 0.9,
-        "one failure more shows it"
+        "a failed probe restores the failure rate"
     );
     load.note_success(at(18_000));
-    assert!(load.failure_rate(at(18_000)) < 0.3, "it is well again");
+    assert!(load.failure_rate(at(18_000)) < 0.3, "it has recovered");
 }
 
-/// Guards against a load that is taken for current long after the endpoint told it.
+/// Guards against a load reading that counts as current long after it was sent.
 #[test]
-fn a_reading_moves_with_what_this_edge_did_since() {
+fn a_reading_is_adjusted_by_this_edges_requests_since() {
     let mut load = EndpointLoad::default();
     load.start_request();
     let reading = LoadReading {
@@ -301,31 +308,31 @@
     assert_eq!(load.estimate(0, at(10_000)), 0);
 }
 
-/// Guards against an edge that gives up a well endpoint which only older word vouches for.
+/// Guards against an edge that drops a healthy endpoint for which only an older record is left.
 #[test]
-fn an_older_word_still_vouches_for_an_endpoint() {
+fn an_older_record_still_keeps_an_endpoint() {
     let (first, second) = (SourceKey(0), SourceKey(1));
-    let told = |sequence| EndpointRecord {
+    let announced = |sequence| EndpointRecord {
         sequence,
         ..record("i-1")
     };
     let mut table = EndpointTable::default();
-    table.apply_record(first, told(5), at(0));
+    table.apply_record(first, announced(5), at(0));
     table.drop_source(first, at(100));
-    table.apply_record(second, told(6), at(120));
+    table.apply_record(second, announced(6), at(120));
     assert_eq!(
-        table.apply_record(first, told(5), at(300)),
+        table.apply_record(first, announced(5), at(300)),
         EndpointChange::Unchanged
     );
     table.mark_lost(second, "i-1", at(4000));
     assert!(table.expire(at(60_000)).is_empty());
     assert_eq!(table.ready("llm").count(), 1);
-    // An older word does not bring back what has left.
+    // An older record does not bring back an endpoint that has left.
     let leaving = EndpointRecord {
         stage: EndpointStage::Draining,
-        ..told(9)
+        ..announced(9)
     };
     table.apply_record(second, leaving, at(61_000));
-    table.apply_record(first, told(5), at(61_100));
+    table.apply_record(first, announced(5), at(61_100));
     assert_eq!(table.ready("llm").count(), 0);
 }
--- a/crates/ragwortroad_dispatch/tests/homes.rs
+++ b/crates/ragwortroad_dispatch/tests/homes.rs
@@ -1,4 +1,5 @@
-//! Which registry an edge tells and is told by, what registries add up, and which edges callers use.
+//! Choice of home registries, exchange of loads between registries, and selection of edges for
+//! callers.
 
 mod common;
 
@@ -18,9 +19,9 @@
 use common::registry;
 use ragwortroad_dispatch::prelude::*;
 
-/// Guards against a registry whose link carries the share of others, also after a loss.
+/// Guards against a registry whose link carries the share of others, even after a loss.
 #[test]
-fn homes_are_divided_evenly_also_after_a_loss() {
+fn homes_are_balanced_even_after_a_loss() {
     let all: Vec<SocketAddr> = (0..9).map(registry).collect();
     for lost in [None, Some(all[4])] {
         let left = all
@@ -42,31 +43,31 @@
     }
 }
 
-/// Guards against callers who are all told the same edges, or others each second.
+/// Guards against callers that all get the same edges, or different ones every second.
 #[test]
-fn callers_are_spread_over_all_edges_and_stay_at_theirs() {
+fn callers_are_spread_over_all_edges_and_keep_theirs() {
     let ready: Vec<SocketAddr> = (0..191).map(registry).collect();
     let mut counts: BTreeMap<SocketAddr, u32> = BTreeMap::new();
-    for asker in 0..400_u32 {
-        let asker = IpAddr::V4(Ipv4Addr::from(0x0a64_0000 + asker));
-        let told = choose_addresses(asker, ready.clone(), 64);
-        assert_eq!(told.len(), 64);
+    for caller in 0..400_u32 {
+        let caller = IpAddr::V4(Ipv4Addr::from(0x0a64_0000 + caller));
+        let found = choose_addresses(caller, ready.clone(), 64);
+        assert_eq!(found.len(), 64);
         let mut backward = ready.clone();
         backward.reverse();
         assert_eq!(
-            told,
-            choose_addresses(asker, backward, 64),
-            "order is no matter"
+            found,
+            choose_addresses(caller, backward, 64),
+            "the order of the edges is irrelevant"
         );
-        let fewer = ready.iter().copied().filter(|edge| *edge != told[0]);
-        let told_fewer = choose_addresses(asker, fewer.collect(), 64);
-        let kept = told_fewer.iter().filter(|edge| told.contains(edge));
+        let fewer = ready.iter().copied().filter(|edge| *edge != found[0]);
+        let found_fewer = choose_addresses(caller, fewer.collect(), 64);
+        let kept = found_fewer.iter().filter(|edge| found.contains(edge));
         assert_eq!(
             kept.count(),
             63,
             "one edge more or less changes one address"
         );
-        for edge in told {
+        for edge in found {
             *counts.entry(edge).or_default() += 1;
         }
     }
@@ -78,7 +79,7 @@
     assert!(f64::from(least) >= mean * 0.7, "{least} of {mean}");
 }
 
-/// Guards against loads of other registries' edges that count twice, or stay after a loss.
+/// Guards against loads from other registries that count twice, or remain after a loss.
 #[test]
 fn loads_of_other_registries_edges_count_once() {
     let endpoint = EndpointTag::of("busy");
@@ -94,12 +95,12 @@
     assert_eq!(there.changes(), [count(7)]);
     assert!(
         here.own_changes().is_empty(),
-        "what came from there is not told back"
+        "loads from the other registry are not reported back"
     );
     assert_eq!(
         here.own_published(),
         [count(4)],
-        "for a registry that comes later"
+        "sums for a registry that connects later"
     );
     here.drop_source(LoadSource::Registry(registry(7)));
     assert_eq!(here.changes(), [count(4)]);
@@ -108,31 +109,31 @@
     assert_eq!(here.own_changes(), [count(0)]);
 }
 
-/// Guards against callers who come to an edge after its grace time.
+/// Guards against callers that connect to an edge after its grace time.
 #[test]
-fn answers_live_as_long_as_a_stopping_edge_allows() {
+fn answer_ttls_fit_into_the_grace_time() {
     let seconds = Duration::from_secs;
     for grace in [4, 8, 10, 30] {
-        let life = answer_ttl(seconds(grace), seconds(5));
+        let ttl = answer_ttl(seconds(grace), seconds(5));
         assert!(
-            life * 3 < seconds(grace),
-            "{life:?} with a grace time of {grace} s"
+            ttl * 3 < seconds(grace),
+            "{ttl:?} with a grace time of {grace} s"
         );
         assert!(
-            life * 4 >= seconds(grace).min(seconds(20)),
-            "{life:?}, {grace} s"
+            ttl * 4 >= seconds(grace).min(seconds(20)),
+            "{ttl:?}, {grace} s"
         );
     }
     assert_eq!(
         answer_ttl(seconds(2), seconds(5)),
         seconds(1),
-        "the least that can be told"
+        "the minimum TTL"
     );
 }
 
-/// Guards against loads that count twice while a former connection is not found dead.
+/// Guards against loads that count twice while an old connection is not found dead.
 #[test]
-fn a_registry_that_connects_anew_counts_once() {
+fn a_reconnecting_registry_counts_once() {
     let endpoint = EndpointTag::of("busy");
     let count = |count| LoadCount { endpoint, count };
     let source = LoadSource::Registry(registry(2));
@@ -146,29 +147,29 @@
     assert_eq!(
         totals.own_changes(),
         [count(2)],
-        "and is not told on as this one's own"
+        "another registry's loads are not reported as its own"
     );
 }
 
-/// Guards against edges that admit too much because their home is cut off from most others.
+/// Guards against edges that admit too much because their home is partitioned from most others.
 #[test]
-fn edges_meet_where_most_registries_hear_each_other() {
+fn edges_prefer_homes_with_contact_to_a_majority() {
     let candidate = |index: usize, hears| HomeCandidate {
         address: registry(index),
         hears,
         voters: 9,
     };
-    let cut: Vec<HomeCandidate> = (0..9)
+    let partitioned: Vec<HomeCandidate> = (0..9)
         .map(|index| candidate(index, if index < 4 { 4 } else { 5 }))
         .collect();
-    let alone: Vec<HomeCandidate> = (0..9).map(|index| candidate(index, 1)).collect();
+    let isolated: Vec<HomeCandidate> = (0..9).map(|index| candidate(index, 1)).collect();
     let mut homes = BTreeSet::new();
     for edge in 0..191 {
         let edge = format!("edge-{edge}");
-        let home = choose_home(&edge, &cut).expect("a home");
+        let home = choose_home(&edge, &partitioned).expect("a home");
         assert!((4..9).any(|index| registry(index) == home), "{home}");
         homes.insert(home);
-        assert!(choose_home(&edge, &alone).is_some());
+        assert!(choose_home(&edge, &isolated).is_some());
     }
     assert_eq!(homes.len(), 5);
     let silent = HomeCandidate {
--- a/crates/ragwortroad_dispatch/tests/reach.rs
+++ b/crates/ragwortroad_dispatch/tests/reach.rs
@@ -1,4 +1,4 @@
-//! Failure domains that an edge takes for unreachable.
+//! Failure domains that an edge considers unreachable.
 
 use ragwortroad_dispatch::prelude::*;
 
@@ -6,22 +6,25 @@
     reach.unreachable().collect()
 }
 
-/// Guards against callers who wait for each endpoint of a domain without power in turn.
+/// Guards against callers that wait for one endpoint after another of a domain without power.
 #[test]
-fn a_few_silent_endpoints_stand_for_their_domain() {
+fn a_few_silent_endpoints_make_their_domain_unreachable() {
     let mut reach = DomainReach::default();
     assert!(!reach.note_silent("a", EndpointKey(1)));
     assert!(!reach.note_silent("a", EndpointKey(2)));
     assert!(reach.is_reachable("a"));
     assert!(reach.note_silent("a", EndpointKey(3)));
-    assert!(!reach.note_silent("a", EndpointKey(4)), "no news");
+    assert!(
+        !reach.note_silent("a", EndpointKey(4)),
+        "the domain was unreachable already"
+    );
     assert_eq!(unreachable(&reach), ["a"]);
     assert!(reach.is_reachable("b"));
 }
 
-/// Guards against a domain that is given up for one endpoint which fails again and again.
+/// Guards against a domain that is given up for a single endpoint which fails repeatedly.
 #[test]
-fn one_silent_endpoint_says_nothing_of_its_domain() {
+fn one_silent_endpoint_leaves_its_domain_reachable() {
     let mut reach = DomainReach::default();
     for _ in 0..20 {
         assert!(!reach.note_silent("a", EndpointKey(1)));
@@ -31,7 +34,7 @@
 
 /// Guards against a domain that is given up for single failures, or never used again.
 #[test]
-fn any_answer_shows_a_domain_reachable() {
+fn any_answer_makes_a_domain_reachable() {
     let mut reach = DomainReach::default();
     for endpoint in 0..9 {
         assert!(!reach.note_silent("a", EndpointKey(endpoint)));
--- a/crates/ragwortroad_dispatch/tests/retries.rs
+++ b/crates/ragwortroad_dispatch/tests/retries.rs
@@ -1,4 +1,4 @@
-//! The budget for sending requests once more, over a whole fleet of edges that share nothing.
+//! The retry budget over a whole fleet of edges that do not coordinate.
 
 mod common;
 
@@ -24,16 +24,16 @@
     }
 }
 
-/// Guards against repeats beyond the fleet's budget, and none at all.
+/// Guards against retries beyond the fleet's budget, and against no retries at all.
 #[test]
-fn an_outage_keeps_repeats_within_the_budget_of_the_fleet() {
+fn retries_in_an_outage_stay_within_the_budget_of_the_fleet() {
     for (seed, edges, per_second) in [(1, 9, 60), (2, 9, 200), (3, 65, 250), (4, 2, 20)] {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut budgets: Vec<RetryBudget> = (0..edges)
             .map(|_| RetryBudget::new(settings(), edges, at(0)))
             .collect();
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for ms in 0..60_000_u64 {
             if !rng.random_bool(f64::from(per_second) / 1000.0) {
                 continue;
@@ -46,7 +46,7 @@
             requests.push(ms);
             budgets[edge].deposit(edges, at(ms));
             if budgets[edge].withdraw() {
-                repeats.push(ms);
+                retries.push(ms);
             }
         }
         for start in (0..50_000).step_by(250) {
@@ -56,17 +56,18 @@
             };
             let allowed = RATIO * within(&requests) + SLACK;
             assert!(
-                within(&repeats) <= allowed,
+                within(&retries) <= allowed,
                 "{} of {allowed}",
-                within(&repeats)
+                within(&retries)
             );
         }
-        let share = repeats.len() as f64 / requests.len() as f64;
-        assert!(share > 0.1, "only {share} of the requests were sent again");
+        let share = retries.len() as f64 / requests.len() as f64;
+        assert!(share > 0.1, "only {share} of the requests were retried");
     }
 }
 
-/// An edge that starts in an outage has earned nothing yet; it may still send a few again.
+/// Guards against an edge that starts in an outage and retries without having earned it; a few
+/// retries are allowed.
 #[test]
 fn a_new_budget_allows_little() {
     let mut budget = RetryBudget::new(settings(), 9, at(0));
--- a/crates/ragwortroad_dispatch/tests/sources.rs
+++ b/crates/ragwortroad_dispatch/tests/sources.rs
@@ -1,8 +1,8 @@
-//! Which engine a text is copied from, and when it is read anew instead.
+//! Which engine a prefix is copied from, and when it is computed again instead.
 
 use ragwortroad_dispatch::prelude::*;
 
-/// Engines whose memory moves forty times as fast as they read.
+/// Engines whose cache transfers are forty times as fast as prefill.
 fn fast_links() -> EngineRule {
     EngineRule {
         slots: 128,
@@ -22,16 +22,16 @@
     }
 }
 
-/// Guards against long texts that are read anew beside an engine that holds them.
+/// Guards against long prefixes that are computed again although a near engine holds them.
 #[test]
-fn a_long_text_is_copied_from_the_nearest_engine_with_least_to_do() {
+fn a_long_prefix_is_copied_from_the_least_loaded_near_engine() {
     let sources = [source(1, false, 0), source(2, true, 9), source(3, true, 4)];
     let chosen = choose_source(&sources, 10_512, &fast_links());
     assert_eq!(chosen, Some(EndpointKey(3)));
     assert_eq!(choose_source(&[], 10_512, &fast_links()), None);
 }
 
-/// Guards against texts that are read anew because only failing engines hold them.
+/// Guards against prefixes that are computed again because only failing engines hold them.
 #[test]
 fn a_failing_engine_is_the_last_source() {
     let failing = PrefixSource {
@@ -45,9 +45,9 @@
     assert_eq!(chosen, Some(EndpointKey(1)));
 }
 
-/// Guards against copies that take longer than reading.
+/// Guards against copies that take longer than computing the prefix.
 #[test]
-fn what_is_read_sooner_than_copied_is_read() {
+fn a_prefix_that_is_faster_to_compute_is_not_copied() {
     let sources = [source(1, true, 0)];
     let slow = EngineRule {
         link_mbps: 10_000.0,
--- a/crates/ragwortroad_dispatch/tests/voters.rs
+++ b/crates/ragwortroad_dispatch/tests/voters.rs
@@ -1,4 +1,4 @@
-//! Which registries vote, as VMs come, go, and lose their disks.
+//! Which registries vote as VMs come, go, and lose their disks.
 
 use std::time::Duration;
 
@@ -6,16 +6,15 @@
 use ragwortroad_dispatch::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// A site: the members in force, and the registries that the leader hears of.
+/// A site: the current members, and the registries known to the leader.
 struct Site {
     members: MemberSet,
     holders: Vec<MemberStatus>,
-    /// The leader's identity.
     leader: MemberId,
 }
 
 impl Site {
-    /// A group founded by the first three of `count` registries.
+    /// Returns a group founded by the first three of `count` registries.
     fn founded(count: u64) -> Self {
         let voters = (1..=3).map(|id| (MemberId(id), NodeId(id)));
         Self {
@@ -25,7 +24,7 @@
         }
     }
 
-    /// Takes steps until there is none; returns them.
+    /// Applies membership changes until none is needed; returns them.
     fn settle(&mut self) -> Vec<MemberChange> {
         let mut steps = Vec::new();
         while let Some(step) =
@@ -33,7 +32,7 @@
         {
             self.apply(&step);
             steps.push(step);
-            assert!(steps.len() < 40, "the plan goes round: {steps:?}");
+            assert!(steps.len() < 40, "the plan does not terminate: {steps:?}");
         }
         steps
     }
@@ -55,7 +54,7 @@
                 records.retain(|record| record.member != member);
             }
         }
-        let bytes = postcard_of(&records);
+        let bytes = member_set_of(&records);
         self.members = bytes;
     }
 
@@ -63,7 +62,7 @@
         self.members.voters().map(|member| member.0).collect()
     }
 
-    fn hold(&mut self, id: u64) -> &mut MemberStatus {
+    fn holder_mut(&mut self, id: u64) -> &mut MemberStatus {
         let found = self
             .holders
             .iter_mut()
@@ -72,8 +71,8 @@
     }
 }
 
-/// A set with exactly these records, by the steps that lead there.
-fn postcard_of(records: &[MemberRecord]) -> MemberSet {
+/// Returns a set with exactly these records, by way of their encoding.
+fn member_set_of(records: &[MemberRecord]) -> MemberSet {
     let bytes = postcard::to_stdvec(&(records,)).expect("encodes");
     postcard::from_bytes(&bytes).expect("decodes")
 }
@@ -87,7 +86,7 @@
     }
 }
 
-/// Guards against a fleet that lets too few or an even number of registries vote.
+/// Guards against too few or an even number of voters.
 #[test]
 fn all_registries_of_an_odd_site_vote() {
     let mut site = Site::founded(5);
@@ -99,9 +98,9 @@
     assert!(site.members.find(MemberId(6)).is_some());
 }
 
-/// Guards against an old vote that counts again after its disk was lost.
+/// Guards against the former vote of a registry that counts again after its disk was lost.
 #[test]
-fn a_lost_disk_gets_its_seat_back_under_a_new_identity() {
+fn a_registry_that_lost_its_disk_votes_again_under_a_new_identity() {
     let mut site = Site::founded(5);
     site.settle();
     site.holders.retain(|holder| holder.member != MemberId(4));
@@ -118,31 +117,31 @@
     );
     site.settle();
     assert_eq!(site.voters(), [1, 2, 3, 5]);
-    site.hold(44).is_caught_up = true;
+    site.holder_mut(44).is_caught_up = true;
     site.settle();
     assert_eq!(site.voters(), [1, 2, 3, 5, 44]);
 }
 
-/// Guards against seats that are given up without a successor.
+/// Guards against voters that are removed without a successor.
 #[test]
-fn an_absent_voter_gives_its_seat_to_a_successor_only() {
+fn an_absent_voter_is_removed_only_for_a_successor() {
     let mut site = Site::founded(5);
     site.settle();
-    site.hold(3).silent_for = Duration::from_secs(60);
+    site.holder_mut(3).silent_for = Duration::from_secs(60);
     assert!(site.settle().is_empty());
     site.holders.push(holder(6, 6));
     site.settle();
     assert_eq!(site.voters(), [1, 2, 4, 5, 6]);
 }
 
-/// Guards against seats that change hands with each short absence.
+/// Guards against voters that are replaced at each short absence.
 #[test]
-fn a_short_absence_costs_no_seat() {
+fn a_briefly_absent_voter_is_kept() {
     let mut site = Site::founded(5);
     site.settle();
     site.holders.push(holder(6, 6));
     site.settle();
-    site.hold(2).silent_for = Duration::from_secs(2);
+    site.holder_mut(2).silent_for = Duration::from_secs(2);
     assert!(site.settle().is_empty());
 }
 
@@ -152,7 +151,7 @@
     let mut site = Site::founded(5);
     site.settle();
     for (old, new) in [(2, 12), (3, 13), (4, 14), (5, 15)] {
-        site.hold(old).silent_for = Duration::from_secs(60);
+        site.holder_mut(old).silent_for = Duration::from_secs(60);
         site.holders.push(holder(new, new));
         site.settle();
         site.holders.retain(|holder| holder.member != MemberId(old));
--- a/crates/ragwortroad_dispatch/tests/warmups.rs
+++ b/crates/ragwortroad_dispatch/tests/warmups.rs
@@ -1,4 +1,4 @@
-//! Requests for endpoints that warm up: a model of a fleet's edges, and what registries tell them.
+//! Requests to warming endpoints: a simulation of a fleet's edges, and what registries publish.
 
 mod common;
 
@@ -25,14 +25,14 @@
 
 const EDGES: usize = 300;
 const ENGINES: usize = 1000;
-/// Every third engine warms up from the model's start on.
+/// Every third engine is warming from the start of the simulation.
 const WARMING_EVERY: usize = 3;
 const WARMUP_MS: u64 = 3000;
-/// Requests a second that a warming engine tolerates, and those it must never get.
-const TOLERATED: f64 = 11.0;
-const BOUND: f64 = TOLERATED * 1.5 + 5.0;
-/// Part of that bound which the fleet uses at most.
-const DESIGN_PART: f64 = 0.8;
+/// Requests per second that a warming engine tolerates, and the limit that it must never exceed.
+const TOLERATED_RATE: f64 = 11.0;
+const MAX_RATE: f64 = TOLERATED_RATE * 1.5 + 5.0;
+/// Share of that limit that the fleet uses at most.
+const DESIGN_SHARE: f64 = 0.8;
 const SLOTS: u32 = 12;
 
 fn edge_address(index: usize) -> SocketAddr {
@@ -40,17 +40,18 @@
     SocketAddr::new(IpAddr::V4(ip), 8227)
 }
 
-/// How edges treat engines that warm up.
+/// How edges treat warming engines.
 #[derive(Clone, Copy, PartialEq)]
 enum WarmupRule {
     /// Like all others.
     Ignored,
-    /// Each edge sends what its part allows.
+    /// Each edge sends requests at its share of the rate.
     Shared,
 }
 
-/// Times of requests to each warming engine, in a fleet that has no place left at warm ones.
-fn play(rule: WarmupRule, gap_ms: u64) -> BTreeMap<usize, Vec<u64>> {
+/// Returns the times of requests to each warming engine, in a fleet without free slots at warm
+/// ones.
+fn simulate(rule: WarmupRule, gap_ms: u64) -> BTreeMap<usize, Vec<u64>> {
     let names: Vec<String> = (0..ENGINES)
         .map(|index| format!("engine-{index}"))
         .collect();
@@ -92,10 +93,10 @@
                     holds_prefix: false,
                 })
                 .collect();
-            // Few texts are asked for by many.
-            let text = draws.random_range(0..200);
+            // A few prefixes are shared by many requests.
+            let prefix = draws.random_range(0..200);
             let request = SelectionRequest {
-                shared_prefix: Some(text),
+                shared_prefix: Some(prefix),
                 draw: draws.random(),
             };
             let settings = SelectionSettings::default();
@@ -103,14 +104,14 @@
                 continue;
             };
             let engine = key.0 as usize;
-            pace.note_sent(tags[engine], TOLERATED, at(now));
+            pace.note_sent(tags[engine], TOLERATED_RATE, at(now));
             arrivals.entry(engine).or_default().push(now);
         }
     }
     arrivals
 }
 
-/// The most requests that one engine gets within a second.
+/// Returns the largest number of requests to one engine within a second.
 fn worst_second(arrivals: &BTreeMap<usize, Vec<u64>>) -> usize {
     let counts = arrivals.values().flat_map(|times| {
         let ends = times.iter();
@@ -124,31 +125,35 @@
     counts.max().unwrap_or(0)
 }
 
-/// Guards against edges that all send to the same engine because it has just started and looks empty.
+/// Guards against edges that all send requests to the same engine because it has just started and
+/// appears idle.
 #[test]
-fn edges_together_spare_engines_that_warm_up() {
-    let ignored = worst_second(&play(WarmupRule::Ignored, 100));
-    assert!(ignored as f64 > BOUND, "the load is no test: {ignored}");
-    let shared = worst_second(&play(WarmupRule::Shared, 100));
-    assert!(shared as f64 <= BOUND * DESIGN_PART, "{shared}");
+fn edges_together_keep_the_rate_of_warming_engines() {
+    let ignored = worst_second(&simulate(WarmupRule::Ignored, 100));
+    assert!(
+        ignored as f64 > MAX_RATE,
+        "the load is too low for the test: {ignored}"
+    );
+    let shared = worst_second(&simulate(WarmupRule::Shared, 100));
+    assert!(shared as f64 <= MAX_RATE * DESIGN_SHARE, "{shared}");
 }
 
-/// Guards against engines that stand idle while they warm up although callers wait for a place.
+/// Guards against warming engines that are idle although callers wait for a slot.
 #[test]
-fn engines_that_warm_up_take_most_of_what_they_tolerate() {
-    let arrivals = play(WarmupRule::Shared, 20);
+fn warming_engines_get_most_of_the_tolerated_rate() {
+    let arrivals = simulate(WarmupRule::Shared, 20);
     let total: usize = arrivals.values().map(Vec::len).sum();
     let engines = ENGINES.div_ceil(WARMING_EVERY) as f64;
     let rate = total as f64 / engines / (WARMUP_MS as f64 / 1000.0);
-    assert!(rate > TOLERATED * 0.6, "{rate}");
+    assert!(rate > TOLERATED_RATE * 0.6, "{rate}");
 }
 
 /// Guards against a share that outlives an endpoint's warm-up and adds to those of the next one.
 #[test]
-fn a_share_ends_with_its_time() {
+fn a_share_expires() {
     let endpoint = EndpointTag::of("e");
     let mut pace = WarmupPace::default();
-    assert!(!pace.may_send(endpoint, at(0)), "nobody gave it a part");
+    assert!(!pace.may_send(endpoint, at(0)), "the edge has no share");
     pace.add_share(
         WarmupShare {
             endpoint,
@@ -164,7 +169,7 @@
     assert!(!pace.may_send(endpoint, at(2000)));
 }
 
-const EVERY: Duration = Duration::from_millis(1000);
+const INTERVAL: Duration = Duration::from_millis(1000);
 const HERE: SourceKey = SourceKey(0);
 
 fn cold(sequence: u64, warming_ms: u32) -> EndpointRecord {
@@ -175,38 +180,50 @@
     }
 }
 
-/// Guards against edges that send at the full rate to an endpoint that has gone cold in service.
+/// Guards against edges that send requests at the full rate to an endpoint that has become cold.
 #[test]
-fn an_endpoint_that_cools_down_is_news() {
-    let mut table = RegistryTable::new(EVERY);
+fn a_cooling_endpoint_is_published() {
+    let mut table = RegistryTable::new(INTERVAL);
     assert!(table.announce(cold(1, 0), at(0)).is_some());
     let change = table.announce(cold(2, 3000), at(1000));
     assert_eq!(change, Some(RegistryChange::Cooled(cold(2, 3000))));
-    assert_eq!(table.announce(cold(3, 1990), at(2010)), None, "as expected");
-    assert_eq!(table.announce(cold(4, 0), at(4010)), None, "warm by now");
+    assert_eq!(
+        table.announce(cold(3, 1990), at(2010)),
+        None,
+        "the remaining time is as expected"
+    );
+    assert_eq!(
+        table.announce(cold(4, 0), at(4010)),
+        None,
+        "the endpoint is warm as expected"
+    );
     let change = table.announce(cold(5, 3000), at(5000));
     assert!(matches!(change, Some(RegistryChange::Cooled(_))));
     let change = table.announce(cold(6, 0), at(6000));
-    assert_eq!(change, Some(RegistryChange::Told(cold(6, 0))), "sooner");
+    assert_eq!(
+        change,
+        Some(RegistryChange::Told(cold(6, 0))),
+        "warm earlier than expected"
+    );
 }
 
-/// Guards against edges that connect later and take an endpoint for colder than it is.
+/// Guards against edges that connect later and take an endpoint to be colder than it is.
 #[test]
-fn a_registry_tells_the_time_that_is_left() {
-    let mut table = RegistryTable::new(EVERY);
+fn a_registry_publishes_the_remaining_warmup_time() {
+    let mut table = RegistryTable::new(INTERVAL);
     table.announce(cold(1, 3000), at(0));
     let left = |table: &RegistryTable, ms| {
-        let record = table.records(at(ms)).next().expect("it is known");
+        let record = table.records(at(ms)).next().expect("a known endpoint");
         record.warming_ms
     };
     assert_eq!(left(&table, 1000), 2000);
     assert_eq!(left(&table, 9000), 0);
 }
 
-/// Guards against a rush to endpoints that went cold while their domain was drained.
+/// Guards against a rush to endpoints that became cold while their domain was drained.
 #[test]
-fn endpoints_of_a_returned_domain_count_as_warming_up() {
-    let mut table = RegistryTable::new(EVERY);
+fn endpoints_of_an_undrained_domain_count_as_warming_up() {
+    let mut table = RegistryTable::new(INTERVAL);
     table.announce(cold(1, 0), at(0));
     assert_eq!(table.undrain_domain("elsewhere", at(500)), []);
     let changes = table.undrain_domain("a", at(500));
@@ -216,7 +233,7 @@
 
     let mut known = EndpointTable::default();
     known.apply_record(HERE, cold(1, 0), at(0));
-    let (key, _) = known.ready("llm").next().expect("it is ready");
+    let (key, _) = known.ready("llm").next().expect("a ready endpoint");
     assert!(!known.is_warming(key, at(0)));
     known.undrain_domain("a", at(2500));
     assert!(known.is_warming(key, at(2400)));
