--- a/crates/ragwortroad_dispatch/src/admission_gate.rs
+++ b/crates/ragwortroad_dispatch/src/admission_gate.rs
@@ -73,7 +73,7 @@
     ///
     /// Invariant: no queue is empty.
     waiting: BTreeMap<QueueRank, BTreeMap<QueueTicket, QueuedRequest>>,
-    shares: BTreeMap<QueueRank, AdmissionRatio>,
+    admission_ratios: BTreeMap<QueueRank, AdmissionRatio>,
     next_ticket: u64,
     /// Requests completed since the completion rate was last updated.
     completed: u32,
@@ -119,7 +119,7 @@
             limit: f64::INFINITY,
             in_flight: 0,
             waiting: BTreeMap::new(),
-            shares: BTreeMap::new(),
+            admission_ratios: BTreeMap::new(),
             next_ticket: 0,
             completed: 0,
             rate_updated_at: now,
@@ -143,9 +143,9 @@
             queue_timeout,
         } = offer;
         let rank = QueueRank { rank, is_late };
-        let share = self.shares.entry(rank);
-        share.or_insert_with(|| AdmissionRatio::new(now)).offer(now);
-        if self.waiting.is_empty() && self.has_room() {
+        let ratio = self.admission_ratios.entry(rank);
+        ratio.or_insert_with(|| AdmissionRatio::new(now)).offer(now);
+        if self.waiting.is_empty() && self.has_capacity() {
             self.admit(rank, now);
             return AdmissionDecision::Admitted;
         }
@@ -169,7 +169,7 @@
     /// Admits the next queued request, or returns `None` if the limit is reached or the queue is
     /// empty.
     pub fn admit_next(&mut self, now: ClockTime) -> Option<QueueTicket> {
-        if !self.has_room() {
+        if !self.has_capacity() {
             return None;
         }
         let rank = self.next_rank()?;
@@ -188,7 +188,7 @@
         let expired = expired.map(|(&ticket, _)| ticket).next();
         let shed = expired.or_else(|| self.last_unservable())?;
         self.remove(shed);
-        self.note_refusal(now);
+        self.note_shed(now);
         Some(shed)
     }
 
@@ -224,14 +224,14 @@
         self.limit
     }
 
-    fn has_room(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         f64::from(self.in_flight) < self.limit
     }
 
     fn admit(&mut self, rank: QueueRank, now: ClockTime) {
         self.in_flight += 1;
-        if let Some(share) = self.shares.get_mut(&rank) {
-            share.admit(now);
+        if let Some(ratio) = self.admission_ratios.get_mut(&rank) {
+            ratio.admit(now);
         }
     }
 
@@ -254,22 +254,28 @@
     /// The last request of a rank below its floor stays queued, so that it can be admitted at the
     /// rank's turn.
     fn shed_rank(&self) -> Option<QueueRank> {
-        let is_kept = |turn: QueueRank, queue: &BTreeMap<QueueTicket, QueuedRequest>| {
-            queue.len() == 1 && self.is_below_floor(turn)
+        let is_kept = |queue_rank: QueueRank, queue: &BTreeMap<QueueTicket, QueuedRequest>| {
+            queue.len() == 1 && self.is_below_floor(queue_rank)
         };
         let mut ranks = self.waiting.iter().rev();
-        let refused = ranks.find(|&(&turn, queue)| !is_kept(turn, queue));
+        let refused = ranks.find(|&(&queue_rank, queue)| !is_kept(queue_rank, queue));
         let last = self.waiting.last_key_value();
-        refused.or(last).map(|(&turn, _)| turn)
+        refused.or(last).map(|(&queue_rank, _)| queue_rank)
     }
 
-    fn is_below_floor(&self, turn: QueueRank) -> bool {
-        let Some(share) = self.shares.get(&turn).filter(|_| !turn.is_late) else {
+    fn is_below_floor(&self, queue_rank: QueueRank) -> bool {
+        let Some(ratio) = self
+            .admission_ratios
+            .get(&queue_rank)
+            .filter(|_| !queue_rank.is_late)
+        else {
             return false;
         };
-        let more_urgent = self.shares.range(..turn);
-        let more_urgent = more_urgent.rev().find(|(turn, _)| !turn.is_late);
-        more_urgent.is_some_and(|(_, urgent)| share.ratio() < urgent.ratio() * RANK_FLOOR_RATIO)
+        let more_urgent = self.admission_ratios.range(..queue_rank);
+        let more_urgent = more_urgent
+            .rev()
+            .find(|(queue_rank, _)| !queue_rank.is_late);
+        more_urgent.is_some_and(|(_, urgent)| ratio.ratio() < urgent.ratio() * RANK_FLOOR_RATIO)
     }
 
     /// Returns the last request in the order of service if it would exceed its queue timeout.
@@ -284,7 +290,7 @@
         (self.waiting() as f64 > capacity).then_some(ticket)
     }
 
-    fn note_refusal(&mut self, now: ClockTime) {
+    fn note_shed(&mut self, now: ClockTime) {
         let current = self.shedding;
         let current = current.filter(|shedding| now.since(shedding.last) < SHEDDING_GAP);
         self.shedding = Some(SheddingPeriod {
--- a/crates/ragwortroad_dispatch/src/endpoint_selection.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_selection.rs
@@ -62,7 +62,7 @@
     pub name: &'a str,
     /// Estimated requests at the endpoint.
     pub load: u32,
-    /// Requests that it processes concurrently; 0 if it is unknown.
+    /// Requests that it processes concurrently; 0 if there is no known limit.
     pub slots: u32,
     /// Recent failure rate, from 0 to 1.
     pub failure_rate: f64,
@@ -74,7 +74,7 @@
     /// Returns whether the endpoint has a free slot, as far as this edge knows.
     ///
     /// Without one the request would queue there while other engines have free slots.
-    fn has_room(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         self.slots == 0 || self.load < self.slots
     }
 }
@@ -115,21 +115,21 @@
     // The bound is a multiple of the mean over all engines, including those that get no requests
     // now.
     let highest = mean_load(candidates) * settings.holder_load_multiple;
-    let text = request.shared_prefix.unwrap_or(request.draw.to_bits());
+    let prefix = request.shared_prefix.unwrap_or(request.draw.to_bits());
     let rank =
-        |candidate: &SelectionCandidate<'_>| xxh3_64_with_seed(candidate.name.as_bytes(), text);
+        |candidate: &SelectionCandidate<'_>| xxh3_64_with_seed(candidate.name.as_bytes(), prefix);
     let is_below = |candidate: &SelectionCandidate<'_>, multiple: f64| {
         f64::from(candidate.load) <= (mean * multiple).min(highest) + settings.load_slack
     };
     let holders = healthy.iter().filter(|candidate| candidate.holds_prefix);
     let open: Vec<_> = holders
-        .filter(|candidate| candidate.has_room())
+        .filter(|candidate| candidate.has_free_slot())
         .filter(|candidate| is_below(candidate, settings.holder_load_multiple))
         .collect();
     let holder = less_loaded_of_two(&open, request.draw);
     let first = || {
         let free = healthy.iter();
-        let free = free.filter(|candidate| candidate.has_room());
+        let free = free.filter(|candidate| candidate.has_free_slot());
         let free = free.filter(|candidate| is_below(candidate, settings.load_multiple));
         free.max_by_key(|candidate| rank(candidate))
     };
--- a/crates/ragwortroad_dispatch/src/prefix_source.rs
+++ b/crates/ragwortroad_dispatch/src/prefix_source.rs
@@ -46,7 +46,7 @@
         return None;
     }
     // A failing engine still has its cache, so it is the last resort. Domains are some milliseconds
-    // apart, and a transfer takes two round trips.
+    // apart, and a transfer takes that latency twice.
     let best = sources.iter().min_by_key(|source| {
         let is_failing = source.failure_rate >= FAILING_THRESHOLD;
         (is_failing, !source.is_near, source.load, source.key)
--- a/crates/ragwortroad_dispatch/src/prefix_table.rs
+++ b/crates/ragwortroad_dispatch/src/prefix_table.rs
@@ -92,9 +92,9 @@
             let holders = self.prefixes.get(&prefix).into_iter().flatten();
             holders.map(move |holder| (prefix, holder.engine))
         });
-        let mut places: Vec<_> = holders.take(most).collect();
-        places.reverse();
-        places
+        let mut locations: Vec<_> = holders.take(most).collect();
+        locations.reverse();
+        locations
     }
 
     /// Removes all prefixes of an engine that has restarted or is gone.
--- a/crates/ragwortroad_dispatch/src/site_config.rs
+++ b/crates/ragwortroad_dispatch/src/site_config.rs
@@ -31,9 +31,9 @@
     pub path_prefix: String,
     /// Whether requests may be retried.
     pub kind: RequestKind,
-    /// Time after which a request fails.
+    /// Longest time that a request waits for an answer.
     pub timeout: Duration,
-    /// Latency target: time within which an answer has to begin.
+    /// Latency target: time within which an answer is on time.
     pub target: Duration,
     /// Longest gap between two events of a stream that is on time; `None` if there is no target.
     pub target_pause: Option<Duration>,
--- a/crates/ragwortroad_dispatch/src/voter_plan.rs
+++ b/crates/ragwortroad_dispatch/src/voter_plan.rs
@@ -30,7 +30,8 @@
 pub struct MemberStatus {
     /// Identity of the data folder.
     pub member: MemberId,
-    /// Identity of the VM, which is kept when the data folder is lost and gets a new identity.
+    /// Identity of the VM, derived from its address. A node that has lost its data folder comes
+    /// back with another member identity.
     pub node: NodeId,
     /// Time since the last message from it.
     pub silent_for: Duration,
@@ -46,8 +47,8 @@
 }
 
 impl VoterPlan {
-    /// Returns the next membership change, or `None` if none is needed. `holders` are all known
-    /// registries apart from the leader.
+    /// Returns the next membership change, or `None` if none is needed. `holders` are the
+    /// registries that the leader has heard from; the leader itself may be omitted.
     ///
     /// Every reachable registry becomes a learner. A voter whose node has come back with another
     /// identity has lost its disk, so it must no longer count and is removed first. A voter that
