--- a/crates/ragwortroad_registry/src/call_flow.rs
+++ b/crates/ragwortroad_registry/src/call_flow.rs
@@ -20,30 +20,30 @@
 ///
 /// Operators turn to another registry after a second without an answer; an answer before that lets
 /// them do so with a reason.
-pub(crate) const CALL_PATIENCE: Duration = Duration::from_millis(900);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Calls that wait at once; beyond it a call is refused, so that memory stays bounded.
-pub(crate) const MAX_WAITING: usize = 256;
+pub(crate) const MAX_QUEUED_CALLS: usize = 256;
 
 impl RegistryState {
-    pub(crate) fn take_call(
+    pub(crate) fn handle_call(
         &mut self,
         call: ControlCall,
-        asker: IpAddr,
+        client_ip: IpAddr,
         reply: oneshot::Sender<ControlReply>,
         now: ClockTime,
     ) {
         let answer = match call {
             ControlCall::PutConfig { version, document } => {
-                self.take_document(version, &document, reply, now);
+                self.handle_put_config(version, &document, reply, now);
                 return;
             }
             ControlCall::DrainDomain { domain, is_drained } => {
-                self.take_drain(domain, is_drained, reply, now);
+                self.handle_drain_call(domain, is_drained, reply, now);
                 return;
             }
             ControlCall::ReadConfig => {
-                self.take_read(ReadOrigin::Operator(reply), now);
+                self.enqueue_read(ReadOrigin::Operator(reply), now);
                 return;
             }
             ControlCall::BadConfig(fault) => {
@@ -52,13 +52,13 @@
                     reason: fault.to_string(),
                 }
             }
-            ControlCall::Announce(record) => self.take_announcement(*record, now),
+            ControlCall::Announce(record) => self.handle_announcement(*record, now),
             ControlCall::BadAnnouncement { reason } => {
                 tracing::warn!(reason, "an announcement was refused");
                 ControlReply::Invalid { reason }
             }
-            ControlCall::Goodbye { name } => self.take_goodbye(&name, now),
-            ControlCall::FindEdges => self.find_edges(asker, now),
+            ControlCall::Goodbye { name } => self.handle_goodbye(&name, now),
+            ControlCall::FindEdges => self.resolve_edges(client_ip, now),
             ControlCall::Unknown => ControlReply::NotFound,
         };
         answer_call(reply, answer);
@@ -69,7 +69,7 @@
         self.retry_puts(now);
         self.retry_drains(now);
         self.retry_reads(now);
-        self.settle_reads(now);
+        self.answer_applied_reads(now);
     }
 }
 
--- a/crates/ragwortroad_registry/src/call_server.rs
+++ b/crates/ragwortroad_registry/src/call_server.rs
@@ -51,7 +51,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Pause after an accept that failed, so that a lack of descriptors does not make the loop spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves operators, endpoints and callers that ask for addresses.
 pub(crate) async fn serve_calls(
@@ -64,7 +64,7 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 tracing::warn!(%error, "a connection could not be accepted");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -87,7 +87,7 @@
 async fn answer_request(
     port: RegistryPort,
     events: Sender<RegistryEvent>,
-    asker: IpAddr,
+    client_ip: IpAddr,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (parts, body) = request.into_parts();
@@ -105,7 +105,11 @@
     let unavailable = ControlReply::Unavailable {
         reason: "this registry is stopping",
     };
-    let answer = match events.send(RegistryEvent::Call { call, asker, reply }) {
+    let answer = match events.send(RegistryEvent::Call {
+        call,
+        client_ip,
+        reply,
+    }) {
         Ok(()) => answer.await.unwrap_or(unavailable),
         Err(_) => unavailable,
     };
--- a/crates/ragwortroad_registry/src/config_flow.rs
+++ b/crates/ragwortroad_registry/src/config_flow.rs
@@ -15,18 +15,18 @@
 };
 
 /// Least time between two rounds of copies; in it an edge that was given one can serve another.
-const ROUND_TIME: Duration = Duration::from_millis(50);
+const COPY_ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
 impl RegistryState {
     /// Sends an edge the steps from the configuration that it has, or notes that it needs a whole one.
-    pub(crate) fn give_config(&mut self, link: LinkKey, above: Option<u64>, direct: bool) {
+    pub(crate) fn handle_want_config(&mut self, link: LinkKey, above: Option<u64>, direct: bool) {
         let Some(queue) = self.links.get(&link) else {
             return;
         };
-        if above >= self.seat.register().version() {
+        if above >= self.driver.register().version() {
             return;
         }
-        let known = above.and_then(|version| self.seat.history().since(version));
+        let known = above.and_then(|version| self.driver.history().since(version));
         match known {
             Some(steps) => {
                 queue.send(&LinkMessage::ConfigDeltas(steps));
@@ -40,11 +40,11 @@
     /// refers the others to edges that have it.
     ///
     /// Sent at once, all copies would come together and late, and heartbeats behind them.
-    pub(crate) fn give_copies(&mut self, now: ClockTime) {
-        if now < self.copies_at || self.copies.is_empty() {
+    pub(crate) fn send_full_configs(&mut self, now: ClockTime) {
+        if now < self.next_copies_at || self.copies.is_empty() {
             return;
         }
-        let step = match self.seat.whole_step() {
+        let step = match self.driver.full_delta() {
             Ok(Some(step)) => step,
             // Whoever asked does so again when there is one.
             Ok(None) => {
@@ -57,7 +57,7 @@
                 return;
             }
         };
-        let pace = SendPace::of_configs(self.link_rate());
+        let pace = SendPace::of_configs(self.link_bytes_per_second());
         let most = pace.items_at_once(1, step.packed.len().max(1) as f64);
         let helpers = self.config_helpers();
         let plan = self.copies.plan(most, &helpers);
@@ -69,7 +69,7 @@
         let direct: Vec<LinkKey> = plan.direct.iter().copied().map(LinkKey).collect();
         let message = LinkMessage::ConfigDeltas(vec![step]);
         let bytes = self.send_to_links(direct.iter(), &message);
-        self.copies_at = now.after(pace.span(bytes).max(ROUND_TIME));
+        self.next_copies_at = now.after(pace.span(bytes).max(COPY_ROUND_INTERVAL));
         tracing::info!(
             edges = direct.len(),
             referred = plan.referred.len(),
--- a/crates/ragwortroad_registry/src/config_register.rs
+++ b/crates/ragwortroad_registry/src/config_register.rs
@@ -12,8 +12,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigRegister {
     held: Option<HeldConfig>,
-    /// The document in force, packed whole, once it was asked for.
-    whole: Option<ConfigDelta>,
+    /// The document in force, packed full_delta, once it was asked for.
+    full_delta: Option<ConfigDelta>,
 }
 
 /// The configuration in force.
@@ -23,15 +23,15 @@
     document: Arc<Vec<u8>>,
 }
 
-/// What a step has led to.
+/// What a delta has led to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterChange {
     /// Another configuration is in force.
     Changed,
     /// Its version is not above the one held.
-    Covered,
+    Superseded,
     /// It was made against a configuration that is not the one held; it has to be made anew.
-    OtherBase,
+    BaseMismatch,
     /// The bytes are no document; all members skip it alike.
     Unreadable {
         /// What the codec said.
@@ -40,22 +40,22 @@
 }
 
 impl ConfigRegister {
-    /// Applies a step.
-    pub fn apply(&mut self, step: &ConfigDelta) -> RegisterChange {
-        if self.covers(step.version) {
-            return RegisterChange::Covered;
+    /// Applies a delta.
+    pub fn apply(&mut self, delta: &ConfigDelta) -> RegisterChange {
+        if self.supersedes(delta.version) {
+            return RegisterChange::Superseded;
         }
-        if step.base.is_some() && step.base != self.version() {
-            return RegisterChange::OtherBase;
+        if delta.base.is_some() && delta.base != self.version() {
+            return RegisterChange::BaseMismatch;
         }
-        let base = step.base.and_then(|_| self.document());
-        match step.open(base.as_deref().map(Vec::as_slice)) {
+        let base = delta.base.and_then(|_| self.document());
+        match delta.open(base.as_deref().map(Vec::as_slice)) {
             Ok(document) => {
                 self.held = Some(HeldConfig {
-                    version: step.version,
+                    version: delta.version,
                     document: Arc::new(document),
                 });
-                self.whole = None;
+                self.full_delta = None;
                 RegisterChange::Changed
             }
             Err(error) => RegisterChange::Unreadable {
@@ -65,7 +65,7 @@
     }
 
     /// Whether a declaration of `version` would change nothing any more.
-    pub fn covers(&self, version: u64) -> bool {
+    pub fn supersedes(&self, version: u64) -> bool {
         self.version().is_some_and(|held| version <= held)
     }
 
@@ -79,8 +79,8 @@
         self.held.as_ref().map(|held| Arc::clone(&held.document))
     }
 
-    /// The step that leads from the configuration in force to `document`.
-    pub fn step_to(&self, version: u64, document: &[u8]) -> io::Result<ConfigDelta> {
+    /// The delta that leads from the configuration in force to `document`.
+    pub fn delta_to(&self, version: u64, document: &[u8]) -> io::Result<ConfigDelta> {
         let base = self.document();
         let packed = pack_document(document, base.as_deref().map(Vec::as_slice))?;
         Ok(ConfigDelta {
@@ -90,21 +90,21 @@
         })
     }
 
-    /// The step that leads from nothing to the configuration in force.
+    /// The delta that leads from nothing to the configuration in force.
     ///
     /// It is packed once for all that ask: after a restart all edges do, and each time takes a
     /// registry some twenty milliseconds.
-    pub fn whole_step(&mut self) -> io::Result<Option<ConfigDelta>> {
+    pub fn full_delta(&mut self) -> io::Result<Option<ConfigDelta>> {
         let Some(held) = &self.held else {
             return Ok(None);
         };
-        if self.whole.is_none() {
-            self.whole = Some(ConfigDelta {
+        if self.full_delta.is_none() {
+            self.full_delta = Some(ConfigDelta {
                 version: held.version,
                 base: None,
                 packed: pack_document(&held.document, None)?,
             });
         }
-        Ok(self.whole.clone())
+        Ok(self.full_delta.clone())
     }
 }
--- a/crates/ragwortroad_registry/src/read_settle.rs
+++ b/crates/ragwortroad_registry/src/confirmed_read.rs
@@ -5,8 +5,8 @@
 
 /// A read that waits for the state to be applied up to an index.
 #[derive(Debug)]
-pub(crate) struct ReadSettle {
+pub(crate) struct ConfirmedRead {
     pub(crate) index: u64,
     pub(crate) reply: oneshot::Sender<ControlReply>,
-    pub(crate) came_at: ClockTime,
+    pub(crate) received_at: ClockTime,
 }
--- a/crates/ragwortroad_registry/src/group_seat.rs
+++ b/crates/ragwortroad_registry/src/consensus_driver.rs
@@ -18,22 +18,22 @@
     delta_history::DeltaHistory,
     folder_report::FolderReport,
     folder_worker::{
-        FolderOrder,
         FolderWorker, //
+        PersistRequest,
     }, //
 };
 
-/// What a seat wants done beside its disk's work.
+/// What a driver wants done beside its disk's work.
 #[derive(Debug)]
-pub(crate) enum SeatEffect {
+pub(crate) enum DriverEffect {
     /// Send a frame.
     Send(PeerFrame),
     /// A proposal was decided.
-    Decided { token: u64, result: ProposeResult },
+    ProposalDecided { token: u64, result: ProposeResult },
     /// The state is current once applied up to the index.
-    Readable { token: u64, index: u64 },
+    ReadIndexConfirmed { token: u64, index: u64 },
     /// No proof can be had here.
-    Unreadable { token: u64 },
+    ReadIndexFailed { token: u64 },
     /// Another configuration is in force.
     ConfigChanged,
     /// A drain order was applied.
@@ -46,13 +46,13 @@
 }
 
 /// A registry's part in the group: core, state and disk.
-pub(crate) struct GroupSeat {
+pub(crate) struct ConsensusDriver {
     /// The VM, as other registries name it.
     node: NodeId,
     settings: CoreSettings,
     disk: FolderWorker,
-    /// Number of the folder's present opening.
-    opening: u64,
+    /// Number of the folder's present generation.
+    generation: u64,
     /// Identity of the folder, once it is open.
     identity: Option<MemberId>,
     /// What the folder held, until the core is made of it.
@@ -69,8 +69,8 @@
     seed: u64,
 }
 
-/// What a seat is made from.
-pub(crate) struct SeatStart {
+/// What a driver is made from.
+pub(crate) struct DriverOptions {
     /// The VM.
     pub(crate) node: NodeId,
     /// Nodes that found the group together, if this one is among them and nothing exists yet.
@@ -85,13 +85,13 @@
     pub(crate) seed: u64,
 }
 
-impl GroupSeat {
-    pub(crate) fn new(start: SeatStart) -> Self {
+impl ConsensusDriver {
+    pub(crate) fn new(start: DriverOptions) -> Self {
         Self {
             node: start.node,
             settings: start.settings,
             disk: start.disk,
-            opening: 0,
+            generation: 0,
             identity: None,
             stored: None,
             founding: None,
@@ -116,8 +116,8 @@
     }
 
     /// The step that leads from nothing to the configuration in force.
-    pub(crate) fn whole_step(&mut self) -> io::Result<Option<ConfigDelta>> {
-        self.register.whole_step()
+    pub(crate) fn full_delta(&mut self) -> io::Result<Option<ConfigDelta>> {
+        self.register.full_delta()
     }
 
     /// The last steps of the configuration.
@@ -152,7 +152,11 @@
     }
 
     /// Takes what another registry says of itself.
-    pub(crate) fn take_hello(&mut self, hello: &MemberHello, now: ClockTime) -> Vec<SeatEffect> {
+    pub(crate) fn handle_hello(
+        &mut self,
+        hello: &MemberHello,
+        now: ClockTime,
+    ) -> Vec<DriverEffect> {
         let Some(member) = hello.member else {
             return Vec::new();
         };
@@ -167,22 +171,26 @@
     }
 
     /// Takes a report of the disk.
-    pub(crate) fn take_report(&mut self, report: FolderReport, now: ClockTime) -> Vec<SeatEffect> {
+    pub(crate) fn handle_disk_report(
+        &mut self,
+        report: FolderReport,
+        now: ClockTime,
+    ) -> Vec<DriverEffect> {
         match report {
-            FolderReport::Opened { opening, stored } => {
+            FolderReport::Opened { generation, stored } => {
                 tracing::info!(
                     identity = stored.identity,
                     entries = stored.entries.len(),
                     has_snapshot = stored.snapshot.is_some(),
                     "data folder open"
                 );
-                self.opening = opening;
+                self.generation = generation;
                 self.open(*stored, now)
             }
-            FolderReport::Durable { opening, batch } if opening == self.opening => {
+            FolderReport::Durable { generation, batch } if generation == self.generation => {
                 self.handle(CoreInput::Persisted { batch }, now)
             }
-            FolderReport::Failed { opening, reason } if opening == self.opening => {
+            FolderReport::Failed { generation, reason } if generation == self.generation => {
                 tracing::error!(reason, "the disk failed; the folder is opened anew");
                 let effects = self.handle(CoreInput::PersistFailed, now);
                 self.core = None;
@@ -192,7 +200,7 @@
         }
     }
 
-    fn open(&mut self, stored: StoredState, now: ClockTime) -> Vec<SeatEffect> {
+    fn open(&mut self, stored: StoredState, now: ClockTime) -> Vec<DriverEffect> {
         let identity = MemberId(stored.identity);
         self.identity = Some(identity);
         let is_founder = self.founders.contains(&self.node);
@@ -208,7 +216,7 @@
     }
 
     /// Makes the core, once it is clear whether a group is founded here.
-    fn try_start(&mut self, now: ClockTime) -> Vec<SeatEffect> {
+    fn try_start(&mut self, now: ClockTime) -> Vec<DriverEffect> {
         if self.core.is_some() || self.stored.is_none() {
             return Vec::new();
         }
@@ -233,7 +241,7 @@
         match ConsensusCore::new(self.settings.clone(), start, now, self.seed) {
             Ok((core, actions)) => {
                 self.core = Some(core);
-                self.carry_out(actions, now)
+                self.execute_actions(actions, now)
             }
             Err(error) => {
                 tracing::error!(%error, "this registry cannot take part in the group");
@@ -243,35 +251,37 @@
     }
 
     /// Hands an input to the core and does what concerns state and disk.
-    pub(crate) fn handle(&mut self, input: CoreInput, now: ClockTime) -> Vec<SeatEffect> {
+    pub(crate) fn handle(&mut self, input: CoreInput, now: ClockTime) -> Vec<DriverEffect> {
         let Some(core) = &mut self.core else {
             return Vec::new();
         };
         let actions = core.handle(input, now);
-        self.carry_out(actions, now)
+        self.execute_actions(actions, now)
     }
 
-    fn carry_out(&mut self, actions: Vec<CoreAction>, now: ClockTime) -> Vec<SeatEffect> {
+    fn execute_actions(&mut self, actions: Vec<CoreAction>, now: ClockTime) -> Vec<DriverEffect> {
         let mut effects = Vec::new();
         for action in actions {
             match action {
-                CoreAction::Persist { batch, change } => self.disk.order(FolderOrder {
-                    opening: self.opening,
+                CoreAction::Persist { batch, change } => self.disk.persist(PersistRequest {
+                    generation: self.generation,
                     batch,
                     change,
                 }),
-                CoreAction::Send(frame) => effects.push(SeatEffect::Send(frame)),
+                CoreAction::Send(frame) => effects.push(DriverEffect::Send(frame)),
                 CoreAction::Apply { command, .. } => effects.extend(self.apply(&command)),
                 CoreAction::RestoreSnapshot { bytes, .. } => effects.extend(self.restore(&bytes)),
-                CoreAction::WantSnapshot { index } => effects.extend(self.snapshot(index, now)),
+                CoreAction::WantSnapshot { index } => {
+                    effects.extend(self.take_snapshot(index, now))
+                }
                 CoreAction::ProposeDone { token, result } => {
-                    effects.push(SeatEffect::Decided { token, result });
+                    effects.push(DriverEffect::ProposalDecided { token, result });
                 }
                 CoreAction::ReadReady { token, index } => {
-                    effects.push(SeatEffect::Readable { token, index });
+                    effects.push(DriverEffect::ReadIndexConfirmed { token, index });
                 }
                 CoreAction::ReadRefused { token, .. } => {
-                    effects.push(SeatEffect::Unreadable { token });
+                    effects.push(DriverEffect::ReadIndexFailed { token });
                 }
                 CoreAction::LeaderChanged { term, leader } => {
                     let leader = leader.map(|member| member.0);
@@ -289,7 +299,7 @@
         effects
     }
 
-    fn apply(&mut self, command: &[u8]) -> Option<SeatEffect> {
+    fn apply(&mut self, command: &[u8]) -> Option<DriverEffect> {
         let command = match postcard::from_bytes::<RegisterCommand>(command) {
             Ok(command) => command,
             Err(error) => {
@@ -299,21 +309,21 @@
             }
         };
         match command {
-            RegisterCommand::Put(step) => self.apply_step(step),
+            RegisterCommand::Put(step) => self.apply_config(step),
             RegisterCommand::Drain(order) => {
                 let outcome = self.drains.apply(&order);
-                Some(SeatEffect::DrainApplied { order, outcome })
+                Some(DriverEffect::DrainApplied { order, outcome })
             }
         }
     }
 
-    fn apply_step(&mut self, step: ConfigDelta) -> Option<SeatEffect> {
+    fn apply_config(&mut self, step: ConfigDelta) -> Option<DriverEffect> {
         match self.register.apply(&step) {
             RegisterChange::Changed => {
                 self.history.push(step);
-                Some(SeatEffect::ConfigChanged)
+                Some(DriverEffect::ConfigChanged)
             }
-            RegisterChange::Covered | RegisterChange::OtherBase => None,
+            RegisterChange::Superseded | RegisterChange::BaseMismatch => None,
             RegisterChange::Unreadable { reason } => {
                 tracing::error!(reason, "a configuration of the log is skipped");
                 None
@@ -323,7 +333,7 @@
 
     /// Takes the state of a snapshot: the log continues from it, so it is never older than what
     /// was applied here, except after a failed disk was opened anew.
-    fn restore(&mut self, bytes: &[u8]) -> Vec<SeatEffect> {
+    fn restore(&mut self, bytes: &[u8]) -> Vec<DriverEffect> {
         let snapshot = match RegisterSnapshot::decode(bytes) {
             Ok(snapshot) => snapshot,
             Err(error) => {
@@ -334,19 +344,19 @@
         let mut effects = Vec::new();
         if snapshot.drains.revision() > self.drains.revision() {
             self.drains = snapshot.drains;
-            effects.push(SeatEffect::DrainsRestored);
+            effects.push(DriverEffect::DrainsRestored);
         }
-        effects.extend(snapshot.config.and_then(|step| self.restore_step(&step)));
+        effects.extend(snapshot.config.and_then(|step| self.restore_config(&step)));
         effects
     }
 
-    fn restore_step(&mut self, step: &ConfigDelta) -> Option<SeatEffect> {
+    fn restore_config(&mut self, step: &ConfigDelta) -> Option<DriverEffect> {
         match self.register.apply(step) {
             RegisterChange::Changed => {
                 self.history.clear();
-                Some(SeatEffect::ConfigChanged)
+                Some(DriverEffect::ConfigChanged)
             }
-            RegisterChange::Covered => None,
+            RegisterChange::Superseded => None,
             other => {
                 tracing::error!(?other, "the snapshot's configuration cannot be used");
                 None
@@ -354,10 +364,10 @@
         }
     }
 
-    fn snapshot(&mut self, index: u64, now: ClockTime) -> Vec<SeatEffect> {
+    fn take_snapshot(&mut self, index: u64, now: ClockTime) -> Vec<DriverEffect> {
         let whole = self
             .register
-            .whole_step()
+            .full_delta()
             .map_err(|error| error.to_string());
         let encoded = whole.and_then(|config| {
             let drains = self.drains.clone();
--- a/crates/ragwortroad_registry/src/control_call.rs
+++ b/crates/ragwortroad_registry/src/control_call.rs
@@ -22,7 +22,7 @@
         /// Whether its endpoints get no new work from now on.
         is_drained: bool,
     },
-    /// An operator reads the configuration in force.
+    /// An operator queued_reads the configuration in force.
     ReadConfig,
     /// An endpoint announces itself.
     Announce(Box<EndpointRecord>),
@@ -54,7 +54,7 @@
         /// Their addresses.
         addresses: Vec<SocketAddr>,
         /// Seconds for which the answer may be kept.
-        keep_s: u64,
+        ttl_s: u64,
     },
     /// It cannot be; the same call will never succeed.
     Invalid {
--- a/crates/ragwortroad_registry/src/directory_flow.rs
+++ b/crates/ragwortroad_registry/src/directory_flow.rs
@@ -24,21 +24,21 @@
 
 impl RegistryState {
     /// Edges that take callers, for one that asks from an address.
-    pub(crate) fn find_edges(&self, asker: IpAddr, now: ClockTime) -> ControlReply {
+    pub(crate) fn resolve_edges(&self, client_ip: IpAddr, now: ClockTime) -> ControlReply {
         let ready = self.ready_edges();
         let gap = self.gathering.gap(ready.len(), self.edges.len(), now);
         let found = match gap {
             Some(gap) => Err(gap),
-            None => Ok(choose_addresses(asker, ready, MAX_ADDRESSES)),
+            None => Ok(choose_addresses(client_ip, ready, MAX_ADDRESSES)),
         };
         directory_reply(found, &self.settings)
     }
 
     /// A directory has connected.
-    pub(crate) fn greet_directory(&mut self, link: LinkKey, node: &str, now: ClockTime) {
+    pub(crate) fn handle_directory_hello(&mut self, link: LinkKey, node: &str, now: ClockTime) {
         tracing::info!(directory = node, "directory connected");
         // So that it is told of each change from what it is told here.
-        self.send_edges();
+        self.broadcast_edge_view();
         self.directories.insert(link);
         if let Some(queue) = self.links.get(&link) {
             queue.send(&self.fleet_message(now));
@@ -47,7 +47,7 @@
     }
 
     /// Tells directories which edges take callers, where that has changed.
-    pub(crate) fn send_edges(&mut self) {
+    pub(crate) fn broadcast_edge_view(&mut self) {
         let view = self.edge_view();
         if self.sent_edges != view {
             let message = LinkMessage::EdgesKnown(view.clone());
@@ -79,7 +79,7 @@
     match found {
         Ok(addresses) => ControlReply::Edges {
             addresses,
-            keep_s: life.as_secs(),
+            ttl_s: life.as_secs(),
         },
         Err(DirectoryGap::Gathering) => ControlReply::Unavailable {
             reason: "edges are still being gathered",
--- a/crates/ragwortroad_registry/src/directory_process.rs
+++ b/crates/ragwortroad_registry/src/directory_process.rs
@@ -40,21 +40,21 @@
         MAX_ADDRESSES,
         directory_reply, //
     },
-    peer_dialer::keep_dialled,
+    peer_dialer::maintain_peer_link,
     registry_error::MissingSettingSnafu,
     registry_event::RegistryEvent,
     registry_process::{
+        forward_signals,
         listen,
-        pass_signals,
-        run_to_end,
-        serve_page, //
+        run_on_local_set,
+        serve_metrics, //
     }, //
 };
 
 /// Time for which a stopping directory goes on answering.
 ///
 /// A caller whose connection breaks before its answer waits for the next directory.
-const STOP_TIME: Duration = Duration::from_millis(100);
+const STOP_GRACE: Duration = Duration::from_millis(100);
 
 /// All that a directory knows.
 struct DirectoryState {
@@ -74,7 +74,7 @@
     signals: Receiver<RegistrySignal>,
     page: Option<MetricsPage>,
 ) -> Result<(), RegistryError> {
-    run_to_end(serve_directory(settings, port, signals, page))
+    run_on_local_set(serve_directory(settings, port, signals, page))
 }
 
 async fn serve_directory(
@@ -87,8 +87,8 @@
     let directory = settings.directory.context(MissingSettingSnafu { key })?;
     let (events, queue) = flume::unbounded();
     spawn_local(serve_calls(listen(directory).await?, port, events.clone()));
-    serve_page(page, &settings).await?;
-    spawn_local(pass_signals(signals, events.clone()));
+    serve_metrics(page, &settings).await?;
+    spawn_local(forward_signals(signals, events.clone()));
     let clock = RealClock::start();
     let mut state = DirectoryState {
         edges: EdgeDirectory::new(clock.now()),
@@ -104,7 +104,7 @@
         }
         state.handle(event, clock.now());
     }
-    sleep(STOP_TIME).await;
+    sleep(STOP_GRACE).await;
     Ok(())
 }
 
@@ -120,34 +120,40 @@
         for registry in registries {
             if let Entry::Vacant(entry) = self.registries.entry(registry) {
                 entry.insert(None);
-                spawn_local(keep_dialled(registry, self.events.clone()));
+                spawn_local(maintain_peer_link(registry, self.events.clone()));
             }
         }
     }
 
     fn handle(&mut self, event: RegistryEvent, now: ClockTime) {
         match event {
-            RegistryEvent::Call { call, asker, reply } => {
+            RegistryEvent::Call {
+                call,
+                client_ip,
+                reply,
+            } => {
                 let answer = match call {
                     ControlCall::FindEdges => {
-                        let found = self.edges.find(asker, MAX_ADDRESSES, now);
+                        let found = self.edges.find(client_ip, MAX_ADDRESSES, now);
                         directory_reply(found, &self.settings)
                     }
                     _ => ControlReply::NotFound,
                 };
                 answer_call(reply, answer);
             }
-            RegistryEvent::Reached { peer, queue } => {
+            RegistryEvent::PeerConnected { peer, queue } => {
                 let node = self.settings.name.clone();
                 queue.send(&LinkMessage::DirectoryHello { node });
                 self.registries.insert(peer, Some(queue));
             }
-            RegistryEvent::PeerSaid { peer, message } => self.take_message(peer, message, now),
-            RegistryEvent::Unreached { peer } => {
+            RegistryEvent::PeerReceived { peer, message } => {
+                self.handle_message(peer, message, now)
+            }
+            RegistryEvent::PeerDisconnected { peer } => {
                 self.registries.insert(peer, None);
                 self.edges.note_lost(peer);
             }
-            RegistryEvent::Seeds(seeds) => {
+            RegistryEvent::SeedsChanged(seeds) => {
                 self.settings.seeds = seeds;
                 self.dial_seeds();
             }
@@ -155,7 +161,7 @@
         }
     }
 
-    fn take_message(&mut self, peer: SocketAddr, message: LinkMessage, now: ClockTime) {
+    fn handle_message(&mut self, peer: SocketAddr, message: LinkMessage, now: ClockTime) {
         match message {
             LinkMessage::Fleet { registries, .. } => self.dial(registries),
             LinkMessage::EdgesKnown(view) => self.edges.note_view(peer, view, now),
--- a/crates/ragwortroad_registry/src/drain_flow.rs
+++ b/crates/ragwortroad_registry/src/drain_flow.rs
@@ -18,22 +18,22 @@
     ControlReply,
     RegisterCommand,
     call_flow::{
-        CALL_PATIENCE,
-        MAX_WAITING,
+        CALL_TIMEOUT,
+        MAX_QUEUED_CALLS,
         answer_call, //
     },
-    drain_wait::DrainWait,
+    queued_drain::QueuedDrain,
     registry_state::RegistryState, //
 };
 
-/// Time after which an order that was not applied is proposed or passed on again.
+/// Time after which an order that was not applied is proposed_put or passed on again.
 ///
 /// Applied twice it changes nothing the second time.
-const TRY_AGAIN: Duration = Duration::from_millis(250);
+const DRAIN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 impl RegistryState {
     /// Takes an operator's order.
-    pub(crate) fn take_drain(
+    pub(crate) fn handle_drain_call(
         &mut self,
         domain: String,
         is_drained: bool,
@@ -47,7 +47,7 @@
             answer_call(reply, ControlReply::Invalid { reason });
             return;
         }
-        if self.drain_waits.len() >= MAX_WAITING {
+        if self.queued_drains.len() >= MAX_QUEUED_CALLS {
             let reason = "too many orders wait here; try another registry";
             answer_call(reply, ControlReply::Unavailable { reason });
             return;
@@ -59,29 +59,29 @@
             is_drained,
             seen: 0,
         };
-        let wait = DrainWait {
+        let wait = QueuedDrain {
             order,
             reply,
-            came_at: now,
-            tried_at: now,
+            received_at: now,
+            attempted_at: now,
         };
-        self.try_drain(wait, now);
+        self.attempt_drain(wait, now);
     }
 
     /// Proposes an order, or passes it on to the leader, as one that knows all drains known here.
-    fn try_drain(&mut self, mut wait: DrainWait, now: ClockTime) {
-        wait.order.seen = self.seat.drains().revision();
-        wait.tried_at = now;
+    fn attempt_drain(&mut self, mut wait: QueuedDrain, now: ClockTime) {
+        wait.order.seen = self.driver.drains().revision();
+        wait.attempted_at = now;
         let order = wait.order.clone();
-        self.drain_waits.insert(order.id, wait);
-        let Some(core) = self.seat.core() else {
+        self.queued_drains.insert(order.id, wait);
+        let Some(core) = self.driver.core() else {
             return;
         };
         if core.is_leader() {
             self.propose_drain(order, now);
             return;
         }
-        if let Some(queue) = core.leader().and_then(|leader| self.queue_of(leader)) {
+        if let Some(queue) = core.leader().and_then(|leader| self.member_queue(leader)) {
             queue.send(&LinkMessage::ForwardDrain(order));
         }
     }
@@ -95,13 +95,15 @@
                 return;
             }
         };
-        let token = self.draw_token();
-        let effects = self.seat.handle(CoreInput::Propose { token, command }, now);
-        self.carry_out(effects, now);
+        let token = self.new_token();
+        let effects = self
+            .driver
+            .handle(CoreInput::Propose { token, command }, now);
+        self.apply_effects(effects, now);
     }
 
     /// An order was applied to the state here.
-    pub(crate) fn follow_drain(
+    pub(crate) fn handle_drain_applied(
         &mut self,
         order: &DrainOrder,
         outcome: DrainOutcome,
@@ -112,12 +114,12 @@
         } = order;
         tracing::info!(domain, is_drained, ?outcome, "a drain order was applied");
         if outcome == DrainOutcome::Changed {
-            self.send_drains();
+            self.broadcast_drains();
             if !is_drained {
-                self.return_domain(domain, now);
+                self.undrain_domain(domain, now);
             }
         }
-        let Some(wait) = self.drain_waits.remove(&order.id) else {
+        let Some(wait) = self.queued_drains.remove(&order.id) else {
             return;
         };
         match outcome {
@@ -130,33 +132,33 @@
                     id: rand::random(),
                     ..wait.order
                 };
-                self.try_drain(DrainWait { order, ..wait }, now);
+                self.attempt_drain(QueuedDrain { order, ..wait }, now);
             }
         }
     }
 
     /// Tells edges which domains are drained.
-    pub(crate) fn send_drains(&self) {
-        let drains = self.seat.drains().clone();
-        self.send_to_edges(&LinkMessage::DomainDrains(drains));
+    pub(crate) fn broadcast_drains(&self) {
+        let drains = self.driver.drains().clone();
+        self.broadcast_to_edges(&LinkMessage::DomainDrains(drains));
     }
 
     /// The endpoints of a domain get work again, and may have gone cold without it.
-    fn return_domain(&mut self, domain: &str, now: ClockTime) {
+    fn undrain_domain(&mut self, domain: &str, now: ClockTime) {
         for change in self.table.return_domain(domain, now) {
-            self.queue_update(change);
+            self.enqueue_update(change);
         }
     }
 
     /// Tries waiting orders again and ends those whose operators have turned elsewhere.
     pub(crate) fn retry_drains(&mut self, now: ClockTime) {
-        let waits = std::mem::take(&mut self.drain_waits);
-        let is_due = |wait: &DrainWait| now.since(wait.tried_at) >= TRY_AGAIN;
+        let waits = std::mem::take(&mut self.queued_drains);
+        let is_due = |wait: &QueuedDrain| now.since(wait.attempted_at) >= DRAIN_RETRY_INTERVAL;
         let (due, waiting) = waits.into_iter().partition(|(_, wait)| is_due(wait));
-        self.drain_waits = waiting;
+        self.queued_drains = waiting;
         for wait in BTreeMap::into_values(due) {
-            if now.since(wait.came_at) < CALL_PATIENCE {
-                self.try_drain(wait, now);
+            if now.since(wait.received_at) < CALL_TIMEOUT {
+                self.attempt_drain(wait, now);
             } else {
                 let reason = "no quorum has taken the order in time; send it again";
                 answer_call(wait.reply, ControlReply::Unavailable { reason });
--- a/crates/ragwortroad_registry/src/edge_flow.rs
+++ b/crates/ragwortroad_registry/src/edge_flow.rs
@@ -18,25 +18,25 @@
 ///
 /// After a common restart all endpoints announce themselves within a second; told one by one they
 /// would take a small VM's processor while the group has to elect a leader.
-const UPDATES_EVERY: Duration = Duration::from_millis(40);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Time for a group to form or to find its leader after a start.
 ///
 /// It takes a second, an election timeout included. A registry that is cut off from the others has
 /// no leader for long, and what it hears of endpoints still counts.
-const FORMING_TIME: Duration = Duration::from_secs(3);
+const GROUP_FORMING_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Bytes of an endpoint's record on a link, compressed with some twenty others.
-const RECORD_BYTES: f64 = 30.0;
+const ENCODED_RECORD_BYTES: f64 = 30.0;
 
 /// Time between two tellings of the fleet's registries and number of edges.
 ///
 /// After a common restart the number changes with each edge that connects; told each time, each edge
 /// would be told as often as there are edges, when a registry has most to do.
-const FLEET_EVERY: Duration = Duration::from_secs(1);
+const FLEET_INTERVAL: Duration = Duration::from_secs(1);
 
 impl RegistryState {
-    pub(crate) fn greet_edge(&mut self, link: LinkKey, edge: EdgeEntry, now: ClockTime) {
+    pub(crate) fn handle_edge_hello(&mut self, link: LinkKey, edge: EdgeEntry, now: ClockTime) {
         let EdgeEntry {
             node,
             address,
@@ -46,11 +46,11 @@
         tracing::info!(edge = node, %address, ?stage, "edge connected");
         // A restarted edge may be back before its old connection is found dead.
         let known = self.edges.iter();
-        let former = known.filter(|(_, known)| known.address == edge.address);
-        let former: Vec<LinkKey> = former.map(|(link, _)| *link).collect();
-        for former in former {
-            self.unsubscribe(former);
-            self.edges.remove(&former);
+        let previous = known.filter(|(_, known)| known.address == edge.address);
+        let previous: Vec<LinkKey> = previous.map(|(link, _)| *link).collect();
+        for previous in previous {
+            self.unsubscribe(previous);
+            self.edges.remove(&previous);
         }
         self.edges.insert(link, edge);
         self.gathering.note_joined(now);
@@ -59,26 +59,26 @@
         };
         queue.send(&self.fleet_message(now));
         // Told before the version: by that the edge counts the registries that have told all.
-        let drains = self.seat.drains().clone();
+        let drains = self.driver.drains().clone();
         queue.send(&LinkMessage::DomainDrains(drains));
         let records = self.table.records(now).collect();
         queue.send(&LinkMessage::EndpointsWhole(records));
-        if let Some(version) = self.seat.register().version() {
+        if let Some(version) = self.driver.register().version() {
             queue.send(&LinkMessage::ConfigVersion(version));
         }
     }
 
-    pub(crate) fn stage_edge(&mut self, link: LinkKey, stage: EdgeStage) {
+    pub(crate) fn set_edge_stage(&mut self, link: LinkKey, stage: EdgeStage) {
         if let Some(edge) = self.edges.get_mut(&link) {
             tracing::info!(edge = edge.node, ?stage, "edge says its stage");
             edge.stage = stage;
         }
     }
 
-    pub(crate) fn end_link(&mut self, link: LinkKey) {
+    pub(crate) fn handle_link_closed(&mut self, link: LinkKey) {
         self.links.remove(&link);
         self.unsubscribe(link);
-        self.leave_peer(link);
+        self.remove_peer_link(link);
         self.directories.remove(&link);
         self.copies.drop_edge(link.0);
         if let Some(edge) = self.edges.remove(&link) {
@@ -87,28 +87,28 @@
         }
     }
 
-    pub(crate) fn announce_version(&self) {
-        if let Some(version) = self.seat.register().version() {
+    pub(crate) fn broadcast_config_version(&self) {
+        if let Some(version) = self.driver.register().version() {
             tracing::info!(version, edges = self.edges.len(), "configuration in force");
-            self.send_to_edges(&LinkMessage::ConfigVersion(version));
+            self.broadcast_to_edges(&LinkMessage::ConfigVersion(version));
         }
     }
 
-    pub(crate) fn send_fleet(&mut self, now: ClockTime) {
+    pub(crate) fn broadcast_fleet(&mut self, now: ClockTime) {
         metrics::gauge!(metric_names::EDGES).set(self.edges.len() as f64);
         metrics::gauge!(metric_names::SUBSCRIBERS).set(self.subscribers.len() as f64);
-        let version = self.seat.register().version().unwrap_or(0);
+        let version = self.driver.register().version().unwrap_or(0);
         metrics::gauge!(metric_names::CONFIG_VERSION).set(version as f64);
         let message = self.fleet_message(now);
-        if self.told_fleet.as_ref() == Some(&message) {
+        if self.sent_fleet.as_ref() == Some(&message) {
             return;
         }
-        if now < self.fleet_at && !self.is_fleet_urgent(&message) {
+        if now < self.next_fleet_at && !self.is_fleet_urgent(&message) {
             return;
         }
-        self.fleet_at = now.after(FLEET_EVERY);
-        self.send_to_edges(&message);
-        self.told_fleet = Some(message);
+        self.next_fleet_at = now.after(FLEET_INTERVAL);
+        self.broadcast_to_edges(&message);
+        self.sent_fleet = Some(message);
     }
 
     /// Whether edges are to be told of the fleet at once.
@@ -127,7 +127,7 @@
             } => Some((registries.clone(), *voters, *hears)),
             _ => None,
         };
-        self.told_fleet.as_ref().and_then(facts) != facts(message)
+        self.sent_fleet.as_ref().and_then(facts) != facts(message)
     }
 
     pub(crate) fn fleet_message(&self, now: ClockTime) -> LinkMessage {
@@ -141,16 +141,16 @@
 
     /// Registries that vote, as far as this one knows; none before it has joined the group.
     fn voter_count(&self) -> u32 {
-        let core = self.seat.core();
+        let core = self.driver.core();
         core.map_or(0, |core| core.members().voters().count() as u32)
     }
 
     /// Tells all edges the same; returns how many bytes that takes.
-    pub(crate) fn send_to_edges(&self, message: &LinkMessage) -> usize {
+    pub(crate) fn broadcast_to_edges(&self, message: &LinkMessage) -> usize {
         self.send_to_links(self.edges.keys(), message)
     }
 
-    pub(crate) fn queue_update(&mut self, change: RegistryChange) {
+    pub(crate) fn enqueue_update(&mut self, change: RegistryChange) {
         match &change {
             RegistryChange::Told(record) | RegistryChange::Cooled(record) => {
                 tracing::info!(
@@ -175,20 +175,20 @@
 
     /// Sends the edges what was heard from endpoints since the last time.
     pub(crate) fn send_updates(&mut self, now: ClockTime) {
-        if self.updates.has_urgent() && now >= self.updates_at {
-            self.updates_at = now.after(UPDATES_EVERY);
-            self.send_urgent();
+        if self.updates.has_urgent() && now >= self.next_urgent_updates_at {
+            self.next_urgent_updates_at = now.after(UPDATE_INTERVAL);
+            self.send_urgent_updates();
         }
-        if !self.updates.has_calm() || now < self.calm_updates_at || self.is_forming(now) {
+        if !self.updates.has_calm() || now < self.next_calm_updates_at || self.is_forming(now) {
             return;
         }
-        self.send_urgent();
-        let pace = SendPace::of_updates(self.link_rate());
-        let count = pace.items_at_once(self.edges.len(), RECORD_BYTES);
+        self.send_urgent_updates();
+        let pace = SendPace::of_updates(self.link_bytes_per_second());
+        let count = pace.items_at_once(self.edges.len(), ENCODED_RECORD_BYTES);
         let updates = self.updates.take_calm(count);
-        let bytes = self.send_to_edges(&LinkMessage::EndpointUpdates(updates));
+        let bytes = self.broadcast_to_edges(&LinkMessage::EndpointUpdates(updates));
         let span = pace.span(bytes);
-        self.calm_updates_at = now.after(UPDATES_EVERY.max(span));
+        self.next_calm_updates_at = now.after(UPDATE_INTERVAL.max(span));
     }
 
     /// Whether this registry has just started and has not heard of a leader yet.
@@ -197,26 +197,26 @@
     /// hundreds of edges and thousands of endpoints start at once, telling edges of endpoints first
     /// would take a small VM's whole processor, and the group be formed late.
     fn is_forming(&self, now: ClockTime) -> bool {
-        let core = self.seat.core();
+        let core = self.driver.core();
         let has_leader = core.is_some_and(|core| core.leader().is_some());
-        !has_leader && now.since(self.started_at) < FORMING_TIME
+        !has_leader && now.since(self.started_at) < GROUP_FORMING_TIMEOUT
     }
 
-    fn send_urgent(&mut self) {
+    fn send_urgent_updates(&mut self) {
         let updates = self.updates.take_urgent();
         if !updates.is_empty() {
-            self.send_to_edges(&LinkMessage::EndpointUpdates(updates));
+            self.broadcast_to_edges(&LinkMessage::EndpointUpdates(updates));
         }
     }
 
     /// Bytes a second that this VM's link carries.
-    pub(crate) fn link_rate(&self) -> f64 {
+    pub(crate) fn link_bytes_per_second(&self) -> f64 {
         self.settings.link_mbps * 1e6 / 8.0
     }
 
     pub(crate) fn expire_endpoints(&mut self, now: ClockTime) {
         for change in self.table.expire(now) {
-            self.queue_update(change);
+            self.enqueue_update(change);
         }
     }
 
@@ -224,7 +224,7 @@
     ///
     /// A registry that is cut off from all edges must not acknowledge: the endpoint would count on
     /// its drain being known, and go on getting work. It then tries another registry.
-    pub(crate) fn take_announcement(
+    pub(crate) fn handle_announcement(
         &mut self,
         record: EndpointRecord,
         now: ClockTime,
@@ -235,19 +235,19 @@
             };
         }
         if let Some(change) = self.table.announce(record, now) {
-            self.queue_update(change);
+            self.enqueue_update(change);
         }
         ControlReply::Done
     }
 
-    pub(crate) fn take_goodbye(&mut self, name: &str, now: ClockTime) -> ControlReply {
+    pub(crate) fn handle_goodbye(&mut self, name: &str, now: ClockTime) -> ControlReply {
         if self.edges.is_empty() {
             return ControlReply::Unavailable {
-                reason: "no edge is connected here; say goodbye at another registry",
+                reason: "no edge is connected here; forward goodbye at another registry",
             };
         }
         let change = self.table.leave(name, now);
-        self.queue_update(change);
+        self.enqueue_update(change);
         ControlReply::Done
     }
 }
--- a/crates/ragwortroad_registry/src/folder_worker.rs
+++ b/crates/ragwortroad_registry/src/folder_worker.rs
@@ -23,16 +23,16 @@
 ///
 /// A full or faulty disk mostly stays so for seconds; a quarter of one is soon enough and costs
 /// little.
-const REOPEN_PAUSE: Duration = Duration::from_millis(250);
+const REOPEN_DELAY: Duration = Duration::from_millis(250);
 
-/// Orders that share a sync at the most.
-const GROUP_LIMIT: usize = 1024;
+/// Requests that share a sync at the most.
+const MAX_REQUESTS_PER_SYNC: usize = 1024;
 
 /// One batch that must be made durable.
 #[derive(Clone, Debug)]
-pub(crate) struct FolderOrder {
-    /// Which opening of the folder it belongs to; others are dropped.
-    pub(crate) opening: u64,
+pub(crate) struct PersistRequest {
+    /// Which generation of the folder it belongs to; others are dropped.
+    pub(crate) generation: u64,
     /// Names the batch in the report.
     pub(crate) batch: u64,
     /// What changes.
@@ -42,10 +42,10 @@
 /// The thread that owns the data folder, and opens it anew after a failure.
 ///
 /// Opening, writing and syncing wait for the disk, which may hang for seconds; on the control
-/// thread that would stop answers and elections. Orders that arrive during one sync share the next.
+/// thread that would stop answers and elections. Requests that arrive during one sync share the next.
 #[derive(Debug)]
 pub(crate) struct FolderWorker {
-    orders: Sender<FolderOrder>,
+    requests: Sender<PersistRequest>,
     thread: JoinHandle<()>,
 }
 
@@ -55,23 +55,23 @@
         settings: FolderSettings,
         events: Sender<RegistryEvent>,
     ) -> io::Result<Self> {
-        let (orders, queue) = flume::unbounded();
+        let (requests, queue) = flume::unbounded();
         let thread = Builder::new()
             .name("disk".to_owned())
             .spawn(move || serve_folder(&settings, &queue, &events))?;
-        Ok(Self { orders, thread })
+        Ok(Self { requests, thread })
     }
 
     /// Queues a batch.
-    pub(crate) fn order(&self, order: FolderOrder) {
-        if self.orders.send(order).is_err() {
+    pub(crate) fn persist(&self, request: PersistRequest) {
+        if self.requests.send(request).is_err() {
             tracing::error!("the disk thread is gone; nothing is acknowledged any more");
         }
     }
 
     /// Finishes what is queued and joins the thread.
     pub(crate) fn join(self) {
-        drop(self.orders);
+        drop(self.requests);
         if self.thread.join().is_err() {
             tracing::error!("the disk thread panicked");
         }
@@ -80,53 +80,53 @@
 
 fn serve_folder(
     settings: &FolderSettings,
-    queue: &Receiver<FolderOrder>,
+    queue: &Receiver<PersistRequest>,
     events: &Sender<RegistryEvent>,
 ) {
-    let mut opening = 0;
+    let mut generation = 0;
     while !queue.is_disconnected() {
-        opening += 1;
+        generation += 1;
         match LogFolder::open(settings) {
             Ok((folder, stored)) => {
                 let stored = Box::new(stored);
-                let report = FolderReport::Opened { opening, stored };
+                let report = FolderReport::Opened { generation, stored };
                 if events.send(RegistryEvent::Folder(report)).is_err() {
                     return;
                 }
-                if serve_orders(folder, opening, queue, events).is_none() {
+                if serve_requests(folder, generation, queue, events).is_none() {
                     return;
                 }
             }
             Err(error) => tracing::warn!(%error, "the data folder cannot be opened; trying again"),
         }
-        thread::sleep(REOPEN_PAUSE);
+        thread::sleep(REOPEN_DELAY);
     }
 }
 
-/// Serves orders until a write fails; nothing once the owner has dropped its end.
-fn serve_orders(
+/// Serves requests until a write fails; nothing once the owner has dropped its end.
+fn serve_requests(
     mut folder: LogFolder,
-    opening: u64,
-    queue: &Receiver<FolderOrder>,
+    generation: u64,
+    queue: &Receiver<PersistRequest>,
     events: &Sender<RegistryEvent>,
 ) -> Option<()> {
     loop {
         let first = queue.recv().ok()?;
-        let group: Vec<FolderOrder> = std::iter::once(first)
-            .chain(queue.try_iter().take(GROUP_LIMIT))
-            .filter(|order| order.opening == opening)
+        let group: Vec<PersistRequest> = std::iter::once(first)
+            .chain(queue.try_iter().take(MAX_REQUESTS_PER_SYNC))
+            .filter(|request| request.generation == generation)
             .collect();
-        let Some(batch) = group.last().map(|order| order.batch) else {
+        let Some(batch) = group.last().map(|request| request.batch) else {
             continue;
         };
         let appended = group
             .iter()
-            .try_for_each(|order| folder.append(&order.change));
+            .try_for_each(|request| folder.append(&request.change));
         let written = appended.and_then(|()| folder.sync());
         let report = match &written {
-            Ok(()) => FolderReport::Durable { opening, batch },
+            Ok(()) => FolderReport::Durable { generation, batch },
             Err(error) => FolderReport::Failed {
-                opening,
+                generation,
                 reason: error.to_string(),
             },
         };
--- a/crates/ragwortroad_registry/src/peer_dialer.rs
+++ b/crates/ragwortroad_registry/src/peer_dialer.rs
@@ -11,7 +11,7 @@
 use crate::registry_event::RegistryEvent;
 
 /// Keeps a connection to another registry for as long as the process runs.
-pub(crate) async fn keep_dialled(peer: SocketAddr, events: Sender<RegistryEvent>) {
+pub(crate) async fn maintain_peer_link(peer: SocketAddr, events: Sender<RegistryEvent>) {
     let settings = LinkSettings::default();
     let mut pace = DialPace::default();
     // Seeds are dialled from the start, others as they are heard of.
@@ -23,22 +23,28 @@
                 pace.reset();
                 let (queue, receiver) = LinkQueue::new(&settings);
                 let own = queue.clone();
-                if events.send(RegistryEvent::Reached { peer, queue }).is_err() {
+                if events
+                    .send(RegistryEvent::PeerConnected { peer, queue })
+                    .is_err()
+                {
                     return;
                 }
-                let inward = events.clone();
-                let say = move |message| {
-                    if inward
-                        .send(RegistryEvent::PeerSaid { peer, message })
+                let message_events = events.clone();
+                let forward = move |message| {
+                    if message_events
+                        .send(RegistryEvent::PeerReceived { peer, message })
                         .is_err()
                     {
                         tracing::debug!("a message came after the control loop ended");
                     }
                 };
-                let ended = run_link(stream, (own, receiver), true, &settings, say).await;
+                let ended = run_link(stream, (own, receiver), true, &settings, forward).await;
                 tracing::info!(%peer, %ended, "registry lost");
                 metrics::counter!(metric_names::LINKS_LOST, "peer" => "registry").increment(1);
-                if events.send(RegistryEvent::Unreached { peer }).is_err() {
+                if events
+                    .send(RegistryEvent::PeerDisconnected { peer })
+                    .is_err()
+                {
                     return;
                 }
             }
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -21,50 +21,55 @@
 
 /// Time between two hellos to each registry.
 ///
-/// They carry who is there to whom the leader may give a seat, which may be seconds old.
-const HELLO_EVERY: Duration = Duration::from_secs(1);
+/// They carry who is there to whom the leader may give a driver, which may be seconds old.
+const HELLO_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The same while the group is not formed: the first configuration waits for it.
-const FIRST_HELLO_EVERY: Duration = Duration::from_millis(150);
+const FORMING_HELLO_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Time between two steps of the plan of seats; each is one entry of the log.
-const PLAN_EVERY: Duration = Duration::from_millis(500);
+const VOTER_PLAN_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time after which a registry that is not heard of is no longer told to others.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+const PEER_EXPIRY: Duration = Duration::from_secs(30);
 
 impl RegistryState {
     /// Sees to it that the registries of the settings are dialled.
-    pub(crate) fn learn_seeds(&mut self) {
+    pub(crate) fn track_seeds(&mut self) {
         let port = self.settings.inner.port();
         let seeds = self.settings.seeds.clone();
         for seed in seeds {
-            self.learn_peer(SocketAddr::new(seed.ip(), port));
+            self.track_peer(SocketAddr::new(seed.ip(), port));
         }
     }
 
-    fn learn_peer(&mut self, peer: SocketAddr) {
+    fn track_peer(&mut self, peer: SocketAddr) {
         if peer != self.settings.inner && !self.peers.contains_key(&peer) {
             self.peers.insert(peer, PeerEntry::default());
             self.undialled.insert(peer);
         }
     }
 
-    pub(crate) fn reach_peer(&mut self, peer: SocketAddr, queue: LinkQueue, now: ClockTime) {
+    pub(crate) fn handle_peer_connected(
+        &mut self,
+        peer: SocketAddr,
+        queue: LinkQueue,
+        now: ClockTime,
+    ) {
         let hello = self.own_hello(now);
         queue.send(&LinkMessage::MemberHello(hello));
-        self.add_peer(peer, &queue);
+        self.start_sharing_with(peer, &queue);
         let entry = self.peers.entry(peer).or_default();
         entry.queue = Some(queue);
         let hello = entry.hello.as_ref();
         if let Some(member) = hello.and_then(|(hello, _)| hello.member).map(MemberId) {
-            let effects = self.seat.handle(CoreInput::PeerReached { member }, now);
-            self.carry_out(effects, now);
+            let effects = self.driver.handle(CoreInput::PeerReached { member }, now);
+            self.apply_effects(effects, now);
         }
     }
 
     fn own_hello(&self, now: ClockTime) -> MemberHello {
-        self.seat
+        self.driver
             .hello(self.settings.inner, self.known_registries(now))
     }
 
@@ -77,7 +82,7 @@
         };
         let is_heard = |entry: &PeerEntry| {
             let hello = entry.hello.as_ref();
-            hello.is_some_and(|(_, heard_at)| now.since(*heard_at) < FORGET_AFTER)
+            hello.is_some_and(|(_, heard_at)| now.since(*heard_at) < PEER_EXPIRY)
         };
         let peers = self.peers.iter();
         let known = peers.filter(|(peer, entry)| is_seed(peer) || is_heard(entry));
@@ -85,14 +90,14 @@
         known.chain([self.settings.inner]).collect()
     }
 
-    pub(crate) fn say_hello(&mut self, now: ClockTime) {
-        if now < self.hello_at {
+    pub(crate) fn send_hellos(&mut self, now: ClockTime) {
+        if now < self.next_hello_at {
             return;
         }
-        let is_formed = self.seat.applied() > 0;
-        self.hello_at = now.after(match is_formed {
-            true => HELLO_EVERY,
-            false => FIRST_HELLO_EVERY,
+        let is_formed = self.driver.applied() > 0;
+        self.next_hello_at = now.after(match is_formed {
+            true => HELLO_INTERVAL,
+            false => FORMING_HELLO_INTERVAL,
         });
         let hello = LinkMessage::MemberHello(self.own_hello(now));
         for queue in self.peers.values().filter_map(|peer| peer.queue.as_ref()) {
@@ -101,20 +106,25 @@
     }
 
     /// Takes a message of another registry; `link` is its connection to here.
-    pub(crate) fn take_message(&mut self, link: LinkKey, message: LinkMessage, now: ClockTime) {
+    pub(crate) fn handle_link_message(
+        &mut self,
+        link: LinkKey,
+        message: LinkMessage,
+        now: ClockTime,
+    ) {
         match message {
             LinkMessage::MemberHello(hello) => {
-                self.follow_peer(link, hello.address);
-                self.take_hello(hello, now);
+                self.set_peer_link(link, hello.address);
+                self.handle_member_hello(hello, now);
             }
-            LinkMessage::Consensus(bytes) => self.take_frame(&bytes, now),
+            LinkMessage::Consensus(bytes) => self.handle_consensus_frame(&bytes, now),
             LinkMessage::ForwardPut { token, step } => {
                 let origin = PutOrigin::Forwarded { link, token };
-                self.take_put(step, origin, now);
+                self.enqueue_put(step, origin, now);
             }
             LinkMessage::ForwardDrain(order) => self.propose_drain(order, now),
             LinkMessage::ReadAsk { token } => {
-                self.take_read(ReadOrigin::Asked { link, token }, now);
+                self.enqueue_read(ReadOrigin::Asked { link, token }, now);
             }
             LinkMessage::EdgeHello {
                 node,
@@ -128,16 +138,18 @@
                     inner,
                     stage,
                 };
-                self.greet_edge(link, edge, now);
+                self.handle_edge_hello(link, edge, now);
+            }
+            LinkMessage::DirectoryHello { node } => self.handle_directory_hello(link, &node, now),
+            LinkMessage::EdgeStaged(stage) => self.set_edge_stage(link, stage),
+            LinkMessage::WantConfig { above, direct } => {
+                self.handle_want_config(link, above, direct)
             }
-            LinkMessage::DirectoryHello { node } => self.greet_directory(link, &node, now),
-            LinkMessage::EdgeStaged(stage) => self.stage_edge(link, stage),
-            LinkMessage::WantConfig { above, direct } => self.give_config(link, above, direct),
             LinkMessage::Subscribe => self.subscribe(link),
             LinkMessage::Unsubscribe => self.unsubscribe(link),
-            LinkMessage::Loads(counts) => self.take_loads(link, &counts),
-            LinkMessage::PartialLoads(counts) => self.take_part(link, &counts),
-            LinkMessage::TextsPlaced(placed) => self.take_places(link, &placed, now),
+            LinkMessage::Loads(counts) => self.handle_edge_loads(link, &counts),
+            LinkMessage::PartialLoads(counts) => self.handle_peer_loads(link, &counts),
+            LinkMessage::TextsPlaced(placed) => self.handle_edge_places(link, &placed, now),
             LinkMessage::PartialPlaces(placed) => {
                 self.places.take(&placed, PlaceOrigin::Registry, now);
             }
@@ -147,47 +159,47 @@
     }
 
     /// Takes what another registry answers on the connection to it.
-    pub(crate) fn take_peer_message(&mut self, message: LinkMessage, now: ClockTime) {
+    pub(crate) fn handle_peer_message(&mut self, message: LinkMessage, now: ClockTime) {
         match message {
             LinkMessage::ForwardDone { token, outcome } => self.finish_put(token, outcome, now),
-            LinkMessage::ReadDone { token, index } => self.prove_read(token, index, now),
+            LinkMessage::ReadDone { token, index } => self.handle_read_index(token, index, now),
             other => tracing::warn!(?other, "a message that no registry answers"),
         }
-        self.settle_reads(now);
+        self.answer_applied_reads(now);
     }
 
-    fn take_hello(&mut self, hello: MemberHello, now: ClockTime) {
-        self.learn_peer(hello.address);
+    fn handle_member_hello(&mut self, hello: MemberHello, now: ClockTime) {
+        self.track_peer(hello.address);
         for &peer in &hello.known {
-            self.learn_peer(peer);
+            self.track_peer(peer);
         }
-        let effects = self.seat.take_hello(&hello, now);
+        let effects = self.driver.handle_hello(&hello, now);
         let mut is_first = false;
         let member = hello.member.map(MemberId);
         if let Some(entry) = self.peers.get_mut(&hello.address) {
             is_first = entry.hello.is_none();
             entry.hello = Some((hello, now));
         }
-        self.carry_out(effects, now);
+        self.apply_effects(effects, now);
         // Until its first word nobody knew which member is reached there.
         if let Some(member) = member.filter(|_| is_first) {
-            let effects = self.seat.handle(CoreInput::PeerReached { member }, now);
-            self.carry_out(effects, now);
+            let effects = self.driver.handle(CoreInput::PeerReached { member }, now);
+            self.apply_effects(effects, now);
         }
     }
 
-    fn take_frame(&mut self, bytes: &[u8], now: ClockTime) {
+    fn handle_consensus_frame(&mut self, bytes: &[u8], now: ClockTime) {
         match PeerFrame::decode(bytes) {
             Ok(frame) => {
-                let effects = self.seat.handle(CoreInput::Frame(frame), now);
-                self.carry_out(effects, now);
+                let effects = self.driver.handle(CoreInput::Frame(frame), now);
+                self.apply_effects(effects, now);
             }
             Err(error) => tracing::warn!(%error, "a frame of the agreement was dropped"),
         }
     }
 
     pub(crate) fn send_frame(&self, frame: &PeerFrame) {
-        let Some(queue) = self.queue_of(frame.to) else {
+        let Some(queue) = self.member_queue(frame.to) else {
             return;
         };
         match frame.encode() {
@@ -199,7 +211,7 @@
     }
 
     /// The connection to a member's registry.
-    pub(crate) fn queue_of(&self, member: MemberId) -> Option<&LinkQueue> {
+    pub(crate) fn member_queue(&self, member: MemberId) -> Option<&LinkQueue> {
         let is_it = |peer: &&PeerEntry| {
             let hello = peer.hello.as_ref();
             hello.is_some_and(|(hello, _)| hello.member == Some(member.0))
@@ -210,38 +222,38 @@
 
     /// Takes the next step of the plan of seats, if this registry leads.
     pub(crate) fn plan_voters(&mut self, now: ClockTime) {
-        let Some(core) = self.seat.core() else {
+        let Some(core) = self.driver.core() else {
             return;
         };
-        if now < self.plan_at || !core.takes_commands(now) {
+        if now < self.next_plan_at || !core.takes_commands(now) {
             return;
         }
-        self.plan_at = now.after(PLAN_EVERY);
-        let holders = self.member_sightings(core, now);
-        let step = self.plan.next_step(core.members(), core.id(), &holders);
+        self.next_plan_at = now.after(VOTER_PLAN_INTERVAL);
+        let sightings = self.member_sightings(core, now);
+        let step = self.plan.next_step(core.members(), core.id(), &sightings);
         if let Some(change) = step {
-            tracing::info!(?change, heard_of = holders.len(), "a seat changes");
-            let token = self.draw_token();
+            tracing::info!(?change, heard_of = sightings.len(), "a driver changes");
+            let token = self.new_token();
             let effects = self
-                .seat
+                .driver
                 .handle(CoreInput::ChangeMember { token, change }, now);
-            self.carry_out(effects, now);
+            self.apply_effects(effects, now);
         }
     }
 
     fn member_sightings(&self, core: &ConsensusCore, now: ClockTime) -> Vec<MemberSighting> {
-        let mut holders = Vec::new();
+        let mut sightings = Vec::new();
         for (hello, heard_at) in self.peers.values().filter_map(|peer| peer.hello.as_ref()) {
             let Some(member) = hello.member.map(MemberId) else {
                 continue;
             };
-            holders.push(MemberSighting {
+            sightings.push(MemberSighting {
                 member,
                 node: NodeId::from_name(&hello.address.to_string()),
                 silent_for: now.since(*heard_at),
                 is_caught_up: core.has_caught_up(member, now),
             });
         }
-        holders
+        sightings
     }
 }
--- a/crates/ragwortroad_registry/src/place_keeper.rs
+++ b/crates/ragwortroad_registry/src/place_store.rs
@@ -28,15 +28,15 @@
 /// prompts being read again in the seconds after the restart. What a registry finds on its disk
 /// tells the edges. It is no more than a hint, so a disk that fails costs only the hint.
 #[derive(Debug)]
-pub(crate) struct PlaceKeeper {
-    orders: Sender<Vec<PlacedText>>,
+pub(crate) struct PlaceStore {
+    saves: Sender<Vec<PlacedText>>,
     thread: JoinHandle<()>,
 }
 
 /// Why the places could not be kept or found.
 #[derive(Debug)]
 #[derive(Snafu)]
-enum KeeperError {
+enum PlaceStoreError {
     /// The folder could not be opened.
     #[snafu(display("the folder cannot be opened: {source}; check the disk"))]
     Open { source: io::Error },
@@ -45,28 +45,28 @@
     InUse,
     /// Reading or writing failed.
     #[snafu(display("{source}"))]
-    Folder { source: LogError },
+    Disk { source: LogError },
     /// The file holds something else.
     #[snafu(display("the file means nothing: {source}; it is written anew"))]
-    Meaningless { source: postcard::Error },
+    Codec { source: postcard::Error },
 }
 
-impl PlaceKeeper {
+impl PlaceStore {
     /// Starts the thread, which first tells what it finds in `folder`.
     pub(crate) fn start(folder: PathBuf, events: Sender<RegistryEvent>) -> io::Result<Self> {
         // One order may wait; what comes meanwhile is in the next one.
-        let (orders, queue) = flume::bounded(1);
+        let (saves, queue) = flume::bounded(1);
         let thread = Builder::new().name("places".to_owned()).spawn(move || {
-            if let Err(error) = keep_places(folder, &queue, &events) {
+            if let Err(error) = serve_saves(folder, &queue, &events) {
                 tracing::warn!(%error, "places of texts are not kept until the next start");
             }
         })?;
-        Ok(Self { orders, thread })
+        Ok(Self { saves, thread })
     }
 
     /// Has these places kept; tells whether the disk had time for them.
-    pub(crate) fn keep(&self, places: Vec<PlacedText>) -> bool {
-        match self.orders.try_send(places) {
+    pub(crate) fn save(&self, places: Vec<PlacedText>) -> bool {
+        match self.saves.try_send(places) {
             Ok(()) => true,
             Err(TrySendError::Full(_)) => false,
             // The thread has said why it ended.
@@ -76,35 +76,35 @@
 
     /// Finishes what is queued and joins the thread.
     pub(crate) fn join(self) {
-        drop(self.orders);
+        drop(self.saves);
         if self.thread.join().is_err() {
             tracing::error!("the thread that keeps places panicked");
         }
     }
 }
 
-fn keep_places(
+fn serve_saves(
     folder: PathBuf,
     queue: &Receiver<Vec<PlacedText>>,
     events: &Sender<RegistryEvent>,
-) -> Result<(), KeeperError> {
+) -> Result<(), PlaceStoreError> {
     let disk = RealDisk::open(folder, None).context(OpenSnafu)?;
     let Some(disk) = disk else {
         return InUseSnafu.fail();
     };
     let mut file = HintFile::new(DiskPort::Real(disk));
-    match find_places(&file) {
+    match load_places(&file) {
         Ok(places) if places.is_empty() => {}
         Ok(places) => {
             tracing::info!(places = places.len(), "places of texts found on the disk");
-            if events.send(RegistryEvent::PlacesFound(places)).is_err() {
+            if events.send(RegistryEvent::PlacesLoaded(places)).is_err() {
                 return Ok(());
             }
         }
         Err(error) => tracing::warn!(%error, "places of texts on the disk are of no use"),
     }
     while let Ok(places) = queue.recv() {
-        let bytes = postcard::to_stdvec(&places).context(MeaninglessSnafu)?;
+        let bytes = postcard::to_stdvec(&places).context(CodecSnafu)?;
         if let Err(error) = file.write(&bytes) {
             tracing::warn!(%error, "places of texts could not be kept this time");
         }
@@ -112,9 +112,9 @@
     Ok(())
 }
 
-fn find_places(file: &HintFile) -> Result<Vec<PlacedText>, KeeperError> {
-    let Some(bytes) = file.read().context(FolderSnafu)? else {
+fn load_places(file: &HintFile) -> Result<Vec<PlacedText>, PlaceStoreError> {
+    let Some(bytes) = file.read().context(DiskSnafu)? else {
         return Ok(Vec::new());
     };
-    postcard::from_bytes(&bytes).context(MeaninglessSnafu)
+    postcard::from_bytes(&bytes).context(CodecSnafu)
 }
--- a/crates/ragwortroad_registry/src/drain_wait.rs
+++ b/crates/ragwortroad_registry/src/queued_drain.rs
@@ -6,9 +6,9 @@
 
 /// An order whose operator waits.
 #[derive(Debug)]
-pub(crate) struct DrainWait {
+pub(crate) struct QueuedDrain {
     pub(crate) order: DrainOrder,
     pub(crate) reply: oneshot::Sender<ControlReply>,
-    pub(crate) came_at: ClockTime,
-    pub(crate) tried_at: ClockTime,
+    pub(crate) received_at: ClockTime,
+    pub(crate) attempted_at: ClockTime,
 }
--- a/crates/ragwortroad_registry/src/put_wait.rs
+++ b/crates/ragwortroad_registry/src/queued_put.rs
@@ -5,12 +5,12 @@
 
 /// A configuration on its way into the log.
 #[derive(Debug)]
-pub(crate) struct PutWait {
+pub(crate) struct QueuedPut {
     /// The configuration, whole.
     pub(crate) step: ConfigDelta,
     pub(crate) origin: PutOrigin,
     /// When its sender is told that it was not done.
-    pub(crate) ends_at: ClockTime,
-    /// When it was proposed or passed on last; nothing if it has to be done again.
-    pub(crate) tried_at: Option<ClockTime>,
+    pub(crate) deadline: ClockTime,
+    /// When it was proposed_put or passed on last; nothing if it has to be done again.
+    pub(crate) attempted_at: Option<ClockTime>,
 }
--- a/crates/ragwortroad_registry/src/read_wait.rs
+++ b/crates/ragwortroad_registry/src/queued_read.rs
@@ -4,8 +4,8 @@
 
 /// A read that is not proved yet.
 #[derive(Debug)]
-pub(crate) struct ReadWait {
+pub(crate) struct QueuedRead {
     pub(crate) origin: ReadOrigin,
-    pub(crate) came_at: ClockTime,
-    pub(crate) tried_at: Option<ClockTime>,
+    pub(crate) received_at: ClockTime,
+    pub(crate) attempted_at: Option<ClockTime>,
 }
--- a/crates/ragwortroad_registry/src/registry_event.rs
+++ b/crates/ragwortroad_registry/src/registry_event.rs
@@ -25,54 +25,54 @@
         /// What.
         call: ControlCall,
         /// Where the call comes from.
-        asker: IpAddr,
+        client_ip: IpAddr,
         /// Takes the answer.
         reply: oneshot::Sender<ControlReply>,
     },
     /// Another process has connected.
-    Accepted {
+    LinkAccepted {
         /// Names the connection.
         link: LinkKey,
         /// Takes what it is told.
         queue: LinkQueue,
     },
     /// Another registry was reached.
-    Reached {
+    PeerConnected {
         /// Where it listens.
         peer: SocketAddr,
         /// Takes what it is told.
         queue: LinkQueue,
     },
     /// A process that has connected says something.
-    Said {
+    LinkReceived {
         /// The connection.
         link: LinkKey,
         /// What.
         message: LinkMessage,
     },
     /// A registry that was reached answers on that connection.
-    PeerSaid {
+    PeerReceived {
         /// Where it listens.
         peer: SocketAddr,
         /// What.
         message: LinkMessage,
     },
     /// A process's connection has ended.
-    Ended {
+    LinkClosed {
         /// The connection.
         link: LinkKey,
     },
     /// A registry cannot be reached any more.
-    Unreached {
+    PeerDisconnected {
         /// Where it listened.
         peer: SocketAddr,
     },
     /// The disk has done something.
     Folder(FolderReport),
     /// An earlier process has kept where texts were placed.
-    PlacesFound(Vec<PlacedText>),
+    PlacesLoaded(Vec<PlacedText>),
     /// The settings name these registries now.
-    Seeds(Vec<SocketAddr>),
+    SeedsChanged(Vec<SocketAddr>),
     /// The process is to stop.
     Stop,
 }
--- a/crates/ragwortroad_registry/src/registry_process.rs
+++ b/crates/ragwortroad_registry/src/registry_process.rs
@@ -38,13 +38,13 @@
     RegistryError,
     RegistryPort,
     call_server::serve_calls,
-    folder_worker::FolderWorker,
-    group_seat::{
-        GroupSeat,
-        SeatStart, //
+    consensus_driver::{
+        ConsensusDriver,
+        DriverOptions, //
     },
-    peer_dialer::keep_dialled,
-    place_keeper::PlaceKeeper,
+    folder_worker::FolderWorker,
+    peer_dialer::maintain_peer_link,
+    place_store::PlaceStore,
     registry_error::{
         ListenSnafu,
         MissingSettingSnafu,
@@ -58,10 +58,10 @@
 };
 
 /// Time for a stopping leader to hand over, and for answers under way to leave.
-const STOP_TIME: Duration = Duration::from_millis(600);
+const STOP_GRACE: Duration = Duration::from_millis(600);
 
 /// Most events handled before the clock is read and due work is done.
-const EVENTS_A_ROUND: usize = 64;
+const MAX_EVENTS_PER_ROUND: usize = 64;
 
 /// Time without a leader's heartbeat after which another is elected.
 ///
@@ -69,13 +69,13 @@
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Time between two heartbeats of the leader; four may be late before an election.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(150);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Time after which an entry is sent again that was not confirmed.
 ///
 /// Links lose nothing while they last; sending a large configuration again that is still on its way
 /// would double what a small link carries. This is for what was under way when one broke.
-const RESEND_AFTER: Duration = Duration::from_millis(1500);
+const RESEND_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Entries after which the log is folded into a snapshot: there is one configuration to keep.
 const SNAPSHOT_ENTRIES: u64 = 500;
@@ -105,11 +105,11 @@
     signals: Receiver<RegistrySignal>,
     page: Option<MetricsPage>,
 ) -> Result<(), RegistryError> {
-    run_to_end(serve_registry(settings, port, signals, page))
+    run_on_local_set(serve_registry(settings, port, signals, page))
 }
 
 /// Runs a process's work to its end, on this thread.
-pub(crate) fn run_to_end(
+pub(crate) fn run_on_local_set(
     work: impl Future<Output = Result<(), RegistryError>>,
 ) -> Result<(), RegistryError> {
     let runtime = Builder::new_current_thread()
@@ -120,7 +120,7 @@
 }
 
 /// Serves the metrics, if any are kept, where the settings name an address.
-pub(crate) async fn serve_page(
+pub(crate) async fn serve_metrics(
     page: Option<MetricsPage>,
     settings: &ForwardSettings,
 ) -> Result<(), RegistryError> {
@@ -150,9 +150,9 @@
     if let Some(directory) = settings.directory.filter(|address| *address != control) {
         spawn_local(serve_calls(listen(directory).await?, port, events.clone()));
     }
-    serve_page(page, &settings).await?;
+    serve_metrics(page, &settings).await?;
     spawn_local(accept_links(links, events.clone()));
-    spawn_local(pass_signals(signals, events.clone()));
+    spawn_local(forward_signals(signals, events.clone()));
     let clock = RealClock::start();
     let folder = FolderSettings {
         path: folder,
@@ -161,18 +161,18 @@
         quota_bytes: settings.data_quota,
         ..FolderSettings::default()
     };
-    let keeper = PlaceKeeper::start(folder.path.join(PLACES_FOLDER), events.clone());
-    let keeper = keeper.context(StartSnafu)?;
+    let place_store = PlaceStore::start(folder.path.join(PLACES_FOLDER), events.clone());
+    let place_store = place_store.context(StartSnafu)?;
     let disk = FolderWorker::start(folder, events.clone()).context(StartSnafu)?;
-    let seat = GroupSeat::new(SeatStart {
-        node: node_at(settings.inner),
-        founders: founders_of(&settings),
+    let driver = ConsensusDriver::new(DriverOptions {
+        node: node_id_of(settings.inner),
+        founders: founding_nodes(&settings),
         settings: core_settings(&settings),
         disk,
         start: clock.wall_ms(),
         seed: random(),
     });
-    let state = RegistryState::new(settings, seat, keeper, clock.now());
+    let state = RegistryState::new(settings, driver, place_store, clock.now());
     run_loop(state, &clock, &queue, &events).await;
     Ok(())
 }
@@ -187,11 +187,11 @@
     loop {
         let wake_at = state.tick(clock.now());
         while let Some(peer) = state.undialled.pop_first() {
-            spawn_local(keep_dialled(peer, events.clone()));
+            spawn_local(maintain_peer_link(peer, events.clone()));
         }
         if state.is_stopping {
             let now = clock.now();
-            let until = *stop_at.get_or_insert(now.after(STOP_TIME));
+            let until = *stop_at.get_or_insert(now.after(STOP_GRACE));
             if now >= until {
                 break;
             }
@@ -199,13 +199,13 @@
         let wait = wake_at.since(clock.now()).max(Duration::from_millis(1));
         if let Ok(Ok(event)) = timeout(wait, queue.recv_async()).await {
             state.handle(event, clock.now());
-            for event in queue.try_iter().take(EVENTS_A_ROUND) {
+            for event in queue.try_iter().take(MAX_EVENTS_PER_ROUND) {
                 state.handle(event, clock.now());
             }
         }
     }
-    state.seat.join();
-    state.keeper.join();
+    state.driver.join();
+    state.place_store.join();
 }
 
 /// Accepts connections of edges and other registries.
@@ -224,7 +224,7 @@
         next_key.set(next_key.get() + 1);
         let link = LinkKey(next_key.get());
         let (queue, receiver) = LinkQueue::new(&settings);
-        let accepted = RegistryEvent::Accepted {
+        let accepted = RegistryEvent::LinkAccepted {
             link,
             queue: queue.clone(),
         };
@@ -233,30 +233,36 @@
         }
         let events = events.clone();
         spawn_local(async move {
-            let inward = events.clone();
-            let say = move |message| {
-                if inward.send(RegistryEvent::Said { link, message }).is_err() {
+            let message_events = events.clone();
+            let forward = move |message| {
+                if message_events
+                    .send(RegistryEvent::LinkReceived { link, message })
+                    .is_err()
+                {
                     tracing::debug!("a message came after the control loop ended");
                 }
             };
-            let ended = run_link(stream, (queue, receiver), false, &settings, say).await;
+            let ended = run_link(stream, (queue, receiver), false, &settings, forward).await;
             match ended {
                 // Two versions of the program that do not understand each other; nothing else
                 // would show why an edge stays without a configuration.
                 LinkError::Meaningless { .. } => tracing::warn!(%ended, "a link ended"),
                 _ => tracing::debug!(%ended, "a link ended"),
             }
-            if events.send(RegistryEvent::Ended { link }).is_err() {
+            if events.send(RegistryEvent::LinkClosed { link }).is_err() {
                 tracing::debug!("a link ended after the control loop");
             }
         });
     }
 }
 
-pub(crate) async fn pass_signals(signals: Receiver<RegistrySignal>, events: Sender<RegistryEvent>) {
+pub(crate) async fn forward_signals(
+    signals: Receiver<RegistrySignal>,
+    events: Sender<RegistryEvent>,
+) {
     while let Ok(signal) = signals.recv_async().await {
         let event = match signal {
-            RegistrySignal::Reload(settings) => RegistryEvent::Seeds(settings.seeds),
+            RegistrySignal::Reload(settings) => RegistryEvent::SeedsChanged(settings.seeds),
             RegistrySignal::Stop => RegistryEvent::Stop,
         };
         if events.send(event).is_err() {
@@ -271,19 +277,19 @@
 }
 
 /// How registries name the VM whose registry listens for links at `inner`.
-fn node_at(inner: SocketAddr) -> NodeId {
+fn node_id_of(inner: SocketAddr) -> NodeId {
     NodeId::from_name(&inner.to_string())
 }
 
 /// The nodes that found the group: those that the settings name, at the fleet's first start.
-fn founders_of(settings: &ForwardSettings) -> Vec<NodeId> {
+fn founding_nodes(settings: &ForwardSettings) -> Vec<NodeId> {
     if !settings.first_start {
         return Vec::new();
     }
     let port = settings.inner.port();
     let seeds = settings.seeds.iter();
     seeds
-        .map(|seed| node_at(SocketAddr::new(seed.ip(), port)))
+        .map(|seed| node_id_of(SocketAddr::new(seed.ip(), port)))
         .collect()
 }
 
@@ -291,8 +297,8 @@
     CoreSettings {
         trust_disk: settings.trust_disk,
         election_timeout: ELECTION_TIMEOUT,
-        heartbeat_every: HEARTBEAT_EVERY,
-        resend_after: RESEND_AFTER,
+        heartbeat_every: HEARTBEAT_INTERVAL,
+        resend_after: RESEND_TIMEOUT,
         max_command_bytes: MAX_COMMAND_BYTES,
         snapshot_entries: SNAPSHOT_ENTRIES,
         snapshot_bytes: SNAPSHOT_BYTES,
--- a/crates/ragwortroad_registry/src/registry_state.rs
+++ b/crates/ragwortroad_registry/src/registry_state.rs
@@ -14,17 +14,17 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
-    drain_wait::DrainWait,
-    edge_entry::EdgeEntry,
-    group_seat::{
-        GroupSeat,
-        SeatEffect, //
+    confirmed_read::ConfirmedRead,
+    consensus_driver::{
+        ConsensusDriver,
+        DriverEffect, //
     },
+    edge_entry::EdgeEntry,
     peer_entry::PeerEntry,
-    place_keeper::PlaceKeeper,
-    put_wait::PutWait,
-    read_settle::ReadSettle,
-    read_wait::ReadWait,
+    place_store::PlaceStore,
+    queued_drain::QueuedDrain,
+    queued_put::QueuedPut,
+    queued_read::QueuedRead,
     registry_event::{
         LinkKey,
         RegistryEvent, //
@@ -34,12 +34,12 @@
 /// Time between two rounds of what is done from time to time.
 ///
 /// Waiting calls are tried again at this pace; an operator waits a second for an answer.
-const ROUND_TIME: Duration = Duration::from_millis(100);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// All that a registry knows, on its control thread.
 pub(crate) struct RegistryState {
     pub(crate) settings: ForwardSettings,
-    pub(crate) seat: GroupSeat,
+    pub(crate) driver: ConsensusDriver,
     pub(crate) table: RegistryTable,
     pub(crate) plan: VoterPlan,
     pub(crate) started_at: ClockTime,
@@ -55,27 +55,27 @@
     pub(crate) peers: BTreeMap<SocketAddr, PeerEntry>,
     /// Registries that are still to be dialled.
     pub(crate) undialled: BTreeSet<SocketAddr>,
-    pub(crate) puts: BTreeMap<u64, PutWait>,
+    pub(crate) queued_puts: BTreeMap<u64, QueuedPut>,
     /// The configuration whose entry is under way, on the leader.
-    pub(crate) proposed: Option<u64>,
+    pub(crate) proposed_put: Option<u64>,
     /// Drain orders that are not applied yet, by their ids.
-    pub(crate) drain_waits: BTreeMap<u64, DrainWait>,
-    pub(crate) reads: BTreeMap<u64, ReadWait>,
-    pub(crate) settles: Vec<ReadSettle>,
+    pub(crate) queued_drains: BTreeMap<u64, QueuedDrain>,
+    pub(crate) queued_reads: BTreeMap<u64, QueuedRead>,
+    pub(crate) confirmed_reads: Vec<ConfirmedRead>,
     pub(crate) next_token: u64,
-    pub(crate) hello_at: ClockTime,
-    pub(crate) plan_at: ClockTime,
-    pub(crate) round_at: ClockTime,
+    pub(crate) next_hello_at: ClockTime,
+    pub(crate) next_plan_at: ClockTime,
+    pub(crate) next_maintenance_at: ClockTime,
     /// What was heard from endpoints and the edges are still to be told.
     pub(crate) updates: UpdateQueue,
     /// When updates that cannot wait are sent next.
-    pub(crate) updates_at: ClockTime,
+    pub(crate) next_urgent_updates_at: ClockTime,
     /// When other updates are sent next.
-    pub(crate) calm_updates_at: ClockTime,
+    pub(crate) next_calm_updates_at: ClockTime,
     /// Edges that need a whole configuration.
     pub(crate) copies: CopyQueue,
     /// When the next of them get one.
-    pub(crate) copies_at: ClockTime,
+    pub(crate) next_copies_at: ClockTime,
     /// Registries at the other ends of connections that were accepted.
     ///
     /// Invariant: each registry once, at its newest connection.
@@ -84,14 +84,14 @@
     pub(crate) subscribers: BTreeSet<LinkKey>,
     /// What the edges have under way.
     pub(crate) totals: LoadTotals,
-    pub(crate) totals_at: ClockTime,
+    pub(crate) next_loads_at: ClockTime,
     /// Where edges have placed texts lately.
     pub(crate) places: PlaceBoard,
-    pub(crate) keeper: PlaceKeeper,
-    pub(crate) places_at: ClockTime,
+    pub(crate) place_store: PlaceStore,
+    pub(crate) next_places_at: ClockTime,
     /// What edges were told last of the fleet.
-    pub(crate) told_fleet: Option<LinkMessage>,
-    pub(crate) fleet_at: ClockTime,
+    pub(crate) sent_fleet: Option<LinkMessage>,
+    pub(crate) next_fleet_at: ClockTime,
     /// Whether the process is to stop.
     pub(crate) is_stopping: bool,
 }
@@ -99,14 +99,14 @@
 impl RegistryState {
     pub(crate) fn new(
         settings: ForwardSettings,
-        seat: GroupSeat,
-        keeper: PlaceKeeper,
+        driver: ConsensusDriver,
+        place_store: PlaceStore,
         now: ClockTime,
     ) -> Self {
         let mut state = Self {
             table: RegistryTable::new(settings.announce_every),
             settings,
-            seat,
+            driver,
             plan: VoterPlan::default(),
             started_at: now,
             gathering: EdgeGathering::new(now),
@@ -116,66 +116,74 @@
             sent_edges: EdgeView::default(),
             peers: BTreeMap::new(),
             undialled: BTreeSet::new(),
-            puts: BTreeMap::new(),
-            proposed: None,
-            drain_waits: BTreeMap::new(),
-            reads: BTreeMap::new(),
-            settles: Vec::new(),
+            queued_puts: BTreeMap::new(),
+            proposed_put: None,
+            queued_drains: BTreeMap::new(),
+            queued_reads: BTreeMap::new(),
+            confirmed_reads: Vec::new(),
             next_token: 0,
-            hello_at: now,
-            plan_at: now,
-            round_at: now,
+            next_hello_at: now,
+            next_plan_at: now,
+            next_maintenance_at: now,
             updates: UpdateQueue::default(),
-            updates_at: now,
-            calm_updates_at: now,
+            next_urgent_updates_at: now,
+            next_calm_updates_at: now,
             copies: CopyQueue::default(),
-            copies_at: now,
+            next_copies_at: now,
             peer_links: BTreeMap::new(),
             subscribers: BTreeSet::new(),
             totals: LoadTotals::default(),
-            totals_at: now,
+            next_loads_at: now,
             places: PlaceBoard::new(now),
-            keeper,
-            places_at: now,
-            told_fleet: None,
-            fleet_at: now,
+            place_store,
+            next_places_at: now,
+            sent_fleet: None,
+            next_fleet_at: now,
             is_stopping: false,
         };
-        state.learn_seeds();
+        state.track_seeds();
         state
     }
 
     /// Takes one event.
     pub(crate) fn handle(&mut self, event: RegistryEvent, now: ClockTime) {
         match event {
-            RegistryEvent::Call { call, asker, reply } => self.take_call(call, asker, reply, now),
-            RegistryEvent::Accepted { link, queue } => {
+            RegistryEvent::Call {
+                call,
+                client_ip,
+                reply,
+            } => self.handle_call(call, client_ip, reply, now),
+            RegistryEvent::LinkAccepted { link, queue } => {
                 self.links.insert(link, queue);
             }
-            RegistryEvent::Reached { peer, queue } => self.reach_peer(peer, queue, now),
-            RegistryEvent::Said { link, message } => self.take_message(link, message, now),
-            RegistryEvent::PeerSaid { message, .. } => self.take_peer_message(message, now),
-            RegistryEvent::Ended { link } => self.end_link(link),
-            RegistryEvent::Unreached { peer } => {
+            RegistryEvent::PeerConnected { peer, queue } => {
+                self.handle_peer_connected(peer, queue, now)
+            }
+            RegistryEvent::LinkReceived { link, message } => {
+                self.handle_link_message(link, message, now)
+            }
+            RegistryEvent::PeerReceived { message, .. } => self.handle_peer_message(message, now),
+            RegistryEvent::LinkClosed { link } => self.handle_link_closed(link),
+            RegistryEvent::PeerDisconnected { peer } => {
                 if let Some(entry) = self.peers.get_mut(&peer) {
                     entry.queue = None;
                 }
                 self.places.drop_reader(PlaceReader::Registry(peer));
-                self.pass_on_again();
+                self.retry_forwarded_puts();
             }
             RegistryEvent::Folder(report) => {
-                let effects = self.seat.take_report(report, now);
-                self.carry_out(effects, now);
+                let effects = self.driver.handle_disk_report(report, now);
+                self.apply_effects(effects, now);
             }
-            RegistryEvent::PlacesFound(places) => {
+            RegistryEvent::PlacesLoaded(places) => {
                 self.places.take_found(places, now);
                 // Edges connect while the disk is read. Told half a second later, they would have
                 // sent texts to other engines meanwhile.
-                self.places_at = now;
+                self.next_places_at = now;
             }
-            RegistryEvent::Seeds(seeds) => {
+            RegistryEvent::SeedsChanged(seeds) => {
                 self.settings.seeds = seeds;
-                self.learn_seeds();
+                self.track_seeds();
             }
             RegistryEvent::Stop => self.stop(now),
         }
@@ -183,71 +191,77 @@
 
     /// Does what is due by now; returns when something is due next.
     pub(crate) fn tick(&mut self, now: ClockTime) -> ClockTime {
-        if self.seat.core().is_some_and(|core| now >= core.wake_at()) {
-            let effects = self.seat.handle(CoreInput::Tick, now);
-            self.carry_out(effects, now);
+        if self.driver.core().is_some_and(|core| now >= core.wake_at()) {
+            let effects = self.driver.handle(CoreInput::Tick, now);
+            self.apply_effects(effects, now);
         }
-        if now >= self.round_at {
-            self.round_at = now.after(ROUND_TIME);
+        if now >= self.next_maintenance_at {
+            self.next_maintenance_at = now.after(MAINTENANCE_INTERVAL);
             self.retry_calls(now);
             self.expire_endpoints(now);
-            self.send_fleet(now);
-            self.send_edges();
-            self.keep_places(now);
+            self.broadcast_fleet(now);
+            self.broadcast_edge_view();
+            self.save_places(now);
         }
-        self.say_hello(now);
+        self.send_hellos(now);
         self.plan_voters(now);
-        self.give_copies(now);
+        self.send_full_configs(now);
         self.send_updates(now);
         self.send_loads(now);
         self.send_places(now);
         let updates_wake = match (self.updates.has_urgent(), self.updates.has_calm()) {
-            (true, _) => self.updates_at,
-            (false, true) => self.calm_updates_at,
-            (false, false) => self.totals_at,
+            (true, _) => self.next_urgent_updates_at,
+            (false, true) => self.next_calm_updates_at,
+            (false, false) => self.next_loads_at,
         };
-        let core_wake = self.seat.core().map(ConsensusCore::wake_at);
-        let wake = core_wake.unwrap_or(self.round_at).min(self.hello_at);
+        let core_wake = self.driver.core().map(ConsensusCore::wake_at);
+        let wake = core_wake
+            .unwrap_or(self.next_maintenance_at)
+            .min(self.next_hello_at);
         let wake = wake.min(updates_wake);
         let wake = match self.copies.is_empty() {
             true => wake,
-            false => wake.min(self.copies_at),
+            false => wake.min(self.next_copies_at),
         };
-        match self.has_no_waits() {
-            true => wake.min(self.totals_at),
-            false => wake.min(self.round_at),
+        match self.has_no_queued_calls() {
+            true => wake.min(self.next_loads_at),
+            false => wake.min(self.next_maintenance_at),
         }
     }
 
     /// Whether no call waits for the group.
-    fn has_no_waits(&self) -> bool {
-        let has_no_orders = self.puts.is_empty() && self.drain_waits.is_empty();
-        has_no_orders && self.reads.is_empty() && self.settles.is_empty()
+    fn has_no_queued_calls(&self) -> bool {
+        let has_no_orders = self.queued_puts.is_empty() && self.queued_drains.is_empty();
+        has_no_orders && self.queued_reads.is_empty() && self.confirmed_reads.is_empty()
     }
 
     /// Does what the group wants done.
-    pub(crate) fn carry_out(&mut self, effects: Vec<SeatEffect>, now: ClockTime) {
+    pub(crate) fn apply_effects(&mut self, effects: Vec<DriverEffect>, now: ClockTime) {
         let mut has_changed = false;
         for effect in effects {
             match effect {
-                SeatEffect::Send(frame) => self.send_frame(&frame),
-                SeatEffect::Decided { token, result } => self.decide_put(token, result, now),
-                SeatEffect::Readable { token, index } => self.prove_read(token, Some(index), now),
-                SeatEffect::Unreadable { token } => self.prove_read(token, None, now),
-                SeatEffect::ConfigChanged => has_changed = true,
-                SeatEffect::DrainApplied { order, outcome } => {
-                    self.follow_drain(&order, outcome, now);
+                DriverEffect::Send(frame) => self.send_frame(&frame),
+                DriverEffect::ProposalDecided { token, result } => {
+                    self.handle_proposal_result(token, result, now)
+                }
+                DriverEffect::ReadIndexConfirmed { token, index } => {
+                    self.handle_read_index(token, Some(index), now)
+                }
+                DriverEffect::ReadIndexFailed { token } => self.handle_read_index(token, None, now),
+                DriverEffect::ConfigChanged => has_changed = true,
+                DriverEffect::DrainApplied { order, outcome } => {
+                    self.handle_drain_applied(&order, outcome, now);
                 }
-                SeatEffect::DrainsRestored => self.send_drains(),
+                DriverEffect::DrainsRestored => self.broadcast_drains(),
             }
         }
         if has_changed {
-            self.announce_version();
+            self.broadcast_config_version();
         }
-        self.settle_reads(now);
+        self.answer_applied_reads(now);
     }
 
-    pub(crate) fn draw_token(&mut self) -> u64 {
+    pub(crate) fn new_token(&mut self) -> u64 {
         self.next_token += 1;
         self.next_token
     }
@@ -256,7 +270,7 @@
         tracing::info!("stopping");
         self.is_stopping = true;
         // Without a handover the group has no leader until an election timeout has passed.
-        let effects = self.seat.handle(CoreInput::HandOver, now);
-        self.carry_out(effects, now);
+        let effects = self.driver.handle(CoreInput::HandOver, now);
+        self.apply_effects(effects, now);
     }
 }
--- a/crates/ragwortroad_registry/src/spread_flow.rs
+++ b/crates/ragwortroad_registry/src/spread_flow.rs
@@ -1,7 +1,7 @@
 //! How a registry passes on what edges know: their loads, and where texts are read.
 //!
 //! Each edge takes one registry for its home. A registry tells the other registries what its own
-//! edges say, and its own edges what all say, so no registry speaks to the whole fleet.
+//! edges forward, and its own edges what all forward, so no registry speaks to the whole fleet.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 };
 
 /// Bytes of a text's place on a link.
-const PLACE_BYTES: f64 = 12.0;
+const ENCODED_PLACE_BYTES: f64 = 12.0;
 
 impl RegistryState {
     /// Takes an edge for one of its own, and tells it what all edges have under way.
@@ -47,7 +47,7 @@
     }
 
     /// Takes what one of this registry's own edges has under way.
-    pub(crate) fn take_loads(&mut self, link: LinkKey, counts: &[LoadCount]) {
+    pub(crate) fn handle_edge_loads(&mut self, link: LinkKey, counts: &[LoadCount]) {
         let edge = self.edges.get(&link);
         if let Some(edge) = edge.filter(|_| self.subscribers.contains(&link)) {
             self.totals.take(LoadSource::Edge(edge.address), counts);
@@ -55,14 +55,14 @@
     }
 
     /// Takes what the edges of another registry have under way.
-    pub(crate) fn take_part(&mut self, link: LinkKey, counts: &[LoadCount]) {
+    pub(crate) fn handle_peer_loads(&mut self, link: LinkKey, counts: &[LoadCount]) {
         if let Some(&peer) = self.peer_links.get(&link) {
             self.totals.take(LoadSource::Registry(peer), counts);
         }
     }
 
     /// Another registry is at the other end of a connection, and tells on it from now on.
-    pub(crate) fn follow_peer(&mut self, link: LinkKey, peer: SocketAddr) {
+    pub(crate) fn set_peer_link(&mut self, link: LinkKey, peer: SocketAddr) {
         if self.peer_links.get(&link) == Some(&peer) {
             return;
         }
@@ -72,14 +72,14 @@
     }
 
     /// A connection has ended; a registry at its other end tells nothing any more.
-    pub(crate) fn leave_peer(&mut self, link: LinkKey) {
+    pub(crate) fn remove_peer_link(&mut self, link: LinkKey) {
         if let Some(peer) = self.peer_links.remove(&link) {
             self.totals.drop_source(LoadSource::Registry(peer));
         }
     }
 
-    /// Tells a registry that was just reached what this one's edges say, and all that follows.
-    pub(crate) fn add_peer(&mut self, peer: SocketAddr, queue: &LinkQueue) {
+    /// Tells a registry that was just reached what this one's edges forward, and all that follows.
+    pub(crate) fn start_sharing_with(&mut self, peer: SocketAddr, queue: &LinkQueue) {
         let loads = self.totals.own_told();
         if !loads.is_empty() {
             queue.send(&LinkMessage::PartialLoads(loads));
@@ -89,36 +89,36 @@
 
     /// Tells the other registries what this one's edges have under way, and its edges what all have.
     pub(crate) fn send_loads(&mut self, now: ClockTime) {
-        if now < self.totals_at {
+        if now < self.next_loads_at {
             return;
         }
         let parts = self.totals.own_changes();
         let changes = self.totals.changes();
         let mut bytes = 0;
         if !parts.is_empty() {
-            bytes += self.send_to_peers(&LinkMessage::PartialLoads(parts));
+            bytes += self.broadcast_to_peers(&LinkMessage::PartialLoads(parts));
         }
         if !changes.is_empty() {
             let message = LinkMessage::Loads(changes);
             bytes += self.send_to_links(self.subscribers.iter(), &message);
         }
         let every = SPREAD_EVERY * load_pace(self.subscribers.len() as u32);
-        let pace = SendPace::of_loads(self.link_rate());
-        self.totals_at = now.after(every.max(pace.span(bytes)));
+        let pace = SendPace::of_loads(self.link_bytes_per_second());
+        self.next_loads_at = now.after(every.max(pace.span(bytes)));
     }
 
     /// Tells edges and registries where texts were placed, each from where it has got to.
     pub(crate) fn send_places(&mut self, now: ClockTime) {
-        if now < self.places_at {
+        if now < self.next_places_at {
             return;
         }
-        let pace = SendPace::of_places(self.link_rate());
-        let most = pace.items_at_once(self.places.readers(), PLACE_BYTES);
+        let pace = SendPace::of_places(self.link_bytes_per_second());
+        let most = pace.items_at_once(self.places.readers(), ENCODED_PLACE_BYTES);
         let mut bytes = 0;
         for telling in self.places.tell(most) {
             bytes += self.send_to_readers(&telling);
         }
-        self.places_at = now.after(SPREAD_EVERY.max(pace.span(bytes)));
+        self.next_places_at = now.after(SPREAD_EVERY.max(pace.span(bytes)));
     }
 
     fn send_to_readers(&self, telling: &PlaceBatch) -> usize {
@@ -141,7 +141,12 @@
     }
 
     /// Takes where an edge has placed texts.
-    pub(crate) fn take_places(&mut self, link: LinkKey, placed: &[PlacedText], now: ClockTime) {
+    pub(crate) fn handle_edge_places(
+        &mut self,
+        link: LinkKey,
+        placed: &[PlacedText],
+        now: ClockTime,
+    ) {
         self.places.take(placed, PlaceOrigin::Edge, now);
         let queue = self.links.get(&link);
         if let Some(queue) = queue.filter(|_| self.places.wants_all(now)) {
@@ -150,17 +155,17 @@
     }
 
     /// Has the disk keep where texts were placed, from time to time.
-    pub(crate) fn keep_places(&mut self, now: ClockTime) {
+    pub(crate) fn save_places(&mut self, now: ClockTime) {
         let Some(due) = self.places.due(now) else {
             return;
         };
-        if self.keeper.keep(due) {
+        if self.place_store.save(due) {
             self.places.note_kept();
         }
     }
 
     /// Tells all registries the same; returns how many bytes that takes.
-    fn send_to_peers(&self, message: &LinkMessage) -> usize {
+    fn broadcast_to_peers(&self, message: &LinkMessage) -> usize {
         let queues = self.peers.values().filter_map(|peer| peer.queue.as_ref());
         send_to_queues(queues, message)
     }
--- a/crates/ragwortroad_registry/src/warmup_flow.rs
+++ b/crates/ragwortroad_registry/src/warmup_flow.rs
@@ -11,7 +11,7 @@
 /// Milliseconds for which a part outlasts the time to warm up that the endpoint told.
 ///
 /// Edges hear of the endpoint later than of their part, and so expect it to be warm later.
-const SHARE_MARGIN_MS: u32 = 1500;
+const WARMUP_SHARE_MARGIN_MS: u32 = 1500;
 
 impl RegistryState {
     /// Gives a few edges their parts of the requests for an endpoint, if it warms up.
@@ -26,7 +26,7 @@
         let share = WarmupShare {
             endpoint,
             sharers: chosen.len() as u32,
-            valid_ms: record.warming_ms.saturating_add(SHARE_MARGIN_MS),
+            valid_ms: record.warming_ms.saturating_add(WARMUP_SHARE_MARGIN_MS),
         };
         let edges = self.edges.iter();
         let edges = edges.filter(|(_, edge)| chosen.contains(&edge.address));
