--- a/crates/ragwortroad_registry/src/config_flow.rs
+++ b/crates/ragwortroad_registry/src/config_flow.rs
@@ -19,7 +19,7 @@
 
 impl RegistryState {
     /// Sends an edge the steps from the configuration that it has, or notes that it needs a whole one.
-    pub(crate) fn handle_want_config(&mut self, link: LinkKey, above: Option<u64>, direct: bool) {
+    pub(crate) fn send_config(&mut self, link: LinkKey, above: Option<u64>, direct: bool) {
         let Some(queue) = self.links.get(&link) else {
             return;
         };
--- a/crates/ragwortroad_registry/src/consensus_driver.rs
+++ b/crates/ragwortroad_registry/src/consensus_driver.rs
@@ -29,11 +29,11 @@
     /// Send a frame.
     Send(PeerFrame),
     /// A proposal was decided.
-    ProposalDecided { token: u64, result: ProposeResult },
+    Decided { token: u64, result: ProposeResult },
     /// The state is current once applied up to the index.
-    ReadIndexConfirmed { token: u64, index: u64 },
+    ReadAt { token: u64, index: u64 },
     /// No proof can be had here.
-    ReadIndexFailed { token: u64 },
+    ReadFailed { token: u64 },
     /// Another configuration is in force.
     ConfigChanged,
     /// A drain order was applied.
@@ -271,17 +271,15 @@
                 CoreAction::Send(frame) => effects.push(DriverEffect::Send(frame)),
                 CoreAction::Apply { command, .. } => effects.extend(self.apply(&command)),
                 CoreAction::RestoreSnapshot { bytes, .. } => effects.extend(self.restore(&bytes)),
-                CoreAction::WantSnapshot { index } => {
-                    effects.extend(self.take_snapshot(index, now))
-                }
+                CoreAction::WantSnapshot { index } => effects.extend(self.compact_log(index, now)),
                 CoreAction::ProposeDone { token, result } => {
-                    effects.push(DriverEffect::ProposalDecided { token, result });
+                    effects.push(DriverEffect::Decided { token, result });
                 }
                 CoreAction::ReadReady { token, index } => {
-                    effects.push(DriverEffect::ReadIndexConfirmed { token, index });
+                    effects.push(DriverEffect::ReadAt { token, index });
                 }
                 CoreAction::ReadRefused { token, .. } => {
-                    effects.push(DriverEffect::ReadIndexFailed { token });
+                    effects.push(DriverEffect::ReadFailed { token });
                 }
                 CoreAction::LeaderChanged { term, leader } => {
                     let leader = leader.map(|member| member.0);
@@ -364,7 +362,7 @@
         }
     }
 
-    fn take_snapshot(&mut self, index: u64, now: ClockTime) -> Vec<DriverEffect> {
+    fn compact_log(&mut self, index: u64, now: ClockTime) -> Vec<DriverEffect> {
         let whole = self
             .register
             .full_delta()
--- a/crates/ragwortroad_registry/src/directory_process.rs
+++ b/crates/ragwortroad_registry/src/directory_process.rs
@@ -146,9 +146,7 @@
                 queue.send(&LinkMessage::DirectoryHello { node });
                 self.registries.insert(peer, Some(queue));
             }
-            RegistryEvent::PeerReceived { peer, message } => {
-                self.handle_message(peer, message, now)
-            }
+            RegistryEvent::PeerReceived { peer, message } => self.apply_message(peer, message, now),
             RegistryEvent::PeerDisconnected { peer } => {
                 self.registries.insert(peer, None);
                 self.edges.note_lost(peer);
@@ -161,7 +159,7 @@
         }
     }
 
-    fn handle_message(&mut self, peer: SocketAddr, message: LinkMessage, now: ClockTime) {
+    fn apply_message(&mut self, peer: SocketAddr, message: LinkMessage, now: ClockTime) {
         match message {
             LinkMessage::Fleet { registries, .. } => self.dial(registries),
             LinkMessage::EdgesKnown(view) => self.edges.note_view(peer, view, now),
--- a/crates/ragwortroad_registry/src/edge_flow.rs
+++ b/crates/ragwortroad_registry/src/edge_flow.rs
@@ -243,7 +243,7 @@
     pub(crate) fn handle_goodbye(&mut self, name: &str, now: ClockTime) -> ControlReply {
         if self.edges.is_empty() {
             return ControlReply::Unavailable {
-                reason: "no edge is connected here; forward goodbye at another registry",
+                reason: "no edge is connected here; say goodbye at another registry",
             };
         }
         let change = self.table.leave(name, now);
--- a/crates/ragwortroad_registry/src/confirmed_read.rs
+++ b/crates/ragwortroad_registry/src/indexed_read.rs
@@ -5,7 +5,7 @@
 
 /// A read that waits for the state to be applied up to an index.
 #[derive(Debug)]
-pub(crate) struct ConfirmedRead {
+pub(crate) struct IndexedRead {
     pub(crate) index: u64,
     pub(crate) reply: oneshot::Sender<ControlReply>,
     pub(crate) received_at: ClockTime,
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -50,12 +50,7 @@
         }
     }
 
-    pub(crate) fn handle_peer_connected(
-        &mut self,
-        peer: SocketAddr,
-        queue: LinkQueue,
-        now: ClockTime,
-    ) {
+    pub(crate) fn attach_peer(&mut self, peer: SocketAddr, queue: LinkQueue, now: ClockTime) {
         let hello = self.own_hello(now);
         queue.send(&LinkMessage::MemberHello(hello));
         self.start_sharing_with(peer, &queue);
@@ -106,12 +101,7 @@
     }
 
     /// Takes a message of another registry; `link` is its connection to here.
-    pub(crate) fn handle_link_message(
-        &mut self,
-        link: LinkKey,
-        message: LinkMessage,
-        now: ClockTime,
-    ) {
+    pub(crate) fn handle_message(&mut self, link: LinkKey, message: LinkMessage, now: ClockTime) {
         match message {
             LinkMessage::MemberHello(hello) => {
                 self.set_peer_link(link, hello.address);
@@ -142,9 +132,7 @@
             }
             LinkMessage::DirectoryHello { node } => self.handle_directory_hello(link, &node, now),
             LinkMessage::EdgeStaged(stage) => self.set_edge_stage(link, stage),
-            LinkMessage::WantConfig { above, direct } => {
-                self.handle_want_config(link, above, direct)
-            }
+            LinkMessage::WantConfig { above, direct } => self.send_config(link, above, direct),
             LinkMessage::Subscribe => self.subscribe(link),
             LinkMessage::Unsubscribe => self.unsubscribe(link),
             LinkMessage::Loads(counts) => self.handle_edge_loads(link, &counts),
@@ -162,7 +150,7 @@
     pub(crate) fn handle_peer_message(&mut self, message: LinkMessage, now: ClockTime) {
         match message {
             LinkMessage::ForwardDone { token, outcome } => self.finish_put(token, outcome, now),
-            LinkMessage::ReadDone { token, index } => self.handle_read_index(token, index, now),
+            LinkMessage::ReadDone { token, index } => self.index_read(token, index, now),
             other => tracing::warn!(?other, "a message that no registry answers"),
         }
         self.answer_applied_reads(now);
@@ -232,7 +220,7 @@
         let sightings = self.member_sightings(core, now);
         let step = self.plan.next_step(core.members(), core.id(), &sightings);
         if let Some(change) = step {
-            tracing::info!(?change, heard_of = sightings.len(), "a driver changes");
+            tracing::info!(?change, heard_of = sightings.len(), "a seat changes");
             let token = self.new_token();
             let effects = self
                 .driver
--- a/crates/ragwortroad_registry/src/put_flow.rs
+++ b/crates/ragwortroad_registry/src/put_flow.rs
@@ -148,12 +148,7 @@
         self.apply_effects(effects, now);
     }
 
-    pub(crate) fn handle_proposal_result(
-        &mut self,
-        token: u64,
-        result: ProposeResult,
-        now: ClockTime,
-    ) {
+    pub(crate) fn handle_decision(&mut self, token: u64, result: ProposeResult, now: ClockTime) {
         if self.proposed_put != Some(token) {
             // A change of seats; the plan tries it again where it is still wanted.
             return;
--- a/crates/ragwortroad_registry/src/read_flow.rs
+++ b/crates/ragwortroad_registry/src/read_flow.rs
@@ -13,7 +13,7 @@
         MAX_QUEUED_CALLS,
         answer_call, //
     },
-    confirmed_read::ConfirmedRead,
+    indexed_read::IndexedRead,
     queued_read::QueuedRead,
     read_origin::ReadOrigin,
     registry_state::RegistryState, //
@@ -53,7 +53,7 @@
             return;
         }
         if !matches!(wait.origin, ReadOrigin::Operator(_)) {
-            self.handle_read_index(token, None, now);
+            self.index_read(token, None, now);
             return;
         }
         let queue = core.leader().and_then(|leader| self.member_queue(leader));
@@ -64,7 +64,7 @@
     }
 
     /// Takes the index to which the state must be applied for a read, or that none can be told.
-    pub(crate) fn handle_read_index(&mut self, token: u64, index: Option<u64>, now: ClockTime) {
+    pub(crate) fn index_read(&mut self, token: u64, index: Option<u64>, now: ClockTime) {
         let Some(mut wait) = self.queued_reads.remove(&token) else {
             return;
         };
@@ -74,13 +74,11 @@
                     queue.send(&LinkMessage::ReadDone { token, index });
                 }
             }
-            (ReadOrigin::Operator(reply), Some(index)) => {
-                self.confirmed_reads.push(ConfirmedRead {
-                    index,
-                    reply,
-                    received_at: wait.received_at,
-                })
-            }
+            (ReadOrigin::Operator(reply), Some(index)) => self.indexed_reads.push(IndexedRead {
+                index,
+                reply,
+                received_at: wait.received_at,
+            }),
             (origin @ ReadOrigin::Operator(_), None) => {
                 wait.origin = origin;
                 wait.attempted_at = None;
@@ -92,17 +90,17 @@
 
     /// Answers the queued_reads for which the state is applied far enough.
     pub(crate) fn answer_applied_reads(&mut self, now: ClockTime) {
-        if self.confirmed_reads.is_empty() {
+        if self.indexed_reads.is_empty() {
             return;
         }
         let applied = self.driver.applied();
-        for read in std::mem::take(&mut self.confirmed_reads) {
+        for read in std::mem::take(&mut self.indexed_reads) {
             if read.index <= applied {
                 let version = self.driver.register().version();
                 tracing::info!(version, index = read.index, applied, "configuration read");
                 answer_call(read.reply, self.config_reply());
             } else if now.since(read.received_at) < CALL_TIMEOUT {
-                self.confirmed_reads.push(read);
+                self.indexed_reads.push(read);
             } else {
                 let reason = "this registry is behind; ask another";
                 answer_call(read.reply, ControlReply::Unavailable { reason });
--- a/crates/ragwortroad_registry/src/registry_event.rs
+++ b/crates/ragwortroad_registry/src/registry_event.rs
@@ -44,7 +44,7 @@
         queue: LinkQueue,
     },
     /// A process that has connected says something.
-    LinkReceived {
+    Received {
         /// The connection.
         link: LinkKey,
         /// What.
--- a/crates/ragwortroad_registry/src/registry_process.rs
+++ b/crates/ragwortroad_registry/src/registry_process.rs
@@ -236,7 +236,7 @@
             let message_events = events.clone();
             let forward = move |message| {
                 if message_events
-                    .send(RegistryEvent::LinkReceived { link, message })
+                    .send(RegistryEvent::Received { link, message })
                     .is_err()
                 {
                     tracing::debug!("a message came after the control loop ended");
--- a/crates/ragwortroad_registry/src/registry_state.rs
+++ b/crates/ragwortroad_registry/src/registry_state.rs
@@ -14,12 +14,12 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
-    confirmed_read::ConfirmedRead,
     consensus_driver::{
         ConsensusDriver,
         DriverEffect, //
     },
     edge_entry::EdgeEntry,
+    indexed_read::IndexedRead,
     peer_entry::PeerEntry,
     place_store::PlaceStore,
     queued_drain::QueuedDrain,
@@ -61,7 +61,7 @@
     /// Drain orders that are not applied yet, by their ids.
     pub(crate) queued_drains: BTreeMap<u64, QueuedDrain>,
     pub(crate) queued_reads: BTreeMap<u64, QueuedRead>,
-    pub(crate) confirmed_reads: Vec<ConfirmedRead>,
+    pub(crate) indexed_reads: Vec<IndexedRead>,
     pub(crate) next_token: u64,
     pub(crate) next_hello_at: ClockTime,
     pub(crate) next_plan_at: ClockTime,
@@ -120,7 +120,7 @@
             proposed_put: None,
             queued_drains: BTreeMap::new(),
             queued_reads: BTreeMap::new(),
-            confirmed_reads: Vec::new(),
+            indexed_reads: Vec::new(),
             next_token: 0,
             next_hello_at: now,
             next_plan_at: now,
@@ -156,12 +156,8 @@
             RegistryEvent::LinkAccepted { link, queue } => {
                 self.links.insert(link, queue);
             }
-            RegistryEvent::PeerConnected { peer, queue } => {
-                self.handle_peer_connected(peer, queue, now)
-            }
-            RegistryEvent::LinkReceived { link, message } => {
-                self.handle_link_message(link, message, now)
-            }
+            RegistryEvent::PeerConnected { peer, queue } => self.attach_peer(peer, queue, now),
+            RegistryEvent::Received { link, message } => self.handle_message(link, message, now),
             RegistryEvent::PeerReceived { message, .. } => self.handle_peer_message(message, now),
             RegistryEvent::LinkClosed { link } => self.handle_link_closed(link),
             RegistryEvent::PeerDisconnected { peer } => {
@@ -232,7 +228,7 @@
     /// Whether no call waits for the group.
     fn has_no_queued_calls(&self) -> bool {
         let has_no_orders = self.queued_puts.is_empty() && self.queued_drains.is_empty();
-        has_no_orders && self.queued_reads.is_empty() && self.confirmed_reads.is_empty()
+        has_no_orders && self.queued_reads.is_empty() && self.indexed_reads.is_empty()
     }
 
     /// Does what the group wants done.
@@ -241,13 +237,9 @@
         for effect in effects {
             match effect {
                 DriverEffect::Send(frame) => self.send_frame(&frame),
-                DriverEffect::ProposalDecided { token, result } => {
-                    self.handle_proposal_result(token, result, now)
-                }
-                DriverEffect::ReadIndexConfirmed { token, index } => {
-                    self.handle_read_index(token, Some(index), now)
-                }
-                DriverEffect::ReadIndexFailed { token } => self.handle_read_index(token, None, now),
+                DriverEffect::Decided { token, result } => self.handle_decision(token, result, now),
+                DriverEffect::ReadAt { token, index } => self.index_read(token, Some(index), now),
+                DriverEffect::ReadFailed { token } => self.index_read(token, None, now),
                 DriverEffect::ConfigChanged => has_changed = true,
                 DriverEffect::DrainApplied { order, outcome } => {
                     self.handle_drain_applied(&order, outcome, now);
