--- a/crates/ragwortroad_registry/src/call_flow.rs
+++ b/crates/ragwortroad_registry/src/call_flow.rs
@@ -1,4 +1,4 @@
-//! What a registry does with calls of operators, endpoints and callers.
+//! Handles requests to the control interface from operators, endpoints and callers.
 
 use std::{
     net::IpAddr,
@@ -16,20 +16,20 @@
     registry_state::RegistryState, //
 };
 
-/// Time after which a call is answered that it cannot be done here now.
+/// Time after which a queued call is answered as unavailable.
 ///
-/// Operators turn to another registry after a second without an answer; an answer before that lets
-/// them do so with a reason.
+/// Operators switch to another registry after one second without an answer. Answering earlier gives
+/// them the reason as well.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Calls that wait at once; beyond it a call is refused, so that memory stays bounded.
+/// Maximum number of queued calls of each kind. Further calls are refused to bound memory.
 pub(crate) const MAX_QUEUED_CALLS: usize = 256;
 
 impl RegistryState {
     pub(crate) fn handle_call(
         &mut self,
         call: ControlCall,
-        client_ip: IpAddr,
+        caller_ip: IpAddr,
         reply: oneshot::Sender<ControlReply>,
         now: ClockTime,
     ) {
@@ -47,24 +47,24 @@
                 return;
             }
             ControlCall::BadConfig(fault) => {
-                tracing::info!(%fault, "a configuration was refused");
+                tracing::info!(%fault, "refused an invalid configuration");
                 ControlReply::Invalid {
                     reason: fault.to_string(),
                 }
             }
             ControlCall::Announce(record) => self.handle_announcement(*record, now),
             ControlCall::BadAnnouncement { reason } => {
-                tracing::warn!(reason, "an announcement was refused");
+                tracing::warn!(reason, "refused an invalid announcement");
                 ControlReply::Invalid { reason }
             }
             ControlCall::Goodbye { name } => self.handle_goodbye(&name, now),
-            ControlCall::FindEdges => self.resolve_edges(client_ip, now),
+            ControlCall::FindEdges => self.resolve_edges(caller_ip, now),
             ControlCall::Unknown => ControlReply::NotFound,
         };
         answer_call(reply, answer);
     }
 
-    /// Tries waiting calls again and ends those that have waited for too long.
+    /// Retries queued calls and ends those that have exceeded their deadline.
     pub(crate) fn retry_calls(&mut self, now: ClockTime) {
         self.retry_puts(now);
         self.retry_drains(now);
@@ -73,10 +73,10 @@
     }
 }
 
-/// Answers a call, unless its caller has left.
+/// Sends the reply to a call, unless the caller has disconnected.
 pub(crate) fn answer_call(reply: oneshot::Sender<ControlReply>, answer: ControlReply) {
     metrics::counter!(metric_names::CALLS, "outcome" => answer.outcome()).increment(1);
     if reply.send(answer).is_err() {
-        tracing::debug!("a caller of the control interface left before its answer");
+        tracing::debug!("caller of the control interface disconnected before its answer");
     }
 }
--- a/crates/ragwortroad_registry/src/call_server.rs
+++ b/crates/ragwortroad_registry/src/call_server.rs
@@ -41,19 +41,19 @@
     registry_event::RegistryEvent, //
 };
 
-/// Bytes of one call's body; a configuration of some ten thousand routes fits.
+/// Maximum body size of a call in bytes. A configuration of about ten thousand routes fits.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Time for a call's body to come in.
+/// Time limit for receiving the body of a call.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause after an accept that failed, so that a lack of descriptors does not make the loop spin.
+/// Delay after a failed accept, which keeps the loop from spinning when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves operators, endpoints and callers that ask for addresses.
+/// Serves the HTTP control interface for operators, endpoints and callers that resolve edges.
 pub(crate) async fn serve_calls(
     listener: TcpListener,
     port: RegistryPort,
@@ -63,7 +63,7 @@
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                tracing::warn!(%error, "a connection could not be accepted");
+                tracing::warn!(%error, "failed to accept a control connection");
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -78,7 +78,7 @@
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
-                tracing::debug!(%error, "a connection to the control interface ended");
+                tracing::debug!(%error, "control connection ended with an error");
             }
         });
     }
@@ -87,7 +87,7 @@
 async fn answer_request(
     port: RegistryPort,
     events: Sender<RegistryEvent>,
-    client_ip: IpAddr,
+    caller_ip: IpAddr,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (parts, body) = request.into_parts();
@@ -95,7 +95,7 @@
     let call = match timeout(BODY_TIMEOUT, reading).await {
         Ok(Ok(body)) => (port.decode_call)(&parts.method, &parts.uri, body.to_bytes()),
         Ok(Err(error)) => {
-            tracing::info!(%error, path = parts.uri.path(), "a call was not read in full");
+            tracing::info!(%error, path = parts.uri.path(), "failed to read the body of a call");
             ControlCall::Unknown
         }
         Err(_) => ControlCall::Unknown,
@@ -107,7 +107,7 @@
     };
     let answer = match events.send(RegistryEvent::Call {
         call,
-        client_ip,
+        caller_ip,
         reply,
     }) {
         Ok(()) => answer.await.unwrap_or(unavailable),
--- a/crates/ragwortroad_registry/src/config_flow.rs
+++ b/crates/ragwortroad_registry/src/config_flow.rs
@@ -1,4 +1,4 @@
-//! How a registry gives edges the configuration that they ask for.
+//! Sends edges the configuration that they request.
 
 use std::{
     net::SocketAddr,
@@ -14,11 +14,13 @@
     registry_state::RegistryState, //
 };
 
-/// Least time between two rounds of copies; in it an edge that was given one can serve another.
+/// Minimum time between two rounds of full copies. Within it, an edge that received a copy becomes
+/// able to serve another edge.
 const COPY_ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
 impl RegistryState {
-    /// Sends an edge the steps from the configuration that it has, or notes that it needs a whole one.
+    /// Sends an edge the deltas since version `above`, or queues it for a full copy if they are not
+    /// all kept here.
     pub(crate) fn send_config(&mut self, link: LinkKey, above: Option<u64>, direct: bool) {
         let Some(queue) = self.links.get(&link) else {
             return;
@@ -26,48 +28,49 @@
         if above >= self.driver.register().version() {
             return;
         }
-        let known = above.and_then(|version| self.driver.history().since(version));
-        match known {
-            Some(steps) => {
-                queue.send(&LinkMessage::ConfigDeltas(steps));
+        let deltas = above.and_then(|version| self.driver.history().since(version));
+        match deltas {
+            Some(deltas) => {
+                queue.send(&LinkMessage::ConfigDeltas(deltas));
             }
             None if direct => self.copies.want_direct(link.0),
             None => self.copies.want(link.0),
         }
     }
 
-    /// Sends whole configurations to those that need one, as many as the link takes, in their order;
-    /// refers the others to edges that have it.
+    /// Sends full configurations to waiting edges in request order, as many as the link carries,
+    /// and refers the other edges to edges that already have the configuration.
     ///
-    /// Sent at once, all copies would come together and late, and heartbeats behind them.
+    /// Sending all copies at once would delay every one of them, and the heartbeats queued behind
+    /// them.
     pub(crate) fn send_full_configs(&mut self, now: ClockTime) {
         if now < self.next_copies_at || self.copies.is_empty() {
             return;
         }
-        let step = match self.driver.full_delta() {
-            Ok(Some(step)) => step,
-            // Whoever asked does so again when there is one.
+        let delta = match self.driver.full_delta() {
+            Ok(Some(delta)) => delta,
+            // The edges ask again once a configuration exists.
             Ok(None) => {
                 self.copies = CopyQueue::default();
                 return;
             }
             Err(error) => {
-                tracing::error!(%error, "the configuration cannot be packed");
+                tracing::error!(%error, "failed to compress the configuration");
                 self.copies = CopyQueue::default();
                 return;
             }
         };
         let pace = SendPace::of_configs(self.link_bytes_per_second());
-        let most = pace.items_at_once(1, step.packed.len().max(1) as f64);
+        let max_copies = pace.items_at_once(1, delta.packed.len().max(1) as f64);
         let helpers = self.config_helpers();
-        let plan = self.copies.plan(most, &helpers);
+        let plan = self.copies.plan(max_copies, &helpers);
         for referral in &plan.referred {
             if let Some(queue) = self.links.get(&LinkKey(referral.edge)) {
                 queue.send(&LinkMessage::ConfigAt(referral.helper));
             }
         }
         let direct: Vec<LinkKey> = plan.direct.iter().copied().map(LinkKey).collect();
-        let message = LinkMessage::ConfigDeltas(vec![step]);
+        let message = LinkMessage::ConfigDeltas(vec![delta]);
         let bytes = self.send_to_links(direct.iter(), &message);
         self.next_copies_at = now.after(pace.span(bytes).max(COPY_ROUND_INTERVAL));
         tracing::info!(
@@ -75,11 +78,11 @@
             referred = plan.referred.len(),
             waiting = self.copies.len(),
             bytes,
-            "whole configurations sent"
+            "full configurations sent"
         );
     }
 
-    /// Edges that have the configuration and may give it to others.
+    /// Inner addresses of the edges that have the configuration and can serve it to others.
     fn config_helpers(&self) -> Vec<SocketAddr> {
         let edges = self.edges.values();
         let ready = edges.filter(|edge| edge.stage == EdgeStage::Ready);
--- a/crates/ragwortroad_registry/src/config_register.rs
+++ b/crates/ragwortroad_registry/src/config_register.rs
@@ -5,14 +5,15 @@
 
 use ragwortroad_link::prelude::*;
 
-/// The replicated configuration: the one with the highest version.
+/// The replicated configuration register, which holds the document with the highest version.
 ///
-/// Invariant: the version never goes down, and the first document of a version stays its only one,
-/// since commands are applied in the same order everywhere.
+/// Invariant: the version never decreases, and the first document applied for a version is never
+/// replaced by another of the same version, because every member applies commands in the same
+/// order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigRegister {
     held: Option<HeldConfig>,
-    /// The document in force, packed full_delta, once it was asked for.
+    /// Cached full delta of the document in force; absent until first requested.
     full_delta: Option<ConfigDelta>,
 }
 
@@ -23,24 +24,25 @@
     document: Arc<Vec<u8>>,
 }
 
-/// What a delta has led to.
+/// Result of applying a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterChange {
-    /// Another configuration is in force.
+    /// The delta's configuration is now in force.
     Changed,
-    /// Its version is not above the one held.
+    /// The delta's version is not above the version in force.
     Superseded,
-    /// It was made against a configuration that is not the one held; it has to be made anew.
+    /// The delta's base is not the version in force, so the delta must be recomputed.
     BaseMismatch,
-    /// The bytes are no document; all members skip it alike.
+    /// The delta does not decode to a document. Every member skips it alike.
     Unreadable {
-        /// What the codec said.
+        /// Error reported by the codec.
         reason: String,
     },
 }
 
 impl ConfigRegister {
-    /// Applies a delta.
+    /// Applies `delta` if its version is above the one in force and its base matches; a delta
+    /// without a base replaces the whole document.
     pub fn apply(&mut self, delta: &ConfigDelta) -> RegisterChange {
         if self.supersedes(delta.version) {
             return RegisterChange::Superseded;
@@ -64,22 +66,26 @@
         }
     }
 
-    /// Whether a declaration of `version` would change nothing any more.
+    /// Whether the version in force is at least `version`, so that putting `version` has no effect.
     pub fn supersedes(&self, version: u64) -> bool {
         self.version().is_some_and(|held| version <= held)
     }
 
-    /// The version in force, if any.
+    /// The version in force; absent before the first configuration.
     pub fn version(&self) -> Option<u64> {
         self.held.as_ref().map(|held| held.version)
     }
 
-    /// The document in force.
+    /// The document in force; absent before the first configuration.
     pub fn document(&self) -> Option<Arc<Vec<u8>>> {
         self.held.as_ref().map(|held| Arc::clone(&held.document))
     }
 
-    /// The delta that leads from the configuration in force to `document`.
+    /// Computes the delta from the configuration in force to `document`.
+    ///
+    /// # Errors
+    ///
+    /// The document cannot be compressed.
     pub fn delta_to(&self, version: u64, document: &[u8]) -> io::Result<ConfigDelta> {
         let base = self.document();
         let packed = pack_document(document, base.as_deref().map(Vec::as_slice))?;
@@ -90,10 +96,15 @@
         })
     }
 
-    /// The delta that leads from nothing to the configuration in force.
+    /// The delta that yields the configuration in force without a base; absent before the first
+    /// configuration.
+    ///
+    /// The packed document is cached because all edges request it after a restart, and packing
+    /// takes a registry about 20 ms.
+    ///
+    /// # Errors
     ///
-    /// It is packed once for all that ask: after a restart all edges do, and each time takes a
-    /// registry some twenty milliseconds.
+    /// The document cannot be compressed.
     pub fn full_delta(&mut self) -> io::Result<Option<ConfigDelta>> {
         let Some(held) = &self.held else {
             return Ok(None);
--- a/crates/ragwortroad_registry/src/consensus_driver.rs
+++ b/crates/ragwortroad_registry/src/consensus_driver.rs
@@ -23,43 +23,44 @@
     }, //
 };
 
-/// What a driver wants done beside its disk's work.
+/// An effect that the registry must carry out. The driver handles persistence itself.
 #[derive(Debug)]
 pub(crate) enum DriverEffect {
-    /// Send a frame.
+    /// Send a consensus frame to another member.
     Send(PeerFrame),
     /// A proposal was decided.
     Decided { token: u64, result: ProposeResult },
-    /// The state is current once applied up to the index.
+    /// The read is linearizable once the state is applied up to `index`.
     ReadAt { token: u64, index: u64 },
-    /// No proof can be had here.
+    /// This registry cannot confirm the read, for example because it does not lead.
     ReadFailed { token: u64 },
-    /// Another configuration is in force.
+    /// Another configuration came into force.
     ConfigChanged,
-    /// A drain order was applied.
+    /// A drain order was applied to the replicated state.
     DrainApplied {
         order: DrainOrder,
         outcome: DrainOutcome,
     },
-    /// The drains of a snapshot have replaced those held.
+    /// Drains restored from a snapshot replaced the current ones.
     DrainsRestored,
 }
 
-/// A registry's part in the group: core, state and disk.
+/// Drives the consensus core of this registry: feeds it inputs, persists its log, and applies
+/// committed commands to the replicated state.
 pub(crate) struct ConsensusDriver {
-    /// The VM, as other registries name it.
+    /// Node identity of this VM, as other registries know it.
     node: NodeId,
     settings: CoreSettings,
     disk: FolderWorker,
-    /// Number of the folder's present generation.
+    /// Generation of the open data folder. Reports of earlier generations are ignored.
     generation: u64,
-    /// Identity of the folder, once it is open.
+    /// Member identity stored in the data folder; absent until the folder is open.
     identity: Option<MemberId>,
-    /// What the folder held, until the core is made of it.
+    /// Contents of the data folder, held until the core is created.
     stored: Option<StoredState>,
-    /// Decides about founding; nothing on a registry that only joins.
+    /// Decides whether this registry founds the group; absent on a registry that only joins.
     founding: Option<FoundingTable>,
-    /// Nodes that found the group; empty where this registry only joins.
+    /// Nodes that found the group; empty on a registry that only joins.
     founders: Vec<NodeId>,
     core: Option<ConsensusCore>,
     register: ConfigRegister,
@@ -69,19 +70,19 @@
     seed: u64,
 }
 
-/// What a driver is made from.
+/// Parameters for creating a [`ConsensusDriver`].
 pub(crate) struct DriverOptions {
-    /// The VM.
+    /// Node identity of this VM.
     pub(crate) node: NodeId,
-    /// Nodes that found the group together, if this one is among them and nothing exists yet.
+    /// Nodes that found the group together; empty unless this is the fleet's first start.
     pub(crate) founders: Vec<NodeId>,
-    /// Figures of the agreement.
+    /// Timeouts and limits of the consensus core.
     pub(crate) settings: CoreSettings,
-    /// The folder's thread.
+    /// Worker thread that owns the data folder.
     pub(crate) disk: FolderWorker,
-    /// Milliseconds of the wall clock.
+    /// Wall-clock time in Unix milliseconds, which distinguishes this start from earlier ones.
     pub(crate) start: u64,
-    /// A random number.
+    /// Random seed of the consensus core.
     pub(crate) seed: u64,
 }
 
@@ -105,42 +106,44 @@
         }
     }
 
-    /// The configuration as applied so far.
+    /// The configuration register, as applied so far.
     pub(crate) fn register(&self) -> &ConfigRegister {
         &self.register
     }
 
-    /// Failure domains that are drained, as applied so far.
+    /// Drained failure domains, as applied so far.
     pub(crate) fn drains(&self) -> &DomainDrains {
         &self.drains
     }
 
-    /// The step that leads from nothing to the configuration in force.
+    /// The full configuration in force; see [`ConfigRegister::full_delta`].
     pub(crate) fn full_delta(&mut self) -> io::Result<Option<ConfigDelta>> {
         self.register.full_delta()
     }
 
-    /// The last steps of the configuration.
+    /// The most recent deltas of the configuration.
     pub(crate) fn history(&self) -> &DeltaHistory {
         &self.history
     }
 
-    /// The core, once it runs.
+    /// The consensus core; absent until the data folder is open and it is decided whether to found
+    /// a group.
     pub(crate) fn core(&self) -> Option<&ConsensusCore> {
         self.core.as_ref()
     }
 
-    /// Index up to which the state is applied.
+    /// Index up to which the log is applied to the state.
     pub(crate) fn applied(&self) -> u64 {
         self.core.as_ref().map_or(0, ConsensusCore::commit_index)
     }
 
-    /// What this registry says of itself.
+    /// Describes this registry to other registries.
     pub(crate) fn hello(&self, address: SocketAddr, known: Vec<SocketAddr>) -> MemberHello {
         let is_empty = match (&self.core, &self.stored) {
             (Some(core), _) => core.last_position().index == 0,
             (None, Some(stored)) => is_unused(stored),
-            // A folder that cannot be read may be in use; "empty" could found a second group.
+            // An unreadable folder may belong to a member of a group. Reporting it as empty could
+            // found a second group.
             (None, None) => false,
         };
         MemberHello {
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Takes what another registry says of itself.
+    /// Handles the hello of another registry.
     pub(crate) fn handle_hello(
         &mut self,
         hello: &MemberHello,
@@ -170,7 +173,7 @@
         self.try_start(now)
     }
 
-    /// Takes a report of the disk.
+    /// Handles a report of the folder worker.
     pub(crate) fn handle_disk_report(
         &mut self,
         report: FolderReport,
@@ -182,7 +185,7 @@
                     identity = stored.identity,
                     entries = stored.entries.len(),
                     has_snapshot = stored.snapshot.is_some(),
-                    "data folder open"
+                    "data folder opened"
                 );
                 self.generation = generation;
                 self.open(*stored, now)
@@ -191,7 +194,7 @@
                 self.handle(CoreInput::Persisted { batch }, now)
             }
             FolderReport::Failed { generation, reason } if generation == self.generation => {
-                tracing::error!(reason, "the disk failed; the folder is opened anew");
+                tracing::error!(reason, "disk write failed; reopening the data folder");
                 let effects = self.handle(CoreInput::PersistFailed, now);
                 self.core = None;
                 effects
@@ -215,7 +218,7 @@
         self.try_start(now)
     }
 
-    /// Makes the core, once it is clear whether a group is founded here.
+    /// Creates the core once it is decided whether this registry founds a group.
     fn try_start(&mut self, now: ClockTime) -> Vec<DriverEffect> {
         if self.core.is_some() || self.stored.is_none() {
             return Vec::new();
@@ -231,7 +234,7 @@
         };
         self.founding = None;
         self.seed = self.seed.wrapping_add(1);
-        // Acknowledgements of the folder before it failed must not count for this one.
+        // Acknowledgements from before the folder failed must not count for the reopened folder.
         self.start += 1;
         let start = CoreStart {
             stored,
@@ -244,13 +247,13 @@
                 self.execute_actions(actions, now)
             }
             Err(error) => {
-                tracing::error!(%error, "this registry cannot take part in the group");
+                tracing::error!(%error, "failed to start the consensus core; this registry cannot join the group");
                 Vec::new()
             }
         }
     }
 
-    /// Hands an input to the core and does what concerns state and disk.
+    /// Passes an input to the core and executes the actions that concern state and disk.
     pub(crate) fn handle(&mut self, input: CoreInput, now: ClockTime) -> Vec<DriverEffect> {
         let Some(core) = &mut self.core else {
             return Vec::new();
@@ -284,13 +287,13 @@
                 CoreAction::LeaderChanged { term, leader } => {
                     let leader = leader.map(|member| member.0);
                     metrics::counter!(metric_names::LEADER_CHANGES).increment(1);
-                    tracing::info!(term, leader, "another leader");
+                    tracing::info!(term, leader, "leader changed");
                 }
                 CoreAction::MembersChanged { index, members } => {
                     let voters = members.voters().count();
                     let all = members.records().len();
                     metrics::gauge!(metric_names::VOTERS).set(voters as f64);
-                    tracing::info!(index, voters, all, "other members");
+                    tracing::info!(index, voters, all, "members changed");
                 }
             }
         }
@@ -301,13 +304,13 @@
         let command = match postcard::from_bytes::<RegisterCommand>(command) {
             Ok(command) => command,
             Err(error) => {
-                // All members skip it alike, so the state stays the same everywhere.
-                tracing::error!(%error, "a command of the log means nothing and is skipped");
+                // Every member skips the command, so the state stays identical.
+                tracing::error!(%error, "skipped a log command that cannot be decoded");
                 return None;
             }
         };
         match command {
-            RegisterCommand::Put(step) => self.apply_config(step),
+            RegisterCommand::Put(delta) => self.apply_config(delta),
             RegisterCommand::Drain(order) => {
                 let outcome = self.drains.apply(&order);
                 Some(DriverEffect::DrainApplied { order, outcome })
@@ -315,27 +318,29 @@
         }
     }
 
-    fn apply_config(&mut self, step: ConfigDelta) -> Option<DriverEffect> {
-        match self.register.apply(&step) {
+    fn apply_config(&mut self, delta: ConfigDelta) -> Option<DriverEffect> {
+        match self.register.apply(&delta) {
             RegisterChange::Changed => {
-                self.history.push(step);
+                self.history.push(delta);
                 Some(DriverEffect::ConfigChanged)
             }
             RegisterChange::Superseded | RegisterChange::BaseMismatch => None,
             RegisterChange::Unreadable { reason } => {
-                tracing::error!(reason, "a configuration of the log is skipped");
+                tracing::error!(reason, "skipped a configuration that cannot be decoded");
                 None
             }
         }
     }
 
-    /// Takes the state of a snapshot: the log continues from it, so it is never older than what
-    /// was applied here, except after a failed disk was opened anew.
+    /// Restores the state from a snapshot.
+    ///
+    /// The log continues from the snapshot, so it is never older than the applied state, except
+    /// when a failed disk was reopened.
     fn restore(&mut self, bytes: &[u8]) -> Vec<DriverEffect> {
         let snapshot = match RegisterSnapshot::decode(bytes) {
             Ok(snapshot) => snapshot,
             Err(error) => {
-                tracing::error!(%error, "the snapshot means nothing; run one version on all VMs");
+                tracing::error!(%error, "failed to decode the snapshot; run the same version on all VMs");
                 return Vec::new();
             }
         };
@@ -344,30 +349,34 @@
             self.drains = snapshot.drains;
             effects.push(DriverEffect::DrainsRestored);
         }
-        effects.extend(snapshot.config.and_then(|step| self.restore_config(&step)));
+        effects.extend(
+            snapshot
+                .config
+                .and_then(|delta| self.restore_config(&delta)),
+        );
         effects
     }
 
-    fn restore_config(&mut self, step: &ConfigDelta) -> Option<DriverEffect> {
-        match self.register.apply(step) {
+    fn restore_config(&mut self, delta: &ConfigDelta) -> Option<DriverEffect> {
+        match self.register.apply(delta) {
             RegisterChange::Changed => {
                 self.history.clear();
                 Some(DriverEffect::ConfigChanged)
             }
             RegisterChange::Superseded => None,
             other => {
-                tracing::error!(?other, "the snapshot's configuration cannot be used");
+                tracing::error!(?other, "cannot apply the configuration of the snapshot");
                 None
             }
         }
     }
 
     fn compact_log(&mut self, index: u64, now: ClockTime) -> Vec<DriverEffect> {
-        let whole = self
+        let full = self
             .register
             .full_delta()
             .map_err(|error| error.to_string());
-        let encoded = whole.and_then(|config| {
+        let encoded = full.and_then(|config| {
             let drains = self.drains.clone();
             let snapshot = RegisterSnapshot { config, drains };
             snapshot.encode().map_err(|error| error.to_string())
@@ -377,20 +386,20 @@
             Err(reason) => {
                 tracing::error!(
                     reason,
-                    "the state could not be encoded; the log goes on growing"
+                    "failed to encode the state; the log is not compacted"
                 );
                 Vec::new()
             }
         }
     }
 
-    /// Joins the disk's thread.
+    /// Finishes queued writes and joins the disk thread.
     pub(crate) fn join(self) {
         self.disk.join();
     }
 }
 
-/// Whether a folder has never been part of a group.
+/// Whether the folder has never belonged to a member of a group.
 fn is_unused(stored: &StoredState) -> bool {
     stored.entries.is_empty() && stored.snapshot.is_none()
 }
--- a/crates/ragwortroad_registry/src/control_call.rs
+++ b/crates/ragwortroad_registry/src/control_call.rs
@@ -3,75 +3,75 @@
 use bytes::Bytes;
 use ragwortroad_dispatch::prelude::*;
 
-/// What someone outside asks of a registry.
+/// A request to the control interface of a registry.
 #[derive(Clone, Debug)]
 pub enum ControlCall {
-    /// An operator declares a configuration.
+    /// An operator submits a configuration.
     PutConfig {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// The document as it came.
+        /// The document as received, already validated by the decoder.
         document: Bytes,
     },
-    /// A configuration that cannot come into force.
+    /// A submitted configuration that does not parse or is invalid.
     BadConfig(ConfigFault),
-    /// An operator drains a failure domain, or takes that back.
+    /// An operator drains a failure domain, or undrains it.
     DrainDomain {
-        /// The domain.
+        /// Name of the failure domain.
         domain: String,
-        /// Whether its endpoints get no new work from now on.
+        /// `true` to stop sending new requests to the domain's endpoints, `false` to resume.
         is_drained: bool,
     },
-    /// An operator queued_reads the configuration in force.
+    /// An operator reads the configuration in force.
     ReadConfig,
-    /// An endpoint announces itself.
+    /// An endpoint announces itself or its new state.
     Announce(Box<EndpointRecord>),
-    /// An announcement that names no endpoint to use.
+    /// An announcement that does not describe a usable endpoint.
     BadAnnouncement {
-        /// What is wrong with it.
+        /// What is wrong with the announcement.
         reason: String,
     },
-    /// An endpoint says that it leaves for good.
+    /// An endpoint leaves permanently.
     Goodbye {
-        /// Its name.
+        /// Name of the endpoint.
         name: String,
     },
     /// A caller asks for addresses of edges.
     FindEdges,
-    /// Nothing of these.
+    /// Any other method or path.
     Unknown,
 }
 
-/// What a registry answers.
+/// A registry's reply to a [`ControlCall`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlReply {
-    /// It is so.
+    /// The request took effect, or was already in effect.
     Done,
-    /// The configuration in force.
+    /// The document of the configuration in force.
     Config(Bytes),
-    /// Edges that take callers.
+    /// Edges that accept callers.
     Edges {
-        /// Their addresses.
+        /// Addresses at which callers reach the edges.
         addresses: Vec<SocketAddr>,
-        /// Seconds for which the answer may be kept.
+        /// Seconds for which the caller may cache the reply.
         ttl_s: u64,
     },
-    /// It cannot be; the same call will never succeed.
+    /// The request is invalid and fails however often it is repeated.
     Invalid {
-        /// Why, with the remedy.
+        /// What is wrong, and how to correct it.
         reason: String,
     },
-    /// It cannot be now and here; another registry, or this one later, may do it.
+    /// The request cannot be served here and now. Another registry, or a later retry, may succeed.
     Unavailable {
-        /// Why.
+        /// Why the request cannot be served.
         reason: &'static str,
     },
-    /// There is no such thing.
+    /// No such path or method exists.
     NotFound,
 }
 
 impl ControlReply {
-    /// What came of the call, for metrics.
+    /// The `outcome` label of the call metrics.
     pub fn outcome(&self) -> &'static str {
         match self {
             Self::Done => "done",
--- a/crates/ragwortroad_registry/src/delta_history.rs
+++ b/crates/ragwortroad_registry/src/delta_history.rs
@@ -2,22 +2,24 @@
 
 use ragwortroad_link::prelude::*;
 
-/// Steps kept for edges that are a few versions behind; a storm of changes brings a dozen a second.
+/// Maximum number of deltas kept for edges that are a few versions behind. Bursts of changes reach
+/// a dozen per second.
 const MAX_DELTAS: usize = 64;
 
-/// Bytes of those deltas; beyond it an edge is sent the whole document, which is not larger.
+/// Maximum total size of the kept deltas. Beyond it, a full document is no larger.
 const MAX_TOTAL_BYTES: usize = 256 << 10;
 
-/// The last deltas of the configuration, each against the one before it.
+/// The most recent deltas of the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct DeltaHistory {
-    /// Invariant: each delta's base is the version of the delta before it.
+    /// Invariant: each delta's base is the version of the preceding delta.
     deltas: VecDeque<ConfigDelta>,
     total_bytes: usize,
 }
 
 impl DeltaHistory {
-    /// Adds the delta to the version now in force.
+    /// Appends the delta that led to the version in force. A delta without a base, or with a base
+    /// other than the last version, clears the history.
     pub(crate) fn push(&mut self, delta: ConfigDelta) {
         let last = self.deltas.back().map(|last| last.version);
         if delta.base.is_none() || (last.is_some() && delta.base != last) {
@@ -36,13 +38,13 @@
         }
     }
 
-    /// Forgets all, where the configuration came in another way than by a delta.
+    /// Clears the history after the configuration was replaced other than by a delta.
     pub(crate) fn clear(&mut self) {
         self.deltas.clear();
         self.total_bytes = 0;
     }
 
-    /// The deltas from `version` to the one in force; nothing if they are not all known.
+    /// The deltas from `version` to the version in force; `None` if any of them is no longer kept.
     pub(crate) fn since(&self, version: u64) -> Option<Vec<ConfigDelta>> {
         let first = self
             .deltas
--- a/crates/ragwortroad_registry/src/directory_flow.rs
+++ b/crates/ragwortroad_registry/src/directory_flow.rs
@@ -1,4 +1,4 @@
-//! What a registry tells callers who ask which edges to use, and the directories that answer them.
+//! Answers callers that resolve edges, and keeps directories informed of the edges.
 
 use std::{
     net::{
@@ -19,25 +19,26 @@
     registry_state::RegistryState, //
 };
 
-/// Most addresses in one answer of the directory; callers take no more.
+/// Maximum number of addresses in one reply. Callers accept no more.
 pub(crate) const MAX_ADDRESSES: usize = 64;
 
 impl RegistryState {
-    /// Edges that take callers, for one that asks from an address.
-    pub(crate) fn resolve_edges(&self, client_ip: IpAddr, now: ClockTime) -> ControlReply {
+    /// Selects ready edges for a caller with the given address.
+    pub(crate) fn resolve_edges(&self, caller_ip: IpAddr, now: ClockTime) -> ControlReply {
         let ready = self.ready_edges();
         let gap = self.gathering.gap(ready.len(), self.edges.len(), now);
         let found = match gap {
             Some(gap) => Err(gap),
-            None => Ok(choose_addresses(client_ip, ready, MAX_ADDRESSES)),
+            None => Ok(choose_addresses(caller_ip, ready, MAX_ADDRESSES)),
         };
         directory_reply(found, &self.settings)
     }
 
-    /// A directory has connected.
+    /// Registers a directory that connected, and sends it the fleet and the edges.
     pub(crate) fn handle_directory_hello(&mut self, link: LinkKey, node: &str, now: ClockTime) {
         tracing::info!(directory = node, "directory connected");
-        // So that it is told of each change from what it is told here.
+        // Brings `sent_edges` up to date, so that later changes are relative to what this directory
+        // receives.
         self.broadcast_edge_view();
         self.directories.insert(link);
         if let Some(queue) = self.links.get(&link) {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Tells directories which edges take callers, where that has changed.
+    /// Sends the ready edges to all directories if they have changed.
     pub(crate) fn broadcast_edge_view(&mut self) {
         let view = self.edge_view();
         if self.sent_edges != view {
@@ -70,7 +71,7 @@
     }
 }
 
-/// What a caller is told that asks for edges.
+/// Builds the reply to a caller that resolves edges.
 pub(crate) fn directory_reply(
     found: Result<Vec<SocketAddr>, DirectoryGap>,
     settings: &ForwardSettings,
--- a/crates/ragwortroad_registry/src/directory_process.rs
+++ b/crates/ragwortroad_registry/src/directory_process.rs
@@ -1,7 +1,7 @@
-//! A process that only tells callers which edges to use.
+//! A process that only resolves edge addresses for callers.
 //!
-//! It keeps nothing on disk and connects to every registry, so it may run on any VM; operators
-//! place directories so that no failure domain has all that a caller asks.
+//! It stores nothing and connects to every registry, so it can run on any VM. Operators place
+//! directories so that no single failure domain holds all directories that a caller queries.
 
 use std::{
     collections::{
@@ -51,23 +51,30 @@
     }, //
 };
 
-/// Time for which a stopping directory goes on answering.
+/// Time for which a stopping directory continues to answer.
 ///
-/// A caller whose connection breaks before its answer waits for the next directory.
+/// A caller whose connection breaks before the answer must wait for the next directory.
 const STOP_GRACE: Duration = Duration::from_millis(100);
 
-/// All that a directory knows.
+/// State of a directory process.
 struct DirectoryState {
     settings: ForwardSettings,
     edges: EdgeDirectory,
-    /// Registries that are dialled, by where they listen for links, with the connection to each.
+    /// Connections to registries, keyed by the address at which each listens for links. The value
+    /// is absent while disconnected.
     ///
-    /// A connection ends when its queue is dropped.
+    /// Dropping a queue closes its connection.
     registries: BTreeMap<SocketAddr, Option<LinkQueue>>,
     events: Sender<RegistryEvent>,
 }
 
-/// Runs a directory until it is told to stop; `page` is where its metrics are read, if any are kept.
+/// Runs a directory on the current thread until it receives [`RegistrySignal::Stop`].
+///
+/// `page` serves the metrics at the address from the settings; without it, no metrics are served.
+///
+/// # Errors
+///
+/// A setting is missing, an address cannot be bound, or the runtime cannot start.
 pub fn run_directory(
     settings: ForwardSettings,
     port: RegistryPort,
@@ -129,12 +136,12 @@
         match event {
             RegistryEvent::Call {
                 call,
-                client_ip,
+                caller_ip,
                 reply,
             } => {
                 let answer = match call {
                     ControlCall::FindEdges => {
-                        let found = self.edges.find(client_ip, MAX_ADDRESSES, now);
+                        let found = self.edges.find(caller_ip, MAX_ADDRESSES, now);
                         directory_reply(found, &self.settings)
                     }
                     _ => ControlReply::NotFound,
@@ -155,7 +162,7 @@
                 self.settings.seeds = seeds;
                 self.dial_seeds();
             }
-            other => tracing::warn!(?other, "an event that concerns no directory"),
+            other => tracing::warn!(?other, "ignored an event that a directory does not handle"),
         }
     }
 
@@ -163,7 +170,7 @@
         match message {
             LinkMessage::Fleet { registries, .. } => self.dial(registries),
             LinkMessage::EdgesKnown(view) => self.edges.note_view(peer, view, now),
-            other => tracing::warn!(?other, "a message that no registry sends a directory"),
+            other => tracing::warn!(?other, "ignored an unexpected message from a registry"),
         }
     }
 }
--- a/crates/ragwortroad_registry/src/drain_flow.rs
+++ b/crates/ragwortroad_registry/src/drain_flow.rs
@@ -1,7 +1,8 @@
-//! What a registry does with orders to drain a failure domain, or to take that back.
+//! Handles orders to drain or undrain a failure domain.
 //!
-//! An order is a command of the replicated log. Whichever registry it comes to proposes it or passes
-//! it on to the leader, and answers once the command is applied here: then it is durable at a quorum.
+//! An order is a command of the replicated log. The registry that receives it proposes it or
+//! forwards it to the leader, and answers once the command is applied locally. It is then durable
+//! on a quorum.
 
 use std::{
     collections::BTreeMap,
@@ -26,13 +27,13 @@
     registry_state::RegistryState, //
 };
 
-/// Time after which an order that was not applied is proposed_put or passed on again.
+/// Time after which an order that was not applied is proposed or forwarded again.
 ///
-/// Applied twice it changes nothing the second time.
+/// Orders are idempotent, so applying one twice is harmless.
 const DRAIN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 impl RegistryState {
-    /// Takes an operator's order.
+    /// Handles an operator's request to drain or undrain a domain.
     pub(crate) fn handle_drain_call(
         &mut self,
         domain: String,
@@ -52,28 +53,28 @@
             answer_call(reply, ControlReply::Unavailable { reason });
             return;
         }
-        tracing::info!(domain, is_drained, "a drain order came");
+        tracing::info!(domain, is_drained, "received a drain order");
         let order = DrainOrder {
             id: rand::random(),
             domain,
             is_drained,
             seen: 0,
         };
-        let wait = QueuedDrain {
+        let drain = QueuedDrain {
             order,
             reply,
             received_at: now,
             attempted_at: now,
         };
-        self.attempt_drain(wait, now);
+        self.attempt_drain(drain, now);
     }
 
-    /// Proposes an order, or passes it on to the leader, as one that knows all drains known here.
-    fn attempt_drain(&mut self, mut wait: QueuedDrain, now: ClockTime) {
-        wait.order.seen = self.driver.drains().revision();
-        wait.attempted_at = now;
-        let order = wait.order.clone();
-        self.queued_drains.insert(order.id, wait);
+    /// Proposes an order or forwards it to the leader, stamped with the drain revision known here.
+    fn attempt_drain(&mut self, mut drain: QueuedDrain, now: ClockTime) {
+        drain.order.seen = self.driver.drains().revision();
+        drain.attempted_at = now;
+        let order = drain.order.clone();
+        self.queued_drains.insert(order.id, drain);
         let Some(core) = self.driver.core() else {
             return;
         };
@@ -86,12 +87,12 @@
         }
     }
 
-    /// Takes an order into the log, if this registry leads.
+    /// Proposes an order to the log. It has no effect unless this registry leads.
     pub(crate) fn propose_drain(&mut self, order: DrainOrder, now: ClockTime) {
         let command = match postcard::to_stdvec(&RegisterCommand::Drain(order)) {
             Ok(command) => command,
             Err(error) => {
-                tracing::error!(%error, "a drain order could not be encoded");
+                tracing::error!(%error, "failed to encode a drain order");
                 return;
             }
         };
@@ -102,7 +103,7 @@
         self.apply_effects(effects, now);
     }
 
-    /// An order was applied to the state here.
+    /// Handles an order that was applied to the local state.
     pub(crate) fn handle_drain_applied(
         &mut self,
         order: &DrainOrder,
@@ -112,56 +113,57 @@
         let DrainOrder {
             domain, is_drained, ..
         } = order;
-        tracing::info!(domain, is_drained, ?outcome, "a drain order was applied");
+        tracing::info!(domain, is_drained, ?outcome, "applied a drain order");
         if outcome == DrainOutcome::Changed {
             self.broadcast_drains();
             if !is_drained {
                 self.undrain_domain(domain, now);
             }
         }
-        let Some(wait) = self.queued_drains.remove(&order.id) else {
+        let Some(drain) = self.queued_drains.remove(&order.id) else {
             return;
         };
         match outcome {
             DrainOutcome::Changed | DrainOutcome::Unchanged => {
-                answer_call(wait.reply, ControlReply::Done);
+                answer_call(drain.reply, ControlReply::Done);
             }
-            // Its operator waits still, so it is later than the order that it met.
+            // The operator is still waiting, so this order is more recent than the conflicting one.
             DrainOutcome::Overtaken => {
                 let order = DrainOrder {
                     id: rand::random(),
-                    ..wait.order
+                    ..drain.order
                 };
-                self.attempt_drain(QueuedDrain { order, ..wait }, now);
+                self.attempt_drain(QueuedDrain { order, ..drain }, now);
             }
         }
     }
 
-    /// Tells edges which domains are drained.
+    /// Sends the drained domains to all edges.
     pub(crate) fn broadcast_drains(&self) {
         let drains = self.driver.drains().clone();
         self.broadcast_to_edges(&LinkMessage::DomainDrains(drains));
     }
 
-    /// The endpoints of a domain get work again, and may have gone cold without it.
+    /// Makes the endpoints of an undrained domain available again. They may have gone cold while
+    /// drained.
     fn undrain_domain(&mut self, domain: &str, now: ClockTime) {
         for change in self.table.return_domain(domain, now) {
             self.enqueue_update(change);
         }
     }
 
-    /// Tries waiting orders again and ends those whose operators have turned elsewhere.
+    /// Retries queued orders and ends those whose operators have switched to another registry.
     pub(crate) fn retry_drains(&mut self, now: ClockTime) {
-        let waits = std::mem::take(&mut self.queued_drains);
-        let is_due = |wait: &QueuedDrain| now.since(wait.attempted_at) >= DRAIN_RETRY_INTERVAL;
-        let (due, waiting) = waits.into_iter().partition(|(_, wait)| is_due(wait));
-        self.queued_drains = waiting;
-        for wait in BTreeMap::into_values(due) {
-            if now.since(wait.received_at) < CALL_TIMEOUT {
-                self.attempt_drain(wait, now);
+        let drains = std::mem::take(&mut self.queued_drains);
+        let is_due = |drain: &QueuedDrain| now.since(drain.attempted_at) >= DRAIN_RETRY_INTERVAL;
+        let (due, not_due) = drains.into_iter().partition(|(_, drain)| is_due(drain));
+        self.queued_drains = not_due;
+        for drain in BTreeMap::into_values(due) {
+            if now.since(drain.received_at) < CALL_TIMEOUT {
+                self.attempt_drain(drain, now);
             } else {
                 let reason = "no quorum has taken the order in time; send it again";
-                answer_call(wait.reply, ControlReply::Unavailable { reason });
+                answer_call(drain.reply, ControlReply::Unavailable { reason });
             }
         }
     }
--- a/crates/ragwortroad_registry/src/edge_entry.rs
+++ b/crates/ragwortroad_registry/src/edge_entry.rs
@@ -2,13 +2,13 @@
 
 use ragwortroad_link::prelude::*;
 
-/// An edge that is connected.
+/// A connected edge.
 #[derive(Debug)]
 pub(crate) struct EdgeEntry {
     pub(crate) node: String,
-    /// Where callers reach it.
+    /// Address at which callers reach the edge.
     pub(crate) address: SocketAddr,
-    /// Where other edges ask it for the configuration.
+    /// Address at which other edges request the configuration.
     pub(crate) inner: SocketAddr,
     pub(crate) stage: EdgeStage,
 }
--- a/crates/ragwortroad_registry/src/edge_flow.rs
+++ b/crates/ragwortroad_registry/src/edge_flow.rs
@@ -1,4 +1,4 @@
-//! What a registry does with edges and endpoints.
+//! Handles edges, and announcements of endpoints.
 
 use std::time::Duration;
 
@@ -14,25 +14,28 @@
     registry_state::RegistryState, //
 };
 
-/// Time between two messages to the edges with updates of endpoints.
+/// Minimum time between two messages with endpoint updates to the edges.
 ///
-/// After a common restart all endpoints announce themselves within a second; told one by one they
-/// would take a small VM's processor while the group has to elect a leader.
+/// After a fleet-wide restart, all endpoints announce themselves within one second. Sending each
+/// update separately would saturate the CPU of a small VM while the group must elect a leader.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time for a group to form or to find its leader after a start.
+/// Time for which a started registry waits for a leader before it sends endpoint updates
+/// regardless.
 ///
-/// It takes a second, an election timeout included. A registry that is cut off from the others has
-/// no leader for long, and what it hears of endpoints still counts.
+/// Forming the group takes about one second, including an election timeout. A registry that is
+/// partitioned from the others stays without a leader, but what it learns of endpoints is still
+/// useful.
 const GROUP_FORMING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Bytes of an endpoint's record on a link, compressed with some twenty others.
+/// Size of an endpoint record on a link in bytes, compressed together with about twenty others.
 const ENCODED_RECORD_BYTES: f64 = 30.0;
 
-/// Time between two tellings of the fleet's registries and number of edges.
+/// Minimum time between two fleet messages, unless the change is urgent.
 ///
-/// After a common restart the number changes with each edge that connects; told each time, each edge
-/// would be told as often as there are edges, when a registry has most to do.
+/// After a fleet-wide restart the edge count changes with each edge that connects. Sending every
+/// change would send each edge as many messages as there are edges, at the time when a registry is
+/// busiest.
 const FLEET_INTERVAL: Duration = Duration::from_secs(1);
 
 impl RegistryState {
@@ -44,7 +47,7 @@
             ..
         } = &edge;
         tracing::info!(edge = node, %address, ?stage, "edge connected");
-        // A restarted edge may be back before its old connection is found dead.
+        // A restarted edge may reconnect before its old connection is detected as dead.
         let known = self.edges.iter();
         let previous = known.filter(|(_, known)| known.address == edge.address);
         let previous: Vec<LinkKey> = previous.map(|(link, _)| *link).collect();
@@ -58,7 +61,8 @@
             return;
         };
         queue.send(&self.fleet_message(now));
-        // Told before the version: by that the edge counts the registries that have told all.
+        // Sent before the version, because the edge takes the version as a sign that this registry
+        // has sent everything.
         let drains = self.driver.drains().clone();
         queue.send(&LinkMessage::DomainDrains(drains));
         let records = self.table.records(now).collect();
@@ -70,7 +74,7 @@
 
     pub(crate) fn set_edge_stage(&mut self, link: LinkKey, stage: EdgeStage) {
         if let Some(edge) = self.edges.get_mut(&link) {
-            tracing::info!(edge = edge.node, ?stage, "edge says its stage");
+            tracing::info!(edge = edge.node, ?stage, "edge changed its stage");
             edge.stage = stage;
         }
     }
@@ -82,7 +86,7 @@
         self.directories.remove(&link);
         self.copies.drop_edge(link.0);
         if let Some(edge) = self.edges.remove(&link) {
-            tracing::info!(edge = edge.node, "edge lost");
+            tracing::info!(edge = edge.node, "edge disconnected");
             metrics::counter!(metric_names::LINKS_LOST, "peer" => "edge").increment(1);
         }
     }
@@ -111,14 +115,15 @@
         self.sent_fleet = Some(message);
     }
 
-    /// Whether edges are to be told of the fleet at once.
+    /// Whether a fleet message must be sent to the edges at once.
     ///
-    /// An edge is ready once it has heard from more than half of the voters. After a common restart it
-    /// knows the registries of its settings only; until it is told of the others, all edges are at
-    /// these, whose links carry the configuration for all of them, and callers are served a second
-    /// late. A registry that is cut off from the others is no home for edges any more.
+    /// An edge is ready once it has heard from more than half of the voters. After a fleet-wide
+    /// restart it knows only the registries of its settings. Until it learns of the others, all
+    /// edges use these few, whose links carry the configuration for all of them, and callers are
+    /// served a second late. A registry that is partitioned from the others must stop being a home
+    /// registry.
     fn is_fleet_urgent(&self, message: &LinkMessage) -> bool {
-        let facts = |message: &LinkMessage| match message {
+        let membership = |message: &LinkMessage| match message {
             LinkMessage::Fleet {
                 registries,
                 voters,
@@ -127,7 +132,7 @@
             } => Some((registries.clone(), *voters, *hears)),
             _ => None,
         };
-        self.sent_fleet.as_ref().and_then(facts) != facts(message)
+        self.sent_fleet.as_ref().and_then(membership) != membership(message)
     }
 
     pub(crate) fn fleet_message(&self, now: ClockTime) -> LinkMessage {
@@ -139,13 +144,13 @@
         }
     }
 
-    /// Registries that vote, as far as this one knows; none before it has joined the group.
+    /// Number of voting members known here; 0 before this registry has joined the group.
     fn voter_count(&self) -> u32 {
         let core = self.driver.core();
         core.map_or(0, |core| core.members().voters().count() as u32)
     }
 
-    /// Tells all edges the same; returns how many bytes that takes.
+    /// Sends a message to all edges and returns the total size in bytes.
     pub(crate) fn broadcast_to_edges(&self, message: &LinkMessage) -> usize {
         self.send_to_links(self.edges.keys(), message)
     }
@@ -173,7 +178,7 @@
         self.updates.push(change);
     }
 
-    /// Sends the edges what was heard from endpoints since the last time.
+    /// Sends the queued endpoint updates that are due to the edges.
     pub(crate) fn send_updates(&mut self, now: ClockTime) {
         if self.updates.has_urgent() && now >= self.next_urgent_updates_at {
             self.next_urgent_updates_at = now.after(UPDATE_INTERVAL);
@@ -191,11 +196,11 @@
         self.next_calm_updates_at = now.after(UPDATE_INTERVAL.max(span));
     }
 
-    /// Whether this registry has just started and has not heard of a leader yet.
+    /// Whether this registry started recently and does not know a leader yet.
     ///
-    /// Edges serve nobody before there is a configuration, and there is none before a leader. Where
-    /// hundreds of edges and thousands of endpoints start at once, telling edges of endpoints first
-    /// would take a small VM's whole processor, and the group be formed late.
+    /// Edges serve no caller before there is a configuration, and there is none before there is a
+    /// leader. When hundreds of edges and thousands of endpoints start at once, sending endpoint
+    /// updates first would take the whole CPU of a small VM and delay the election.
     fn is_forming(&self, now: ClockTime) -> bool {
         let core = self.driver.core();
         let has_leader = core.is_some_and(|core| core.leader().is_some());
@@ -209,7 +214,7 @@
         }
     }
 
-    /// Bytes a second that this VM's link carries.
+    /// Bandwidth of this VM's link in bytes per second.
     pub(crate) fn link_bytes_per_second(&self) -> f64 {
         self.settings.link_mbps * 1e6 / 8.0
     }
@@ -220,10 +225,11 @@
         }
     }
 
-    /// Takes an announcement, if there is an edge to pass it on to.
+    /// Handles an announcement, provided that an edge is connected.
     ///
-    /// A registry that is cut off from all edges must not acknowledge: the endpoint would count on
-    /// its drain being known, and go on getting work. It then tries another registry.
+    /// A registry that is partitioned from all edges must not acknowledge: the endpoint would rely
+    /// on its drain being known while it still receives requests. Without an acknowledgement it
+    /// tries another registry.
     pub(crate) fn handle_announcement(
         &mut self,
         record: EndpointRecord,
--- a/crates/ragwortroad_registry/src/folder_report.rs
+++ b/crates/ragwortroad_registry/src/folder_report.rs
@@ -1,27 +1,27 @@
 use ragwortroad_log::prelude::*;
 
-/// What the folder's thread tells.
+/// A report of the thread that owns the data folder.
 #[derive(Debug)]
 pub(crate) enum FolderReport {
-    /// The folder is open and holds this.
+    /// The folder was opened.
     Opened {
-        /// Number of the generation.
+        /// Generation of the folder.
         generation: u64,
-        /// What it holds.
+        /// Contents of the folder.
         stored: Box<StoredState>,
     },
-    /// Every batch up to this one is durable.
+    /// All batches up to `batch` are durable.
     Durable {
-        /// Number of the generation.
+        /// Generation of the folder.
         generation: u64,
-        /// The last of them.
+        /// Number of the last durable batch.
         batch: u64,
     },
-    /// The folder refuses writes until it has been opened anew.
+    /// A write failed. The folder refuses further writes until it is reopened.
     Failed {
-        /// Number of the generation.
+        /// Generation of the folder.
         generation: u64,
-        /// Why, with the remedy.
+        /// Cause of the failure, with the remedy.
         reason: String,
     },
 }
--- a/crates/ragwortroad_registry/src/folder_worker.rs
+++ b/crates/ragwortroad_registry/src/folder_worker.rs
@@ -19,30 +19,32 @@
     registry_event::RegistryEvent, //
 };
 
-/// Pause before a folder that failed is opened again.
+/// Delay before a failed folder is reopened.
 ///
-/// A full or faulty disk mostly stays so for seconds; a quarter of one is soon enough and costs
-/// little.
+/// A full or faulty disk usually stays so for seconds; retrying every 250 ms is soon enough and
+/// cheap.
 const REOPEN_DELAY: Duration = Duration::from_millis(250);
 
-/// Requests that share a sync at the most.
+/// Maximum number of requests that share one sync.
 const MAX_REQUESTS_PER_SYNC: usize = 1024;
 
-/// One batch that must be made durable.
+/// A batch that must be made durable.
 #[derive(Clone, Debug)]
 pub(crate) struct PersistRequest {
-    /// Which generation of the folder it belongs to; others are dropped.
+    /// Generation of the folder that the batch belongs to. Requests of other generations are
+    /// dropped.
     pub(crate) generation: u64,
-    /// Names the batch in the report.
+    /// Number of the batch in reports.
     pub(crate) batch: u64,
-    /// What changes.
+    /// The change to the log.
     pub(crate) change: LogChange,
 }
 
-/// The thread that owns the data folder, and opens it anew after a failure.
+/// The thread that owns the data folder and reopens it after a failure.
 ///
-/// Opening, writing and syncing wait for the disk, which may hang for seconds; on the control
-/// thread that would stop answers and elections. Requests that arrive during one sync share the next.
+/// Opening, writing and syncing block on the disk, which may hang for seconds. On the control
+/// thread that would stop answers and elections. Requests that arrive during a sync share the next
+/// one.
 #[derive(Debug)]
 pub(crate) struct FolderWorker {
     requests: Sender<PersistRequest>,
@@ -50,7 +52,7 @@
 }
 
 impl FolderWorker {
-    /// Starts the thread.
+    /// Spawns the thread.
     pub(crate) fn start(
         settings: FolderSettings,
         events: Sender<RegistryEvent>,
@@ -62,18 +64,18 @@
         Ok(Self { requests, thread })
     }
 
-    /// Queues a batch.
+    /// Queues a batch to be written and synced.
     pub(crate) fn persist(&self, request: PersistRequest) {
         if self.requests.send(request).is_err() {
-            tracing::error!("the disk thread is gone; nothing is acknowledged any more");
+            tracing::error!("disk thread has ended; writes are no longer acknowledged");
         }
     }
 
-    /// Finishes what is queued and joins the thread.
+    /// Finishes queued requests and joins the thread.
     pub(crate) fn join(self) {
         drop(self.requests);
         if self.thread.join().is_err() {
-            tracing::error!("the disk thread panicked");
+            tracing::error!("disk thread panicked");
         }
     }
 }
@@ -97,13 +99,13 @@
                     return;
                 }
             }
-            Err(error) => tracing::warn!(%error, "the data folder cannot be opened; trying again"),
+            Err(error) => tracing::warn!(%error, "failed to open the data folder; retrying"),
         }
         thread::sleep(REOPEN_DELAY);
     }
 }
 
-/// Serves requests until a write fails; nothing once the owner has dropped its end.
+/// Serves requests until a write fails; returns `None` once a channel is disconnected.
 fn serve_requests(
     mut folder: LogFolder,
     generation: u64,
--- a/crates/ragwortroad_registry/src/indexed_read.rs
+++ b/crates/ragwortroad_registry/src/indexed_read.rs
@@ -3,7 +3,7 @@
 
 use crate::ControlReply;
 
-/// A read that waits for the state to be applied up to an index.
+/// A read with a known read index, waiting for the state to be applied up to it.
 #[derive(Debug)]
 pub(crate) struct IndexedRead {
     pub(crate) index: u64,
--- a/crates/ragwortroad_registry/src/lib.rs
+++ b/crates/ragwortroad_registry/src/lib.rs
@@ -1,11 +1,12 @@
-//! The process that holds a site's configuration and hears its endpoints.
+//! The registry process, which stores a site's configuration and tracks its endpoints.
 //!
-//! A few VMs with disks run a registry each. They agree on the configuration by a replicated log,
-//! answer operators, take endpoints' announcements, and tell callers which edges to use. Edges
-//! connect to every registry and are told at once what each has heard.
+//! A few VMs with disks run one registry each. The registries agree on the configuration through a
+//! replicated log, answer operators, receive announcements of endpoints, and tell callers which
+//! edges to use. Edges connect to every registry, and each registry passes on what it learns at
+//! once.
 //!
-//! The public interface is not known here: a [`RegistryPort`](prelude::RegistryPort) turns requests
-//! into [`ControlCall`](prelude::ControlCall)s and replies back into answers.
+//! This crate does not know the public interface: a [`RegistryPort`](prelude::RegistryPort) decodes
+//! requests into [`ControlCall`](prelude::ControlCall)s and encodes replies.
 
 mod call_flow;
 mod call_server;
@@ -43,7 +44,7 @@
 mod spread_flow;
 mod warmup_flow;
 
-/// Everything a dependent crate usually needs.
+/// The items that a dependent crate usually needs.
 pub mod prelude {
     pub use crate::{
         config_register::{
--- a/crates/ragwortroad_registry/src/peer_dialer.rs
+++ b/crates/ragwortroad_registry/src/peer_dialer.rs
@@ -10,11 +10,11 @@
 
 use crate::registry_event::RegistryEvent;
 
-/// Keeps a connection to another registry for as long as the process runs.
+/// Maintains a connection to another registry for as long as the process runs.
 pub(crate) async fn maintain_peer_link(peer: SocketAddr, events: Sender<RegistryEvent>) {
     let settings = LinkSettings::default();
     let mut pace = DialPace::default();
-    // Seeds are dialled from the start, others as they are heard of.
+    // Seeds are dialled from the start, other registries once they are discovered.
     let begun = Instant::now();
     loop {
         let limit = pace.patience(begun.elapsed(), settings.dial_timeout);
@@ -35,11 +35,13 @@
                         .send(RegistryEvent::PeerReceived { peer, message })
                         .is_err()
                     {
-                        tracing::debug!("a message came after the control loop ended");
+                        tracing::debug!(
+                            "dropped a message that arrived after the control loop ended"
+                        );
                     }
                 };
                 let ended = run_link(stream, (own, receiver), true, &settings, forward).await;
-                tracing::info!(%peer, %ended, "registry lost");
+                tracing::info!(%peer, %ended, "link to registry lost");
                 metrics::counter!(metric_names::LINKS_LOST, "peer" => "registry").increment(1);
                 if events
                     .send(RegistryEvent::PeerDisconnected { peer })
@@ -48,7 +50,7 @@
                     return;
                 }
             }
-            Err(error) => tracing::debug!(%peer, %error, "registry not reached"),
+            Err(error) => tracing::debug!(%peer, %error, "failed to connect to registry"),
         }
         sleep(pace.next_pause(begun.elapsed())).await;
     }
--- a/crates/ragwortroad_registry/src/peer_entry.rs
+++ b/crates/ragwortroad_registry/src/peer_entry.rs
@@ -4,8 +4,8 @@
 /// Another registry.
 #[derive(Debug, Default)]
 pub(crate) struct PeerEntry {
-    /// Takes what it is told, while it is connected.
+    /// Outbound queue; absent while disconnected.
     pub(crate) queue: Option<LinkQueue>,
-    /// What it said of itself last, and when.
+    /// The most recent hello and the time of its receipt.
     pub(crate) hello: Option<(MemberHello, ClockTime)>,
 }
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -1,4 +1,4 @@
-//! What a registry does with the other registries.
+//! Handles the links to other registries, and the messages that arrive on links.
 
 use std::{
     net::SocketAddr,
@@ -21,20 +21,21 @@
 
 /// Time between two hellos to each registry.
 ///
-/// They carry who is there to whom the leader may give a driver, which may be seconds old.
+/// Hellos tell the leader which registries can become voters. That information may be seconds old.
 const HELLO_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The same while the group is not formed: the first configuration waits for it.
+/// Time between hellos while the group is not formed. It is shorter because the first configuration
+/// waits for the group.
 const FORMING_HELLO_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Time between two steps of the plan of seats; each is one entry of the log.
+/// Minimum time between two voter changes, each of which is one log entry.
 const VOTER_PLAN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after which a registry that is not heard of is no longer told to others.
+/// Time without a hello after which a registry is no longer reported to others.
 const PEER_EXPIRY: Duration = Duration::from_secs(30);
 
 impl RegistryState {
-    /// Sees to it that the registries of the settings are dialled.
+    /// Adds the registries from the settings to the peers to dial.
     pub(crate) fn track_seeds(&mut self) {
         let port = self.settings.inner.port();
         let seeds = self.settings.seeds.clone();
@@ -68,7 +69,7 @@
             .hello(self.settings.inner, self.known_registries(now))
     }
 
-    /// Registries that were heard of lately, or that the settings name.
+    /// Registries that sent a hello recently or are named in the settings, including this one.
     pub(crate) fn known_registries(&self, now: ClockTime) -> Vec<SocketAddr> {
         let port = self.settings.inner.port();
         let is_seed = |peer: &SocketAddr| {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Takes a message of another registry; `link` is its connection to here.
+    /// Handles a message that arrived on an accepted link.
     pub(crate) fn handle_message(&mut self, link: LinkKey, message: LinkMessage, now: ClockTime) {
         match message {
             LinkMessage::MemberHello(hello) => {
@@ -142,16 +143,16 @@
                 self.places.take(&placed, PlaceOrigin::Registry, now);
             }
             LinkMessage::PlacesKnown(places) => self.places.take_whole(places, now),
-            other => tracing::warn!(?other, "a message that no process sends here"),
+            other => tracing::warn!(?other, "ignored an unexpected message"),
         }
     }
 
-    /// Takes what another registry answers on the connection to it.
+    /// Handles a message that another registry sent on the link dialled to it.
     pub(crate) fn handle_peer_message(&mut self, message: LinkMessage, now: ClockTime) {
         match message {
             LinkMessage::ForwardDone { token, outcome } => self.finish_put(token, outcome, now),
             LinkMessage::ReadDone { token, index } => self.index_read(token, index, now),
-            other => tracing::warn!(?other, "a message that no registry answers"),
+            other => tracing::warn!(?other, "ignored an unexpected message from a registry"),
         }
         self.answer_applied_reads(now);
     }
@@ -169,7 +170,7 @@
             entry.hello = Some((hello, now));
         }
         self.apply_effects(effects, now);
-        // Until its first word nobody knew which member is reached there.
+        // Before its first hello, the member behind this address was unknown.
         if let Some(member) = member.filter(|_| is_first) {
             let effects = self.driver.handle(CoreInput::PeerReached { member }, now);
             self.apply_effects(effects, now);
@@ -182,7 +183,9 @@
                 let effects = self.driver.handle(CoreInput::Frame(frame), now);
                 self.apply_effects(effects, now);
             }
-            Err(error) => tracing::warn!(%error, "a frame of the agreement was dropped"),
+            Err(error) => {
+                tracing::warn!(%error, "dropped a consensus frame that cannot be decoded")
+            }
         }
     }
 
@@ -194,11 +197,11 @@
             Ok(bytes) => {
                 queue.send(&LinkMessage::Consensus(bytes));
             }
-            Err(error) => tracing::error!(%error, "a frame of the agreement was not sent"),
+            Err(error) => tracing::error!(%error, "failed to encode a consensus frame"),
         }
     }
 
-    /// The connection to a member's registry.
+    /// Outbound queue of a member's registry; absent while disconnected.
     pub(crate) fn member_queue(&self, member: MemberId) -> Option<&LinkQueue> {
         let is_it = |peer: &&PeerEntry| {
             let hello = peer.hello.as_ref();
@@ -208,7 +211,7 @@
         peer.queue.as_ref()
     }
 
-    /// Takes the next step of the plan of seats, if this registry leads.
+    /// Proposes the next voter change if this registry leads.
     pub(crate) fn plan_voters(&mut self, now: ClockTime) {
         let Some(core) = self.driver.core() else {
             return;
@@ -220,7 +223,11 @@
         let sightings = self.member_sightings(core, now);
         let step = self.plan.next_step(core.members(), core.id(), &sightings);
         if let Some(change) = step {
-            tracing::info!(?change, heard_of = sightings.len(), "a seat changes");
+            tracing::info!(
+                ?change,
+                heard_of = sightings.len(),
+                "proposing a voter change"
+            );
             let token = self.new_token();
             let effects = self
                 .driver
--- a/crates/ragwortroad_registry/src/place_store.rs
+++ b/crates/ragwortroad_registry/src/place_store.rs
@@ -21,64 +21,66 @@
 
 use crate::registry_event::RegistryEvent;
 
-/// Keeps on disk where texts were placed, on a thread of its own.
+/// Persists, on its own thread, which engines hold which prompt prefixes.
 ///
-/// When all processes lose power at once, engines go on holding what they have read, but no edge
-/// remembers where. The hash then sends texts to other engines, and one notices a third of all
-/// prompts being read again in the seconds after the restart. What a registry finds on its disk
-/// tells the edges. It is no more than a hint, so a disk that fails costs only the hint.
+/// When all processes lose power at once, the engines keep their cached prefixes, but no edge
+/// remembers where they are. Hashing then sends prompts to other engines, and about a third of all
+/// prompts are recomputed in the seconds after the restart. The placements that a registry loads
+/// from its disk restore this knowledge. They are only hints, so a disk failure costs nothing else.
 #[derive(Debug)]
 pub(crate) struct PlaceStore {
     saves: Sender<Vec<PlacedText>>,
     thread: JoinHandle<()>,
 }
 
-/// Why the places could not be kept or found.
+/// Why placements could not be saved or loaded.
 #[derive(Debug)]
 #[derive(Snafu)]
 enum PlaceStoreError {
     /// The folder could not be opened.
-    #[snafu(display("the folder cannot be opened: {source}; check the disk"))]
+    #[snafu(display("cannot open the placement folder: {source}; check the disk"))]
     Open { source: io::Error },
-    /// Another process has the folder.
-    #[snafu(display("another process uses the folder; stop it"))]
+    /// Another process has locked the folder.
+    #[snafu(display("another process has locked the placement folder; stop it"))]
     InUse,
-    /// Reading or writing failed.
+    /// Reading or writing the file failed.
     #[snafu(display("{source}"))]
     Disk { source: LogError },
-    /// The file holds something else.
-    #[snafu(display("the file means nothing: {source}; it is written anew"))]
+    /// The placements could not be encoded or decoded.
+    #[snafu(display(
+        "cannot encode or decode the placement file: {source}; it will be overwritten"
+    ))]
     Codec { source: postcard::Error },
 }
 
 impl PlaceStore {
-    /// Starts the thread, which first tells what it finds in `folder`.
+    /// Spawns the thread, which first reports the placements stored in `folder`.
     pub(crate) fn start(folder: PathBuf, events: Sender<RegistryEvent>) -> io::Result<Self> {
-        // One order may wait; what comes meanwhile is in the next one.
+        // One save may be queued. Later placements go into the next one.
         let (saves, queue) = flume::bounded(1);
         let thread = Builder::new().name("places".to_owned()).spawn(move || {
             if let Err(error) = serve_saves(folder, &queue, &events) {
-                tracing::warn!(%error, "places of texts are not kept until the next start");
+                tracing::warn!(%error, "prefix placements are not saved until the next start");
             }
         })?;
         Ok(Self { saves, thread })
     }
 
-    /// Has these places kept; tells whether the disk had time for them.
+    /// Queues the placements to be saved; returns `false` if a save is still queued.
     pub(crate) fn save(&self, places: Vec<PlacedText>) -> bool {
         match self.saves.try_send(places) {
             Ok(()) => true,
             Err(TrySendError::Full(_)) => false,
-            // The thread has said why it ended.
+            // The thread logged why it ended.
             Err(TrySendError::Disconnected(_)) => true,
         }
     }
 
-    /// Finishes what is queued and joins the thread.
+    /// Finishes the queued save and joins the thread.
     pub(crate) fn join(self) {
         drop(self.saves);
         if self.thread.join().is_err() {
-            tracing::error!("the thread that keeps places panicked");
+            tracing::error!("placement store thread panicked");
         }
     }
 }
@@ -96,17 +98,17 @@
     match load_places(&file) {
         Ok(places) if places.is_empty() => {}
         Ok(places) => {
-            tracing::info!(places = places.len(), "places of texts found on the disk");
+            tracing::info!(places = places.len(), "loaded prefix placements from disk");
             if events.send(RegistryEvent::PlacesLoaded(places)).is_err() {
                 return Ok(());
             }
         }
-        Err(error) => tracing::warn!(%error, "places of texts on the disk are of no use"),
+        Err(error) => tracing::warn!(%error, "failed to load prefix placements from disk"),
     }
     while let Ok(places) = queue.recv() {
         let bytes = postcard::to_stdvec(&places).context(CodecSnafu)?;
         if let Err(error) = file.write(&bytes) {
-            tracing::warn!(%error, "places of texts could not be kept this time");
+            tracing::warn!(%error, "failed to save prefix placements");
         }
     }
     Ok(())
--- a/crates/ragwortroad_registry/src/put_flow.rs
+++ b/crates/ragwortroad_registry/src/put_flow.rs
@@ -1,4 +1,4 @@
-//! How a registry brings a configuration into the log: proposed_put here, or passed on to the leader.
+//! Commits configurations to the log: proposed here, or forwarded to the leader.
 
 use std::time::Duration;
 
@@ -21,9 +21,10 @@
     registry_state::RegistryState, //
 };
 
-/// Bytes of a compressed configuration for which its sender waits a millisecond longer.
+/// Size in bytes of a compressed configuration that extends its deadline by one millisecond.
 ///
-/// The pace of a small link with a few copies under way; operators wait longer for large bodies.
+/// It is the throughput of a small link that carries a few copies. Operators put longer for large
+/// bodies.
 const UPLOAD_BYTES_PER_MILLISECOND: u64 = 100;
 
 impl RegistryState {
@@ -35,14 +36,17 @@
         now: ClockTime,
     ) {
         if self.driver.register().supersedes(version) {
-            tracing::info!(version, "a configuration that changes nothing any more");
+            tracing::info!(
+                version,
+                "ignored a configuration that is already superseded"
+            );
             answer_call(reply, ControlReply::Done);
             return;
         }
         match pack_document(document, None) {
             Ok(packed) => {
                 let base = None;
-                let step = ConfigDelta {
+                let delta = ConfigDelta {
                     version,
                     base,
                     packed,
@@ -50,40 +54,40 @@
                 tracing::info!(
                     version,
                     bytes = document.len(),
-                    packed = step.packed.len(),
+                    packed = delta.packed.len(),
                     leads = self.driver.core().is_some_and(ConsensusCore::is_leader),
-                    "a configuration came"
+                    "received a configuration"
                 );
-                self.enqueue_put(step, PutOrigin::Operator(reply), now);
+                self.enqueue_put(delta, PutOrigin::Operator(reply), now);
             }
             Err(error) => {
-                tracing::error!(%error, "a configuration could not be packed");
+                tracing::error!(%error, "failed to compress a configuration");
                 let reason = "the configuration could not be packed";
                 answer_call(reply, ControlReply::Unavailable { reason });
             }
         }
     }
 
-    pub(crate) fn enqueue_put(&mut self, step: ConfigDelta, origin: PutOrigin, now: ClockTime) {
+    pub(crate) fn enqueue_put(&mut self, delta: ConfigDelta, origin: PutOrigin, now: ClockTime) {
         let token = self.new_token();
-        let size = Duration::from_millis(step.packed.len() as u64 / UPLOAD_BYTES_PER_MILLISECOND);
-        let wait = QueuedPut {
-            step,
+        let size = Duration::from_millis(delta.packed.len() as u64 / UPLOAD_BYTES_PER_MILLISECOND);
+        let put = QueuedPut {
+            delta,
             origin,
             deadline: now.after(CALL_TIMEOUT + size),
             attempted_at: None,
         };
         if self.queued_puts.len() >= MAX_QUEUED_CALLS {
-            self.reply_put(wait, PutOutcome::NotTaken);
+            self.reply_put(put, PutOutcome::NotTaken);
             return;
         }
-        self.queued_puts.insert(token, wait);
+        self.queued_puts.insert(token, put);
         self.attempt_put(token, now);
     }
 
-    /// Proposes a configuration here, or passes it on to the leader.
+    /// Proposes a configuration if this registry leads, or else forwards it to the leader.
     fn attempt_put(&mut self, token: u64, now: ClockTime) {
-        let Some(wait) = self.queued_puts.get(&token) else {
+        let Some(put) = self.queued_puts.get(&token) else {
             return;
         };
         let Some(core) = self.driver.core() else {
@@ -93,39 +97,40 @@
             self.propose_next(now);
             return;
         }
-        // What was passed on once is not passed on further: two registries that each take the
-        // other for the leader would send it back and forth.
-        if !matches!(wait.origin, PutOrigin::Operator(_)) {
+        // A forwarded configuration is not forwarded again: two registries that each take the other
+        // for the leader would send it back and forth.
+        if !matches!(put.origin, PutOrigin::Operator(_)) {
             self.finish_put(token, PutOutcome::NotTaken, now);
             return;
         }
-        let step = wait.step.clone();
+        let step = put.delta.clone();
         let queue = core.leader().and_then(|leader| self.member_queue(leader));
         let sent = queue.is_some_and(|queue| queue.send(&LinkMessage::ForwardPut { token, step }));
-        if let Some(wait) = self.queued_puts.get_mut(&token) {
-            wait.attempted_at = sent.then_some(now);
+        if let Some(put) = self.queued_puts.get_mut(&token) {
+            put.attempted_at = sent.then_some(now);
         }
     }
 
-    /// Proposes the waiting configuration with the highest version, unless one is under way.
+    /// Proposes the queued configuration with the highest version, unless a proposal is in flight.
     ///
-    /// Each is compressed against the one in force, so only one can be under way; those below it
-    /// need no entry of their own once it is in force.
+    /// Each proposal is compressed against the configuration in force, so only one can be in
+    /// flight. Queued configurations with lower versions need no entry of their own once it is in
+    /// force.
     fn propose_next(&mut self, now: ClockTime) {
         if self.proposed_put.is_some() {
             return;
         }
-        let waiting = self.queued_puts.iter();
-        let Some((&token, wait)) = waiting.max_by_key(|(_, wait)| wait.step.version) else {
+        let queued = self.queued_puts.iter();
+        let Some((&token, put)) = queued.max_by_key(|(_, put)| put.delta.version) else {
             return;
         };
         let register = self.driver.register();
-        let opened = wait.step.open(None);
-        let step = opened.and_then(|document| register.delta_to(wait.step.version, &document));
-        let command = match step {
-            Ok(step) => postcard::to_stdvec(&RegisterCommand::Put(step)),
+        let opened = put.delta.open(None);
+        let delta = opened.and_then(|document| register.delta_to(put.delta.version, &document));
+        let command = match delta {
+            Ok(delta) => postcard::to_stdvec(&RegisterCommand::Put(delta)),
             Err(error) => {
-                tracing::error!(%error, "a configuration could not be packed");
+                tracing::error!(%error, "failed to compress a configuration");
                 self.finish_put(token, PutOutcome::NotTaken, now);
                 return;
             }
@@ -133,13 +138,13 @@
         let command = match command {
             Ok(command) => command,
             Err(error) => {
-                tracing::error!(%error, "a configuration could not be encoded");
+                tracing::error!(%error, "failed to encode a configuration");
                 self.finish_put(token, PutOutcome::NotTaken, now);
                 return;
             }
         };
-        if let Some(wait) = self.queued_puts.get_mut(&token) {
-            wait.attempted_at = Some(now);
+        if let Some(put) = self.queued_puts.get_mut(&token) {
+            put.attempted_at = Some(now);
         }
         self.proposed_put = Some(token);
         let effects = self
@@ -150,7 +155,8 @@
 
     pub(crate) fn handle_decision(&mut self, token: u64, result: ProposeResult, now: ClockTime) {
         if self.proposed_put != Some(token) {
-            // A change of seats; the plan tries it again where it is still wanted.
+            // The token belongs to a voter change, which the voter plan retries if it is still
+            // needed.
             return;
         }
         self.proposed_put = None;
@@ -163,13 +169,14 @@
             | ProposeResult::Refused(_) => PutOutcome::NotTaken,
         };
         if result == ProposeResult::TooLarge {
-            tracing::error!("a configuration is larger than the log takes");
+            tracing::error!("configuration exceeds the size limit of a log command");
         }
-        let wait = self.queued_puts.get(&token);
-        let version = wait.map(|wait| wait.step.version);
+        let put = self.queued_puts.get(&token);
+        let version = put.map(|put| put.delta.version);
         let supersedes = version.is_some_and(|version| self.driver.register().supersedes(version));
         match outcome == PutOutcome::Committed && !supersedes {
-            // It was made against a configuration that was replaced meanwhile.
+            // The configuration that the proposal was compressed against was replaced in the
+            // meantime.
             true => self.finish_put(token, PutOutcome::NotTaken, now),
             false => self.finish_put(token, outcome, now),
         }
@@ -180,36 +187,36 @@
     }
 
     pub(crate) fn finish_put(&mut self, token: u64, outcome: PutOutcome, now: ClockTime) {
-        let Some(mut wait) = self.queued_puts.remove(&token) else {
+        let Some(mut put) = self.queued_puts.remove(&token) else {
             return;
         };
         let is_final = outcome == PutOutcome::Committed;
-        let is_from_operator = matches!(wait.origin, PutOrigin::Operator(_));
-        if is_from_operator && !is_final && now < wait.deadline {
-            // The same configuration twice changes nothing, so it is tried again in time.
-            wait.attempted_at = None;
-            self.queued_puts.insert(token, wait);
+        let is_from_operator = matches!(put.origin, PutOrigin::Operator(_));
+        if is_from_operator && !is_final && now < put.deadline {
+            // Putting a configuration is idempotent, so it is retried until its deadline.
+            put.attempted_at = None;
+            self.queued_puts.insert(token, put);
             return;
         }
-        self.reply_put(wait, outcome);
+        self.reply_put(put, outcome);
     }
 
-    /// Answers the waiting configurations that the one in force has overtaken.
+    /// Answers queued configurations that the configuration in force supersedes.
     fn finish_superseded(&mut self, now: ClockTime) {
         let register = self.driver.register();
         let queued_puts = self.queued_puts.iter();
-        let superseded = queued_puts.filter(|(_, wait)| register.supersedes(wait.step.version));
+        let superseded = queued_puts.filter(|(_, put)| register.supersedes(put.delta.version));
         let tokens: Vec<u64> = superseded.map(|(token, _)| *token).collect();
         for token in tokens {
             self.finish_put(token, PutOutcome::Committed, now);
         }
     }
 
-    fn reply_put(&self, wait: QueuedPut, outcome: PutOutcome) {
-        let version = wait.step.version;
-        match wait.origin {
+    fn reply_put(&self, put: QueuedPut, outcome: PutOutcome) {
+        let version = put.delta.version;
+        match put.origin {
             PutOrigin::Operator(reply) => {
-                tracing::info!(version, ?outcome, "a configuration was decided");
+                tracing::info!(version, ?outcome, "answered a configuration");
                 answer_call(
                     reply,
                     match outcome {
@@ -228,34 +235,34 @@
         }
     }
 
-    /// Tries waiting configurations again and ends those that have waited for too long.
+    /// Retries queued configurations and ends those that have exceeded their deadline.
     pub(crate) fn retry_puts(&mut self, now: ClockTime) {
         self.finish_superseded(now);
         let leads = self.driver.core().is_some_and(ConsensusCore::is_leader);
         if !leads {
-            // The core that would have told is gone or has stepped down.
+            // The core that would have reported the result has failed or stepped down.
             self.proposed_put = None;
         }
         let tokens: Vec<u64> = self.queued_puts.keys().copied().collect();
         for token in tokens {
-            let Some(wait) = self.queued_puts.get(&token) else {
+            let Some(put) = self.queued_puts.get(&token) else {
                 continue;
             };
-            if now >= wait.deadline {
-                if let Some(wait) = self.queued_puts.remove(&token) {
-                    self.reply_put(wait, PutOutcome::Unknown);
+            if now >= put.deadline {
+                if let Some(put) = self.queued_puts.remove(&token) {
+                    self.reply_put(put, PutOutcome::Unknown);
                 }
-            } else if wait.attempted_at.is_none() {
+            } else if put.attempted_at.is_none() {
                 self.attempt_put(token, now);
             }
         }
     }
 
-    /// A connection to another registry has ended: what was passed on there is passed on again.
+    /// Marks forwarded configurations for another attempt after a link to a registry was lost.
     pub(crate) fn retry_forwarded_puts(&mut self) {
-        for wait in self.queued_puts.values_mut() {
-            if matches!(wait.origin, PutOrigin::Operator(_)) {
-                wait.attempted_at = None;
+        for put in self.queued_puts.values_mut() {
+            if matches!(put.origin, PutOrigin::Operator(_)) {
+                put.attempted_at = None;
             }
         }
     }
--- a/crates/ragwortroad_registry/src/put_origin.rs
+++ b/crates/ragwortroad_registry/src/put_origin.rs
@@ -5,11 +5,11 @@
     registry_event::LinkKey, //
 };
 
-/// Who wants a configuration put.
+/// The sender of a configuration.
 #[derive(Debug)]
 pub(crate) enum PutOrigin {
-    /// An operator.
+    /// An operator's call to this registry.
     Operator(oneshot::Sender<ControlReply>),
-    /// Another registry, on its connection to here.
+    /// Another registry, on the link that it dialled.
     Forwarded { link: LinkKey, token: u64 },
 }
--- a/crates/ragwortroad_registry/src/queued_drain.rs
+++ b/crates/ragwortroad_registry/src/queued_drain.rs
@@ -4,7 +4,7 @@
 
 use crate::ControlReply;
 
-/// An order whose operator waits.
+/// A drain order whose operator waits for an answer.
 #[derive(Debug)]
 pub(crate) struct QueuedDrain {
     pub(crate) order: DrainOrder,
--- a/crates/ragwortroad_registry/src/queued_put.rs
+++ b/crates/ragwortroad_registry/src/queued_put.rs
@@ -3,14 +3,14 @@
 
 use crate::put_origin::PutOrigin;
 
-/// A configuration on its way into the log.
+/// A configuration that is to be committed to the log.
 #[derive(Debug)]
 pub(crate) struct QueuedPut {
-    /// The configuration, whole.
-    pub(crate) step: ConfigDelta,
+    /// The full configuration, packed without a base.
+    pub(crate) delta: ConfigDelta,
     pub(crate) origin: PutOrigin,
-    /// When its sender is told that it was not done.
+    /// When the sender is told that the configuration was not committed.
     pub(crate) deadline: ClockTime,
-    /// When it was proposed_put or passed on last; nothing if it has to be done again.
+    /// Time of the last proposal or forwarding; `None` if another attempt is due.
     pub(crate) attempted_at: Option<ClockTime>,
 }
--- a/crates/ragwortroad_registry/src/queued_read.rs
+++ b/crates/ragwortroad_registry/src/queued_read.rs
@@ -2,7 +2,7 @@
 
 use crate::read_origin::ReadOrigin;
 
-/// A read that is not proved yet.
+/// A read that has no read index yet.
 #[derive(Debug)]
 pub(crate) struct QueuedRead {
     pub(crate) origin: ReadOrigin,
--- a/crates/ragwortroad_registry/src/read_flow.rs
+++ b/crates/ragwortroad_registry/src/read_flow.rs
@@ -1,4 +1,4 @@
-//! How a registry proves that a configuration which it is asked for is current.
+//! Serves linearizable reads of the configuration.
 
 use std::time::Duration;
 
@@ -19,56 +19,56 @@
     registry_state::RegistryState, //
 };
 
-/// Time after which a question that was passed on is asked again.
+/// Time after which a read index is requested from the leader again.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 impl RegistryState {
     pub(crate) fn enqueue_read(&mut self, origin: ReadOrigin, now: ClockTime) {
         let token = self.new_token();
-        let wait = QueuedRead {
+        let read = QueuedRead {
             origin,
             received_at: now,
             attempted_at: None,
         };
         if self.queued_reads.len() >= MAX_QUEUED_CALLS {
-            self.refuse_read(wait);
+            self.refuse_read(read);
             return;
         }
-        self.queued_reads.insert(token, wait);
+        self.queued_reads.insert(token, read);
         self.attempt_read(token, now);
     }
 
-    /// Asks for a proof that the state is current, here or at the leader.
+    /// Requests a read index from the local core if it leads, or else from the leader.
     fn attempt_read(&mut self, token: u64, now: ClockTime) {
-        let Some(wait) = self.queued_reads.get_mut(&token) else {
+        let Some(read) = self.queued_reads.get_mut(&token) else {
             return;
         };
         let Some(core) = self.driver.core() else {
             return;
         };
         if core.is_leader() {
-            wait.attempted_at = Some(now);
+            read.attempted_at = Some(now);
             let effects = self.driver.handle(CoreInput::ReadRequest { token }, now);
             self.apply_effects(effects, now);
             return;
         }
-        if !matches!(wait.origin, ReadOrigin::Operator(_)) {
+        if !matches!(read.origin, ReadOrigin::Operator(_)) {
             self.index_read(token, None, now);
             return;
         }
         let queue = core.leader().and_then(|leader| self.member_queue(leader));
         let sent = queue.is_some_and(|queue| queue.send(&LinkMessage::ReadAsk { token }));
-        if let Some(wait) = self.queued_reads.get_mut(&token) {
-            wait.attempted_at = sent.then_some(now);
+        if let Some(read) = self.queued_reads.get_mut(&token) {
+            read.attempted_at = sent.then_some(now);
         }
     }
 
-    /// Takes the index to which the state must be applied for a read, or that none can be told.
+    /// Handles the result of a read index request; `None` if no index could be confirmed.
     pub(crate) fn index_read(&mut self, token: u64, index: Option<u64>, now: ClockTime) {
-        let Some(mut wait) = self.queued_reads.remove(&token) else {
+        let Some(mut read) = self.queued_reads.remove(&token) else {
             return;
         };
-        match (wait.origin, index) {
+        match (read.origin, index) {
             (ReadOrigin::Asked { link, token }, index) => {
                 if let Some(queue) = self.links.get(&link) {
                     queue.send(&LinkMessage::ReadDone { token, index });
@@ -77,18 +77,18 @@
             (ReadOrigin::Operator(reply), Some(index)) => self.indexed_reads.push(IndexedRead {
                 index,
                 reply,
-                received_at: wait.received_at,
+                received_at: read.received_at,
             }),
             (origin @ ReadOrigin::Operator(_), None) => {
-                wait.origin = origin;
-                wait.attempted_at = None;
-                self.queued_reads.insert(token, wait);
+                read.origin = origin;
+                read.attempted_at = None;
+                self.queued_reads.insert(token, read);
             }
         }
-        tracing::debug!(token, ?index, at = now.0, "a read was proved or not");
+        tracing::debug!(token, ?index, at = now.0, "read index request finished");
     }
 
-    /// Answers the queued_reads for which the state is applied far enough.
+    /// Answers the reads whose read index has been applied.
     pub(crate) fn answer_applied_reads(&mut self, now: ClockTime) {
         if self.indexed_reads.is_empty() {
             return;
@@ -97,7 +97,12 @@
         for read in std::mem::take(&mut self.indexed_reads) {
             if read.index <= applied {
                 let version = self.driver.register().version();
-                tracing::info!(version, index = read.index, applied, "configuration read");
+                tracing::info!(
+                    version,
+                    index = read.index,
+                    applied,
+                    "answered a configuration read"
+                );
                 answer_call(read.reply, self.config_reply());
             } else if now.since(read.received_at) < CALL_TIMEOUT {
                 self.indexed_reads.push(read);
@@ -117,8 +122,8 @@
         }
     }
 
-    fn refuse_read(&self, wait: QueuedRead) {
-        match wait.origin {
+    fn refuse_read(&self, read: QueuedRead) {
+        match read.origin {
             ReadOrigin::Operator(reply) => {
                 let reason = "it is not certain here which configuration is the newest";
                 answer_call(reply, ControlReply::Unavailable { reason });
@@ -136,14 +141,14 @@
             |tried: Option<ClockTime>| tried.is_none_or(|at| now.since(at) >= READ_RETRY_INTERVAL);
         let tokens: Vec<u64> = self.queued_reads.keys().copied().collect();
         for token in tokens {
-            let Some(wait) = self.queued_reads.get(&token) else {
+            let Some(read) = self.queued_reads.get(&token) else {
                 continue;
             };
-            if now.since(wait.received_at) >= CALL_TIMEOUT {
-                if let Some(wait) = self.queued_reads.remove(&token) {
-                    self.refuse_read(wait);
+            if now.since(read.received_at) >= CALL_TIMEOUT {
+                if let Some(read) = self.queued_reads.remove(&token) {
+                    self.refuse_read(read);
                 }
-            } else if is_due(wait.attempted_at) {
+            } else if is_due(read.attempted_at) {
                 self.attempt_read(token, now);
             }
         }
--- a/crates/ragwortroad_registry/src/read_origin.rs
+++ b/crates/ragwortroad_registry/src/read_origin.rs
@@ -5,11 +5,11 @@
     registry_event::LinkKey, //
 };
 
-/// Who wants a proof that a read is current.
+/// The sender of a read index request.
 #[derive(Debug)]
 pub(crate) enum ReadOrigin {
-    /// An operator.
+    /// An operator's call to this registry.
     Operator(oneshot::Sender<ControlReply>),
-    /// Another registry, on its connection to here.
+    /// Another registry, on the link that it dialled.
     Asked { link: LinkKey, token: u64 },
 }
--- a/crates/ragwortroad_registry/src/register_command.rs
+++ b/crates/ragwortroad_registry/src/register_command.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum RegisterCommand {
-    /// Takes a configuration, unless its version is not above the one held.
+    /// Puts a configuration; ignored unless its version is above the one in force.
     Put(ConfigDelta),
-    /// Drains a failure domain, or takes that back.
+    /// Drains or undrains a failure domain.
     Drain(DrainOrder),
 }
--- a/crates/ragwortroad_registry/src/register_snapshot.rs
+++ b/crates/ragwortroad_registry/src/register_snapshot.rs
@@ -5,25 +5,26 @@
     Serialize, //
 };
 
-/// The replicated state as a whole, as it is written to disk and sent to members that are behind.
+/// A snapshot of the replicated state, as stored on disk and sent to members that have fallen
+/// behind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RegisterSnapshot {
-    /// The configuration in force, packed whole.
+    /// The full configuration in force; absent before the first configuration.
     pub config: Option<ConfigDelta>,
-    /// Failure domains that are drained.
+    /// Drained failure domains.
     pub drains: DomainDrains,
 }
 
 impl RegisterSnapshot {
-    /// Reads what [`RegisterSnapshot::encode`] or a release without drains has written.
+    /// Decodes a snapshot written by [`RegisterSnapshot::encode`], or by a release without drains.
     ///
     /// # Errors
     ///
-    /// The bytes are neither.
+    /// The bytes are in neither format.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
-        let whole = postcard::from_bytes::<Self>(bytes);
-        whole.or_else(|error| match postcard::from_bytes(bytes) {
+        let snapshot = postcard::from_bytes::<Self>(bytes);
+        snapshot.or_else(|error| match postcard::from_bytes(bytes) {
             Ok(config) => Ok(Self {
                 config,
                 ..Self::default()
@@ -32,11 +33,11 @@
         })
     }
 
-    /// The snapshot's bytes.
+    /// Encodes the snapshot for disk or for transfer to another member.
     ///
     /// # Errors
     ///
-    /// None for this type, by the codec's account.
+    /// Passed through from the codec, which has no failure case for this type.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_stdvec(self)
     }
--- a/crates/ragwortroad_registry/src/registry_error.rs
+++ b/crates/ragwortroad_registry/src/registry_error.rs
@@ -10,24 +10,28 @@
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RegistryError {
-    /// A setting that the process needs is missing.
+    /// A required setting is missing.
     #[snafu(display("[registry] {key} is missing; this process cannot run without it"))]
     MissingSetting {
-        /// The setting.
+        /// Key of the setting in the `[registry]` section.
         key: &'static str,
     },
-    /// An address is in use or not this VM's.
-    #[snafu(display("cannot listen on {address}: {source}; stop what uses it or change it"))]
+    /// An address could not be bound, because it is in use or does not belong to this VM.
+    #[snafu(display(
+        "cannot listen on {address}: {source}; free the address or change the setting"
+    ))]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Error reported by the operating system.
         source: io::Error,
     },
-    /// No runtime or thread could be had.
-    #[snafu(display("cannot start: {source}; look at the VM's memory and limits"))]
+    /// The runtime or a thread could not be started.
+    #[snafu(display(
+        "cannot start a runtime or thread: {source}; check the memory and limits of the VM"
+    ))]
     Start {
-        /// What the system said.
+        /// Error reported by the operating system.
         source: io::Error,
     },
 }
--- a/crates/ragwortroad_registry/src/registry_event.rs
+++ b/crates/ragwortroad_registry/src/registry_event.rs
@@ -13,66 +13,55 @@
     folder_report::FolderReport, //
 };
 
-/// A connection that was accepted or dialled.
+/// Identifies an accepted connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LinkKey(pub(crate) u64);
 
-/// What happens to a registry.
+/// An event for the control loop of a registry or directory.
 #[derive(Debug)]
 pub(crate) enum RegistryEvent {
-    /// Someone outside asks.
+    /// A request arrived on the control interface.
     Call {
-        /// What.
         call: ControlCall,
-        /// Where the call comes from.
-        client_ip: IpAddr,
-        /// Takes the answer.
+        /// Address of the sender.
+        caller_ip: IpAddr,
+        /// Receives the reply.
         reply: oneshot::Sender<ControlReply>,
     },
-    /// Another process has connected.
+    /// A process connected to this registry.
     LinkAccepted {
-        /// Names the connection.
         link: LinkKey,
-        /// Takes what it is told.
+        /// Outbound queue of the connection.
         queue: LinkQueue,
     },
-    /// Another registry was reached.
+    /// A dialled connection to another registry was established.
     PeerConnected {
-        /// Where it listens.
+        /// Address at which the registry listens for links.
         peer: SocketAddr,
-        /// Takes what it is told.
+        /// Outbound queue of the connection.
         queue: LinkQueue,
     },
-    /// A process that has connected says something.
-    Received {
-        /// The connection.
-        link: LinkKey,
-        /// What.
-        message: LinkMessage,
-    },
-    /// A registry that was reached answers on that connection.
+    /// A message arrived on an accepted connection.
+    Received { link: LinkKey, message: LinkMessage },
+    /// A registry sent a message on the connection dialled to it.
     PeerReceived {
-        /// Where it listens.
+        /// Address at which the registry listens for links.
         peer: SocketAddr,
-        /// What.
         message: LinkMessage,
     },
-    /// A process's connection has ended.
-    LinkClosed {
-        /// The connection.
-        link: LinkKey,
-    },
-    /// A registry cannot be reached any more.
+    /// An accepted connection was closed.
+    LinkClosed { link: LinkKey },
+    /// A dialled connection to another registry was lost.
     PeerDisconnected {
-        /// Where it listened.
+        /// Address at which the registry listens for links.
         peer: SocketAddr,
     },
-    /// The disk has done something.
+    /// The folder worker reported.
     Folder(FolderReport),
-    /// An earlier process has kept where texts were placed.
+    /// Placements of prompt prefixes saved by an earlier process were loaded.
     PlacesLoaded(Vec<PlacedText>),
-    /// The settings name these registries now.
+    /// The seed addresses in the settings have changed.
     SeedsChanged(Vec<SocketAddr>),
-    /// The process is to stop.
+    /// The process must stop.
     Stop,
 }
--- a/crates/ragwortroad_registry/src/registry_port.rs
+++ b/crates/ragwortroad_registry/src/registry_port.rs
@@ -12,15 +12,15 @@
     ControlReply, //
 };
 
-/// How the outside speaks to a registry.
+/// Adapter between the public control interface and a registry.
 ///
-/// Names and formats of the outside live behind these functions, which decide nothing.
+/// These functions hold all names and formats of the public interface, and no decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryPort {
-    /// Reads a request.
+    /// Decodes an HTTP request.
     pub decode_call: fn(&Method, &Uri, Bytes) -> ControlCall,
-    /// Writes an answer.
+    /// Encodes a reply as an HTTP response.
     pub encode_reply: fn(&ControlReply) -> Response<Full<Bytes>>,
-    /// Reads a configuration document.
+    /// Decodes and validates a configuration document.
     pub decode_config: fn(&[u8]) -> Result<SiteConfig, ConfigFault>,
 }
--- a/crates/ragwortroad_registry/src/registry_process.rs
+++ b/crates/ragwortroad_registry/src/registry_process.rs
@@ -57,48 +57,57 @@
     registry_state::RegistryState, //
 };
 
-/// Time for a stopping leader to hand over, and for answers under way to leave.
+/// Time for a stopping leader to hand over leadership, and for pending answers to be sent.
 const STOP_GRACE: Duration = Duration::from_millis(600);
 
-/// Most events handled before the clock is read and due work is done.
+/// Maximum number of events handled before the clock is read and due work is done.
 const MAX_EVENTS_PER_ROUND: usize = 64;
 
-/// Time without a leader's heartbeat after which another is elected.
+/// Time without a heartbeat from the leader after which an election starts.
 ///
-/// It is above the pauses of a small VM that is busy with a large configuration. Nothing is accepted while there is no leader, so longer is dearer.
+/// It exceeds the pauses of a small VM that processes a large configuration. No command is accepted
+/// while there is no leader, so a longer timeout prolongs outages.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time between two heartbeats of the leader; four may be late before an election.
+/// Time between two heartbeats of the leader. Four may be missed before an election.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Time after which an entry is sent again that was not confirmed.
+/// Time after which an unacknowledged entry is sent again.
 ///
-/// Links lose nothing while they last; sending a large configuration again that is still on its way
-/// would double what a small link carries. This is for what was under way when one broke.
+/// Links are reliable while connected. Resending a large configuration that is still in transit
+/// would double the traffic of a small link, so this covers only entries lost with a broken link.
 const RESEND_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Entries after which the log is folded into a snapshot: there is one configuration to keep.
+/// Number of entries after which the log is compacted into a snapshot, which holds a single
+/// configuration.
 const SNAPSHOT_ENTRIES: u64 = 500;
 
-/// Bytes after which the log is folded: far below a disk of 128 MB, far above one configuration.
+/// Size of the log in bytes after which it is compacted: far below a disk of 128 MB, and far above
+/// one configuration.
 const SNAPSHOT_BYTES: usize = 2 << 20;
 
-/// Bytes of one compressed configuration.
+/// Maximum size of a command, which holds one compressed configuration.
 const MAX_COMMAND_BYTES: usize = 900 << 10;
 
-/// Where places of texts are kept, within the data folder.
+/// Folder of the saved prefix placements, within the data folder.
 const PLACES_FOLDER: &str = "places";
 
-/// What a registry is told from outside its loop.
+/// A signal to a running registry or directory.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RegistrySignal {
-    /// The settings have changed.
+    /// The settings have changed. Only the seeds are applied.
     Reload(Box<ForwardSettings>),
-    /// The process is to stop.
+    /// The process must stop.
     Stop,
 }
 
-/// Runs a registry until it is told to stop; `page` is where its metrics are read, if any are kept.
+/// Runs a registry on the current thread until it receives [`RegistrySignal::Stop`].
+///
+/// `page` serves the metrics at the address from the settings; without it, no metrics are served.
+///
+/// # Errors
+///
+/// A setting is missing, an address cannot be bound, or the runtime or a thread cannot start.
 pub fn run_registry(
     settings: ForwardSettings,
     port: RegistryPort,
@@ -108,7 +117,7 @@
     run_on_local_set(serve_registry(settings, port, signals, page))
 }
 
-/// Runs a process's work to its end, on this thread.
+/// Runs a future to completion on a single-threaded runtime on the current thread.
 pub(crate) fn run_on_local_set(
     work: impl Future<Output = Result<(), RegistryError>>,
 ) -> Result<(), RegistryError> {
@@ -119,7 +128,7 @@
     runtime.block_on(LocalSet::new().run_until(work))
 }
 
-/// Serves the metrics, if any are kept, where the settings name an address.
+/// Serves the metrics page, if there is one, at the address from the settings.
 pub(crate) async fn serve_metrics(
     page: Option<MetricsPage>,
     settings: &ForwardSettings,
@@ -208,7 +217,7 @@
     state.place_store.join();
 }
 
-/// Accepts connections of edges and other registries.
+/// Accepts connections from edges, directories and other registries.
 async fn accept_links(listener: TcpListener, events: Sender<RegistryEvent>) {
     let next_key = Rc::new(Cell::new(0_u64));
     let settings = LinkSettings::default();
@@ -216,7 +225,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!(%error, "a link could not be accepted");
+                tracing::warn!(%error, "failed to accept a link");
                 sleep(Duration::from_millis(20)).await;
                 continue;
             }
@@ -239,18 +248,18 @@
                     .send(RegistryEvent::Received { link, message })
                     .is_err()
                 {
-                    tracing::debug!("a message came after the control loop ended");
+                    tracing::debug!("dropped a message that arrived after the control loop ended");
                 }
             };
             let ended = run_link(stream, (queue, receiver), false, &settings, forward).await;
             match ended {
-                // Two versions of the program that do not understand each other; nothing else
-                // would show why an edge stays without a configuration.
-                LinkError::Meaningless { .. } => tracing::warn!(%ended, "a link ended"),
-                _ => tracing::debug!(%ended, "a link ended"),
+                // The two programs run incompatible versions. Nothing else would show why an edge
+                // stays without a configuration.
+                LinkError::Meaningless { .. } => tracing::warn!(%ended, "link ended"),
+                _ => tracing::debug!(%ended, "link ended"),
             }
             if events.send(RegistryEvent::LinkClosed { link }).is_err() {
-                tracing::debug!("a link ended after the control loop");
+                tracing::debug!("a link ended after the control loop had ended");
             }
         });
     }
@@ -276,12 +285,13 @@
     bound.context(ListenSnafu { address })
 }
 
-/// How registries name the VM whose registry listens for links at `inner`.
+/// Node identity of the registry that listens for links at `inner`.
 fn node_id_of(inner: SocketAddr) -> NodeId {
     NodeId::from_name(&inner.to_string())
 }
 
-/// The nodes that found the group: those that the settings name, at the fleet's first start.
+/// The nodes that found the group: the seeds from the settings at the fleet's first start,
+/// otherwise none.
 fn founding_nodes(settings: &ForwardSettings) -> Vec<NodeId> {
     if !settings.first_start {
         return Vec::new();
--- a/crates/ragwortroad_registry/src/registry_state.rs
+++ b/crates/ragwortroad_registry/src/registry_state.rs
@@ -31,12 +31,12 @@
     }, //
 };
 
-/// Time between two rounds of what is done from time to time.
+/// Time between two rounds of periodic maintenance.
 ///
-/// Waiting calls are tried again at this pace; an operator waits a second for an answer.
+/// Queued calls are retried at this interval. Operators wait one second for an answer.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// All that a registry knows, on its control thread.
+/// State of a registry, owned by its control thread.
 pub(crate) struct RegistryState {
     pub(crate) settings: ForwardSettings,
     pub(crate) driver: ConsensusDriver,
@@ -44,21 +44,21 @@
     pub(crate) plan: VoterPlan,
     pub(crate) started_at: ClockTime,
     pub(crate) gathering: EdgeGathering,
-    /// Connections that were accepted, by edges and registries.
+    /// Outbound queues of connections accepted from edges, directories and registries.
     pub(crate) links: BTreeMap<LinkKey, LinkQueue>,
     pub(crate) edges: BTreeMap<LinkKey, EdgeEntry>,
-    /// Directories that are connected.
+    /// Connected directories.
     pub(crate) directories: BTreeSet<LinkKey>,
-    /// What they know of the edges.
+    /// The edge view last sent to the directories.
     pub(crate) sent_edges: EdgeView,
-    /// Registries, by where they listen.
+    /// Other registries, keyed by the address at which they listen for links.
     pub(crate) peers: BTreeMap<SocketAddr, PeerEntry>,
-    /// Registries that are still to be dialled.
+    /// Registries that are not dialled yet.
     pub(crate) undialled: BTreeSet<SocketAddr>,
     pub(crate) queued_puts: BTreeMap<u64, QueuedPut>,
-    /// The configuration whose entry is under way, on the leader.
+    /// Token of the configuration whose proposal is in flight on this leader.
     pub(crate) proposed_put: Option<u64>,
-    /// Drain orders that are not applied yet, by their ids.
+    /// Drain orders that are not applied yet, keyed by order id.
     pub(crate) queued_drains: BTreeMap<u64, QueuedDrain>,
     pub(crate) queued_reads: BTreeMap<u64, QueuedRead>,
     pub(crate) indexed_reads: Vec<IndexedRead>,
@@ -66,33 +66,33 @@
     pub(crate) next_hello_at: ClockTime,
     pub(crate) next_plan_at: ClockTime,
     pub(crate) next_maintenance_at: ClockTime,
-    /// What was heard from endpoints and the edges are still to be told.
+    /// Endpoint updates to be sent to the edges.
     pub(crate) updates: UpdateQueue,
-    /// When updates that cannot wait are sent next.
+    /// When urgent updates may be sent next.
     pub(crate) next_urgent_updates_at: ClockTime,
-    /// When other updates are sent next.
+    /// When other updates may be sent next.
     pub(crate) next_calm_updates_at: ClockTime,
-    /// Edges that need a whole configuration.
+    /// Edges that need a full configuration.
     pub(crate) copies: CopyQueue,
-    /// When the next of them get one.
+    /// When the next full configurations may be sent.
     pub(crate) next_copies_at: ClockTime,
-    /// Registries at the other ends of connections that were accepted.
+    /// Registries at the other end of accepted connections.
     ///
-    /// Invariant: each registry once, at its newest connection.
+    /// Invariant: each registry appears once, with its newest connection.
     pub(crate) peer_links: BTreeMap<LinkKey, SocketAddr>,
-    /// Edges whose home this registry is.
+    /// Edges that use this registry as their home registry.
     pub(crate) subscribers: BTreeSet<LinkKey>,
-    /// What the edges have under way.
+    /// Requests in flight per endpoint, summed over the edges.
     pub(crate) totals: LoadTotals,
     pub(crate) next_loads_at: ClockTime,
-    /// Where edges have placed texts lately.
+    /// Recent placements of prompt prefixes by the edges.
     pub(crate) places: PlaceBoard,
     pub(crate) place_store: PlaceStore,
     pub(crate) next_places_at: ClockTime,
-    /// What edges were told last of the fleet.
+    /// The fleet message last sent to the edges.
     pub(crate) sent_fleet: Option<LinkMessage>,
     pub(crate) next_fleet_at: ClockTime,
-    /// Whether the process is to stop.
+    /// Whether the process must stop.
     pub(crate) is_stopping: bool,
 }
 
@@ -145,14 +145,14 @@
         state
     }
 
-    /// Takes one event.
+    /// Handles one event.
     pub(crate) fn handle(&mut self, event: RegistryEvent, now: ClockTime) {
         match event {
             RegistryEvent::Call {
                 call,
-                client_ip,
+                caller_ip,
                 reply,
-            } => self.handle_call(call, client_ip, reply, now),
+            } => self.handle_call(call, caller_ip, reply, now),
             RegistryEvent::LinkAccepted { link, queue } => {
                 self.links.insert(link, queue);
             }
@@ -173,8 +173,8 @@
             }
             RegistryEvent::PlacesLoaded(places) => {
                 self.places.take_found(places, now);
-                // Edges connect while the disk is read. Told half a second later, they would have
-                // sent texts to other engines meanwhile.
+                // Edges connect while the disk is read. Half a second later they would have sent
+                // these prompts to other engines.
                 self.next_places_at = now;
             }
             RegistryEvent::SeedsChanged(seeds) => {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Does what is due by now; returns when something is due next.
+    /// Does the work that is due and returns when more will be due.
     pub(crate) fn tick(&mut self, now: ClockTime) -> ClockTime {
         if self.driver.core().is_some_and(|core| now >= core.wake_at()) {
             let effects = self.driver.handle(CoreInput::Tick, now);
@@ -231,7 +231,7 @@
         has_no_orders && self.queued_reads.is_empty() && self.indexed_reads.is_empty()
     }
 
-    /// Does what the group wants done.
+    /// Carries out effects of the consensus driver.
     pub(crate) fn apply_effects(&mut self, effects: Vec<DriverEffect>, now: ClockTime) {
         let mut has_changed = false;
         for effect in effects {
@@ -261,7 +261,7 @@
     fn stop(&mut self, now: ClockTime) {
         tracing::info!("stopping");
         self.is_stopping = true;
-        // Without a handover the group has no leader until an election timeout has passed.
+        // Without a handover, the group has no leader until an election timeout has passed.
         let effects = self.driver.handle(CoreInput::HandOver, now);
         self.apply_effects(effects, now);
     }
--- a/crates/ragwortroad_registry/src/spread_flow.rs
+++ b/crates/ragwortroad_registry/src/spread_flow.rs
@@ -1,7 +1,7 @@
-//! How a registry passes on what edges know: their loads, and where texts are read.
+//! Distributes what edges report: their loads and their placements of prompt prefixes.
 //!
-//! Each edge takes one registry for its home. A registry tells the other registries what its own
-//! edges forward, and its own edges what all forward, so no registry speaks to the whole fleet.
+//! Each edge has one home registry. A registry sends the reports of its own edges to the other
+//! registries, and the combined reports to its own edges, so no registry sends to the whole fleet.
 
 use std::net::SocketAddr;
 
@@ -14,11 +14,11 @@
     registry_state::RegistryState, //
 };
 
-/// Bytes of a text's place on a link.
+/// Size of one prefix placement on a link in bytes.
 const ENCODED_PLACE_BYTES: f64 = 12.0;
 
 impl RegistryState {
-    /// Takes an edge for one of its own, and tells it what all edges have under way.
+    /// Makes this registry the edge's home and sends it the total loads.
     pub(crate) fn subscribe(&mut self, link: LinkKey) {
         let (Some(queue), Some(edge)) = (self.links.get(&link), self.edges.get(&link)) else {
             return;
@@ -37,7 +37,7 @@
         );
     }
 
-    /// An edge has another home now, or is gone.
+    /// Removes an edge that has another home registry or has disconnected.
     pub(crate) fn unsubscribe(&mut self, link: LinkKey) {
         self.subscribers.remove(&link);
         self.places.drop_reader(PlaceReader::Edge(link.0));
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes what one of this registry's own edges has under way.
+    /// Handles a load report of an edge whose home is this registry.
     pub(crate) fn handle_edge_loads(&mut self, link: LinkKey, counts: &[LoadCount]) {
         let edge = self.edges.get(&link);
         if let Some(edge) = edge.filter(|_| self.subscribers.contains(&link)) {
@@ -54,14 +54,15 @@
         }
     }
 
-    /// Takes what the edges of another registry have under way.
+    /// Handles a report of the summed loads of another registry's edges.
     pub(crate) fn handle_peer_loads(&mut self, link: LinkKey, counts: &[LoadCount]) {
         if let Some(&peer) = self.peer_links.get(&link) {
             self.totals.take(LoadSource::Registry(peer), counts);
         }
     }
 
-    /// Another registry is at the other end of a connection, and tells on it from now on.
+    /// Records that a registry is at the other end of an accepted link. Its reports start anew on
+    /// this link.
     pub(crate) fn set_peer_link(&mut self, link: LinkKey, peer: SocketAddr) {
         if self.peer_links.get(&link) == Some(&peer) {
             return;
@@ -71,14 +72,15 @@
         self.totals.drop_source(LoadSource::Registry(peer));
     }
 
-    /// A connection has ended; a registry at its other end tells nothing any more.
+    /// Drops the loads of the registry whose accepted link was closed.
     pub(crate) fn remove_peer_link(&mut self, link: LinkKey) {
         if let Some(peer) = self.peer_links.remove(&link) {
             self.totals.drop_source(LoadSource::Registry(peer));
         }
     }
 
-    /// Tells a registry that was just reached what this one's edges forward, and all that follows.
+    /// Sends a newly connected registry the loads of this registry's edges, and subscribes it to
+    /// placements.
     pub(crate) fn start_sharing_with(&mut self, peer: SocketAddr, queue: &LinkQueue) {
         let loads = self.totals.own_told();
         if !loads.is_empty() {
@@ -87,19 +89,20 @@
         self.places.add_reader(PlaceReader::Registry(peer));
     }
 
-    /// Tells the other registries what this one's edges have under way, and its edges what all have.
+    /// Sends the loads of this registry's edges to the other registries, and the totals to its
+    /// edges.
     pub(crate) fn send_loads(&mut self, now: ClockTime) {
         if now < self.next_loads_at {
             return;
         }
-        let parts = self.totals.own_changes();
-        let changes = self.totals.changes();
+        let partial_loads = self.totals.own_changes();
+        let total_loads = self.totals.changes();
         let mut bytes = 0;
-        if !parts.is_empty() {
-            bytes += self.broadcast_to_peers(&LinkMessage::PartialLoads(parts));
+        if !partial_loads.is_empty() {
+            bytes += self.broadcast_to_peers(&LinkMessage::PartialLoads(partial_loads));
         }
-        if !changes.is_empty() {
-            let message = LinkMessage::Loads(changes);
+        if !total_loads.is_empty() {
+            let message = LinkMessage::Loads(total_loads);
             bytes += self.send_to_links(self.subscribers.iter(), &message);
         }
         let every = SPREAD_EVERY * load_pace(self.subscribers.len() as u32);
@@ -107,40 +110,40 @@
         self.next_loads_at = now.after(every.max(pace.span(bytes)));
     }
 
-    /// Tells edges and registries where texts were placed, each from where it has got to.
+    /// Sends placements to edges and registries, each from its own position.
     pub(crate) fn send_places(&mut self, now: ClockTime) {
         if now < self.next_places_at {
             return;
         }
         let pace = SendPace::of_places(self.link_bytes_per_second());
-        let most = pace.items_at_once(self.places.readers(), ENCODED_PLACE_BYTES);
+        let max_places = pace.items_at_once(self.places.readers(), ENCODED_PLACE_BYTES);
         let mut bytes = 0;
-        for telling in self.places.tell(most) {
-            bytes += self.send_to_readers(&telling);
+        for batch in self.places.tell(max_places) {
+            bytes += self.send_to_readers(&batch);
         }
         self.next_places_at = now.after(SPREAD_EVERY.max(pace.span(bytes)));
     }
 
-    fn send_to_readers(&self, telling: &PlaceBatch) -> usize {
-        let places = telling.places.clone();
-        let edges = telling.readers.iter().filter_map(|reader| match reader {
+    fn send_to_readers(&self, batch: &PlaceBatch) -> usize {
+        let places = batch.places.clone();
+        let edges = batch.readers.iter().filter_map(|reader| match reader {
             PlaceReader::Edge(link) => self.links.get(&LinkKey(*link)),
             PlaceReader::Registry(_) => None,
         });
-        let peers = telling.readers.iter().filter_map(|reader| match reader {
+        let peers = batch.readers.iter().filter_map(|reader| match reader {
             PlaceReader::Edge(_) => None,
             PlaceReader::Registry(peer) => self.peers.get(peer)?.queue.as_ref(),
         });
-        // All readers of one telling are of the same kind.
-        let is_part = matches!(telling.readers.first(), Some(PlaceReader::Registry(_)));
-        let message = match is_part {
+        // All readers of one batch are of the same kind.
+        let is_partial = matches!(batch.readers.first(), Some(PlaceReader::Registry(_)));
+        let message = match is_partial {
             true => LinkMessage::PartialPlaces(places),
             false => LinkMessage::TextsPlaced(places),
         };
         send_to_queues(edges.chain(peers), &message)
     }
 
-    /// Takes where an edge has placed texts.
+    /// Handles placements reported by an edge.
     pub(crate) fn handle_edge_places(
         &mut self,
         link: LinkKey,
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Has the disk keep where texts were placed, from time to time.
+    /// Saves the placements to disk when a save is due.
     pub(crate) fn save_places(&mut self, now: ClockTime) {
         let Some(due) = self.places.due(now) else {
             return;
@@ -164,13 +167,13 @@
         }
     }
 
-    /// Tells all registries the same; returns how many bytes that takes.
+    /// Sends a message to all other registries and returns the total size in bytes.
     fn broadcast_to_peers(&self, message: &LinkMessage) -> usize {
         let queues = self.peers.values().filter_map(|peer| peer.queue.as_ref());
         send_to_queues(queues, message)
     }
 
-    /// Tells some processes that have connected the same; returns how many bytes that takes.
+    /// Sends a message to the given accepted links and returns the total size in bytes.
     pub(crate) fn send_to_links<'a>(
         &self,
         links: impl Iterator<Item = &'a LinkKey>,
@@ -184,7 +187,7 @@
     let encoded = match EncodedMessage::try_from(message) {
         Ok(encoded) => encoded,
         Err(error) => {
-            tracing::error!(%error, "a message to several processes could not be encoded");
+            tracing::error!(%error, "failed to encode a broadcast message");
             return 0;
         }
     };
--- a/crates/ragwortroad_registry/src/warmup_flow.rs
+++ b/crates/ragwortroad_registry/src/warmup_flow.rs
@@ -1,4 +1,4 @@
-//! How a registry divides the requests for endpoints that warm up among edges.
+//! Divides the requests for warming endpoints among edges.
 
 use ragwortroad_dispatch::prelude::*;
 use ragwortroad_link::prelude::*;
@@ -8,13 +8,14 @@
     registry_state::RegistryState, //
 };
 
-/// Milliseconds for which a part outlasts the time to warm up that the endpoint told.
+/// Time in milliseconds by which a share outlasts the announced warm-up time.
 ///
-/// Edges hear of the endpoint later than of their part, and so expect it to be warm later.
+/// Edges learn of the endpoint later than of their share, and therefore expect the warm-up to end
+/// later.
 const WARMUP_SHARE_MARGIN_MS: u32 = 1500;
 
 impl RegistryState {
-    /// Gives a few edges their parts of the requests for an endpoint, if it warms up.
+    /// Sends a few edges their shares of the requests for an endpoint that is warming up.
     pub(crate) fn share_warmup(&self, record: &EndpointRecord) {
         if record.warming_ms == 0 || record.stage != EndpointStage::Ready {
             return;
@@ -37,7 +38,7 @@
             warming_ms = record.warming_ms,
             sharers = share.sharers,
             bytes,
-            "endpoint warms up"
+            "endpoint is warming up"
         );
     }
 }
