--- a/crates/ragwortroad_registry/src/consensus_driver.rs
+++ b/crates/ragwortroad_registry/src/consensus_driver.rs
@@ -247,7 +247,7 @@
                 self.execute_actions(actions, now)
             }
             Err(error) => {
-                tracing::error!(%error, "failed to start the consensus core; this registry cannot join the group");
+                tracing::error!(%error, "failed to start the consensus core; this registry takes no part in the group");
                 Vec::new()
             }
         }
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -183,9 +183,7 @@
                 let effects = self.driver.handle(CoreInput::Frame(frame), now);
                 self.apply_effects(effects, now);
             }
-            Err(error) => {
-                tracing::warn!(%error, "dropped a consensus frame that cannot be decoded")
-            }
+            Err(error) => tracing::warn!(%error, "dropped an undecodable consensus frame"),
         }
     }
 
