--- a/crates/ragwortroad_registry/src/consensus_driver.rs
+++ b/crates/ragwortroad_registry/src/consensus_driver.rs
@@ -18,8 +18,8 @@
     delta_history::DeltaHistory,
     folder_report::FolderReport,
     folder_worker::{
-        FolderWorker, //
-        PersistRequest,
+        FolderWorker,
+        PersistRequest, //
     }, //
 };
 
@@ -247,7 +247,7 @@
                 self.execute_actions(actions, now)
             }
             Err(error) => {
-                tracing::error!(%error, "failed to start the consensus core; this registry takes no part in the group");
+                tracing::error!(%error, "cannot start the consensus core; not joining the group");
                 Vec::new()
             }
         }
@@ -340,7 +340,7 @@
         let snapshot = match RegisterSnapshot::decode(bytes) {
             Ok(snapshot) => snapshot,
             Err(error) => {
-                tracing::error!(%error, "failed to decode the snapshot; run the same version on all VMs");
+                tracing::error!(%error, "cannot decode the snapshot; run one version on all VMs");
                 return Vec::new();
             }
         };
