--- a/crates/ragwortroad_registry/src/consensus_driver.rs
+++ b/crates/ragwortroad_registry/src/consensus_driver.rs
@@ -87,22 +87,22 @@
 }
 
 impl ConsensusDriver {
-    pub(crate) fn new(start: DriverOptions) -> Self {
+    pub(crate) fn new(options: DriverOptions) -> Self {
         Self {
-            node: start.node,
-            settings: start.settings,
-            disk: start.disk,
+            node: options.node,
+            settings: options.settings,
+            disk: options.disk,
             generation: 0,
             identity: None,
             stored: None,
             founding: None,
-            founders: start.founders,
+            founders: options.founders,
             core: None,
             register: ConfigRegister::default(),
             drains: DomainDrains::default(),
             history: DeltaHistory::default(),
-            start: start.start,
-            seed: start.seed,
+            start: options.start,
+            seed: options.seed,
         }
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// The consensus core; absent until the data folder is open and it is decided whether to found
-    /// a group.
+    /// a group, and again after a disk failure until the folder is reopened.
     pub(crate) fn core(&self) -> Option<&ConsensusCore> {
         self.core.as_ref()
     }
@@ -188,7 +188,7 @@
                     "data folder opened"
                 );
                 self.generation = generation;
-                self.open(*stored, now)
+                self.load_stored(*stored, now)
             }
             FolderReport::Durable { generation, batch } if generation == self.generation => {
                 self.handle(CoreInput::Persisted { batch }, now)
@@ -203,7 +203,7 @@
         }
     }
 
-    fn open(&mut self, stored: StoredState, now: ClockTime) -> Vec<DriverEffect> {
+    fn load_stored(&mut self, stored: StoredState, now: ClockTime) -> Vec<DriverEffect> {
         let identity = MemberId(stored.identity);
         self.identity = Some(identity);
         let is_founder = self.founders.contains(&self.node);
