--- a/crates/ragwortroad_registry/src/directory_flow.rs
+++ b/crates/ragwortroad_registry/src/directory_flow.rs
@@ -26,9 +26,9 @@
     /// Selects ready edges for a caller with the given address.
     pub(crate) fn resolve_edges(&self, caller_ip: IpAddr, now: ClockTime) -> ControlReply {
         let ready = self.ready_edges();
-        let gap = self.gathering.gap(ready.len(), self.edges.len(), now);
-        let found = match gap {
-            Some(gap) => Err(gap),
+        let error = self.discovery.gap(ready.len(), self.edges.len(), now);
+        let found = match error {
+            Some(error) => Err(error),
             None => Ok(choose_addresses(caller_ip, ready, MAX_ADDRESSES)),
         };
         directory_reply(found, &self.settings)
@@ -76,11 +76,11 @@
     found: Result<Vec<SocketAddr>, DirectoryGap>,
     settings: &ForwardSettings,
 ) -> ControlReply {
-    let life: Duration = answer_life(settings.grace, settings.directory_life);
+    let ttl: Duration = answer_life(settings.grace, settings.directory_life);
     match found {
         Ok(addresses) => ControlReply::Edges {
             addresses,
-            ttl_s: life.as_secs(),
+            ttl_s: ttl.as_secs(),
         },
         Err(DirectoryGap::Gathering) => ControlReply::Unavailable {
             reason: "edges are still being gathered",
--- a/crates/ragwortroad_registry/src/edge_flow.rs
+++ b/crates/ragwortroad_registry/src/edge_flow.rs
@@ -56,7 +56,7 @@
             self.edges.remove(&previous);
         }
         self.edges.insert(link, edge);
-        self.gathering.note_joined(now);
+        self.discovery.note_joined(now);
         let Some(queue) = self.links.get(&link) else {
             return;
         };
@@ -184,7 +184,8 @@
             self.next_urgent_updates_at = now.after(UPDATE_INTERVAL);
             self.send_urgent_updates();
         }
-        if !self.updates.has_calm() || now < self.next_calm_updates_at || self.is_forming(now) {
+        if !self.updates.has_calm() || now < self.next_deferrable_updates_at || self.is_forming(now)
+        {
             return;
         }
         self.send_urgent_updates();
@@ -193,7 +194,7 @@
         let updates = self.updates.take_calm(count);
         let bytes = self.broadcast_to_edges(&LinkMessage::EndpointUpdates(updates));
         let span = pace.span(bytes);
-        self.next_calm_updates_at = now.after(UPDATE_INTERVAL.max(span));
+        self.next_deferrable_updates_at = now.after(UPDATE_INTERVAL.max(span));
     }
 
     /// Whether this registry started recently and does not know a leader yet.
--- a/crates/ragwortroad_registry/src/peer_dialer.rs
+++ b/crates/ragwortroad_registry/src/peer_dialer.rs
@@ -13,14 +13,14 @@
 /// Maintains a connection to another registry for as long as the process runs.
 pub(crate) async fn maintain_peer_link(peer: SocketAddr, events: Sender<RegistryEvent>) {
     let settings = LinkSettings::default();
-    let mut pace = DialPace::default();
+    let mut backoff = DialPace::default();
     // Seeds are dialled from the start, other registries once they are discovered.
     let begun = Instant::now();
     loop {
-        let limit = pace.patience(begun.elapsed(), settings.dial_timeout);
+        let limit = backoff.patience(begun.elapsed(), settings.dial_timeout);
         match dial_link(peer, limit).await {
             Ok(stream) => {
-                pace.reset();
+                backoff.reset();
                 let (queue, receiver) = LinkQueue::new(&settings);
                 let own = queue.clone();
                 if events
@@ -52,6 +52,6 @@
             }
             Err(error) => tracing::debug!(%peer, %error, "failed to connect to registry"),
         }
-        sleep(pace.next_pause(begun.elapsed())).await;
+        sleep(backoff.next_pause(begun.elapsed())).await;
     }
 }
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -138,11 +138,11 @@
             LinkMessage::Unsubscribe => self.unsubscribe(link),
             LinkMessage::Loads(counts) => self.handle_edge_loads(link, &counts),
             LinkMessage::PartialLoads(counts) => self.handle_peer_loads(link, &counts),
-            LinkMessage::TextsPlaced(placed) => self.handle_edge_places(link, &placed, now),
+            LinkMessage::TextsPlaced(placed) => self.handle_edge_locations(link, &placed, now),
             LinkMessage::PartialPlaces(placed) => {
-                self.places.take(&placed, PlaceOrigin::Registry, now);
+                self.locations.take(&placed, PlaceOrigin::Registry, now);
             }
-            LinkMessage::PlacesKnown(places) => self.places.take_whole(places, now),
+            LinkMessage::PlacesKnown(locations) => self.locations.take_whole(locations, now),
             other => tracing::warn!(?other, "ignored an unexpected message"),
         }
     }
@@ -218,12 +218,12 @@
             return;
         }
         self.next_plan_at = now.after(VOTER_PLAN_INTERVAL);
-        let sightings = self.member_sightings(core, now);
-        let step = self.plan.next_step(core.members(), core.id(), &sightings);
+        let statuses = self.member_statuses(core, now);
+        let step = self.plan.next_step(core.members(), core.id(), &statuses);
         if let Some(change) = step {
             tracing::info!(
                 ?change,
-                heard_of = sightings.len(),
+                heard_of = statuses.len(),
                 "proposing a voter change"
             );
             let token = self.new_token();
@@ -234,19 +234,19 @@
         }
     }
 
-    fn member_sightings(&self, core: &ConsensusCore, now: ClockTime) -> Vec<MemberSighting> {
-        let mut sightings = Vec::new();
+    fn member_statuses(&self, core: &ConsensusCore, now: ClockTime) -> Vec<MemberSighting> {
+        let mut statuses = Vec::new();
         for (hello, heard_at) in self.peers.values().filter_map(|peer| peer.hello.as_ref()) {
             let Some(member) = hello.member.map(MemberId) else {
                 continue;
             };
-            sightings.push(MemberSighting {
+            statuses.push(MemberSighting {
                 member,
                 node: NodeId::from_name(&hello.address.to_string()),
                 silent_for: now.since(*heard_at),
                 is_caught_up: core.has_caught_up(member, now),
             });
         }
-        sightings
+        statuses
     }
 }
--- a/crates/ragwortroad_registry/src/registry_event.rs
+++ b/crates/ragwortroad_registry/src/registry_event.rs
@@ -58,8 +58,8 @@
     },
     /// The folder worker reported.
     Folder(FolderReport),
-    /// Placements of prompt prefixes saved by an earlier process were loaded.
-    PlacesLoaded(Vec<PlacedText>),
+    /// Prefix locations saved by an earlier process were loaded.
+    LocationsLoaded(Vec<PlacedText>),
     /// The seed addresses in the settings have changed.
     SeedsChanged(Vec<SocketAddr>),
     /// The process must stop.
--- a/crates/ragwortroad_registry/src/registry_process.rs
+++ b/crates/ragwortroad_registry/src/registry_process.rs
@@ -43,8 +43,8 @@
         DriverOptions, //
     },
     folder_worker::FolderWorker,
+    location_store::LocationStore,
     peer_dialer::maintain_peer_link,
-    place_store::PlaceStore,
     registry_error::{
         ListenSnafu,
         MissingSettingSnafu,
@@ -89,8 +89,8 @@
 /// Maximum size of a command, which holds one compressed configuration.
 const MAX_COMMAND_BYTES: usize = 900 << 10;
 
-/// Folder of the saved prefix placements, within the data folder.
-const PLACES_FOLDER: &str = "places";
+/// Folder of the saved prefix locations, within the data folder.
+const LOCATIONS_FOLDER: &str = "places";
 
 /// A signal to a running registry or directory.
 #[derive(Clone, Debug, PartialEq)]
@@ -170,8 +170,8 @@
         quota_bytes: settings.data_quota,
         ..FolderSettings::default()
     };
-    let place_store = PlaceStore::start(folder.path.join(PLACES_FOLDER), events.clone());
-    let place_store = place_store.context(StartSnafu)?;
+    let location_store = LocationStore::start(folder.path.join(LOCATIONS_FOLDER), events.clone());
+    let location_store = location_store.context(StartSnafu)?;
     let disk = FolderWorker::start(folder, events.clone()).context(StartSnafu)?;
     let driver = ConsensusDriver::new(DriverOptions {
         node: node_id_of(settings.inner),
@@ -181,7 +181,7 @@
         start: clock.wall_ms(),
         seed: random(),
     });
-    let state = RegistryState::new(settings, driver, place_store, clock.now());
+    let state = RegistryState::new(settings, driver, location_store, clock.now());
     run_loop(state, &clock, &queue, &events).await;
     Ok(())
 }
@@ -214,7 +214,7 @@
         }
     }
     state.driver.join();
-    state.place_store.join();
+    state.location_store.join();
 }
 
 /// Accepts connections from edges, directories and other registries.
--- a/crates/ragwortroad_registry/src/registry_state.rs
+++ b/crates/ragwortroad_registry/src/registry_state.rs
@@ -20,8 +20,8 @@
     },
     edge_entry::EdgeEntry,
     indexed_read::IndexedRead,
+    location_store::LocationStore,
     peer_entry::PeerEntry,
-    place_store::PlaceStore,
     queued_drain::QueuedDrain,
     queued_put::QueuedPut,
     queued_read::QueuedRead,
@@ -43,7 +43,7 @@
     pub(crate) table: RegistryTable,
     pub(crate) plan: VoterPlan,
     pub(crate) started_at: ClockTime,
-    pub(crate) gathering: EdgeGathering,
+    pub(crate) discovery: EdgeGathering,
     /// Outbound queues of connections accepted from edges, directories and registries.
     pub(crate) links: BTreeMap<LinkKey, LinkQueue>,
     pub(crate) edges: BTreeMap<LinkKey, EdgeEntry>,
@@ -71,7 +71,7 @@
     /// When urgent updates may be sent next.
     pub(crate) next_urgent_updates_at: ClockTime,
     /// When other updates may be sent next.
-    pub(crate) next_calm_updates_at: ClockTime,
+    pub(crate) next_deferrable_updates_at: ClockTime,
     /// Edges that need a full configuration.
     pub(crate) copies: CopyQueue,
     /// When the next full configurations may be sent.
@@ -85,10 +85,10 @@
     /// Requests in flight per endpoint, summed over the edges.
     pub(crate) totals: LoadTotals,
     pub(crate) next_loads_at: ClockTime,
-    /// Recent placements of prompt prefixes by the edges.
-    pub(crate) places: PlaceBoard,
-    pub(crate) place_store: PlaceStore,
-    pub(crate) next_places_at: ClockTime,
+    /// Prefix locations that the edges reported recently.
+    pub(crate) locations: PlaceBoard,
+    pub(crate) location_store: LocationStore,
+    pub(crate) next_locations_at: ClockTime,
     /// The fleet message last sent to the edges.
     pub(crate) sent_fleet: Option<LinkMessage>,
     pub(crate) next_fleet_at: ClockTime,
@@ -100,7 +100,7 @@
     pub(crate) fn new(
         settings: ForwardSettings,
         driver: ConsensusDriver,
-        place_store: PlaceStore,
+        location_store: LocationStore,
         now: ClockTime,
     ) -> Self {
         let mut state = Self {
@@ -109,7 +109,7 @@
             driver,
             plan: VoterPlan::default(),
             started_at: now,
-            gathering: EdgeGathering::new(now),
+            discovery: EdgeGathering::new(now),
             links: BTreeMap::new(),
             edges: BTreeMap::new(),
             directories: BTreeSet::new(),
@@ -127,16 +127,16 @@
             next_maintenance_at: now,
             updates: UpdateQueue::default(),
             next_urgent_updates_at: now,
-            next_calm_updates_at: now,
+            next_deferrable_updates_at: now,
             copies: CopyQueue::default(),
             next_copies_at: now,
             peer_links: BTreeMap::new(),
             subscribers: BTreeSet::new(),
             totals: LoadTotals::default(),
             next_loads_at: now,
-            places: PlaceBoard::new(now),
-            place_store,
-            next_places_at: now,
+            locations: PlaceBoard::new(now),
+            location_store,
+            next_locations_at: now,
             sent_fleet: None,
             next_fleet_at: now,
             is_stopping: false,
@@ -164,18 +164,18 @@
                 if let Some(entry) = self.peers.get_mut(&peer) {
                     entry.queue = None;
                 }
-                self.places.drop_reader(PlaceReader::Registry(peer));
+                self.locations.drop_reader(PlaceReader::Registry(peer));
                 self.retry_forwarded_puts();
             }
             RegistryEvent::Folder(report) => {
                 let effects = self.driver.handle_disk_report(report, now);
                 self.apply_effects(effects, now);
             }
-            RegistryEvent::PlacesLoaded(places) => {
-                self.places.take_found(places, now);
+            RegistryEvent::LocationsLoaded(locations) => {
+                self.locations.take_found(locations, now);
                 // Edges connect while the disk is read. Half a second later they would have sent
                 // these prompts to other engines.
-                self.next_places_at = now;
+                self.next_locations_at = now;
             }
             RegistryEvent::SeedsChanged(seeds) => {
                 self.settings.seeds = seeds;
@@ -197,17 +197,17 @@
             self.expire_endpoints(now);
             self.broadcast_fleet(now);
             self.broadcast_edge_view();
-            self.save_places(now);
+            self.save_locations(now);
         }
         self.send_hellos(now);
         self.plan_voters(now);
         self.send_full_configs(now);
         self.send_updates(now);
         self.send_loads(now);
-        self.send_places(now);
+        self.send_locations(now);
         let updates_wake = match (self.updates.has_urgent(), self.updates.has_calm()) {
             (true, _) => self.next_urgent_updates_at,
-            (false, true) => self.next_calm_updates_at,
+            (false, true) => self.next_deferrable_updates_at,
             (false, false) => self.next_loads_at,
         };
         let core_wake = self.driver.core().map(ConsensusCore::wake_at);
--- a/crates/ragwortroad_registry/src/spread_flow.rs
+++ b/crates/ragwortroad_registry/src/spread_flow.rs
@@ -1,4 +1,5 @@
-//! Distributes what edges report: their loads and their placements of prompt prefixes.
+//! Distributes what edges report: their loads, and prefix locations, that is, which engine holds which
+//! prompt prefix.
 //!
 //! Each edge has one home registry. A registry sends the reports of its own edges to the other
 //! registries, and the combined reports to its own edges, so no registry sends to the whole fleet.
@@ -14,8 +15,8 @@
     registry_state::RegistryState, //
 };
 
-/// Size of one prefix placement on a link in bytes.
-const ENCODED_PLACE_BYTES: f64 = 12.0;
+/// Size of one prefix location on a link in bytes.
+const ENCODED_LOCATION_BYTES: f64 = 12.0;
 
 impl RegistryState {
     /// Makes this registry the edge's home and sends it the total loads.
@@ -29,7 +30,7 @@
             queue.send(&LinkMessage::Loads(loads));
         }
         self.subscribers.insert(link);
-        self.places.add_reader(PlaceReader::Edge(link.0));
+        self.locations.add_reader(PlaceReader::Edge(link.0));
         tracing::info!(
             edge = edge.node,
             subscribers = self.subscribers.len(),
@@ -40,7 +41,7 @@
     /// Removes an edge that has another home registry or has disconnected.
     pub(crate) fn unsubscribe(&mut self, link: LinkKey) {
         self.subscribers.remove(&link);
-        self.places.drop_reader(PlaceReader::Edge(link.0));
+        self.locations.drop_reader(PlaceReader::Edge(link.0));
         if let Some(edge) = self.edges.get(&link) {
             self.totals.drop_source(LoadSource::Edge(edge.address));
         }
@@ -80,13 +81,13 @@
     }
 
     /// Sends a newly connected registry the loads of this registry's edges, and subscribes it to
-    /// placements.
+    /// prefix locations.
     pub(crate) fn start_sharing_with(&mut self, peer: SocketAddr, queue: &LinkQueue) {
         let loads = self.totals.own_told();
         if !loads.is_empty() {
             queue.send(&LinkMessage::PartialLoads(loads));
         }
-        self.places.add_reader(PlaceReader::Registry(peer));
+        self.locations.add_reader(PlaceReader::Registry(peer));
     }
 
     /// Sends the loads of this registry's edges to the other registries, and the totals to its
@@ -110,22 +111,22 @@
         self.next_loads_at = now.after(every.max(pace.span(bytes)));
     }
 
-    /// Sends placements to edges and registries, each from its own position.
-    pub(crate) fn send_places(&mut self, now: ClockTime) {
-        if now < self.next_places_at {
+    /// Sends prefix locations to edges and registries, each from its own position.
+    pub(crate) fn send_locations(&mut self, now: ClockTime) {
+        if now < self.next_locations_at {
             return;
         }
         let pace = SendPace::of_places(self.link_bytes_per_second());
-        let max_places = pace.items_at_once(self.places.readers(), ENCODED_PLACE_BYTES);
+        let max_locations = pace.items_at_once(self.locations.readers(), ENCODED_LOCATION_BYTES);
         let mut bytes = 0;
-        for batch in self.places.tell(max_places) {
+        for batch in self.locations.tell(max_locations) {
             bytes += self.send_to_readers(&batch);
         }
-        self.next_places_at = now.after(SPREAD_EVERY.max(pace.span(bytes)));
+        self.next_locations_at = now.after(SPREAD_EVERY.max(pace.span(bytes)));
     }
 
     fn send_to_readers(&self, batch: &PlaceBatch) -> usize {
-        let places = batch.places.clone();
+        let locations = batch.places.clone();
         let edges = batch.readers.iter().filter_map(|reader| match reader {
             PlaceReader::Edge(link) => self.links.get(&LinkKey(*link)),
             PlaceReader::Registry(_) => None,
@@ -137,33 +138,33 @@
         // All readers of one batch are of the same kind.
         let is_partial = matches!(batch.readers.first(), Some(PlaceReader::Registry(_)));
         let message = match is_partial {
-            true => LinkMessage::PartialPlaces(places),
-            false => LinkMessage::TextsPlaced(places),
+            true => LinkMessage::PartialPlaces(locations),
+            false => LinkMessage::TextsPlaced(locations),
         };
         send_to_queues(edges.chain(peers), &message)
     }
 
-    /// Handles placements reported by an edge.
-    pub(crate) fn handle_edge_places(
+    /// Handles prefix locations reported by an edge.
+    pub(crate) fn handle_edge_locations(
         &mut self,
         link: LinkKey,
         placed: &[PlacedText],
         now: ClockTime,
     ) {
-        self.places.take(placed, PlaceOrigin::Edge, now);
+        self.locations.take(placed, PlaceOrigin::Edge, now);
         let queue = self.links.get(&link);
-        if let Some(queue) = queue.filter(|_| self.places.wants_all(now)) {
+        if let Some(queue) = queue.filter(|_| self.locations.wants_all(now)) {
             queue.send(&LinkMessage::WantPlaces);
         }
     }
 
-    /// Saves the placements to disk when a save is due.
-    pub(crate) fn save_places(&mut self, now: ClockTime) {
-        let Some(due) = self.places.due(now) else {
+    /// Saves the prefix locations to disk when a save is due.
+    pub(crate) fn save_locations(&mut self, now: ClockTime) {
+        let Some(due) = self.locations.due(now) else {
             return;
         };
-        if self.place_store.save(due) {
-            self.places.note_kept();
+        if self.location_store.save(due) {
+            self.locations.note_kept();
         }
     }
 
