--- a/crates/ragwortroad_registry/src/spread_flow.rs
+++ b/crates/ragwortroad_registry/src/spread_flow.rs
@@ -1,5 +1,5 @@
-//! Distributes what edges report: their loads, and prefix locations, that is, which engine holds which
-//! prompt prefix.
+//! Distributes what edges report: their loads, and prefix locations, that is, which engine holds
+//! which prompt prefix.
 //!
 //! Each edge has one home registry. A registry sends the reports of its own edges to the other
 //! registries, and the combined reports to its own edges, so no registry sends to the whole fleet.
