--- a/crates/ragwortroad_registry/src/call_flow.rs
+++ b/crates/ragwortroad_registry/src/call_flow.rs
@@ -1,4 +1,4 @@
-//! What a registry does with calls of operators, endpoints and callers.
+//! Handles requests to the control interface from operators, endpoints and callers.
 
 use std::{
     net::IpAddr,
@@ -16,67 +16,67 @@
     registry_state::RegistryState, //
 };
 
-/// Time after which a call is answered that it cannot be done here now.
+/// Time after which a queued call is answered as unavailable.
 ///
-/// Operators turn to another registry after a second without an answer; an answer before that lets
-/// them do so with a reason.
-pub(crate) const CALL_PATIENCE: Duration = Duration::from_millis(900);
+/// Operators switch to another registry after one second without an answer. Answering earlier gives
+/// them the reason as well.
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Calls that wait at once; beyond it a call is refused, so that memory stays bounded.
-pub(crate) const MAX_WAITING: usize = 256;
+/// Maximum number of queued calls of each kind. Further calls are refused to bound memory.
+pub(crate) const MAX_QUEUED_CALLS: usize = 256;
 
 impl RegistryState {
-    pub(crate) fn take_call(
+    pub(crate) fn handle_call(
         &mut self,
         call: ControlCall,
-        asker: IpAddr,
+        caller_ip: IpAddr,
         reply: oneshot::Sender<ControlReply>,
         now: ClockTime,
     ) {
         let answer = match call {
             ControlCall::PutConfig { version, document } => {
-                self.take_document(version, &document, reply, now);
+                self.handle_put_config(version, &document, reply, now);
                 return;
             }
             ControlCall::DrainDomain { domain, is_drained } => {
-                self.take_drain(domain, is_drained, reply, now);
+                self.handle_drain_call(domain, is_drained, reply, now);
                 return;
             }
             ControlCall::ReadConfig => {
-                self.take_read(ReadOrigin::Operator(reply), now);
+                self.enqueue_read(ReadOrigin::Operator(reply), now);
                 return;
             }
             ControlCall::BadConfig(fault) => {
-                tracing::info!(%fault, "a configuration was refused");
+                tracing::info!(%fault, "refused an invalid configuration");
                 ControlReply::Invalid {
                     reason: fault.to_string(),
                 }
             }
-            ControlCall::Announce(record) => self.take_announcement(*record, now),
+            ControlCall::Announce(record) => self.handle_announcement(*record, now),
             ControlCall::BadAnnouncement { reason } => {
-                tracing::warn!(reason, "an announcement was refused");
+                tracing::warn!(reason, "refused an invalid announcement");
                 ControlReply::Invalid { reason }
             }
-            ControlCall::Goodbye { name } => self.take_goodbye(&name, now),
-            ControlCall::FindEdges => self.find_edges(asker, now),
+            ControlCall::Goodbye { name } => self.handle_goodbye(&name, now),
+            ControlCall::FindEdges => self.resolve_edges(caller_ip, now),
             ControlCall::Unknown => ControlReply::NotFound,
         };
         answer_call(reply, answer);
     }
 
-    /// Tries waiting calls again and ends those that have waited for too long.
+    /// Retries queued calls and ends those that have exceeded their deadline.
     pub(crate) fn retry_calls(&mut self, now: ClockTime) {
         self.retry_puts(now);
         self.retry_drains(now);
         self.retry_reads(now);
-        self.settle_reads(now);
+        self.answer_applied_reads(now);
     }
 }
 
-/// Answers a call, unless its caller has left.
+/// Sends the reply to a call, unless the caller has disconnected.
 pub(crate) fn answer_call(reply: oneshot::Sender<ControlReply>, answer: ControlReply) {
     metrics::counter!(metric_names::CONTROL_CALLS, "outcome" => answer.outcome()).increment(1);
     if reply.send(answer).is_err() {
-        tracing::debug!("a caller of the control interface left before its answer");
+        tracing::debug!("caller of the control interface disconnected before its answer");
     }
 }
--- a/crates/ragwortroad_registry/src/directory_process.rs
+++ b/crates/ragwortroad_registry/src/directory_process.rs
@@ -1,7 +1,7 @@
-//! A process that only tells callers which edges to use.
+//! A process that only resolves edge addresses for callers.
 //!
-//! It keeps nothing on disk and connects to every registry, so it may run on any VM; operators
-//! place directories so that no failure domain has all that a caller asks.
+//! It stores nothing and connects to every registry, so it can run on any VM. Operators place
+//! directories so that no single failure domain holds all directories that a caller queries.
 
 use std::{
     collections::{
@@ -40,41 +40,48 @@
         MAX_ADDRESSES,
         directory_reply, //
     },
-    peer_dialer::keep_dialled,
+    peer_dialer::maintain_peer_link,
     registry_error::MissingSettingSnafu,
     registry_event::RegistryEvent,
     registry_process::{
+        forward_signals,
         listen,
-        pass_signals,
-        run_to_end,
-        serve_page, //
+        run_on_local_set,
+        serve_metrics, //
     }, //
 };
 
-/// Time for which a stopping directory goes on answering.
+/// Time for which a stopping directory continues to answer.
 ///
-/// A caller whose connection breaks before its answer waits for the next directory.
-const STOP_TIME: Duration = Duration::from_millis(100);
+/// A caller whose connection breaks before the answer must wait for the next directory.
+const STOP_GRACE: Duration = Duration::from_millis(100);
 
-/// All that a directory knows.
+/// State of a directory process.
 struct DirectoryState {
     settings: ForwardSettings,
     edges: EdgeDirectory,
-    /// Registries that are dialled, by where they listen for links, with the connection to each.
+    /// Connections to registries, keyed by the address at which each listens for links. The value
+    /// is absent while disconnected.
     ///
-    /// A connection ends when its queue is dropped.
+    /// Dropping a queue closes its connection.
     registries: BTreeMap<SocketAddr, Option<LinkQueue>>,
     events: Sender<RegistryEvent>,
 }
 
-/// Runs a directory until it is told to stop; `page` is where its metrics are read, if any are kept.
+/// Runs a directory on the current thread until it receives [`RegistrySignal::Stop`].
+///
+/// `page` serves the metrics at the address from the settings; without it, no metrics are served.
+///
+/// # Errors
+///
+/// A setting is missing, an address cannot be bound, or the runtime cannot start.
 pub fn run_directory(
     settings: ForwardSettings,
     port: RegistryPort,
     signals: Receiver<RegistrySignal>,
     page: Option<MetricsPage>,
 ) -> Result<(), RegistryError> {
-    run_to_end(serve_directory(settings, port, signals, page))
+    run_on_local_set(serve_directory(settings, port, signals, page))
 }
 
 async fn serve_directory(
@@ -87,8 +94,8 @@
     let directory = settings.directory.context(MissingSettingSnafu { key })?;
     let (events, queue) = flume::unbounded();
     spawn_local(serve_calls(listen(directory).await?, port, events.clone()));
-    serve_page(page, &settings).await?;
-    spawn_local(pass_signals(signals, events.clone()));
+    serve_metrics(page, &settings).await?;
+    spawn_local(forward_signals(signals, events.clone()));
     let clock = RealClock::start();
     let mut state = DirectoryState {
         edges: EdgeDirectory::new(clock.now()),
@@ -104,7 +111,7 @@
         }
         state.handle(event, clock.now());
     }
-    sleep(STOP_TIME).await;
+    sleep(STOP_GRACE).await;
     Ok(())
 }
 
@@ -120,46 +127,50 @@
         for registry in registries {
             if let Entry::Vacant(entry) = self.registries.entry(registry) {
                 entry.insert(None);
-                spawn_local(keep_dialled(registry, self.events.clone()));
+                spawn_local(maintain_peer_link(registry, self.events.clone()));
             }
         }
     }
 
     fn handle(&mut self, event: RegistryEvent, now: ClockTime) {
         match event {
-            RegistryEvent::Call { call, asker, reply } => {
+            RegistryEvent::Call {
+                call,
+                caller_ip,
+                reply,
+            } => {
                 let answer = match call {
                     ControlCall::FindEdges => {
-                        let found = self.edges.find(asker, MAX_ADDRESSES, now);
+                        let found = self.edges.find(caller_ip, MAX_ADDRESSES, now);
                         directory_reply(found, &self.settings)
                     }
                     _ => ControlReply::NotFound,
                 };
                 answer_call(reply, answer);
             }
-            RegistryEvent::Reached { peer, queue } => {
+            RegistryEvent::PeerConnected { peer, queue } => {
                 let node = self.settings.name.clone();
                 queue.send(&LinkMessage::DirectoryHello { node });
                 self.registries.insert(peer, Some(queue));
             }
-            RegistryEvent::PeerSaid { peer, message } => self.take_message(peer, message, now),
-            RegistryEvent::Unreached { peer } => {
+            RegistryEvent::PeerReceived { peer, message } => self.apply_message(peer, message, now),
+            RegistryEvent::PeerDisconnected { peer } => {
                 self.registries.insert(peer, None);
                 self.edges.note_lost(peer);
             }
-            RegistryEvent::Seeds(seeds) => {
+            RegistryEvent::SeedsChanged(seeds) => {
                 self.settings.seeds = seeds;
                 self.dial_seeds();
             }
-            other => tracing::warn!(?other, "an event that concerns no directory"),
+            other => tracing::warn!(?other, "ignored an event that a directory does not handle"),
         }
     }
 
-    fn take_message(&mut self, peer: SocketAddr, message: LinkMessage, now: ClockTime) {
+    fn apply_message(&mut self, peer: SocketAddr, message: LinkMessage, now: ClockTime) {
         match message {
             LinkMessage::Fleet { registries, .. } => self.dial(registries),
             LinkMessage::EdgesKnown(view) => self.edges.note_view(peer, view, now),
-            other => tracing::warn!(?other, "a message that no registry sends a directory"),
+            other => tracing::warn!(?other, "ignored an unexpected message from a registry"),
         }
     }
 }
--- a/crates/ragwortroad_registry/src/drain_flow.rs
+++ b/crates/ragwortroad_registry/src/drain_flow.rs
@@ -1,7 +1,8 @@
-//! What a registry does with orders to drain a failure domain, or to take that back.
+//! Handles orders to drain or undrain a failure domain.
 //!
-//! An order is a command of the replicated log. Whichever registry it comes to proposes it or passes
-//! it on to the leader, and answers once the command is applied here: then it is durable at a quorum.
+//! An order is a command of the replicated log. The registry that receives it proposes it or
+//! forwards it to the leader, and answers once the command is applied locally. It is then durable
+//! on a quorum.
 
 use std::{
     collections::BTreeMap,
@@ -18,22 +19,22 @@
     ControlReply,
     RegisterCommand,
     call_flow::{
-        CALL_PATIENCE,
-        MAX_WAITING,
+        CALL_TIMEOUT,
+        MAX_QUEUED_CALLS,
         answer_call, //
     },
-    drain_wait::DrainWait,
+    queued_drain::QueuedDrain,
     registry_state::RegistryState, //
 };
 
-/// Time after which an order that was not applied is proposed or passed on again.
+/// Time after which an order that was not applied is proposed or forwarded again.
 ///
-/// Applied twice it changes nothing the second time.
-const TRY_AGAIN: Duration = Duration::from_millis(250);
+/// Orders are idempotent, so applying one twice is harmless.
+const DRAIN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 impl RegistryState {
-    /// Takes an operator's order.
-    pub(crate) fn take_drain(
+    /// Handles an operator's request to drain or undrain a domain.
+    pub(crate) fn handle_drain_call(
         &mut self,
         domain: String,
         is_drained: bool,
@@ -47,61 +48,63 @@
             answer_call(reply, ControlReply::Invalid { reason });
             return;
         }
-        if self.drain_waits.len() >= MAX_WAITING {
+        if self.queued_drains.len() >= MAX_QUEUED_CALLS {
             let reason = "too many orders wait here; try another registry";
             answer_call(reply, ControlReply::Unavailable { reason });
             return;
         }
-        tracing::info!(domain, is_drained, "a drain order came");
+        tracing::info!(domain, is_drained, "received a drain order");
         let order = DrainOrder {
             id: rand::random(),
             domain,
             is_drained,
             seen: 0,
         };
-        let wait = DrainWait {
+        let drain = QueuedDrain {
             order,
             reply,
-            came_at: now,
-            tried_at: now,
+            received_at: now,
+            attempted_at: now,
         };
-        self.try_drain(wait, now);
+        self.attempt_drain(drain, now);
     }
 
-    /// Proposes an order, or passes it on to the leader, as one that knows all drains known here.
-    fn try_drain(&mut self, mut wait: DrainWait, now: ClockTime) {
-        wait.order.seen = self.seat.drains().revision();
-        wait.tried_at = now;
-        let order = wait.order.clone();
-        self.drain_waits.insert(order.id, wait);
-        let Some(core) = self.seat.core() else {
+    /// Proposes an order or forwards it to the leader, stamped with the drain revision known here.
+    fn attempt_drain(&mut self, mut drain: QueuedDrain, now: ClockTime) {
+        drain.order.seen = self.driver.drains().revision();
+        drain.attempted_at = now;
+        let order = drain.order.clone();
+        self.queued_drains.insert(order.id, drain);
+        let Some(core) = self.driver.core() else {
             return;
         };
         if core.is_leader() {
             self.propose_drain(order, now);
             return;
         }
-        if let Some(queue) = core.leader().and_then(|leader| self.queue_of(leader)) {
+        if let Some(queue) = core.leader().and_then(|leader| self.member_queue(leader)) {
             queue.send(&LinkMessage::ForwardDrain(order));
         }
     }
 
-    /// Takes an order into the log, if this registry leads.
+    /// Proposes an order to the log. It has no effect unless this registry leads.
     pub(crate) fn propose_drain(&mut self, order: DrainOrder, now: ClockTime) {
         let command = match postcard::to_stdvec(&RegisterCommand::Drain(order)) {
             Ok(command) => command,
             Err(error) => {
-                tracing::error!(%error, "a drain order could not be encoded");
+                tracing::error!(%error, "failed to encode a drain order");
                 return;
             }
         };
-        let token = self.draw_token();
-        let effects = self.seat.handle(CoreInput::Propose { token, command }, now);
-        self.carry_out(effects, now);
+        let token = self.new_token();
+        let effects = self
+            .driver
+            .handle(CoreInput::Propose { token, command }, now);
+        self.apply_effects(effects, now);
     }
 
-    /// An order was applied to the state here.
-    pub(crate) fn follow_drain(
+    /// Handles an order that was applied to the local state.
+    pub(crate) fn handle_drain_applied(
         &mut self,
         order: &DrainOrder,
         outcome: DrainOutcome,
@@ -110,56 +113,57 @@
         let DrainOrder {
             domain, is_drained, ..
         } = order;
-        tracing::info!(domain, is_drained, ?outcome, "a drain order was applied");
+        tracing::info!(domain, is_drained, ?outcome, "applied a drain order");
         if outcome == DrainOutcome::Changed {
-            self.send_drains();
+            self.broadcast_drains();
             if !is_drained {
-                self.return_domain(domain, now);
+                self.undrain_domain(domain, now);
             }
         }
-        let Some(wait) = self.drain_waits.remove(&order.id) else {
+        let Some(drain) = self.queued_drains.remove(&order.id) else {
             return;
         };
         match outcome {
             DrainOutcome::Changed | DrainOutcome::Unchanged => {
-                answer_call(wait.reply, ControlReply::Done);
+                answer_call(drain.reply, ControlReply::Done);
             }
-            // Its operator waits still, so it is later than the order that it met.
-            DrainOutcome::Superseded => {
+            // The operator is still waiting, so this order is more recent than the conflicting one.
+            DrainOutcome::Overtaken => {
                 let order = DrainOrder {
                     id: rand::random(),
-                    ..wait.order
+                    ..drain.order
                 };
-                self.try_drain(DrainWait { order, ..wait }, now);
+                self.attempt_drain(QueuedDrain { order, ..drain }, now);
             }
         }
     }
 
-    /// Tells edges which domains are drained.
-    pub(crate) fn send_drains(&self) {
-        let drains = self.seat.drains().clone();
-        self.send_to_edges(&LinkMessage::DomainDrains(drains));
+    /// Sends the drained domains to all edges.
+    pub(crate) fn broadcast_drains(&self) {
+        let drains = self.driver.drains().clone();
+        self.broadcast_to_edges(&LinkMessage::DomainDrains(drains));
     }
 
-    /// The endpoints of a domain get work again, and may have gone cold without it.
-    fn return_domain(&mut self, domain: &str, now: ClockTime) {
-        for change in self.table.undrain_domain(domain, now) {
-            self.queue_update(change);
+    /// Makes the endpoints of an undrained domain available again. They may have gone cold while
+    /// drained.
+    fn undrain_domain(&mut self, domain: &str, now: ClockTime) {
+        for change in self.table.return_domain(domain, now) {
+            self.enqueue_update(change);
         }
     }
 
-    /// Tries waiting orders again and ends those whose operators have turned elsewhere.
+    /// Retries queued orders and ends those whose operators have switched to another registry.
     pub(crate) fn retry_drains(&mut self, now: ClockTime) {
-        let waits = std::mem::take(&mut self.drain_waits);
-        let is_due = |wait: &DrainWait| now.since(wait.tried_at) >= TRY_AGAIN;
-        let (due, waiting) = waits.into_iter().partition(|(_, wait)| is_due(wait));
-        self.drain_waits = waiting;
-        for wait in BTreeMap::into_values(due) {
-            if now.since(wait.came_at) < CALL_PATIENCE {
-                self.try_drain(wait, now);
+        let drains = std::mem::take(&mut self.queued_drains);
+        let is_due = |drain: &QueuedDrain| now.since(drain.attempted_at) >= DRAIN_RETRY_INTERVAL;
+        let (due, not_due) = drains.into_iter().partition(|(_, drain)| is_due(drain));
+        self.queued_drains = not_due;
+        for drain in BTreeMap::into_values(due) {
+            if now.since(drain.received_at) < CALL_TIMEOUT {
+                self.attempt_drain(drain, now);
             } else {
                 let reason = "no quorum has taken the order in time; send it again";
-                answer_call(wait.reply, ControlReply::Unavailable { reason });
+                answer_call(drain.reply, ControlReply::Unavailable { reason });
             }
         }
     }
--- a/crates/ragwortroad_registry/src/read_settle.rs
+++ b/crates/ragwortroad_registry/src/indexed_read.rs
@@ -3,10 +3,10 @@
 
 use crate::ControlReply;
 
-/// A read that waits for the state to be applied up to an index.
+/// A read with a known read index, waiting for the state to be applied up to it.
 #[derive(Debug)]
-pub(crate) struct ReadSettle {
+pub(crate) struct IndexedRead {
     pub(crate) index: u64,
     pub(crate) reply: oneshot::Sender<ControlReply>,
-    pub(crate) came_at: ClockTime,
+    pub(crate) received_at: ClockTime,
 }
--- a/crates/ragwortroad_registry/src/lib.rs
+++ b/crates/ragwortroad_registry/src/lib.rs
@@ -1,38 +1,39 @@
-//! The process that holds a site's configuration and hears its endpoints.
+//! The registry process, which stores a site's configuration and tracks its endpoints.
 //!
-//! A few VMs with disks run a registry each. They agree on the configuration by a replicated log,
-//! answer operators, take endpoints' announcements, and tell callers which edges to use. Edges
-//! connect to every registry and are told at once what each has heard.
+//! A few VMs with disks run one registry each. The registries agree on the configuration through a
+//! replicated log, answer operators, receive announcements of endpoints, and tell callers which
+//! edges to use. Edges connect to every registry, and each registry passes on what it learns at
+//! once.
 //!
-//! The public interface is not known here: a [`RegistryPort`](prelude::RegistryPort) turns requests
-//! into [`ControlCall`](prelude::ControlCall)s and replies back into answers.
+//! This crate does not know the public interface: a [`RegistryPort`](prelude::RegistryPort) decodes
+//! requests into [`ControlCall`](prelude::ControlCall)s and encodes replies.
 
 mod call_flow;
 mod call_server;
 mod config_flow;
 mod config_register;
+mod consensus_driver;
 mod control_call;
 mod delta_history;
 mod directory_flow;
 mod directory_process;
 mod drain_flow;
-mod drain_wait;
 mod edge_entry;
 mod edge_flow;
 mod folder_report;
 mod folder_worker;
-mod group_seat;
+mod indexed_read;
+mod location_store;
 mod peer_dialer;
 mod peer_entry;
 mod peer_flow;
-mod place_keeper;
 mod put_flow;
 mod put_origin;
-mod put_wait;
+mod queued_drain;
+mod queued_put;
+mod queued_read;
 mod read_flow;
 mod read_origin;
-mod read_settle;
-mod read_wait;
 mod register_command;
 mod register_snapshot;
 mod registry_error;
@@ -43,7 +44,7 @@
 mod spread_flow;
 mod warmup_flow;
 
-/// Everything a dependent crate usually needs.
+/// The items that a dependent crate usually needs.
 pub mod prelude {
     pub use crate::{
         config_register::{
