--- a/crates/ragwortroad_registry/src/config_flow.rs
+++ b/crates/ragwortroad_registry/src/config_flow.rs
@@ -60,8 +60,8 @@
                 return;
             }
         };
-        let pace = SendPace::of_configs(self.link_bytes_per_second());
-        let max_copies = pace.items_at_once(1, delta.packed.len().max(1) as f64);
+        let pace = SendPace::for_configs(self.link_bytes_per_second());
+        let max_copies = pace.max_batch_items(1, delta.packed.len().max(1) as f64);
         let helpers = self.config_helpers();
         let plan = self.copies.plan(max_copies, &helpers);
         for referral in &plan.referred {
@@ -72,7 +72,7 @@
         let direct: Vec<LinkKey> = plan.direct.iter().copied().map(LinkKey).collect();
         let message = LinkMessage::ConfigDeltas(vec![delta]);
         let bytes = self.send_to_links(direct.iter(), &message);
-        self.next_copies_at = now.after(pace.span(bytes).max(COPY_ROUND_INTERVAL));
+        self.next_copies_at = now.after(pace.delay_after(bytes).max(COPY_ROUND_INTERVAL));
         tracing::info!(
             edges = direct.len(),
             referred = plan.referred.len(),
--- a/crates/ragwortroad_registry/src/config_register.rs
+++ b/crates/ragwortroad_registry/src/config_register.rs
@@ -51,7 +51,7 @@
             return RegisterChange::BaseMismatch;
         }
         let base = delta.base.and_then(|_| self.document());
-        match delta.open(base.as_deref().map(Vec::as_slice)) {
+        match delta.unpack(base.as_deref().map(Vec::as_slice)) {
             Ok(document) => {
                 self.held = Some(HeldConfig {
                     version: delta.version,
--- a/crates/ragwortroad_registry/src/directory_flow.rs
+++ b/crates/ragwortroad_registry/src/directory_flow.rs
@@ -26,7 +26,9 @@
     /// Selects ready edges for a caller with the given address.
     pub(crate) fn resolve_edges(&self, caller_ip: IpAddr, now: ClockTime) -> ControlReply {
         let ready = self.ready_edges();
-        let error = self.discovery.gap(ready.len(), self.edges.len(), now);
+        let error = self
+            .discovery
+            .check_ready(ready.len(), self.edges.len(), now);
         let found = match error {
             Some(error) => Err(error),
             None => Ok(choose_addresses(caller_ip, ready, MAX_ADDRESSES)),
@@ -76,7 +78,7 @@
     found: Result<Vec<SocketAddr>, DirectoryError>,
     settings: &ForwardSettings,
 ) -> ControlReply {
-    let ttl: Duration = answer_life(settings.grace, settings.directory_life);
+    let ttl: Duration = answer_ttl(settings.grace, settings.directory_life);
     match found {
         Ok(addresses) => ControlReply::Edges {
             addresses,
--- a/crates/ragwortroad_registry/src/drain_flow.rs
+++ b/crates/ragwortroad_registry/src/drain_flow.rs
@@ -128,7 +128,7 @@
                 answer_call(drain.reply, ControlReply::Done);
             }
             // The operator is still waiting, so this order is more recent than the conflicting one.
-            DrainOutcome::Overtaken => {
+            DrainOutcome::Superseded => {
                 let order = DrainOrder {
                     id: rand::random(),
                     ..drain.order
@@ -147,7 +147,7 @@
     /// Makes the endpoints of an undrained domain available again. They may have gone cold while
     /// drained.
     fn undrain_domain(&mut self, domain: &str, now: ClockTime) {
-        for change in self.table.return_domain(domain, now) {
+        for change in self.table.undrain_domain(domain, now) {
             self.enqueue_update(change);
         }
     }
--- a/crates/ragwortroad_registry/src/edge_flow.rs
+++ b/crates/ragwortroad_registry/src/edge_flow.rs
@@ -99,8 +99,8 @@
     }
 
     pub(crate) fn broadcast_fleet(&mut self, now: ClockTime) {
-        metrics::gauge!(metric_names::EDGES).set(self.edges.len() as f64);
-        metrics::gauge!(metric_names::SUBSCRIBERS).set(self.subscribers.len() as f64);
+        metrics::gauge!(metric_names::EDGES_CONNECTED).set(self.edges.len() as f64);
+        metrics::gauge!(metric_names::EDGES_SUBSCRIBED).set(self.subscribers.len() as f64);
         let version = self.driver.register().version().unwrap_or(0);
         metrics::gauge!(metric_names::CONFIG_VERSION).set(version as f64);
         let message = self.fleet_message(now);
@@ -184,16 +184,18 @@
             self.next_urgent_updates_at = now.after(UPDATE_INTERVAL);
             self.send_urgent_updates();
         }
-        if !self.updates.has_calm() || now < self.next_deferrable_updates_at || self.is_forming(now)
+        if !self.updates.has_deferrable()
+            || now < self.next_deferrable_updates_at
+            || self.is_forming(now)
         {
             return;
         }
         self.send_urgent_updates();
-        let pace = SendPace::of_updates(self.link_bytes_per_second());
-        let count = pace.items_at_once(self.edges.len(), ENCODED_RECORD_BYTES);
-        let updates = self.updates.take_calm(count);
+        let pace = SendPace::for_updates(self.link_bytes_per_second());
+        let count = pace.max_batch_items(self.edges.len(), ENCODED_RECORD_BYTES);
+        let updates = self.updates.take_deferrable(count);
         let bytes = self.broadcast_to_edges(&LinkMessage::EndpointUpdates(updates));
-        let span = pace.span(bytes);
+        let span = pace.delay_after(bytes);
         self.next_deferrable_updates_at = now.after(UPDATE_INTERVAL.max(span));
     }
 
@@ -253,7 +255,7 @@
                 reason: "no edge is connected here; say goodbye at another registry",
             };
         }
-        let change = self.table.leave(name, now);
+        let change = self.table.apply_goodbye(name, now);
         self.enqueue_update(change);
         ControlReply::Done
     }
--- a/crates/ragwortroad_registry/src/location_store.rs
+++ b/crates/ragwortroad_registry/src/location_store.rs
@@ -29,7 +29,7 @@
 /// from its disk restore this knowledge. They are only hints, so a disk failure costs nothing else.
 #[derive(Debug)]
 pub(crate) struct LocationStore {
-    saves: Sender<Vec<PlacedText>>,
+    saves: Sender<Vec<PrefixLocation>>,
     thread: JoinHandle<()>,
 }
 
@@ -67,7 +67,7 @@
     }
 
     /// Queues the locations to be saved; returns `false` if a save is still queued.
-    pub(crate) fn save(&self, locations: Vec<PlacedText>) -> bool {
+    pub(crate) fn save(&self, locations: Vec<PrefixLocation>) -> bool {
         match self.saves.try_send(locations) {
             Ok(()) => true,
             Err(TrySendError::Full(_)) => false,
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-fn load_locations(file: &HintFile) -> Result<Vec<PlacedText>, LocationStoreError> {
+fn load_locations(file: &HintFile) -> Result<Vec<PrefixLocation>, LocationStoreError> {
     let Some(bytes) = file.read().context(DiskSnafu)? else {
         return Ok(Vec::new());
     };
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -140,9 +140,9 @@
             LinkMessage::PartialLoads(counts) => self.handle_peer_loads(link, &counts),
             LinkMessage::TextsPlaced(placed) => self.handle_edge_locations(link, &placed, now),
             LinkMessage::PartialPlaces(placed) => {
-                self.locations.take(&placed, PlaceOrigin::Registry, now);
+                self.locations.add(&placed, LocationOrigin::Registry, now);
             }
-            LinkMessage::PlacesKnown(locations) => self.locations.take_whole(locations, now),
+            LinkMessage::PlacesKnown(locations) => self.locations.add_snapshot(locations, now),
             other => tracing::warn!(?other, "ignored an unexpected message"),
         }
     }
@@ -234,13 +234,13 @@
         }
     }
 
-    fn member_statuses(&self, core: &ConsensusCore, now: ClockTime) -> Vec<MemberSighting> {
+    fn member_statuses(&self, core: &ConsensusCore, now: ClockTime) -> Vec<MemberStatus> {
         let mut statuses = Vec::new();
         for (hello, heard_at) in self.peers.values().filter_map(|peer| peer.hello.as_ref()) {
             let Some(member) = hello.member.map(MemberId) else {
                 continue;
             };
-            statuses.push(MemberSighting {
+            statuses.push(MemberStatus {
                 member,
                 node: NodeId::from_name(&hello.address.to_string()),
                 silent_for: now.since(*heard_at),
--- a/crates/ragwortroad_registry/src/put_flow.rs
+++ b/crates/ragwortroad_registry/src/put_flow.rs
@@ -125,7 +125,7 @@
             return;
         };
         let register = self.driver.register();
-        let opened = put.delta.open(None);
+        let opened = put.delta.unpack(None);
         let delta = opened.and_then(|document| register.delta_to(put.delta.version, &document));
         let command = match delta {
             Ok(delta) => postcard::to_stdvec(&RegisterCommand::Put(delta)),
--- a/crates/ragwortroad_registry/src/registry_event.rs
+++ b/crates/ragwortroad_registry/src/registry_event.rs
@@ -59,7 +59,7 @@
     /// The folder worker reported.
     Folder(FolderReport),
     /// Prefix locations saved by an earlier process were loaded.
-    LocationsLoaded(Vec<PlacedText>),
+    LocationsLoaded(Vec<PrefixLocation>),
     /// The seed addresses in the settings have changed.
     SeedsChanged(Vec<SocketAddr>),
     /// The process must stop.
--- a/crates/ragwortroad_registry/src/registry_process.rs
+++ b/crates/ragwortroad_registry/src/registry_process.rs
@@ -255,7 +255,7 @@
             match ended {
                 // The two programs run incompatible versions. Nothing else would show why an edge
                 // stays without a configuration.
-                LinkError::Meaningless { .. } => tracing::warn!(%ended, "link ended"),
+                LinkError::InvalidMessage { .. } => tracing::warn!(%ended, "link ended"),
                 _ => tracing::debug!(%ended, "link ended"),
             }
             if events.send(RegistryEvent::LinkClosed { link }).is_err() {
--- a/crates/ragwortroad_registry/src/registry_state.rs
+++ b/crates/ragwortroad_registry/src/registry_state.rs
@@ -43,7 +43,7 @@
     pub(crate) table: RegistryTable,
     pub(crate) plan: VoterPlan,
     pub(crate) started_at: ClockTime,
-    pub(crate) discovery: EdgeGathering,
+    pub(crate) discovery: EdgeDiscovery,
     /// Outbound queues of connections accepted from edges, directories and registries.
     pub(crate) links: BTreeMap<LinkKey, LinkQueue>,
     pub(crate) edges: BTreeMap<LinkKey, EdgeEntry>,
@@ -86,7 +86,7 @@
     pub(crate) totals: LoadTotals,
     pub(crate) next_loads_at: ClockTime,
     /// Prefix locations that the edges reported recently.
-    pub(crate) locations: PlaceBoard,
+    pub(crate) locations: LocationLog,
     pub(crate) location_store: LocationStore,
     pub(crate) next_locations_at: ClockTime,
     /// The fleet message last sent to the edges.
@@ -109,7 +109,7 @@
             driver,
             plan: VoterPlan::default(),
             started_at: now,
-            discovery: EdgeGathering::new(now),
+            discovery: EdgeDiscovery::new(now),
             links: BTreeMap::new(),
             edges: BTreeMap::new(),
             directories: BTreeSet::new(),
@@ -134,7 +134,7 @@
             subscribers: BTreeSet::new(),
             totals: LoadTotals::default(),
             next_loads_at: now,
-            locations: PlaceBoard::new(now),
+            locations: LocationLog::new(now),
             location_store,
             next_locations_at: now,
             sent_fleet: None,
@@ -164,7 +164,7 @@
                 if let Some(entry) = self.peers.get_mut(&peer) {
                     entry.queue = None;
                 }
-                self.locations.drop_reader(PlaceReader::Registry(peer));
+                self.locations.drop_reader(LocationReader::Registry(peer));
                 self.retry_forwarded_puts();
             }
             RegistryEvent::Folder(report) => {
@@ -172,7 +172,7 @@
                 self.apply_effects(effects, now);
             }
             RegistryEvent::LocationsLoaded(locations) => {
-                self.locations.take_found(locations, now);
+                self.locations.add_stored(locations, now);
                 // Edges connect while the disk is read. Half a second later they would have sent
                 // these prompts to other engines.
                 self.next_locations_at = now;
@@ -205,7 +205,7 @@
         self.send_updates(now);
         self.send_loads(now);
         self.send_locations(now);
-        let updates_wake = match (self.updates.has_urgent(), self.updates.has_calm()) {
+        let updates_wake = match (self.updates.has_urgent(), self.updates.has_deferrable()) {
             (true, _) => self.next_urgent_updates_at,
             (false, true) => self.next_deferrable_updates_at,
             (false, false) => self.next_loads_at,
--- a/crates/ragwortroad_registry/src/spread_flow.rs
+++ b/crates/ragwortroad_registry/src/spread_flow.rs
@@ -30,7 +30,7 @@
             queue.send(&LinkMessage::Loads(loads));
         }
         self.subscribers.insert(link);
-        self.locations.add_reader(PlaceReader::Edge(link.0));
+        self.locations.add_reader(LocationReader::Edge(link.0));
         tracing::info!(
             edge = edge.node,
             subscribers = self.subscribers.len(),
@@ -41,7 +41,7 @@
     /// Removes an edge that has another home registry or has disconnected.
     pub(crate) fn unsubscribe(&mut self, link: LinkKey) {
         self.subscribers.remove(&link);
-        self.locations.drop_reader(PlaceReader::Edge(link.0));
+        self.locations.drop_reader(LocationReader::Edge(link.0));
         if let Some(edge) = self.edges.get(&link) {
             self.totals.drop_source(LoadSource::Edge(edge.address));
         }
@@ -83,11 +83,11 @@
     /// Sends a newly connected registry the loads of this registry's edges, and subscribes it to
     /// prefix locations.
     pub(crate) fn start_sharing_with(&mut self, peer: SocketAddr, queue: &LinkQueue) {
-        let loads = self.totals.own_told();
+        let loads = self.totals.own_published();
         if !loads.is_empty() {
             queue.send(&LinkMessage::PartialLoads(loads));
         }
-        self.locations.add_reader(PlaceReader::Registry(peer));
+        self.locations.add_reader(LocationReader::Registry(peer));
     }
 
     /// Sends the loads of this registry's edges to the other registries, and the totals to its
@@ -106,9 +106,9 @@
             let message = LinkMessage::Loads(total_loads);
             bytes += self.send_to_links(self.subscribers.iter(), &message);
         }
-        let every = SPREAD_EVERY * load_pace(self.subscribers.len() as u32);
-        let pace = SendPace::of_loads(self.link_bytes_per_second());
-        self.next_loads_at = now.after(every.max(pace.span(bytes)));
+        let every = SPREAD_INTERVAL * load_interval_factor(self.subscribers.len() as u32);
+        let pace = SendPace::for_loads(self.link_bytes_per_second());
+        self.next_loads_at = now.after(every.max(pace.delay_after(bytes)));
     }
 
     /// Sends prefix locations to edges and registries, each from its own position.
@@ -116,27 +116,28 @@
         if now < self.next_locations_at {
             return;
         }
-        let pace = SendPace::of_places(self.link_bytes_per_second());
-        let max_locations = pace.items_at_once(self.locations.readers(), ENCODED_LOCATION_BYTES);
+        let pace = SendPace::for_locations(self.link_bytes_per_second());
+        let max_locations =
+            pace.max_batch_items(self.locations.reader_count(), ENCODED_LOCATION_BYTES);
         let mut bytes = 0;
-        for batch in self.locations.tell(max_locations) {
+        for batch in self.locations.next_batches(max_locations) {
             bytes += self.send_to_readers(&batch);
         }
-        self.next_locations_at = now.after(SPREAD_EVERY.max(pace.span(bytes)));
+        self.next_locations_at = now.after(SPREAD_INTERVAL.max(pace.delay_after(bytes)));
     }
 
-    fn send_to_readers(&self, batch: &PlaceBatch) -> usize {
-        let locations = batch.places.clone();
+    fn send_to_readers(&self, batch: &LocationBatch) -> usize {
+        let locations = batch.locations.clone();
         let edges = batch.readers.iter().filter_map(|reader| match reader {
-            PlaceReader::Edge(link) => self.links.get(&LinkKey(*link)),
-            PlaceReader::Registry(_) => None,
+            LocationReader::Edge(link) => self.links.get(&LinkKey(*link)),
+            LocationReader::Registry(_) => None,
         });
         let peers = batch.readers.iter().filter_map(|reader| match reader {
-            PlaceReader::Edge(_) => None,
-            PlaceReader::Registry(peer) => self.peers.get(peer)?.queue.as_ref(),
+            LocationReader::Edge(_) => None,
+            LocationReader::Registry(peer) => self.peers.get(peer)?.queue.as_ref(),
         });
         // All readers of one batch are of the same kind.
-        let is_partial = matches!(batch.readers.first(), Some(PlaceReader::Registry(_)));
+        let is_partial = matches!(batch.readers.first(), Some(LocationReader::Registry(_)));
         let message = match is_partial {
             true => LinkMessage::PartialPlaces(locations),
             false => LinkMessage::TextsPlaced(locations),
@@ -148,23 +149,23 @@
     pub(crate) fn handle_edge_locations(
         &mut self,
         link: LinkKey,
-        placed: &[PlacedText],
+        placed: &[PrefixLocation],
         now: ClockTime,
     ) {
-        self.locations.take(placed, PlaceOrigin::Edge, now);
+        self.locations.add(placed, LocationOrigin::Edge, now);
         let queue = self.links.get(&link);
-        if let Some(queue) = queue.filter(|_| self.locations.wants_all(now)) {
+        if let Some(queue) = queue.filter(|_| self.locations.should_request_all(now)) {
             queue.send(&LinkMessage::WantPlaces);
         }
     }
 
     /// Saves the prefix locations to disk when a save is due.
     pub(crate) fn save_locations(&mut self, now: ClockTime) {
-        let Some(due) = self.locations.due(now) else {
+        let Some(due) = self.locations.due_write(now) else {
             return;
         };
         if self.location_store.save(due) {
-            self.locations.note_kept();
+            self.locations.note_stored();
         }
     }
 
