--- a/crates/ragwortroad_dispatch/src/send_pace.rs
+++ b/crates/ragwortroad_dispatch/src/send_pace.rs
@@ -4,7 +4,7 @@
 ///
 /// A message that is small for one edge is large for all of them. Sent at once, it occupies the
 /// link for seconds; consensus heartbeats, address lookups and acknowledgements to endpoints queue
-/// behind it, and their receivers take the registry for dead although it is healthy.
+/// behind it, and their receivers consider the registry dead although it is healthy.
 #[derive(Clone, Copy, Debug)]
 pub struct SendPace {
     /// Bytes per second that the link carries.
