--- a/crates/ragwortroad_dispatch/src/admission_gate.rs
+++ b/crates/ragwortroad_dispatch/src/admission_gate.rs
@@ -6,170 +6,173 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
-    FullRank,
-    rank_share::RankShare, //
+    RequestRank,
+    admission_ratio::AdmissionRatio, //
 };
 
-/// A request that waits at a gate.
+/// Identifies a request in the queue of an [`AdmissionGate`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct WaitTicket(pub u64);
+pub struct QueueTicket(pub u64);
 
-/// A request that comes to a gate.
+/// A request for admission.
 #[derive(Clone, Copy, Debug)]
-pub struct GateOffer {
-    /// Urgency.
-    pub rank: FullRank,
-    /// Whether its caller has waited elsewhere for longer than the aim.
+pub struct AdmissionRequest {
+    /// Priority; the lowest value is served first.
+    pub rank: RequestRank,
+    /// Whether the caller has already spent its latency target waiting elsewhere.
     pub is_late: bool,
-    /// How long it can wait and still be served within its aim.
-    pub patience: Duration,
+    /// Longest time in the queue after which the request can still meet its latency target.
+    pub queue_timeout: Duration,
 }
 
-/// What a gate says to a request.
+/// Outcome of [`AdmissionGate::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GateAnswer {
-    /// It goes on to an endpoint, and is counted until [`AdmissionGate::leave`].
+pub enum AdmissionDecision {
+    /// The request proceeds to an endpoint. It is counted until [`AdmissionGate::release`].
     Admitted,
-    /// It waits until the gate calls its ticket, or its patience ends.
-    Waiting(WaitTicket),
+    /// The request is queued until [`AdmissionGate::admit_next`] or [`AdmissionGate::shed_next`]
+    /// returns its ticket, or the caller cancels it.
+    Queued(QueueTicket),
 }
 
-/// Part of a route's aim for which a request waits at a gate.
+/// Divisor of a route's latency target that gives the longest time in the queue.
 ///
-/// Engines with all places taken begin within half of an aim for most requests; what waits longer at
-/// the gate would be late.
-const WAIT_PART: u32 = 3;
-
-/// How long a request of a route with this aim may wait at a gate.
-pub fn gate_patience(target: Duration, time_left: Duration) -> Duration {
-    target.min(time_left) / WAIT_PART
+/// Engines with all slots busy start most requests within half of the latency target; a request
+/// that queues longer at the gate would miss it.
+const QUEUE_TIME_DIVISOR: u32 = 3;
+
+/// Returns how long a request may be queued, given its route's latency target and the time left
+/// until its deadline.
+pub fn max_queue_time(target: Duration, time_left: Duration) -> Duration {
+    target.min(time_left) / QUEUE_TIME_DIVISOR
 }
 
-/// Part of what the next more urgent rank is granted that each rank is granted at least.
+/// Smallest admission ratio of a rank, relative to that of the next more urgent rank.
 ///
-/// Urgent requests go first, but none starves: users see a kind of request that is never answered
-/// as broken, however unimportant it is. Two fifths keep a third rank above a seventh of the first.
-const RANK_FLOOR: f64 = 0.4;
+/// Prevents starvation: to users, a kind of request that is never answered looks broken, however
+/// unimportant it is. At 0.4 the third rank stays above a seventh of the first.
+const RANK_FLOOR_RATIO: f64 = 0.4;
 
-/// Weight of one more second in the pace at which requests end.
-const PACE_WEIGHT: f64 = 0.5;
+/// Weight of the newest sample in the moving average of the completion rate.
+const RATE_WEIGHT: f64 = 0.5;
 
-/// Time over which the pace is counted before it is averaged.
-const PACE_TIME: Duration = Duration::from_millis(500);
+/// Shortest time over which completions are counted for one sample of the rate.
+const RATE_WINDOW: Duration = Duration::from_millis(500);
 
-/// Decides which requests of one service go on, wait for a moment, or are refused at one edge.
+/// Admission control of one edge for the requests of one service.
 ///
-/// Below the limit nothing waits. At the limit a request waits only as long as it can still be
-/// served within its aim, and only behind as many as leave in that time; everything else is told at
-/// once to come back. The more urgent rank goes first. Holds no clock and no network.
+/// Below the concurrency limit all requests are admitted. At the limit, a request is queued only
+/// while it can still meet its latency target, and only behind as many requests as complete in that
+/// time; all others are shed at once and told when to retry. More urgent ranks are served first.
 #[derive(Debug)]
 pub struct AdmissionGate {
-    /// Requests that may be under way.
+    /// Largest number of requests in flight.
     limit: f64,
-    /// Requests that were admitted and are not over.
-    under_way: u32,
-    /// Requests that wait, by rank and in the order in which they came.
+    in_flight: u32,
+    /// Queued requests by rank, in order of arrival.
     ///
     /// Invariant: no queue is empty.
-    waiting: BTreeMap<TurnRank, BTreeMap<WaitTicket, WaitEntry>>,
-    shares: BTreeMap<TurnRank, RankShare>,
+    waiting: BTreeMap<QueueRank, BTreeMap<QueueTicket, QueuedRequest>>,
+    admission_ratios: BTreeMap<QueueRank, AdmissionRatio>,
     next_ticket: u64,
-    /// Requests that ended since the pace was averaged last.
-    ended: u32,
-    paced_at: ClockTime,
-    /// Requests that end in a second.
-    pace: f64,
-    /// When the gate began to refuse, if it has refused lately.
-    shedding: Option<SheddingTime>,
+    /// Requests completed since the completion rate was last updated.
+    completed: u32,
+    rate_updated_at: ClockTime,
+    /// Completed requests per second, as a moving average.
+    completion_rate: f64,
+    /// The current load shedding period; kept after it has ended.
+    shedding: Option<SheddingPeriod>,
 }
 
-/// Whose turn it is; the least goes first.
+/// Position in the order of service; the lowest value is first.
 ///
-/// Of requests with the same urgency, those that can be answered within their aim go before those
-/// that are late already: in a long overload every caller is refused once, and if all were served in
-/// the order in which they came first, all would be late.
+/// Among requests of equal priority, those that can still meet their latency target precede those
+/// that cannot: in a long overload every caller is rejected once, and serving all in the order of
+/// their first attempt would make all of them late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct TurnRank {
-    rank: FullRank,
+struct QueueRank {
+    rank: RequestRank,
     is_late: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct WaitEntry {
-    /// When it is of no use any more.
+struct QueuedRequest {
+    /// When the queue timeout expires.
     until: ClockTime,
-    patience: Duration,
+    queue_timeout: Duration,
 }
 
-/// A time during which requests were refused.
+/// A period in which requests were shed.
 #[derive(Clone, Copy, Debug)]
-struct SheddingTime {
+struct SheddingPeriod {
     since: ClockTime,
     last: ClockTime,
 }
 
-/// Time without a refusal after which load shedding is over.
+/// Time without a shed request after which load shedding counts as over.
 const SHEDDING_GAP: Duration = Duration::from_secs(1);
 
 impl AdmissionGate {
-    /// A gate without a limit.
+    /// Creates a gate without a limit.
     pub fn new(now: ClockTime) -> Self {
         Self {
             limit: f64::INFINITY,
-            under_way: 0,
+            in_flight: 0,
             waiting: BTreeMap::new(),
-            shares: BTreeMap::new(),
+            admission_ratios: BTreeMap::new(),
             next_ticket: 0,
-            ended: 0,
-            paced_at: now,
-            pace: 0.0,
+            completed: 0,
+            rate_updated_at: now,
+            completion_rate: 0.0,
             shedding: None,
         }
     }
 
-    /// Takes how many requests may be under way.
+    /// Sets the largest number of requests in flight.
     pub fn set_limit(&mut self, limit: f64, now: ClockTime) {
         self.limit = limit;
-        self.average_pace(now);
+        self.update_completion_rate(now);
     }
 
-    /// Takes a request; whether it waits in vain is told by [`AdmissionGate::take_displaced`].
-    pub fn offer(&mut self, offer: GateOffer, now: ClockTime) -> GateAnswer {
-        let GateOffer {
+    /// Admits or queues a request. The caller then has to reject those that
+    /// [`AdmissionGate::shed_next`] returns.
+    pub fn offer(&mut self, offer: AdmissionRequest, now: ClockTime) -> AdmissionDecision {
+        let AdmissionRequest {
             rank,
             is_late,
-            patience,
+            queue_timeout,
         } = offer;
-        let rank = TurnRank { rank, is_late };
-        let share = self.shares.entry(rank);
-        share.or_insert_with(|| RankShare::new(now)).offer(now);
-        if self.waiting.is_empty() && self.has_room() {
+        let rank = QueueRank { rank, is_late };
+        let ratio = self.admission_ratios.entry(rank);
+        ratio.or_insert_with(|| AdmissionRatio::new(now)).offer(now);
+        if self.waiting.is_empty() && self.has_capacity() {
             self.admit(rank, now);
-            return GateAnswer::Admitted;
+            return AdmissionDecision::Admitted;
         }
-        let ticket = WaitTicket(self.next_ticket);
+        let ticket = QueueTicket(self.next_ticket);
         self.next_ticket += 1;
-        let entry = WaitEntry {
-            until: now.after(patience),
-            patience,
+        let entry = QueuedRequest {
+            until: now.after(queue_timeout),
+            queue_timeout,
         };
         self.waiting.entry(rank).or_default().insert(ticket, entry);
-        GateAnswer::Waiting(ticket)
+        AdmissionDecision::Queued(ticket)
     }
 
-    /// An admitted request is over.
-    pub fn leave(&mut self, now: ClockTime) {
-        self.under_way = self.under_way.saturating_sub(1);
-        self.ended += 1;
-        self.average_pace(now);
+    /// Records that an admitted request has completed, whatever its outcome.
+    pub fn release(&mut self, now: ClockTime) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.completed += 1;
+        self.update_completion_rate(now);
     }
 
-    /// The next request that goes on, if there is room for one.
-    pub fn call_next(&mut self, now: ClockTime) -> Option<WaitTicket> {
-        if !self.has_room() {
+    /// Admits the next queued request, or returns `None` if the limit is reached or the queue is
+    /// empty.
+    pub fn admit_next(&mut self, now: ClockTime) -> Option<QueueTicket> {
+        if !self.has_capacity() {
             return None;
         }
-        let rank = self.rank_first()?;
+        let rank = self.next_rank()?;
         let queue = self.waiting.get(&rank)?;
         let (&ticket, _) = queue.first_key_value()?;
         self.remove(ticket);
@@ -177,124 +180,133 @@
         Some(ticket)
     }
 
-    /// A request that waits in vain: too many go before it, or its time is over.
-    pub fn take_displaced(&mut self, now: ClockTime) -> Option<WaitTicket> {
+    /// Removes a request that cannot be served in time, because its timeout has expired or too many
+    /// requests precede it. Returns `None` if there is none.
+    pub fn shed_next(&mut self, now: ClockTime) -> Option<QueueTicket> {
         let all = self.waiting.values().flatten();
-        let late = all.filter(|(_, entry)| now >= entry.until);
-        let late = late.map(|(&ticket, _)| ticket).next();
-        let displaced = late.or_else(|| self.last_in_vain())?;
-        self.remove(displaced);
-        self.note_refusal(now);
-        Some(displaced)
+        let expired = all.filter(|(_, entry)| now >= entry.until);
+        let expired = expired.map(|(&ticket, _)| ticket).next();
+        let shed = expired.or_else(|| self.last_unservable())?;
+        self.remove(shed);
+        self.note_shed(now);
+        Some(shed)
     }
 
-    /// A request has stopped waiting by itself.
-    pub fn give_up(&mut self, ticket: WaitTicket) {
+    /// Removes a queued request whose caller has left.
+    pub fn cancel(&mut self, ticket: QueueTicket) {
         self.remove(ticket);
     }
 
-    /// How long requests have been refused, up to the last one; nothing if none was lately.
-    pub fn shedding_for(&self, now: ClockTime) -> Duration {
+    /// Returns how long load shedding has lasted, or zero if it is over.
+    pub fn shedding_duration(&self, now: ClockTime) -> Duration {
         let shedding = self.shedding.filter(|_| self.is_shedding(now));
         shedding.map_or(Duration::ZERO, |shedding| now.since(shedding.since))
     }
 
-    /// Whether a request was refused lately.
+    /// Returns whether a request was shed within the last second.
     pub fn is_shedding(&self, now: ClockTime) -> bool {
         let shedding = self.shedding;
         shedding.is_some_and(|shedding| now.since(shedding.last) < SHEDDING_GAP)
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.values().map(BTreeMap::len).sum()
     }
 
-    /// Requests that were admitted and are not over.
-    pub fn under_way(&self) -> u32 {
-        self.under_way
+    /// Returns the number of requests admitted and not yet released.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
-    /// Requests that may be under way.
+    /// Returns the largest number of requests in flight; infinite if none was set.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    fn has_room(&self) -> bool {
-        f64::from(self.under_way) < self.limit
+    fn has_capacity(&self) -> bool {
+        f64::from(self.in_flight) < self.limit
     }
 
-    fn admit(&mut self, rank: TurnRank, now: ClockTime) {
-        self.under_way += 1;
-        if let Some(share) = self.shares.get_mut(&rank) {
-            share.admit(now);
+    fn admit(&mut self, rank: QueueRank, now: ClockTime) {
+        self.in_flight += 1;
+        if let Some(ratio) = self.admission_ratios.get_mut(&rank) {
+            ratio.admit(now);
         }
     }
 
-    fn remove(&mut self, ticket: WaitTicket) {
+    fn remove(&mut self, ticket: QueueTicket) {
         for queue in self.waiting.values_mut() {
             queue.remove(&ticket);
         }
         self.waiting.retain(|_, queue| !queue.is_empty());
     }
 
-    /// The rank whose turn it is: the most urgent one, unless another is below its floor.
-    fn rank_first(&self) -> Option<TurnRank> {
-        let ranks: Vec<TurnRank> = self.waiting.keys().copied().collect();
-        let starved = ranks.iter().find(|&&rank| self.is_below_floor(rank));
-        starved.or(ranks.first()).copied()
+    /// Returns the most urgent rank, or another one that is below its admission floor.
+    fn next_rank(&self) -> Option<QueueRank> {
+        let ranks: Vec<QueueRank> = self.waiting.keys().copied().collect();
+        let below_floor = ranks.iter().find(|&&rank| self.is_below_floor(rank));
+        below_floor.or(ranks.first()).copied()
     }
 
-    /// The rank that is refused first: the least urgent one.
+    /// Returns the rank to shed from: the least urgent one.
     ///
-    /// One request of a rank below its floor stays, so that it is there when its turn comes.
-    fn rank_last(&self) -> Option<TurnRank> {
-        let is_spared = |turn: TurnRank, queue: &BTreeMap<WaitTicket, WaitEntry>| {
-            queue.len() == 1 && self.is_below_floor(turn)
+    /// The last request of a rank below its floor stays queued, so that it can be admitted at the
+    /// rank's turn.
+    fn shed_rank(&self) -> Option<QueueRank> {
+        let is_kept = |queue_rank: QueueRank, queue: &BTreeMap<QueueTicket, QueuedRequest>| {
+            queue.len() == 1 && self.is_below_floor(queue_rank)
         };
         let mut ranks = self.waiting.iter().rev();
-        let refused = ranks.find(|&(&turn, queue)| !is_spared(turn, queue));
+        let refused = ranks.find(|&(&queue_rank, queue)| !is_kept(queue_rank, queue));
         let last = self.waiting.last_key_value();
-        refused.or(last).map(|(&turn, _)| turn)
+        refused.or(last).map(|(&queue_rank, _)| queue_rank)
     }
 
-    fn is_below_floor(&self, turn: TurnRank) -> bool {
-        let Some(share) = self.shares.get(&turn).filter(|_| !turn.is_late) else {
+    fn is_below_floor(&self, queue_rank: QueueRank) -> bool {
+        let Some(ratio) = self
+            .admission_ratios
+            .get(&queue_rank)
+            .filter(|_| !queue_rank.is_late)
+        else {
             return false;
         };
-        let more_urgent = self.shares.range(..turn);
-        let more_urgent = more_urgent.rev().find(|(turn, _)| !turn.is_late);
-        more_urgent.is_some_and(|(_, urgent)| share.ratio() < urgent.ratio() * RANK_FLOOR)
+        let more_urgent = self.admission_ratios.range(..queue_rank);
+        let more_urgent = more_urgent
+            .rev()
+            .find(|(queue_rank, _)| !queue_rank.is_late);
+        more_urgent.is_some_and(|(_, urgent)| ratio.ratio() < urgent.ratio() * RANK_FLOOR_RATIO)
     }
 
-    /// The request that would be served last, if it would be so only after its patience.
+    /// Returns the last request in the order of service if it would exceed its queue timeout.
     ///
-    /// At least one may wait: at an edge with few requests, the pace is a guess.
-    fn last_in_vain(&self) -> Option<WaitTicket> {
-        let rank = self.rank_last()?;
+    /// One request may always wait, because the completion rate of an edge with few requests is
+    /// inaccurate.
+    fn last_unservable(&self) -> Option<QueueTicket> {
+        let rank = self.shed_rank()?;
         let (&ticket, entry) = self.waiting.get(&rank)?.last_key_value()?;
-        let in_time = self.pace * entry.patience.as_secs_f64();
-        let most = in_time.max(1.0);
-        (self.waiting() as f64 > most).then_some(ticket)
+        let completions = self.completion_rate * entry.queue_timeout.as_secs_f64();
+        let capacity = completions.max(1.0);
+        (self.waiting() as f64 > capacity).then_some(ticket)
     }
 
-    fn note_refusal(&mut self, now: ClockTime) {
-        let begun = self.shedding;
-        let begun = begun.filter(|shedding| now.since(shedding.last) < SHEDDING_GAP);
-        self.shedding = Some(SheddingTime {
-            since: begun.map_or(now, |shedding| shedding.since),
+    fn note_shed(&mut self, now: ClockTime) {
+        let current = self.shedding;
+        let current = current.filter(|shedding| now.since(shedding.last) < SHEDDING_GAP);
+        self.shedding = Some(SheddingPeriod {
+            since: current.map_or(now, |shedding| shedding.since),
             last: now,
         });
     }
 
-    fn average_pace(&mut self, now: ClockTime) {
-        let elapsed = now.since(self.paced_at);
-        if elapsed < PACE_TIME {
+    fn update_completion_rate(&mut self, now: ClockTime) {
+        let elapsed = now.since(self.rate_updated_at);
+        if elapsed < RATE_WINDOW {
             return;
         }
-        let present = f64::from(self.ended) / elapsed.as_secs_f64();
-        self.pace += (present - self.pace) * PACE_WEIGHT;
-        self.ended = 0;
-        self.paced_at = now;
+        let sample = f64::from(self.completed) / elapsed.as_secs_f64();
+        self.completion_rate += (sample - self.completion_rate) * RATE_WEIGHT;
+        self.completed = 0;
+        self.rate_updated_at = now;
     }
 }
--- a/crates/ragwortroad_dispatch/src/edge_directory.rs
+++ b/crates/ragwortroad_dispatch/src/edge_directory.rs
@@ -13,85 +13,103 @@
 
 use crate::{
     address_choice::choose_addresses,
-    edge_gathering::{
-        DirectoryGap,
-        EdgeGathering, //
+    edge_discovery::{
+        DirectoryError,
+        EdgeDiscovery, //
     },
     edge_view::EdgeView, //
 };
 
-/// Edges that callers are told of, by the word of all registries.
+/// Directory of the edges that callers can use, merged from the views of all registries.
 ///
-/// An edge that any connected registry calls ready is told: a registry that is cut off from edges
-/// has lost them without their being gone. Answers the loss of the registries of a whole failure
-/// domain, and of all of them for a while.
+/// An edge that any connected registry reports as ready is returned: a registry that is partitioned
+/// from edges has lost them although they are running. The directory tolerates the loss of the
+/// registries of a whole failure domain, and of all registries for a while.
 #[derive(Debug)]
 pub struct EdgeDirectory {
-    gathering: EdgeGathering,
-    /// The last word of each registry, by where it listens.
+    discovery: EdgeDiscovery,
+    /// Last view of each registry, by the address that it listens on.
     ///
-    /// Invariant: a registry that is not connected has one only while none is connected that has
-    /// told.
-    views: BTreeMap<SocketAddr, ToldView>,
+    /// Invariant: views of disconnected registries are kept only while no connected registry has
+    /// sent one.
+    views: BTreeMap<SocketAddr, RegistryView>,
 }
 
-/// The word of one registry.
 #[derive(Debug)]
-struct ToldView {
+struct RegistryView {
     view: EdgeView,
     is_connected: bool,
 }
 
 impl EdgeDirectory {
-    /// A directory that starts now and knows no edge.
+    /// Creates an empty directory whose discovery phase starts now.
     pub fn new(now: ClockTime) -> Self {
         Self {
-            gathering: EdgeGathering::new(now),
+            discovery: EdgeDiscovery::new(now),
             views: BTreeMap::new(),
         }
     }
 
-    /// A registry tells what it knows.
+    /// Records a view received from a registry.
     pub fn note_view(&mut self, registry: SocketAddr, view: EdgeView, now: ClockTime) {
         if view.edges > self.edges() {
-            self.gathering.note_joined(now);
+            self.discovery.note_joined(now);
         }
-        let told = ToldView {
+        let registry_view = RegistryView {
             view,
             is_connected: true,
         };
-        self.views.insert(registry, told);
-        self.views.retain(|_, told| told.is_connected);
+        self.views.insert(registry, registry_view);
+        self.views
+            .retain(|_, registry_view| registry_view.is_connected);
     }
 
-    /// The connection to a registry has ended.
+    /// Records that the connection to a registry was lost.
     pub fn note_lost(&mut self, registry: SocketAddr) {
-        if let Some(told) = self.views.get_mut(&registry) {
-            told.is_connected = false;
+        if let Some(registry_view) = self.views.get_mut(&registry) {
+            registry_view.is_connected = false;
         }
-        if self.views.values().any(|told| told.is_connected) {
-            self.views.retain(|_, told| told.is_connected);
+        if self
+            .views
+            .values()
+            .any(|registry_view| registry_view.is_connected)
+        {
+            self.views
+                .retain(|_, registry_view| registry_view.is_connected);
         }
     }
 
-    /// At most `most` edges for a caller that asks from an address.
+    /// Returns at most `most` edges for the caller at the address `asker`.
+    ///
+    /// # Errors
+    ///
+    /// Fails during discovery after a start, and if no edge is ready.
     pub fn find(
         &self,
         asker: IpAddr,
         most: usize,
         now: ClockTime,
-    ) -> Result<Vec<SocketAddr>, DirectoryGap> {
-        let ready = self.views.values().flat_map(|told| &told.view.ready);
+    ) -> Result<Vec<SocketAddr>, DirectoryError> {
+        let ready = self
+            .views
+            .values()
+            .flat_map(|registry_view| &registry_view.view.ready);
         let ready: BTreeSet<SocketAddr> = ready.copied().collect();
-        match self.gathering.gap(ready.len(), self.edges() as usize, now) {
-            Some(gap) => Err(gap),
+        match self
+            .discovery
+            .check_ready(ready.len(), self.edges() as usize, now)
+        {
+            Some(error) => Err(error),
             None => Ok(choose_addresses(asker, ready.into_iter().collect(), most)),
         }
     }
 
-    /// Edges that the registry with most of them knows.
+    /// Returns the highest number of edges that any registry knows.
     fn edges(&self) -> u32 {
-        let counts = self.views.values().map(|told| told.view.edges);
+        let counts = self
+            .views
+            .values()
+            .map(|registry_view| registry_view.view.edges);
         counts.max().unwrap_or(0)
     }
 }
--- /dev/null
+++ b/crates/ragwortroad_dispatch/src/endpoint_selection.rs
@@ -0,0 +1,215 @@
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use crate::EndpointKey;
+
+/// Parameters of the selection of an engine.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SelectionSettings {
+    /// Largest multiple of the mean load at which an engine that holds a request's prefix is
+    /// selected.
+    ///
+    /// Lower values balance better, higher ones recompute fewer prefixes. Sites bound skew at 2
+    /// times the mean plus three requests; the difference absorbs requests that other edges sent a
+    /// moment ago.
+    pub holder_load_multiple: f64,
+    /// Largest multiple of the mean load at which an engine that does not hold the prefix is
+    /// selected.
+    ///
+    /// Lower than the multiple for holders, so that new prefixes go to engines with spare capacity
+    /// and stay there.
+    pub load_multiple: f64,
+    /// Requests allowed above those multiples: at a small mean, a single request is a large
+    /// multiple of it.
+    pub load_slack: f64,
+}
+
+/// Ratio of the multiple for prefix holders to a site's bound on skew.
+///
+/// Edges learn of each other's requests some tenths of a second late, during which part of an
+/// engine's requests change.
+const HOLDER_LOAD_RATIO: f64 = 0.8;
+
+impl SelectionSettings {
+    /// Returns the parameters for a site that allows no engine more than `bound` times the mean
+    /// load.
+    pub fn within(bound: f64) -> Self {
+        let default = Self::default();
+        let holder_load_multiple = (bound * HOLDER_LOAD_RATIO).max(1.0);
+        Self {
+            holder_load_multiple,
+            load_multiple: default.load_multiple.min(holder_load_multiple),
+            ..default
+        }
+    }
+}
+
+impl Default for SelectionSettings {
+    fn default() -> Self {
+        Self {
+            holder_load_multiple: 1.6,
+            load_multiple: 1.3,
+            load_slack: 1.4,
+        }
+    }
+}
+
+/// An endpoint that may be selected for a request.
+#[derive(Clone, Copy, Debug)]
+pub struct SelectionCandidate<'a> {
+    /// Key of the endpoint.
+    pub key: EndpointKey,
+    /// Name of the endpoint, which is the same at all edges.
+    pub name: &'a str,
+    /// Estimated requests at the endpoint.
+    pub load: u32,
+    /// Requests that it processes concurrently; 0 if there is no known limit.
+    pub slots: u32,
+    /// Recent failure rate, from 0 to 1.
+    pub failure_rate: f64,
+    /// Whether it has the request's shared prefix in its cache.
+    pub holds_prefix: bool,
+}
+
+impl SelectionCandidate<'_> {
+    /// Returns whether the endpoint has a free slot, as far as this edge knows.
+    ///
+    /// Without one the request would queue there while other engines have free slots.
+    fn has_free_slot(&self) -> bool {
+        self.slots == 0 || self.load < self.slots
+    }
+}
+
+/// Properties of a request that its endpoint is selected by.
+#[derive(Clone, Copy, Debug)]
+pub struct SelectionRequest {
+    /// Key of the prompt prefix that it shares with other requests; `None` if it shares none.
+    pub shared_prefix: Option<u64>,
+    /// Random number between 0 and 1 for choices that nothing else determines.
+    pub draw: f64,
+}
+
+/// Failure rate from which an endpoint counts as failing.
+///
+/// Services fail one request in seven for reasons of the request. With the weight of the moving
+/// rate, a healthy endpoint stays below this threshold, and one that fails four in ten exceeds it
+/// after eight requests.
+pub(crate) const FAILING_THRESHOLD: f64 = 0.3;
+
+/// Selects the engine for a request to a model.
+///
+/// Prefers engines that hold the request's shared prefix, unless their load is far above the mean.
+/// Otherwise all edges rank the engines for a prefix in the same order, by a hash of prefix and
+/// engine (rendezvous hashing), and the first one with spare capacity is selected. So a prefix is
+/// computed by few engines, the same ones each time, and a prefix with too much traffic overflows
+/// to the next engine in its order. This suits sites with many shared prefixes, a few of them very
+/// busy, whose engines come and go.
+///
+/// Returns `None` if there are no candidates.
+pub fn choose_engine(
+    candidates: &[SelectionCandidate<'_>],
+    request: SelectionRequest,
+    settings: &SelectionSettings,
+) -> Option<EndpointKey> {
+    let healthy = healthy_candidates(candidates);
+    let mean = mean_load(&healthy);
+    // The bound is a multiple of the mean over all engines, including those that get no requests
+    // now.
+    let highest = mean_load(candidates) * settings.holder_load_multiple;
+    let prefix = request.shared_prefix.unwrap_or(request.draw.to_bits());
+    let rank =
+        |candidate: &SelectionCandidate<'_>| xxh3_64_with_seed(candidate.name.as_bytes(), prefix);
+    let is_below = |candidate: &SelectionCandidate<'_>, multiple: f64| {
+        f64::from(candidate.load) <= (mean * multiple).min(highest) + settings.load_slack
+    };
+    let holders = healthy.iter().filter(|candidate| candidate.holds_prefix);
+    let open: Vec<_> = holders
+        .filter(|candidate| candidate.has_free_slot())
+        .filter(|candidate| is_below(candidate, settings.holder_load_multiple))
+        .collect();
+    let holder = less_loaded_of_two(&open, request.draw);
+    let first = || {
+        let free = healthy.iter();
+        let free = free.filter(|candidate| candidate.has_free_slot());
+        let free = free.filter(|candidate| is_below(candidate, settings.load_multiple));
+        free.max_by_key(|candidate| rank(candidate))
+    };
+    let least = || healthy.iter().min_by_key(|candidate| candidate.load);
+    let chosen = holder.or_else(first).or_else(least);
+    chosen.map(|candidate| candidate.key)
+}
+
+fn mean_load(candidates: &[SelectionCandidate<'_>]) -> f64 {
+    let total: u32 = candidates.iter().map(|candidate| candidate.load).sum();
+    f64::from(total) / candidates.len().max(1) as f64
+}
+
+/// Selects the less loaded of two random candidates.
+///
+/// Edges learn of each other's requests a quarter of a second late. If all selected the least
+/// loaded holder of a busy prefix, it would be the most loaded by then; two random choices spread
+/// the burst.
+fn less_loaded_of_two<'a, 'b>(
+    open: &[&'a SelectionCandidate<'b>],
+    draw: f64,
+) -> Option<&'a SelectionCandidate<'b>> {
+    let count = open.len();
+    let one = (draw * count as f64) as usize;
+    let rest = (draw * count as f64).fract();
+    let step = 1 + (rest * count.saturating_sub(1) as f64) as usize;
+    let first = open.get(one)?;
+    let second = open.get((one + step) % count)?;
+    Some(match second.load < first.load {
+        true => second,
+        false => first,
+    })
+}
+
+/// Selects the replica of a plain service with the fewest requests of this edge, at random among
+/// equals.
+///
+/// Answers take some ten milliseconds there, so counts that other edges sent a quarter of a second
+/// ago are of no use: all edges would select the replica that was least loaded then. Replicas in
+/// the edge's own domain are not preferred, because a domain with a single replica would overload
+/// it while others are idle.
+///
+/// Returns `None` if there are no candidates.
+pub fn choose_replica(
+    candidates: &[SelectionCandidate<'_>],
+    request: SelectionRequest,
+) -> Option<EndpointKey> {
+    let healthy = healthy_candidates(candidates);
+    let offset = (request.draw * healthy.len() as f64) as usize;
+    let turned = healthy.iter().cycle().skip(offset).take(healthy.len());
+    turned
+        .min_by_key(|candidate| candidate.load)
+        .map(|candidate| candidate.key)
+}
+
+/// Returns the candidates that are not failing, or all of them if most are.
+fn healthy_candidates<'a>(candidates: &[SelectionCandidate<'a>]) -> Vec<SelectionCandidate<'a>> {
+    filter_healthy(candidates, |candidate| candidate.failure_rate)
+}
+
+/// Returns the items whose failure rate, given by `failing`, is below the threshold, or all of them
+/// if most exceed it.
+pub(crate) fn filter_healthy<T>(all: &[T], failing: impl Fn(&T) -> f64) -> Vec<T>
+where
+    T: Copy,
+{
+    let healthy = all.iter().filter(|one| failing(one) < FAILING_THRESHOLD);
+    let healthy: Vec<T> = healthy.copied().collect();
+    // If most endpoints of a service fail, the requests or the service as a whole are the cause,
+    // and the few others would collapse under the whole load.
+    if healthy.len() * 2 < all.len() {
+        return all.to_vec();
+    }
+    healthy
+}
+
+/// Returns the key of the shared prefix of a prompt made of `parts`, of which all but the last are
+/// shared; `None` if there are fewer than two.
+pub fn shared_prefix_key(parts: &[u64]) -> Option<u64> {
+    let (_, shared) = parts.split_last()?;
+    let last = shared.last()?;
+    Some(*last)
+}
--- a/crates/ragwortroad_dispatch/src/voter_plan.rs
+++ b/crates/ragwortroad_dispatch/src/voter_plan.rs
@@ -3,60 +3,63 @@
 use ragwortroad_consensus::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// Figures of the plan.
+/// Parameters of a [`VoterPlan`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoterSettings {
-    /// Time without a message after which a voter's seat goes to a learner that is ready.
+    /// Time without a message after which a voter is replaced by a learner that is ready.
     ///
-    /// Longer than a restart and than an election; a voter that is only cut off for that long
-    /// becomes a learner when it is back, which costs one change of members and loses nothing.
-    pub absence: Duration,
-    /// Most voters; more make each change dearer and add no safety that a site asks for.
-    pub most_voters: usize,
+    /// Longer than a restart and than an election. A voter that is only partitioned for longer
+    /// becomes a learner when it is back, which costs one membership change and loses nothing.
+    pub absence_timeout: Duration,
+    /// Largest number of voters. More voters make each change more expensive and add no fault
+    /// tolerance that a site asks for.
+    pub max_voters: usize,
 }
 
 impl Default for VoterSettings {
     fn default() -> Self {
         Self {
-            absence: Duration::from_secs(5),
-            most_voters: 9,
+            absence_timeout: Duration::from_secs(5),
+            max_voters: 9,
         }
     }
 }
 
-/// A registry with a data folder, as the leader knows it.
+/// State of a registry with a data folder, as known to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MemberSighting {
-    /// Identity of its data folder.
+pub struct MemberStatus {
+    /// Identity of the data folder.
     pub member: MemberId,
-    /// The VM's place: a folder that was lost leaves its node with another identity.
+    /// Identity of the VM, derived from its address. A node that has lost its data folder comes
+    /// back with another member identity.
     pub node: NodeId,
-    /// Time since it was last heard of.
+    /// Time since the last message from it.
     pub silent_for: Duration,
-    /// Whether it has nearly all entries.
+    /// Whether it has nearly all log entries.
     pub is_caught_up: bool,
 }
 
-/// Decides which registries vote, one step at a time.
+/// Plans which registries vote, one membership change at a time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct VoterPlan {
-    /// Its figures.
+    /// Parameters of the plan.
     pub settings: VoterSettings,
 }
 
 impl VoterPlan {
-    /// The next step, if there is one, given all registries heard of, the leader among them.
+    /// Returns the next membership change, or `None` if none is needed. `holders` are the
+    /// registries that the leader has heard from; the leader itself may be omitted.
     ///
-    /// Every registry that is heard of becomes a learner. A voter whose node has come back with
-    /// another identity has lost its disk: it must not count any more, and goes first. A voter that
-    /// is silent for too long gives its seat to a learner that is ready. Otherwise learners are
-    /// promoted in pairs, so that the number of voters stays odd: a group of four stands no more
-    /// losses than one of three, and a halved site of four leaves no majority.
+    /// Every reachable registry becomes a learner. A voter whose node has come back with another
+    /// identity has lost its disk, so it must no longer count and is removed first. A voter that
+    /// has been silent for too long is replaced by a learner that is ready. Otherwise learners are
+    /// promoted in pairs, so that the number of voters stays odd: a group of four tolerates no more
+    /// failures than one of three, and a partition into halves leaves it without a majority.
     pub fn next_step(
         &self,
         members: &MemberSet,
         leader: MemberId,
-        holders: &[MemberSighting],
+        holders: &[MemberStatus],
     ) -> Option<MemberChange> {
         self.remove_replaced(members, leader, holders)
             .or_else(|| self.add_learner(members, holders))
@@ -67,16 +70,16 @@
         &self,
         members: &MemberSet,
         leader: MemberId,
-        holders: &[MemberSighting],
+        holders: &[MemberStatus],
     ) -> Option<MemberChange> {
         let is_replaced = |record: &&MemberRecord| {
-            let newer = |holder: &&MemberSighting| {
+            let newer = |holder: &&MemberStatus| {
                 holder.node == record.node
                     && holder.member != record.member
                     && members.find(holder.member).is_none()
             };
-            let heard = |holder: &MemberSighting| {
-                holder.member == record.member && holder.silent_for < self.settings.absence
+            let heard = |holder: &MemberStatus| {
+                holder.member == record.member && holder.silent_for < self.settings.absence_timeout
             };
             record.member != leader
                 && holders.iter().any(|holder| newer(&holder))
@@ -87,9 +90,9 @@
         Some(MemberChange::Remove { member })
     }
 
-    fn add_learner(&self, members: &MemberSet, holders: &[MemberSighting]) -> Option<MemberChange> {
-        let present = |holder: &&MemberSighting| holder.silent_for < self.settings.absence;
-        let unknown = |holder: &&MemberSighting| members.find(holder.member).is_none();
+    fn add_learner(&self, members: &MemberSet, holders: &[MemberStatus]) -> Option<MemberChange> {
+        let present = |holder: &&MemberStatus| holder.silent_for < self.settings.absence_timeout;
+        let unknown = |holder: &&MemberStatus| members.find(holder.member).is_none();
         let holder = holders.iter().filter(present).find(unknown)?;
         Some(MemberChange::AddLearner {
             member: holder.member,
@@ -101,33 +104,34 @@
         &self,
         members: &MemberSet,
         leader: MemberId,
-        holders: &[MemberSighting],
+        holders: &[MemberStatus],
     ) -> Option<MemberChange> {
         let find = |member| holders.iter().find(|holder| holder.member == member);
         let learners = members.records().iter();
         let learners = learners.filter(|record| record.role == MemberRole::Learner);
         let mut ready = learners.filter(|record| {
-            find(record.member).is_some_and(|holder| holder.is_caught_up && self.hears(holder))
+            find(record.member).is_some_and(|holder| holder.is_caught_up && self.is_present(holder))
         });
-        let heir = ready.next()?.member;
+        let successor = ready.next()?.member;
         let has_second = ready.next().is_some();
         let is_absent = |voter: &MemberId| {
-            *voter != leader && !find(*voter).is_some_and(|holder| self.hears(holder))
+            *voter != leader && !find(*voter).is_some_and(|holder| self.is_present(holder))
         };
         let voters = members.voters().count();
         if let Some(member) = members.voters().find(is_absent) {
-            // With an even number the promotion comes first: the seat is not missed meanwhile.
+            // With an even number of voters the promotion comes first, so that the group does not
+            // shrink in between.
             return Some(match voters % 2 {
-                0 => MemberChange::Promote { member: heir },
+                0 => MemberChange::Promote { member: successor },
                 _ => MemberChange::Remove { member },
             });
         }
-        let fits = voters < self.settings.most_voters;
+        let fits = voters < self.settings.max_voters;
         let stays_odd = voters.is_multiple_of(2) || has_second;
-        (fits && stays_odd).then_some(MemberChange::Promote { member: heir })
+        (fits && stays_odd).then_some(MemberChange::Promote { member: successor })
     }
 
-    fn hears(&self, holder: &MemberSighting) -> bool {
-        holder.silent_for < self.settings.absence
+    fn is_present(&self, holder: &MemberStatus) -> bool {
+        holder.silent_for < self.settings.absence_timeout
     }
 }
--- a/crates/ragwortroad_edge/src/domain_probe.rs
+++ b/crates/ragwortroad_edge/src/domain_probe.rs
@@ -1,4 +1,4 @@
-//! Failure domains that an edge takes for unreachable, and how it finds out that they are back.
+//! Detection and probing of unreachable failure domains.
 
 use std::{
     net::SocketAddr,
@@ -16,19 +16,20 @@
     edge_state::EdgeShared,
     endpoint_connection::{
         EndpointConnection,
-        is_silence, //
+        is_timeout_error, //
     }, //
 };
 
-/// Time between two attempts to connect to an unreachable domain.
+/// Interval between connection attempts to an unreachable domain.
 ///
-/// No caller waits for them.
-const PROBE_EVERY: Duration = Duration::from_millis(500);
+/// No client request waits for them.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl EdgeShared {
-    /// An endpoint did not answer at all.
+    /// Records that an endpoint did not respond at all.
     ///
-    /// Connections kept to a domain that falls silent are closed: a request sent on one would hang.
+    /// When a domain becomes unreachable, its pooled connections are closed: a request sent on one
+    /// would hang.
     pub(crate) fn note_silent(&self, domain: &str, endpoint: EndpointKey) {
         let mut state = self.state.borrow_mut();
         if !state.reach.note_silent(domain, endpoint) {
@@ -36,11 +37,11 @@
         }
         tracing::warn!(domain, "failure domain unreachable");
         for address in state.endpoints.addresses(domain) {
-            self.pool.drop_address(address);
+            self.pool.close_address(address);
         }
     }
 
-    /// Something came back from a domain.
+    /// Records that an endpoint of the domain responded.
     pub(crate) fn note_reached(&self, domain: &str) {
         if self.state.borrow_mut().reach.note_answer(domain) {
             tracing::info!(domain, "failure domain reachable again");
@@ -48,30 +49,30 @@
     }
 }
 
-/// Tries to connect to unreachable domains for as long as the process runs.
+/// Probes unreachable domains for as long as the process runs.
 pub(crate) async fn probe_domains(shared: Rc<EdgeShared>) {
     loop {
-        sleep(PROBE_EVERY).await;
+        sleep(PROBE_INTERVAL).await;
         for (domain, address) in probe_targets(&shared) {
             spawn_local(probe(Rc::clone(&shared), domain, address));
         }
     }
 }
 
-/// One endpoint of each unreachable domain, drawn by lot.
+/// Picks one random endpoint of each unreachable domain.
 fn probe_targets(shared: &EdgeShared) -> Vec<(String, SocketAddr)> {
     let state = shared.state.borrow();
     let domains = state.reach.unreachable();
     let target = |domain: &str| {
         let addresses: Vec<SocketAddr> = state.endpoints.addresses(domain).collect();
-        let drawn = rand::random_range(0..addresses.len().max(1));
-        let address = addresses.get(drawn)?;
+        let index = rand::random_range(0..addresses.len().max(1));
+        let address = addresses.get(index)?;
         Some((domain.to_owned(), *address))
     };
     domains.filter_map(target).collect()
 }
 
-/// A refused connection shows the domain reachable as well as one that is accepted.
+/// A refused connection proves that the domain is reachable just as an accepted one does.
 async fn probe(shared: Rc<EdgeShared>, domain: String, address: SocketAddr) {
     match EndpointConnection::open(address).await {
         Ok(connection) => {
@@ -79,7 +80,7 @@
             shared.pool.keep(address, connection, None, now);
             shared.note_reached(&domain);
         }
-        Err(error) if is_silence(&error) => {}
+        Err(error) if is_timeout_error(&error) => {}
         Err(_) => shared.note_reached(&domain),
     }
 }
--- a/crates/ragwortroad_edge/src/endpoint_choice.rs
+++ b/crates/ragwortroad_edge/src/endpoint_choice.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to, from what the edge knows now.
+//! Selects the endpoint for a request from the edge's current state.
 
 use std::{
     net::SocketAddr,
@@ -17,81 +17,81 @@
     request_plan::RequestPlan, //
 };
 
-/// An endpoint chosen for a request.
+/// An endpoint selected for a request.
 #[derive(Clone, Debug)]
 pub(crate) struct ChosenEndpoint {
     pub(crate) key: EndpointKey,
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the endpoint.
     pub(crate) zone: String,
-    /// Requests there by the best knowledge here.
+    /// Estimated number of requests at the endpoint.
     pub(crate) load: u32,
-    /// Age of what other edges told of their requests there; nothing where they tell nothing.
+    /// Age of the other edges' load reports; `None` if they report nothing.
     pub(crate) load_age: Option<Duration>,
-    /// Endpoints among which it was chosen.
-    pub(crate) among: usize,
-    /// Whether it has read the request's shared text.
-    pub(crate) holds_text: bool,
-    /// The engine that it copies that text from, where it has not read it.
-    pub(crate) text_source: Option<ChosenSource>,
+    /// Number of endpoints that could have been selected.
+    pub(crate) candidate_count: usize,
+    /// Whether the endpoint already has the request's shared prefix cached.
+    pub(crate) holds_prefix: bool,
+    /// The engine to copy the shared prefix from, if the endpoint does not have it cached.
+    pub(crate) prefix_source: Option<ChosenSource>,
 }
 
 impl ChosenEndpoint {
-    /// The age of the load, for log lines.
+    /// Age of the load in milliseconds, for logs.
     pub(crate) fn load_age_ms(&self) -> Option<u64> {
         self.load_age.map(|age| age.as_millis() as u64)
     }
 }
 
-/// An engine from which another one copies text.
+/// An engine from which another one copies a cached prefix.
 #[derive(Clone, Debug)]
 pub(crate) struct ChosenSource {
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
 }
 
-/// Chooses an endpoint that was not tried, if there is one.
+/// Selects an endpoint that has not been tried yet, and records the selection.
 pub(crate) fn choose_endpoint(
     shared: &EdgeShared,
     plan: &RequestPlan,
     tried: &[EndpointKey],
 ) -> Option<ChosenEndpoint> {
     let state = shared.state.borrow();
-    let view = ChoiceView::new(shared, &state, plan, tried);
-    let found = view.choose(shared.settings.load_multiple)?;
-    let text = view.engine.and(plan.facts.shared_text());
-    let warmup_rate = view.warmup_rate.filter(|_| view.is_warming(found.key));
+    let choice = ChoiceContext::new(shared, &state, plan, tried);
+    let chosen = choice.choose(shared.settings.load_multiple)?;
+    let prefix = choice.engine.and(plan.metadata.shared_prefix());
+    let warmup_rate = choice.warmup_rate.filter(|_| choice.is_warming(chosen.key));
     drop(state);
     if let Some(rate) = warmup_rate {
-        let tag = EndpointTag::of(&found.name);
+        let tag = EndpointTag::of(&chosen.name);
         let mut state = shared.state.borrow_mut();
         state.warmups.note_sent(tag, rate, shared.now());
     }
-    if let Some(text) = text {
-        note_place(shared, text, &found);
+    if let Some(prefix) = prefix {
+        record_location(shared, prefix, &chosen);
     }
-    Some(found)
+    Some(chosen)
 }
 
-/// What an edge knows at the moment of one choice.
-struct ChoiceView<'a> {
+/// Snapshot of the state for one selection.
+struct ChoiceContext<'a> {
     state: &'a EdgeState,
     plan: &'a RequestPlan,
-    /// Figures of the service's engines; nothing for a plain service.
+    /// Rule for the service's engines; `None` for a service without engines.
     engine: Option<&'a EngineRule>,
-    /// Requests a second that the service's endpoints tolerate while they warm up.
+    /// Requests per second that the service's endpoints tolerate while warming up.
     warmup_rate: Option<f64>,
-    /// Engines that hold the request's shared text.
+    /// Engines that have the request's shared prefix cached.
     holders: Vec<EndpointKey>,
-    /// The request's shared text, where places of texts count.
-    text: Option<u64>,
+    /// Key of the request's shared prefix; `None` if prefix locations are disabled.
+    prefix: Option<u64>,
     mechanisms: &'a MechanismSettings,
     tried: &'a [EndpointKey],
     now: ClockTime,
 }
 
-impl<'a> ChoiceView<'a> {
+impl<'a> ChoiceContext<'a> {
     fn new(
         shared: &'a EdgeShared,
         state: &'a EdgeState,
@@ -101,15 +101,18 @@
         let now = shared.now();
         let mechanisms = &shared.settings.mechanisms;
         let service = plan.map.service(&plan.service);
-        let text = plan.facts.shared_text().filter(|_| mechanisms.text_places);
-        let holders = text.map(|text| state.texts.holders(text, now).collect());
+        let prefix = plan
+            .metadata
+            .shared_prefix()
+            .filter(|_| mechanisms.text_places);
+        let holders = prefix.map(|prefix| state.prefixes.holders(prefix, now).collect());
         Self {
             state,
             plan,
             engine: service.and_then(|service| service.engine.as_ref()),
             warmup_rate: service.and_then(|service| service.warmup_per_second),
             holders: holders.unwrap_or_default(),
-            text,
+            prefix,
             mechanisms,
             tried,
             now,
@@ -118,38 +121,41 @@
 
     fn choose(&self, load_multiple: f64) -> Option<ChosenEndpoint> {
         let candidates = self.candidates();
-        let request = PlaceRequest {
-            shared_text: self.text,
+        let request = SelectionRequest {
+            shared_prefix: self.prefix,
             draw: rand::random(),
         };
         let key = match self.engine {
             Some(_) => {
-                let settings = PlaceSettings::within(load_multiple);
+                let settings = SelectionSettings::within(load_multiple);
                 choose_engine(&candidates, request, &settings)
             }
             None => choose_replica(&candidates, request),
         }?;
         let chosen = candidates.iter().find(|candidate| candidate.key == key)?;
         let record = self.state.endpoints.record(key)?;
-        let may_copy = self.mechanisms.text_copies && !chosen.holds_text;
-        let lacking = self.engine.filter(|_| may_copy);
-        let told_at = self.state.loads_at.filter(|_| self.engine.is_some());
+        let may_copy = self.mechanisms.text_copies && !chosen.holds_prefix;
+        let copying_engine = self.engine.filter(|_| may_copy);
+        let loads_received_at = self
+            .state
+            .loads_received_at
+            .filter(|_| self.engine.is_some());
         Some(ChosenEndpoint {
             key,
             name: record.name.clone(),
             address: record.address,
             zone: record.zone.clone(),
             load: chosen.load,
-            load_age: told_at.map(|told_at| self.now.since(told_at)),
-            among: candidates.len(),
-            holds_text: chosen.holds_text,
-            text_source: lacking.and_then(|engine| self.find_source(engine, record)),
+            load_age: loads_received_at.map(|loads_received_at| self.now.since(loads_received_at)),
+            candidate_count: candidates.len(),
+            holds_prefix: chosen.holds_prefix,
+            prefix_source: copying_engine.and_then(|engine| self.find_source(engine, record)),
         })
     }
 
     /// Endpoints that may take the request.
-    fn candidates(&self) -> Vec<PlaceCandidate<'a>> {
-        let ready = self.state.open_endpoints(&self.plan.service);
+    fn candidates(&self) -> Vec<SelectionCandidate<'a>> {
+        let ready = self.state.available_endpoints(&self.plan.service);
         let untried = ready.filter(|(key, _)| !self.tried.contains(key));
         let untried = untried.filter(|(key, record)| self.may_send(*key, record));
         let is_open = |key, record: &EndpointRecord| {
@@ -157,7 +163,7 @@
         };
         let (open, paused): (Vec<_>, Vec<_>) =
             untried.partition(|(key, record)| is_open(*key, record));
-        // Where all of them failed lately, one of them is still a better guess than a refusal.
+        // If all of them failed recently, trying one is still better than a refusal.
         let usable = if open.is_empty() { paused } else { open };
         let usable = usable.into_iter();
         usable
@@ -165,23 +171,25 @@
             .collect()
     }
 
-    fn candidate(&self, key: EndpointKey, record: &'a EndpointRecord) -> PlaceCandidate<'a> {
+    fn candidate(&self, key: EndpointKey, record: &'a EndpointRecord) -> SelectionCandidate<'a> {
         let load = self.state.loads.get(&key);
-        let others = match self.engine {
-            Some(_) => self.state.others_at(&record.name),
+        let other_edges_load = match self.engine {
+            Some(_) => self.state.other_edges_load(&record.name),
             None => 0,
         };
-        PlaceCandidate {
+        SelectionCandidate {
             key,
             name: &record.name,
-            load: load.map_or(others, |load| load.estimate(others, self.now)),
+            load: load.map_or(other_edges_load, |load| {
+                load.estimate(other_edges_load, self.now)
+            }),
             slots: record.slots,
-            failing: load.map_or(0.0, |load| self.failing(load)),
-            holds_text: self.holders.contains(&key),
+            failure_rate: load.map_or(0.0, |load| self.failing(load)),
+            holds_prefix: self.holders.contains(&key),
         }
     }
 
-    /// Whether the endpoint is warm, or this edge may send it a request while it warms up.
+    /// Whether the endpoint is warm, or its warm-up limit allows this edge another request.
     fn may_send(&self, key: EndpointKey, record: &EndpointRecord) -> bool {
         let is_bounded = self.warmup_rate.is_some() && self.is_warming(key);
         let tag = || EndpointTag::of(&record.name);
@@ -194,24 +202,24 @@
 
     fn is_open(&self, key: EndpointKey) -> bool {
         let load = self.state.loads.get(&key);
-        !self.mechanisms.failure_pauses || load.is_none_or(|load| load.is_open(self.now))
+        !self.mechanisms.failure_pauses || load.is_none_or(|load| load.is_available(self.now))
     }
 
     fn failing(&self, load: &EndpointLoad) -> f64 {
         match self.mechanisms.failing_share {
-            true => load.failing(self.now),
+            true => load.failure_rate(self.now),
             false => 0.0,
         }
     }
 
-    /// The engine from which `target` copies the request's shared text.
+    /// Selects the engine from which `target` copies the shared prefix.
     ///
-    /// One that leaves is asked too, as long as nobody has said that it is gone.
+    /// An engine that is draining is also used, as long as it is not known to be gone.
     fn find_source(&self, engine: &EngineRule, target: &EndpointRecord) -> Option<ChosenSource> {
         let untried = self.holders.iter().filter(|key| !self.tried.contains(key));
         let sources = untried.filter_map(|&key| self.source(key, target));
-        let sources: Vec<TextSource> = sources.collect();
-        let key = choose_source(&sources, self.plan.facts.shared_tokens(), engine)?;
+        let sources: Vec<PrefixSource> = sources.collect();
+        let key = choose_source(&sources, self.plan.metadata.shared_prefix_tokens(), engine)?;
         let record = self.state.endpoints.record(key)?;
         Some(ChosenSource {
             name: record.name.clone(),
@@ -219,27 +227,27 @@
         })
     }
 
-    fn source(&self, key: EndpointKey, target: &EndpointRecord) -> Option<TextSource> {
+    fn source(&self, key: EndpointKey, target: &EndpointRecord) -> Option<PrefixSource> {
         let record = self.state.endpoints.record(key)?;
         let is_reachable = self.state.reach.is_reachable(&record.zone);
         let is_there = record.stage != EndpointStage::Gone && record.name != target.name;
         let is_there = is_there && is_reachable;
         let load = self.state.loads.get(&key);
-        (is_there && self.is_open(key)).then(|| TextSource {
+        (is_there && self.is_open(key)).then(|| PrefixSource {
             key,
             is_near: record.zone == target.zone,
             load: load.map_or(0, |load| load.estimate(0, self.now)),
-            failing: load.map_or(0.0, |load| self.failing(load)),
+            failure_rate: load.map_or(0.0, |load| self.failing(load)),
         })
     }
 }
 
-/// Remembers that an engine reads a text, and has the other edges told if they do not know.
-fn note_place(shared: &EdgeShared, text: u64, chosen: &ChosenEndpoint) {
+/// Records that an engine caches a prefix, and queues it for the other edges if it is new.
+fn record_location(shared: &EdgeShared, text: u64, chosen: &ChosenEndpoint) {
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
-    if state.texts.note(text, chosen.key, now) {
-        state.placed.push(PlacedText {
+    if state.prefixes.note(text, chosen.key, now) {
+        state.unsent_locations.push(PrefixLocation {
             text,
             engine: EndpointTag::of(&chosen.name),
         });
--- /dev/null
+++ b/crates/ragwortroad_edge/src/gate_permit.rs
@@ -0,0 +1,122 @@
+use std::{
+    rc::Rc,
+    time::Duration, //
+};
+
+use ragwortroad_dispatch::prelude::*;
+use ragwortroad_telemetry::prelude::*;
+use tokio::{
+    sync::oneshot,
+    time::{
+        Instant,
+        timeout, //
+    }, //
+};
+
+use crate::{
+    edge_state::EdgeShared,
+    request_plan::RequestPlan,
+    service_gate::GateDecision, //
+};
+
+/// Permit to send a request to a service's endpoints, released when dropped.
+///
+/// A permit that is never released reduces the capacity for this edge's clients permanently.
+pub(crate) struct GatePermit {
+    shared: Rc<EdgeShared>,
+    plan: Rc<RequestPlan>,
+    /// Time that the request was queued at the gate.
+    pub(crate) waited: Duration,
+}
+
+impl Drop for GatePermit {
+    fn drop(&mut self) {
+        let now = self.shared.now();
+        let mut state = self.shared.state.borrow_mut();
+        if let Some(gate) = state.gates.get_mut(&self.plan.service) {
+            gate.release(now);
+        }
+    }
+}
+
+/// A request queued at a gate; on drop it releases a slot that was granted but not used.
+struct GateWait<'a> {
+    shared: &'a EdgeShared,
+    plan: &'a RequestPlan,
+    ticket: QueueTicket,
+    admission: oneshot::Receiver<()>,
+    is_finished: bool,
+}
+
+impl GateWait<'_> {
+    /// Ends the wait; returns whether the request was admitted.
+    fn finish(&mut self) -> bool {
+        self.is_finished = true;
+        let now = self.shared.now();
+        let mut state = self.shared.state.borrow_mut();
+        let gate = state.gates.get_mut(&self.plan.service);
+        gate.is_some_and(|gate| gate.finish_wait(self.ticket, &mut self.admission, now))
+    }
+}
+
+impl Drop for GateWait<'_> {
+    fn drop(&mut self) {
+        if self.is_finished || !self.finish() {
+            return;
+        }
+        let now = self.shared.now();
+        let mut state = self.shared.state.borrow_mut();
+        if let Some(gate) = state.gates.get_mut(&self.plan.service) {
+            gate.release(now);
+        }
+    }
+}
+
+/// Waits for admission; returns `None` if the request cannot be admitted in time.
+pub(crate) async fn acquire_permit(
+    shared: &Rc<EdgeShared>,
+    plan: &Rc<RequestPlan>,
+) -> Option<GatePermit> {
+    let started_at = Instant::now();
+    let permit = || GatePermit {
+        shared: Rc::clone(shared),
+        plan: Rc::clone(plan),
+        waited: started_at.elapsed(),
+    };
+    let mechanisms = &shared.settings.mechanisms;
+    if !mechanisms.admission {
+        return Some(permit());
+    }
+    let now = shared.now();
+    let time_left = plan.deadline.saturating_duration_since(plan.received_at);
+    let patience = max_queue_time(plan.rule().target, time_left);
+    let decision = {
+        let mut state = shared.state.borrow_mut();
+        let offer = AdmissionRequest {
+            rank: plan.map.request_rank(plan.route, plan.customer),
+            is_late: mechanisms.late_last && state.time_spent(plan) >= plan.rule().target,
+            queue_timeout: patience,
+        };
+        state.gate_mut(&plan.service, now).offer(offer, now)
+    };
+    let (ticket, admission) = match decision {
+        GateDecision::Admitted => return Some(permit()),
+        GateDecision::Queued(ticket, admission) => (ticket, admission),
+    };
+    let mut wait = GateWait {
+        shared,
+        plan,
+        ticket,
+        admission,
+        is_finished: false,
+    };
+    let is_admitted = match timeout(patience, &mut wait.admission).await {
+        Ok(admission) => {
+            wait.is_finished = true;
+            admission.is_ok()
+        }
+        Err(_) => wait.finish(),
+    };
+    metrics::histogram!(metric_names::GATE_WAIT_SECONDS).record(started_at.elapsed());
+    is_admitted.then(permit)
+}
--- /dev/null
+++ b/crates/ragwortroad_edge/src/request_progress.rs
@@ -0,0 +1,151 @@
+use ragwortroad_dispatch::prelude::*;
+use ragwortroad_telemetry::prelude::*;
+use tokio::time::Instant;
+
+use crate::{
+    edge_state::EdgeShared,
+    endpoint_call::{
+        CallOutcome,
+        EventStream,
+        FullResponse, //
+    },
+    endpoint_choice::ChosenEndpoint,
+    refusal_reason::RefusalReason,
+    request_plan::RequestPlan, //
+};
+
+/// Number of failed connection attempts after which a request is refused.
+///
+/// A failed attempt takes up to the connect timeout; after several of them, a refusal with a retry
+/// time serves the client better than further attempts.
+const MAX_FAILED_DIALS: u32 = 3;
+
+/// Attempts made for a request so far.
+#[derive(Default)]
+pub(crate) struct RequestProgress {
+    pub(crate) tried: Vec<EndpointKey>,
+    /// Number of endpoints that were sent the request.
+    pub(crate) attempts: u32,
+    /// Number of endpoints that could not be reached.
+    pub(crate) failed_dials: u32,
+    /// Whether any endpoint may have run the request.
+    pub(crate) may_have_run: bool,
+}
+
+/// Next step after an attempt.
+pub(crate) enum NextStep {
+    Retry,
+    Refuse(RefusalReason),
+    Respond(FullResponse),
+    Stream(Box<EventStream>),
+}
+
+impl RequestProgress {
+    /// Records the outcome of an attempt and decides the next step.
+    pub(crate) fn record(
+        &mut self,
+        shared: &EdgeShared,
+        plan: &RequestPlan,
+        chosen: &ChosenEndpoint,
+        outcome: CallOutcome,
+    ) -> NextStep {
+        let (reason, refusal) = match outcome {
+            CallOutcome::Full(response) => {
+                return self.handle_response(shared, plan, chosen, response);
+            }
+            CallOutcome::Events(upstream) => {
+                self.attempts += 1;
+                return NextStep::Stream(upstream);
+            }
+            CallOutcome::NotSent { reason, .. } => {
+                self.failed_dials += 1;
+                self.log_failure(plan, chosen, &reason);
+                return match self.failed_dials < MAX_FAILED_DIALS {
+                    true => NextStep::Retry,
+                    false => NextStep::Refuse(RefusalReason::NoEndpoint),
+                };
+            }
+            CallOutcome::TimedOut => {
+                self.may_have_run = true;
+                return NextStep::Refuse(RefusalReason::TimedOut);
+            }
+            CallOutcome::NoResponse => {
+                self.may_have_run = true;
+                self.attempts += 1;
+                self.log_failure(plan, chosen, "silent");
+                return NextStep::Retry;
+            }
+            CallOutcome::NotRun => ("not run".to_owned(), RefusalReason::NotRun),
+            CallOutcome::Misdirected => (
+                "another endpoint has this address".to_owned(),
+                RefusalReason::NotRun,
+            ),
+            CallOutcome::Lost { reason, .. } => {
+                self.may_have_run = true;
+                (reason, RefusalReason::Unknown)
+            }
+        };
+        self.attempts += 1;
+        metrics::counter!(metric_names::FAILED_ATTEMPTS, "reason" => refusal.label()).increment(1);
+        self.log_failure(plan, chosen, &reason);
+        let may_repeat = !self.may_have_run || plan.rule().is_repeatable();
+        match may_repeat && self.try_retry(shared, plan) {
+            true => NextStep::Retry,
+            false => NextStep::Refuse(refusal),
+        }
+    }
+
+    /// Returns the response to the client, unless it is a server error and another endpoint may be
+    /// tried.
+    fn handle_response(
+        &mut self,
+        shared: &EdgeShared,
+        plan: &RequestPlan,
+        chosen: &ChosenEndpoint,
+        response: FullResponse,
+    ) -> NextStep {
+        self.attempts += 1;
+        let is_failure = response.status.is_server_error();
+        if !is_failure || !plan.rule().is_repeatable() || !self.try_retry(shared, plan) {
+            return NextStep::Respond(response);
+        }
+        self.may_have_run = true;
+        self.log_failure(plan, chosen, response.status.as_str());
+        NextStep::Retry
+    }
+
+    /// Whether an attempt in flight may be abandoned in favor of another endpoint.
+    pub(crate) fn may_abandon(&self, shared: &EdgeShared, plan: &RequestPlan) -> bool {
+        let is_last = self.attempts + 1 >= plan.rule().max_attempts;
+        plan.rule().is_repeatable() && !is_last && self.try_retry(shared, plan)
+    }
+
+    fn try_retry(&self, shared: &EdgeShared, plan: &RequestPlan) -> bool {
+        let is_enabled = shared.settings.mechanisms.repeats;
+        let has_attempts_left = is_enabled && self.attempts < plan.rule().max_attempts;
+        let has_time = Instant::now() < plan.deadline;
+        has_attempts_left && has_time && {
+            let now = shared.now();
+            let mut state = shared.state.borrow_mut();
+            let budget = state.budget_mut(&plan.service, &shared.settings, now);
+            let may_retry = budget.withdraw();
+            let outcome = if may_retry { "made" } else { "over_budget" };
+            metrics::counter!(metric_names::REPEATS, "outcome" => outcome).increment(1);
+            may_retry
+        }
+    }
+
+    fn log_failure(&self, plan: &RequestPlan, chosen: &ChosenEndpoint, reason: &str) {
+        tracing::info!(
+            request = plan.id,
+            endpoint = chosen.name,
+            address = %chosen.address,
+            load = chosen.load,
+            load_age_ms = chosen.load_age_ms(),
+            version = plan.map.config().version,
+            attempts = self.attempts,
+            reason,
+            "attempt failed"
+        );
+    }
+}
--- a/crates/ragwortroad_edge/src/service_gate.rs
+++ b/crates/ragwortroad_edge/src/service_gate.rs
@@ -7,109 +7,110 @@
 use ragwortroad_types::prelude::*;
 use tokio::sync::oneshot;
 
-/// The gate of one service, with the tasks that wait at it.
+/// Admission gate of one service, with the tasks queued at it.
 #[derive(Debug)]
 pub(crate) struct ServiceGate {
     gate: AdmissionGate,
-    /// Learned limit, where the fleet's load does not tell one.
-    learned: LatencyLimit,
+    /// Limit learned from response times, used if the fleet's load does not provide one.
+    latency_limit: LatencyLimit,
     /// Whether the limit comes from the fleet's load.
-    is_told: bool,
-    /// Tells a waiting task that it may go on; dropped where it may not.
-    waiting: HashMap<WaitTicket, oneshot::Sender<()>>,
+    has_fleet_limit: bool,
+    /// Wakes a queued task on admission; dropped if the request is shed.
+    waiting: HashMap<QueueTicket, oneshot::Sender<()>>,
 }
 
-/// How a request gets past a gate.
-pub(crate) enum GateWay {
-    Open,
-    Wait(WaitTicket, oneshot::Receiver<()>),
+/// Decision of a gate on a request.
+pub(crate) enum GateDecision {
+    Admitted,
+    Queued(QueueTicket, oneshot::Receiver<()>),
 }
 
 impl ServiceGate {
     pub(crate) fn new(now: ClockTime) -> Self {
         Self {
             gate: AdmissionGate::new(now),
-            learned: LatencyLimit::default(),
-            is_told: false,
+            latency_limit: LatencyLimit::default(),
+            has_fleet_limit: false,
             waiting: HashMap::new(),
         }
     }
 
-    /// Whether some request has yet to leave it.
+    /// Whether any request is in flight or queued.
     pub(crate) fn is_used(&self) -> bool {
-        self.gate.under_way() > 0 || self.gate.waiting() > 0
+        self.gate.in_flight() > 0 || self.gate.waiting() > 0
     }
 
-    /// The gate's figures.
+    /// The underlying gate, for its counters and limit.
     pub(crate) fn gate(&self) -> &AdmissionGate {
         &self.gate
     }
 
-    /// Sets the limit by what is known of the engines' load, or else by what was learned.
-    pub(crate) fn follow(&mut self, fleet: Option<FleetLoad>, now: ClockTime) {
-        self.is_told = fleet.is_some();
-        let limit = fleet.map_or(self.learned.limit(), |fleet| fleet.own_limit());
+    /// Sets the limit from the load of the fleet, or else from the learned response times.
+    pub(crate) fn update_limit(&mut self, fleet: Option<FleetLoad>, now: ClockTime) {
+        self.has_fleet_limit = fleet.is_some();
+        let limit = fleet.map_or(self.latency_limit.limit(), |fleet| fleet.own_limit());
         self.gate.set_limit(limit, now);
-        self.settle(now);
+        self.wake_waiters(now);
     }
 
-    /// Notes how long an answer of a plain service took, and the time it should take.
-    pub(crate) fn note_answer(&mut self, took: Duration, target: Duration, now: ClockTime) {
-        let under_way = self.gate.under_way();
-        if !self.is_told && self.learned.note(took, target, under_way) {
-            self.gate.set_limit(self.learned.limit(), now);
-            self.settle(now);
+    /// Records the response time of a service without engines, and its target.
+    pub(crate) fn record_response(&mut self, took: Duration, target: Duration, now: ClockTime) {
+        let under_way = self.gate.in_flight();
+        if !self.has_fleet_limit && self.latency_limit.note(took, target, under_way) {
+            self.gate.set_limit(self.latency_limit.limit(), now);
+            self.wake_waiters(now);
         }
     }
 
-    pub(crate) fn offer(&mut self, offer: GateOffer, now: ClockTime) -> GateWay {
+    pub(crate) fn offer(&mut self, offer: AdmissionRequest, now: ClockTime) -> GateDecision {
         match self.gate.offer(offer, now) {
-            GateAnswer::Admitted => GateWay::Open,
-            GateAnswer::Waiting(ticket) => {
+            AdmissionDecision::Admitted => GateDecision::Admitted,
+            AdmissionDecision::Queued(ticket) => {
                 let (sender, receiver) = oneshot::channel();
                 self.waiting.insert(ticket, sender);
-                self.settle(now);
-                GateWay::Wait(ticket, receiver)
+                self.wake_waiters(now);
+                GateDecision::Queued(ticket, receiver)
             }
         }
     }
 
-    pub(crate) fn leave(&mut self, now: ClockTime) {
-        self.gate.leave(now);
-        self.settle(now);
+    pub(crate) fn release(&mut self, now: ClockTime) {
+        self.gate.release(now);
+        self.wake_waiters(now);
     }
 
-    /// The task of a ticket waits no longer; tells whether it was called, and so has a place.
+    /// Ends the wait of a queued request; returns whether it was admitted and so holds a slot.
     ///
-    /// A task may end after it was called and before it has noticed, as its caller leaves or its
-    /// patience ends at that moment. The place of one that was not asked here would be lost for good,
-    /// and after some hundred of them the edge would refuse everybody.
-    pub(crate) fn end_wait(
+    /// A task can end between its admission and noticing it, when its client disconnects or its
+    /// queue timeout expires at that moment. Without this check its slot would leak, and after a
+    /// few hundred leaked slots the edge would refuse all requests.
+    pub(crate) fn finish_wait(
         &mut self,
-        ticket: WaitTicket,
-        called: &mut oneshot::Receiver<()>,
+        ticket: QueueTicket,
+        admission: &mut oneshot::Receiver<()>,
         now: ClockTime,
     ) -> bool {
-        if called.try_recv().is_ok() {
+        if admission.try_recv().is_ok() {
             return true;
         }
-        self.settle(now);
+        self.wake_waiters(now);
         if self.waiting.remove(&ticket).is_some() {
-            self.gate.give_up(ticket);
+            self.gate.cancel(ticket);
         }
-        called.try_recv().is_ok()
+        admission.try_recv().is_ok()
     }
 
-    /// Lets go on who may, and ends the wait of who waits in vain.
-    fn settle(&mut self, now: ClockTime) {
-        while let Some(ticket) = self.gate.call_next(now) {
+    /// Admits queued requests as far as the limit allows, and sheds those that cannot be served in
+    /// time.
+    fn wake_waiters(&mut self, now: ClockTime) {
+        while let Some(ticket) = self.gate.admit_next(now) {
             let sender = self.waiting.remove(&ticket);
-            // A task that has just ended leaves its place to the next one.
+            // A task that has just ended passes its slot to the next one.
             if sender.is_none_or(|sender| sender.send(()).is_err()) {
-                self.gate.leave(now);
+                self.gate.release(now);
             }
         }
-        while let Some(ticket) = self.gate.take_displaced(now) {
+        while let Some(ticket) = self.gate.shed_next(now) {
             self.waiting.remove(&ticket);
         }
     }
--- a/crates/ragwortroad_link/src/link_error.rs
+++ b/crates/ragwortroad_link/src/link_error.rs
@@ -5,45 +5,47 @@
 
 use snafu::Snafu;
 
-/// Why a connection to another process of the fleet ended.
+/// Reason why a connection to another process of the fleet ended or was not established.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LinkError {
-    /// It could not be established.
-    #[snafu(display("cannot connect: {source}; check that the process there runs"))]
+    /// The connection attempt failed.
+    #[snafu(display("cannot connect: {source}; check that the peer process is running"))]
     Dial {
-        /// What the system said.
+        /// Error reported by the operating system.
         source: io::Error,
     },
-    /// It could not be established in time.
-    #[snafu(display("no connection within {limit:?}; check the network between the two VMs"))]
+    /// The connection attempt timed out.
+    #[snafu(display(
+        "connection timed out after {limit:?}; check the network between the two VMs"
+    ))]
     DialTimeout {
-        /// The time allowed.
+        /// The timeout that expired.
         limit: Duration,
     },
-    /// Reading or writing failed.
-    #[snafu(display("the connection broke: {source}; it is dialled again"))]
-    Broken {
-        /// What the system said.
+    /// Reading from or writing to the connection failed.
+    #[snafu(display("connection failed: {source}; reconnecting"))]
+    Io {
+        /// Error reported by the operating system.
         source: io::Error,
     },
-    /// The other side closed it.
-    #[snafu(display("the other side closed the connection; it is dialled again"))]
-    Closed,
-    /// Nothing was heard for too long.
-    #[snafu(display("nothing was heard for {limit:?}; the connection is dialled again"))]
-    Silent {
-        /// The time allowed.
+    /// The peer closed the connection.
+    #[snafu(display("connection closed by peer; reconnecting"))]
+    ClosedByPeer,
+    /// No data arrived within the idle timeout.
+    #[snafu(display("no data received for {limit:?}; reconnecting"))]
+    IdleTimeout {
+        /// The timeout that expired.
         limit: Duration,
     },
     /// A message could not be encoded or decoded.
-    #[snafu(display("a message means nothing ({source}); run one version on all VMs"))]
-    Meaningless {
-        /// What the codec said.
+    #[snafu(display("invalid message ({source}); run the same version on all VMs"))]
+    InvalidMessage {
+        /// Error reported by the codec.
         source: postcard::Error,
     },
-    /// The owner of this end dropped it.
-    #[snafu(display("this end was given up"))]
-    GivenUp,
+    /// This side closed the connection or dropped its queue.
+    #[snafu(display("connection closed locally"))]
+    ClosedLocally,
 }
--- a/crates/ragwortroad_link/src/link_settings.rs
+++ b/crates/ragwortroad_link/src/link_settings.rs
@@ -1,33 +1,33 @@
 use std::time::Duration;
 
-/// Figures of a connection.
+/// Timeouts and limits of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkSettings {
-    /// Time without anything to send after which a side that dialled sends a keepalive.
+    /// Idle time after which the dialer sends a keepalive.
     ///
-    /// Each costs two wake-ups, and a registry has a connection to every edge.
-    pub keepalive_every: Duration,
-    /// Time without a message after which the other side counts as lost.
+    /// Each keepalive costs two wake-ups, and a registry has a connection to every edge.
+    pub keepalive_interval: Duration,
+    /// Time without any received byte after which the peer is considered lost.
     ///
-    /// A connection can go silent for good without an error, and only this shows it. Two keepalives may
-    /// be late before it ends.
-    pub silence: Duration,
-    /// Time for a connection to be established.
+    /// A connection can stop delivering data permanently without an error, and only this timeout
+    /// detects it. The default allows two late keepalives.
+    pub idle_timeout: Duration,
+    /// Timeout for establishing a connection.
     pub dial_timeout: Duration,
-    /// Messages that wait to be written.
-    pub queue_length: usize,
-    /// Bytes of one message; a packed configuration of some thousand routes fits.
-    pub max_message: usize,
+    /// Maximum number of messages waiting to be written.
+    pub queue_capacity: usize,
+    /// Maximum size of one message; a compressed configuration of several thousand routes fits.
+    pub max_message_bytes: usize,
 }
 
 impl Default for LinkSettings {
     fn default() -> Self {
         Self {
-            keepalive_every: Duration::from_millis(800),
-            silence: Duration::from_millis(2200),
+            keepalive_interval: Duration::from_millis(800),
+            idle_timeout: Duration::from_millis(2200),
             dial_timeout: Duration::from_millis(800),
-            queue_length: 512,
-            max_message: 4 << 20,
+            queue_capacity: 512,
+            max_message_bytes: 4 << 20,
         }
     }
 }
--- a/crates/ragwortroad_membership/src/table/blobs.rs
+++ b/crates/ragwortroad_membership/src/table/blobs.rs
@@ -1,4 +1,4 @@
-//! What nodes attach for other parts of the system.
+//! Small opaque payloads that nodes publish for other components.
 
 use ragwortroad_types::prelude::*;
 
@@ -6,80 +6,82 @@
     GossipAction,
     MembershipTable,
     blob_table::BlobEntry,
-    pending_queue::NewsClass,
-    record_key::NewsKey,
+    pending_queue::UpdatePriority,
+    record_key::UpdateKey,
     wire::wire_item::BlobItem, //
 };
 
-/// An own blob and when it went out.
+/// A blob of this node with its publication state.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OwnBlob {
-    /// Content that did not go out yet.
-    waiting: Option<Vec<u8>>,
-    /// Versions so far.
+    /// Content that has not been published yet.
+    unpublished: Option<Vec<u8>>,
+    /// Number of versions published so far.
     version: u64,
-    /// When the last version went out.
-    spread: Option<ClockTime>,
+    /// When the last version was published.
+    published_at: Option<ClockTime>,
 }
 
 impl MembershipTable {
-    /// Attaches `bytes` as this node's blob of `kind`, for every node to have; whether it is
-    /// small enough. It goes out at the next tick, or later where the last one is too recent.
+    /// Sets this node's blob of `kind`, which is replicated to every node. It is published at the
+    /// next tick, or once the minimum interval since the last version has passed.
+    ///
+    /// Returns false, and changes nothing, if `bytes` exceeds the maximum size.
     pub fn set_blob(&mut self, kind: u8, bytes: Vec<u8>) -> bool {
-        if bytes.len() > self.settings.max_blob {
+        if bytes.len() > self.settings.max_blob_bytes {
             return false;
         }
         let blob = self.own_blobs.entry(kind).or_default();
-        let told = self.blobs.get(self.own, kind);
-        let same = told.is_some_and(|entry| entry.bytes == bytes);
-        blob.waiting = (!same).then_some(bytes);
+        let current = self.blobs.get(self.own, kind);
+        let unchanged = current.is_some_and(|entry| entry.bytes == bytes);
+        blob.unpublished = (!unchanged).then_some(bytes);
         true
     }
 
-    /// All nodes' blobs of `kind` that are known, this node's included.
+    /// Iterates over the known blobs of `kind`, including this node's.
     pub fn blobs(&self, kind: u8) -> impl Iterator<Item = (NodeId, &[u8])> {
         self.blobs.of_kind(kind)
     }
 
-    /// Sends own blobs whose spacing has passed.
-    pub(super) fn spread_blobs(&mut self, now: ClockTime) {
-        let spacing = self.settings.blob_spacing;
+    /// Publishes the blobs of this node whose minimum interval has passed.
+    pub(super) fn publish_blobs(&mut self, now: ClockTime) {
+        let interval = self.settings.min_blob_interval;
         let incarnation = self.own_incarnation();
         let mut due = Vec::new();
         for (kind, blob) in &mut self.own_blobs {
-            let recent = blob.spread.is_some_and(|at| now.since(at) < spacing);
+            let recent = blob.published_at.is_some_and(|at| now.since(at) < interval);
             if recent {
                 continue;
             }
-            if let Some(bytes) = blob.waiting.take() {
+            if let Some(bytes) = blob.unpublished.take() {
                 blob.version += 1;
-                blob.spread = Some(now);
+                blob.published_at = Some(now);
                 let version = (incarnation, blob.version);
                 due.push((*kind, BlobEntry { version, bytes }));
             }
         }
         for (kind, entry) in due {
             self.blobs.put(self.own, kind, entry);
-            self.spread(NewsKey::Blob(self.own, kind), NewsClass::Blob, None);
+            self.broadcast(UpdateKey::Blob(self.own, kind), UpdatePriority::Blob, None);
         }
     }
 
-    /// Takes another node's blob.
-    pub(super) fn learn_blob(&mut self, from: NodeId, item: BlobItem) {
+    /// Merges another node's blob.
+    pub(super) fn merge_blob(&mut self, from: NodeId, item: BlobItem) {
         let node = NodeId(item.node);
         let present = self.nodes.state(node).is_present();
-        let small = item.bytes.len() <= self.settings.max_blob;
-        if node == self.own || !present || !small {
+        let fits = item.bytes.len() <= self.settings.max_blob_bytes;
+        if node == self.own || !present || !fits {
             return;
         }
-        let key = NewsKey::Blob(node, item.kind);
+        let key = UpdateKey::Blob(node, item.kind);
         let version = (item.incarnation, item.version);
         let entry = BlobEntry {
             version,
             bytes: item.bytes,
         };
         if self.blobs.put(node, item.kind, entry) {
-            self.spread(key, NewsClass::Blob, Some(from));
+            self.broadcast(key, UpdatePriority::Blob, Some(from));
             self.actions.push(GossipAction::BlobChanged {
                 node,
                 kind: item.kind,
@@ -87,12 +89,11 @@
         } else if let Some(link) = self.links.get_mut(&from) {
             let known = self.blobs.get(node, item.kind);
             if known.is_some_and(|entry| entry.version == version) {
-                link.pending.take_back(key);
+                link.pending.cancel(key);
             }
         }
     }
 
-    /// This node's incarnation.
     pub(super) fn own_incarnation(&self) -> u64 {
         self.nodes
             .record(self.own)
--- a/crates/ragwortroad_membership/src/table/node_news.rs
+++ b/crates/ragwortroad_membership/src/table/node_updates.rs
@@ -1,4 +1,4 @@
-//! What is believed of nodes, and how it changes.
+//! Merging and publishing of node records, and failure detection.
 
 use ragwortroad_types::prelude::*;
 
@@ -8,52 +8,55 @@
     MembershipTable,
     NodeRecord,
     NodeState,
-    pending_queue::NewsClass,
+    pending_queue::UpdatePriority,
     record_key::{
-        NewsKey,
-        RecordKey, //
+        RecordKey,
+        UpdateKey, //
     },
     sync_digest::version_hash, //
 };
 
 impl MembershipTable {
-    /// Puts a record in place and keeps the digest true.
+    /// Stores a record and updates the digest.
     pub(super) fn put_node(&mut self, record: NodeRecord, now: ClockTime) {
         let key = RecordKey::Node(record.id());
         let leaving = u64::from(record.state == NodeState::Leaving);
         let hash = version_hash(key, [record.incarnation, leaving, 0]);
-        // Suspicion comes and goes by itself and counts as no difference between views.
+        // Suspicions are left out of the digest, since they resolve without reconciliation.
         let version = record.state.is_present().then_some(hash);
         self.digest.set(key, version);
         self.nodes.put(record, now);
     }
 
-    /// Takes what `from` says of a node.
-    pub(super) fn learn_node(&mut self, record: NodeRecord, from: NodeId, now: ClockTime) {
+    /// Merges the record of a node that `from` has sent.
+    pub(super) fn merge_node(&mut self, record: NodeRecord, from: NodeId, now: ClockTime) {
         let id = record.id();
         if id == self.own {
-            self.speak_up(&record, now);
+            self.refute(&record, now);
             return;
         }
         let Some(known) = self.nodes.record(id) else {
-            // Who is down and unknown stays unknown, or nobody would ever forget it.
+            // An unknown node that is down is not added; otherwise nodes would keep sending it to
+            // each other and never remove it.
             if record.state.is_present() {
                 self.change_node(record, Some(from), now);
             }
             return;
         };
         if !known.is_older_than(record.incarnation, record.state) {
-            let same = known.incarnation == record.incarnation && known.state == record.state;
-            if same && let Some(link) = self.links.get_mut(&from) {
-                link.pending.take_back(NewsKey::Node(id));
+            let same_version =
+                known.incarnation == record.incarnation && known.state == record.state;
+            if same_version && let Some(link) = self.links.get_mut(&from) {
+                link.pending.cancel(UpdateKey::Node(id));
             }
             return;
         }
         let known_state = known.state;
         let mut record = record;
         if record.state == NodeState::Down {
-            // Regions that were parted hold each other for down. Whoever is alive must get the
-            // chance to say so before it is dropped, or healing would take down every node once.
+            // After a network partition, each side considers the other down. A live node is only
+            // suspected at first, so that it can refute; otherwise every node would be marked down
+            // once when the partition heals.
             match known_state {
                 NodeState::Alive => record.state = NodeState::Suspected,
                 NodeState::Suspected => return,
@@ -63,51 +66,58 @@
         self.change_node(record, Some(from), now);
     }
 
-    /// Answers news of this node that is newer than what it says of itself.
-    fn speak_up(&mut self, news: &NodeRecord, now: ClockTime) {
+    /// Refutes an update about this node that is newer than its own record.
+    fn refute(&mut self, reported: &NodeRecord, now: ClockTime) {
         let Some(own) = self.nodes.record(self.own).cloned() else {
             return;
         };
-        if !own.is_older_than(news.incarnation, news.state) {
+        if !own.is_older_than(reported.incarnation, reported.state) {
             return;
         }
         self.stats.refutations += 1;
         let record = NodeRecord {
-            incarnation: news.incarnation + 1,
+            incarnation: reported.incarnation + 1,
             ..own
         };
         self.put_node(record, now);
-        self.spread(NewsKey::Node(self.own), NewsClass::Urgent, None);
+        self.broadcast(UpdateKey::Node(self.own), UpdatePriority::Urgent, None);
     }
 
-    /// Puts changed news of another node in place, tells the neighbours and the owner.
+    /// Stores another node's changed record, queues it for the neighbours other than `from`, and
+    /// reports the change.
     pub(super) fn change_node(&mut self, record: NodeRecord, from: Option<NodeId>, now: ClockTime) {
         let id = record.id();
-        let former = self.nodes.record(id).map(|known| known.state);
+        let previous_state = self.nodes.record(id).map(|known| known.state);
         let state = record.state;
         self.put_node(record, now);
-        let class = match (former, state) {
-            (_, NodeState::Suspected | NodeState::Leaving) => NewsClass::Urgent,
-            (Some(NodeState::Suspected), NodeState::Alive) => NewsClass::Urgent,
-            _ => NewsClass::Prompt,
+        let priority = match (previous_state, state) {
+            (_, NodeState::Suspected | NodeState::Leaving) => UpdatePriority::Urgent,
+            (Some(NodeState::Suspected), NodeState::Alive) => UpdatePriority::Urgent,
+            _ => UpdatePriority::Normal,
         };
-        // Everybody who suspects a node takes it for down by itself, in its own time.
-        let own_verdict = former == Some(NodeState::Suspected) && state == NodeState::Down;
-        if !own_verdict {
-            self.spread(NewsKey::Node(id), class, from);
+        // Every node that suspects another marks it as down after its own timeout, so this need not
+        // be sent.
+        let own_timeout = previous_state == Some(NodeState::Suspected) && state == NodeState::Down;
+        if !own_timeout {
+            self.broadcast(UpdateKey::Node(id), priority, from);
         }
-        self.report_node(id, former, state);
+        self.report_node_state(id, previous_state, state);
         if state == NodeState::Down {
-            self.drop_node(id);
+            self.clean_up_down_node(id);
         }
     }
 
-    /// Tells the owner of a node's change of state.
-    fn report_node(&mut self, id: NodeId, former: Option<NodeState>, state: NodeState) {
-        if former == Some(state) {
+    /// Reports a node's change of state to the caller.
+    fn report_node_state(
+        &mut self,
+        id: NodeId,
+        previous_state: Option<NodeState>,
+        state: NodeState,
+    ) {
+        if previous_state == Some(state) {
             return;
         }
-        let was_absent = !former.is_some_and(NodeState::is_present);
+        let was_absent = !previous_state.is_some_and(NodeState::is_present);
         if was_absent && state.is_present() {
             self.actions.push(GossipAction::NodeUp(id));
             self.report_endpoints_of(id, GossipAction::EndpointChanged);
@@ -121,38 +131,40 @@
         }
     }
 
-    /// Ends what depends on a node that is down.
-    fn drop_node(&mut self, id: NodeId) {
+    /// Drops the link and blobs of a node that is down, and reports its endpoints as gone.
+    fn clean_up_down_node(&mut self, id: NodeId) {
         self.links.remove(&id);
-        self.blobs.drop_node(id);
+        self.blobs.remove_node(id);
         self.report_endpoints_of(id, GossipAction::EndpointGone);
     }
 
-    /// Tells the owner of each endpoint whose home is `node`.
+    /// Reports an action for each endpoint whose home is `node`.
     fn report_endpoints_of(&mut self, node: NodeId, action: fn(EndpointId) -> GossipAction) {
         let homed: Vec<EndpointId> = self.endpoints.homed_at(node).collect();
         self.actions.extend(homed.into_iter().map(action));
     }
 
-    /// Takes suspected nodes for down that did not speak up in time.
-    pub(super) fn judge_suspects(&mut self, now: ClockTime) {
+    /// Marks nodes as down that did not refute their suspicion in time.
+    pub(super) fn expire_suspicions(&mut self, now: ClockTime) {
         if !self.nodes.has_suspects() {
             return;
         }
-        let patience = self.settings.suspicion_among(self.nodes.present_count());
-        let heard_lately = |id: &NodeId| {
+        let timeout = self
+            .settings
+            .suspicion_timeout_for(self.nodes.present_count());
+        let heard_recently = |id: &NodeId| {
             let link = self.links.get(id);
             link.is_some_and(|link| link.silence(now) < self.settings.probe_after)
         };
-        let late: Vec<NodeRecord> = self
+        let expired: Vec<NodeRecord> = self
             .nodes
             .iter()
             .filter(|(_, entry)| entry.record.state == NodeState::Suspected)
-            .filter(|(_, entry)| now.since(entry.state_since) >= patience)
-            .filter(|(id, _)| !heard_lately(id))
+            .filter(|(_, entry)| now.since(entry.state_since) >= timeout)
+            .filter(|(id, _)| !heard_recently(id))
             .map(|(_, entry)| entry.record.clone())
             .collect();
-        for record in late {
+        for record in expired {
             let record = NodeRecord {
                 state: NodeState::Down,
                 ..record
@@ -161,8 +173,8 @@
         }
     }
 
-    /// Says that this node is shutting down, and gives up its endpoints.
-    pub(super) fn leave(&mut self, now: ClockTime) {
+    /// Announces that this node is shutting down, and releases its endpoints.
+    pub(super) fn start_leaving(&mut self, now: ClockTime) {
         let Some(own) = self.nodes.record(self.own).cloned() else {
             return;
         };
@@ -172,12 +184,12 @@
             ..own
         };
         self.put_node(record, now);
-        self.spread(NewsKey::Node(self.own), NewsClass::Urgent, None);
+        self.broadcast(UpdateKey::Node(self.own), UpdatePriority::Urgent, None);
         self.release_claims(now);
     }
 
-    /// Forgets nodes and endpoints that have been away for long.
-    pub(super) fn forget_old(&mut self, now: ClockTime) {
+    /// Removes nodes that have been down, and endpoints that have been gone, for long enough.
+    pub(super) fn remove_expired(&mut self, now: ClockTime) {
         let settings = &self.settings;
         let nodes: Vec<NodeId> = self
             .nodes
@@ -193,7 +205,7 @@
                 let gone = entry.record.presence == EndpointPresence::Gone;
                 gone || !self.nodes.state(entry.record.home).is_present()
             })
-            .filter(|(_, entry)| now.since(entry.changed) >= settings.forget_endpoint_after)
+            .filter(|(_, entry)| now.since(entry.updated_at) >= settings.forget_endpoint_after)
             .map(|(id, _)| id)
             .collect();
         for id in nodes {
--- a/crates/ragwortroad_membership/tests/fake_fleet/fleet_checks.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fleet_checks.rs
@@ -1,4 +1,4 @@
-//! What must hold in a fake fleet.
+//! Invariants of a simulated fleet.
 
 use ragwortroad_membership::prelude::*;
 use ragwortroad_types::prelude::*;
@@ -6,9 +6,10 @@
 use super::FakeFleet;
 
 impl FakeFleet {
-    /// Checks that at most one node may admit work to an endpoint now, each by its own clock.
+    /// Checks that at most one node may currently admit work to an endpoint, each node by its own
+    /// clock.
     pub(crate) fn check_home(&mut self, endpoint: usize) {
-        if !self.watch_homes {
+        if !self.verify_homes {
             return;
         }
         let id = self.endpoints[endpoint].id();
@@ -27,20 +28,20 @@
         holders.sort_unstable();
         for pair in holders.windows(2) {
             if pair[0].0 == pair[1].0 {
-                let found = format!("{} ms: endpoint {endpoint} at nodes {holders:?}", self.now);
-                self.findings.double_homes.push(found);
+                let violation =
+                    format!("{} ms: endpoint {endpoint} at nodes {holders:?}", self.now);
+                self.findings.double_homes.push(violation);
             }
         }
     }
 
-    /// Checks all endpoints.
     pub(crate) fn check_homes(&mut self) {
         for endpoint in 0..self.endpoints.len() {
             self.check_home(endpoint);
         }
     }
 
-    /// Lets time pass in small steps, checking all homes after each.
+    /// Advances the time in small steps and checks all homes after each.
     pub(crate) fn run_checked(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
@@ -49,27 +50,27 @@
         }
     }
 
-    /// The views of nodes that run.
+    /// Iterates over the tables of running nodes.
     pub(crate) fn tables(&self) -> impl Iterator<Item = &MembershipTable> {
         self.nodes.iter().filter_map(|node| node.table.as_ref())
     }
 
-    /// Why the views are not all equal and right; nothing if they are.
+    /// Returns why the views are not all equal and correct, or nothing if they are.
     pub(crate) fn disagreement(&self) -> Option<String> {
         let up: Vec<NodeId> = self.tables().map(MembershipTable::own_id).collect();
         let first = self.tables().next()?.view_hash();
         for table in self.tables() {
             let own = table.own_id();
             if table.view_hash() != first {
-                return Some(format!("{own} has another view"));
+                return Some(format!("{own} has a different view"));
             }
             let live: Vec<NodeId> = table.live_nodes().map(|(id, _)| id).collect();
             if let Some(id) = up.iter().find(|id| !live.contains(id)) {
-                return Some(format!("{own} misses node {id}"));
+                return Some(format!("{own} does not list node {id} as live"));
             }
             if live.len() != up.len() {
                 return Some(format!(
-                    "{own} believes {} of {} nodes live",
+                    "{own} considers {} of {} nodes live",
                     live.len(),
                     up.len()
                 ));
@@ -78,13 +79,13 @@
                 let available = table.is_available(endpoint.id());
                 if available != (endpoint.up && !endpoint.leaving) {
                     return Some(format!(
-                        "{own} has {} available: {available}",
+                        "{own} considers {} available: {available}",
                         endpoint.name
                     ));
                 }
             }
         }
-        for endpoint in self.endpoints.iter().filter(|one| one.up) {
+        for endpoint in self.endpoints.iter().filter(|candidate| candidate.up) {
             let holders = self.nodes.iter().filter(|node| {
                 let clock = node.clock(self.now);
                 let state = node
@@ -101,14 +102,17 @@
         None
     }
 
-    /// Lets time pass until all views are equal and right; the time it took.
-    pub(crate) fn settle(&mut self, most: u64) -> u64 {
+    /// Runs until all views are equal and correct, and returns the milliseconds it took.
+    pub(crate) fn run_until_converged(&mut self, timeout_ms: u64) -> u64 {
         let start = self.now;
         loop {
-            let Some(why) = self.disagreement() else {
+            let Some(reason) = self.disagreement() else {
                 return self.now - start;
             };
-            assert!(self.now - start < most, "after {most} ms still: {why}");
+            assert!(
+                self.now - start < timeout_ms,
+                "views have not converged after {timeout_ms} ms: {reason}"
+            );
             self.run(250);
         }
     }
--- a/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Many membership tables with a fake network, drifting clocks, and endpoints that announce
-//! themselves; everything follows from one seed.
+//! A deterministic simulation of many membership tables with a fake network, drifting clocks and
+//! endpoints that announce themselves. One seed determines everything.
 
 #![allow(dead_code)]
 
@@ -32,19 +32,19 @@
 use fake_network::FakeNetwork;
 use fake_node::FakeNode;
 
-/// Time between ticks of a node, by its own clock.
+/// Interval between ticks of a node.
 const TICK_MS: u64 = 100;
-/// Time after which an endpoint gives up on an announcement.
+/// Time after which an endpoint stops waiting for the answer to an announcement.
 const ANNOUNCE_TIMEOUT_MS: u64 = 1000;
 
 /// Time without packets after which a connection between two nodes is closed.
 const CONNECTION_IDLE_MS: u64 = 15_000;
 
-/// Something that happens at a node or an endpoint.
+/// A simulated event at a node or an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum FakeEvent {
-    /// A node's tick; void if the node was restarted since.
-    Tick { node: usize, life: u64 },
+    /// A tick of a node; ignored if the node has restarted since.
+    Tick { node: usize, generation: u64 },
     /// A packet arrives.
     Packet {
         to: usize,
@@ -54,54 +54,54 @@
     /// An endpoint announces itself.
     Announce {
         endpoint: usize,
-        life: u64,
+        generation: u64,
         sequence: u64,
     },
-    /// An announcement arrives, as number in the endpoint's list of those under way.
+    /// An announcement arrives at a node.
     Arrive {
         node: usize,
         endpoint: usize,
-        life: u64,
+        generation: u64,
         sequence: u64,
     },
-    /// An answer arrives.
+    /// The answer to an announcement arrives.
     Answer {
         endpoint: usize,
-        life: u64,
+        generation: u64,
         sequence: u64,
         to: Vec<String>,
         every: u64,
     },
-    /// An endpoint stops waiting for an answer.
-    GiveUp {
+    /// An endpoint's announcement times out.
+    AnnounceTimeout {
         endpoint: usize,
-        life: u64,
+        generation: u64,
         sequence: u64,
     },
 }
 
-/// What was found out by watching.
+/// Violations and statistics collected during a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct FleetFindings {
-    /// Moments at which two nodes could admit work to one endpoint.
+    /// Descriptions of each moment at which two nodes could admit work to one endpoint.
     pub(crate) double_homes: Vec<String>,
-    /// Checks made for that.
+    /// Number of checks for such moments.
     pub(crate) home_checks: u64,
-    /// Events handled.
+    /// Number of events processed.
     pub(crate) events: u64,
-    /// Packets lost, delayed for long, or sent twice by the network.
+    /// Number of packets lost, long delayed or duplicated by the network.
     pub(crate) network_faults: u64,
-    /// Times a node that was up and reachable was taken for down by another.
+    /// Number of times that a running and reachable node was marked down by another.
     pub(crate) false_downs: u64,
-    /// `NodeDown` actions in all.
+    /// Total number of `NodeDown` actions.
     pub(crate) node_downs: u64,
-    /// Switches of endpoints to another home.
+    /// Number of times that endpoints switched to another home.
     pub(crate) switches: u64,
-    /// Announcements under way.
+    /// Number of announcements sent.
     pub(crate) announces: u64,
 }
 
-/// The whole fake fleet.
+/// A simulated fleet.
 pub(crate) struct FakeFleet {
     pub(crate) now: u64,
     pub(crate) nodes: Vec<FakeNode>,
@@ -110,19 +110,20 @@
     pub(crate) findings: FleetFindings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) settings: MembershipSettings,
-    /// Whether homes are checked at every announcement; measurements go without.
-    pub(crate) watch_homes: bool,
-    /// Time spent in the tables, for measurements only.
-    pub(crate) busy: Duration,
-    /// When a packet last passed between two nodes.
+    /// Whether homes are checked at every announcement. Measurements switch this off.
+    pub(crate) verify_homes: bool,
+    /// Processing time spent in the tables; used by measurements only.
+    pub(crate) table_time: Duration,
+    /// When a packet was last sent between two nodes.
     connections: BTreeMap<(usize, usize), u64>,
     queue: BinaryHeap<Reverse<(u64, u64, FakeEvent)>>,
     order: u64,
 }
 
 impl FakeFleet {
-    /// `nodes` nodes in `zones` zones, three zones a region, with clocks that drift by up to the
-    /// settings' bound, and `endpoints` endpoints spread over the zones.
+    /// Creates a fleet of `nodes` nodes in `zones` zones, three zones per region, with clocks that
+    /// drift by up to the bound in the settings. The `endpoints` endpoints are distributed over the
+    /// zones.
     pub(crate) fn new(
         seed: u64,
         nodes: usize,
@@ -138,8 +139,8 @@
             findings: FleetFindings::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             settings: settings.clone(),
-            watch_homes: true,
-            busy: Duration::ZERO,
+            verify_homes: true,
+            table_time: Duration::ZERO,
             connections: BTreeMap::new(),
             queue: BinaryHeap::new(),
             order: 0,
@@ -164,7 +165,7 @@
         fleet
     }
 
-    /// Starts or restarts a node without any memory.
+    /// Starts a node, or restarts it with empty state.
     pub(crate) fn start_node(&mut self, index: usize) {
         let seeds = self.nodes.iter().take(3).map(FakeNode::seed).collect();
         let settings = MembershipSettings {
@@ -172,13 +173,19 @@
             ..self.settings.clone()
         };
         let seed = self.rng.random();
-        // A wall clock that was set back between two starts is part of the game.
+        // The random offset covers wall clocks that were set back between two starts.
         let incarnation = (self.now + 10_000).saturating_sub(self.rng.random_range(0..20_000));
         let node = &mut self.nodes[index];
         node.start(settings, incarnation.max(1), seed);
-        let life = node.life;
+        let generation = node.generation;
         let first = self.now + self.rng.random_range(0..TICK_MS);
-        self.push(first, FakeEvent::Tick { node: index, life });
+        self.push(
+            first,
+            FakeEvent::Tick {
+                node: index,
+                generation,
+            },
+        );
     }
 
     /// Starts or restarts an endpoint.
@@ -186,13 +193,13 @@
         let targets = self.shuffled_addresses();
         let endpoint = &mut self.endpoints[index];
         endpoint.start(targets);
-        let (life, sequence) = (endpoint.life, endpoint.sequence);
+        let (generation, sequence) = (endpoint.generation, endpoint.sequence);
         let at = self.now + self.rng.random_range(0..1000);
         self.push(
             at,
             FakeEvent::Announce {
                 endpoint: index,
-                life,
+                generation,
                 sequence,
             },
         );
@@ -211,7 +218,7 @@
         self.queue.push(Reverse((at, self.order, event)));
     }
 
-    /// Lets `span` milliseconds pass.
+    /// Advances the time by `span` milliseconds.
     pub(crate) fn run(&mut self, span: u64) {
         let end = self.now + span;
         while let Some(Reverse((at, _, _))) = self.queue.peek() {
@@ -227,12 +234,16 @@
         }
         self.now = end;
         self.findings.network_faults = self.network.faults;
-        self.findings.switches = self.endpoints.iter().map(|one| one.switches).sum();
+        self.findings.switches = self
+            .endpoints
+            .iter()
+            .map(|candidate| candidate.switches)
+            .sum();
     }
 
     fn dispatch(&mut self, event: FakeEvent) {
         match event {
-            FakeEvent::Tick { node, life } => self.tick(node, life),
+            FakeEvent::Tick { node, generation } => self.tick(node, generation),
             FakeEvent::Packet { to, from, bytes } => {
                 let until = self.nodes[to].paused_until;
                 if until > self.now {
@@ -242,44 +253,45 @@
             }
             FakeEvent::Announce {
                 endpoint,
-                life,
+                generation,
                 sequence,
-            } => self.announce(endpoint, life, sequence),
+            } => self.announce(endpoint, generation, sequence),
             FakeEvent::Arrive {
                 node,
                 endpoint,
-                life,
+                generation,
                 sequence,
-            } => self.arrive(node, endpoint, life, sequence),
+            } => self.arrive(node, endpoint, generation, sequence),
             FakeEvent::Answer {
                 endpoint,
-                life,
+                generation,
                 sequence,
                 to,
                 every,
             } => {
-                if let Some(next) = self.endpoints[endpoint].take_answer(life, sequence, to) {
+                if let Some(next) = self.endpoints[endpoint].handle_answer(generation, sequence, to)
+                {
                     self.push(
                         self.now + every,
                         FakeEvent::Announce {
                             endpoint,
-                            life,
+                            generation,
                             sequence: next,
                         },
                     );
                 }
             }
-            FakeEvent::GiveUp {
+            FakeEvent::AnnounceTimeout {
                 endpoint,
-                life,
+                generation,
                 sequence,
             } => {
-                if let Some(next) = self.endpoints[endpoint].give_up(life, sequence) {
+                if let Some(next) = self.endpoints[endpoint].handle_timeout(generation, sequence) {
                     self.push(
                         self.now,
                         FakeEvent::Announce {
                             endpoint,
-                            life,
+                            generation,
                             sequence: next,
                         },
                     );
@@ -288,28 +300,29 @@
         }
     }
 
-    fn tick(&mut self, node: usize, life: u64) {
-        let fake = &self.nodes[node];
-        if fake.life != life || fake.table.is_none() {
+    fn tick(&mut self, node: usize, generation: u64) {
+        let fake_node = &self.nodes[node];
+        if fake_node.generation != generation || fake_node.table.is_none() {
             return;
         }
-        if fake.paused_until > self.now {
-            return self.push(fake.paused_until, FakeEvent::Tick { node, life });
+        if fake_node.paused_until > self.now {
+            return self.push(fake_node.paused_until, FakeEvent::Tick { node, generation });
         }
         self.input(node, GossipInput::Tick);
-        self.push(self.now + TICK_MS, FakeEvent::Tick { node, life });
+        self.push(self.now + TICK_MS, FakeEvent::Tick { node, generation });
     }
 
-    fn announce(&mut self, endpoint: usize, life: u64, sequence: u64) {
-        let Some(address) = self.endpoints[endpoint].send(life, sequence, &mut self.rng) else {
+    fn announce(&mut self, endpoint: usize, generation: u64, sequence: u64) {
+        let Some(address) = self.endpoints[endpoint].send(generation, sequence, &mut self.rng)
+        else {
             return;
         };
         self.findings.announces += 1;
         self.push(
             self.now + ANNOUNCE_TIMEOUT_MS,
-            FakeEvent::GiveUp {
+            FakeEvent::AnnounceTimeout {
                 endpoint,
-                life,
+                generation,
                 sequence,
             },
         );
@@ -322,14 +335,14 @@
                 FakeEvent::Arrive {
                     node,
                     endpoint,
-                    life,
+                    generation,
                     sequence,
                 },
             );
         }
     }
 
-    fn arrive(&mut self, node: usize, endpoint: usize, life: u64, sequence: u64) {
+    fn arrive(&mut self, node: usize, endpoint: usize, generation: u64, sequence: u64) {
         let until = self.nodes[node].paused_until;
         if until > self.now {
             return self.push(
@@ -337,12 +350,12 @@
                 FakeEvent::Arrive {
                     node,
                     endpoint,
-                    life,
+                    generation,
                     sequence,
                 },
             );
         }
-        let Some(wire) = self.endpoints[endpoint].take_sent(life, sequence) else {
+        let Some(wire) = self.endpoints[endpoint].take_sent(generation, sequence) else {
             return;
         };
         if self.nodes[node].table.is_none() {
@@ -355,16 +368,16 @@
         let Some(table) = &self.nodes[node].table else {
             return;
         };
-        let began = Instant::now();
+        let start = Instant::now();
         let answer = table.announce_answer(id, clock);
-        self.busy += began.elapsed();
+        self.table_time += start.elapsed();
         if let Some(delay) = self.network.announce_delay(&self.nodes[node]) {
             let (to, every) = (answer.announce_to, answer.every_ms);
             self.push(
                 self.now + delay,
                 FakeEvent::Answer {
                     endpoint,
-                    life,
+                    generation,
                     sequence,
                     to,
                     every,
@@ -373,22 +386,26 @@
         }
     }
 
-    /// Hands an input to a node and carries out what it wants.
+    /// Passes an input to a node and carries out the resulting actions.
     pub(crate) fn input(&mut self, node: usize, input: GossipInput) {
         let clock = self.nodes[node].clock(self.now);
         let Some(table) = &mut self.nodes[node].table else {
             return;
         };
         let from = table.own_id();
-        let began = Instant::now();
+        let start = Instant::now();
         let actions = table.handle(input, clock);
-        self.busy += began.elapsed();
+        self.table_time += start.elapsed();
         for action in actions {
             match action {
                 GossipAction::Send { address, bytes, .. } => self.send(node, from, address, &bytes),
-                GossipAction::NodeDown(id) => self.watch_down(node, id),
+                GossipAction::NodeDown(id) => self.check_node_down(node, id),
                 GossipAction::HomeChanged(id) => {
-                    if let Some(index) = self.endpoints.iter().position(|one| one.id() == id) {
+                    if let Some(index) = self
+                        .endpoints
+                        .iter()
+                        .position(|candidate| candidate.id() == id)
+                    {
                         self.check_home(index);
                     }
                 }
@@ -398,9 +415,9 @@
     }
 
     fn send(&mut self, node: usize, from: NodeId, address: std::net::SocketAddr, bytes: &[u8]) {
-        let fake = &mut self.nodes[node];
-        fake.packets_out += 1;
-        fake.bytes_out += bytes.len() as u64;
+        let fake_node = &mut self.nodes[node];
+        fake_node.packets_out += 1;
+        fake_node.bytes_out += bytes.len() as u64;
         let Some(to) = FakeNode::index_at(address) else {
             return;
         };
@@ -417,17 +434,17 @@
         }
     }
 
-    fn watch_down(&mut self, watcher: usize, id: NodeId) {
+    fn check_node_down(&mut self, observer: usize, id: NodeId) {
         self.findings.node_downs += 1;
-        let Some(target) = self.nodes.iter().position(|one| one.id() == id) else {
+        let Some(target) = self.nodes.iter().position(|candidate| candidate.id() == id) else {
             return;
         };
-        let fake = &self.nodes[target];
-        let up = fake.table.is_some() && fake.paused_until + 5000 < self.now;
-        let settled = self.now > fake.started_at + 20_000;
+        let fake_node = &self.nodes[target];
+        let up = fake_node.table.is_some() && fake_node.paused_until + 5000 < self.now;
+        let settled = self.now > fake_node.started_at + 20_000;
         if up
             && settled
-            && !self.network.is_cut(watcher, target, &self.nodes)
+            && !self.network.is_cut(observer, target, &self.nodes)
             && !self.network.recently_cut(self.now)
         {
             self.findings.false_downs += 1;
--- a/crates/ragwortroad_membership/tests/handover.rs
+++ b/crates/ragwortroad_membership/tests/handover.rs
@@ -1,11 +1,11 @@
-//! Handing an endpoint from home to home, step by step.
+//! Handovers of an endpoint between homes, step by step.
 
 use std::net::SocketAddr;
 
 use ragwortroad_membership::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// A few tables that know each other, with a network that delivers at once.
+/// A few connected tables, with a network that delivers at once.
 struct SmallFleet {
     tables: Vec<MembershipTable>,
     now: ClockTime,
@@ -32,7 +32,7 @@
             tables,
             now: ClockTime(1000),
         };
-        fleet.pass(5000);
+        fleet.advance(5000);
         fleet
     }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    fn pass(&mut self, span: u64) {
+    fn advance(&mut self, span: u64) {
         let end = self.now.0 + span;
         while self.now.0 < end {
             self.now.0 = (self.now.0 + 50).min(end);
@@ -93,78 +93,82 @@
 }
 
 #[test]
-fn an_endpoint_moves_without_a_wait_while_both_homes_talk() {
+fn an_endpoint_moves_without_a_wait_while_both_homes_are_connected() {
     let mut fleet = SmallFleet::new(3);
     fleet.announce(0, 0, 1);
     assert_eq!(fleet.state(0), HomeState::Claiming);
     fleet.announce(0, 0, 2);
     assert!(fleet.admits(0));
     fleet.announce(1, 1, 3);
-    assert!(!fleet.admits(0), "the former home must have given up");
+    assert!(
+        !fleet.admits(0),
+        "the previous home must have ended its claim"
+    );
     fleet.announce(1, 1, 4);
     assert!(fleet.admits(1));
-    // News that is not urgent waits for the pause between two packets.
-    fleet.pass(300);
+    // Updates that are not urgent wait for the minimum interval between two packets.
+    fleet.advance(300);
     assert_eq!(fleet.state(2), HomeState::Elsewhere { home: fleet.id(1) });
 }
 
-/// Guards against two homes that admit at once after an endpoint turned twice.
+/// Guards against two homes that admit work at once after an endpoint switched twice: the second
+/// home is itself still waiting for the first one's lease to end.
 #[test]
-fn a_home_that_was_still_waiting_passes_its_wait_on() {
+fn a_home_that_is_still_waiting_passes_on_its_wait() {
     let mut fleet = SmallFleet::new(3);
     fleet.announce(0, 0, 1);
     fleet.announce(0, 0, 2);
-    let HomeState::Home { until, .. } = fleet.state(0) else {
-        panic!("node 0 must be home");
+    let HomeState::Home { lease_end, .. } = fleet.state(0) else {
+        panic!("node 0 must be the home");
     };
-    // Node 0 hears nothing from here on, and nobody hears it.
-    let cut_off = fleet.tables.remove(0);
-    let stand_in = MembershipTable::new(
+    // From here on node 0 is isolated.
+    let isolated = fleet.tables.remove(0);
+    let replacement = MembershipTable::new(
         MembershipSettings::default(),
         NodeRecord::new("nobody", "zone", SocketAddr::from(([127, 0, 0, 1], 7000))),
         1,
     );
-    fleet.tables.insert(0, stand_in);
+    fleet.tables.insert(0, replacement);
     fleet.announce(1, 1, 3);
     fleet.announce(1, 1, 4);
-    // Node 2 must know whom to ask, or it would wait in any case.
-    fleet.pass(300);
+    // Node 2 must know which node to ask, or it would wait in any case.
+    fleet.advance(300);
     assert_eq!(fleet.state(2), HomeState::Elsewhere { home: fleet.id(1) });
     fleet.announce(2, 2, 5);
     fleet.announce(2, 2, 6);
     let mut sequence = 6;
-    while fleet.now < until {
+    while fleet.now < lease_end {
         let engine = EndpointId::from_name("engine");
-        assert!(cut_off.home_state(engine, fleet.now).admits_at(fleet.now));
+        assert!(isolated.home_state(engine, fleet.now).admits_at(fleet.now));
         assert!(!fleet.admits(1) && !fleet.admits(2), "at {}", fleet.now);
-        fleet.pass(50);
+        fleet.advance(50);
         sequence += 1;
         fleet.announce(2, 2, sequence);
     }
-    fleet.pass(200);
+    fleet.advance(200);
     fleet.announce(2, 2, sequence + 1);
     assert!(fleet.admits(2));
 }
 
-/// Guards against a former home that a late announcement brings back.
+/// Guards against a delayed announcement that makes a previous home the current one again.
 #[test]
-fn a_late_announcement_does_not_bring_a_former_home_back() {
+fn a_delayed_announcement_does_not_restore_a_previous_home() {
     let mut fleet = SmallFleet::new(3);
     fleet.announce(0, 0, 1);
     fleet.announce(0, 0, 2);
     fleet.announce(1, 1, 4);
     fleet.announce(1, 1, 5);
     assert!(fleet.admits(1));
-    fleet.pass(300);
+    fleet.advance(300);
     fleet.announce(0, 0, 3);
     assert_eq!(fleet.state(0), HomeState::Elsewhere { home: fleet.id(1) });
-    fleet.pass(300);
+    fleet.advance(300);
     assert!(fleet.admits(1));
 }
 
-/// Guards against endpoints that wait for the lease of a node that left in good order.
+/// Guards against endpoints that wait for the lease of a node that has shut down properly.
 #[test]
-fn a_leaving_node_frees_its_endpoints_at_once() {
+fn a_leaving_node_releases_its_endpoints_at_once() {
     let mut fleet = SmallFleet::new(3);
     fleet.announce(0, 0, 1);
     fleet.announce(0, 0, 2);
@@ -184,7 +188,7 @@
     assert!(fleet.tables[2].is_available(engine));
 }
 
-/// Guards against a restarted home that knows nothing of its former waits.
+/// Guards against a home that restarts, loses its pending waits and admits work too early.
 #[test]
 fn a_restarted_home_waits_unless_the_endpoint_never_moved() {
     for (epoch, waits) in [(0, false), (1, true)] {
@@ -201,7 +205,7 @@
         assert_eq!(fleet.admits(1), !waits, "epoch {epoch}");
         let from = fleet.now;
         for sequence in 5..12 {
-            fleet.pass(500);
+            fleet.advance(500);
             fleet.announce(1, epoch, sequence);
         }
         assert!(
--- a/crates/ragwortroad_node/src/node_process.rs
+++ b/crates/ragwortroad_node/src/node_process.rs
@@ -329,7 +329,7 @@
         hints: HintCodec::new(secrets.hints),
         limiter,
         budget: RetryBudget::new(RETRY_SHARE, RETRY_RESERVE),
-        rule: RetryRule::default(),
+        rule: RetryPolicy::default(),
         follow: FollowSeat::default(),
         member,
         tickets: TicketTable::default(),
@@ -365,7 +365,7 @@
     let membership = MembershipSettings {
         seeds: seeds.collect(),
         clock_drift: settings.state.drift_permille as f64 / 1000.0,
-        load_spacing: LOAD_SPACING,
+        min_load_interval: LOAD_SPACING,
         ..MembershipSettings::default()
     };
     let record = NodeRecord {
--- a/crates/ragwortroad_registry/src/config_register.rs
+++ b/crates/ragwortroad_registry/src/config_register.rs
@@ -5,15 +5,16 @@
 
 use ragwortroad_link::prelude::*;
 
-/// The replicated configuration: the one with the highest version.
+/// The replicated configuration register, which holds the document with the highest version.
 ///
-/// Invariant: the version never goes down, and the first document of a version stays its only one,
-/// since commands are applied in the same order everywhere.
+/// Invariant: the version never decreases, and the first document applied for a version is never
+/// replaced by another of the same version, because every member applies commands in the same
+/// order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigRegister {
     held: Option<HeldConfig>,
-    /// The document in force, packed whole, once it was asked for.
-    whole: Option<ConfigDelta>,
+    /// Cached full delta of the document in force; absent until first requested.
+    full_delta: Option<ConfigDelta>,
 }
 
 /// The configuration in force.
@@ -23,39 +24,40 @@
     document: Arc<Vec<u8>>,
 }
 
-/// What a step has led to.
+/// Result of applying a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterChange {
-    /// Another configuration is in force.
+    /// The delta's configuration is now in force.
     Changed,
-    /// Its version is not above the one held.
-    Covered,
-    /// It was made against a configuration that is not the one held; it has to be made anew.
-    OtherBase,
-    /// The bytes are no document; all members skip it alike.
+    /// The delta's version is not above the version in force.
+    Superseded,
+    /// The delta's base is not the version in force, so the delta must be recomputed.
+    BaseMismatch,
+    /// The delta does not decode to a document. Every member skips it alike.
     Unreadable {
-        /// What the codec said.
+        /// Error reported by the codec.
         reason: String,
     },
 }
 
 impl ConfigRegister {
-    /// Applies a step.
-    pub fn apply(&mut self, step: &ConfigDelta) -> RegisterChange {
-        if self.covers(step.version) {
-            return RegisterChange::Covered;
+    /// Applies `delta` if its version is above the one in force and its base matches; a delta
+    /// without a base replaces the whole document.
+    pub fn apply(&mut self, delta: &ConfigDelta) -> RegisterChange {
+        if self.supersedes(delta.version) {
+            return RegisterChange::Superseded;
         }
-        if step.base.is_some() && step.base != self.version() {
-            return RegisterChange::OtherBase;
+        if delta.base.is_some() && delta.base != self.version() {
+            return RegisterChange::BaseMismatch;
         }
-        let base = step.base.and_then(|_| self.document());
-        match step.open(base.as_deref().map(Vec::as_slice)) {
+        let base = delta.base.and_then(|_| self.document());
+        match delta.unpack(base.as_deref().map(Vec::as_slice)) {
             Ok(document) => {
                 self.held = Some(HeldConfig {
-                    version: step.version,
+                    version: delta.version,
                     document: Arc::new(document),
                 });
-                self.whole = None;
+                self.full_delta = None;
                 RegisterChange::Changed
             }
             Err(error) => RegisterChange::Unreadable {
@@ -64,23 +66,27 @@
         }
     }
 
-    /// Whether a declaration of `version` would change nothing any more.
-    pub fn covers(&self, version: u64) -> bool {
+    /// Whether the version in force is at least `version`, so that putting `version` has no effect.
+    pub fn supersedes(&self, version: u64) -> bool {
         self.version().is_some_and(|held| version <= held)
     }
 
-    /// The version in force, if any.
+    /// The version in force; absent before the first configuration.
     pub fn version(&self) -> Option<u64> {
         self.held.as_ref().map(|held| held.version)
     }
 
-    /// The document in force.
+    /// The document in force; absent before the first configuration.
     pub fn document(&self) -> Option<Arc<Vec<u8>>> {
         self.held.as_ref().map(|held| Arc::clone(&held.document))
     }
 
-    /// The step that leads from the configuration in force to `document`.
-    pub fn step_to(&self, version: u64, document: &[u8]) -> io::Result<ConfigDelta> {
+    /// Computes the delta from the configuration in force to `document`.
+    ///
+    /// # Errors
+    ///
+    /// The document cannot be compressed.
+    pub fn delta_to(&self, version: u64, document: &[u8]) -> io::Result<ConfigDelta> {
         let base = self.document();
         let packed = pack_document(document, base.as_deref().map(Vec::as_slice))?;
         Ok(ConfigDelta {
@@ -90,21 +96,26 @@
         })
     }
 
-    /// The step that leads from nothing to the configuration in force.
+    /// The delta that yields the configuration in force without a base; absent before the first
+    /// configuration.
+    ///
+    /// The packed document is cached because all edges request it after a restart, and packing
+    /// takes a registry about 20 ms.
+    ///
+    /// # Errors
     ///
-    /// It is packed once for all that ask: after a restart all edges do, and each time takes a
-    /// registry some twenty milliseconds.
-    pub fn whole_step(&mut self) -> io::Result<Option<ConfigDelta>> {
+    /// The document cannot be compressed.
+    pub fn full_delta(&mut self) -> io::Result<Option<ConfigDelta>> {
         let Some(held) = &self.held else {
             return Ok(None);
         };
-        if self.whole.is_none() {
-            self.whole = Some(ConfigDelta {
+        if self.full_delta.is_none() {
+            self.full_delta = Some(ConfigDelta {
                 version: held.version,
                 base: None,
                 packed: pack_document(&held.document, None)?,
             });
         }
-        Ok(self.whole.clone())
+        Ok(self.full_delta.clone())
     }
 }
--- a/crates/ragwortroad_registry/src/peer_dialer.rs
+++ b/crates/ragwortroad_registry/src/peer_dialer.rs
@@ -10,40 +10,48 @@
 
 use crate::registry_event::RegistryEvent;
 
-/// Keeps a connection to another registry for as long as the process runs.
-pub(crate) async fn keep_dialled(peer: SocketAddr, events: Sender<RegistryEvent>) {
+/// Maintains a connection to another registry for as long as the process runs.
+pub(crate) async fn maintain_peer_link(peer: SocketAddr, events: Sender<RegistryEvent>) {
     let settings = LinkSettings::default();
-    let mut pace = DialPace::default();
-    // Seeds are dialled from the start, others as they are heard of.
+    let mut backoff = DialBackoff::default();
+    // Seeds are dialled from the start, other registries once they are discovered.
     let begun = Instant::now();
     loop {
-        let limit = pace.patience(begun.elapsed(), settings.dial_timeout);
+        let limit = backoff.attempt_timeout(begun.elapsed(), settings.dial_timeout);
         match dial_link(peer, limit).await {
             Ok(stream) => {
-                pace.reset();
+                backoff.reset();
                 let (queue, receiver) = LinkQueue::new(&settings);
                 let own = queue.clone();
-                if events.send(RegistryEvent::Reached { peer, queue }).is_err() {
+                if events
+                    .send(RegistryEvent::PeerConnected { peer, queue })
+                    .is_err()
+                {
                     return;
                 }
-                let inward = events.clone();
-                let say = move |message| {
-                    if inward
-                        .send(RegistryEvent::PeerSaid { peer, message })
+                let message_events = events.clone();
+                let forward = move |message| {
+                    if message_events
+                        .send(RegistryEvent::PeerReceived { peer, message })
                         .is_err()
                     {
-                        tracing::debug!("a message came after the control loop ended");
+                        tracing::debug!(
+                            "dropped a message that arrived after the control loop ended"
+                        );
                     }
                 };
-                let ended = run_link(stream, (own, receiver), true, &settings, say).await;
-                tracing::info!(%peer, %ended, "registry lost");
+                let ended = run_link(stream, (own, receiver), true, &settings, forward).await;
+                tracing::info!(%peer, %ended, "link to registry lost");
                 metrics::counter!(metric_names::LINKS_LOST, "peer" => "registry").increment(1);
-                if events.send(RegistryEvent::Unreached { peer }).is_err() {
+                if events
+                    .send(RegistryEvent::PeerDisconnected { peer })
+                    .is_err()
+                {
                     return;
                 }
             }
-            Err(error) => tracing::debug!(%peer, %error, "registry not reached"),
+            Err(error) => tracing::debug!(%peer, %error, "failed to connect to registry"),
         }
-        sleep(pace.next_pause(begun.elapsed())).await;
+        sleep(backoff.next_delay(begun.elapsed())).await;
     }
 }
--- a/crates/ragwortroad_registry/src/drain_wait.rs
+++ b/crates/ragwortroad_registry/src/queued_drain.rs
@@ -4,11 +4,11 @@
 
 use crate::ControlReply;
 
-/// An order whose operator waits.
+/// A drain order whose operator waits for an answer.
 #[derive(Debug)]
-pub(crate) struct DrainWait {
+pub(crate) struct QueuedDrain {
     pub(crate) order: DrainOrder,
     pub(crate) reply: oneshot::Sender<ControlReply>,
-    pub(crate) came_at: ClockTime,
-    pub(crate) tried_at: ClockTime,
+    pub(crate) received_at: ClockTime,
+    pub(crate) attempted_at: ClockTime,
 }
--- a/crates/ragwortroad_registry/src/registry_event.rs
+++ b/crates/ragwortroad_registry/src/registry_event.rs
@@ -13,66 +13,55 @@
     folder_report::FolderReport, //
 };
 
-/// A connection that was accepted or dialled.
+/// Identifies an accepted connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LinkKey(pub(crate) u64);
 
-/// What happens to a registry.
+/// An event for the control loop of a registry or directory.
 #[derive(Debug)]
 pub(crate) enum RegistryEvent {
-    /// Someone outside asks.
+    /// A request arrived on the control interface.
     Call {
-        /// What.
         call: ControlCall,
-        /// Where the call comes from.
-        asker: IpAddr,
-        /// Takes the answer.
+        /// Address of the sender.
+        caller_ip: IpAddr,
+        /// Receives the reply.
         reply: oneshot::Sender<ControlReply>,
     },
-    /// Another process has connected.
-    Accepted {
-        /// Names the connection.
+    /// A process connected to this registry.
+    LinkAccepted {
         link: LinkKey,
-        /// Takes what it is told.
+        /// Outbound queue of the connection.
         queue: LinkQueue,
     },
-    /// Another registry was reached.
-    Reached {
-        /// Where it listens.
+    /// A dialled connection to another registry was established.
+    PeerConnected {
+        /// Address at which the registry listens for links.
         peer: SocketAddr,
-        /// Takes what it is told.
+        /// Outbound queue of the connection.
         queue: LinkQueue,
     },
-    /// A process that has connected says something.
-    Said {
-        /// The connection.
-        link: LinkKey,
-        /// What.
-        message: LinkMessage,
-    },
-    /// A registry that was reached answers on that connection.
-    PeerSaid {
-        /// Where it listens.
+    /// A message arrived on an accepted connection.
+    Received { link: LinkKey, message: LinkMessage },
+    /// A registry sent a message on the connection dialled to it.
+    PeerReceived {
+        /// Address at which the registry listens for links.
         peer: SocketAddr,
-        /// What.
         message: LinkMessage,
     },
-    /// A process's connection has ended.
-    Ended {
-        /// The connection.
-        link: LinkKey,
-    },
-    /// A registry cannot be reached any more.
-    Unreached {
-        /// Where it listened.
+    /// An accepted connection was closed.
+    LinkClosed { link: LinkKey },
+    /// A dialled connection to another registry was lost.
+    PeerDisconnected {
+        /// Address at which the registry listens for links.
         peer: SocketAddr,
     },
-    /// The disk has done something.
+    /// The folder worker reported.
     Folder(FolderReport),
-    /// An earlier process has kept where texts were placed.
-    PlacesFound(Vec<PlacedText>),
-    /// The settings name these registries now.
-    Seeds(Vec<SocketAddr>),
-    /// The process is to stop.
+    /// Prefix locations saved by an earlier process were loaded.
+    LocationsLoaded(Vec<PrefixLocation>),
+    /// The seed addresses in the settings have changed.
+    SeedsChanged(Vec<SocketAddr>),
+    /// The process must stop.
     Stop,
 }
--- a/crates/ragwortroad_registry/src/registry_process.rs
+++ b/crates/ragwortroad_registry/src/registry_process.rs
@@ -38,13 +38,13 @@
     RegistryError,
     RegistryPort,
     call_server::serve_calls,
-    folder_worker::FolderWorker,
-    group_seat::{
-        GroupSeat,
-        SeatStart, //
+    consensus_driver::{
+        ConsensusDriver,
+        DriverOptions, //
     },
-    peer_dialer::keep_dialled,
-    place_keeper::PlaceKeeper,
+    folder_worker::FolderWorker,
+    location_store::LocationStore,
+    peer_dialer::maintain_peer_link,
     registry_error::{
         ListenSnafu,
         MissingSettingSnafu,
@@ -57,59 +57,68 @@
     registry_state::RegistryState, //
 };
 
-/// Time for a stopping leader to hand over, and for answers under way to leave.
-const STOP_TIME: Duration = Duration::from_millis(600);
+/// Time for a stopping leader to hand over leadership, and for pending answers to be sent.
+const STOP_GRACE: Duration = Duration::from_millis(600);
 
-/// Most events handled before the clock is read and due work is done.
-const EVENTS_A_ROUND: usize = 64;
+/// Maximum number of events handled before the clock is read and due work is done.
+const MAX_EVENTS_PER_ROUND: usize = 64;
 
-/// Time without a leader's heartbeat after which another is elected.
+/// Time without a heartbeat from the leader after which an election starts.
 ///
-/// It is above the pauses of a small VM that is busy with a large configuration. Nothing is accepted while there is no leader, so longer is dearer.
+/// It exceeds the pauses of a small VM that processes a large configuration. No command is accepted
+/// while there is no leader, so a longer timeout prolongs outages.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time between two heartbeats of the leader; four may be late before an election.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(150);
+/// Time between two heartbeats of the leader. Four may be missed before an election.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Time after which an entry is sent again that was not confirmed.
+/// Time after which an unacknowledged entry is sent again.
 ///
-/// Links lose nothing while they last; sending a large configuration again that is still on its way
-/// would double what a small link carries. This is for what was under way when one broke.
-const RESEND_AFTER: Duration = Duration::from_millis(1500);
+/// Links are reliable while connected. Resending a large configuration that is still in transit
+/// would double the traffic of a small link, so this covers only entries lost with a broken link.
+const RESEND_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Entries after which the log is folded into a snapshot: there is one configuration to keep.
+/// Number of entries after which the log is compacted into a snapshot, which holds a single
+/// configuration.
 const SNAPSHOT_ENTRIES: u64 = 500;
 
-/// Bytes after which the log is folded: far below a disk of 128 MB, far above one configuration.
+/// Size of the log in bytes after which it is compacted: far below a disk of 128 MB, and far above
+/// one configuration.
 const SNAPSHOT_BYTES: usize = 2 << 20;
 
-/// Bytes of one compressed configuration.
+/// Maximum size of a command, which holds one compressed configuration.
 const MAX_COMMAND_BYTES: usize = 900 << 10;
 
-/// Where places of texts are kept, within the data folder.
-const PLACES_FOLDER: &str = "places";
+/// Folder of the saved prefix locations, within the data folder.
+const LOCATIONS_FOLDER: &str = "places";
 
-/// What a registry is told from outside its loop.
+/// A signal to a running registry or directory.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RegistrySignal {
-    /// The settings have changed.
+    /// The settings have changed. Only the seeds are applied.
     Reload(Box<ForwardSettings>),
-    /// The process is to stop.
+    /// The process must stop.
     Stop,
 }
 
-/// Runs a registry until it is told to stop; `page` is where its metrics are read, if any are kept.
+/// Runs a registry on the current thread until it receives [`RegistrySignal::Stop`].
+///
+/// `page` serves the metrics at the address from the settings; without it, no metrics are served.
+///
+/// # Errors
+///
+/// A setting is missing, an address cannot be bound, or the runtime or a thread cannot start.
 pub fn run_registry(
     settings: ForwardSettings,
     port: RegistryPort,
     signals: Receiver<RegistrySignal>,
     page: Option<MetricsPage>,
 ) -> Result<(), RegistryError> {
-    run_to_end(serve_registry(settings, port, signals, page))
+    run_on_local_set(serve_registry(settings, port, signals, page))
 }
 
-/// Runs a process's work to its end, on this thread.
-pub(crate) fn run_to_end(
+/// Runs a future to completion on a single-threaded runtime on the current thread.
+pub(crate) fn run_on_local_set(
     work: impl Future<Output = Result<(), RegistryError>>,
 ) -> Result<(), RegistryError> {
     let runtime = Builder::new_current_thread()
@@ -119,13 +128,13 @@
     runtime.block_on(LocalSet::new().run_until(work))
 }
 
-/// Serves the metrics, if any are kept, where the settings name an address.
-pub(crate) async fn serve_page(
+/// Serves the metrics page, if there is one, at the address from the settings.
+pub(crate) async fn serve_metrics(
     page: Option<MetricsPage>,
     settings: &ForwardSettings,
 ) -> Result<(), RegistryError> {
     if let Some(page) = page {
-        spawn_local(page.clone().keep_folded());
+        spawn_local(page.clone().run_upkeep());
         if let Some(address) = settings.metrics {
             spawn_local(page.serve(listen(address).await?));
         }
@@ -150,9 +159,9 @@
     if let Some(directory) = settings.directory.filter(|address| *address != control) {
         spawn_local(serve_calls(listen(directory).await?, port, events.clone()));
     }
-    serve_page(page, &settings).await?;
+    serve_metrics(page, &settings).await?;
     spawn_local(accept_links(links, events.clone()));
-    spawn_local(pass_signals(signals, events.clone()));
+    spawn_local(forward_signals(signals, events.clone()));
     let clock = RealClock::start();
     let folder = FolderSettings {
         path: folder,
@@ -161,18 +170,18 @@
         quota_bytes: settings.data_quota,
         ..FolderSettings::default()
     };
-    let keeper = PlaceKeeper::start(folder.path.join(PLACES_FOLDER), events.clone());
-    let keeper = keeper.context(StartSnafu)?;
+    let location_store = LocationStore::start(folder.path.join(LOCATIONS_FOLDER), events.clone());
+    let location_store = location_store.context(StartSnafu)?;
     let disk = FolderWorker::start(folder, events.clone()).context(StartSnafu)?;
-    let seat = GroupSeat::new(SeatStart {
-        node: node_at(settings.inner),
-        founders: founders_of(&settings),
+    let driver = ConsensusDriver::new(DriverOptions {
+        node: node_id_of(settings.inner),
+        founders: founding_nodes(&settings),
         settings: core_settings(&settings),
         disk,
         start: clock.wall_ms(),
         seed: random(),
     });
-    let state = RegistryState::new(settings, seat, keeper, clock.now());
+    let state = RegistryState::new(settings, driver, location_store, clock.now());
     run_loop(state, &clock, &queue, &events).await;
     Ok(())
 }
@@ -187,11 +196,11 @@
     loop {
         let wake_at = state.tick(clock.now());
         while let Some(peer) = state.undialled.pop_first() {
-            spawn_local(keep_dialled(peer, events.clone()));
+            spawn_local(maintain_peer_link(peer, events.clone()));
         }
         if state.is_stopping {
             let now = clock.now();
-            let until = *stop_at.get_or_insert(now.after(STOP_TIME));
+            let until = *stop_at.get_or_insert(now.after(STOP_GRACE));
             if now >= until {
                 break;
             }
@@ -199,16 +208,16 @@
         let wait = wake_at.since(clock.now()).max(Duration::from_millis(1));
         if let Ok(Ok(event)) = timeout(wait, queue.recv_async()).await {
             state.handle(event, clock.now());
-            for event in queue.try_iter().take(EVENTS_A_ROUND) {
+            for event in queue.try_iter().take(MAX_EVENTS_PER_ROUND) {
                 state.handle(event, clock.now());
             }
         }
     }
-    state.seat.join();
-    state.keeper.join();
+    state.driver.join();
+    state.location_store.join();
 }
 
-/// Accepts connections of edges and other registries.
+/// Accepts connections from edges, directories and other registries.
 async fn accept_links(listener: TcpListener, events: Sender<RegistryEvent>) {
     let next_key = Rc::new(Cell::new(0_u64));
     let settings = LinkSettings::default();
@@ -216,7 +225,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!(%error, "a link could not be accepted");
+                tracing::warn!(%error, "failed to accept a link");
                 sleep(Duration::from_millis(20)).await;
                 continue;
             }
@@ -224,7 +233,7 @@
         next_key.set(next_key.get() + 1);
         let link = LinkKey(next_key.get());
         let (queue, receiver) = LinkQueue::new(&settings);
-        let accepted = RegistryEvent::Accepted {
+        let accepted = RegistryEvent::LinkAccepted {
             link,
             queue: queue.clone(),
         };
@@ -233,30 +242,36 @@
         }
         let events = events.clone();
         spawn_local(async move {
-            let inward = events.clone();
-            let say = move |message| {
-                if inward.send(RegistryEvent::Said { link, message }).is_err() {
-                    tracing::debug!("a message came after the control loop ended");
+            let message_events = events.clone();
+            let forward = move |message| {
+                if message_events
+                    .send(RegistryEvent::Received { link, message })
+                    .is_err()
+                {
+                    tracing::debug!("dropped a message that arrived after the control loop ended");
                 }
             };
-            let ended = run_link(stream, (queue, receiver), false, &settings, say).await;
+            let ended = run_link(stream, (queue, receiver), false, &settings, forward).await;
             match ended {
-                // Two versions of the program that do not understand each other; nothing else
-                // would show why an edge stays without a configuration.
-                LinkError::Meaningless { .. } => tracing::warn!(%ended, "a link ended"),
-                _ => tracing::debug!(%ended, "a link ended"),
+                // The two programs run incompatible versions. Nothing else would show why an edge
+                // stays without a configuration.
+                LinkError::InvalidMessage { .. } => tracing::warn!(%ended, "link ended"),
+                _ => tracing::debug!(%ended, "link ended"),
             }
-            if events.send(RegistryEvent::Ended { link }).is_err() {
-                tracing::debug!("a link ended after the control loop");
+            if events.send(RegistryEvent::LinkClosed { link }).is_err() {
+                tracing::debug!("a link ended after the control loop had ended");
             }
         });
     }
 }
 
-pub(crate) async fn pass_signals(signals: Receiver<RegistrySignal>, events: Sender<RegistryEvent>) {
+pub(crate) async fn forward_signals(
+    signals: Receiver<RegistrySignal>,
+    events: Sender<RegistryEvent>,
+) {
     while let Ok(signal) = signals.recv_async().await {
         let event = match signal {
-            RegistrySignal::Reload(settings) => RegistryEvent::Seeds(settings.seeds),
+            RegistrySignal::Reload(settings) => RegistryEvent::SeedsChanged(settings.seeds),
             RegistrySignal::Stop => RegistryEvent::Stop,
         };
         if events.send(event).is_err() {
@@ -270,20 +285,21 @@
     bound.context(ListenSnafu { address })
 }
 
-/// How registries name the VM whose registry listens for links at `inner`.
-fn node_at(inner: SocketAddr) -> NodeId {
+/// Node identity of the registry that listens for links at `inner`.
+fn node_id_of(inner: SocketAddr) -> NodeId {
     NodeId::from_name(&inner.to_string())
 }
 
-/// The nodes that found the group: those that the settings name, at the fleet's first start.
-fn founders_of(settings: &ForwardSettings) -> Vec<NodeId> {
+/// The nodes that found the group: the seeds from the settings at the fleet's first start,
+/// otherwise none.
+fn founding_nodes(settings: &ForwardSettings) -> Vec<NodeId> {
     if !settings.first_start {
         return Vec::new();
     }
     let port = settings.inner.port();
     let seeds = settings.seeds.iter();
     seeds
-        .map(|seed| node_at(SocketAddr::new(seed.ip(), port)))
+        .map(|seed| node_id_of(SocketAddr::new(seed.ip(), port)))
         .collect()
 }
 
@@ -291,8 +307,8 @@
     CoreSettings {
         trust_disk: settings.trust_disk,
         election_timeout: ELECTION_TIMEOUT,
-        heartbeat_every: HEARTBEAT_EVERY,
-        resend_after: RESEND_AFTER,
+        heartbeat_every: HEARTBEAT_INTERVAL,
+        resend_after: RESEND_TIMEOUT,
         max_command_bytes: MAX_COMMAND_BYTES,
         snapshot_entries: SNAPSHOT_ENTRIES,
         snapshot_bytes: SNAPSHOT_BYTES,
--- a/crates/ragwortroad_registry/src/spread_flow.rs
+++ b/crates/ragwortroad_registry/src/spread_flow.rs
@@ -1,7 +1,8 @@
-//! How a registry passes on what edges know: their loads, and where texts are read.
+//! Distributes what edges report: their loads, and prefix locations, that is, which engine holds
+//! which prompt prefix.
 //!
-//! Each edge takes one registry for its home. A registry tells the other registries what its own
-//! edges say, and its own edges what all say, so no registry speaks to the whole fleet.
+//! Each edge has one home registry. A registry sends the reports of its own edges to the other
+//! registries, and the combined reports to its own edges, so no registry sends to the whole fleet.
 
 use std::net::SocketAddr;
 
@@ -14,22 +15,22 @@
     registry_state::RegistryState, //
 };
 
-/// Bytes of a text's place on a link.
-const PLACE_BYTES: f64 = 12.0;
+/// Size of one prefix location on a link in bytes.
+const ENCODED_LOCATION_BYTES: f64 = 12.0;
 
 impl RegistryState {
-    /// Takes an edge for one of its own, and tells it what all edges have under way.
+    /// Makes this registry the edge's home and sends it the total loads.
     pub(crate) fn subscribe(&mut self, link: LinkKey) {
         let (Some(queue), Some(edge)) = (self.links.get(&link), self.edges.get(&link)) else {
             return;
         };
         self.totals.drop_source(LoadSource::Edge(edge.address));
-        let loads = self.totals.told();
+        let loads = self.totals.published();
         if !loads.is_empty() {
             queue.send(&LinkMessage::Loads(loads));
         }
         self.subscribers.insert(link);
-        self.places.add_reader(PlaceReader::Edge(link.0));
+        self.locations.add_reader(LocationReader::Edge(link.0));
         tracing::info!(
             edge = edge.node,
             subscribers = self.subscribers.len(),
@@ -37,32 +38,33 @@
         );
     }
 
-    /// An edge has another home now, or is gone.
+    /// Removes an edge that has another home registry or has disconnected.
     pub(crate) fn unsubscribe(&mut self, link: LinkKey) {
         self.subscribers.remove(&link);
-        self.places.drop_reader(PlaceReader::Edge(link.0));
+        self.locations.drop_reader(LocationReader::Edge(link.0));
         if let Some(edge) = self.edges.get(&link) {
             self.totals.drop_source(LoadSource::Edge(edge.address));
         }
     }
 
-    /// Takes what one of this registry's own edges has under way.
-    pub(crate) fn take_loads(&mut self, link: LinkKey, counts: &[LoadCount]) {
+    /// Handles a load report of an edge whose home is this registry.
+    pub(crate) fn handle_edge_loads(&mut self, link: LinkKey, counts: &[LoadCount]) {
         let edge = self.edges.get(&link);
         if let Some(edge) = edge.filter(|_| self.subscribers.contains(&link)) {
-            self.totals.take(LoadSource::Edge(edge.address), counts);
+            self.totals.update(LoadSource::Edge(edge.address), counts);
         }
     }
 
-    /// Takes what the edges of another registry have under way.
-    pub(crate) fn take_part(&mut self, link: LinkKey, counts: &[LoadCount]) {
+    /// Handles a report of the summed loads of another registry's edges.
+    pub(crate) fn handle_peer_loads(&mut self, link: LinkKey, counts: &[LoadCount]) {
         if let Some(&peer) = self.peer_links.get(&link) {
-            self.totals.take(LoadSource::Registry(peer), counts);
+            self.totals.update(LoadSource::Registry(peer), counts);
         }
     }
 
-    /// Another registry is at the other end of a connection, and tells on it from now on.
-    pub(crate) fn follow_peer(&mut self, link: LinkKey, peer: SocketAddr) {
+    /// Records that a registry is at the other end of an accepted link. Its reports start anew on
+    /// this link.
+    pub(crate) fn set_peer_link(&mut self, link: LinkKey, peer: SocketAddr) {
         if self.peer_links.get(&link) == Some(&peer) {
             return;
         }
@@ -71,101 +73,109 @@
         self.totals.drop_source(LoadSource::Registry(peer));
     }
 
-    /// A connection has ended; a registry at its other end tells nothing any more.
-    pub(crate) fn leave_peer(&mut self, link: LinkKey) {
+    /// Drops the loads of the registry whose accepted link was closed.
+    pub(crate) fn remove_peer_link(&mut self, link: LinkKey) {
         if let Some(peer) = self.peer_links.remove(&link) {
             self.totals.drop_source(LoadSource::Registry(peer));
         }
     }
 
-    /// Tells a registry that was just reached what this one's edges say, and all that follows.
-    pub(crate) fn add_peer(&mut self, peer: SocketAddr, queue: &LinkQueue) {
-        let loads = self.totals.own_told();
+    /// Sends a newly connected registry the loads of this registry's edges, and subscribes it to
+    /// prefix locations.
+    pub(crate) fn start_sharing_with(&mut self, peer: SocketAddr, queue: &LinkQueue) {
+        let loads = self.totals.own_published();
         if !loads.is_empty() {
             queue.send(&LinkMessage::PartialLoads(loads));
         }
-        self.places.add_reader(PlaceReader::Registry(peer));
+        self.locations.add_reader(LocationReader::Registry(peer));
     }
 
-    /// Tells the other registries what this one's edges have under way, and its edges what all have.
+    /// Sends the loads of this registry's edges to the other registries, and the totals to its
+    /// edges.
     pub(crate) fn send_loads(&mut self, now: ClockTime) {
-        if now < self.totals_at {
+        if now < self.next_loads_at {
             return;
         }
-        let parts = self.totals.own_changes();
-        let changes = self.totals.changes();
+        let partial_loads = self.totals.own_changes();
+        let total_loads = self.totals.changes();
         let mut bytes = 0;
-        if !parts.is_empty() {
-            bytes += self.send_to_peers(&LinkMessage::PartialLoads(parts));
+        if !partial_loads.is_empty() {
+            bytes += self.broadcast_to_peers(&LinkMessage::PartialLoads(partial_loads));
         }
-        if !changes.is_empty() {
-            let message = LinkMessage::Loads(changes);
+        if !total_loads.is_empty() {
+            let message = LinkMessage::Loads(total_loads);
             bytes += self.send_to_links(self.subscribers.iter(), &message);
         }
-        let every = SPREAD_EVERY * load_pace(self.subscribers.len() as u32);
-        let pace = SendPace::of_loads(self.link_rate());
-        self.totals_at = now.after(every.max(pace.span(bytes)));
+        let every = SPREAD_INTERVAL * load_interval_factor(self.subscribers.len() as u32);
+        let pace = SendPace::for_loads(self.link_bytes_per_second());
+        self.next_loads_at = now.after(every.max(pace.delay_after(bytes)));
     }
 
-    /// Tells edges and registries where texts were placed, each from where it has got to.
-    pub(crate) fn send_places(&mut self, now: ClockTime) {
-        if now < self.places_at {
+    /// Sends prefix locations to edges and registries, each from its own position.
+    pub(crate) fn send_locations(&mut self, now: ClockTime) {
+        if now < self.next_locations_at {
             return;
         }
-        let pace = SendPace::of_places(self.link_rate());
-        let most = pace.items_at_once(self.places.readers(), PLACE_BYTES);
+        let pace = SendPace::for_locations(self.link_bytes_per_second());
+        let max_locations =
+            pace.max_batch_items(self.locations.reader_count(), ENCODED_LOCATION_BYTES);
         let mut bytes = 0;
-        for telling in self.places.tell(most) {
-            bytes += self.send_to_readers(&telling);
+        for batch in self.locations.next_batches(max_locations) {
+            bytes += self.send_to_readers(&batch);
         }
-        self.places_at = now.after(SPREAD_EVERY.max(pace.span(bytes)));
+        self.next_locations_at = now.after(SPREAD_INTERVAL.max(pace.delay_after(bytes)));
     }
 
-    fn send_to_readers(&self, telling: &PlaceBatch) -> usize {
-        let places = telling.places.clone();
-        let edges = telling.readers.iter().filter_map(|reader| match reader {
-            PlaceReader::Edge(link) => self.links.get(&LinkKey(*link)),
-            PlaceReader::Registry(_) => None,
+    fn send_to_readers(&self, batch: &LocationBatch) -> usize {
+        let locations = batch.locations.clone();
+        let edges = batch.readers.iter().filter_map(|reader| match reader {
+            LocationReader::Edge(link) => self.links.get(&LinkKey(*link)),
+            LocationReader::Registry(_) => None,
         });
-        let peers = telling.readers.iter().filter_map(|reader| match reader {
-            PlaceReader::Edge(_) => None,
-            PlaceReader::Registry(peer) => self.peers.get(peer)?.queue.as_ref(),
+        let peers = batch.readers.iter().filter_map(|reader| match reader {
+            LocationReader::Edge(_) => None,
+            LocationReader::Registry(peer) => self.peers.get(peer)?.queue.as_ref(),
         });
-        // All readers of one telling are of the same kind.
-        let is_part = matches!(telling.readers.first(), Some(PlaceReader::Registry(_)));
-        let message = match is_part {
-            true => LinkMessage::PartialPlaces(places),
-            false => LinkMessage::TextsPlaced(places),
+        // All readers of one batch are of the same kind.
+        let is_partial = matches!(batch.readers.first(), Some(LocationReader::Registry(_)));
+        let message = match is_partial {
+            true => LinkMessage::PartialPlaces(locations),
+            false => LinkMessage::TextsPlaced(locations),
         };
         send_to_queues(edges.chain(peers), &message)
     }
 
-    /// Takes where an edge has placed texts.
-    pub(crate) fn take_places(&mut self, link: LinkKey, placed: &[PlacedText], now: ClockTime) {
-        self.places.take(placed, PlaceOrigin::Edge, now);
+    /// Handles prefix locations reported by an edge.
+    pub(crate) fn handle_edge_locations(
+        &mut self,
+        link: LinkKey,
+        placed: &[PrefixLocation],
+        now: ClockTime,
+    ) {
+        self.locations.add(placed, LocationOrigin::Edge, now);
         let queue = self.links.get(&link);
-        if let Some(queue) = queue.filter(|_| self.places.wants_all(now)) {
+        if let Some(queue) = queue.filter(|_| self.locations.should_request_all(now)) {
             queue.send(&LinkMessage::WantPlaces);
         }
     }
 
-    /// Has the disk keep where texts were placed, from time to time.
-    pub(crate) fn keep_places(&mut self, now: ClockTime) {
-        let Some(due) = self.places.due(now) else {
+    /// Saves the prefix locations to disk when a save is due.
+    pub(crate) fn save_locations(&mut self, now: ClockTime) {
+        let Some(due) = self.locations.due_write(now) else {
             return;
         };
-        if self.keeper.keep(due) {
-            self.places.note_kept();
+        if self.location_store.save(due) {
+            self.locations.note_stored();
         }
     }
 
-    /// Tells all registries the same; returns how many bytes that takes.
-    fn send_to_peers(&self, message: &LinkMessage) -> usize {
+    /// Sends a message to all other registries and returns the total size in bytes.
+    fn broadcast_to_peers(&self, message: &LinkMessage) -> usize {
         let queues = self.peers.values().filter_map(|peer| peer.queue.as_ref());
         send_to_queues(queues, message)
     }
 
-    /// Tells some processes that have connected the same; returns how many bytes that takes.
+    /// Sends a message to the given accepted links and returns the total size in bytes.
     pub(crate) fn send_to_links<'a>(
         &self,
         links: impl Iterator<Item = &'a LinkKey>,
@@ -179,7 +189,7 @@
     let encoded = match EncodedMessage::try_from(message) {
         Ok(encoded) => encoded,
         Err(error) => {
-            tracing::error!(%error, "a message to several processes could not be encoded");
+            tracing::error!(%error, "failed to encode a broadcast message");
             return 0;
         }
     };
--- a/crates/ragwortroad_routing/src/lib.rs
+++ b/crates/ragwortroad_routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions about requests: placement, load bounds, limits, retries.
+//! Routing decisions: placement, load bounds, limits and retries.
 //!
-//! Nothing here does input or output, reads a clock, starts a thread or draws randomness: time and
-//! every observation are inputs, so that each decision can be replayed.
+//! Nothing here does I/O, reads a clock, starts a thread or generates random numbers. Time and all
+//! observations are inputs, so that every decision can be replayed.
 //!
 //! ```
 //! use ragwortroad_routing::prelude::*;
@@ -36,7 +36,7 @@
 mod retry;
 mod table;
 
-/// Everything a dependent crate usually needs.
+/// Common imports for dependent crates.
 pub mod prelude {
     pub use crate::{
         key::{
@@ -62,13 +62,13 @@
             },
         },
         place::{
-            move_choice::{
-                MoveChoice,
-                MoveCost, //
+            migration_method::{
+                MigrationCost,
+                MigrationMethod, //
             },
             placement_input::{
-                EngineHolding,
-                OfferWant,
+                EngineSnapshot,
+                OfferDemand,
                 PlacementInput, //
             },
             placement_plan::{
@@ -85,12 +85,13 @@
             outlier_settings::OutlierSettings,
             outlier_table::OutlierTable,
             retry_budget::RetryBudget,
-            retry_rule::{
+            retry_policy::{
                 FailedAttempt,
-                RetryRule, //
+                RetryPolicy, //
             },
         },
         table::{
+            admission_class::AdmissionClass,
             endpoint_facts::EndpointFacts,
             hint_codec::HintCodec,
             load_bound::LoadBound,
@@ -103,7 +104,6 @@
             route_settings::RouteSettings,
             route_table::RouteTable,
             slot_answer::SlotAnswer,
-            slot_claim::SlotClaim,
             slot_outcome::SlotOutcome, //
         },
     };
--- a/crates/ragwortroad_routing/src/limit/limiter_settings.rs
+++ b/crates/ragwortroad_routing/src/limit/limiter_settings.rs
@@ -2,33 +2,33 @@
 
 use ragwortroad_types::NodeId;
 
-/// What a [`CustomerLimiter`](crate::CustomerLimiter) is made from.
+/// Settings of a [`CustomerLimiter`](crate::CustomerLimiter).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimiterSettings {
-    /// The node it limits for.
+    /// The node on which the limiter runs.
     pub node: NodeId,
-    /// Part of each limit that is divided evenly among all nodes, so that a node which a customer
-    /// just came to may serve it before the keeper has heard of it.
+    /// Fraction of each limit that is divided evenly among all nodes, so that a node can serve a
+    /// new customer before the coordinator has heard of the demand.
     pub even_share: f64,
-    /// Seconds of a rate that may be used at once.
+    /// Seconds' worth of a rate that may be used in one burst.
     pub burst_s: f64,
-    /// Requests every node lets pass at once, however small its share. A customer that comes anew
-    /// to all nodes together may once exceed its limit by this for each node.
-    pub least_burst: f64,
-    /// Part of a limit by which a node's demand must differ from what its keeper knows to be told
-    /// before `tell_every` is over.
-    pub tell_change: f64,
-    /// Time between two digests to a keeper, or shares to a node, that tell nothing new.
-    pub tell_every: Duration,
-    /// How long a keeper's share is good for.
-    pub share_life: Duration,
-    /// How long a node's demand counts at the keeper after its last digest.
+    /// Requests that every node admits in one burst, however small its share. A customer that is
+    /// new at all nodes may once exceed its limit by this number at each node.
+    pub min_burst: f64,
+    /// Fraction of a limit by which a demand must differ from the one last sent, to be sent before
+    /// `resend_interval` has passed.
+    pub resend_change: f64,
+    /// Time after which an unchanged demand or share is sent again.
+    pub resend_interval: Duration,
+    /// How long a share from the coordinator is valid.
+    pub share_ttl: Duration,
+    /// How long a coordinator counts a node's demand after the node's last digest.
     ///
-    /// Invariant: longer than `share_life`, or the keeper would give to others what a node that
-    /// went silent may still use.
-    pub demand_life: Duration,
-    /// Time over which demand is averaged.
-    pub demand_span: Duration,
+    /// Invariant: longer than `share_ttl`. Otherwise the coordinator would assign to others what an
+    /// unresponsive node may still use.
+    pub demand_ttl: Duration,
+    /// Time constant of the moving average of demand.
+    pub demand_window: Duration,
 }
 
 impl Default for LimiterSettings {
@@ -37,12 +37,12 @@
             node: NodeId::default(),
             even_share: 0.2,
             burst_s: 5.0,
-            least_burst: 3.0,
-            tell_change: 0.05,
-            tell_every: Duration::from_secs(4),
-            share_life: Duration::from_secs(10),
-            demand_life: Duration::from_secs(15),
-            demand_span: Duration::from_secs(5),
+            min_burst: 3.0,
+            resend_change: 0.05,
+            resend_interval: Duration::from_secs(4),
+            share_ttl: Duration::from_secs(10),
+            demand_ttl: Duration::from_secs(15),
+            demand_window: Duration::from_secs(5),
         }
     }
 }
--- a/crates/ragwortroad_routing/src/place/placement_plan.rs
+++ b/crates/ragwortroad_routing/src/place/placement_plan.rs
@@ -3,67 +3,68 @@
 use ragwortroad_types::EndpointId;
 
 use crate::{
-    EngineHolding,
+    EngineSnapshot,
+    OfferDemand,
     OfferKey,
-    OfferWant,
     PlacementInput,
     ZoneKey, //
 };
 
-/// Orders that bring what engines hold nearer to what is wanted.
+/// Orders that bring the offers on engines closer to demand.
 ///
-/// A pure function of what is observed: whoever holds the lease computes it again and again, and an
-/// order that was lost or came late only appears again.
+/// A pure function of the observed state: the lease holder recomputes it repeatedly, so that an
+/// order that was lost or delayed is issued again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlacementPlan {
-    /// Offers to load, the most needed first, within the rate given.
+    /// Offers to load, the most needed first, at most `max_loads` of the input.
     pub loads: Vec<PlacementOrder>,
-    /// Offers to drop; each makes room for a load above or is no longer declared.
-    pub drops: Vec<PlacementOrder>,
+    /// Offers to unload, each to make room for one of `loads` or because it is no longer declared.
+    pub unloads: Vec<PlacementOrder>,
 }
 
-/// One order.
+/// An order to one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlacementOrder {
-    /// The engine.
+    /// The engine that loads or unloads the offer.
     pub engine: EndpointId,
-    /// What it is to load or drop.
+    /// The offer to load or unload.
     pub offer: OfferKey,
 }
 
-/// How full engines are meant to be, and how far from it nothing is done.
+/// The utilization at which offers gain and lose engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementSettings {
-    /// Use of capacity above which an offer gets another engine.
-    pub high: f64,
-    /// Use of capacity, with one engine fewer, below which it gives one up.
-    /// Invariant: below `high`, or demand that stands still would move engines to and fro.
-    pub low: f64,
+    /// Fraction of capacity in use above which an offer gets another engine.
+    pub scale_up_utilization: f64,
+    /// Fraction of capacity in use below which an offer releases an engine, computed without that
+    /// engine. Invariant: below `scale_up_utilization`, or constant demand would move offers back
+    /// and forth.
+    pub scale_down_utilization: f64,
 }
 
 impl Default for PlacementSettings {
     fn default() -> Self {
         Self {
-            high: 0.7,
-            low: 0.45,
+            scale_up_utilization: 0.7,
+            scale_down_utilization: 0.45,
         }
     }
 }
 
 impl PlacementPlan {
-    /// The orders for `input`.
-    pub fn of(input: &PlacementInput, settings: &PlacementSettings) -> Self {
+    /// Computes the orders for `input`.
+    pub fn compute(input: &PlacementInput, settings: &PlacementSettings) -> Self {
         let mut draft = PlacementDraft::new(input);
-        draft.drop_undeclared();
-        let mut wants: Vec<&OfferWant> = input.wants.iter().collect();
-        // The most overfull first; the order of the input decides between equals.
-        wants.sort_by(|left, right| {
-            let (left, right) = (draft.fullness(left), draft.fullness(right));
+        draft.unload_undeclared();
+        let mut demands: Vec<&OfferDemand> = input.demands.iter().collect();
+        // The highest utilization first; equal ones stay in the order of the input.
+        demands.sort_by(|left, right| {
+            let (left, right) = (draft.utilization(left), draft.utilization(right));
             right.total_cmp(&left)
         });
-        for want in wants {
-            while draft.plan.loads.len() < input.loads && draft.is_short(want, settings) {
-                if !draft.add_one(want, settings) {
+        for demand in demands {
+            while draft.plan.loads.len() < input.max_loads && draft.needs_engine(demand, settings) {
+                if !draft.add_engine(demand, settings) {
                     break;
                 }
             }
@@ -72,130 +73,135 @@
     }
 }
 
-/// The holdings as they will be after the orders so far.
+/// The offers on engines after the orders so far.
 struct PlacementDraft<'input> {
     input: &'input PlacementInput,
-    holds: BTreeMap<EndpointId, Vec<OfferKey>>,
+    offers: BTreeMap<EndpointId, Vec<OfferKey>>,
     plan: PlacementPlan,
 }
 
 impl<'input> PlacementDraft<'input> {
     fn new(input: &'input PlacementInput) -> Self {
-        let holds = input
+        let offers = input
             .engines
             .iter()
-            .map(|engine| (engine.id, engine.holds.clone()))
+            .map(|engine| (engine.id, engine.offers.clone()))
             .collect();
         Self {
             input,
-            holds,
+            offers,
             plan: PlacementPlan::default(),
         }
     }
 
-    /// Drops what nobody wants any more.
-    fn drop_undeclared(&mut self) {
-        for (engine, holds) in &mut self.holds {
-            holds.retain(|offer| {
-                let wanted = self
-                    .input
-                    .wants
-                    .iter()
-                    .any(|want| want.offer == *offer && (want.least > 0 || want.demand > 0.0));
-                if !wanted {
+    /// Unloads the offers without any demand.
+    fn unload_undeclared(&mut self) {
+        for (engine, offers) in &mut self.offers {
+            offers.retain(|offer| {
+                let is_demanded = self.input.demands.iter().any(|demand| {
+                    demand.offer == *offer && (demand.min_engines > 0 || demand.demand > 0.0)
+                });
+                if !is_demanded {
                     let (engine, offer) = (*engine, *offer);
-                    self.plan.drops.push(PlacementOrder { engine, offer });
+                    self.plan.unloads.push(PlacementOrder { engine, offer });
                 }
-                wanted
+                is_demanded
             });
         }
     }
 
-    fn holders(&self, offer: OfferKey) -> impl Iterator<Item = &'input EngineHolding> {
+    fn holders(&self, offer: OfferKey) -> impl Iterator<Item = &'input EngineSnapshot> {
         self.input
             .engines
             .iter()
-            .filter(move |engine| engine.open && self.holds[&engine.id].contains(&offer))
+            .filter(move |engine| engine.takes_work && self.offers[&engine.id].contains(&offer))
     }
 
-    /// Capacity that serves `offer`: an engine with several offers counts for each in part.
+    /// Capacity that serves `offer`. An engine's capacity is split evenly among its offers.
     fn capacity(&self, offer: OfferKey) -> f64 {
         self.holders(offer)
-            .map(|engine| f64::from(engine.capacity) / self.holds[&engine.id].len() as f64)
+            .map(|engine| f64::from(engine.capacity) / self.offers[&engine.id].len() as f64)
             .sum()
     }
 
-    fn fullness(&self, want: &OfferWant) -> f64 {
-        want.demand / self.capacity(want.offer).max(1e-3)
+    fn utilization(&self, demand: &OfferDemand) -> f64 {
+        demand.demand / self.capacity(demand.offer).max(1e-3)
     }
 
-    fn is_short(&self, want: &OfferWant, settings: &PlacementSettings) -> bool {
-        let count = self.holders(want.offer).count();
-        let is_overfull = want.demand > 0.0 && self.fullness(want) > settings.high;
-        count < want.least || (count < want.most && is_overfull)
+    fn needs_engine(&self, demand: &OfferDemand, settings: &PlacementSettings) -> bool {
+        let count = self.holders(demand.offer).count();
+        let is_overloaded =
+            demand.demand > 0.0 && self.utilization(demand) > settings.scale_up_utilization;
+        count < demand.min_engines || (count < demand.max_engines && is_overloaded)
     }
 
-    /// Whether `offer` can do with one engine less.
-    fn can_spare(
+    /// Whether `offer` keeps enough capacity without `engine`.
+    fn can_release(
         &self,
         offer: OfferKey,
-        engine: &EngineHolding,
+        engine: &EngineSnapshot,
         settings: &PlacementSettings,
     ) -> bool {
-        let Some(want) = self.input.wants.iter().find(|want| want.offer == offer) else {
+        let Some(demand) = self
+            .input
+            .demands
+            .iter()
+            .find(|demand| demand.offer == offer)
+        else {
             return true;
         };
         let count = self.holders(offer).count();
-        let part = f64::from(engine.capacity) / self.holds[&engine.id].len() as f64;
-        let left = self.capacity(offer) - part;
-        count > want.least.max(1) && want.demand <= settings.low * left
+        let share = f64::from(engine.capacity) / self.offers[&engine.id].len() as f64;
+        let left = self.capacity(offer) - share;
+        count > demand.min_engines.max(1) && demand.demand <= settings.scale_down_utilization * left
     }
 
-    /// Puts `want` on one more engine: one with room if there is any, else in the place of an offer
-    /// that can spare it; the failure domain with the fewest holders goes first.
-    fn add_one(&mut self, want: &OfferWant, settings: &PlacementSettings) -> bool {
+    /// Places `demand` on one more engine: one with room for another offer if there is any,
+    /// otherwise one whose present offer can release it. The failure domain with the fewest holders
+    /// goes first.
+    fn add_engine(&mut self, demand: &OfferDemand, settings: &PlacementSettings) -> bool {
         let mut zones: BTreeMap<ZoneKey, usize> = BTreeMap::new();
-        for engine in self.holders(want.offer) {
+        for engine in self.holders(demand.offer) {
             *zones.entry(engine.zone).or_insert(0) += 1;
         }
         let mut best = None;
-        for engine in self.input.engines.iter().filter(|engine| engine.open) {
-            let holds = &self.holds[&engine.id];
-            if holds.contains(&want.offer) || engine.room == 0 {
+        for engine in self.input.engines.iter().filter(|engine| engine.takes_work) {
+            let offers = &self.offers[&engine.id];
+            if offers.contains(&demand.offer) || engine.max_offers == 0 {
                 continue;
             }
-            let victim = if holds.len() < engine.room {
+            let replaced = if offers.len() < engine.max_offers {
                 None
             } else {
-                let spare = holds
+                let releasable = offers
                     .iter()
-                    .find(|offer| self.can_spare(**offer, engine, settings));
-                match spare {
+                    .find(|offer| self.can_release(**offer, engine, settings));
+                match releasable {
                     Some(offer) => Some(*offer),
                     None => continue,
                 }
             };
-            let near = zones.get(&engine.zone).copied().unwrap_or(0);
-            let rank = (victim.is_some(), near, holds.len(), engine.id);
+            let in_zone = zones.get(&engine.zone).copied().unwrap_or(0);
+            let rank = (replaced.is_some(), in_zone, offers.len(), engine.id);
             if best.is_none_or(|(least, _)| rank < least) {
-                best = Some((rank, victim));
+                best = Some((rank, replaced));
             }
         }
-        let Some(((_, _, _, engine), victim)) = best else {
+        let Some(((_, _, _, engine), replaced)) = best else {
             return false;
         };
-        self.place(engine, want.offer, victim);
+        self.place(engine, demand.offer, replaced);
         true
     }
 
-    fn place(&mut self, engine: EndpointId, offer: OfferKey, victim: Option<OfferKey>) {
-        if let Some(holds) = self.holds.get_mut(&engine) {
-            holds.retain(|held| Some(*held) != victim);
-            holds.push(offer);
+    fn place(&mut self, engine: EndpointId, offer: OfferKey, replaced: Option<OfferKey>) {
+        if let Some(offers) = self.offers.get_mut(&engine) {
+            offers.retain(|held| Some(*held) != replaced);
+            offers.push(offer);
         }
-        if let Some(dropped) = victim {
-            let offer = dropped;
-            self.plan.drops.push(PlacementOrder { engine, offer });
+        if let Some(replaced_offer) = replaced {
+            let offer = replaced_offer;
+            self.plan.unloads.push(PlacementOrder { engine, offer });
         }
         self.plan.loads.push(PlacementOrder { engine, offer });
     }
--- a/crates/ragwortroad_routing/src/retry/mod.rs
+++ b/crates/ragwortroad_routing/src/retry/mod.rs
@@ -1,6 +1,6 @@
-//! What happens after a failure: retries within a budget, and endpoints set aside.
+//! Handling of failures: retries within a budget, and ejection of failing endpoints.
 
 pub(crate) mod outlier_settings;
 pub(crate) mod outlier_table;
 pub(crate) mod retry_budget;
-pub(crate) mod retry_rule;
+pub(crate) mod retry_policy;
--- a/crates/ragwortroad_routing/src/retry/outlier_table.rs
+++ b/crates/ragwortroad_routing/src/retry/outlier_table.rs
@@ -7,13 +7,13 @@
 
 use crate::OutlierSettings;
 
-/// Endpoints that failed lately, and those set aside for it.
+/// Endpoints that failed recently, and which of them are ejected.
 ///
-/// An endpoint that fails fast has few requests at any moment and would look idle, so that load
-/// alone sends it ever more. It is set aside after a few failures in a row, comes back with a small
-/// share of its work, and goes for longer when it fails again. Never more than a set share of a
-/// fleet is aside: where most fail, the cause is elsewhere, and leaving few endpoints with all the
-/// work would add an overload to it.
+/// An endpoint that fails fast has few requests in flight and looks idle, so that balancing by load
+/// alone would send it ever more. It is ejected after a few consecutive failures, returns with a
+/// small part of its load, and stays out longer if it fails again. At most a fixed fraction of a
+/// fleet is ejected: where most endpoints fail, the cause is elsewhere, and leaving all the load to
+/// a few would add an overload.
 #[derive(Clone, Debug)]
 pub struct OutlierTable {
     settings: OutlierSettings,
@@ -21,19 +21,19 @@
     entries: BTreeMap<EndpointId, OutlierEntry>,
 }
 
-/// One endpoint that failed lately.
+/// Recent failures of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct OutlierEntry {
     /// Failures since the last success.
-    in_a_row: u32,
-    /// Times it was set aside.
-    times: u32,
-    /// The end of the last time.
-    out_until: ClockTime,
+    consecutive_failures: u32,
+    /// Number of ejections so far.
+    ejections: u32,
+    /// End of the latest ejection.
+    ejected_until: ClockTime,
 }
 
 impl OutlierTable {
-    /// A table in which nothing has failed.
+    /// Creates a table without any failures.
     pub fn new(settings: OutlierSettings) -> Self {
         Self {
             settings,
@@ -41,65 +41,77 @@
         }
     }
 
-    /// Whether the endpoint is set aside now.
-    pub fn is_out(&self, endpoint: EndpointId, now: ClockTime) -> bool {
+    /// Whether the endpoint is ejected at `now`.
+    pub fn is_ejected(&self, endpoint: EndpointId, now: ClockTime) -> bool {
         self.entries
             .get(&endpoint)
-            .is_some_and(|entry| entry.out_until > now)
+            .is_some_and(|entry| entry.ejected_until > now)
     }
 
-    /// The part of `limit` that the endpoint may carry now: nothing while it is aside, then growing
-    /// from one request to all.
-    pub fn limit(&self, endpoint: EndpointId, limit: u32, now: ClockTime) -> u32 {
-        let Some(entry) = self.entries.get(&endpoint).filter(|entry| entry.times > 0) else {
+    /// Returns the part of `limit` that the endpoint may carry at `now`: none while it is ejected,
+    /// then growing linearly from one request to all.
+    pub fn ramped_limit(&self, endpoint: EndpointId, limit: u32, now: ClockTime) -> u32 {
+        let Some(entry) = self
+            .entries
+            .get(&endpoint)
+            .filter(|entry| entry.ejections > 0)
+        else {
             return limit;
         };
-        if entry.out_until > now {
+        if entry.ejected_until > now {
             return 0;
         }
-        let back = now.since(entry.out_until).as_secs_f64();
-        let share = back / self.settings.return_span.as_secs_f64().max(0.001);
+        let since_return = now.since(entry.ejected_until).as_secs_f64();
+        let share = since_return / self.settings.recovery_ramp.as_secs_f64().max(0.001);
         ((f64::from(limit) * share.min(1.0)).round() as u32).max(1)
     }
 
-    /// Notes a success.
-    pub fn succeeded(&mut self, endpoint: EndpointId, now: ClockTime) {
-        let return_span = self.settings.return_span;
+    /// Records a successful request.
+    pub fn record_success(&mut self, endpoint: EndpointId, now: ClockTime) {
+        let recovery_ramp = self.settings.recovery_ramp;
         let Some(entry) = self.entries.get_mut(&endpoint) else {
             return;
         };
-        entry.in_a_row = 0;
-        if entry.out_until.after(return_span) <= now {
+        entry.consecutive_failures = 0;
+        if entry.ejected_until.after(recovery_ramp) <= now {
             self.entries.remove(&endpoint);
         }
     }
 
-    /// Notes a failure; `out` of the fleet's `count` endpoints are aside now.
-    pub fn failed(&mut self, endpoint: EndpointId, out: usize, count: usize, now: ClockTime) {
+    /// Records a failed request, where `ejected` of the fleet's `count` endpoints are ejected now.
+    pub fn record_failure(
+        &mut self,
+        endpoint: EndpointId,
+        ejected: usize,
+        count: usize,
+        now: ClockTime,
+    ) {
         let settings = self.settings;
         let entry = self.entries.entry(endpoint).or_default();
-        entry.in_a_row += 1;
-        let returning = entry.times > 0;
-        if entry.out_until > now || (entry.in_a_row < settings.failures && !returning) {
+        entry.consecutive_failures += 1;
+        let was_ejected = entry.ejections > 0;
+        if entry.ejected_until > now
+            || (entry.consecutive_failures < settings.consecutive_failures && !was_ejected)
+        {
             return;
         }
-        if out >= most_aside(settings.share, count) {
+        if ejected >= max_ejected(settings.max_ejected_share, count) {
             return;
         }
-        let span = settings.first_span * 2_u32.saturating_pow(entry.times.min(16));
-        entry.out_until = now.after(span.min(settings.longest_span));
-        entry.times += 1;
-        entry.in_a_row = 0;
+        let span = settings.first_ejection * 2_u32.saturating_pow(entry.ejections.min(16));
+        entry.ejected_until = now.after(span.min(settings.max_ejection));
+        entry.ejections += 1;
+        entry.consecutive_failures = 0;
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint and its failures.
     pub fn remove(&mut self, endpoint: EndpointId) {
         self.entries.remove(&endpoint);
     }
 }
 
-/// How many of `count` endpoints may be aside at once.
-fn most_aside(share: f64, count: usize) -> usize {
-    let most = (share * count as f64).floor() as usize;
-    most.max(usize::from(count >= 2))
+/// Returns how many of `count` endpoints may be ejected at once.
+fn max_ejected(share: f64, count: usize) -> usize {
+    let max = (share * count as f64).floor() as usize;
+    max.max(usize::from(count >= 2))
 }
--- a/crates/ragwortroad_routing/src/retry/retry_budget.rs
+++ b/crates/ragwortroad_routing/src/retry/retry_budget.rs
@@ -1,9 +1,9 @@
-/// How many retries a node may make, as a share of its first attempts.
+/// Limits a node's retries to a fraction of its first attempts.
 ///
-/// Without a budget every layer that retries multiplies an outage: three attempts each make three
-/// times the load just when the fleet can carry least. Retries are paid from what successes and
-/// first attempts saved up, so that a node adds at most `share` to the load of its first attempts,
-/// and `reserve` on top once.
+/// Without a budget every layer that retries multiplies an outage: three attempts each triple the
+/// load just when the fleet can carry least. Each first attempt deposits a fraction of a retry and
+/// each retry withdraws one, so that a node adds at most `ratio` to the load of its first attempts,
+/// and `reserve` retries once.
 ///
 /// ```
 /// use ragwortroad_routing::RetryBudget;
@@ -12,43 +12,44 @@
 /// assert!(budget.try_retry() && budget.try_retry());
 /// assert!(!budget.try_retry());
 /// for _ in 0..10 {
-///     budget.note_first();
+///     budget.record_first_attempt();
 /// }
 /// assert!(budget.try_retry());
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Thousandths of a retry saved up. Invariant: at most `ceiling`.
-    saved: u64,
-    /// Thousandths earned by each first attempt.
-    earning: u64,
-    ceiling: u64,
+    /// Available retries, in units of 1/1000 retry. Invariant: at most `max_balance`.
+    balance: u64,
+    /// Units that each first attempt adds.
+    deposit: u64,
+    max_balance: u64,
 }
 
-/// Parts into which one retry is divided.
-const PARTS: u64 = 1000;
+/// Units into which one retry is divided.
+const UNITS_PER_RETRY: u64 = 1000;
 
 impl RetryBudget {
-    /// A budget of `share` retries for each first attempt and at most `reserve` saved up.
-    pub fn new(share: f64, reserve: u32) -> Self {
-        let ceiling = u64::from(reserve) * PARTS;
+    /// Creates a full budget of `ratio` retries per first attempt that holds at most `reserve`
+    /// retries.
+    pub fn new(ratio: f64, reserve: u32) -> Self {
+        let max_balance = u64::from(reserve) * UNITS_PER_RETRY;
         Self {
-            saved: ceiling,
-            earning: (share.clamp(0.0, 1.0) * PARTS as f64).round() as u64,
-            ceiling,
+            balance: max_balance,
+            deposit: (ratio.clamp(0.0, 1.0) * UNITS_PER_RETRY as f64).round() as u64,
+            max_balance,
         }
     }
 
-    /// Notes a request's first attempt.
-    pub fn note_first(&mut self) {
-        self.saved = (self.saved + self.earning).min(self.ceiling);
+    /// Records the first attempt of a request.
+    pub fn record_first_attempt(&mut self) {
+        self.balance = (self.balance + self.deposit).min(self.max_balance);
     }
 
-    /// Pays for one retry, if enough is saved.
+    /// Withdraws one retry; `false` where the balance is too low.
     pub fn try_retry(&mut self) -> bool {
-        match self.saved.checked_sub(PARTS) {
+        match self.balance.checked_sub(UNITS_PER_RETRY) {
             Some(rest) => {
-                self.saved = rest;
+                self.balance = rest;
                 true
             }
             None => false,
--- a/crates/ragwortroad_routing/src/table/chat_memory.rs
+++ b/crates/ragwortroad_routing/src/table/affinity_map.rs
@@ -1,36 +1,36 @@
 use ragwortroad_types::ClockTime;
 
-/// A bounded map from hashes to endpoints, forgetting the least recently used of a small set.
+/// A bounded map from hashes to endpoints, organized as a set-associative cache with
+/// least-recently-used eviction in each set.
 ///
-/// Memory is fixed at construction, lookups touch one cache line or two, and the order of inputs
-/// alone decides what is forgotten, so that a run can be replayed.
+/// Memory is allocated once, a lookup touches one or two cache lines, and eviction depends only on
+/// the order of inputs, so that a run can be replayed.
 #[derive(Clone, Debug)]
-pub(crate) struct ChatMemory {
-    /// Invariant: its length is a multiple of [`WAYS`]; entries with key 0 are empty.
-    entries: Vec<MemoryEntry>,
+pub(crate) struct AffinityMap {
+    /// Invariant: the length is a multiple of [`WAYS`], and entries with key 0 are empty.
+    entries: Vec<AffinityEntry>,
 }
 
-/// Entries that share a set.
+/// Entries per set.
 const WAYS: usize = 4;
 
-/// One remembered place.
 #[derive(Clone, Copy, Debug, Default)]
-struct MemoryEntry {
+struct AffinityEntry {
     key: u64,
     endpoint: u64,
     used_at: ClockTime,
 }
 
-impl ChatMemory {
-    /// A memory of at least `entries` places.
+impl AffinityMap {
+    /// Creates a map with room for at least `entries` endpoints.
     pub(crate) fn new(entries: usize) -> Self {
         let sets = entries.div_ceil(WAYS).max(1);
         Self {
-            entries: vec![MemoryEntry::default(); sets * WAYS],
+            entries: vec![AffinityEntry::default(); sets * WAYS],
         }
     }
 
-    /// What is remembered under `key`.
+    /// Returns the endpoint stored under `key`.
     pub(crate) fn get(&self, key: u64) -> Option<u64> {
         self.set_of(key)
             .iter()
@@ -38,27 +38,27 @@
             .map(|entry| entry.endpoint)
     }
 
-    /// Remembers `endpoint` under `key`.
+    /// Stores `endpoint` under `key`.
     pub(crate) fn put(&mut self, key: u64, endpoint: u64, now: ClockTime) {
         let range = self.range_of(key);
         let set = &mut self.entries[range];
-        let place = match set.iter().position(|entry| entry.key == key) {
-            Some(place) => place,
+        let position = match set.iter().position(|entry| entry.key == key) {
+            Some(position) => position,
             None => oldest(set),
         };
-        set[place] = MemoryEntry {
+        set[position] = AffinityEntry {
             key,
             endpoint,
             used_at: now,
         };
     }
 
-    /// Forgets `key` if it leads to `endpoint`.
+    /// Removes `key` if it maps to `endpoint`.
     pub(crate) fn forget(&mut self, key: u64, endpoint: u64) {
         let range = self.range_of(key);
         for entry in &mut self.entries[range] {
             if entry.key == key && entry.endpoint == endpoint {
-                *entry = MemoryEntry::default();
+                *entry = AffinityEntry::default();
             }
         }
     }
@@ -69,18 +69,18 @@
         set * WAYS..(set + 1) * WAYS
     }
 
-    fn set_of(&self, key: u64) -> &[MemoryEntry] {
+    fn set_of(&self, key: u64) -> &[AffinityEntry] {
         &self.entries[self.range_of(key)]
     }
 }
 
-/// The place in `set` that was used longest ago.
-fn oldest(set: &[MemoryEntry]) -> usize {
-    let mut place = 0;
+/// Returns the index in `set` of an empty entry, or of the least recently used one.
+fn oldest(set: &[AffinityEntry]) -> usize {
+    let mut position = 0;
     for (index, entry) in set.iter().enumerate() {
-        if entry.used_at < set[place].used_at || (entry.key == 0 && set[place].key != 0) {
-            place = index;
+        if entry.used_at < set[position].used_at || (entry.key == 0 && set[position].key != 0) {
+            position = index;
         }
     }
-    place
+    position
 }
