--- a/crates/ragwortroad_routing/src/table/route_choice.rs
+++ b/crates/ragwortroad_routing/src/table/route_choice.rs
@@ -9,142 +9,149 @@
 };
 
 use crate::{
+    AdmissionClass,
     CustomerKey,
     EndpointKey,
     RouteDecision,
     RouteQuery,
     RouteReason,
     RouteTable,
-    SlotClaim,
-    table::ranking::{
-        Ranking,
+    table::endpoint_ranking::{
+        EndpointRanking,
         score, //
     }, //
 };
 
-/// Places tried before a request is refused: the first refusals come from this node's own account
-/// or memory and cost no message.
-const TRIES: usize = 4;
+/// Endpoints tried before a request is refused. The first refusals come from this node's own
+/// ledgers and load estimates and cost no message.
+const MAX_CANDIDATES: usize = 4;
 
-/// Requests of a customer refused one after the other from which on it counts as starved. Past
-/// saturation everybody is refused now and then; that alone must change no share.
-const STARVED_COUNT: u32 = 3;
+/// Consecutive refused requests after which a customer counts as starved. Past saturation every
+/// customer is refused now and then, which alone must not change any share.
+const STARVED_AFTER_REFUSALS: u32 = 3;
 
-/// How long a customer whose request was refused for want of room counts as starved.
-pub(crate) const STARVED_SPAN: Duration = Duration::from_secs(5);
+/// How long a customer counts as starved after one of its requests was refused for lack of
+/// capacity.
+pub(crate) const STARVED_TTL: Duration = Duration::from_secs(5);
 
-/// What the table decides.
+/// Routing decisions.
 impl RouteTable {
-    /// Where a request goes now.
+    /// Decides where a request goes.
     pub fn choose(&mut self, query: &RouteQuery<'_>, now: ClockTime) -> RouteDecision {
         if !self.pools.contains_key(&query.offer) {
             return self.refuse(RefusalCode::NoEndpoint);
         }
-        let mut known = None;
-        for (endpoint, reason) in self.known_places(query) {
-            let Some(key) = self.usable(endpoint, query) else {
+        let mut context_holder = None;
+        for (endpoint, reason) in self.affinity_candidates(query) {
+            let Some(key) = self.eligible(endpoint, query) else {
                 continue;
             };
-            if let Some(decision) = self.try_place(key, reason, query, now) {
+            if let Some(decision) = self.try_endpoint(key, reason, query, now) {
                 return decision;
             }
-            known = known.or(Some(key));
+            context_holder = context_holder.or(Some(key));
         }
-        if let Some(retry_after) = known.and_then(|key| self.hold_for(key, query, now)) {
+        if let Some(retry_after) = context_holder.and_then(|key| self.context_wait(key, query, now))
+        {
             return RouteDecision::Hold { retry_after };
         }
-        let mut ranking = Ranking::new(query, &self.settings, known.is_some());
-        for _ in 0..TRIES {
-            let Some(key) = self.best_of(&mut ranking, query, now) else {
+        let mut ranking = EndpointRanking::new(query, &self.settings, context_holder.is_some());
+        for _ in 0..MAX_CANDIDATES {
+            let Some(key) = self.best_ranked(&mut ranking, query, now) else {
                 break;
             };
-            if let Some(decision) = self.try_place(key, RouteReason::Hash, query, now) {
+            if let Some(decision) = self.try_endpoint(key, RouteReason::Hash, query, now) {
                 return decision;
             }
             ranking.skip(key);
         }
-        if let Some(decision) = self.ask_anyway(query, now) {
+        if let Some(decision) = self.ask_for_starved(query, now) {
             return decision;
         }
-        if query.waited < self.settings.hold_any {
-            let retry_after = self.settings.hold_step;
+        if query.waited < self.settings.max_capacity_wait {
+            let retry_after = self.settings.hold_interval;
             return RouteDecision::Hold { retry_after };
         }
-        let refused = self.refused.entry(query.customer).or_default();
+        let refused = self.recent_refusals.entry(query.customer).or_default();
         *refused = (refused.0 + 1, now);
         self.refuse(RefusalCode::Overloaded)
     }
 
-    /// Notes that a request of the customer was placed.
-    pub fn note_placed(&mut self, customer: CustomerKey) {
-        self.refused.remove(&customer);
+    /// Records that a request of the customer was placed.
+    pub fn record_placement(&mut self, customer: CustomerKey) {
+        self.recent_refusals.remove(&customer);
     }
 
-    /// Whether the customer's last requests here were all refused for want of room.
+    /// Whether the customer's recent requests were all refused here for lack of capacity.
     fn is_starved(&self, customer: CustomerKey, now: ClockTime) -> bool {
-        let refused = self.refused.get(&customer);
-        refused.is_some_and(|(count, at)| *count >= STARVED_COUNT && now.since(*at) < STARVED_SPAN)
+        let refused = self.recent_refusals.get(&customer);
+        refused.is_some_and(|(count, at)| {
+            *count >= STARVED_AFTER_REFUSALS && now.since(*at) < STARVED_TTL
+        })
     }
 
-    /// Asks a home for a starved customer although the endpoint looks full from here, once for a
-    /// request.
+    /// Asks a home for a slot for a starved customer although the endpoint looks full to this node,
+    /// once per request.
     ///
-    /// Under a surge the digests always say full, and only the home knows which customer has less
-    /// than its share. A node that went by the digests alone would refuse a small customer for as
-    /// long as a large one surges, while the homes keep room that nobody asks for.
-    fn ask_anyway(&self, query: &RouteQuery<'_>, now: ClockTime) -> Option<RouteDecision> {
+    /// Under overload the digests always report full endpoints, and only the home knows which
+    /// customer has less than its share. A node that relied on the digests would refuse a small
+    /// customer for as long as a large one sends too much, while the homes reserve capacity that
+    /// nobody asks for.
+    fn ask_for_starved(&self, query: &RouteQuery<'_>, now: ClockTime) -> Option<RouteDecision> {
         if query.refusals > 0 || !self.is_starved(query.customer, now) {
             return None;
         }
         let pool = self.pools.get(&query.offer)?;
-        let elsewhere = pool.iter().filter_map(|entry| {
+        let remote = pool.iter().filter_map(|entry| {
             let state = self.arena[entry.key.index()].as_ref()?;
             let facts = &state.facts;
-            let may_ask = !self.is_home(state) && state.view.full_until <= now;
-            let usable = may_ask && !state.set_aside && !query.excluded.contains(&facts.id);
+            let is_askable = !self.is_home(state) && state.view.full_until <= now;
+            let usable =
+                is_askable && !state.ejected_by_home && !query.excluded.contains(&facts.id);
             usable.then_some((score(entry.seed, query.salt), facts.id, facts.home))
         });
-        let (_, endpoint, home) = elsewhere.max_by_key(|(rank, ..)| *rank)?;
+        let (_, endpoint, home) = remote.max_by_key(|(rank, ..)| *rank)?;
         Some(RouteDecision::AskHome {
             endpoint,
             home,
             reason: RouteReason::Hash,
-            claim: SlotClaim::Starved,
+            class: AdmissionClass::Starved,
         })
     }
 
-    /// How long to wait for room at the place that holds the request's context, if it is worth it.
+    /// Returns how long to wait for capacity at the endpoint that holds the request's context, or
+    /// `None` if the wait is not worth it.
     ///
-    /// Without this a chat whose engine is at its bound for a moment is computed anew elsewhere,
-    /// which costs more of both engines than the wait costs the caller, and the chat's next turn
-    /// finds its context split over two places.
-    fn hold_for(
+    /// Otherwise a chat whose engine is at its bound for a moment would be recomputed elsewhere.
+    /// That costs both engines more than the wait costs the caller, and leaves the context of the
+    /// next turn split over two engines.
+    fn context_wait(
         &self,
         key: EndpointKey,
         query: &RouteQuery<'_>,
         now: ClockTime,
     ) -> Option<Duration> {
         let settings = &self.settings;
-        let worth = settings.hold_per_block * query.prefixes.len() as u32;
-        if query.waited >= worth.min(settings.hold_known) {
+        let max_wait = settings.context_wait_per_block * query.prefixes.len() as u32;
+        if query.waited >= max_wait.min(settings.max_context_wait) {
             return None;
         }
         let state = self.arena[key.index()].as_ref()?;
-        if self.outliers.is_out(state.facts.id, now) || state.set_aside {
+        if self.outliers.is_ejected(state.facts.id, now) || state.ejected_by_home {
             return None;
         }
         if self.is_home(state) {
-            return state.is_exclusive(now).then_some(settings.hold_step);
+            return state.is_exclusive(now).then_some(settings.hold_interval);
         }
-        let asked_again = state.view.full_until.since(now);
-        Some(asked_again.max(settings.hold_step))
+        let until_retry = state.view.full_until.since(now);
+        Some(until_retry.max(settings.hold_interval))
     }
 
-    /// The nodes a caller should use, best first.
+    /// Returns the nodes that a caller should use, best first.
     ///
-    /// The first is the home of the engine that the chat was last on, so that most requests arrive
-    /// where they can be admitted without a message. The rest follow a hash of the chat over the
-    /// nodes, which stays the same as long as those nodes live.
+    /// The first is the home of the chat's last engine, so that most requests arrive where they can
+    /// be admitted without a message. The others follow a hash of the chat over the nodes, which is
+    /// stable as long as those nodes live.
     pub fn addresses_for(
         &self,
         chat: Option<ChatKey>,
@@ -159,8 +166,8 @@
             .map(|node| (score(node.0, key), *node))
             .collect();
         ranked.sort_unstable_by(|left, right| right.cmp(left));
-        let place = hint.or_else(|| self.remembered(chat?));
-        let first = place
+        let previous = hint.or_else(|| self.last_endpoint(chat?));
+        let first = previous
             .and_then(|endpoint| self.state_of(endpoint))
             .map(|state| state.facts.home)
             .filter(|home| self.nodes.binary_search(home).is_ok());
@@ -171,34 +178,35 @@
         nodes
     }
 
-    fn remembered(&self, chat: ChatKey) -> Option<EndpointId> {
-        self.memory.get(chat.0).map(EndpointId)
+    fn last_endpoint(&self, chat: ChatKey) -> Option<EndpointId> {
+        self.chat_map.get(chat.0).map(EndpointId)
     }
 
-    /// Places that may hold the request's context, the likeliest first.
-    fn known_places(
+    /// Returns endpoints that may hold the request's context, the most likely first.
+    fn affinity_candidates(
         &self,
         query: &RouteQuery<'_>,
     ) -> impl Iterator<Item = (EndpointId, RouteReason)> + use<> {
         let hint = query.hint.map(|endpoint| (endpoint, RouteReason::Hint));
         let memory = query
             .chat
-            .and_then(|chat| self.remembered(chat))
+            .and_then(|chat| self.last_endpoint(chat))
             .map(|endpoint| (endpoint, RouteReason::Memory));
-        // Events tell of this node's engines only. For a chat with a name they mostly find its
-        // shared text here, which draws new chats to one engine; the hash spreads those better. A
-        // request that names no chat has nothing else to go by.
-        let unnamed = query.chat.is_none();
-        let prefix = unnamed
-            .then(|| self.prefixes.longest(query.prefixes))
+        // Cache events come only from engines whose home is this node. For a chat with a key they
+        // mostly match its shared prefix here, which would draw new chats to one engine; the hash
+        // distributes those better. A request without a chat has no other indication of its
+        // context.
+        let has_no_chat = query.chat.is_none();
+        let prefix = has_no_chat
+            .then(|| self.prefix_index.longest(query.prefixes))
             .flatten()
-            .filter(|(_, blocks)| *blocks > self.settings.plan_block)
+            .filter(|(_, blocks)| *blocks > self.settings.shared_prefix_block)
             .map(|(endpoint, _)| (endpoint, RouteReason::Prefix));
         [hint, memory, prefix].into_iter().flatten()
     }
 
-    /// The endpoint's key, if it may take this request.
-    fn usable(&self, endpoint: EndpointId, query: &RouteQuery<'_>) -> Option<EndpointKey> {
+    /// Returns the endpoint's key, if it may receive this request.
+    fn eligible(&self, endpoint: EndpointId, query: &RouteQuery<'_>) -> Option<EndpointKey> {
         let key = *self.ids.get(&endpoint)?;
         let state = self.arena[key.index()].as_ref()?;
         let serves = state.facts.offers.contains(&query.offer);
@@ -206,26 +214,26 @@
         (serves && open).then_some(key)
     }
 
-    /// The best place of the ranking that seems to have room.
-    fn best_of(
+    /// Returns the best endpoint of the ranking that seems to have capacity.
+    fn best_ranked(
         &self,
-        ranking: &mut Ranking,
+        ranking: &mut EndpointRanking,
         query: &RouteQuery<'_>,
         now: ClockTime,
     ) -> Option<EndpointKey> {
         let pool = self.pools.get(&query.offer)?;
         ranking.best(
             pool,
-            |key| self.looks_open(key, SlotClaim::Arriving, query, now),
-            |key| self.fill_of(key),
+            |key| self.seems_available(key, AdmissionClass::Arriving, query, now),
+            |key| self.utilization_of(key),
         )
     }
 
-    /// Whether an endpoint seems able to take one more request.
-    fn looks_open(
+    /// Whether an endpoint seems to have capacity for one more request.
+    fn seems_available(
         &self,
         key: EndpointKey,
-        claim: SlotClaim,
+        class: AdmissionClass,
         query: &RouteQuery<'_>,
         now: ClockTime,
     ) -> bool {
@@ -235,44 +243,47 @@
         if query.excluded.contains(&state.facts.id) {
             return false;
         }
-        let limit = self.limit_of(state, now);
+        let limit = self.load_limit(state, now);
         if self.is_home(state) {
             return state.ledger.load() < limit && state.is_exclusive(now);
         }
-        // A chat whose context is there asks again when its home said; to others the place stays
-        // full until a digest tells otherwise, or a busy fleet spends itself on questions.
-        let refused =
-            state.view.full_until > now || (state.view.was_full && claim == SlotClaim::Arriving);
-        state.view.expected() < limit && !refused && !state.set_aside
+        // A chat with context at the endpoint asks again at the time that the home gave. To other
+        // requests it stays full until the next digest, because otherwise a busy fleet would spend
+        // its effort on asking.
+        let refused = state.view.full_until > now
+            || (state.view.was_full && class == AdmissionClass::Arriving);
+        state.view.estimated_load() < limit && !refused && !state.ejected_by_home
     }
 
-    /// How full an endpoint seems, relative to its capacity.
-    fn fill_of(&self, key: EndpointKey) -> f64 {
+    /// Returns how full an endpoint seems, as a fraction of its capacity.
+    fn utilization_of(&self, key: EndpointKey) -> f64 {
         let Some(state) = self.arena[key.index()].as_ref() else {
             return f64::MAX;
         };
         let load = if self.is_home(state) {
             state.ledger.load()
         } else {
-            state.view.expected()
+            state.view.estimated_load()
         };
         f64::from(load) / f64::from(state.facts.capacity.max(1))
     }
 
-    /// Grants a slot here, or names the home to ask, or finds the place full.
-    fn try_place(
+    /// Grants a slot here or names the home to ask; `None` where the endpoint is full.
+    fn try_endpoint(
         &mut self,
         key: EndpointKey,
         reason: RouteReason,
         query: &RouteQuery<'_>,
         now: ClockTime,
     ) -> Option<RouteDecision> {
-        let claim = match reason {
-            _ if self.is_starved(query.customer, now) => SlotClaim::Starved,
-            RouteReason::Hash => SlotClaim::Arriving,
-            RouteReason::Hint | RouteReason::Memory | RouteReason::Prefix => SlotClaim::Returning,
+        let class = match reason {
+            _ if self.is_starved(query.customer, now) => AdmissionClass::Starved,
+            RouteReason::Hash => AdmissionClass::Arriving,
+            RouteReason::Hint | RouteReason::Memory | RouteReason::Prefix => {
+                AdmissionClass::Returning
+            }
         };
-        if !self.looks_open(key, claim, query, now) {
+        if !self.seems_available(key, class, query, now) {
             return None;
         }
         let state = self.arena[key.index()].as_ref()?;
@@ -281,13 +292,13 @@
             return Some(RouteDecision::AskHome {
                 endpoint,
                 home,
-                claim,
+                class,
                 reason,
             });
         }
-        let slot = self.take_slot(key, self.settings.node, query.customer, claim, now)?;
+        let slot = self.take_slot(key, self.settings.node, query.customer, class, now)?;
         if let Some(chat) = query.chat {
-            self.memory.put(chat.0, endpoint.0, now);
+            self.chat_map.put(chat.0, endpoint.0, now);
         }
         Some(RouteDecision::Admit {
             endpoint,
@@ -297,10 +308,10 @@
     }
 
     fn refuse(&self, code: RefusalCode) -> RouteDecision {
-        const REFUSED_WAIT: Duration = Duration::from_secs(1);
+        const REFUSED_RETRY_AFTER: Duration = Duration::from_secs(1);
         RouteDecision::Refuse {
             code,
-            retry_after: REFUSED_WAIT,
+            retry_after: REFUSED_RETRY_AFTER,
         }
     }
 }
--- a/crates/ragwortroad_routing/src/table/route_settings.rs
+++ b/crates/ragwortroad_routing/src/table/route_settings.rs
@@ -8,52 +8,55 @@
     ZoneKey, //
 };
 
-/// What a [`RouteTable`](crate::RouteTable) is made from.
+/// Settings of a [`RouteTable`](crate::RouteTable).
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteSettings {
-    /// The node that decides.
+    /// The node on which the table decides.
     pub node: NodeId,
     /// The node's own failure domain.
     pub zone: ZoneKey,
-    /// The bound no endpoint may pass.
+    /// The bound that no endpoint may exceed.
     pub bound: LoadBound,
-    /// How far the mean may fall after an admission without putting it above the bound, in standard
-    /// deviations of the mean.
+    /// How far the mean may fall after an admission without the load exceeding the bound, in
+    /// standard deviations of the mean.
     pub mean_margin: f64,
-    /// Requests an endpoint may hold, as a multiple of its capacity; the part above 1 is its queue.
+    /// Most requests at an endpoint as a multiple of its capacity; the part above 1 is its queue.
     pub queue_multiple: f64,
-    /// Share of an endpoint's room kept for customers that use less than an equal part of it.
+    /// Fraction of an endpoint's capacity and queue that is reserved for customers with less than
+    /// an equal share.
     pub fair_reserve: f64,
-    /// The block of the prompt whose prefix key stands for a shared text (a school's plan).
-    pub plan_block: usize,
-    /// Engines among which the chats of one shared text are spread, while they have room.
-    pub plan_width: usize,
-    /// Whether a chat that nothing is known of goes to the less loaded of its two best places.
+    /// Index, counted from 1, of the prompt block whose prefix key identifies a shared prefix (a
+    /// school's lesson plan); 0 for none.
+    pub shared_prefix_block: usize,
+    /// Engines among which the chats of one shared prefix are distributed while they have capacity.
+    pub shared_prefix_engines: usize,
+    /// Whether a chat without known context goes to the less loaded of its two best endpoints.
     pub two_choices: bool,
-    /// Chats whose last place a node remembers.
+    /// Chats whose last endpoint a node stores.
     pub chat_entries: usize,
-    /// Prefixes whose place a node remembers from the cache events of its own engines.
+    /// Prefixes whose endpoint a node stores from the cache events of its own engines.
     pub prefix_entries: usize,
-    /// Longest time a chat waits for room where its context is.
-    pub hold_known: Duration,
-    /// The part of that time that each block of its prompt is worth, which is about what computing
-    /// the block anew would take.
-    pub hold_per_block: Duration,
-    /// Longest time any request waits for room anywhere before it is refused.
-    pub hold_any: Duration,
-    /// Time between two looks at a full place of this node's own.
-    pub hold_step: Duration,
-    /// Longest time for which a home that answered "full" is not asked again.
-    pub full_pause: Duration,
-    /// How long slots of a node that is gone stay counted, since its requests may still run.
-    pub gone_hold: Duration,
-    /// How long the slot of a failed request stays counted, so that an endpoint which fails fast
-    /// looks as busy as one that works.
-    pub failure_hold: Duration,
-    /// Longest life of a slot that is never given back.
-    pub slot_life: Duration,
-    /// When endpoints are set aside.
-    pub outlier: OutlierSettings,
+    /// Longest time that a chat waits for capacity at the endpoint with its context.
+    pub max_context_wait: Duration,
+    /// Wait for context that each block of the prompt justifies, about the time to recompute the
+    /// block.
+    pub context_wait_per_block: Duration,
+    /// Longest time that any request waits for capacity before it is refused.
+    pub max_capacity_wait: Duration,
+    /// Interval at which a full endpoint of this node is checked again.
+    pub hold_interval: Duration,
+    /// Longest time for which a home is not asked again after it answered that the endpoint is
+    /// full.
+    pub full_backoff: Duration,
+    /// How long the slots of a lost node stay counted, since its requests may still run.
+    pub lost_node_slot_ttl: Duration,
+    /// How long the slot of a failed request stays counted, so that an endpoint that fails fast
+    /// looks as busy as a working one.
+    pub failed_slot_ttl: Duration,
+    /// Longest lifetime of a slot that is never released.
+    pub slot_ttl: Duration,
+    /// When endpoints are ejected for failures.
+    pub outliers: OutlierSettings,
 }
 
 impl Default for RouteSettings {
@@ -65,20 +68,20 @@
             mean_margin: 1.2,
             queue_multiple: 1.25,
             fair_reserve: 0.2,
-            plan_block: 8,
-            plan_width: 2,
+            shared_prefix_block: 8,
+            shared_prefix_engines: 2,
             two_choices: true,
             chat_entries: 64 * 1024,
             prefix_entries: 64 * 1024,
-            hold_known: Duration::from_millis(500),
-            hold_per_block: Duration::from_millis(25),
-            hold_any: Duration::from_millis(600),
-            hold_step: Duration::from_millis(20),
-            full_pause: Duration::from_millis(250),
-            gone_hold: Duration::from_secs(5),
-            failure_hold: Duration::from_secs(2),
-            slot_life: Duration::from_secs(600),
-            outlier: OutlierSettings::default(),
+            max_context_wait: Duration::from_millis(500),
+            context_wait_per_block: Duration::from_millis(25),
+            max_capacity_wait: Duration::from_millis(600),
+            hold_interval: Duration::from_millis(20),
+            full_backoff: Duration::from_millis(250),
+            lost_node_slot_ttl: Duration::from_secs(5),
+            failed_slot_ttl: Duration::from_secs(2),
+            slot_ttl: Duration::from_secs(600),
+            outliers: OutlierSettings::default(),
         }
     }
 }
--- a/crates/ragwortroad_routing/src/table/table_inputs.rs
+++ b/crates/ragwortroad_routing/src/table/table_inputs.rs
@@ -13,21 +13,21 @@
     RouteTable,
     table::{
         endpoint_state::EndpointState,
-        route_choice::STARVED_SPAN,
+        route_choice::STARVED_TTL,
         route_table::PoolEntry, //
     }, //
 };
 
-/// What the table is told.
+/// Inputs of the table.
 impl RouteTable {
-    /// Adds an endpoint or changes what is known of it.
+    /// Adds an endpoint or changes its facts.
     ///
-    /// `exclusive_from` is used where the home is new: from then on, and not before, the home may
-    /// admit work, because an earlier home may still do so until then. It also waits for a report
-    /// of the endpoint's load from after that moment, which shows what the earlier home left.
-    /// [`ClockTime::ZERO`] stands for an endpoint that just started and never had another home; for
-    /// one whose home stays the same it changes nothing, and any other time corrects the one given
-    /// before.
+    /// `exclusive_from` matters where the home is new: only from then on may the home admit
+    /// requests, because an earlier home may still do so until then. The home also waits for a load
+    /// report from after that time, which shows the requests that the earlier home admitted.
+    /// [`ClockTime::ZERO`] stands for an endpoint that just started and never had another home.
+    /// Where the home stays the same, [`ClockTime::ZERO`] changes nothing, and any other time
+    /// replaces the earlier one.
     pub fn upsert_endpoint(&mut self, facts: EndpointFacts, exclusive_from: ClockTime) {
         match self.ids.get(&facts.id).copied() {
             None => self.insert_endpoint(facts, exclusive_from),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove_endpoint(&mut self, endpoint: EndpointId) {
         let Some(key) = self.ids.remove(&endpoint) else {
             return;
@@ -43,12 +43,12 @@
         if let Some(state) = self.arena[key.index()].take() {
             if state.facts.takes_work() {
                 let fleet = self.fleets.entry(state.facts.fleet).or_default();
-                fleet.remove(state.counted);
+                fleet.remove(state.counted_load);
             }
             self.leave_pools(key, &state.facts);
         }
-        self.vacant.push(key);
-        self.prefixes.remove(endpoint);
+        self.free_keys.push(key);
+        self.prefix_index.remove(endpoint);
         self.outliers.remove(endpoint);
     }
 
@@ -64,32 +64,34 @@
         self.upsert_endpoint(facts, exclusive_from);
     }
 
-    /// Takes in an endpoint's own report of its load; for its home only.
+    /// Applies an endpoint's own load report; only for its home.
     ///
-    /// Each report is to be handed in once, when it comes: its age counts from `now`. One handed in
-    /// again later would pass for news, and hide what was sent to the endpoint since.
+    /// Each report must be passed once, when it arrives, because its age counts from `now`. A
+    /// report passed again later would look recent, and hide the requests sent to the endpoint
+    /// since.
     pub fn observe_report(&mut self, endpoint: EndpointId, report: LoadReport, now: ClockTime) {
         if let Some(key) = self.ids.get(&endpoint).copied() {
             self.change(key, |state| state.observe(report, now));
         }
     }
 
-    /// Takes in cache events of an engine that announces itself to this node.
+    /// Applies cache events of an engine that announces itself to this node.
     pub fn observe_cache(&mut self, endpoint: EndpointId, events: &[CacheEvent], now: ClockTime) {
-        self.prefixes.observe(endpoint, events, now);
+        self.prefix_index.observe(endpoint, events, now);
     }
 
-    /// Takes in the digest that an endpoint's home gives of it.
+    /// Applies the digest that an endpoint's home sent.
     pub fn observe_digest(&mut self, endpoint: EndpointId, digest: LoadDigest) {
         if let Some(key) = self.ids.get(&endpoint).copied() {
             self.change(key, |state| {
                 state.view.observe(digest.load);
-                state.set_aside = digest.set_aside;
+                state.ejected_by_home = digest.ejected;
             });
         }
     }
 
-    /// What this node, as its home, tells others of an endpoint.
+    /// Returns the digest that this node sends as the endpoint's home; `None` if it is not the
+    /// home.
     pub fn digest_of(&self, endpoint: EndpointId, now: ClockTime) -> Option<LoadDigest> {
         let state = self.state_of(endpoint)?;
         if !self.is_home(state) {
@@ -97,33 +99,33 @@
         }
         Some(LoadDigest {
             load: state.ledger.load(),
-            set_aside: self.outliers.is_out(endpoint, now),
+            ejected: self.outliers.is_ejected(endpoint, now),
         })
     }
 
-    /// A node is gone: its slots end after a while, since its requests may still run until the
+    /// Expires the slots of a lost node after a delay, since its requests may run until the
     /// endpoints notice.
-    pub fn node_gone(&mut self, node: NodeId, now: ClockTime) {
-        let hold = self.settings.gone_hold;
+    pub fn expire_node_slots(&mut self, node: NodeId, now: ClockTime) {
+        let ttl = self.settings.lost_node_slot_ttl;
         for key in self.keys() {
-            self.change(key, |state| state.ledger.hold_all(node, now, hold));
+            self.change(key, |state| state.ledger.expire_all_within(node, now, ttl));
         }
     }
 
-    /// A node owes an answer: what it told of its endpoints, and what it holds, no longer raises the
-    /// mean.
+    /// Records that a node has not answered: the loads it reported and the slots it holds no longer
+    /// raise the mean.
     ///
-    /// The node may be lost and its requests with it, and membership takes seconds to tell. Homes
-    /// that went on by the higher mean would put their endpoints above the bound.
-    pub fn note_silent(&mut self, node: NodeId) {
-        if self.silent.insert(node) {
+    /// The node may be lost together with its requests, and membership takes seconds to report
+    /// that. Homes that kept using the higher mean would fill their endpoints above the bound.
+    pub fn mark_unresponsive(&mut self, node: NodeId) {
+        if self.unresponsive.insert(node) {
             self.recount_loads();
         }
     }
 
-    /// A node was heard.
-    pub fn note_heard(&mut self, node: NodeId) {
-        if self.silent.remove(&node) {
+    /// Records that a node was heard from.
+    pub fn mark_responsive(&mut self, node: NodeId) {
+        if self.unresponsive.remove(&node) {
             self.recount_loads();
         }
     }
@@ -134,36 +136,36 @@
         }
     }
 
-    /// Forgets silent nodes on which nothing rests any more.
-    fn forget_silent(&mut self) {
+    /// Removes unresponsive nodes that are no home and hold no slot.
+    fn forget_unresponsive(&mut self) {
         let states = || self.arena.iter().flatten();
-        let matters = |node: &NodeId| {
-            states().any(|state| state.facts.home == *node || state.ledger.has_asker(*node))
+        let is_referenced = |node: &NodeId| {
+            states().any(|state| state.facts.home == *node || state.ledger.has_slots_of(*node))
         };
-        let silent = self.silent.iter().copied();
-        self.silent = silent.filter(matters).collect();
+        let unresponsive = self.unresponsive.iter().copied();
+        self.unresponsive = unresponsive.filter(is_referenced).collect();
     }
 
-    /// Changes the multiple of the fleet mean that no endpoint may pass.
+    /// Changes the multiple of the fleet mean that no endpoint may exceed.
     pub fn set_multiple(&mut self, multiple: f64) {
         self.settings.bound.multiple = multiple;
     }
 
-    /// The nodes that callers may be sent to.
+    /// Sets the nodes to which callers may be sent.
     pub fn set_nodes(&mut self, nodes: &[NodeId]) {
         self.nodes = nodes.to_vec();
         self.nodes.sort_unstable();
         self.nodes.dedup();
     }
 
-    /// Ends slots whose time is over; to be called about once a second.
+    /// Ends expired slots; call about once a second.
     pub fn tick(&mut self, now: ClockTime) {
         for key in self.keys() {
             self.change(key, |state| state.ledger.sweep(now));
         }
-        self.forget_silent();
-        self.refused
-            .retain(|_, (_, at)| now.since(*at) < STARVED_SPAN);
+        self.forget_unresponsive();
+        self.recent_refusals
+            .retain(|_, (_, at)| now.since(*at) < STARVED_TTL);
     }
 
     fn keys(&self) -> Vec<EndpointKey> {
@@ -171,7 +173,7 @@
     }
 
     fn insert_endpoint(&mut self, facts: EndpointFacts, exclusive_from: ClockTime) {
-        let key = match self.vacant.pop() {
+        let key = match self.free_keys.pop() {
             Some(key) => key,
             None => {
                 self.arena.push(None);
@@ -199,11 +201,17 @@
         if state.facts == facts && state.exclusive_from == exclusive_from {
             return;
         }
-        let (before, counted) = (state.facts.clone(), state.counted);
+        let (before, counted_load) = (state.facts.clone(), state.counted_load);
         self.leave_pools(key, &before);
         if before.fleet != facts.fleet && before.takes_work() {
-            self.fleets.entry(before.fleet).or_default().remove(counted);
-            self.fleets.entry(facts.fleet).or_default().add(counted);
+            self.fleets
+                .entry(before.fleet)
+                .or_default()
+                .remove(counted_load);
+            self.fleets
+                .entry(facts.fleet)
+                .or_default()
+                .add(counted_load);
         }
         if facts.takes_work() {
             self.join_pools(key, &facts);
@@ -211,16 +219,17 @@
         self.change(key, |state| {
             if facts.home != before.home {
                 state.exclusive_from = exclusive_from;
-                state.settled = exclusive_from == ClockTime::ZERO;
-                // An earlier home's work is what was last heard of it, until a report says less.
-                let heard = if before.home == node {
+                state.handover_reported = exclusive_from == ClockTime::ZERO;
+                // The earlier home's requests are the load that was last heard, until a report
+                // shows fewer.
+                let last_load = if before.home == node {
                     0
                 } else {
                     state.view.load
                 };
-                state.ledger.inherit(heard);
+                state.ledger.reset_to_inherited(last_load);
             } else if facts.home == node && exclusive_from != ClockTime::ZERO {
-                state.correct_exclusive(exclusive_from);
+                state.update_exclusive_from(exclusive_from);
             }
             state.facts = facts;
         });
--- a/crates/ragwortroad_settings/src/fleet_settings.rs
+++ b/crates/ragwortroad_settings/src/fleet_settings.rs
@@ -5,12 +5,12 @@
     settings_reader::SettingsReader, //
 };
 
-/// `[fleet]`: how this node finds and proves itself to the others.
+/// `[fleet]`: how this node finds the other nodes and authenticates itself to them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetSettings {
-    /// Nodes to ask first. A few suffice; the others are learned from them.
+    /// Nodes to contact first. A few are enough; the others are learned from them.
     pub seeds: Vec<SeedAddress>,
-    /// Folder with the fleet's certificate and this node's certificate and key.
+    /// Folder with the fleet's certificate, and this node's certificate and private key.
     pub keys: PathBuf,
     /// File with the secret that endpoints send when they announce themselves.
     pub join_secret_file: PathBuf,
@@ -23,9 +23,9 @@
         let example = "rvk-a-1@10.0.0.7:9080, hfj-b-1@10.0.1.7:9080";
         Self {
             seeds: reader.list("fleet", "seeds", example),
-            keys: reader.required("fleet", "keys").into(),
-            join_secret_file: reader.required("fleet", "join_secret_file").into(),
-            operator_key_file: reader.required("fleet", "operator_key_file").into(),
+            keys: reader.required_text("fleet", "keys").into(),
+            join_secret_file: reader.required_text("fleet", "join_secret_file").into(),
+            operator_key_file: reader.required_text("fleet", "operator_key_file").into(),
         }
     }
 }
--- a/crates/ragwortroad_telemetry/src/metrics_page.rs
+++ b/crates/ragwortroad_telemetry/src/metrics_page.rs
@@ -36,38 +36,42 @@
 use crate::metric_names::{
     ANSWER_SECONDS,
     BELIEVED_LOAD,
-    PAUSE_SECONDS, //
+    STREAM_PAUSE_SECONDS, //
 };
 
-/// Bounds of the histograms of time, in seconds: from a local answer to a request's longest life.
-const SECONDS: [f64; 13] = [
+/// Histogram buckets for durations in seconds, from a local response to the longest request
+/// lifetime.
+const DURATION_BUCKETS_SECONDS: [f64; 13] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 1.0, 2.5, 5.0, 15.0,
 ];
 
-/// Bounds of the histogram of loads, in requests.
-const REQUESTS: [f64; 9] = [0.0, 1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0];
+/// Histogram buckets for endpoint load, in requests.
+const LOAD_BUCKETS: [f64; 9] = [0.0, 1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0];
 
-/// Time between two foldings of the samples into their histograms, which else pile up unread.
-const FOLD_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which buffered samples are drained into their histograms. Without it samples
+/// accumulate in memory until the page is read.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Pause after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before accepting again after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why metrics cannot be kept.
+/// The metrics recorder could not be installed.
 #[derive(Debug, Snafu)]
-#[snafu(display("metrics cannot be kept: {source}; start one process only once"))]
+#[snafu(display(
+    "cannot install the metrics recorder: {source}; install it only once per process"
+))]
 pub struct MetricsError {
     source: BuildError,
 }
 
-/// The page that a process's metrics are read from.
+/// Exposes the metrics of this process in the Prometheus text format.
 #[derive(Clone, Debug)]
 pub struct MetricsPage {
     handle: PrometheusHandle,
 }
 
 impl MetricsPage {
-    /// Keeps this process's metrics from now on.
+    /// Installs the global metrics recorder. Fails if the process already has one.
     pub fn install() -> Result<Self, MetricsError> {
         let handle = builder()
             .and_then(PrometheusBuilder::install_recorder)
@@ -75,56 +79,56 @@
         Ok(Self { handle })
     }
 
-    /// The page as text.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         self.handle.render()
     }
 
-    /// Folds samples from time to time for as long as the process runs.
-    pub async fn keep_folded(self) {
+    /// Drains buffered samples into histograms every five seconds, for as long as the process runs.
+    pub async fn run_upkeep(self) {
         loop {
-            sleep(FOLD_EVERY).await;
+            sleep(UPKEEP_INTERVAL).await;
             self.handle.run_upkeep();
         }
     }
 
-    /// Serves the page to whoever asks, on any path.
+    /// Serves the page over HTTP on any path, for as long as the process runs.
     pub async fn serve(self, listener: TcpListener) {
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    tracing::warn!(%error, "a reader of metrics could not be accepted");
-                    sleep(ACCEPT_PAUSE).await;
+                    tracing::warn!(%error, "failed to accept a metrics connection");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
             let page = self.clone();
             spawn_local(async move {
-                let service = service_fn(|request| page.answer(request));
+                let service = service_fn(|request| page.respond(request));
                 let served = http1::Builder::new()
                     .keep_alive(false)
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
                 if let Err(error) = served {
-                    tracing::debug!(%error, "a reader of metrics left early");
+                    tracing::debug!(%error, "metrics connection failed");
                 }
             });
         }
     }
 
-    async fn answer(&self, _: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-        let mut answer = Response::new(Full::new(Bytes::from(self.render())));
-        let content = HeaderValue::from_static("text/plain; version=0.0.4");
-        answer.headers_mut().insert(CONTENT_TYPE, content);
-        Ok(answer)
+    async fn respond(&self, _: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+        let mut response = Response::new(Full::new(Bytes::from(self.render())));
+        let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+        response.headers_mut().insert(CONTENT_TYPE, content_type);
+        Ok(response)
     }
 }
 
 fn builder() -> Result<PrometheusBuilder, BuildError> {
-    let exactly = |name: &str| Matcher::Full(name.to_owned());
+    let exact_name = |name: &str| Matcher::Full(name.to_owned());
     PrometheusBuilder::new()
-        .set_buckets_for_metric(exactly(ANSWER_SECONDS), &SECONDS)?
-        .set_buckets_for_metric(exactly(PAUSE_SECONDS), &SECONDS)?
-        .set_buckets_for_metric(exactly(BELIEVED_LOAD), &REQUESTS)
+        .set_buckets_for_metric(exact_name(ANSWER_SECONDS), &DURATION_BUCKETS_SECONDS)?
+        .set_buckets_for_metric(exact_name(STREAM_PAUSE_SECONDS), &DURATION_BUCKETS_SECONDS)?
+        .set_buckets_for_metric(exact_name(BELIEVED_LOAD), &LOAD_BUCKETS)
 }
--- a/tools/ci/src/import_circles.rs
+++ b/tools/ci/src/import_cycles.rs
@@ -1,6 +1,6 @@
-//! Circles of imports between the files of one crate.
+//! Finds import cycles between the files of one crate.
 //!
-//! Files that import each other can only be read together.
+//! Files that import each other can only be understood together.
 
 use std::{
     collections::{
@@ -19,28 +19,28 @@
     Visibility, //
 };
 
-/// Modules of a crate, by their paths within it; that of the crate's root is empty.
+/// Source texts by module path within the crate; the path of the crate root is empty.
 type SourceTexts = BTreeMap<String, String>;
 
-/// For each module, the others that it imports from.
+/// For each module, the other modules that it imports from.
 type ImportGraph = BTreeMap<String, BTreeSet<String>>;
 
-/// Reads the sources below a crate's `src` folder.
+/// Reads the sources below a crate's `src` or `tests` folder.
 pub(crate) fn read_sources(folder: &Path) -> io::Result<SourceTexts> {
     let mut sources = SourceTexts::new();
-    read_below(folder, "", &mut sources)?;
+    read_folder(folder, "", &mut sources)?;
     Ok(sources)
 }
 
-fn read_below(folder: &Path, module: &str, sources: &mut SourceTexts) -> io::Result<()> {
+fn read_folder(folder: &Path, module: &str, sources: &mut SourceTexts) -> io::Result<()> {
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
         let Some(stem) = path.file_stem().and_then(|stem| stem.to_str()) else {
             continue;
         };
-        let inner = join(module, stem);
+        let inner = child_module(module, stem);
         if path.is_dir() {
-            read_below(&path, &inner, sources)?;
+            read_folder(&path, &inner, sources)?;
         } else if path.extension().is_some_and(|ending| ending == "rs") {
             let name = match stem {
                 "lib" | "main" | "mod" => module.to_owned(),
@@ -52,8 +52,9 @@
     Ok(())
 }
 
-/// Modules that stand in circles or between them, with what they import from each other.
-pub(crate) fn find_circles(sources: &SourceTexts) -> syn::Result<ImportGraph> {
+/// Returns the modules that are part of cycles or lie between two, with their imports from each
+/// other.
+pub(crate) fn find_cycles(sources: &SourceTexts) -> syn::Result<ImportGraph> {
     let mut paths: BTreeMap<&str, Vec<UsedPath>> = BTreeMap::new();
     for (module, text) in sources {
         let file = syn::parse_file(text)?;
@@ -69,22 +70,22 @@
             let exported = re_exports.get(name.as_str()).cloned();
             if is_direct { inner } else { exported }
         });
-        // The root imports for others, and nothing of it is needed to read a module.
+        // The root only re-exports, and no module needs it to be understood.
         let imports = found.filter(|found| !found.is_empty() && found != module);
         if !module.is_empty() {
             graph.insert((*module).to_owned(), imports.collect());
         }
     }
-    Ok(circles_of(graph))
+    Ok(cycles_of(graph))
 }
 
-/// A path that a module imports, from the crate's root on.
+/// An imported path, relative to the crate root.
 struct UsedPath {
     path: Vec<String>,
     is_public: bool,
 }
 
-/// Paths within the crate that items import, inline modules among them.
+/// Returns the paths within the crate that `items` import, those of inline modules included.
 fn used_paths(items: &[Item], module: &str) -> Vec<UsedPath> {
     let mut paths = Vec::new();
     for item in items {
@@ -142,7 +143,7 @@
     }
 }
 
-/// The module of each name that is imported from another place than where it stands.
+/// Maps each publicly re-exported name to the module that defines it.
 fn re_exports(
     sources: &SourceTexts,
     paths: &BTreeMap<&str, Vec<UsedPath>>,
@@ -156,15 +157,16 @@
     exported.filter(|(_, module)| !module.is_empty()).collect()
 }
 
-/// The innermost module that a path names; the root where it names none.
+/// Returns the innermost module on `path`, or the root where none is on it.
 fn find_module(sources: &SourceTexts, path: &[String]) -> Option<String> {
     let lengths = (0..=path.len()).rev();
     let mut modules = lengths.map(|length| path[..length].join("::"));
     modules.find(|module| sources.contains_key(module))
 }
 
-/// What is left of a graph without the modules that import, or are imported by, nothing in it.
-fn circles_of(mut graph: ImportGraph) -> ImportGraph {
+/// Removes modules without imports and modules that nothing imports until only cycles, and modules
+/// between them, are left.
+fn cycles_of(mut graph: ImportGraph) -> ImportGraph {
     loop {
         let imported: BTreeSet<String> = graph.values().flatten().cloned().collect();
         let before = graph.len();
@@ -179,7 +181,7 @@
     }
 }
 
-fn join(module: &str, name: &str) -> String {
+fn child_module(module: &str, name: &str) -> String {
     match module {
         "" => name.to_owned(),
         _ => format!("{module}::{name}"),
--- a/tools/ci/src/platform_words.rs
+++ b/tools/ci/src/platform_words.rs
@@ -1,7 +1,7 @@
-//! Keeps the words of the users' platform inside the adapter.
+//! Checks that words of the users' platform occur only in its adapter.
 //!
-//! A name of the platform that stands elsewhere ties code to it that should not know it; with a
-//! second platform both would have to change.
+//! Code elsewhere that uses a name of the platform depends on that platform, and would have to
+//! change for a second one.
 
 use std::{
     fs,
@@ -12,35 +12,35 @@
     }, //
 };
 
-/// The list of words, beside the adapter.
+/// The list of words, next to the adapter.
 pub(crate) const WORDS_PATH: &str = "platform/words.txt";
 
-/// Folders that may hold the words, or no source of ours.
-const FREE_FOLDERS: [&str; 5] = ["platform", "deploy", "target", "journal", ".git"];
+/// Folders that may contain the words, or that contain no sources of this repository.
+const EXEMPT_FOLDERS: [&str; 5] = ["platform", "deploy", "target", "journal", ".git"];
 
-/// A word where it must not stand.
+/// An occurrence of a platform word outside the adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct StrayWord {
+pub(crate) struct MisplacedWord {
     pub(crate) path: PathBuf,
     pub(crate) line: usize,
     pub(crate) word: String,
 }
 
-/// The words of a list: a line each, without comments.
+/// Parses a list of words: one per line, with `#` comments.
 pub(crate) fn read_words(text: &str) -> Vec<String> {
     let lines = text.lines().map(str::trim);
     let words = lines.filter(|line| !line.is_empty() && !line.starts_with('#'));
     words.map(str::to_owned).collect()
 }
 
-/// Finds the words in one file's text, whatever their case.
-pub(crate) fn find_in(path: &Path, text: &str, words: &[String]) -> Vec<StrayWord> {
+/// Finds the words in the text of one file, ignoring case.
+pub(crate) fn find_in_text(path: &Path, text: &str, words: &[String]) -> Vec<MisplacedWord> {
     let mut found = Vec::new();
     for (index, line) in text.lines().enumerate() {
         let lower = line.to_ascii_lowercase();
         for word in words {
             if lower.contains(&word.to_ascii_lowercase()) {
-                found.push(StrayWord {
+                found.push(MisplacedWord {
                     path: path.to_owned(),
                     line: index + 1,
                     word: word.clone(),
@@ -51,23 +51,24 @@
     found
 }
 
-/// Finds the words in all Rust sources below `root`, but for the free folders.
-pub(crate) fn find_below(root: &Path, words: &[String]) -> io::Result<Vec<StrayWord>> {
+/// Finds the words in all Rust sources below `root`, except for the exempt folders.
+pub(crate) fn find_in_sources(root: &Path, words: &[String]) -> io::Result<Vec<MisplacedWord>> {
     let mut found = Vec::new();
     let mut folders = vec![root.to_owned()];
     while let Some(folder) = folders.pop() {
         for entry in fs::read_dir(&folder)? {
             let path = entry?.path();
             let name = path.file_name().and_then(|name| name.to_str());
-            let is_free = folder == root && name.is_some_and(|name| FREE_FOLDERS.contains(&name));
-            if is_free {
+            let is_exempt =
+                folder == root && name.is_some_and(|name| EXEMPT_FOLDERS.contains(&name));
+            if is_exempt {
                 continue;
             }
             if path.is_dir() {
                 folders.push(path);
             } else if path.extension().is_some_and(|extension| extension == "rs") {
                 let text = fs::read_to_string(&path)?;
-                found.extend(find_in(&path, &text, words));
+                found.extend(find_in_text(&path, &text, words));
             }
         }
     }
--- a/tools/compare/src/play_bench.rs
+++ b/tools/compare/src/bench_runner.rs
@@ -17,58 +17,58 @@
 
 use crate::{
     command_line::CommandLine,
-    play_figures::PlayFigures, //
+    run_figures::RunFigures, //
 };
 
-/// The template of the settings, within the repository.
+/// Path of the settings template within the repository.
 const TEMPLATE: &str = "deploy/settings.ini";
 
-/// Why a comparison ends early.
+/// Why a comparison ended early.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub(crate) enum BenchError {
-    /// A program could not be run.
+    /// A program could not be started.
     #[snafu(display("cannot run {program}: {source}; name a program that exists"))]
     Run {
-        /// The program.
+        /// Path or name of the program.
         program: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A program failed.
+    /// A program exited with a failure.
     #[snafu(display("{program} failed: {output}"))]
     Failed {
-        /// The program.
+        /// Path or name of the program.
         program: String,
-        /// What it wrote.
+        /// Standard output of the program.
         output: String,
     },
     /// A file could not be read or written.
-    #[snafu(display("cannot use {}: {source}", path.display()))]
+    #[snafu(display("cannot access {}: {source}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A play printed no figures.
-    #[snafu(display("no figures in what the bench wrote: {output}"))]
+    /// A benchmark run printed no figures.
+    #[snafu(display("the benchmark printed no figures: {output}"))]
     NoFigures {
-        /// What it wrote.
+        /// Standard output of the run.
         output: String,
     },
 }
 
-/// A clone of the repository in which days are played.
-pub(crate) struct PlayBench {
+/// Runs benchmarks in a clone of the repository.
+pub(crate) struct BenchRunner {
     bench: PathBuf,
     work: PathBuf,
-    /// The template as it stands in the repository.
+    /// The committed settings template.
     template: String,
 }
 
-impl PlayBench {
-    /// Makes the clone where there is none.
+impl BenchRunner {
+    /// Creates the clone if it does not exist.
     pub(crate) fn prepare(line: &CommandLine) -> Result<Self, BenchError> {
         if !line.work.is_dir() {
             let mut clone = Command::new("git");
@@ -85,53 +85,53 @@
         })
     }
 
-    /// Writes the template of a way into the clone.
-    pub(crate) fn take_way(&self, way: &str) -> Result<(), BenchError> {
-        let settings = match way {
+    /// Writes the template with the settings of a variant into the clone.
+    pub(crate) fn apply_variant(&self, variant: &str) -> Result<(), BenchError> {
+        let settings = match variant {
             "none" => String::new(),
             path => fs::read_to_string(path).context(FileSnafu { path })?,
         };
         let path = self.work.join(TEMPLATE);
-        let text = template_of(&self.template, &settings);
+        let text = add_variant(&self.template, &settings);
         fs::write(&path, text).context(FileSnafu { path })
     }
 
-    /// Plays a day; its entry in the clone's journal names the way.
-    pub(crate) fn play(
+    /// Runs the benchmark of a day; its journal entry in the clone names the variant.
+    pub(crate) fn run(
         &self,
-        way: &str,
+        variant: &str,
         site: &Path,
         day: &str,
         seed: u64,
-    ) -> Result<PlayFigures, BenchError> {
+    ) -> Result<RunFigures, BenchError> {
         let mut run = Command::new(&self.bench);
         run.current_dir(&self.work).arg("run").arg(site).arg(day);
         run.args(["--jobs", "1", "--seed", &seed.to_string()]);
-        run.args(["--why", &format!("comparison: way {way}")]);
+        run.args(["--why", &format!("comparison: way {variant}")]);
         let output = output_of(&mut run)?;
-        PlayFigures::read(&output).context(NoFiguresSnafu { output })
+        RunFigures::read(&output).context(NoFiguresSnafu { output })
     }
 }
 
-impl Drop for PlayBench {
+impl Drop for BenchRunner {
     fn drop(&mut self) {
-        if let Err(error) = self.take_way("none") {
-            eprintln!("the clone keeps the settings of the last way: {error}");
+        if let Err(error) = self.apply_variant("none") {
+            eprintln!("cannot restore the settings template of the clone: {error}");
         }
     }
 }
 
-/// The template of the settings with those of a way below it.
-pub(crate) fn template_of(template: &str, way: &str) -> String {
-    format!("{}\n\n{}\n", template.trim_end(), way.trim())
+/// Appends the settings of a variant to the settings template.
+pub(crate) fn add_variant(template: &str, variant: &str) -> String {
+    format!("{}\n\n{}\n", template.trim_end(), variant.trim())
 }
 
 fn output_of(command: &mut Command) -> Result<String, BenchError> {
     let program = command.get_program().to_string_lossy().into_owned();
     let ended = command.output().context(RunSnafu { program: &program })?;
     let output = String::from_utf8_lossy(&ended.stdout).into_owned();
-    // A day that breaks a rule ends with a failure, and its figures count.
-    let has_figures = PlayFigures::read(&output).is_some();
+    // A day that violates a rule exits with a failure, but its figures count.
+    let has_figures = RunFigures::read(&output).is_some();
     ensure!(
         ended.status.success() || has_figures,
         FailedSnafu { program, output }
