--- a/crates/ragwortroad_node/src/control/address_flow.rs
+++ b/crates/ragwortroad_node/src/control/address_flow.rs
@@ -12,13 +12,13 @@
 };
 
 /// Addresses in one answer.
-const ADDRESS_COUNT: usize = 3;
+const MAX_ADDRESSES: usize = 3;
 
 /// How long a caller may keep an answer.
 ///
 /// Longer answers save questions; shorter ones bring callers sooner to the home of a chat that
 /// moved. A stale answer costs one message between nodes a request, never correctness.
-const KEEP: Duration = Duration::from_secs(30);
+const ADDRESS_TTL: Duration = Duration::from_secs(30);
 
 impl ControlState {
     /// Answers a caller's question for addresses.
@@ -27,10 +27,10 @@
         call: &AddressCall,
         now: ClockTime,
     ) -> Result<AddressAnswer, RefusalWire> {
-        let request = RequestId(self.draw());
-        let Some((customer, _)) = self.follow.customer_of(call.key_hash) else {
+        let request = RequestId(self.next_random());
+        let Some((customer, _)) = self.follower.customer_of(call.key_hash) else {
             // A node that has no configuration yet knows no customer; others may.
-            let refusal = match self.follow.guard.may_admit(now) {
+            let refusal = match self.follower.guard.may_admit(now) {
                 Ok(()) => AdmitRefusal::not_run(RefusalCode::WrongKey, "no customer has this key"),
                 Err(reason) => AdmitRefusal::not_run(RefusalCode::NotCurrent, reason.to_string()),
             };
@@ -43,7 +43,7 @@
         let hint = hint.and_then(|hint| self.hints.decode(customer_key, hint));
         let nodes = self
             .route
-            .addresses_for(chat, hint, request.0, ADDRESS_COUNT);
+            .addresses_for(chat, hint, request.0, MAX_ADDRESSES);
         let addresses: Vec<String> = nodes
             .iter()
             .filter_map(|node| self.caller_address(*node))
@@ -61,18 +61,18 @@
         };
         Ok(AddressAnswer {
             addresses,
-            keep_ms: KEEP.as_millis() as u64,
+            keep_ms: ADDRESS_TTL.as_millis() as u64,
             reason: reason.to_owned(),
         })
     }
 
     /// Addresses of other nodes that take requests, for a refusal.
     pub(crate) fn other_addresses(&self) -> Vec<String> {
-        let nodes = self.open_nodes();
+        let nodes = self.available_nodes();
         let others = nodes.into_iter().filter(|node| *node != self.node);
         let addresses = others.filter_map(|node| self.caller_address(node));
         addresses
-            .take(ADDRESS_COUNT)
+            .take(MAX_ADDRESSES)
             .map(|address| address.to_string())
             .collect()
     }
--- a/crates/ragwortroad_node/src/control/admit_flow.rs
+++ b/crates/ragwortroad_node/src/control/admit_flow.rs
@@ -12,22 +12,22 @@
 use crate::{
     control::control_state::{
         ControlState,
-        reply_to, //
+        send_reply, //
     },
-    request::request_plan::{
+    request::pending_attempt::{
         HeldClaim,
-        RequestPlan, //
+        PendingAttempt, //
     }, //
 };
 
 /// Tokens that a request without a limit of its own is taken to generate.
-const USUAL_TOKENS: u32 = 256;
+const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
 /// Bytes of prompt text that make about one token.
-const TOKEN_BYTES: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 
 /// How long a caller waits before it asks a node again that could not confirm its configuration.
-const CURRENT_PAUSE: Duration = Duration::from_millis(500);
+const NOT_CURRENT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A refusal before it has the request's identity.
 pub(crate) struct AdmitRefusal {
@@ -58,7 +58,7 @@
 }
 
 /// What the configuration says of a request.
-struct TargetFacts {
+struct ResolvedTarget {
     customer: String,
     offer: OfferKey,
     version: Option<String>,
@@ -70,31 +70,31 @@
     /// Serves an admission call.
     pub(crate) fn admit(&mut self, call: AdmitCall, reply: Sender<AdmitReply>, now: ClockTime) {
         let request = call.request;
-        match self.plan(call, &reply, now) {
-            Ok(plan) => self.start_plan(plan, now),
+        match self.check_call(call, &reply, now) {
+            Ok(attempt) => self.start_attempt(attempt, now),
             Err(refusal) => {
-                self.events.note(FleetEvent {
+                self.events.record(FleetEvent {
                     request: Some(request),
                     detail: format!("{:?}: {}", refusal.code, refusal.message),
                     ..FleetEvent::new(EventKind::RequestRefused)
                 });
                 let wire = self.refusal_wire(request, refusal);
-                reply_to(&reply, AdmitReply::Refused(wire));
+                send_reply(&reply, AdmitReply::Refused(wire));
             }
         }
     }
 
     /// Whether this node takes work in at all.
-    pub(crate) fn check_open(&self, now: ClockTime) -> Result<(), AdmitRefusal> {
+    pub(crate) fn check_admits(&self, now: ClockTime) -> Result<(), AdmitRefusal> {
         if self.draining {
             let message = "this node is shutting down";
             return Err(AdmitRefusal::not_run(RefusalCode::NodeDraining, message));
         }
-        if let Err(reason) = self.follow.guard.may_admit(now) {
+        if let Err(reason) = self.follower.guard.may_admit(now) {
             let refusal = AdmitRefusal::not_run(RefusalCode::NotCurrent, reason.to_string());
-            return Err(refusal.after(CURRENT_PAUSE));
+            return Err(refusal.after(NOT_CURRENT_RETRY_AFTER));
         }
-        if self.follow.config.drains_node(&self.settings.node.name) {
+        if self.follower.config.drains_node(&self.settings.node.name) {
             let message = "an operator drains this node";
             return Err(AdmitRefusal::not_run(RefusalCode::NodeDraining, message));
         }
@@ -102,18 +102,18 @@
     }
 
     /// Checks a call and charges the customer's limit for it.
-    fn plan(
+    fn check_call(
         &mut self,
         call: AdmitCall,
         reply: &Sender<AdmitReply>,
         now: ClockTime,
-    ) -> Result<RequestPlan, AdmitRefusal> {
-        self.check_open(now)?;
+    ) -> Result<PendingAttempt, AdmitRefusal> {
+        self.check_admits(now)?;
         let chat = self.chat_key(&call);
-        let facts = self.target_facts(&call, chat)?;
+        let facts = self.resolve_target(&call, chat)?;
         self.check_retry(&call, facts.idempotent)?;
         let customer_key = CustomerKey::from_name(&facts.customer);
-        let tokens = foreseen_tokens(&call);
+        let tokens = estimated_tokens(&call);
         let priority = match self.limiter.admit(customer_key, tokens, now) {
             LimitAnswer::Admitted { priority } => priority,
             LimitAnswer::Refused { retry_after } => {
@@ -125,8 +125,8 @@
         let hint = call.hint.as_deref();
         let hint = hint.and_then(|hint| self.hints.decode(customer_key, hint));
         let prefixes = prompt_prefixes(&facts, &call);
-        let claim = self.claim_of(&facts, &call);
-        let plan = RequestPlan {
+        let claim = self.build_claim(&facts, &call);
+        let attempt = PendingAttempt {
             customer_key,
             offer: facts.offer,
             version: facts.version,
@@ -144,38 +144,38 @@
             customer: facts.customer,
             call,
         };
-        let kind = match plan.call.retry_of {
+        let kind = match attempt.call.retry_of {
             None => EventKind::RequestAdmitted,
             Some(_) => EventKind::RequestRetried,
         };
-        self.note_plan(kind, &plan, String::new());
-        Ok(plan)
+        self.record_attempt_event(kind, &attempt, String::new());
+        Ok(attempt)
     }
 
     /// Claims the request's key first, where it must not run twice, and then looks for a place.
-    fn start_plan(&mut self, plan: RequestPlan, now: ClockTime) {
-        match &plan.claim {
+    fn start_attempt(&mut self, attempt: PendingAttempt, now: ClockTime) {
+        match &attempt.claim {
             Some(claim) => {
                 let step = claim.claim_step();
-                self.claims.claim(step, plan);
+                self.claims.claim(step, attempt);
             }
-            None => self.place_plan(plan, now),
+            None => self.place_attempt(attempt, now),
         }
     }
 
     fn chat_key(&self, call: &AdmitCall) -> Option<ChatKey> {
-        let (customer, _) = self.follow.customer_of(call.key_hash)?;
+        let (customer, _) = self.follower.customer_of(call.key_hash)?;
         let chat = call.chat.as_deref()?;
         Some(ChatKey::from_parts(customer, chat))
     }
 
     /// Who asks and what for, by the configuration in force.
-    fn target_facts(
+    fn resolve_target(
         &mut self,
         call: &AdmitCall,
         chat: Option<ChatKey>,
-    ) -> Result<TargetFacts, AdmitRefusal> {
-        let Some((customer, entry)) = self.follow.customer_of(call.key_hash) else {
+    ) -> Result<ResolvedTarget, AdmitRefusal> {
+        let Some((customer, entry)) = self.follower.customer_of(call.key_hash) else {
             let message = "no customer has this key";
             return Err(AdmitRefusal::not_run(RefusalCode::WrongKey, message));
         };
@@ -194,7 +194,7 @@
                     Some(version) => version,
                     None => self.version_for(model, chat, call.request)?,
                 };
-                Ok(TargetFacts {
+                Ok(ResolvedTarget {
                     customer,
                     offer: OfferKey::model(model, &version, adapter.as_deref()),
                     version: Some(version),
@@ -203,13 +203,13 @@
                 })
             }
             RequestTarget::Service { service } => {
-                let declared = self.follow.config.services.get(service);
+                let declared = self.follower.config.services.get(service);
                 let allowed = entry.services.contains(service);
                 let Some(declared) = declared.filter(|_| allowed) else {
                     let message = format!("no service '{service}' serves customer {customer}");
                     return Err(AdmitRefusal::not_run(RefusalCode::UnknownService, message));
                 };
-                Ok(TargetFacts {
+                Ok(ResolvedTarget {
                     customer,
                     offer: OfferKey::service(service),
                     version: None,
@@ -231,12 +231,12 @@
             let message = format!("model '{model}' has no version with a share");
             AdmitRefusal::not_run(RefusalCode::UnknownModel, message)
         };
-        let plan = self.follow.version_plan(model).ok_or_else(unknown)?;
-        let current = chat.and_then(|chat| self.follow.versions.get(chat, model));
+        let plan = self.follower.version_plan(model).ok_or_else(unknown)?;
+        let current = chat.and_then(|chat| self.follower.versions.get(chat, model));
         let version = plan.version_for(chat, current.as_deref(), request.0);
         let version = version.ok_or_else(unknown)?.to_owned();
         if let Some(chat) = chat {
-            self.follow.versions.put(chat, model, &version);
+            self.follower.versions.put(chat, model, &version);
         }
         Ok(version)
     }
@@ -244,7 +244,7 @@
     /// Whether a call that follows a failed attempt may be made at all.
     fn check_retry(&mut self, call: &AdmitCall, idempotent: bool) -> Result<(), AdmitRefusal> {
         let Some(ticket) = call.retry_of else {
-            self.budget.record_first_attempt();
+            self.retry_budget.record_first_attempt();
             return Ok(());
         };
         let ended = self.ended.take(ticket);
@@ -255,7 +255,7 @@
                 attempts: ended.attempts,
                 time_left: call.time_left,
             };
-            self.rule.may_retry(failed, &mut self.budget)
+            self.retry_policy.may_retry(failed, &mut self.retry_budget)
         });
         if may_retry {
             return Ok(());
@@ -268,12 +268,12 @@
             outcome,
             code,
             message: "the attempt failed and is not repeated".to_owned(),
-            retry_after: Some(CURRENT_PAUSE),
+            retry_after: Some(NOT_CURRENT_RETRY_AFTER),
         })
     }
 
     /// The claim that a request needs before its first byte leaves.
-    fn claim_of(&mut self, facts: &TargetFacts, call: &AdmitCall) -> Option<HeldClaim> {
+    fn build_claim(&mut self, facts: &ResolvedTarget, call: &AdmitCall) -> Option<HeldClaim> {
         if facts.idempotent {
             return None;
         }
@@ -285,7 +285,7 @@
         // retry after a refused connection must be.
         let attempt = ClaimAttempt {
             node: self.node,
-            request: RequestId(self.draw()),
+            request: RequestId(self.next_random()),
         };
         Some(HeldClaim {
             key: ClaimKey::new(&facts.customer, service, key),
@@ -311,30 +311,30 @@
     }
 
     /// Refuses an attempt that was let in, and takes back what it holds.
-    pub(crate) fn refuse_plan(&mut self, plan: RequestPlan, refusal: AdmitRefusal) {
-        self.limiter.finish(plan.customer_key, plan.tokens, 0);
-        self.refused.note(plan.offer, refusal.code);
-        if let Some(claim) = &plan.claim {
+    pub(crate) fn refuse_attempt(&mut self, attempt: PendingAttempt, refusal: AdmitRefusal) {
+        self.limiter.finish(attempt.customer_key, attempt.tokens, 0);
+        self.refused.note(attempt.offer, refusal.code);
+        if let Some(claim) = &attempt.claim {
             self.claims.settle(claim.release_step());
         }
         let detail = format!("{:?}: {}", refusal.code, refusal.message);
-        self.note_plan(EventKind::RequestRefused, &plan, detail);
-        let wire = self.refusal_wire(plan.call.request, refusal);
-        reply_to(&plan.reply, AdmitReply::Refused(wire));
+        self.record_attempt_event(EventKind::RequestRefused, &attempt, detail);
+        let wire = self.refusal_wire(attempt.call.request, refusal);
+        send_reply(&attempt.reply, AdmitReply::Refused(wire));
     }
 }
 
 /// Tokens a request is taken to cost.
-fn foreseen_tokens(call: &AdmitCall) -> u32 {
+fn estimated_tokens(call: &AdmitCall) -> u32 {
     if matches!(call.target, RequestTarget::Service { .. }) {
         return 0;
     }
-    let prompt = u32::try_from(call.prompt.len() / TOKEN_BYTES).unwrap_or(u32::MAX);
-    prompt.saturating_add(call.token_limit.unwrap_or(USUAL_TOKENS))
+    let prompt = u32::try_from(call.prompt.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
+    prompt.saturating_add(call.token_limit.unwrap_or(DEFAULT_OUTPUT_TOKENS))
 }
 
 /// Prefix keys of a model request's prompt.
-fn prompt_prefixes(facts: &TargetFacts, call: &AdmitCall) -> Vec<PrefixKey> {
+fn prompt_prefixes(facts: &ResolvedTarget, call: &AdmitCall) -> Vec<PrefixKey> {
     match &call.target {
         RequestTarget::Model { model, .. } => prefix_chain(&facts.customer, model, &call.prompt),
         RequestTarget::Service { .. } => Vec::new(),
--- a/crates/ragwortroad_node/src/control/claim_flow.rs
+++ b/crates/ragwortroad_node/src/control/claim_flow.rs
@@ -13,14 +13,14 @@
         admit_flow::AdmitRefusal,
         control_state::{
             ControlState,
-            reply_to, //
+            send_reply, //
         }, //
     },
     member::proposal_kind::{
         ClaimBatch,
         ProposalKind, //
     },
-    request::request_plan::RequestPlan,
+    request::pending_attempt::PendingAttempt,
     wire::{
         follow_message::FollowMessage,
         message_codec::encode, //
@@ -28,10 +28,10 @@
 };
 
 /// How long a request waits for its claim before it is refused as not run.
-const CLAIM_PATIENCE: Duration = Duration::from_secs(4);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time a caller waits before it asks again with the same key.
-const CLAIM_PAUSE: Duration = Duration::from_secs(1);
+const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl ControlState {
     /// Sends claim steps that are due to the leader.
@@ -41,7 +41,7 @@
         };
         while let Some((batch, steps)) = self.claims.next_batch(now) {
             if leader == self.node {
-                self.take_claims(self.node, batch, steps, now);
+                self.handle_claims(self.node, batch, steps, now);
             } else {
                 let message = FollowMessage::Claims { batch, steps };
                 self.send(leader, PeerChannel::Follow, encode(&message));
@@ -50,16 +50,22 @@
     }
 
     /// Takes in a node's claim steps, as the leader.
-    pub(crate) fn take_claims(
+    pub(crate) fn handle_claims(
         &mut self,
         node: NodeId,
         batch: u64,
         steps: Vec<ClaimStep>,
         now: ClockTime,
     ) {
-        let leads = self.member.as_ref().is_some_and(|seat| seat.leads(now));
-        let desk = self.member.as_mut().and_then(|seat| seat.desk.as_mut());
-        let Some(desk) = desk.filter(|_| leads) else {
+        let leads = self
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.leads(now));
+        let context = self
+            .replica
+            .as_mut()
+            .and_then(|replica| replica.leader_context.as_mut());
+        let Some(context) = context.filter(|_| leads) else {
             let leader = self.leader().filter(|leader| *leader != self.node);
             if node != self.node {
                 let message = FollowMessage::Elsewhere { leader };
@@ -72,13 +78,16 @@
             batch,
             steps: steps.len(),
         };
-        desk.claims.push((entry, steps));
+        context.claims.push((entry, steps));
     }
 
     /// Whether a request waits for a claim among the steps that were not proposed yet.
     pub(crate) fn claims_are_urgent(&self) -> bool {
-        let desk = self.member.as_ref().and_then(|seat| seat.desk.as_ref());
-        let gathered = desk.into_iter().flat_map(|desk| &desk.claims);
+        let context = self
+            .replica
+            .as_ref()
+            .and_then(|replica| replica.leader_context.as_ref());
+        let gathered = context.into_iter().flat_map(|context| &context.claims);
         let mut steps = gathered.flat_map(|(_, steps)| steps);
         steps.any(|step| matches!(step, ClaimStep::Claim { .. }))
     }
@@ -86,19 +95,23 @@
     /// Proposes all claim steps of this round as one command.
     pub(crate) fn propose_claims(&mut self, now: ClockTime) {
         let wall_ms = self.clock.wall_ms();
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        let Some(desk) = seat.desk.as_mut().filter(|desk| !desk.claims.is_empty()) else {
+        let Some(context) = replica
+            .leader_context
+            .as_mut()
+            .filter(|context| !context.claims.is_empty())
+        else {
             return;
         };
-        let gathered = std::mem::take(&mut desk.claims);
+        let gathered = std::mem::take(&mut context.claims);
         let batches = gathered.iter().map(|(batch, _)| *batch).collect();
         let steps = gathered.into_iter().flat_map(|(_, steps)| steps).collect();
         let action = StateAction::Claims(steps);
         let kind = ProposalKind::Claims(batches);
-        let actions = seat.propose(action, kind, wall_ms, now);
-        self.do_core(actions, now);
+        let actions = replica.propose(action, kind, wall_ms, now);
+        self.run_core_actions(actions, now);
     }
 
     /// Hands the outcomes of a committed command to the nodes whose steps it held.
@@ -112,7 +125,7 @@
         for batch in batches {
             let own: Vec<ClaimOutcome> = outcomes.by_ref().take(batch.steps).collect();
             if batch.node == self.node {
-                self.claims_done(batch.batch, own, now);
+                self.handle_claim_outcomes(batch.batch, own, now);
                 continue;
             }
             let message = FollowMessage::ClaimsDone {
@@ -124,39 +137,49 @@
     }
 
     /// The leader answered a batch of this node.
-    pub(crate) fn claims_done(&mut self, batch: u64, outcomes: Vec<ClaimOutcome>, now: ClockTime) {
-        for (plan, outcome) in self.claims.answered(batch, outcomes) {
-            self.decide_claim(plan, outcome, now);
+    pub(crate) fn handle_claim_outcomes(
+        &mut self,
+        batch: u64,
+        outcomes: Vec<ClaimOutcome>,
+        now: ClockTime,
+    ) {
+        for (attempt, outcome) in self.claims.take_decided(batch, outcomes) {
+            self.handle_claim_outcome(attempt, outcome, now);
         }
     }
 
     /// Goes on with an attempt whose claim was decided.
-    fn decide_claim(&mut self, plan: RequestPlan, outcome: ClaimOutcome, now: ClockTime) {
+    fn handle_claim_outcome(
+        &mut self,
+        attempt: PendingAttempt,
+        outcome: ClaimOutcome,
+        now: ClockTime,
+    ) {
         match outcome {
             ClaimOutcome::Granted => {
-                self.note_plan(EventKind::ClaimMade, &plan, String::new());
-                match self.check_open(now) {
+                self.record_attempt_event(EventKind::ClaimMade, &attempt, String::new());
+                match self.check_admits(now) {
                     // The node may have lost its leave to admit while the claim was under way.
-                    Ok(()) => self.place_plan(plan, now),
-                    Err(refusal) => self.refuse_plan(plan, refusal),
+                    Ok(()) => self.place_attempt(attempt, now),
+                    Err(refusal) => self.refuse_attempt(attempt, refusal),
                 }
             }
             ClaimOutcome::Recorded(answer) => {
-                self.limiter.finish(plan.customer_key, plan.tokens, 0);
+                self.limiter.finish(attempt.customer_key, attempt.tokens, 0);
                 let detail = "recorded answer returned".to_owned();
-                self.note_plan(EventKind::ClaimFinished, &plan, detail);
+                self.record_attempt_event(EventKind::ClaimFinished, &attempt, detail);
                 let answer = RecordedAnswer {
                     status: answer.status,
                     content_type: answer.content_type,
                     body: answer.body,
                 };
-                reply_to(&plan.reply, AdmitReply::Recorded(answer));
+                send_reply(&attempt.reply, AdmitReply::Recorded(answer));
             }
             other => {
                 let (outcome, code) = other
                     .refusal()
                     .unwrap_or((RequestOutcome::Unknown, RefusalCode::InternalFault));
-                self.limiter.finish(plan.customer_key, plan.tokens, 0);
+                self.limiter.finish(attempt.customer_key, attempt.tokens, 0);
                 // Waiting helps only where the key's outcome can still change; a caller told to wait
                 // with a key that is spent would come back for ever.
                 let may_change = matches!(
@@ -167,22 +190,22 @@
                     outcome,
                     code,
                     message: claim_text(&other),
-                    retry_after: may_change.then_some(CLAIM_PAUSE),
+                    retry_after: may_change.then_some(CLAIM_RETRY_AFTER),
                 };
                 let detail = format!("{code:?}: {}", refusal.message);
-                self.note_plan(EventKind::RequestRefused, &plan, detail);
-                let wire = self.refusal_wire(plan.call.request, refusal);
-                reply_to(&plan.reply, AdmitReply::Refused(wire));
+                self.record_attempt_event(EventKind::RequestRefused, &attempt, detail);
+                let wire = self.refusal_wire(attempt.call.request, refusal);
+                send_reply(&attempt.reply, AdmitReply::Refused(wire));
             }
         }
     }
 
     /// Refuses requests whose claim is not answered in time; nothing of them was sent.
     pub(crate) fn tick_claims(&mut self, now: ClockTime) {
-        for plan in self.claims.give_up(now.before(CLAIM_PATIENCE)) {
+        for attempt in self.claims.take_expired(now.before(CLAIM_TIMEOUT)) {
             let message = "the claim could not be made durable in time";
             let refusal = AdmitRefusal::not_run(RefusalCode::ClaimUnavailable, message);
-            self.refuse_plan(plan, refusal.after(CLAIM_PAUSE));
+            self.refuse_attempt(attempt, refusal.after(CLAIM_RETRY_AFTER));
         }
     }
 }
--- a/crates/ragwortroad_node/src/control/follow_seat.rs
+++ b/crates/ragwortroad_node/src/control/config_follower.rs
@@ -6,7 +6,7 @@
 
 /// A node's part in following the configuration.
 #[derive(Debug, Default)]
-pub(crate) struct FollowSeat {
+pub(crate) struct ConfigFollower {
     /// The configuration in force here.
     pub(crate) config: FleetConfig,
     /// Whose key is whose, by that configuration.
@@ -18,16 +18,16 @@
     /// Versions that chats were served by.
     pub(crate) versions: VersionMemory,
     /// When this node asked last.
-    pub(crate) asked: ClockTime,
+    pub(crate) last_asked: ClockTime,
     /// When the leader confirmed last.
-    pub(crate) confirmed: ClockTime,
+    pub(crate) last_confirmed: ClockTime,
     /// Whether this node could admit work when that was last looked at.
     pub(crate) admits: bool,
     /// The last update could not be followed; the next one must be whole.
-    pub(crate) wants_whole: bool,
+    pub(crate) needs_full_config: bool,
 }
 
-impl FollowSeat {
+impl ConfigFollower {
     /// The customer that a key belongs to.
     pub(crate) fn customer_of(&self, key: [u8; 32]) -> Option<(&str, &CustomerEntry)> {
         let Some(KeyOwner::Customer(name)) = self.keys.owner(&KeyHash(key)) else {
@@ -49,7 +49,7 @@
 }
 
 /// Chats whose version is remembered, in each of two generations.
-const GENERATION: usize = 32 * 1024;
+const MAX_GENERATION_CHATS: usize = 32 * 1024;
 
 /// Which version each chat was served by lately.
 ///
@@ -73,7 +73,7 @@
     /// Notes the version that serves `chat`.
     pub(crate) fn put(&mut self, chat: ChatKey, model: &str, version: &str) {
         let key = (chat, OfferKey::model(model, "", None).0);
-        if self.newer.len() >= GENERATION {
+        if self.newer.len() >= MAX_GENERATION_CHATS {
             self.older = std::mem::take(&mut self.newer);
         }
         self.newer.insert(key, version.into());
--- a/crates/ragwortroad_node/src/control/control_inbox.rs
+++ b/crates/ragwortroad_node/src/control/control_inbox.rs
@@ -24,12 +24,12 @@
     /// Reports of the disk thread; only members have one.
     pub(crate) disk: Option<Receiver<DiskReport>>,
     /// Orders of the supervisor.
-    pub(crate) steering: Receiver<SteeringOrder>,
+    pub(crate) commands: Receiver<SupervisorCommand>,
 }
 
 /// What the supervisor wants of the control thread.
 #[derive(Debug)]
-pub(crate) enum SteeringOrder {
+pub(crate) enum SupervisorCommand {
     /// Stop taking work and endpoints, and tell the others.
     Drain,
     /// End the thread; all traffic has ended.
@@ -39,12 +39,12 @@
     /// Do nothing until the other end is dropped, as a process does that gets no processor.
     Freeze(Receiver<()>),
     /// Answer a page that a traffic thread serves.
-    Page(PageCall),
+    Timeline(TimelineCall),
 }
 
 /// A page that is made of control state.
 #[derive(Debug)]
-pub(crate) struct PageCall {
+pub(crate) struct TimelineCall {
     /// SHA-256 of the operator's key.
     pub(crate) key_hash: [u8; 32],
     /// Which events are wanted.
@@ -54,7 +54,7 @@
 }
 
 /// How long a closed channel keeps the thread from looking at the others.
-const CLOSED_PAUSE: Duration = Duration::from_millis(5);
+const CLOSED_CHANNEL_SLEEP: Duration = Duration::from_millis(5);
 
 /// One event for the control thread.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
     /// The disk thread reports.
     Disk(DiskReport),
     /// The supervisor wants something.
-    Steering(SteeringOrder),
+    Supervisor(SupervisorCommand),
 }
 
 impl ControlInbox {
@@ -79,14 +79,16 @@
         let mut selector = Selector::new()
             .recv(&self.calls, |event| wrap(event, boxed_call))
             .recv(&self.peers, |event| wrap(event, ControlEvent::Peer))
-            .recv(&self.steering, |event| wrap(event, ControlEvent::Steering));
+            .recv(&self.commands, |event| {
+                wrap(event, ControlEvent::Supervisor)
+            });
         if let Some(disk) = &self.disk {
             selector = selector.recv(disk, |event| wrap(event, ControlEvent::Disk));
         }
         match selector.wait_timeout(patience) {
             Ok(Some(event)) => Some(event),
             Ok(None) => {
-                thread::sleep(patience.min(CLOSED_PAUSE));
+                thread::sleep(patience.min(CLOSED_CHANNEL_SLEEP));
                 self.ready()
             }
             Err(_) => None,
@@ -101,9 +103,9 @@
             let disk = self.disk.as_ref()?;
             disk.try_recv().map(ControlEvent::Disk).ok()
         };
-        let steering = || self.steering.try_recv().map(ControlEvent::Steering).ok();
+        let commands = || self.commands.try_recv().map(ControlEvent::Supervisor).ok();
         // What the disk and the supervisor say is rare and holds others up, so it goes first.
-        disk().or_else(steering).or_else(peers).or_else(calls)
+        disk().or_else(commands).or_else(peers).or_else(calls)
     }
 }
 
--- a/crates/ragwortroad_node/src/control/control_state.rs
+++ b/crates/ragwortroad_node/src/control/control_state.rs
@@ -21,29 +21,29 @@
 use crate::{
     byte_counts::ByteCounts,
     control::{
+        config_follower::ConfigFollower,
         control_inbox::{
             ControlEvent,
             ControlInbox,
-            SteeringOrder, //
+            SupervisorCommand, //
         },
-        follow_seat::FollowSeat,
         line_table::LineTable, //
     },
     event_log::EventLog,
-    member::member_seat::MemberSeat,
+    member::state_replica::StateReplica,
     node_secrets::NodeSecrets,
     order::{
         order_worker::OrderWorker,
         refused_demand::RefusedDemand, //
     },
     request::{
-        claim_desk::ClaimDesk,
+        claim_queue::ClaimQueue,
         ended_attempts::EndedAttempts,
         ticket_table::TicketTable,
         wait_table::WaitTable, //
     },
     slot::{
-        grant_book::GrantBook,
+        grant_table::GrantTable,
         release_queue::ReleaseQueue, //
     }, //
 };
@@ -73,13 +73,13 @@
     /// Customers' limits.
     pub(crate) limiter: CustomerLimiter,
     /// What this node may spend on retries.
-    pub(crate) budget: RetryBudget,
+    pub(crate) retry_budget: RetryBudget,
     /// When a failed attempt may be followed by another.
-    pub(crate) rule: RetryPolicy,
+    pub(crate) retry_policy: RetryPolicy,
     /// The configuration in force here, and the leave to admit work with it.
-    pub(crate) follow: FollowSeat,
+    pub(crate) follower: ConfigFollower,
     /// This node's part in the replicated state.
-    pub(crate) member: Option<MemberSeat>,
+    pub(crate) replica: Option<StateReplica>,
     /// Attempts under way.
     pub(crate) tickets: TicketTable,
     /// Attempts that ended lately.
@@ -87,9 +87,9 @@
     /// Attempts that wait for a home's answer.
     pub(crate) waits: WaitTable,
     /// Claim steps that wait for the leader's answer.
-    pub(crate) claims: ClaimDesk,
+    pub(crate) claims: ClaimQueue,
     /// Slots granted to other nodes.
-    pub(crate) grants: GrantBook,
+    pub(crate) grants: GrantTable,
     /// Slots to be given back to other nodes.
     pub(crate) releases: ReleaseQueue,
     /// Operators' lines passed on to the leader.
@@ -103,9 +103,9 @@
     /// No new work is taken in any more.
     pub(crate) draining: bool,
     /// When the slow duties were done last.
-    pub(crate) second: ClockTime,
+    pub(crate) last_slow_tick: ClockTime,
     /// When this node last introduced its data folder to the other members.
-    pub(crate) said_hello: ClockTime,
+    pub(crate) last_hello: ClockTime,
     /// Bytes between nodes, for who owns the process.
     pub(crate) bytes: Arc<ByteCounts>,
 }
@@ -123,26 +123,26 @@
     /// The end that an event asks for, if it asks for one.
     fn of(event: &ControlEvent) -> Option<Self> {
         match event {
-            ControlEvent::Steering(SteeringOrder::Stop) => Some(Self::Stop),
-            ControlEvent::Steering(SteeringOrder::Crash) => Some(Self::Crash),
+            ControlEvent::Supervisor(SupervisorCommand::Stop) => Some(Self::Stop),
+            ControlEvent::Supervisor(SupervisorCommand::Crash) => Some(Self::Crash),
             _ => None,
         }
     }
 }
 
 /// Time between two ticks.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time between two rounds of slow duties.
-const SECOND: Duration = Duration::from_secs(1);
+const SLOW_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Events handled before the duties that follow each round.
-const ROUND_EVENTS: usize = 256;
+const MAX_ROUND_EVENTS: usize = 256;
 
 impl ControlState {
     /// Serves events until the supervisor stops the thread.
     pub(crate) fn run(mut self, inbox: &ControlInbox) {
-        self.note_node(EventKind::ProcessStarted, self.node);
+        self.record_node_event(EventKind::ProcessStarted, self.node);
         let mut next_tick = self.clock.now();
         loop {
             let now = self.clock.now();
@@ -160,7 +160,7 @@
             let now = self.clock.now();
             if now >= next_tick {
                 self.tick(now);
-                next_tick = now.after(TICK);
+                next_tick = now.after(TICK_INTERVAL);
             }
             self.flush(now);
         }
@@ -169,7 +169,7 @@
     /// Handles one event and those that are there already; tells when the thread is to end.
     fn serve_round(&mut self, first: ControlEvent, inbox: &ControlInbox) -> Option<ThreadEnd> {
         let mut next = Some(first);
-        for _ in 0..ROUND_EVENTS {
+        for _ in 0..MAX_ROUND_EVENTS {
             let event = next?;
             if let Some(end) = ThreadEnd::of(&event) {
                 return Some(end);
@@ -194,13 +194,15 @@
             ControlEvent::Call(call) => self.handle_call(*call, now),
             ControlEvent::Peer(event) => self.handle_peer(event, now),
             ControlEvent::Disk(report) => self.handle_disk(report, now),
-            ControlEvent::Steering(SteeringOrder::Drain) => self.begin_drain(now),
-            ControlEvent::Steering(SteeringOrder::Page(call)) => self.serve_page(call),
-            ControlEvent::Steering(SteeringOrder::Freeze(held)) => {
+            ControlEvent::Supervisor(SupervisorCommand::Drain) => self.begin_drain(now),
+            ControlEvent::Supervisor(SupervisorCommand::Timeline(call)) => {
+                self.serve_timeline(call)
+            }
+            ControlEvent::Supervisor(SupervisorCommand::Freeze(held)) => {
                 // Nothing is ever sent; the channel closes when the freeze is over.
                 held.recv().unwrap_or_default();
             }
-            ControlEvent::Steering(SteeringOrder::Stop | SteeringOrder::Crash) => {}
+            ControlEvent::Supervisor(SupervisorCommand::Stop | SupervisorCommand::Crash) => {}
         }
     }
 
@@ -210,11 +212,11 @@
             ControlCall::Finish(finish) => self.finish(finish, now),
             ControlCall::Addresses(call, reply) => {
                 let answer = self.addresses(&call, now);
-                reply_to(&reply, answer);
+                send_reply(&reply, answer);
             }
             ControlCall::Announce(call, reply) => {
                 let answer = self.announce(call, now);
-                reply_to(&reply, answer);
+                send_reply(&reply, answer);
             }
             ControlCall::Operator(call, reply) => self.operator(call, reply, now),
         }
@@ -230,9 +232,9 @@
         self.send_claims(now);
         self.propose_claims(now);
         self.tick_orders(now);
-        self.note_currency(now);
-        if now.since(self.second) >= SECOND {
-            self.second = now;
+        self.record_currency(now);
+        if now.since(self.last_slow_tick) >= SLOW_TICK_INTERVAL {
+            self.last_slow_tick = now;
             self.tick_second(now);
         }
     }
@@ -240,11 +242,11 @@
     /// Duties that need no more than a second's care.
     fn tick_second(&mut self, now: ClockTime) {
         self.route.tick(now);
-        self.repeat_digests();
+        self.refresh_remote_loads();
         self.grants.tick(now);
         self.send_shares(now);
-        self.repeat_releases(now);
-        self.tell_refused();
+        self.resend_releases(now);
+        self.publish_refused_demand();
         self.plan_engines(now);
         self.publish_gauges(now);
         self.publish_order_gauges(now);
@@ -252,7 +254,7 @@
 
     /// Sends what the round has gathered.
     fn flush(&mut self, now: ClockTime) {
-        self.place_held(now);
+        self.place_due_attempts(now);
         if self.claims.is_urgent() {
             self.send_claims(now);
         }
@@ -265,12 +267,12 @@
     fn begin_drain(&mut self, now: ClockTime) {
         tracing::info!(node = self.settings.node.name, "draining");
         self.draining = true;
-        self.note_node(EventKind::ProcessStopping, self.node);
+        self.record_node_event(EventKind::ProcessStopping, self.node);
         let actions = self.membership.handle(GossipInput::LeaveStarted, now);
-        self.do_gossip(actions, now);
-        if let Some(seat) = &mut self.member {
-            let actions = seat.handle(CoreInput::HandOver, now);
-            self.do_core(actions, now);
+        self.run_gossip_actions(actions, now);
+        if let Some(replica) = &mut self.replica {
+            let actions = replica.handle(CoreInput::HandOver, now);
+            self.run_core_actions(actions, now);
         }
     }
 
@@ -287,8 +289,8 @@
         if let Some(worker) = self.orders {
             worker.join();
         }
-        if let Some(seat) = self.member {
-            seat.disk.join();
+        if let Some(replica) = self.replica {
+            replica.disk.join();
         }
         if let Some(transport) = transport {
             transport.shutdown();
@@ -296,18 +298,18 @@
     }
 
     /// A random number that nobody foresees.
-    pub(crate) fn draw(&mut self) -> u64 {
+    pub(crate) fn next_random(&mut self) -> u64 {
         self.random.next_u64()
     }
 
     /// The random numbers of a process.
-    pub(crate) fn seeded(seed: u64) -> Pcg64 {
+    pub(crate) fn seeded_rng(seed: u64) -> Pcg64 {
         Pcg64::seed_from_u64(seed)
     }
 }
 
 /// Sends a reply to a traffic thread; a caller that left meanwhile needs none.
-pub(crate) fn reply_to<T>(reply: &flume::Sender<T>, answer: T) {
+pub(crate) fn send_reply<T>(reply: &flume::Sender<T>, answer: T) {
     if reply.try_send(answer).is_err() {
         tracing::debug!("a caller left before its reply");
     }
--- a/crates/ragwortroad_node/src/control/endpoint_flow.rs
+++ b/crates/ragwortroad_node/src/control/endpoint_flow.rs
@@ -23,7 +23,7 @@
         call: AnnounceCall,
         now: ClockTime,
     ) -> Result<AnnounceAnswer, RefusalWire> {
-        let request = RequestId(self.draw());
+        let request = RequestId(self.next_random());
         if !same_hash(&call.secret_hash, &self.secrets.join) {
             let message = "the join secret is not the fleet's";
             let refusal = AdmitRefusal::not_run(RefusalCode::WrongKey, message);
@@ -42,9 +42,9 @@
         let endpoint = EndpointId::from_name(&call.announce.name);
         let load = call.announce.load;
         let events = call.announce.cache_events.clone();
-        let announce = self.with_own_count(call.announce, now);
+        let announce = self.with_local_load(call.announce, now);
         let actions = self.membership.handle(GossipInput::Announce(announce), now);
-        self.do_gossip(actions, now);
+        self.run_gossip_actions(actions, now);
         if let HomeState::Home { .. } = self.membership.home_state(endpoint, now) {
             self.route.observe_report(endpoint, load, now);
             self.route.observe_cache(endpoint, &events, now);
@@ -56,7 +56,7 @@
     ///
     /// Other nodes choose by what gossip tells them. The endpoint's own report is older than the
     /// home's count of what it admitted.
-    fn with_own_count(&self, announce: AnnounceWire, now: ClockTime) -> AnnounceWire {
+    fn with_local_load(&self, announce: AnnounceWire, now: ClockTime) -> AnnounceWire {
         let endpoint = EndpointId::from_name(&announce.name);
         let is_home = self.membership.home_state(endpoint, now).admits_at(now);
         let Some(running) = self.route.load_of(endpoint).filter(|_| is_home) else {
@@ -72,18 +72,18 @@
     /// Lets time pass for membership.
     pub(crate) fn tick_membership(&mut self, now: ClockTime) {
         let actions = self.membership.handle(GossipInput::Tick, now);
-        self.do_gossip(actions, now);
+        self.run_gossip_actions(actions, now);
     }
 
     /// Takes in a gossip packet.
     pub(crate) fn handle_gossip(&mut self, from: NodeId, bytes: Vec<u8>, now: ClockTime) {
         let packet = GossipInput::Packet { from, bytes };
         let actions = self.membership.handle(packet, now);
-        self.do_gossip(actions, now);
+        self.run_gossip_actions(actions, now);
     }
 
     /// Does what membership wants done.
-    pub(crate) fn do_gossip(&mut self, actions: Vec<GossipAction>, now: ClockTime) {
+    pub(crate) fn run_gossip_actions(&mut self, actions: Vec<GossipAction>, now: ClockTime) {
         for action in actions {
             match action {
                 GossipAction::Send { to, address, bytes } => {
@@ -91,12 +91,12 @@
                 }
                 GossipAction::NodeUp(node) => self.node_up(node, now),
                 GossipAction::NodeSuspected(node) => {
-                    self.note_node(EventKind::NodeSuspected, node);
+                    self.record_node_event(EventKind::NodeSuspected, node);
                     tracing::info!(node = self.node_name(node), "node is silent");
                 }
                 GossipAction::NodeDown(node) => self.node_down(node, now),
                 GossipAction::NodeLeaving(node) => {
-                    self.note_node(EventKind::NodeLeaving, node);
+                    self.record_node_event(EventKind::NodeLeaving, node);
                     tracing::info!(node = self.node_name(node), "node is leaving");
                     self.refresh_nodes(now);
                 }
@@ -104,12 +104,12 @@
                     self.endpoint_changed(endpoint, now);
                 }
                 GossipAction::HomeChanged(endpoint) => {
-                    self.note_endpoint(EventKind::HomeChanged, endpoint);
+                    self.record_endpoint_event(EventKind::HomeChanged, endpoint);
                     self.refresh_endpoint(endpoint, now);
                 }
                 GossipAction::EndpointLoadChanged(endpoint) => self.refresh_load(endpoint),
                 GossipAction::EndpointGone(endpoint) => {
-                    self.note_endpoint(EventKind::EndpointLeft, endpoint);
+                    self.record_endpoint_event(EventKind::EndpointLeft, endpoint);
                     self.route.remove_endpoint(endpoint);
                 }
                 GossipAction::BlobChanged { .. } => {}
@@ -124,13 +124,13 @@
         let is_damped = record.is_some_and(|record| record.damped);
         match presence {
             Some(EndpointPresence::Leaving) => {
-                self.note_endpoint(EventKind::EndpointLeaving, endpoint);
+                self.record_endpoint_event(EventKind::EndpointLeaving, endpoint);
             }
             Some(EndpointPresence::Present) if is_damped => {
-                self.note_endpoint(EventKind::EndpointDamped, endpoint);
+                self.record_endpoint_event(EventKind::EndpointDamped, endpoint);
             }
             Some(EndpointPresence::Present) if is_new => {
-                self.note_endpoint(EventKind::EndpointJoined, endpoint);
+                self.record_endpoint_event(EventKind::EndpointJoined, endpoint);
             }
             _ => {}
         }
@@ -138,7 +138,7 @@
     }
 
     fn node_up(&mut self, node: NodeId, now: ClockTime) {
-        self.note_node(EventKind::NodeUp, node);
+        self.record_node_event(EventKind::NodeUp, node);
         tracing::info!(node = self.node_name(node), "node is up");
         self.refresh_nodes(now);
         // Endpoints whose home came back can be asked for again.
@@ -147,11 +147,15 @@
 
     fn node_down(&mut self, node: NodeId, now: ClockTime) {
         tracing::warn!(node = self.node_name(node), "node is down");
-        self.note_node(EventKind::NodeDown, node);
+        self.record_node_event(EventKind::NodeDown, node);
         self.route.expire_node_slots(node, now);
-        self.grants.node_gone(node);
-        self.releases.node_gone(node);
-        if self.member.as_ref().is_some_and(|seat| seat.leads(now)) {
+        self.grants.remove_node(node);
+        self.releases.remove_node(node);
+        if self
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.leads(now))
+        {
             // Its claims would say "in progress" until their longest run is over; callers who ask
             // again elsewhere are told at once that the outcome is unknown.
             self.claims.settle(ClaimStep::NodeLost { node });
@@ -162,7 +166,7 @@
 
     /// Takes over which nodes take callers.
     pub(crate) fn refresh_nodes(&mut self, now: ClockTime) {
-        let nodes = self.open_nodes();
+        let nodes = self.available_nodes();
         self.route.set_nodes(&nodes);
         self.limiter.set_nodes(&nodes, now);
     }
@@ -200,7 +204,7 @@
             home,
             leaving: !has_home || !self.membership.is_available(endpoint),
             drained: self
-                .follow
+                .follower
                 .config
                 .drains_endpoint(&record.name, &record.zone),
         };
@@ -212,7 +216,7 @@
     /// Gossip tells only news, and the route table adds what was sent since the last digest to the
     /// load in it. Without this an idle endpoint with another home would look fuller with every
     /// request, until this node no longer asked for it at all.
-    pub(crate) fn repeat_digests(&mut self) {
+    pub(crate) fn refresh_remote_loads(&mut self) {
         let endpoints = self.membership.endpoints();
         let foreign = endpoints.filter(|record| record.home != self.node);
         let foreign: Vec<EndpointId> = foreign.map(|record| record.id).collect();
--- a/crates/ragwortroad_node/src/control/event_flow.rs
+++ b/crates/ragwortroad_node/src/control/event_flow.rs
@@ -8,28 +8,28 @@
 
 use crate::{
     control::{
-        control_inbox::PageCall,
+        control_inbox::TimelineCall,
         control_state::{
             ControlState,
-            reply_to, //
+            send_reply, //
         }, //
     },
     request::{
-        request_plan::RequestPlan,
+        pending_attempt::PendingAttempt,
         ticket_table::TicketRecord, //
     }, //
 };
 
 impl ControlState {
     /// Keeps an event about a node.
-    pub(crate) fn note_node(&mut self, kind: EventKind, node: NodeId) {
+    pub(crate) fn record_node_event(&mut self, kind: EventKind, node: NodeId) {
         let who = Some(self.node_name(node));
         let event = FleetEvent::new(kind);
-        self.events.note(FleetEvent { who, ..event });
+        self.events.record(FleetEvent { who, ..event });
     }
 
     /// Keeps an event about an endpoint.
-    pub(crate) fn note_endpoint(&mut self, kind: EventKind, endpoint: EndpointId) {
+    pub(crate) fn record_endpoint_event(&mut self, kind: EventKind, endpoint: EndpointId) {
         let home = match self.membership.home_state(endpoint, self.clock.now()) {
             HomeState::Home { .. } | HomeState::Claiming => Some(self.node),
             HomeState::Elsewhere { home } => Some(home),
@@ -40,12 +40,12 @@
             who: home.map(|home| self.node_name(home)),
             ..FleetEvent::new(kind)
         };
-        self.events.note(event);
+        self.events.record(event);
     }
 
     /// Keeps an event about a revision of the configuration.
-    pub(crate) fn note_revision(&mut self, kind: EventKind, revision: u64, detail: String) {
-        self.events.note(FleetEvent {
+    pub(crate) fn record_revision_event(&mut self, kind: EventKind, revision: u64, detail: String) {
+        self.events.record(FleetEvent {
             revision: Some(revision),
             detail,
             ..FleetEvent::new(kind)
@@ -53,10 +53,10 @@
     }
 
     /// Keeps an event about the lead.
-    pub(crate) fn note_lead(&mut self, kind: EventKind, fence: Option<FenceNumber>) {
-        let seat = self.member.as_ref();
-        let core = seat.and_then(|seat| seat.core.as_ref());
-        self.events.note(FleetEvent {
+    pub(crate) fn record_leader_event(&mut self, kind: EventKind, fence: Option<FenceNumber>) {
+        let replica = self.replica.as_ref();
+        let core = replica.and_then(|replica| replica.core.as_ref());
+        self.events.record(FleetEvent {
             who: Some(self.settings.node.name.clone()),
             term: core.map(|core| core.term()),
             fence,
@@ -65,8 +65,14 @@
     }
 
     /// Keeps an event about an order to an engine.
-    pub(crate) fn note_order(&mut self, kind: EventKind, id: OrderId, engine: &str, what: String) {
-        self.events.note(FleetEvent {
+    pub(crate) fn record_order_event(
+        &mut self,
+        kind: EventKind,
+        id: OrderId,
+        engine: &str,
+        what: String,
+    ) {
+        self.events.record(FleetEvent {
             endpoint: Some(engine.to_owned()),
             fence: Some(id.fence),
             detail: format!("order {}: {what}", id.number),
@@ -75,30 +81,35 @@
     }
 
     /// Keeps an event about a request that was let in.
-    pub(crate) fn note_plan(&mut self, kind: EventKind, plan: &RequestPlan, detail: String) {
-        self.events.note(FleetEvent {
-            request: Some(plan.call.request),
-            chat: plan.chat,
-            customer: Some(plan.customer.clone()),
+    pub(crate) fn record_attempt_event(
+        &mut self,
+        kind: EventKind,
+        attempt: &PendingAttempt,
+        detail: String,
+    ) {
+        self.events.record(FleetEvent {
+            request: Some(attempt.call.request),
+            chat: attempt.chat,
+            customer: Some(attempt.customer.clone()),
             detail,
             ..FleetEvent::new(kind)
         });
     }
 
     /// Keeps the dispatch of an attempt.
-    pub(crate) fn note_dispatch(&mut self, plan: &RequestPlan, endpoint: EndpointId) {
+    pub(crate) fn record_dispatch(&mut self, attempt: &PendingAttempt, endpoint: EndpointId) {
         let event = FleetEvent {
-            request: Some(plan.call.request),
-            chat: plan.chat,
-            customer: Some(plan.customer.clone()),
+            request: Some(attempt.call.request),
+            chat: attempt.chat,
+            customer: Some(attempt.customer.clone()),
             endpoint: Some(self.endpoint_name(endpoint)),
             ..FleetEvent::new(EventKind::RequestDispatched)
         };
-        self.events.note(event);
+        self.events.record(event);
     }
 
     /// Keeps the end of an attempt.
-    pub(crate) fn note_finish(&mut self, record: &TicketRecord, call: &FinishCall) {
+    pub(crate) fn record_finish(&mut self, record: &TicketRecord, call: &FinishCall) {
         let outcome = match &call.outcome {
             AttemptOutcome::Completed { status, .. } => format!("status {status}"),
             AttemptOutcome::NotSent => "not sent".to_owned(),
@@ -114,13 +125,13 @@
             detail: format!("{outcome} after {} ms", call.took.as_millis()),
             ..FleetEvent::new(EventKind::RequestFinished)
         };
-        self.events.note(event);
+        self.events.record(event);
     }
 
     /// Keeps a slot that this node, as an endpoint's home, granted or refused to another node.
-    pub(crate) fn note_slot(
+    pub(crate) fn record_slot_event(
         &mut self,
-        asker: NodeId,
+        requester: NodeId,
         request: RequestId,
         endpoint: EndpointId,
         granted: bool,
@@ -130,39 +141,39 @@
             false => EventKind::RequestRefused,
         };
         let event = FleetEvent {
-            who: Some(self.node_name(asker)),
+            who: Some(self.node_name(requester)),
             request: Some(request),
             endpoint: Some(self.endpoint_name(endpoint)),
             detail: "slot at its home".to_owned(),
             ..FleetEvent::new(kind)
         };
-        self.events.note(event);
+        self.events.record(event);
     }
 
     /// Keeps the moments at which this node loses and regains its leave to admit work.
-    pub(crate) fn note_currency(&mut self, now: ClockTime) {
-        let admits = self.follow.guard.may_admit(now).is_ok();
-        if admits == self.follow.admits {
+    pub(crate) fn record_currency(&mut self, now: ClockTime) {
+        let admits = self.follower.guard.may_admit(now).is_ok();
+        if admits == self.follower.admits {
             return;
         }
-        self.follow.admits = admits;
+        self.follower.admits = admits;
         let kind = match admits {
             true => EventKind::CurrencyRegained,
             false => EventKind::CurrencyLost,
         };
-        let revision = self.follow.config.revision;
-        self.note_revision(kind, revision, String::new());
+        let revision = self.follower.config.revision;
+        self.record_revision_event(kind, revision, String::new());
     }
 
     /// Serves this node's part of the time line to an operator.
-    pub(crate) fn serve_page(&mut self, call: PageCall) {
-        let operator = self.operator_name(&call.key_hash, &self.follow.config);
+    pub(crate) fn serve_timeline(&mut self, call: TimelineCall) {
+        let operator = self.operator_name(&call.key_hash, &self.follower.config);
         let page = operator.map(|_| {
             let node = &self.settings.node;
             let part = self.events.gather(&node.name, &node.zone, &call.filter);
             String::from_utf8(part.to_bytes()).unwrap_or_default()
         });
-        reply_to(&call.reply, page);
+        send_reply(&call.reply, page);
     }
 
     fn endpoint_name(&self, endpoint: EndpointId) -> String {
--- a/crates/ragwortroad_node/src/control/fleet_view.rs
+++ b/crates/ragwortroad_node/src/control/fleet_view.rs
@@ -34,8 +34,8 @@
     }
 
     /// Nodes that callers may be sent to, in the order of their identities.
-    pub(crate) fn open_nodes(&self) -> Vec<NodeId> {
-        let config = &self.follow.config;
+    pub(crate) fn available_nodes(&self) -> Vec<NodeId> {
+        let config = &self.follower.config;
         let is_open = |record: &NodeRecord| !config.drains_node(&record.name);
         let live = self.membership.live_nodes();
         let open = live.filter(|(_, record)| is_open(record));
@@ -49,7 +49,7 @@
     pub(crate) fn member_nodes(&self) -> Vec<NodeId> {
         let seeds = self.settings.state.members.iter();
         let mut nodes: Vec<NodeId> = seeds.map(|seed| NodeId::from_name(&seed.name)).collect();
-        let declared = self.follow.config.members.keys();
+        let declared = self.follower.config.members.keys();
         nodes.extend(declared.map(|name| NodeId::from_name(name)));
         nodes.sort_unstable();
         nodes.dedup();
@@ -58,9 +58,10 @@
 
     /// The leader by this node's knowledge.
     pub(crate) fn leader(&self) -> Option<NodeId> {
-        let seat = self.member.as_ref();
-        seat.and_then(|seat| seat.leader_node())
-            .or(self.follow.leader)
+        let replica = self.replica.as_ref();
+        replica
+            .and_then(|replica| replica.leader_node())
+            .or(self.follower.leader)
     }
 
     /// Queues a message for a node. A message that does not go out is repeated by its own flow.
@@ -84,8 +85,8 @@
         metrics::counter!("ragwortroad_messages_total", "channel" => name.clone()).increment(1);
         metrics::counter!("ragwortroad_message_bytes_total", "channel" => name)
             .increment(bytes.len() as u64);
-        let sealed = self.events.seal(&bytes);
-        let outcome = self.transport.send(address, to, channel, sealed);
+        let stamped = self.events.add_stamp(&bytes);
+        let outcome = self.transport.send(address, to, channel, stamped);
         if outcome != SendOutcome::Queued {
             tracing::debug!(%to, ?channel, ?outcome, "a message was not queued");
         }
@@ -102,7 +103,7 @@
         if let Some(seed) = seed {
             return Some(seed.peer);
         }
-        let mut declared = self.follow.config.members.iter();
+        let mut declared = self.follower.config.members.iter();
         let declared = declared.find(|(name, _)| NodeId::from_name(name) == node);
         declared.and_then(|(_, address)| address.parse().ok())
     }
--- a/crates/ragwortroad_node/src/control/follow_flow.rs
+++ b/crates/ragwortroad_node/src/control/follow_flow.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     control::control_state::ControlState,
-    member::member_seat::{
-        MemberSeat,
+    member::state_replica::{
+        StateReplica,
         follow_timing, //
     },
     wire::{
@@ -28,26 +28,26 @@
     /// Asks whether the configuration here is current, when it is time.
     pub(crate) fn tick_follow(&mut self, now: ClockTime) {
         let every = follow_timing(&self.settings.state).ask_every();
-        if now.since(self.follow.asked) >= every {
-            self.ask_current(now);
+        if now.since(self.follower.last_asked) >= every {
+            self.send_confirm(now);
         }
     }
 
     /// Asks the leader, or every member where the leader is unknown or silent.
-    fn ask_current(&mut self, now: ClockTime) {
+    fn send_confirm(&mut self, now: ClockTime) {
         let every = follow_timing(&self.settings.state).ask_every();
-        self.follow.asked = now;
-        let ask = self.follow.guard.ask(now);
-        let revision = match self.follow.wants_whole {
+        self.follower.last_asked = now;
+        let ask = self.follower.guard.ask(now);
+        let revision = match self.follower.needs_full_config {
             true => 0,
-            false => self.follow.config.revision,
+            false => self.follower.config.revision,
         };
         let message = FollowMessage::Confirm {
             ask,
             incarnation: self.incarnation,
             revision,
         };
-        let heard_lately = now.since(self.follow.confirmed) <= every * 2;
+        let heard_lately = now.since(self.follower.last_confirmed) <= every * 2;
         let targets = match self.leader().filter(|_| heard_lately) {
             Some(leader) => vec![leader],
             None => self.member_nodes(),
@@ -60,7 +60,7 @@
     /// Sends a message, to this very node without a detour.
     pub(crate) fn send_follow(&mut self, to: NodeId, message: FollowMessage, now: ClockTime) {
         if to == self.node {
-            return self.take_follow(to, message, now);
+            return self.dispatch_follow(to, message, now);
         }
         self.send(to, PeerChannel::Follow, encode(&message));
     }
@@ -68,13 +68,13 @@
     /// Serves a message between nodes and members.
     pub(crate) fn handle_follow(&mut self, from: NodeId, bytes: &[u8], now: ClockTime) {
         if let Some(message) = decode(bytes) {
-            self.take_follow(from, message, now);
+            self.dispatch_follow(from, message, now);
         }
     }
 
-    fn take_follow(&mut self, from: NodeId, message: FollowMessage, now: ClockTime) {
+    fn dispatch_follow(&mut self, from: NodeId, message: FollowMessage, now: ClockTime) {
         match message {
-            FollowMessage::Founding(hello) => self.take_hello(from, hello, now),
+            FollowMessage::Founding(hello) => self.handle_hello(from, hello, now),
             FollowMessage::Confirm {
                 ask,
                 incarnation,
@@ -95,7 +95,7 @@
                 update,
             } => {
                 let lease = Duration::from_millis(lease_ms.into());
-                self.take_confirmed(from, ask, revision, lease, update, now);
+                self.handle_confirmed(from, ask, revision, lease, update, now);
             }
             FollowMessage::Promised {
                 ask,
@@ -105,21 +105,21 @@
             } => {
                 let lease = Duration::from_millis(lease_ms.into());
                 let members = members.into_iter().collect();
-                self.follow
+                self.follower
                     .guard
                     .promised(ask, from, revision, members, lease);
             }
-            FollowMessage::Elsewhere { leader } => self.take_elsewhere(from, leader),
-            FollowMessage::Claims { batch, steps } => self.take_claims(from, batch, steps, now),
+            FollowMessage::Elsewhere { leader } => self.handle_elsewhere(from, leader),
+            FollowMessage::Claims { batch, steps } => self.handle_claims(from, batch, steps, now),
             FollowMessage::ClaimsDone { batch, outcomes } => {
-                self.claims_done(batch, outcomes, now);
+                self.handle_claim_outcomes(batch, outcomes, now);
             }
-            FollowMessage::Line { token, line } => self.take_line(from, token, line, now),
+            FollowMessage::Line { token, line } => self.handle_line(from, token, line, now),
             FollowMessage::LineDone {
                 token,
                 status,
                 body,
-            } => self.line_done(from, token, status, body),
+            } => self.handle_line_answer(from, token, status, body),
             FollowMessage::Enlist { member } => self.enlist(from, member, now),
         }
     }
@@ -133,20 +133,20 @@
         now: ClockTime,
     ) -> Option<FollowMessage> {
         let leader = self.leader();
-        let seat = self.member.as_mut()?;
-        if !seat.leads(now) {
+        let replica = self.replica.as_mut()?;
+        if !replica.leads(now) {
             let elsewhere = FollowMessage::Elsewhere {
                 leader: leader.filter(|leader| *leader != self.node),
             };
-            return Some(promise(seat, ask, revision, now).unwrap_or(elsewhere));
+            return Some(promise(replica, ask, revision, now).unwrap_or(elsewhere));
         }
-        let config = seat.state.config();
+        let config = replica.state.config();
         let current = config.revision;
         let grace = config.quorum_loss.grace();
-        let update = (revision != current).then(|| seat.state.config_since(revision));
-        let desk = seat.desk.as_mut()?;
-        desk.table.acknowledge(run, revision);
-        let lease = desk.table.grant(run, current, now, grace);
+        let update = (revision != current).then(|| replica.state.config_since(revision));
+        let context = replica.leader_context.as_mut()?;
+        context.table.acknowledge(run, revision);
+        let lease = context.table.grant(run, current, now, grace);
         Some(FollowMessage::Confirmed {
             ask,
             revision: current,
@@ -156,7 +156,7 @@
     }
 
     /// The leader confirmed, and sent what was missing here.
-    fn take_confirmed(
+    fn handle_confirmed(
         &mut self,
         from: NodeId,
         ask: u64,
@@ -165,39 +165,39 @@
         update: Option<ConfigUpdate>,
         now: ClockTime,
     ) {
-        self.follow.leader = Some(from);
-        self.follow.confirmed = now;
+        self.follower.leader = Some(from);
+        self.follower.last_confirmed = now;
         let has_news = update.is_some();
         if let Some(update) = update {
-            if let Err(error) = self.follow.config.follow(update) {
+            if let Err(error) = self.follower.config.follow(update) {
                 tracing::warn!(%error, "an update of the configuration was not followed");
-                self.follow.wants_whole = true;
+                self.follower.needs_full_config = true;
                 return;
             }
-            self.follow.wants_whole = false;
+            self.follower.needs_full_config = false;
             self.adopt_config(now);
         }
-        self.follow.guard.adopted(self.follow.config.revision);
-        self.follow.guard.confirmed(ask, revision, lease);
+        self.follower.guard.adopted(self.follower.config.revision);
+        self.follower.guard.confirmed(ask, revision, lease);
         if has_news {
             // The leader counts a change as in force here only once it has heard so.
-            self.ask_current(now);
+            self.send_confirm(now);
         }
     }
 
-    fn take_elsewhere(&mut self, from: NodeId, leader: Option<NodeId>) {
-        if self.follow.leader == Some(from) || leader.is_some() {
-            self.follow.leader = leader.filter(|leader| *leader != self.node);
+    fn handle_elsewhere(&mut self, from: NodeId, leader: Option<NodeId>) {
+        if self.follower.leader == Some(from) || leader.is_some() {
+            self.follower.leader = leader.filter(|leader| *leader != self.node);
         }
     }
 
     /// Puts the configuration in force on everything that decides here.
     fn adopt_config(&mut self, now: ClockTime) {
-        self.follow.keys = KeyIndex::from(&self.follow.config);
-        let config = &self.follow.config;
+        self.follower.keys = KeyIndex::from(&self.follower.config);
+        let config = &self.follower.config;
         let revision = config.revision;
         tracing::info!(revision, "configuration is in force here");
-        self.events.note(FleetEvent {
+        self.events.record(FleetEvent {
             revision: Some(revision),
             ..FleetEvent::new(EventKind::ChangeInForce)
         });
@@ -217,32 +217,32 @@
     }
 
     /// Forgets what the last leader was, when another one is known.
-    pub(crate) fn leader_moved(&mut self) {
-        self.claims.leader_changed();
+    pub(crate) fn handle_leader_change(&mut self) {
+        self.claims.mark_all_due();
     }
 }
 
 /// A member's promise to a node while there is no leader to ask.
 fn promise(
-    seat: &mut MemberSeat,
+    replica: &mut StateReplica,
     ask: u64,
     revision: u64,
     now: ClockTime,
 ) -> Option<FollowMessage> {
-    let core = seat.core.as_ref()?;
+    let core = replica.core.as_ref()?;
     let hears_leader = core.leader().is_some();
     // With entries that are not committed the log may hold a change that the state does not show.
-    if !seat.is_settled() {
+    if !replica.is_settled() {
         return None;
     }
     let members = core.members().voters();
     let members: Vec<MemberId> = members.collect();
     let members = members
         .into_iter()
-        .filter_map(|member| seat.node_of(member));
+        .filter_map(|member| replica.node_of(member));
     let members: Vec<NodeId> = members.collect();
-    let log_revision = seat.state.config().revision;
-    let lease = seat
+    let log_revision = replica.state.config().revision;
+    let lease = replica
         .promises
         .promise(now, revision, log_revision, hears_leader)?;
     Some(FollowMessage::Promised {
--- a/crates/ragwortroad_node/src/control/gauge_flow.rs
+++ b/crates/ragwortroad_node/src/control/gauge_flow.rs
@@ -29,10 +29,13 @@
             "ragwortroad_releases_unconfirmed",
             self.releases.len() as f64,
         );
-        gauge("ragwortroad_revision", self.follow.config.revision as f64);
-        let admits = self.follow.guard.may_admit(now).is_ok() && !self.draining;
+        gauge("ragwortroad_revision", self.follower.config.revision as f64);
+        let admits = self.follower.guard.may_admit(now).is_ok() && !self.draining;
         gauge("ragwortroad_admits", f64::from(u8::from(admits)));
-        let leads = self.member.as_ref().is_some_and(|seat| seat.leads(now));
+        let leads = self
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.leads(now));
         gauge("ragwortroad_leads", f64::from(u8::from(leads)));
         let live = self.membership.live_nodes().count();
         gauge("ragwortroad_nodes_live", live as f64);
--- a/crates/ragwortroad_node/src/control/grant_flow.rs
+++ b/crates/ragwortroad_node/src/control/grant_flow.rs
@@ -14,7 +14,7 @@
     },
     request::{
         ended_attempts::EndedAttempt,
-        request_plan::RequestPlan,
+        pending_attempt::PendingAttempt,
         ticket_table::{
             HeldSlot,
             TicketRecord, //
@@ -24,43 +24,43 @@
 };
 
 /// Homes that one attempt asks before it is refused.
-const MOST_ASKED: u32 = 6;
+const MAX_HOMES_ASKED: u32 = 6;
 
 /// Time after which a home's answer is no longer waited for.
-const SLOT_PATIENCE: Duration = Duration::from_millis(400);
+const SLOT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time a caller waits before it asks again for something that was full.
-const FULL_PAUSE: Duration = Duration::from_millis(500);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Places that one decision goes through before it gives up; bounds the control thread's work.
-const MOST_PLACES: usize = 8;
+const MAX_ROUTE_CHOICES: usize = 8;
 
 impl ControlState {
     /// Finds a place for an attempt, or refuses it.
-    pub(crate) fn place_plan(&mut self, mut plan: RequestPlan, now: ClockTime) {
-        for _ in 0..MOST_PLACES {
+    pub(crate) fn place_attempt(&mut self, mut attempt: PendingAttempt, now: ClockTime) {
+        for _ in 0..MAX_ROUTE_CHOICES {
             let query = RouteQuery {
-                offer: plan.offer,
-                customer: plan.customer_key,
-                chat: plan.chat,
-                prefixes: &plan.prefixes,
-                hint: plan.hint,
-                excluded: &plan.excluded,
-                salt: plan.call.request.0,
-                refusals: plan.full,
-                waited: now.since(plan.since),
+                offer: attempt.offer,
+                customer: attempt.customer_key,
+                chat: attempt.chat,
+                prefixes: &attempt.prefixes,
+                hint: attempt.hint,
+                excluded: &attempt.excluded,
+                salt: attempt.call.request.0,
+                refusals: attempt.full,
+                waited: now.since(attempt.since),
             };
             match self.route.choose(&query, now) {
                 RouteDecision::Admit { endpoint, slot, .. } => {
                     if self.membership.home_state(endpoint, now).admits_at(now) {
-                        let held = HeldSlot::Own(slot);
-                        return self.grant_plan(plan, endpoint, held, now);
+                        let held = HeldSlot::Local(slot);
+                        return self.grant_attempt(attempt, endpoint, held, now);
                     }
                     // The right to admit lapsed between two ticks. Another node may have it by
                     // now, and both together could pass the engine's bound.
                     self.route
                         .release(endpoint, slot, SlotOutcome::Neutral, now);
-                    plan.excluded.push(endpoint);
+                    attempt.excluded.push(endpoint);
                 }
                 RouteDecision::AskHome {
                     endpoint,
@@ -68,41 +68,41 @@
                     class: claim,
                     ..
                 } => {
-                    if plan.asked < MOST_ASKED {
-                        return self.ask_home(plan, (endpoint, claim), home, now);
+                    if attempt.asked < MAX_HOMES_ASKED {
+                        return self.ask_home(attempt, (endpoint, claim), home, now);
                     }
                     let message = "every engine asked is at its bound";
                     let refusal = AdmitRefusal::not_run(RefusalCode::Overloaded, message);
-                    return self.refuse_plan(plan, refusal.after(FULL_PAUSE));
+                    return self.refuse_attempt(attempt, refusal.after(FULL_RETRY_AFTER));
                 }
                 RouteDecision::Hold { retry_after } => {
-                    self.waits.hold(plan, now.after(retry_after));
+                    self.waits.hold(attempt, now.after(retry_after));
                     return;
                 }
                 RouteDecision::Refuse { code, retry_after } => {
                     let refusal = AdmitRefusal::not_run(code, refusal_text(code));
-                    return self.refuse_plan(plan, refusal.after(retry_after));
+                    return self.refuse_attempt(attempt, refusal.after(retry_after));
                 }
             }
         }
         let message = "no endpoint could be reached through its home";
         let refusal = AdmitRefusal::not_run(RefusalCode::NoEndpoint, message);
-        self.refuse_plan(plan, refusal.after(FULL_PAUSE));
+        self.refuse_attempt(attempt, refusal.after(FULL_RETRY_AFTER));
     }
 
     /// Asks the home node of an endpoint for a slot.
     fn ask_home(
         &mut self,
-        mut plan: RequestPlan,
+        mut attempt: PendingAttempt,
         (endpoint, claim): (EndpointId, AdmissionClass),
         home: NodeId,
         now: ClockTime,
     ) {
-        let question = self.draw();
-        plan.asked += 1;
-        self.send_ask(home, question, endpoint, claim, &plan);
+        let question = self.next_random();
+        attempt.asked += 1;
+        self.send_ask(home, question, endpoint, claim, &attempt);
         let wait = SlotWait {
-            plan,
+            attempt,
             endpoint,
             home,
             asked: now,
@@ -111,9 +111,9 @@
     }
 
     /// Grants an attempt its place.
-    pub(crate) fn grant_plan(
+    pub(crate) fn grant_attempt(
         &mut self,
-        plan: RequestPlan,
+        attempt: PendingAttempt,
         endpoint: EndpointId,
         slot: HeldSlot,
         now: ClockTime,
@@ -122,34 +122,34 @@
             self.release_slot(endpoint, slot, SlotOutcome::Neutral, now);
             let message = "the endpoint left a moment ago";
             let refusal = AdmitRefusal::not_run(RefusalCode::NoEndpoint, message);
-            return self.refuse_plan(plan, refusal.after(FULL_PAUSE));
+            return self.refuse_attempt(attempt, refusal.after(FULL_RETRY_AFTER));
         };
-        let attempts = plan.call.excluded.len() as u32 + 1;
+        let attempts = attempt.call.excluded.len() as u32 + 1;
         let ticket = self.tickets.open(TicketRecord {
-            request: plan.call.request,
-            customer: plan.customer_key,
-            customer_name: plan.customer.clone(),
-            chat: plan.chat,
+            request: attempt.call.request,
+            customer: attempt.customer_key,
+            customer_name: attempt.customer.clone(),
+            chat: attempt.chat,
             endpoint,
             slot,
-            tokens: plan.tokens,
+            tokens: attempt.tokens,
             attempts,
-            claim: plan.claim.clone(),
+            claim: attempt.claim.clone(),
         });
-        self.note_dispatch(&plan, endpoint);
-        self.route.record_placement(plan.customer_key);
+        self.record_dispatch(&attempt, endpoint);
+        self.route.record_placement(attempt.customer_key);
         let grant = AdmitGrant {
             ticket,
             endpoint,
             address,
-            hint: self.hints.encode(plan.customer_key, endpoint),
+            hint: self.hints.encode(attempt.customer_key, endpoint),
             next_node: self.home_address(endpoint),
-            priority: plan.priority,
-            version: plan.version,
-            customer: plan.customer,
-            record_answer: plan.claim.is_some(),
+            priority: attempt.priority,
+            version: attempt.version,
+            customer: attempt.customer,
+            record_answer: attempt.claim.is_some(),
         };
-        if plan.reply.try_send(AdmitReply::Granted(grant)).is_err() {
+        if attempt.reply.try_send(AdmitReply::Granted(grant)).is_err() {
             // The caller left while its place was being found: nothing was sent.
             let outcome = AttemptOutcome::NotSent;
             let took = Duration::ZERO;
@@ -170,7 +170,7 @@
             tracing::warn!(ticket = call.ticket.0, "an attempt ended twice");
             return;
         };
-        self.note_finish(&record, &call);
+        self.record_finish(&record, &call);
         tracing::debug!(
             request = %record.request,
             customer = record.customer_name,
@@ -216,8 +216,8 @@
         now: ClockTime,
     ) {
         match slot {
-            HeldSlot::Own(slot) => self.route.release(endpoint, slot, outcome, now),
-            HeldSlot::Foreign { home, question } => {
+            HeldSlot::Local(slot) => self.route.release(endpoint, slot, outcome, now),
+            HeldSlot::Remote { home, question } => {
                 self.route.observe_outcome(endpoint, outcome, now);
                 self.send_release(home, question, endpoint, outcome, now);
             }
@@ -225,12 +225,12 @@
     }
 
     /// Looks for places again for attempts whose hold is over.
-    pub(crate) fn place_held(&mut self, now: ClockTime) {
-        for plan in self.waits.due(now) {
-            match self.check_open(now) {
+    pub(crate) fn place_due_attempts(&mut self, now: ClockTime) {
+        for attempt in self.waits.take_due(now) {
+            match self.check_admits(now) {
                 // The node may have lost its leave to admit while the attempt was held.
-                Ok(()) => self.place_plan(plan, now),
-                Err(refusal) => self.refuse_plan(plan, refusal),
+                Ok(()) => self.place_attempt(attempt, now),
+                Err(refusal) => self.refuse_attempt(attempt, refusal),
             }
         }
     }
@@ -242,10 +242,10 @@
             let record = membership.node(home);
             record.is_none_or(|record| !record.state.is_present())
         };
-        let limit = now.before(SLOT_PATIENCE);
-        for (question, wait) in self.waits.overdue(limit, is_gone) {
+        let limit = now.before(SLOT_TIMEOUT);
+        for (question, wait) in self.waits.take_overdue(limit, is_gone) {
             let SlotWait {
-                mut plan,
+                mut attempt,
                 endpoint,
                 home,
                 ..
@@ -253,8 +253,8 @@
             self.route.mark_unresponsive(home);
             // The slot may have been granted in an answer that was lost.
             self.send_release(home, question, endpoint, SlotOutcome::Neutral, now);
-            plan.excluded.push(endpoint);
-            self.place_plan(plan, now);
+            attempt.excluded.push(endpoint);
+            self.place_attempt(attempt, now);
         }
         self.tick_claims(now);
     }
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -14,49 +14,49 @@
         order_flow::order_settings, //
     },
     member::{
-        leader_desk::{
-            ForceWatch,
-            LeaderDesk, //
-        },
-        member_seat::{
-            follow_timing,
-            order_timing, //
+        leader_context::{
+            ChangeWatch,
+            LeaderContext, //
         },
         proposal_kind::{
             LineOrigin,
             ProposalKind, //
         }, //
+        state_replica::{
+            follow_timing,
+            order_timing, //
+        },
     },
     order::order_worker::OrderWorker,
 };
 
 /// Time between two commands that only move the state's clock on, so that claims expire.
-const CLOCK_EVERY: Duration = Duration::from_secs(10);
+const CLOCK_TICK_INTERVAL: Duration = Duration::from_secs(10);
 
 /// How long an operator waits for a change to be in force before being told what it waits for.
-const FORCE_PATIENCE: Duration = Duration::from_secs(15);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(15);
 
 impl ControlState {
     /// Takes up the lead, does its duties, or lays it down.
     pub(crate) fn tick_leader(&mut self, now: ClockTime) {
         let timing = follow_timing(&self.settings.state);
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        let Some(core) = &seat.core else {
+        let Some(core) = &replica.core else {
             return;
         };
-        match (core.is_leader(), seat.desk.is_some()) {
+        match (core.is_leader(), replica.leader_context.is_some()) {
             (true, false) if core.may_act_as_leader(now) => {
-                seat.desk = Some(LeaderDesk::new(&seat.state, timing, now));
+                replica.leader_context = Some(LeaderContext::new(&replica.state, timing, now));
                 tracing::info!(term = core.term(), "this node leads");
-                self.note_lead(EventKind::LeaderElected, None);
-                self.lose_absent_nodes();
+                self.record_leader_event(EventKind::LeaderElected, None);
+                self.settle_absent_nodes();
                 let action = StateAction::TakeOrders { holder: self.node };
                 self.propose(action, ProposalKind::TakeOrders, now);
             }
-            (false, true) => self.lay_down(),
-            (true, true) if seat.leads(now) => self.lead(now),
+            (false, true) => self.step_down(),
+            (true, true) if replica.leads(now) => self.run_leader_duties(now),
             _ => {}
         }
     }
@@ -65,7 +65,7 @@
     ///
     /// A node that died under no leader was missed by nobody who could say so in the log. Its keys
     /// would be "in progress" for ten minutes, and callers would wait for an attempt that is over.
-    fn lose_absent_nodes(&mut self) {
+    fn settle_absent_nodes(&mut self) {
         let nodes = self.membership.nodes();
         let down = nodes.filter(|(_, record)| !record.state.is_present());
         let down: Vec<NodeId> = down.map(|(node, _)| node).collect();
@@ -77,43 +77,51 @@
     /// Proposes a command to the log.
     pub(crate) fn propose(&mut self, action: StateAction, kind: ProposalKind, now: ClockTime) {
         let wall_ms = self.clock.wall_ms();
-        if let Some(seat) = &mut self.member {
-            let actions = seat.propose(action, kind, wall_ms, now);
-            self.do_core(actions, now);
+        if let Some(replica) = &mut self.replica {
+            let actions = replica.propose(action, kind, wall_ms, now);
+            self.run_core_actions(actions, now);
         }
     }
 
     /// Ends the lead here. Operators who wait are told to send their change again: the next
     /// leader knows its outcome by its id.
-    fn lay_down(&mut self) {
-        let Some(desk) = self.member.as_mut().and_then(|seat| seat.desk.take()) else {
+    fn step_down(&mut self) {
+        let Some(context) = self
+            .replica
+            .as_mut()
+            .and_then(|replica| replica.leader_context.take())
+        else {
             return;
         };
         tracing::info!("this node no longer leads");
-        self.note_lead(EventKind::LeaderDeposed, None);
-        if let Some(gate) = desk.gate {
-            self.note_lead(EventKind::LeaseEnded, Some(gate.fence()));
+        self.record_leader_event(EventKind::LeaderDeposed, None);
+        if let Some(gate) = context.gate {
+            self.record_leader_event(EventKind::LeaseEnded, Some(gate.fence()));
         }
-        let forced = desk.forced.into_iter().map(|watch| watch.origin);
-        let held = desk.held.into_iter().map(|(_, origin)| origin);
-        for origin in forced.chain(held) {
+        let watches = context.watches.into_iter().map(|watch| watch.origin);
+        let held_changes = context.held_changes.into_iter().map(|(_, origin)| origin);
+        for origin in watches.chain(held_changes) {
             let text = "not known: the lead changed; send the change again with the same id";
             let facts = serde_json::json!({ "outcome": "unknown" });
             self.answer_line(origin, 503, text, facts);
         }
     }
 
-    fn lead(&mut self, now: ClockTime) {
-        let Some(desk) = self.member.as_mut().and_then(|seat| seat.desk.as_mut()) else {
+    fn run_leader_duties(&mut self, now: ClockTime) {
+        let Some(context) = self
+            .replica
+            .as_mut()
+            .and_then(|replica| replica.leader_context.as_mut())
+        else {
             return;
         };
-        desk.table.forget_over(now);
-        if now.since(desk.ticked) >= CLOCK_EVERY {
-            desk.ticked = now;
+        context.table.forget_over(now);
+        if now.since(context.last_tick) >= CLOCK_TICK_INTERVAL {
+            context.last_tick = now;
             self.propose(StateAction::Tick, ProposalKind::Tick, now);
         }
         self.release_held(now);
-        self.watch_forced(now);
+        self.answer_watches(now);
         self.promote_learners(now);
     }
 
@@ -124,12 +132,12 @@
         origin: LineOrigin,
         now: ClockTime,
     ) {
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        let may_write = seat.promises.may_write(now).is_ok();
-        match &mut seat.desk {
-            Some(desk) if !may_write => desk.held.push((command, origin)),
+        let may_write = replica.promises.may_write(now).is_ok();
+        match &mut replica.leader_context {
+            Some(context) if !may_write => context.held_changes.push((command, origin)),
             _ => {
                 let action = StateAction::Change(command);
                 self.propose(action, ProposalKind::Change(origin), now);
@@ -138,23 +146,23 @@
     }
 
     fn release_held(&mut self, now: ClockTime) {
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        if seat.promises.may_write(now).is_err() {
+        if replica.promises.may_write(now).is_err() {
             return;
         }
-        let held = seat
-            .desk
+        let held_changes = replica
+            .leader_context
             .as_mut()
-            .map(|desk| std::mem::take(&mut desk.held));
-        for (command, origin) in held.unwrap_or_default() {
+            .map(|context| std::mem::take(&mut context.held_changes));
+        for (command, origin) in held_changes.unwrap_or_default() {
             self.propose_change(command, origin, now);
         }
     }
 
     /// A change was decided: refused at once, accepted once it is in force.
-    pub(crate) fn change_decided(
+    pub(crate) fn handle_change_outcome(
         &mut self,
         origin: LineOrigin,
         outcome: ChangeOutcome,
@@ -163,14 +171,14 @@
         match outcome {
             ChangeOutcome::Accepted { revision } => {
                 tracing::info!(revision, "change accepted");
-                self.note_revision(EventKind::ChangeAccepted, revision, String::new());
-                self.follow_members(revision, now);
+                self.record_revision_event(EventKind::ChangeAccepted, revision, String::new());
+                self.remove_undeclared_members(revision, now);
                 self.watch_change(revision, origin, now);
             }
             refused => {
-                let revision = self.follow.config.revision;
+                let revision = self.follower.config.revision;
                 let detail = outcome_text(&refused);
-                self.note_revision(EventKind::ChangeRefused, revision, detail);
+                self.record_revision_event(EventKind::ChangeRefused, revision, detail);
                 self.answer_refused(origin, &refused);
             }
         }
@@ -178,35 +186,42 @@
 
     /// Tells an operator when an accepted change is in force everywhere.
     pub(crate) fn watch_change(&mut self, revision: u64, origin: LineOrigin, now: ClockTime) {
-        let desk = self.member.as_mut().and_then(|seat| seat.desk.as_mut());
-        if let Some(desk) = desk {
-            desk.forced.push(ForceWatch {
+        let context = self
+            .replica
+            .as_mut()
+            .and_then(|replica| replica.leader_context.as_mut());
+        if let Some(context) = context {
+            context.watches.push(ChangeWatch {
                 revision,
                 origin,
-                until: now.after(FORCE_PATIENCE),
+                until: now.after(IN_FORCE_TIMEOUT),
             });
         }
-        self.watch_forced(now);
+        self.answer_watches(now);
     }
 
     /// Answers operators whose changes are in force, or who have waited long enough.
-    fn watch_forced(&mut self, now: ClockTime) {
-        let Some(desk) = self.member.as_mut().and_then(|seat| seat.desk.as_mut()) else {
+    fn answer_watches(&mut self, now: ClockTime) {
+        let Some(context) = self
+            .replica
+            .as_mut()
+            .and_then(|replica| replica.leader_context.as_mut())
+        else {
             return;
         };
         let mut done = Vec::new();
-        for watch in std::mem::take(&mut desk.forced) {
-            match desk.table.in_force(watch.revision, now) {
-                Err(_) if now < watch.until => desk.forced.push(watch),
+        for watch in std::mem::take(&mut context.watches) {
+            match context.table.in_force(watch.revision, now) {
+                Err(_) if now < watch.until => context.watches.push(watch),
                 result => done.push((watch, result)),
             }
         }
         for (watch, result) in done {
-            self.answer_forced(watch, result);
+            self.answer_watch(watch, result);
         }
     }
 
-    fn answer_forced(&mut self, watch: ForceWatch, result: Result<(), InForceWait>) {
+    fn answer_watch(&mut self, watch: ChangeWatch, result: Result<(), InForceWait>) {
         let revision = watch.revision;
         match result {
             Ok(()) => {
@@ -234,11 +249,11 @@
     }
 
     /// Carries a change of the declared members over to the group.
-    fn follow_members(&mut self, revision: u64, now: ClockTime) {
-        let Some(seat) = &self.member else {
+    fn remove_undeclared_members(&mut self, revision: u64, now: ClockTime) {
+        let Some(replica) = &self.replica else {
             return;
         };
-        let change = seat
+        let change = replica
             .state
             .changes()
             .history()
@@ -249,7 +264,7 @@
             ConfigEdit::RemoveMember { member } => Some(NodeId::from_name(member)),
             _ => None,
         });
-        let Some(core) = &seat.core else {
+        let Some(core) = &replica.core else {
             return;
         };
         let records = core.members().records();
@@ -268,10 +283,10 @@
     /// it is taken out first, so that it counts in no quorum any more, and the new one learns.
     pub(crate) fn enlist(&mut self, from: NodeId, member: MemberId, now: ClockTime) {
         let is_declared = self.member_nodes().contains(&from);
-        let Some(seat) = self.member.as_ref().filter(|seat| seat.leads(now)) else {
+        let Some(replica) = self.replica.as_ref().filter(|replica| replica.leads(now)) else {
             return;
         };
-        let Some(core) = &seat.core else {
+        let Some(core) = &replica.core else {
             return;
         };
         if !is_declared || core.members().find(member).is_some() {
@@ -290,7 +305,10 @@
 
     /// Lets learners that have caught up count in quorums.
     fn promote_learners(&mut self, now: ClockTime) {
-        let core = self.member.as_ref().and_then(|seat| seat.core.as_ref());
+        let core = self
+            .replica
+            .as_ref()
+            .and_then(|replica| replica.core.as_ref());
         let Some(core) = core else {
             return;
         };
@@ -305,22 +323,25 @@
     }
 
     fn propose_member(&mut self, change: MemberChange, now: ClockTime) {
-        if let Some(seat) = &mut self.member {
+        if let Some(replica) = &mut self.replica {
             tracing::info!(?change, "changing the members");
-            let actions = seat.propose_member(change, now);
-            self.do_core(actions, now);
+            let actions = replica.propose_member(change, now);
+            self.run_core_actions(actions, now);
         }
     }
 
     /// The lease for orders was granted to this node by the log.
-    pub(crate) fn orders_taken(&mut self, fence: FenceNumber, now: ClockTime) {
-        self.note_lead(EventKind::LeaseGranted, Some(fence));
+    pub(crate) fn start_orders(&mut self, fence: FenceNumber, now: ClockTime) {
+        self.record_leader_event(EventKind::LeaseGranted, Some(fence));
         let timing = order_timing(&self.settings.state);
         let rules = order_settings(&self.settings.orders);
-        let desk = self.member.as_mut().and_then(|seat| seat.desk.as_mut());
-        if let Some(desk) = desk {
-            desk.gate = Some(OrderGate::new(timing, fence, now));
-            desk.orders = Some(OrderTable::new(rules, fence, now));
+        let context = self
+            .replica
+            .as_mut()
+            .and_then(|replica| replica.leader_context.as_mut());
+        if let Some(context) = context {
+            context.gate = Some(OrderGate::new(timing, fence, now));
+            context.orders = Some(OrderTable::new(rules, fence, now));
         }
         if self.orders.is_none() {
             match OrderWorker::start(self.clock) {
--- a/crates/ragwortroad_node/src/control/line_flow.rs
+++ b/crates/ragwortroad_node/src/control/line_flow.rs
@@ -17,9 +17,9 @@
     control::{
         control_state::{
             ControlState,
-            reply_to, //
+            send_reply, //
         },
-        line_table::OpenLine, //
+        line_table::PendingLine, //
     },
     member::proposal_kind::LineOrigin,
     node_secrets::same_hash,
@@ -34,10 +34,10 @@
 
 /// How long the leader's answer to a passed-on line is waited for; longer than the leader itself
 /// waits for a change to be in force.
-const LINE_PATIENCE: Duration = Duration::from_secs(20);
+const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time after which an unanswered line is sent again.
-const LINE_REPEAT: Duration = Duration::from_secs(2);
+const LINE_RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Name of the operator whose key stands in the settings, until operators are declared.
 const FIRST_OPERATOR: &str = "first-operator";
@@ -56,14 +56,17 @@
             may_change: call.may_change,
             change_id: call.change_id,
         };
-        let leads = self.member.as_ref().is_some_and(|seat| seat.leads(now));
+        let leads = self
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.leads(now));
         if leads {
-            return self.serve_line(line, LineOrigin::Here(reply), now);
+            return self.serve_line(line, LineOrigin::Local(reply), now);
         }
         let Some(leader) = self.leader().filter(|leader| *leader != self.node) else {
             return self.serve_without_leader(line, reply);
         };
-        let open = OpenLine {
+        let open = PendingLine {
             reply,
             leader,
             line: line.clone(),
@@ -76,7 +79,7 @@
     }
 
     /// Takes a line that another node passed on.
-    pub(crate) fn take_line(
+    pub(crate) fn handle_line(
         &mut self,
         from: NodeId,
         token: u64,
@@ -84,7 +87,11 @@
         now: ClockTime,
     ) {
         let origin = LineOrigin::Node { node: from, token };
-        if self.member.as_ref().is_some_and(|seat| seat.leads(now)) {
+        if self
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.leads(now))
+        {
             return self.serve_line(line, origin, now);
         }
         let text = "not made: the lead is changing; send the line again";
@@ -92,28 +99,34 @@
     }
 
     /// The leader answered a line of this node.
-    pub(crate) fn line_done(&mut self, from: NodeId, token: u64, status: u16, body: String) {
+    pub(crate) fn handle_line_answer(
+        &mut self,
+        from: NodeId,
+        token: u64,
+        status: u16,
+        body: String,
+    ) {
         if let Some(open) = self.lines.take(token, from) {
-            reply_to(&open.reply, OperatorAnswer { status, body });
+            send_reply(&open.reply, OperatorAnswer { status, body });
         }
     }
 
     /// Sends lines again whose answer is late, and answers those whose leader never does.
     pub(crate) fn tick_lines(&mut self, now: ClockTime) {
         if let Some(leader) = self.leader().filter(|leader| *leader != self.node) {
-            let limit = now.before(LINE_REPEAT);
-            for (token, line) in self.lines.repeat(limit, leader, now) {
+            let limit = now.before(LINE_RESEND_INTERVAL);
+            for (token, line) in self.lines.take_resends(limit, leader, now) {
                 let message = FollowMessage::Line { token, line };
                 self.send(leader, PeerChannel::Follow, encode(&message));
             }
         }
-        for open in self.lines.overdue(now.before(LINE_PATIENCE)) {
+        for open in self.lines.take_overdue(now.before(LINE_TIMEOUT)) {
             let text = match open.line.may_change {
                 true => "not known: the leader did not answer; send it again with the same id",
                 false => "the leader did not answer; ask again",
             };
             let facts = json!({ "outcome": "unknown" });
-            reply_to(&open.reply, line_answer(504, text, facts));
+            send_reply(&open.reply, line_answer(504, text, facts));
         }
     }
 
@@ -121,7 +134,7 @@
     pub(crate) fn answer_line(&self, origin: LineOrigin, status: u16, text: &str, facts: Value) {
         let answer = line_answer(status, text, facts);
         match origin {
-            LineOrigin::Here(reply) => reply_to(&reply, answer),
+            LineOrigin::Local(reply) => send_reply(&reply, answer),
             LineOrigin::Node { node, token } => {
                 let message = FollowMessage::LineDone {
                     token,
@@ -142,12 +155,12 @@
 
     /// Without a leader nothing can be changed, and only what this node itself knows can be told.
     fn serve_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorAnswer>) {
-        let origin = LineOrigin::Here(reply);
+        let origin = LineOrigin::Local(reply);
         if self
-            .operator_name(&line.key_hash, &self.follow.config)
+            .operator_name(&line.key_hash, &self.follower.config)
             .is_none()
         {
-            if self.follow.confirmed == ClockTime::ZERO {
+            if self.follower.last_confirmed == ClockTime::ZERO {
                 let text = "this node has no configuration yet; ask another node";
                 return self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
             }
@@ -169,14 +182,14 @@
 
     /// Carries out a line, as the leader.
     fn serve_line(&mut self, line: OperatorLine, origin: LineOrigin, now: ClockTime) {
-        let Some(seat) = &self.member else {
+        let Some(replica) = &self.replica else {
             return;
         };
-        let Some(operator) = self.operator_name(&line.key_hash, seat.state.config()) else {
+        let Some(operator) = self.operator_name(&line.key_hash, replica.state.config()) else {
             return self.refuse_key(origin);
         };
         match parse_line(&line.line) {
-            Ok(Statement::Show(query)) => self.answer_show(origin, &query, &seat.state, ""),
+            Ok(Statement::Show(query)) => self.answer_show(origin, &query, &replica.state, ""),
             Ok(Statement::Help) => self.answer_line(origin, 200, HELP_TEXT, json!({})),
             Ok(Statement::Change(change)) => {
                 self.serve_change(change, &line, &operator, origin, now);
@@ -197,7 +210,7 @@
             let text = "refused: this is a change; send it with 'ragwortroad change'";
             return self.answer_line(origin, 400, text, json!({ "outcome": "not_run" }));
         };
-        let base = self.base_of(change_id);
+        let base = self.base_revision(change_id);
         let command = change.into_command(change_id, operator, base);
         self.propose_change(command, origin, now);
     }
@@ -206,12 +219,12 @@
     ///
     /// A resend rests on the revision that the first sending rested on, or it would look like
     /// another change under the same id and be refused, also where the first was refused.
-    fn base_of(&self, change_id: &str) -> u64 {
-        let Some(seat) = &self.member else {
+    fn base_revision(&self, change_id: &str) -> u64 {
+        let Some(replica) = &self.replica else {
             return 0;
         };
-        let first = seat.state.changes().base_of(change_id);
-        first.unwrap_or(seat.state.config().revision)
+        let first = replica.state.changes().base_of(change_id);
+        first.unwrap_or(replica.state.config().revision)
     }
 
     /// The operator that a key belongs to.
--- a/crates/ragwortroad_node/src/control/line_table.rs
+++ b/crates/ragwortroad_node/src/control/line_table.rs
@@ -10,12 +10,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct LineTable {
     next: u64,
-    lines: BTreeMap<u64, OpenLine>,
+    lines: BTreeMap<u64, PendingLine>,
 }
 
 /// A line whose answer is awaited.
 #[derive(Debug)]
-pub(crate) struct OpenLine {
+pub(crate) struct PendingLine {
     /// The operator's connection.
     pub(crate) reply: Sender<OperatorAnswer>,
     /// The node it was sent to.
@@ -30,14 +30,14 @@
 
 impl LineTable {
     /// Adds a line and numbers it.
-    pub(crate) fn add(&mut self, line: OpenLine) -> u64 {
+    pub(crate) fn add(&mut self, line: PendingLine) -> u64 {
         self.next += 1;
         self.lines.insert(self.next, line);
         self.next
     }
 
     /// Ends the wait for the answer of `leader`.
-    pub(crate) fn take(&mut self, token: u64, leader: NodeId) -> Option<OpenLine> {
+    pub(crate) fn take(&mut self, token: u64, leader: NodeId) -> Option<PendingLine> {
         let asked = self.lines.get(&token)?.leader;
         if asked != leader {
             return None;
@@ -49,14 +49,14 @@
     ///
     /// A line or its answer gets lost with a connection. Sending it again is harmless: a question
     /// changes nothing, and a change is known by its id.
-    pub(crate) fn repeat(
+    pub(crate) fn take_resends(
         &mut self,
         limit: ClockTime,
         leader: NodeId,
         now: ClockTime,
     ) -> Vec<(u64, OperatorLine)> {
         let late = self.lines.iter_mut().filter(|(_, line)| line.sent < limit);
-        let again = |(number, open): (&u64, &mut OpenLine)| {
+        let again = |(number, open): (&u64, &mut PendingLine)| {
             open.leader = leader;
             open.sent = now;
             (*number, open.line.clone())
@@ -65,7 +65,7 @@
     }
 
     /// Ends waits that began before `limit`.
-    pub(crate) fn overdue(&mut self, limit: ClockTime) -> Vec<OpenLine> {
+    pub(crate) fn take_overdue(&mut self, limit: ClockTime) -> Vec<PendingLine> {
         let old = self.lines.iter().filter(|(_, line)| line.since < limit);
         let numbers: Vec<u64> = old.map(|(number, _)| *number).collect();
         let take = |number: u64| self.lines.remove(&number);
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -14,50 +14,50 @@
 use crate::{
     control::control_state::ControlState,
     disk_worker::{
-        DiskOrder,
         DiskReport, //
+        DiskWrite,
     },
     member::{
-        member_seat::MemberSeat,
         proposal_kind::{
             LineOrigin,
             ProposalKind, //
         }, //
+        state_replica::StateReplica,
     },
     wire::follow_message::FollowMessage,
 };
 
 /// Time between two hellos while a group is being founded, or asked for a place.
-const HELLO_EVERY: Duration = Duration::from_millis(250);
+const HELLO_INTERVAL: Duration = Duration::from_millis(250);
 
 impl ControlState {
     /// Lets time pass for this member.
     pub(crate) fn tick_member(&mut self, now: ClockTime) {
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        if seat.core.is_none() {
+        if replica.core.is_none() {
             return self.tick_founding(now);
         }
-        let actions = seat.handle(CoreInput::Tick, now);
-        self.do_core(actions, now);
-        self.ask_for_place(now);
+        let actions = replica.handle(CoreInput::Tick, now);
+        self.run_core_actions(actions, now);
+        self.request_membership(now);
         self.tick_leader(now);
     }
 
     /// Says hello to the other founding members, and founds the group when all have said theirs.
     fn tick_founding(&mut self, now: ClockTime) {
-        let seed = self.draw();
-        let Some(seat) = &mut self.member else {
+        let seed = self.next_random();
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        let actions = seat.try_found(now, seed);
-        let hello = seat.hello(self.node);
+        let actions = replica.try_found(now, seed);
+        let hello = replica.hello(self.node);
         if !actions.is_empty() {
-            return self.do_core(actions, now);
+            return self.run_core_actions(actions, now);
         }
-        if now.since(self.said_hello) >= HELLO_EVERY {
-            self.said_hello = now;
+        if now.since(self.last_hello) >= HELLO_INTERVAL {
+            self.last_hello = now;
             for node in self.member_nodes() {
                 if node != self.node {
                     self.send_follow(node, FollowMessage::Founding(hello), now);
@@ -67,42 +67,42 @@
     }
 
     /// Takes in another founding member's hello, and returns this one's.
-    pub(crate) fn take_hello(&mut self, from: NodeId, hello: FoundingHello, now: ClockTime) {
+    pub(crate) fn handle_hello(&mut self, from: NodeId, hello: FoundingHello, now: ClockTime) {
         let node = self.node;
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
         if hello.node != from {
             tracing::warn!(%from, "a hello names another node than its certificate");
             return;
         }
-        seat.founding.take(hello);
+        replica.founding.take(hello);
         // Who has a core already tells so to one that is still waiting for hellos.
-        if seat.core.is_some() {
-            let own = seat.hello(node);
-            let asks = now.since(self.said_hello) >= HELLO_EVERY;
+        if replica.core.is_some() {
+            let own = replica.hello(node);
+            let asks = now.since(self.last_hello) >= HELLO_INTERVAL;
             if asks && own != hello {
-                self.said_hello = now;
+                self.last_hello = now;
                 self.send_follow(from, FollowMessage::Founding(own), now);
             }
         }
     }
 
     /// Asks the leader for a place in the group, where this member's folder has none.
-    fn ask_for_place(&mut self, now: ClockTime) {
-        let Some(seat) = &self.member else {
+    fn request_membership(&mut self, now: ClockTime) {
+        let Some(replica) = &self.replica else {
             return;
         };
-        let Some(core) = &seat.core else {
+        let Some(core) = &replica.core else {
             return;
         };
-        let identity = seat.identity;
+        let identity = replica.identity;
         let has_place = core.members().find(identity).is_some();
-        let is_due = now.since(self.said_hello) >= HELLO_EVERY * 4;
+        let is_due = now.since(self.last_hello) >= HELLO_INTERVAL * 4;
         if has_place || !is_due {
             return;
         }
-        self.said_hello = now;
+        self.last_hello = now;
         let leader = self.leader().filter(|leader| *leader != self.node);
         if let Some(leader) = leader {
             let message = FollowMessage::Enlist { member: identity };
@@ -112,7 +112,7 @@
 
     /// Takes in a frame of another member.
     pub(crate) fn handle_frame(&mut self, from: NodeId, bytes: &[u8], now: ClockTime) {
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
         let frame = match PeerFrame::decode(bytes) {
@@ -122,16 +122,16 @@
                 return;
             }
         };
-        if !is_honest(seat, &frame, from) {
+        if !is_from_known_node(replica, &frame, from) {
             tracing::warn!(%from, member = %frame.from, "a frame names another node's folder");
             return;
         }
-        seat.nodes.insert(frame.from, from);
-        if breaks_promise(seat, &frame, now) {
+        replica.nodes.insert(frame.from, from);
+        if breaks_promise(replica, &frame, now) {
             return;
         }
-        let actions = seat.handle(CoreInput::Frame(frame), now);
-        self.do_core(actions, now);
+        let actions = replica.handle(CoreInput::Frame(frame), now);
+        self.run_core_actions(actions, now);
     }
 
     /// Takes in a report of the disk thread.
@@ -146,30 +146,30 @@
                 CoreInput::PersistFailed
             }
         };
-        if let Some(seat) = &mut self.member {
-            let actions = seat.handle(input, now);
-            self.do_core(actions, now);
+        if let Some(replica) = &mut self.replica {
+            let actions = replica.handle(input, now);
+            self.run_core_actions(actions, now);
         }
     }
 
     /// Does what the core wants done.
-    pub(crate) fn do_core(&mut self, actions: Vec<CoreAction>, now: ClockTime) {
+    pub(crate) fn run_core_actions(&mut self, actions: Vec<CoreAction>, now: ClockTime) {
         let mut queue = VecDeque::from(actions);
         while let Some(action) = queue.pop_front() {
             match action {
                 CoreAction::Persist { batch, change } => {
-                    if let Some(seat) = &self.member {
-                        seat.disk.order(DiskOrder { batch, change });
+                    if let Some(replica) = &self.replica {
+                        replica.disk.write(DiskWrite { batch, change });
                     }
                 }
                 CoreAction::Send(frame) => self.send_frame(&frame),
                 CoreAction::Apply { index, command, .. } => self.apply(index, &command),
                 CoreAction::RestoreSnapshot { index, bytes } => self.restore(index, &bytes),
                 CoreAction::WantSnapshot { index } => {
-                    if let Some(seat) = &mut self.member {
-                        let bytes = seat.state.to_snapshot();
+                    if let Some(replica) = &mut self.replica {
+                        let bytes = replica.state.to_snapshot();
                         let taken = CoreInput::SnapshotTaken { index, bytes };
-                        queue.extend(seat.handle(taken, now));
+                        queue.extend(replica.handle(taken, now));
                     }
                 }
                 CoreAction::ProposeDone { token, result } => {
@@ -178,12 +178,12 @@
                 CoreAction::LeaderChanged { term, leader } => {
                     let leader = leader.map(|leader| leader.to_string());
                     tracing::info!(term, leader, "leader changed");
-                    self.leader_moved();
+                    self.handle_leader_change();
                 }
                 CoreAction::MembersChanged { members, .. } => {
                     let count = members.records().len();
                     tracing::info!(members = count, "the members changed");
-                    self.events.note(FleetEvent {
+                    self.events.record(FleetEvent {
                         detail: format!("{count} members"),
                         ..FleetEvent::new(EventKind::MembersChanged)
                     });
@@ -195,10 +195,10 @@
     }
 
     fn send_frame(&self, frame: &PeerFrame) {
-        let Some(seat) = &self.member else {
+        let Some(replica) = &self.replica else {
             return;
         };
-        let Some(node) = seat.node_of(frame.to) else {
+        let Some(node) = replica.node_of(frame.to) else {
             tracing::debug!(member = %frame.to, "the node of a member is not known");
             return;
         };
@@ -210,66 +210,66 @@
 
     /// Applies a committed command.
     fn apply(&mut self, index: u64, command: &[u8]) {
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        match seat.state.apply(index, command) {
+        match replica.state.apply(index, command) {
             Ok(applied) => {
-                if !seat.proposals.is_empty() {
-                    seat.applied.insert(index, applied);
+                if !replica.proposals.is_empty() {
+                    replica.applied.insert(index, applied);
                 }
             }
             Err(error) => {
                 tracing::error!(%error, "this member takes no further part");
-                seat.core = None;
-                seat.desk = None;
-                seat.halted = true;
+                replica.core = None;
+                replica.leader_context = None;
+                replica.halted = true;
             }
         }
     }
 
     fn restore(&mut self, index: u64, bytes: &[u8]) {
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
         match FleetState::from_snapshot(bytes) {
             Ok(state) => {
                 tracing::info!(index, "state restored from a snapshot");
-                seat.state = state;
+                replica.state = state;
             }
             Err(error) => {
                 tracing::error!(%error, "this member takes no further part");
-                seat.core = None;
-                seat.halted = true;
+                replica.core = None;
+                replica.halted = true;
             }
         }
     }
 
     /// A proposal of this member came to its end.
     fn proposal_done(&mut self, token: u64, result: ProposeResult, now: ClockTime) {
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        let Some(kind) = seat.proposals.remove(&token) else {
+        let Some(kind) = replica.proposals.remove(&token) else {
             return;
         };
         let applied = match result {
-            ProposeResult::Committed { index, .. } => seat.applied.remove(&index),
+            ProposeResult::Committed { index, .. } => replica.applied.remove(&index),
             _ => None,
         };
-        if seat.proposals.is_empty() {
-            seat.applied.clear();
+        if replica.proposals.is_empty() {
+            replica.applied.clear();
         }
         match (kind, applied) {
             (ProposalKind::Claims(batches), Some(Applied::Claimed(outcomes))) => {
                 self.answer_claims(batches, outcomes, now);
             }
             (ProposalKind::Change(origin), Some(Applied::Changed(outcome))) => {
-                self.change_decided(origin, outcome, now);
+                self.handle_change_outcome(origin, outcome, now);
             }
-            (ProposalKind::Change(origin), _) => self.change_lost(origin, result),
+            (ProposalKind::Change(origin), _) => self.handle_lost_change(origin, result),
             (ProposalKind::TakeOrders, Some(Applied::OrdersTaken { fence, .. })) => {
-                self.orders_taken(fence, now);
+                self.start_orders(fence, now);
             }
             // Nodes send their claim steps again until they are answered.
             (kind, applied) => tracing::debug!(?kind, ?applied, ?result, "a proposal ended"),
@@ -277,7 +277,7 @@
     }
 
     /// Tells an operator whose change did not come to a decision.
-    fn change_lost(&mut self, origin: LineOrigin, result: ProposeResult) {
+    fn handle_lost_change(&mut self, origin: LineOrigin, result: ProposeResult) {
         let body = match result {
             ProposeResult::NotLeader { .. } | ProposeResult::Refused(_) => {
                 "not made: this node is no longer in charge; send the change again"
@@ -294,8 +294,8 @@
 }
 
 /// Whether a frame comes from the node on which its sender's folder is known to be.
-fn is_honest(seat: &MemberSeat, frame: &PeerFrame, from: NodeId) -> bool {
-    let known = seat.core.as_ref();
+fn is_from_known_node(replica: &StateReplica, frame: &PeerFrame, from: NodeId) -> bool {
+    let known = replica.core.as_ref();
     let known = known.and_then(|core| core.members().find(frame.from));
     known.is_none_or(|record| record.node == from)
 }
@@ -307,8 +307,8 @@
 /// change that the others are no quorum. If this member took a change before its promise is over,
 /// the change could count as in force while that node still acts on the old configuration. The
 /// frame is treated as lost; the leader sends it again.
-fn breaks_promise(seat: &MemberSeat, frame: &PeerFrame, now: ClockTime) -> bool {
-    if seat.promises.may_write(now).is_ok() {
+fn breaks_promise(replica: &StateReplica, frame: &PeerFrame, now: ClockTime) -> bool {
+    if replica.promises.may_write(now).is_ok() {
         return false;
     }
     match &frame.message {
--- a/crates/ragwortroad_node/src/control/mod.rs
+++ b/crates/ragwortroad_node/src/control/mod.rs
@@ -6,13 +6,13 @@
 pub(crate) mod address_flow;
 pub(crate) mod admit_flow;
 pub(crate) mod claim_flow;
+pub(crate) mod config_follower;
 pub(crate) mod control_inbox;
 pub(crate) mod control_state;
 pub(crate) mod endpoint_flow;
 pub(crate) mod event_flow;
 pub(crate) mod fleet_view;
 pub(crate) mod follow_flow;
-pub(crate) mod follow_seat;
 pub(crate) mod gauge_flow;
 pub(crate) mod grant_flow;
 pub(crate) mod leader_flow;
--- a/crates/ragwortroad_node/src/control/order_flow.rs
+++ b/crates/ragwortroad_node/src/control/order_flow.rs
@@ -40,14 +40,14 @@
 
 /// Time from the grant to the first plan. A leader that has just started knows few engines yet,
 /// and would load models onto these that the others hold.
-const PLAN_SETTLE: Duration = Duration::from_secs(5);
+const PLAN_START_DELAY: Duration = Duration::from_secs(5);
 
 /// Time from the grant until an engine that this leader never heard of leaves the plan.
-const FORGET_SETTLE: Duration = Duration::from_secs(60);
+const FORGET_DELAY: Duration = Duration::from_secs(60);
 
 impl ControlState {
     /// Tells the others what this node refused for want of room.
-    pub(crate) fn tell_refused(&mut self) {
+    pub(crate) fn publish_refused_demand(&mut self) {
         let blob = self.refused.end_second();
         if !self.membership.set_blob(REFUSED_BLOB, blob) {
             tracing::warn!("what was refused does not fit a blob; placement does not know of it");
@@ -55,7 +55,7 @@
     }
 
     /// A second's refusals over all live nodes.
-    fn refused_everywhere(&self) -> BTreeMap<OfferKey, u32> {
+    fn fleet_refused_demand(&self) -> BTreeMap<OfferKey, u32> {
         let live = self.membership.live_nodes().map(|(node, _)| node);
         let live: BTreeSet<NodeId> = live.chain([self.node]).collect();
         let mut sum = BTreeMap::new();
@@ -69,14 +69,18 @@
 
     /// Plans, once a second, what engines shall hold.
     pub(crate) fn plan_engines(&mut self, now: ClockTime) {
-        let Some(seat) = self.member.as_ref().filter(|seat| seat.leads(now)) else {
+        let Some(replica) = self.replica.as_ref().filter(|replica| replica.leads(now)) else {
             return;
         };
-        let gate = seat.desk.as_ref().and_then(|desk| desk.gate);
-        let Some(gate) = gate.filter(|gate| now.since(gate.applied_at()) >= PLAN_SETTLE) else {
+        let gate = replica
+            .leader_context
+            .as_ref()
+            .and_then(|context| context.gate);
+        let Some(gate) = gate.filter(|gate| now.since(gate.applied_at()) >= PLAN_START_DELAY)
+        else {
             return;
         };
-        let (state, config) = (&seat.state, seat.state.config());
+        let (state, config) = (&replica.state, replica.state.config());
         let endpoints = self.membership.endpoints();
         let engines = endpoints.filter_map(|record| EngineView::of(record, config));
         let engines: Vec<EngineView> = engines.collect();
@@ -86,18 +90,18 @@
             history: &history,
             plan: state.plan(),
             engines: &engines,
-            refused: &self.refused_everywhere(),
-            room: self.settings.orders.models_per_engine,
+            refused: &self.fleet_refused_demand(),
+            max_offers: self.settings.orders.models_per_engine,
             loads_at_once: self.settings.orders.loads_at_once,
         });
         let mut targets = plan.changes;
-        if now.since(gate.applied_at()) >= FORGET_SETTLE {
+        if now.since(gate.applied_at()) >= FORGET_DELAY {
             let known: BTreeSet<&str> = engines.iter().map(|view| view.name.as_str()).collect();
             let gone = state.plan().targets().map(|(name, _)| name);
             let gone = gone.filter(|name| !known.contains(name));
             targets.extend(gone.map(|name| (name.to_owned(), None)));
         }
-        self.follow_plan(&plan.urgencies, &history);
+        self.update_orders(&plan.urgencies, &history);
         if !targets.is_empty() {
             let fence = gate.fence();
             let action = StateAction::Plan { fence, targets };
@@ -106,18 +110,18 @@
     }
 
     /// Tells the orders what is planned and what is seen.
-    fn follow_plan(&mut self, urgencies: &BTreeMap<String, u32>, history: &OfferHistory) {
-        let Some(seat) = &mut self.member else {
+    fn update_orders(&mut self, urgencies: &BTreeMap<String, u32>, history: &OfferHistory) {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        let desk = seat.desk.as_mut();
-        let Some((table, ordered)) =
-            desk.and_then(|desk| Some((desk.orders.as_mut()?, &mut desk.ordered)))
+        let context = replica.leader_context.as_mut();
+        let Some((table, ordered_engines)) = context
+            .and_then(|context| Some((context.orders.as_mut()?, &mut context.ordered_engines)))
         else {
             return;
         };
-        let mut there = BTreeSet::new();
-        for (name, target) in seat.state.plan().targets() {
+        let mut present = BTreeSet::new();
+        for (name, target) in replica.state.plan().targets() {
             let record = self.membership.endpoint(EndpointId::from_name(name));
             let Some(record) = record.filter(|record| record.presence != EndpointPresence::Gone)
             else {
@@ -125,31 +129,31 @@
             };
             let urgency = urgencies.get(name).copied().unwrap_or(0);
             table.plan(name, target.clone(), urgency);
-            let sight = EngineSight {
+            let observed = EngineSight {
                 incarnation: record.incarnation,
                 models: record.models.iter().cloned().collect(),
             };
-            table.observe(name, sight);
-            if !ordered.contains(name) && history.undrains(name, &record.zone) {
+            table.observe(name, observed);
+            if !ordered_engines.contains(name) && history.undrains(name, &record.zone) {
                 table.doubt_drain(name);
             }
-            there.insert(name.to_owned());
+            present.insert(name.to_owned());
         }
-        for name in ordered.difference(&there) {
+        for name in ordered_engines.difference(&present) {
             table.forget(name);
         }
-        *ordered = there;
+        *ordered_engines = present;
     }
 
     /// Takes in what engines answered and sends the orders that are due.
     pub(crate) fn tick_orders(&mut self, now: ClockTime) {
         let reports = self.orders.as_ref().map(OrderWorker::reports);
         for report in reports.unwrap_or_default() {
-            self.order_ended(report);
+            self.handle_order_report(report);
         }
         for task in self.due_orders(now) {
             let EngineOrder { id, engine, action } = &task.order;
-            self.note_order(EventKind::OrderSent, *id, engine, format!("{action:?}"));
+            self.record_order_event(EventKind::OrderSent, *id, engine, format!("{action:?}"));
             metrics::counter!("ragwortroad_orders_sent_total").increment(1);
             if let Some(worker) = &self.orders {
                 worker.send(task);
@@ -159,18 +163,18 @@
 
     /// Orders that the lease lets this node give now.
     fn due_orders(&mut self, now: ClockTime) -> Vec<OrderTask> {
-        let Some(seat) = self.member.as_mut().filter(|seat| seat.leads(now)) else {
+        let Some(replica) = self.replica.as_mut().filter(|replica| replica.leads(now)) else {
             return Vec::new();
         };
-        let core = seat.core.as_ref();
+        let core = replica.core.as_ref();
         let Some(lead_until) = core.and_then(|core| core.lease_valid_until()) else {
             return Vec::new();
         };
-        let (membership, models) = (&self.membership, &seat.state.config().models);
-        let Some(desk) = &mut seat.desk else {
+        let (membership, models) = (&self.membership, &replica.state.config().models);
+        let Some(context) = &mut replica.leader_context else {
             return Vec::new();
         };
-        let (Some(gate), Some(table)) = (desk.gate, &mut desk.orders) else {
+        let (Some(gate), Some(table)) = (context.gate, &mut context.orders) else {
             return Vec::new();
         };
         let record = |engine: &str| membership.endpoint(EndpointId::from_name(engine));
@@ -195,27 +199,30 @@
 
     /// An order was answered, or not. An answer to an order that is no longer under way, of an
     /// earlier lead or repeated, changes nothing.
-    fn order_ended(&mut self, report: OrderReport) {
-        let desk = self.member.as_mut().and_then(|seat| seat.desk.as_mut());
-        let table = desk.and_then(|desk| desk.orders.as_mut());
+    fn handle_order_report(&mut self, report: OrderReport) {
+        let context = self
+            .replica
+            .as_mut()
+            .and_then(|replica| replica.leader_context.as_mut());
+        let table = context.and_then(|context| context.orders.as_mut());
         if report.end == OrderEnd::Confirmed
             && let Some(table) = table
         {
             table.answered(report.id);
         }
         let OrderReport { id, engine, end } = report;
-        metrics::counter!("ragwortroad_orders_ended_total", "end" => end.word()).increment(1);
+        metrics::counter!("ragwortroad_orders_ended_total", "end" => end.label()).increment(1);
         if end != OrderEnd::Confirmed {
             tracing::warn!(engine, end = end.detail(), "an order was not confirmed");
         }
-        self.note_order(EventKind::OrderAnswered, id, &engine, end.detail());
+        self.record_order_event(EventKind::OrderAnswered, id, &engine, end.detail());
     }
 
     /// Publishes what operators watch of orders.
     pub(crate) fn publish_order_gauges(&self, now: ClockTime) {
-        let seat = self.member.as_ref().filter(|seat| seat.leads(now));
-        let desk = seat.and_then(|seat| seat.desk.as_ref());
-        let table = desk.and_then(|desk| desk.orders.as_ref());
+        let replica = self.replica.as_ref().filter(|replica| replica.leads(now));
+        let context = replica.and_then(|replica| replica.leader_context.as_ref());
+        let table = context.and_then(|context| context.orders.as_ref());
         let under_way = table.map_or(0, |table| table.pending().count());
         let waiting = table.map_or(0, OrderTable::waiting_loads);
         let name = &self.settings.node.name;
--- a/crates/ragwortroad_node/src/control/peer_flow.rs
+++ b/crates/ragwortroad_node/src/control/peer_flow.rs
@@ -22,7 +22,7 @@
             channel,
             bytes,
         } = message;
-        let Some(bytes) = self.events.open(&bytes) else {
+        let Some(bytes) = self.events.strip_stamp(&bytes) else {
             tracing::warn!(%from, "a message has no stamp; upgrade the older node");
             return;
         };
--- a/crates/ragwortroad_node/src/control/show_flow.rs
+++ b/crates/ragwortroad_node/src/control/show_flow.rs
@@ -72,10 +72,10 @@
     fn show_engines(&self, table: &mut ResultTable) {
         let endpoints = self.membership.endpoints();
         let engines = endpoints.filter(|record| record.kind == EndpointKind::Engine);
-        let seat = self.member.as_ref();
+        let replica = self.replica.as_ref();
         for record in engines {
             let load = self.known_load(record);
-            let target = seat.and_then(|seat| seat.state.plan().target(&record.name));
+            let target = replica.and_then(|replica| replica.state.plan().target(&record.name));
             let wanted = target.map(|target| target.models.iter().cloned().collect::<Vec<_>>());
             let role = target.map(|target| format!("{:?}", target.role).to_lowercase());
             table.push([
@@ -92,7 +92,11 @@
     }
 
     fn show_members(&self, table: &mut ResultTable) {
-        let Some(core) = self.member.as_ref().and_then(|seat| seat.core.as_ref()) else {
+        let Some(core) = self
+            .replica
+            .as_ref()
+            .and_then(|replica| replica.core.as_ref())
+        else {
             return;
         };
         let matches = core.match_indexes();
@@ -115,15 +119,15 @@
             return;
         };
         let now = self.clock.now();
-        let seat = self.member.as_ref();
-        let core = seat.and_then(|seat| seat.core.as_ref());
+        let replica = self.replica.as_ref();
+        let core = replica.and_then(|replica| replica.core.as_ref());
         let lease = core.and_then(|core| core.lease_valid_until());
         let lease = lease.map(|until| until.since(now).as_millis() as u64);
         table.push([
             text(self.node_name(leader)),
             core.map_or(CellValue::Empty, |core| CellValue::Number(core.term())),
-            seat.map_or(CellValue::Empty, |seat| {
-                CellValue::Number(seat.state.lease().fence().0)
+            replica.map_or(CellValue::Empty, |replica| {
+                CellValue::Number(replica.state.lease().fence().0)
             }),
             lease.map_or(CellValue::Empty, CellValue::Number),
         ]);
@@ -131,11 +135,16 @@
 
     fn show_nodes(&self, table: &mut ResultTable) {
         let now = self.clock.now();
-        let desk = self.member.as_ref().and_then(|seat| seat.desk.as_ref());
+        let context = self
+            .replica
+            .as_ref()
+            .and_then(|replica| replica.leader_context.as_ref());
         for (node, record) in self.membership.nodes() {
-            let mut admitting = desk.into_iter().flat_map(|desk| desk.table.admitting(now));
+            let mut admitting = context
+                .into_iter()
+                .flat_map(|context| context.table.admitting(now));
             let revision = admitting.find(|(run, _)| run.node == node);
-            let drained = self.follow.config.drains_node(&record.name);
+            let drained = self.follower.config.drains_node(&record.name);
             table.push([
                 text(&record.name),
                 text(&record.zone),
@@ -149,8 +158,11 @@
     }
 
     fn show_orders(&self, table: &mut ResultTable) {
-        let desk = self.member.as_ref().and_then(|seat| seat.desk.as_ref());
-        let Some(orders) = desk.and_then(|desk| desk.orders.as_ref()) else {
+        let context = self
+            .replica
+            .as_ref()
+            .and_then(|replica| replica.leader_context.as_ref());
+        let Some(orders) = context.and_then(|context| context.orders.as_ref()) else {
             return;
         };
         for order in orders.pending() {
--- a/crates/ragwortroad_node/src/control/slot_flow.rs
+++ b/crates/ragwortroad_node/src/control/slot_flow.rs
@@ -9,16 +9,16 @@
 use crate::{
     control::control_state::ControlState,
     request::{
-        request_plan::RequestPlan,
+        pending_attempt::PendingAttempt,
         ticket_table::HeldSlot,
         wait_table::SlotWait, //
     },
     slot::{
-        grant_book::{
-            BookAnswer,
+        grant_table::{
             GrantRecord, //
+            GrantStatus,
         },
-        release_queue::OpenRelease, //
+        release_queue::PendingRelease, //
     },
     wire::{
         message_codec::{
@@ -33,7 +33,7 @@
 };
 
 /// Time after which an asker whose question came after its own release may ask anew.
-const ENDED_PAUSE: Duration = Duration::from_millis(100);
+const RELEASED_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl ControlState {
     /// Serves a message about slots or shares.
@@ -51,19 +51,19 @@
                 request,
                 run,
             } => {
-                if self.grants.is_new_run(from, run) {
+                if self.grants.record_run(from, run) {
                     self.route.expire_node_slots(from, now);
-                    self.grants.node_gone(from);
+                    self.grants.remove_node(from);
                 }
                 let customer = CustomerKey(customer);
                 let claim = claim.into();
-                let answer = self.answer_ask((from, question), endpoint, (customer, claim), now);
+                let answer = self.decide_ask((from, question), endpoint, (customer, claim), now);
                 let granted = answer == SlotVerdict::Granted;
-                self.note_slot(from, request, endpoint, granted);
+                self.record_slot_event(from, request, endpoint, granted);
                 self.send_slots(from, &SlotMessage::Answer { question, answer });
             }
             SlotMessage::Answer { question, answer } => {
-                self.take_answer(from, question, answer, now);
+                self.handle_slot_answer(from, question, answer, now);
             }
             SlotMessage::Release {
                 question,
@@ -90,20 +90,20 @@
     }
 
     /// This node's answer as the home of an endpoint.
-    fn answer_ask(
+    fn decide_ask(
         &mut self,
-        (asker, question): (NodeId, u64),
+        (requester, question): (NodeId, u64),
         endpoint: EndpointId,
         (customer, claim): (CustomerKey, AdmissionClass),
         now: ClockTime,
     ) -> SlotVerdict {
-        match self.grants.look_up(asker, question) {
-            BookAnswer::Granted => return SlotVerdict::Granted,
-            BookAnswer::Ended => {
-                let retry_after_ms = ENDED_PAUSE.as_millis() as u32;
+        match self.grants.look_up(requester, question) {
+            GrantStatus::Granted => return SlotVerdict::Granted,
+            GrantStatus::Released => {
+                let retry_after_ms = RELEASED_RETRY_AFTER.as_millis() as u32;
                 return SlotVerdict::Full { retry_after_ms };
             }
-            BookAnswer::New => {}
+            GrantStatus::New => {}
         }
         if self.draining || !self.membership.home_state(endpoint, now).admits_at(now) {
             let record = self.membership.endpoint(endpoint);
@@ -111,35 +111,46 @@
             let home = home.filter(|home| *home != self.node);
             return SlotVerdict::NotHome { home };
         }
-        let answer = self.route.grant_slot(endpoint, asker, customer, claim, now);
+        let answer = self
+            .route
+            .grant_slot(endpoint, requester, customer, claim, now);
         if let SlotAnswer::Granted { slot } = answer {
             self.grants
-                .grant(asker, question, GrantRecord { endpoint, slot });
+                .grant(requester, question, GrantRecord { endpoint, slot });
         }
         answer.into()
     }
 
     /// A home answered a question of this node.
-    fn take_answer(&mut self, home: NodeId, question: u64, verdict: SlotVerdict, now: ClockTime) {
+    fn handle_slot_answer(
+        &mut self,
+        home: NodeId,
+        question: u64,
+        verdict: SlotVerdict,
+        now: ClockTime,
+    ) {
         let Some(wait) = self.waits.take(question, home) else {
             // The attempt went elsewhere meanwhile; its release is on the way.
             return;
         };
         let SlotWait {
-            mut plan, endpoint, ..
+            mut attempt,
+            endpoint,
+            ..
         } = wait;
         let answer = verdict.as_answer();
-        self.route.record_answer(endpoint, answer, plan.chat, now);
+        self.route
+            .record_answer(endpoint, answer, attempt.chat, now);
         if verdict == SlotVerdict::Granted {
-            let slot = HeldSlot::Foreign { home, question };
-            return self.grant_plan(plan, endpoint, slot, now);
+            let slot = HeldSlot::Remote { home, question };
+            return self.grant_attempt(attempt, endpoint, slot, now);
         }
         match verdict {
-            SlotVerdict::NotHome { .. } => plan.excluded.push(endpoint),
-            SlotVerdict::Full { .. } => plan.full += 1,
+            SlotVerdict::NotHome { .. } => attempt.excluded.push(endpoint),
+            SlotVerdict::Full { .. } => attempt.full += 1,
             SlotVerdict::Granted => {}
         }
-        self.place_plan(plan, now);
+        self.place_attempt(attempt, now);
     }
 
     /// Asks a home for a slot.
@@ -149,14 +160,14 @@
         question: u64,
         endpoint: EndpointId,
         claim: AdmissionClass,
-        plan: &RequestPlan,
+        attempt: &PendingAttempt,
     ) {
         let message = SlotMessage::Ask {
             question,
             endpoint,
-            customer: plan.customer_key.0,
+            customer: attempt.customer_key.0,
             claim: claim.into(),
-            request: plan.call.request,
+            request: attempt.call.request,
             run: self.incarnation,
         };
         self.send_slots(home, &message);
@@ -172,7 +183,7 @@
         now: ClockTime,
     ) {
         let outcome = outcome.into();
-        let release = OpenRelease {
+        let release = PendingRelease {
             home,
             endpoint,
             outcome,
@@ -188,8 +199,8 @@
     }
 
     /// Sends releases again that no home has confirmed.
-    pub(crate) fn repeat_releases(&mut self, now: ClockTime) {
-        for (question, release) in self.releases.due(now) {
+    pub(crate) fn resend_releases(&mut self, now: ClockTime) {
+        for (question, release) in self.releases.take_due(now) {
             let message = SlotMessage::Release {
                 question,
                 endpoint: release.endpoint,
--- a/crates/ragwortroad_node/src/disk_worker.rs
+++ b/crates/ragwortroad_node/src/disk_worker.rs
@@ -17,7 +17,7 @@
 
 /// One batch that must be made durable.
 #[derive(Clone, Debug)]
-pub(crate) struct DiskOrder {
+pub(crate) struct DiskWrite {
     /// Names the batch in the report.
     pub(crate) batch: u64,
     /// What changes.
@@ -45,34 +45,34 @@
 /// of the node; here, orders that arrive during one sync share the next one.
 #[derive(Debug)]
 pub(crate) struct DiskWorker {
-    orders: Sender<DiskOrder>,
+    writes: Sender<DiskWrite>,
     thread: JoinHandle<()>,
 }
 
 /// Orders that share a sync at the most.
-const GROUP_LIMIT: usize = 1024;
+const MAX_GROUP_WRITES: usize = 1024;
 
 impl DiskWorker {
     /// Starts the thread; its reports go to `reports`.
     pub(crate) fn start(folder: LogFolder, reports: Sender<DiskReport>) -> Result<Self, NodeError> {
-        let (orders, queue) = flume::unbounded();
+        let (writes, queue) = flume::unbounded();
         let thread = Builder::new()
             .name("disk".to_owned())
-            .spawn(move || serve_orders(folder, &queue, &reports))
+            .spawn(move || serve_writes(folder, &queue, &reports))
             .context(ThreadSnafu { name: "disk" })?;
-        Ok(Self { orders, thread })
+        Ok(Self { writes, thread })
     }
 
     /// Queues a batch.
-    pub(crate) fn order(&self, order: DiskOrder) {
-        if self.orders.send(order).is_err() {
+    pub(crate) fn write(&self, write: DiskWrite) {
+        if self.writes.send(write).is_err() {
             tracing::error!("the disk thread is gone; nothing is acknowledged any more");
         }
     }
 
     /// Finishes what is queued and joins the thread.
     pub(crate) fn join(self) {
-        drop(self.orders);
+        drop(self.writes);
         if self.thread.join().is_err() {
             tracing::error!("the disk thread panicked");
         }
@@ -80,10 +80,10 @@
 }
 
 /// Serves orders until the control thread drops its end.
-fn serve_orders(mut folder: LogFolder, queue: &Receiver<DiskOrder>, reports: &Sender<DiskReport>) {
+fn serve_writes(mut folder: LogFolder, queue: &Receiver<DiskWrite>, reports: &Sender<DiskReport>) {
     while let Ok(first) = queue.recv() {
-        let group: Vec<DiskOrder> = std::iter::once(first)
-            .chain(queue.try_iter().take(GROUP_LIMIT))
+        let group: Vec<DiskWrite> = std::iter::once(first)
+            .chain(queue.try_iter().take(MAX_GROUP_WRITES))
             .collect();
         let report = write_group(&mut folder, &group);
         if reports.send(report).is_err() {
@@ -93,11 +93,11 @@
 }
 
 /// Appends a group of batches and syncs once.
-fn write_group(folder: &mut LogFolder, group: &[DiskOrder]) -> DiskReport {
+fn write_group(folder: &mut LogFolder, group: &[DiskWrite]) -> DiskReport {
     let appended = group
         .iter()
-        .try_for_each(|order| folder.append(&order.change));
-    let batch = group.last().map_or(0, |order| order.batch);
+        .try_for_each(|write| folder.append(&write.change));
+    let batch = group.last().map_or(0, |write| write.batch);
     match appended.and_then(|()| folder.sync()) {
         Ok(()) => DiskReport::Durable { batch },
         Err(error) => DiskReport::Failed {
--- a/crates/ragwortroad_node/src/event_log.rs
+++ b/crates/ragwortroad_node/src/event_log.rs
@@ -17,7 +17,7 @@
 const STAMP_BYTES: usize = 8;
 
 /// Events in one answer.
-const MOST_EVENTS: usize = 20_000;
+const MAX_PAGE_EVENTS: usize = 20_000;
 
 impl EventLog {
     /// An empty log.
@@ -30,22 +30,22 @@
     }
 
     /// Keeps an event, stamped as of now.
-    pub(crate) fn note(&mut self, event: FleetEvent) {
+    pub(crate) fn record(&mut self, event: FleetEvent) {
         let stamp = self.stamp();
         self.ring.record(FleetEvent { stamp, ..event });
     }
 
     /// Puts a stamp before a message's bytes.
-    pub(crate) fn seal(&self, bytes: &[u8]) -> Vec<u8> {
-        let mut sealed = Vec::with_capacity(STAMP_BYTES + bytes.len());
-        sealed.extend_from_slice(&self.stamp().0.to_le_bytes());
-        sealed.extend_from_slice(bytes);
-        sealed
+    pub(crate) fn add_stamp(&self, bytes: &[u8]) -> Vec<u8> {
+        let mut stamped = Vec::with_capacity(STAMP_BYTES + bytes.len());
+        stamped.extend_from_slice(&self.stamp().0.to_le_bytes());
+        stamped.extend_from_slice(bytes);
+        stamped
     }
 
     /// Takes a message's stamp into account and returns the rest; nothing where it has no stamp.
-    pub(crate) fn open(&self, sealed: &[u8]) -> Option<Vec<u8>> {
-        let (stamp, bytes) = sealed.split_at_checked(STAMP_BYTES)?;
+    pub(crate) fn strip_stamp(&self, stamped: &[u8]) -> Option<Vec<u8>> {
+        let (stamp, bytes) = stamped.split_at_checked(STAMP_BYTES)?;
         let stamp = u64::from_le_bytes(stamp.try_into().ok()?);
         let mut stamps = self.stamps.get();
         stamps.observe(HybridTime(stamp), self.clock.wall_ms());
@@ -55,7 +55,7 @@
 
     /// The events that pass `filter`, as this node's part of a time line.
     pub(crate) fn gather(&self, node: &str, zone: &str, filter: &EventFilter) -> NodeTimeline {
-        self.ring.gather(node, zone, filter, MOST_EVENTS)
+        self.ring.gather(node, zone, filter, MAX_PAGE_EVENTS)
     }
 
     fn stamp(&self) -> HybridTime {
--- a/crates/ragwortroad_node/src/member/leader_desk.rs
+++ b/crates/ragwortroad_node/src/member/leader_context.rs
@@ -10,7 +10,7 @@
 
 /// What a member keeps while it leads, and drops when it no longer does.
 #[derive(Debug)]
-pub(crate) struct LeaderDesk {
+pub(crate) struct LeaderContext {
     /// Stamps commands with the state's clock.
     pub(crate) clock: StampClock,
     /// Which nodes may admit work, and under which revision.
@@ -20,20 +20,20 @@
     /// Orders under way; made together with the gate.
     pub(crate) orders: Option<OrderTable>,
     /// Engines that the orders know.
-    pub(crate) ordered: BTreeSet<String>,
+    pub(crate) ordered_engines: BTreeSet<String>,
     /// Claim steps that go into the next command.
     pub(crate) claims: Vec<(ClaimBatch, Vec<ClaimStep>)>,
     /// Accepted changes whose operators wait until they are in force everywhere.
-    pub(crate) forced: Vec<ForceWatch>,
+    pub(crate) watches: Vec<ChangeWatch>,
     /// Changes that wait until promises of this member are over.
-    pub(crate) held: Vec<(ChangeCommand, LineOrigin)>,
+    pub(crate) held_changes: Vec<(ChangeCommand, LineOrigin)>,
     /// When the state's clock was moved on last.
-    pub(crate) ticked: ClockTime,
+    pub(crate) last_tick: ClockTime,
 }
 
 /// An accepted change on its way into force.
 #[derive(Debug)]
-pub(crate) struct ForceWatch {
+pub(crate) struct ChangeWatch {
     /// Its revision.
     pub(crate) revision: u64,
     /// Whom to tell.
@@ -42,7 +42,7 @@
     pub(crate) until: ClockTime,
 }
 
-impl LeaderDesk {
+impl LeaderContext {
     /// The desk of a leader that has applied the first entry of its term at `now`.
     pub(crate) fn new(state: &FleetState, timing: FollowTiming, now: ClockTime) -> Self {
         Self {
@@ -50,11 +50,11 @@
             table: AdmissionTable::new(timing, now, state.longest_grace()),
             gate: None,
             orders: None,
-            ordered: BTreeSet::new(),
+            ordered_engines: BTreeSet::new(),
             claims: Vec::new(),
-            forced: Vec::new(),
-            held: Vec::new(),
-            ticked: now,
+            watches: Vec::new(),
+            held_changes: Vec::new(),
+            last_tick: now,
         }
     }
 }
--- a/crates/ragwortroad_node/src/member/proposal_kind.rs
+++ b/crates/ragwortroad_node/src/member/proposal_kind.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum LineOrigin {
     /// An operator's connection at this node.
-    Here(Sender<OperatorAnswer>),
+    Local(Sender<OperatorAnswer>),
     /// Another node, which passed the line on.
     Node {
         /// The node.
--- a/crates/ragwortroad_node/src/member/member_seat.rs
+++ b/crates/ragwortroad_node/src/member/state_replica.rs
@@ -16,7 +16,7 @@
         DiskWorker, //
     },
     member::{
-        leader_desk::LeaderDesk,
+        leader_context::LeaderContext,
         proposal_kind::ProposalKind, //
     },
     node_error::{
@@ -26,7 +26,7 @@
 };
 
 /// A member's core, state and disk.
-pub(crate) struct MemberSeat {
+pub(crate) struct StateReplica {
     /// The identity of the data folder.
     pub(crate) identity: MemberId,
     /// What the folder held, until the core is made of it.
@@ -48,7 +48,7 @@
     /// Promises to nodes that reach no leader.
     pub(crate) promises: PromiseBook,
     /// Present while this member leads.
-    pub(crate) desk: Option<LeaderDesk>,
+    pub(crate) leader_context: Option<LeaderContext>,
     /// The state could not be carried on; only a restart with a mended program or folder helps.
     pub(crate) halted: bool,
     next_token: u64,
@@ -57,7 +57,7 @@
 }
 
 /// What a seat is made from.
-pub(crate) struct SeatStart<'a> {
+pub(crate) struct ReplicaOptions<'a> {
     /// The process's settings.
     pub(crate) settings: &'a ProcessSettings,
     /// This node.
@@ -72,9 +72,9 @@
     pub(crate) reports: flume::Sender<DiskReport>,
 }
 
-impl MemberSeat {
+impl StateReplica {
     /// Opens the data folder, if the settings name one.
-    pub(crate) fn open(start: SeatStart<'_>) -> Result<Option<Self>, NodeError> {
+    pub(crate) fn open(start: ReplicaOptions<'_>) -> Result<Option<Self>, NodeError> {
         let Some(path) = start.settings.state.data_folder.clone() else {
             return Ok(None);
         };
@@ -108,7 +108,7 @@
             proposals: BTreeMap::new(),
             nodes: BTreeMap::new(),
             promises: PromiseBook::new(timing, start.now),
-            desk: None,
+            leader_context: None,
             halted: false,
             next_token: 0,
             settings: core_settings(&start.settings.state),
@@ -161,7 +161,7 @@
     /// Whether this member is the one in charge, by its own clock and a quorum's word.
     pub(crate) fn leads(&self, now: ClockTime) -> bool {
         let leads = |core: &ConsensusCore| core.may_act_as_leader(now);
-        self.desk.is_some() && self.core.as_ref().is_some_and(leads)
+        self.leader_context.is_some() && self.core.as_ref().is_some_and(leads)
     }
 
     /// The node of a member.
@@ -193,11 +193,11 @@
         wall_ms: u64,
         now: ClockTime,
     ) -> Vec<CoreAction> {
-        let Some(desk) = &self.desk else {
+        let Some(context) = &self.leader_context else {
             tracing::warn!("a proposal was made without the lead; it is dropped");
             return Vec::new();
         };
-        let stamp = desk.clock.stamp(now, wall_ms);
+        let stamp = context.clock.stamp(now, wall_ms);
         let command = StateCommand { stamp, action }.to_bytes();
         let token = self.next_token(kind);
         self.handle(CoreInput::Propose { token, command }, now)
@@ -267,13 +267,13 @@
     OrderTiming {
         lease: core_settings(settings).lease_span(),
         drift_ppm: drift_ppm(settings),
-        order_flight: ORDER_FLIGHT,
+        order_flight: MAX_ORDER_FLIGHT,
     }
 }
 
 /// Longest time between the check of the lease and an order's effect at its engine; the sender's
 /// timeouts keep it below.
-pub(crate) const ORDER_FLIGHT: Duration = Duration::from_secs(5);
+pub(crate) const MAX_ORDER_FLIGHT: Duration = Duration::from_secs(5);
 
 fn drift_ppm(settings: &StateSettings) -> u32 {
     u32::try_from(settings.drift_permille * 1000).unwrap_or(u32::MAX)
--- a/crates/ragwortroad_node/src/node_process.rs
+++ b/crates/ragwortroad_node/src/node_process.rs
@@ -23,19 +23,19 @@
 use crate::{
     byte_counts::ByteCounts,
     control::{
+        config_follower::ConfigFollower,
         control_inbox::{
             ControlInbox,
-            PageCall,
-            SteeringOrder, //
+            SupervisorCommand, //
+            TimelineCall,
         },
         control_state::ControlState,
-        follow_seat::FollowSeat,
         line_table::LineTable, //
     },
     event_log::EventLog,
-    member::member_seat::{
-        MemberSeat,
-        SeatStart, //
+    member::state_replica::{
+        ReplicaOptions, //
+        StateReplica,
     },
     metric_pages::MetricPages,
     node_error::{
@@ -47,13 +47,13 @@
     node_secrets::NodeSecrets,
     order::refused_demand::RefusedDemand,
     request::{
-        claim_desk::ClaimDesk,
+        claim_queue::ClaimQueue,
         ended_attempts::EndedAttempts,
         ticket_table::TicketTable,
         wait_table::WaitTable, //
     },
     slot::{
-        grant_book::GrantBook,
+        grant_table::GrantTable,
         release_queue::ReleaseQueue, //
     }, //
 };
@@ -65,23 +65,23 @@
 pub struct NodeProcess {
     gateway: GatewayServer,
     control: JoinHandle<()>,
-    steering: Sender<SteeringOrder>,
+    commands: Sender<SupervisorCommand>,
     peer_address: SocketAddr,
     bytes: Arc<ByteCounts>,
     gate: Arc<LinkGate>,
 }
 
 /// Share of first attempts that may be repeated, and retries that are saved up for quiet times.
-const RETRY_SHARE: f64 = 0.1;
+const RETRY_RATIO: f64 = 0.1;
 /// Retries a node may make before it has earned any.
 const RETRY_RESERVE: u32 = 32;
 
 /// Shortest time between two loads of one endpoint told to the fleet. Older loads make nodes crowd
 /// the engine that was idle a moment ago; the gossip budget bounds what newer ones cost.
-const LOAD_SPACING: Duration = Duration::from_secs(1);
+const MIN_LOAD_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a page may take the control thread.
-const PAGE_PATIENCE: Duration = Duration::from_secs(2);
+const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl NodeProcess {
     /// Starts a node.
@@ -98,9 +98,9 @@
         let peer_address = transport.local_address();
         let gate = transport.gate();
         let (calls, call_queue) = flume::unbounded();
-        let (steering, steering_queue) = flume::unbounded();
+        let (commands, command_queue) = flume::unbounded();
         let (reports, disk) = flume::unbounded();
-        let gateway = start_gateway(&settings, calls, &steering)?;
+        let gateway = start_gateway(&settings, calls, &commands)?;
         let addresses = (gateway.local_address(), peer_address);
         let parts = ControlParts {
             settings,
@@ -114,8 +114,8 @@
         let inbox = ControlInbox {
             calls: call_queue,
             peers,
-            disk: state.member.is_some().then_some(disk),
-            steering: steering_queue,
+            disk: state.replica.is_some().then_some(disk),
+            commands: command_queue,
         };
         let control = Builder::new()
             .name("control".to_owned())
@@ -124,7 +124,7 @@
         Ok(Self {
             gateway,
             control,
-            steering,
+            commands,
             peer_address,
             bytes,
             gate,
@@ -161,7 +161,7 @@
     #[doc(hidden)]
     pub fn freeze(&self) -> Sender<()> {
         let (hold, held) = flume::bounded(0);
-        if self.steering.send(SteeringOrder::Freeze(held)).is_err() {
+        if self.commands.send(SupervisorCommand::Freeze(held)).is_err() {
             tracing::error!("the control thread ended before the freeze");
         }
         hold
@@ -172,7 +172,7 @@
     /// The control thread ends first, so that requests that are cut leave no trace in the log.
     #[doc(hidden)]
     pub fn crash(self) {
-        if self.steering.send(SteeringOrder::Crash).is_err() {
+        if self.commands.send(SupervisorCommand::Crash).is_err() {
             tracing::error!("the control thread ended before the crash");
         }
         if self.control.join().is_err() {
@@ -183,13 +183,13 @@
 
     /// Drains: takes no new work, finishes every request in flight, joins every thread.
     pub fn stop(self) {
-        if self.steering.send(SteeringOrder::Drain).is_err() {
+        if self.commands.send(SupervisorCommand::Drain).is_err() {
             tracing::error!("the control thread ended before the drain");
         }
         // Requests in flight need the control thread for their ends, so it goes on until they are
         // whole.
         self.gateway.join();
-        if self.steering.send(SteeringOrder::Stop).is_err() {
+        if self.commands.send(SupervisorCommand::Stop).is_err() {
             tracing::error!("the control thread ended before the traffic");
         }
         if self.control.join().is_err() {
@@ -213,7 +213,7 @@
 fn start_gateway(
     settings: &ProcessSettings,
     calls: Sender<ControlCall>,
-    steering: &Sender<SteeringOrder>,
+    commands: &Sender<SupervisorCommand>,
 ) -> Result<GatewayServer, NodeError> {
     let limits = &settings.limits;
     let gateway = GatewaySettings {
@@ -232,14 +232,14 @@
     };
     let pages = GatewayPages {
         metrics: Arc::new(MetricPages::render),
-        timeline: Arc::new(timeline_page(steering.clone())),
+        timeline: Arc::new(timeline_page(commands.clone())),
     };
     GatewayServer::start(gateway, calls, pages).context(HttpSnafu)
 }
 
 /// The page of this node's events, made by the control thread.
 fn timeline_page(
-    steering: Sender<SteeringOrder>,
+    commands: Sender<SupervisorCommand>,
 ) -> impl Fn([u8; 32], &str) -> Result<String, RefusalWire> {
     move |key_hash, query| {
         let refuse = |code, message: &str| {
@@ -251,16 +251,16 @@
             let message = "the filter cannot be read";
             refuse(RefusalCode::MalformedRequest, message)
         })?;
-        let call = PageCall {
+        let call = TimelineCall {
             key_hash,
             filter,
             reply,
         };
         let gone = || refuse(RefusalCode::InternalFault, "the control thread has ended");
-        steering
-            .send(SteeringOrder::Page(call))
+        commands
+            .send(SupervisorCommand::Timeline(call))
             .map_err(|_| gone())?;
-        let page = answer.recv_timeout(PAGE_PATIENCE).map_err(|_| gone())?;
+        let page = answer.recv_timeout(PAGE_TIMEOUT).map_err(|_| gone())?;
         page.ok_or_else(|| refuse(RefusalCode::WrongKey, "no operator has this key"))
     }
 }
@@ -298,8 +298,8 @@
     let now = clock.now();
     let incarnation = clock.wall_ms();
     let node = NodeId::from_name(&settings.node.name);
-    let mut random = ControlState::seeded(incarnation ^ node.0);
-    let member = MemberSeat::open(SeatStart {
+    let mut random = ControlState::seeded_rng(incarnation ^ node.0);
+    let replica = StateReplica::open(ReplicaOptions {
         settings: &settings,
         node,
         fresh_identity: random.next_u64(),
@@ -328,22 +328,22 @@
         route,
         hints: HintCodec::new(secrets.hints),
         limiter,
-        budget: RetryBudget::new(RETRY_SHARE, RETRY_RESERVE),
-        rule: RetryPolicy::default(),
-        follow: FollowSeat::default(),
-        member,
+        retry_budget: RetryBudget::new(RETRY_RATIO, RETRY_RESERVE),
+        retry_policy: RetryPolicy::default(),
+        follower: ConfigFollower::default(),
+        replica,
         tickets: TicketTable::default(),
         ended: EndedAttempts::default(),
         waits: WaitTable::default(),
-        claims: ClaimDesk::default(),
-        grants: GrantBook::default(),
+        claims: ClaimQueue::default(),
+        grants: GrantTable::default(),
         releases: ReleaseQueue::default(),
         lines: LineTable::default(),
         orders: None,
         refused: RefusedDemand::default(),
         draining: false,
-        second: ClockTime::ZERO,
-        said_hello: ClockTime::ZERO,
+        last_slow_tick: ClockTime::ZERO,
+        last_hello: ClockTime::ZERO,
         bytes: Arc::default(),
         events: EventLog::new(clock),
         settings,
@@ -365,7 +365,7 @@
     let membership = MembershipSettings {
         seeds: seeds.collect(),
         clock_drift: settings.state.drift_permille as f64 / 1000.0,
-        min_load_interval: LOAD_SPACING,
+        min_load_interval: MIN_LOAD_INTERVAL,
         ..MembershipSettings::default()
     };
     let record = NodeRecord {
--- a/crates/ragwortroad_node/src/order/engine_view.rs
+++ b/crates/ragwortroad_node/src/order/engine_view.rs
@@ -18,7 +18,7 @@
     /// Requests at work and queued.
     pub(crate) load: u32,
     /// Whether it wants new work.
-    pub(crate) open: bool,
+    pub(crate) takes_work: bool,
     /// Whether operators took it out of service.
     pub(crate) drained: bool,
 }
@@ -36,7 +36,7 @@
             capacity: record.capacity,
             models: record.models.iter().cloned().collect(),
             load: record.load.requests(record.capacity),
-            open: record.accepts_new_work() && !drained,
+            takes_work: record.accepts_new_work() && !drained,
             drained,
         })
     }
--- a/crates/ragwortroad_node/src/order/order_report.rs
+++ b/crates/ragwortroad_node/src/order/order_report.rs
@@ -47,7 +47,7 @@
 
 impl OrderEnd {
     /// The end in one word, for counters.
-    pub(crate) fn word(&self) -> &'static str {
+    pub(crate) fn label(&self) -> &'static str {
         match self {
             Self::Confirmed => "confirmed",
             Self::Refused(_) => "refused",
--- a/crates/ragwortroad_node/src/order/order_worker.rs
+++ b/crates/ragwortroad_node/src/order/order_worker.rs
@@ -41,7 +41,7 @@
 };
 
 use crate::{
-    member::member_seat::ORDER_FLIGHT,
+    member::state_replica::MAX_ORDER_FLIGHT,
     node_error::{
         NodeError,
         ThreadSnafu, //
@@ -65,27 +65,27 @@
 }
 
 /// Time to open a connection; nothing is sent meanwhile, so it is no part of an order's flight.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time in which what was written must be acknowledged by the engine's kernel, or the own one ends
 /// the connection and sends nothing again. It holds also while this process is paused.
-const DELIVERY_LIMIT: Duration = Duration::from_secs(2);
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time an engine may take from the arrival of an order until nothing of it lies in a queue.
-const ENGINE_QUEUE: Duration = Duration::from_secs(2);
+const MAX_ENGINE_QUEUE_TIME: Duration = Duration::from_secs(2);
 
 /// Time for an answer, which comes when a load is over.
-const ANSWER_LIMIT: Duration = Duration::from_secs(120);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Largest answer that is read.
-const ANSWER_BYTES: usize = 64 * 1024;
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Orders under way at once.
-const MOST_TASKS: usize = 256;
+const MAX_TASKS: usize = 256;
 
 /// What the flight is made up of must leave room for the instructions between check and write.
 const _: () = assert!(
-    DELIVERY_LIMIT.as_millis() + ENGINE_QUEUE.as_millis() < ORDER_FLIGHT.as_millis(),
+    DELIVERY_TIMEOUT.as_millis() + MAX_ENGINE_QUEUE_TIME.as_millis() < MAX_ORDER_FLIGHT.as_millis(),
     "an order could take effect after the next leader's wait"
 );
 
@@ -132,7 +132,7 @@
 
 /// Sends orders until the control thread drops its end.
 async fn serve_tasks(queue: &Receiver<OrderTask>, results: &Sender<OrderReport>, clock: RealClock) {
-    let mut under_way = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     let mut ids = BTreeSet::new();
     loop {
         tokio::select! {
@@ -140,11 +140,11 @@
                 let Ok(task) = task else {
                     return;
                 };
-                if ids.len() < MOST_TASKS && ids.insert(task.order.id) {
-                    under_way.spawn(send_order(task, clock));
+                if ids.len() < MAX_TASKS && ids.insert(task.order.id) {
+                    in_flight.spawn(send_order(task, clock));
                 }
             }
-            Some(ended) = under_way.join_next() => {
+            Some(ended) = in_flight.join_next() => {
                 let Ok(report) = ended else {
                     continue;
                 };
@@ -160,7 +160,7 @@
 /// Sends one order and awaits its answer.
 async fn send_order(task: OrderTask, clock: RealClock) -> OrderReport {
     let end = match connect(task.address).await {
-        Ok(stream) => exchange(stream, &task, clock).await,
+        Ok(stream) => send_and_await(stream, &task, clock).await,
         Err(error) => OrderEnd::Failed(error.to_string()),
     };
     let EngineOrder { id, engine, .. } = task.order;
@@ -169,18 +169,18 @@
 
 /// Opens a connection from which nothing arrives later than the limit after it was written.
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let stream = timeout(CONNECT_LIMIT, TcpStream::connect(address)).await??;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
     // Without these the kernel would repeat a lost order for a quarter of an hour; it would arrive
     // after the next leader's orders, and an engine that ignores fencing numbers would obey it.
-    socket.set_tcp_user_timeout(Some(DELIVERY_LIMIT))?;
+    socket.set_tcp_user_timeout(Some(DELIVERY_TIMEOUT))?;
     socket.set_linger(Some(Duration::ZERO))?;
     Ok(stream)
 }
 
 /// Writes the order if the gate is still open, and awaits the answer.
-async fn exchange(stream: TcpStream, task: &OrderTask, clock: RealClock) -> OrderEnd {
+async fn send_and_await(stream: TcpStream, task: &OrderTask, clock: RealClock) -> OrderEnd {
     let request = match order_request(task) {
         Ok(request) => request,
         Err(error) => return OrderEnd::Failed(error),
@@ -198,14 +198,14 @@
         let response = sender.send_request(request).await;
         let response = response.map_err(|error| failed(&error))?;
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), ANSWER_BYTES).collect();
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
         // An answer that was cut confirms nothing.
         body.await.map_err(|error| failed(&error))?;
         Ok(status)
     };
     let ended = tokio::select! {
-        ended = timeout(ANSWER_LIMIT, answer) => ended,
-        end = drive(connection) => return end,
+        ended = timeout(ANSWER_TIMEOUT, answer) => ended,
+        end = drive_connection(connection) => return end,
     };
     match ended {
         Ok(Ok(200)) => OrderEnd::Confirmed,
@@ -216,7 +216,7 @@
 }
 
 /// Moves a connection's bytes; ends when it broke without an answer.
-async fn drive(connection: impl Future<Output = hyper::Result<()>>) -> OrderEnd {
+async fn drive_connection(connection: impl Future<Output = hyper::Result<()>>) -> OrderEnd {
     if let Err(error) = connection.await {
         return OrderEnd::Failed(error.to_string());
     }
--- a/crates/ragwortroad_node/src/order/refused_demand.rs
+++ b/crates/ragwortroad_node/src/order/refused_demand.rs
@@ -12,7 +12,7 @@
 pub(crate) const REFUSED_BLOB: u8 = 1;
 
 /// Offers told at the most; an entry has at most 15 bytes, so the blob stays below its limit.
-const MOST_TOLD: usize = 24;
+const MAX_BLOB_OFFERS: usize = 24;
 
 /// Requests that this node refused for want of room, by what they asked for.
 ///
@@ -43,12 +43,12 @@
         }
         self.mean.append(&mut self.fresh);
         self.mean.retain(|_, mean| *mean > 0);
-        let mut told: Vec<(u64, u32)> = self.mean.iter().map(|(key, n)| (key.0, *n)).collect();
-        told.sort_by_key(|(key, count)| (std::cmp::Reverse(*count), *key));
-        told.truncate(MOST_TOLD);
-        match told.is_empty() {
+        let mut entries: Vec<(u64, u32)> = self.mean.iter().map(|(key, n)| (key.0, *n)).collect();
+        entries.sort_by_key(|(key, count)| (std::cmp::Reverse(*count), *key));
+        entries.truncate(MAX_BLOB_OFFERS);
+        match entries.is_empty() {
             true => Vec::new(),
-            false => encode(&told),
+            false => encode(&entries),
         }
     }
 
@@ -57,8 +57,8 @@
         if blob.is_empty() {
             return;
         }
-        let told: Option<Vec<(u64, u32)>> = decode(blob);
-        for (key, count) in told.into_iter().flatten().take(MOST_TOLD) {
+        let entries: Option<Vec<(u64, u32)>> = decode(blob);
+        for (key, count) in entries.into_iter().flatten().take(MAX_BLOB_OFFERS) {
             let total = sum.entry(OfferKey(key)).or_default();
             *total = total.saturating_add(count);
         }
--- a/crates/ragwortroad_node/src/order/target_plan.rs
+++ b/crates/ragwortroad_node/src/order/target_plan.rs
@@ -25,7 +25,7 @@
     /// Requests a second that found no room, by what they asked for.
     pub(crate) refused: &'a BTreeMap<OfferKey, u32>,
     /// Models an engine has room for.
-    pub(crate) room: usize,
+    pub(crate) max_offers: usize,
     /// Loads that may be under way at once.
     pub(crate) loads_at_once: usize,
 }
@@ -47,20 +47,20 @@
 type VersionName = (String, String);
 
 /// Loads of what no engine serves go before all others.
-const MOST_URGENT: u32 = u32::MAX;
+const MAX_URGENCY: u32 = u32::MAX;
 
 /// Engines whose place in the old version's service is given up before the new one is there.
-const ROLL_STEP: usize = 1;
+const ROLLOUT_STEP_ENGINES: usize = 1;
 
 impl TargetPlan {
     /// The plan for `input`.
     pub(crate) fn of(input: &TargetInput<'_>) -> Self {
         let draft = TargetDraft::new(input);
-        let wants = draft.wants();
-        let placement = draft.place(&wants);
+        let demands = draft.demands();
+        let placement = draft.placement(&demands);
         Self {
             changes: draft.changes(&placement),
-            urgencies: draft.urgencies(&wants, &placement),
+            urgencies: draft.urgencies(&demands, &placement),
         }
     }
 }
@@ -69,38 +69,34 @@
 struct TargetDraft<'a> {
     input: &'a TargetInput<'a>,
     /// What each engine holds or is to hold, in the order of `input.engines`.
-    holds: Vec<BTreeSet<VersionName>>,
+    held: Vec<BTreeSet<VersionName>>,
     names: BTreeMap<OfferKey, VersionName>,
 }
 
 impl<'a> TargetDraft<'a> {
     fn new(input: &'a TargetInput<'a>) -> Self {
-        let holds: Vec<_> = input
+        let held: Vec<_> = input
             .engines
             .iter()
-            .map(|engine| held(input, engine))
+            .map(|engine| held_versions(input, engine))
             .collect();
         let declared = input.config.models.iter().flat_map(|(model, entry)| {
             let versions = entry.versions.keys();
             versions.map(|version| (model.clone(), version.clone()))
         });
-        let names = holds.iter().flatten().cloned().chain(declared);
+        let names = held.iter().flatten().cloned().chain(declared);
         let names = names.map(|name| (key_of(&name), name)).collect();
-        Self {
-            input,
-            holds,
-            names,
-        }
+        Self { input, held, names }
     }
 
     /// Every version that is held or declared, with how much it is wanted.
-    fn wants(&self) -> Vec<OfferDemand> {
-        let want = |(key, name): (&OfferKey, &VersionName)| {
+    fn demands(&self) -> Vec<OfferDemand> {
+        let to_demand = |(key, name): (&OfferKey, &VersionName)| {
             let holders = self.holders(name);
-            let (least, most, demand) = match self.declared_share(name) {
+            let (least, most, demand) = match self.declared_range(name) {
                 Some((least, most)) => (least, most, self.demand(name)),
                 None if self.input.config.models.contains_key(&name.0) => {
-                    let least = self.least_replaced(name).min(holders);
+                    let least = self.min_replaced_engines(name).min(holders);
                     (least, least, 0.0)
                 }
                 None => (holders, holders, 0.0),
@@ -112,11 +108,11 @@
                 max_engines: most,
             }
         };
-        self.names.iter().map(want).collect()
+        self.names.iter().map(to_demand).collect()
     }
 
     /// The fewest and the most engines that a declared version shall have.
-    fn declared_share(&self, (model, version): &VersionName) -> Option<(usize, usize)> {
+    fn declared_range(&self, (model, version): &VersionName) -> Option<(usize, usize)> {
         let entry = self.input.config.models.get(model)?;
         let share = *entry.versions.get(version)?;
         let part = |count: u32| ((count * share).div_ceil(100) as usize).max(1);
@@ -125,22 +121,22 @@
 
     /// The fewest engines that keep a version which is no longer declared: as many as the declared
     /// ones still lack, but for one step, so that a rollout taken back halfway finds it in place.
-    fn least_replaced(&self, (model, _): &VersionName) -> usize {
+    fn min_replaced_engines(&self, (model, _): &VersionName) -> usize {
         let Some(entry) = self.input.config.models.get(model) else {
             return 0;
         };
-        let open = self.input.engines.iter().filter(|engine| engine.open);
+        let open = self.input.engines.iter().filter(|engine| engine.takes_work);
         let names = entry
             .versions
             .keys()
             .map(|version| (model.clone(), version.clone()));
         let names: Vec<VersionName> = names.collect();
-        let needed = names.iter().filter_map(|name| self.declared_share(name));
+        let needed = names.iter().filter_map(|name| self.declared_range(name));
         let needed = needed.map(|(least, _)| least).sum::<usize>();
         let needed = needed.min(open.clone().count());
         let ready = open.filter(|engine| names.iter().any(|name| is_seen(engine, name)));
         let lacking = needed.saturating_sub(ready.count());
-        lacking.saturating_sub(ROLL_STEP)
+        lacking.saturating_sub(ROLLOUT_STEP_ENGINES)
     }
 
     /// Requests at work on a version and those that were refused. An engine's load counts in equal
@@ -163,44 +159,52 @@
     }
 
     fn holders(&self, name: &VersionName) -> usize {
-        let pairs = self.input.engines.iter().zip(&self.holds);
+        let pairs = self.input.engines.iter().zip(&self.held);
         pairs
-            .filter(|(engine, holds)| engine.open && holds.contains(name))
+            .filter(|(engine, versions)| engine.takes_work && versions.contains(name))
             .count()
     }
 
     /// Loads that are planned and not yet seen.
-    fn under_way(&self) -> usize {
-        let pairs = self.input.engines.iter().zip(&self.holds);
+    fn loads_in_flight(&self) -> usize {
+        let pairs = self.input.engines.iter().zip(&self.held);
         pairs
-            .map(|(engine, holds)| holds.iter().filter(|name| !is_seen(engine, name)).count())
+            .map(|(engine, versions)| {
+                versions
+                    .iter()
+                    .filter(|name| !is_seen(engine, name))
+                    .count()
+            })
             .sum()
     }
 
-    fn place(&self, wants: &[OfferDemand]) -> PlacementPlan {
-        let pairs = self.input.engines.iter().zip(&self.holds);
-        let engines = pairs.map(|(engine, holds)| EngineSnapshot {
+    fn placement(&self, demands: &[OfferDemand]) -> PlacementPlan {
+        let pairs = self.input.engines.iter().zip(&self.held);
+        let engines = pairs.map(|(engine, versions)| EngineSnapshot {
             id: EndpointId::from_name(&engine.name),
             zone: ZoneKey::from_name(&engine.zone),
             capacity: engine.capacity,
-            max_offers: self.input.room,
-            offers: holds.iter().map(key_of).collect(),
-            takes_work: engine.open,
+            max_offers: self.input.max_offers,
+            offers: versions.iter().map(key_of).collect(),
+            takes_work: engine.takes_work,
         });
         let input = PlacementInput {
-            demands: wants.to_vec(),
+            demands: demands.to_vec(),
             engines: engines.collect(),
-            max_loads: self.input.loads_at_once.saturating_sub(self.under_way()),
+            max_loads: self
+                .input
+                .loads_at_once
+                .saturating_sub(self.loads_in_flight()),
         };
         PlacementPlan::compute(&input, &PlacementSettings::default())
     }
 
     /// Targets that differ from the plan so far.
     fn changes(&self, placement: &PlacementPlan) -> Vec<(String, Option<EngineTarget>)> {
-        let pairs = self.input.engines.iter().zip(&self.holds);
-        let targets = pairs.filter_map(|(engine, holds)| {
-            let holds = self.after(engine, holds, placement);
-            Some((engine.name.clone(), self.target(engine, &holds)?))
+        let pairs = self.input.engines.iter().zip(&self.held);
+        let targets = pairs.filter_map(|(engine, versions)| {
+            let versions = self.held_after(engine, versions, placement);
+            Some((engine.name.clone(), self.target(engine, &versions)?))
         });
         targets
             .filter(|(name, target)| self.input.plan.target(name) != Some(target))
@@ -209,32 +213,39 @@
     }
 
     /// What an engine holds after the placement's orders.
-    fn after(
+    fn held_after(
         &self,
         engine: &EngineView,
-        holds: &BTreeSet<VersionName>,
+        versions: &BTreeSet<VersionName>,
         placement: &PlacementPlan,
     ) -> BTreeSet<VersionName> {
         let id = EndpointId::from_name(&engine.name);
-        let mut holds = holds.clone();
+        let mut versions = versions.clone();
         for order in placement.unloads.iter().filter(|order| order.engine == id) {
-            holds.retain(|name| key_of(name) != order.offer);
+            versions.retain(|name| key_of(name) != order.offer);
         }
         let loads = placement.loads.iter().filter(|order| order.engine == id);
-        holds.extend(loads.filter_map(|order| self.names.get(&order.offer).cloned()));
-        holds
+        versions.extend(loads.filter_map(|order| self.names.get(&order.offer).cloned()));
+        versions
     }
 
     /// The target of an engine that shall hold `holds`; none where nothing declared is about it.
-    fn target(&self, engine: &EngineView, holds: &BTreeSet<VersionName>) -> Option<EngineTarget> {
+    fn target(
+        &self,
+        engine: &EngineView,
+        versions: &BTreeSet<VersionName>,
+    ) -> Option<EngineTarget> {
         let former = self.input.plan.target(&engine.name);
         let models = &self.input.config.models;
-        let concerns = holds.iter().any(|(model, _)| models.contains_key(model));
+        let concerns = versions.iter().any(|(model, _)| models.contains_key(model));
         if former.is_none() && !concerns && !engine.drained {
             return None;
         }
         Some(EngineTarget {
-            models: holds.iter().map(|name| self.offer(engine, name)).collect(),
+            models: versions
+                .iter()
+                .map(|name| self.offer(engine, name))
+                .collect(),
             role: former.map(|target| target.role).unwrap_or_default(),
             drain: engine.drained,
         })
@@ -259,22 +270,26 @@
     }
 
     /// How much each engine's loads are needed: what no engine serves first, then the fullest.
-    fn urgencies(&self, wants: &[OfferDemand], placement: &PlacementPlan) -> BTreeMap<String, u32> {
+    fn urgencies(
+        &self,
+        demands: &[OfferDemand],
+        placement: &PlacementPlan,
+    ) -> BTreeMap<String, u32> {
         let need = |name: &VersionName| {
             let serving = self.input.engines.iter();
-            let serving = serving.filter(|engine| engine.open && is_seen(engine, name));
+            let serving = serving.filter(|engine| engine.takes_work && is_seen(engine, name));
             let capacity: f64 = serving.map(|engine| f64::from(engine.capacity)).sum();
-            let want = wants.iter().find(|want| want.offer == key_of(name));
-            match (capacity > 0.0, want) {
-                (false, _) => MOST_URGENT,
-                (true, Some(want)) => (1000.0 * want.demand / capacity) as u32,
+            let demand = demands.iter().find(|demand| demand.offer == key_of(name));
+            match (capacity > 0.0, demand) {
+                (false, _) => MAX_URGENCY,
+                (true, Some(demand)) => (1000.0 * demand.demand / capacity) as u32,
                 (true, None) => 0,
             }
         };
-        let pairs = self.input.engines.iter().zip(&self.holds);
-        let urgency = pairs.map(|(engine, holds)| {
-            let holds = self.after(engine, holds, placement);
-            let loads = holds.iter().filter(|name| !is_seen(engine, name));
+        let pairs = self.input.engines.iter().zip(&self.held);
+        let urgency = pairs.map(|(engine, versions)| {
+            let versions = self.held_after(engine, versions, placement);
+            let loads = versions.iter().filter(|name| !is_seen(engine, name));
             (engine.name.clone(), loads.map(need).max().unwrap_or(0))
         });
         urgency.collect()
@@ -285,7 +300,7 @@
 ///
 /// What is held and was never declared stays; what the plan holds and is no longer declared does
 /// not.
-fn held(input: &TargetInput<'_>, engine: &EngineView) -> BTreeSet<VersionName> {
+fn held_versions(input: &TargetInput<'_>, engine: &EngineView) -> BTreeSet<VersionName> {
     let models = &input.config.models;
     let is_ours = |offer: &&ModelOffer| models.contains_key(&offer.model);
     let is_foreign = |offer: &&ModelOffer| {
--- a/crates/ragwortroad_node/src/request/ended_attempts.rs
+++ b/crates/ragwortroad_node/src/request/ended_attempts.rs
@@ -29,7 +29,7 @@
 }
 
 /// How long an ended attempt is remembered; a retry follows at once.
-const MEMORY: Duration = Duration::from_secs(30);
+const ENDED_ATTEMPT_TTL: Duration = Duration::from_secs(30);
 
 impl EndedAttempts {
     /// Notes an end.
@@ -39,7 +39,7 @@
         while self
             .order
             .front()
-            .is_some_and(|(ended, _)| now.since(*ended) > MEMORY)
+            .is_some_and(|(ended, _)| now.since(*ended) > ENDED_ATTEMPT_TTL)
         {
             if let Some((_, old)) = self.order.pop_front() {
                 self.attempts.remove(&old);
--- a/crates/ragwortroad_node/src/request/mod.rs
+++ b/crates/ragwortroad_node/src/request/mod.rs
@@ -1,7 +1,7 @@
 //! Requests between their admission call and their finish.
 
-pub(crate) mod claim_desk;
+pub(crate) mod claim_queue;
 pub(crate) mod ended_attempts;
-pub(crate) mod request_plan;
+pub(crate) mod pending_attempt;
 pub(crate) mod ticket_table;
 pub(crate) mod wait_table;
--- a/crates/ragwortroad_node/src/request/request_plan.rs
+++ b/crates/ragwortroad_node/src/request/pending_attempt.rs
@@ -5,7 +5,7 @@
 
 /// One attempt that was let in and looks for a place.
 #[derive(Debug)]
-pub(crate) struct RequestPlan {
+pub(crate) struct PendingAttempt {
     /// The call as the traffic thread made it.
     pub(crate) call: AdmitCall,
     /// Where the reply goes.
--- a/crates/ragwortroad_node/src/request/ticket_table.rs
+++ b/crates/ragwortroad_node/src/request/ticket_table.rs
@@ -4,7 +4,7 @@
 use ragwortroad_routing::prelude::*;
 use ragwortroad_types::prelude::*;
 
-use crate::request::request_plan::HeldClaim;
+use crate::request::pending_attempt::HeldClaim;
 
 /// Attempts under way, by their tickets.
 #[derive(Debug, Default)]
@@ -40,9 +40,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeldSlot {
     /// Granted here.
-    Own(SlotId),
+    Local(SlotId),
     /// Granted by another node.
-    Foreign {
+    Remote {
         /// The home.
         home: NodeId,
         /// The question it was granted for.
--- a/crates/ragwortroad_node/src/request/wait_table.rs
+++ b/crates/ragwortroad_node/src/request/wait_table.rs
@@ -2,7 +2,7 @@
 
 use ragwortroad_types::prelude::*;
 
-use crate::request::request_plan::RequestPlan;
+use crate::request::pending_attempt::PendingAttempt;
 
 /// Attempts that wait for another node's answer, by the number of their question.
 ///
@@ -11,7 +11,7 @@
 pub(crate) struct WaitTable {
     slots: BTreeMap<u64, SlotWait>,
     /// Attempts held until a place that is worth it may have room, by when to look again.
-    held: BTreeMap<(ClockTime, u64), RequestPlan>,
+    held: BTreeMap<(ClockTime, u64), PendingAttempt>,
     next_held: u64,
 }
 
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(crate) struct SlotWait {
     /// The attempt.
-    pub(crate) plan: RequestPlan,
+    pub(crate) attempt: PendingAttempt,
     /// The endpoint asked for.
     pub(crate) endpoint: EndpointId,
     /// The home that was asked.
@@ -44,7 +44,7 @@
     }
 
     /// Ends all waits that began before `limit`, and those for homes that `is_gone`.
-    pub(crate) fn overdue(
+    pub(crate) fn take_overdue(
         &mut self,
         limit: ClockTime,
         is_gone: impl Fn(NodeId) -> bool,
@@ -61,9 +61,9 @@
     }
 
     /// Holds an attempt until `due`.
-    pub(crate) fn hold(&mut self, plan: RequestPlan, due: ClockTime) {
+    pub(crate) fn hold(&mut self, attempt: PendingAttempt, due: ClockTime) {
         self.next_held += 1;
-        self.held.insert((due, self.next_held), plan);
+        self.held.insert((due, self.next_held), attempt);
     }
 
     /// When the next held attempt is due.
@@ -72,7 +72,7 @@
     }
 
     /// Held attempts whose time has come, in that order.
-    pub(crate) fn due(&mut self, now: ClockTime) -> Vec<RequestPlan> {
+    pub(crate) fn take_due(&mut self, now: ClockTime) -> Vec<PendingAttempt> {
         let later = self.held.split_off(&(ClockTime(now.0 + 1), 0));
         let due = std::mem::replace(&mut self.held, later);
         due.into_values().collect()
--- a/crates/ragwortroad_node/src/slot/release_queue.rs
+++ b/crates/ragwortroad_node/src/slot/release_queue.rs
@@ -14,12 +14,12 @@
 /// confirms it or the home itself is gone.
 #[derive(Debug, Default)]
 pub(crate) struct ReleaseQueue {
-    waiting: BTreeMap<u64, OpenRelease>,
+    pending: BTreeMap<u64, PendingRelease>,
 }
 
 /// One unconfirmed release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct OpenRelease {
+pub(crate) struct PendingRelease {
     /// The home that granted the slot.
     pub(crate) home: NodeId,
     /// The endpoint.
@@ -31,32 +31,32 @@
 }
 
 /// Time between two sends of one release.
-const REPEAT_AFTER: Duration = Duration::from_secs(1);
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
 impl ReleaseQueue {
     /// Notes a release that is being sent now.
-    pub(crate) fn add(&mut self, question: u64, release: OpenRelease) {
-        self.waiting.insert(question, release);
+    pub(crate) fn add(&mut self, question: u64, release: PendingRelease) {
+        self.pending.insert(question, release);
     }
 
     /// The home confirmed it.
     pub(crate) fn confirm(&mut self, home: NodeId, question: u64) {
-        let held = self.waiting.get(&question);
+        let held = self.pending.get(&question);
         if held.is_some_and(|release| release.home == home) {
-            self.waiting.remove(&question);
+            self.pending.remove(&question);
         }
     }
 
     /// A home is gone, and its counts with it.
-    pub(crate) fn node_gone(&mut self, node: NodeId) {
-        self.waiting.retain(|_, release| release.home != node);
+    pub(crate) fn remove_node(&mut self, node: NodeId) {
+        self.pending.retain(|_, release| release.home != node);
     }
 
     /// Releases to be sent again now.
-    pub(crate) fn due(&mut self, now: ClockTime) -> Vec<(u64, OpenRelease)> {
+    pub(crate) fn take_due(&mut self, now: ClockTime) -> Vec<(u64, PendingRelease)> {
         let mut due = Vec::new();
-        for (question, release) in &mut self.waiting {
-            if now.since(release.sent) >= REPEAT_AFTER {
+        for (question, release) in &mut self.pending {
+            if now.since(release.sent) >= RESEND_INTERVAL {
                 release.sent = now;
                 due.push((*question, *release));
             }
@@ -66,6 +66,6 @@
 
     /// Releases that no home has confirmed yet.
     pub(crate) fn len(&self) -> usize {
-        self.waiting.len()
+        self.pending.len()
     }
 }
--- a/crates/ragwortroad_node/src/wire/slot_message.rs
+++ b/crates/ragwortroad_node/src/wire/slot_message.rs
@@ -24,7 +24,7 @@
         /// The customer's key in the route table.
         customer: u64,
         /// What the request has to lose by going elsewhere.
-        claim: AskClaim,
+        claim: AskClass,
         /// The request, for the time line.
         request: RequestId,
         /// Differs between runs of the asker's process.
@@ -61,7 +61,7 @@
 /// A [`SlotClaim`] on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub(crate) enum AskClaim {
+pub(crate) enum AskClass {
     /// One endpoint is as good as another.
     Arriving,
     /// Its context is at the endpoint.
@@ -70,7 +70,7 @@
     Starved,
 }
 
-impl From<AdmissionClass> for AskClaim {
+impl From<AdmissionClass> for AskClass {
     fn from(claim: AdmissionClass) -> Self {
         match claim {
             AdmissionClass::Arriving => Self::Arriving,
@@ -80,12 +80,12 @@
     }
 }
 
-impl From<AskClaim> for AdmissionClass {
-    fn from(claim: AskClaim) -> Self {
+impl From<AskClass> for AdmissionClass {
+    fn from(claim: AskClass) -> Self {
         match claim {
-            AskClaim::Arriving => Self::Arriving,
-            AskClaim::Returning => Self::Returning,
-            AskClaim::Starved => Self::Starved,
+            AskClass::Arriving => Self::Arriving,
+            AskClass::Returning => Self::Returning,
+            AskClass::Starved => Self::Starved,
         }
     }
 }
