--- a/crates/ragwortroad_node/src/byte_counts.rs
+++ b/crates/ragwortroad_node/src/byte_counts.rs
@@ -3,8 +3,8 @@
     Ordering, //
 };
 
-/// Bytes between this node and others, written by the control thread and read by who owns the
-/// process.
+/// Bytes sent to and received from other nodes. The control thread writes them; the owner of the
+/// [`NodeProcess`](crate::NodeProcess) reads them.
 #[derive(Debug, Default)]
 pub(crate) struct ByteCounts {
     sent: AtomicU64,
@@ -12,13 +12,13 @@
 }
 
 impl ByteCounts {
-    /// Takes over both counts.
+    /// Replaces both counts.
     pub(crate) fn write(&self, sent: u64, received: u64) {
         self.sent.store(sent, Ordering::Relaxed);
         self.received.store(received, Ordering::Relaxed);
     }
 
-    /// Sent and received.
+    /// Returns the bytes sent and the bytes received.
     pub(crate) fn read(&self) -> (u64, u64) {
         let sent = self.sent.load(Ordering::Relaxed);
         (sent, self.received.load(Ordering::Relaxed))
--- a/crates/ragwortroad_node/src/control/address_flow.rs
+++ b/crates/ragwortroad_node/src/control/address_flow.rs
@@ -1,4 +1,4 @@
-//! Which addresses a caller should use.
+//! Selects the node addresses that a caller should connect to.
 
 use std::time::Duration;
 
@@ -11,17 +11,16 @@
     control_state::ControlState, //
 };
 
-/// Addresses in one answer.
 const MAX_ADDRESSES: usize = 3;
 
-/// How long a caller may keep an answer.
+/// How long a caller may cache the addresses.
 ///
-/// Longer answers save questions; shorter ones bring callers sooner to the home of a chat that
-/// moved. A stale answer costs one message between nodes a request, never correctness.
+/// A longer time saves lookups; a shorter one moves callers sooner when a chat gets another home. A
+/// stale address costs one extra message between nodes for each request, but never correctness.
 const ADDRESS_TTL: Duration = Duration::from_secs(30);
 
 impl ControlState {
-    /// Answers a caller's question for addresses.
+    /// Returns the addresses for a caller, the preferred one first.
     pub(crate) fn addresses(
         &mut self,
         call: &AddressCall,
@@ -29,7 +28,8 @@
     ) -> Result<AddressAnswer, RefusalWire> {
         let request = RequestId(self.next_random());
         let Some((customer, _)) = self.follower.customer_of(call.key_hash) else {
-            // A node that has no configuration yet knows no customer; others may.
+            // A node that has not received its configuration yet knows no customers; other nodes
+            // may.
             let refusal = match self.follower.guard.may_admit(now) {
                 Ok(()) => AdmitRefusal::not_run(RefusalCode::WrongKey, "no customer has this key"),
                 Err(reason) => AdmitRefusal::not_run(RefusalCode::NotCurrent, reason.to_string()),
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Addresses of other nodes that take requests, for a refusal.
+    /// Returns the addresses of other nodes that take requests, to be sent with a refusal.
     pub(crate) fn other_addresses(&self) -> Vec<String> {
         let nodes = self.available_nodes();
         let others = nodes.into_iter().filter(|node| *node != self.node);
--- a/crates/ragwortroad_node/src/control/admit_flow.rs
+++ b/crates/ragwortroad_node/src/control/admit_flow.rs
@@ -1,4 +1,4 @@
-//! Letting a request in: who asks, for what, and whether within its limits.
+//! Admission: authenticates the caller, resolves the target, and checks limits and retries.
 
 use std::time::Duration;
 
@@ -20,16 +20,16 @@
     }, //
 };
 
-/// Tokens that a request without a limit of its own is taken to generate.
+/// Output tokens assumed for a request that sets no token limit.
 const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
-/// Bytes of prompt text that make about one token.
+/// Approximate bytes of prompt text in one token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// How long a caller waits before it asks a node again that could not confirm its configuration.
+/// Retry delay sent to a caller when this node can't confirm that its configuration is current.
 const NOT_CURRENT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A refusal before it has the request's identity.
+/// A refusal that doesn't carry its request's id yet.
 pub(crate) struct AdmitRefusal {
     pub(crate) outcome: RequestOutcome,
     pub(crate) code: RefusalCode,
@@ -38,7 +38,7 @@
 }
 
 impl AdmitRefusal {
-    /// A refusal of a request of which nothing was sent.
+    /// Creates a refusal of a request of which nothing was sent to an endpoint.
     pub(crate) fn not_run(code: RefusalCode, message: impl Into<String>) -> Self {
         Self {
             outcome: RequestOutcome::NotRun,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The same with a time to wait.
+    /// Sets the delay after which the caller may retry.
     pub(crate) fn after(self, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
@@ -57,7 +57,7 @@
     }
 }
 
-/// What the configuration says of a request.
+/// The target of a request, resolved against the configuration.
 struct ResolvedTarget {
     customer: String,
     offer: OfferKey,
@@ -67,7 +67,7 @@
 }
 
 impl ControlState {
-    /// Serves an admission call.
+    /// Handles an admission call from a traffic thread.
     pub(crate) fn admit(&mut self, call: AdmitCall, reply: Sender<AdmitReply>, now: ClockTime) {
         let request = call.request;
         match self.check_call(call, &reply, now) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether this node takes work in at all.
+    /// Returns an error while this node may not admit requests.
     pub(crate) fn check_admits(&self, now: ClockTime) -> Result<(), AdmitRefusal> {
         if self.draining {
             let message = "this node is shutting down";
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Checks a call and charges the customer's limit for it.
+    /// Validates a call and charges it to the customer's limit.
     fn check_call(
         &mut self,
         call: AdmitCall,
@@ -152,7 +152,8 @@
         Ok(attempt)
     }
 
-    /// Claims the request's key first, where it must not run twice, and then looks for a place.
+    /// Places an attempt; one that must not run twice first waits for a claim on its idempotency
+    /// key.
     fn start_attempt(&mut self, attempt: PendingAttempt, now: ClockTime) {
         match &attempt.claim {
             Some(claim) => {
@@ -169,7 +170,7 @@
         Some(ChatKey::from_parts(customer, chat))
     }
 
-    /// Who asks and what for, by the configuration in force.
+    /// Resolves the customer and the target of a call with the configuration in force.
     fn resolve_target(
         &mut self,
         call: &AdmitCall,
@@ -220,7 +221,8 @@
         }
     }
 
-    /// The version that a chat is served by: the one it has, while that is declared.
+    /// Returns the model version for a request. A chat keeps its version as long as that version is
+    /// declared.
     fn version_for(
         &mut self,
         model: &str,
@@ -241,7 +243,7 @@
         Ok(version)
     }
 
-    /// Whether a call that follows a failed attempt may be made at all.
+    /// Returns an error if the call retries a failed attempt that may not be retried.
     fn check_retry(&mut self, call: &AdmitCall, idempotent: bool) -> Result<(), AdmitRefusal> {
         let Some(ticket) = call.retry_of else {
             self.retry_budget.record_first_attempt();
@@ -272,7 +274,8 @@
         })
     }
 
-    /// The claim that a request needs before its first byte leaves.
+    /// Builds the claim that a request with an idempotency key must hold before its first byte is
+    /// sent. `None` for idempotent requests and for those without a key.
     fn build_claim(&mut self, facts: &ResolvedTarget, call: &AdmitCall) -> Option<HeldClaim> {
         if facts.idempotent {
             return None;
@@ -281,8 +284,8 @@
         let service = facts.service.as_deref()?;
         let mut body = [0; 16];
         body.copy_from_slice(&call.body_hash[..16]);
-        // A name of its own for each attempt: one that was released is never granted again, and a
-        // retry after a refused connection must be.
+        // Each attempt gets an id of its own: a released claim is never granted again under the
+        // same id, and a retry after a refused connection needs a new grant.
         let attempt = ClaimAttempt {
             node: self.node,
             request: RequestId(self.next_random()),
@@ -294,7 +297,8 @@
         })
     }
 
-    /// The refusal as the caller sees it, with other addresses where they help.
+    /// Converts a refusal to the form sent to the caller. Adds the addresses of other nodes if the
+    /// refusal concerns only this node.
     pub(crate) fn refusal_wire(&self, request: RequestId, refusal: AdmitRefusal) -> RefusalWire {
         let AdmitRefusal {
             outcome,
@@ -310,7 +314,7 @@
         wire
     }
 
-    /// Refuses an attempt that was let in, and takes back what it holds.
+    /// Refuses an admitted attempt, and releases its limit charge and its claim.
     pub(crate) fn refuse_attempt(&mut self, attempt: PendingAttempt, refusal: AdmitRefusal) {
         self.limiter.finish(attempt.customer_key, attempt.tokens, 0);
         self.refused.note(attempt.offer, refusal.code);
@@ -324,7 +328,7 @@
     }
 }
 
-/// Tokens a request is taken to cost.
+/// Estimates the tokens to charge for a request.
 fn estimated_tokens(call: &AdmitCall) -> u32 {
     if matches!(call.target, RequestTarget::Service { .. }) {
         return 0;
@@ -333,7 +337,7 @@
     prompt.saturating_add(call.token_limit.unwrap_or(DEFAULT_OUTPUT_TOKENS))
 }
 
-/// Prefix keys of a model request's prompt.
+/// Returns the prefix keys of a model request's prompt; none for a service request.
 fn prompt_prefixes(facts: &ResolvedTarget, call: &AdmitCall) -> Vec<PrefixKey> {
     match &call.target {
         RequestTarget::Model { model, .. } => prefix_chain(&facts.customer, model, &call.prompt),
--- a/crates/ragwortroad_node/src/control/claim_flow.rs
+++ b/crates/ragwortroad_node/src/control/claim_flow.rs
@@ -1,4 +1,5 @@
-//! Claims of requests that must not run twice: asked of the leader, granted by the log.
+//! Claims on idempotency keys, for requests that must not run twice. Nodes send claim steps to the
+//! leader, which commits them through the replicated log.
 
 use std::time::Duration;
 
@@ -27,14 +28,14 @@
     }, //
 };
 
-/// How long a request waits for its claim before it is refused as not run.
+/// How long an attempt waits for its claim before it is refused as not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time a caller waits before it asks again with the same key.
+/// Retry delay sent to a caller whose idempotency key may still be granted or completed.
 const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl ControlState {
-    /// Sends claim steps that are due to the leader.
+    /// Sends new and unanswered claim steps to the leader.
     pub(crate) fn send_claims(&mut self, now: ClockTime) {
         let Some(leader) = self.leader() else {
             return;
@@ -49,7 +50,8 @@
         }
     }
 
-    /// Takes in a node's claim steps, as the leader.
+    /// Queues another node's claim steps for the log if this node leads; otherwise names the
+    /// leader.
     pub(crate) fn handle_claims(
         &mut self,
         node: NodeId,
@@ -81,7 +83,7 @@
         context.claims.push((entry, steps));
     }
 
-    /// Whether a request waits for a claim among the steps that were not proposed yet.
+    /// Whether a request waits for a claim among the steps that haven't been proposed yet.
     pub(crate) fn claims_are_urgent(&self) -> bool {
         let context = self
             .replica
@@ -92,7 +94,7 @@
         steps.any(|step| matches!(step, ClaimStep::Claim { .. }))
     }
 
-    /// Proposes all claim steps of this round as one command.
+    /// Proposes all queued claim steps as one command.
     pub(crate) fn propose_claims(&mut self, now: ClockTime) {
         let wall_ms = self.clock.wall_ms();
         let Some(replica) = &mut self.replica else {
@@ -114,7 +116,7 @@
         self.run_core_actions(actions, now);
     }
 
-    /// Hands the outcomes of a committed command to the nodes whose steps it held.
+    /// Sends the outcomes of a committed command to the nodes that sent its steps.
     pub(crate) fn answer_claims(
         &mut self,
         batches: Vec<ClaimBatch>,
@@ -136,7 +138,7 @@
         }
     }
 
-    /// The leader answered a batch of this node.
+    /// Handles the leader's outcomes for one batch of claim steps.
     pub(crate) fn handle_claim_outcomes(
         &mut self,
         batch: u64,
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Goes on with an attempt whose claim was decided.
+    /// Continues or refuses an attempt according to the outcome of its claim.
     fn handle_claim_outcome(
         &mut self,
         attempt: PendingAttempt,
@@ -159,7 +161,7 @@
             ClaimOutcome::Granted => {
                 self.record_attempt_event(EventKind::ClaimMade, &attempt, String::new());
                 match self.check_admits(now) {
-                    // The node may have lost its leave to admit while the claim was under way.
+                    // The node may have lost its right to admit while the claim was in flight.
                     Ok(()) => self.place_attempt(attempt, now),
                     Err(refusal) => self.refuse_attempt(attempt, refusal),
                 }
@@ -180,8 +182,8 @@
                     .refusal()
                     .unwrap_or((RequestOutcome::Unknown, RefusalCode::InternalFault));
                 self.limiter.finish(attempt.customer_key, attempt.tokens, 0);
-                // Waiting helps only where the key's outcome can still change; a caller told to wait
-                // with a key that is spent would come back for ever.
+                // A retry helps only while the key's outcome can still change; with a retry delay
+                // for a spent key the caller would retry forever.
                 let may_change = matches!(
                     code,
                     RefusalCode::KeyInProgress | RefusalCode::ClaimUnavailable
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Refuses requests whose claim is not answered in time; nothing of them was sent.
+    /// Refuses attempts whose claim was not answered in time; nothing of them was sent.
     pub(crate) fn tick_claims(&mut self, now: ClockTime) {
         for attempt in self.claims.take_expired(now.before(CLAIM_TIMEOUT)) {
             let message = "the claim could not be made durable in time";
@@ -210,7 +212,7 @@
     }
 }
 
-/// What a caller is told whose claim was not granted.
+/// Returns the refusal message for a claim that was not granted.
 fn claim_text(outcome: &ClaimOutcome) -> String {
     match outcome {
         ClaimOutcome::InProgress => "a request with this key is running".to_owned(),
--- a/crates/ragwortroad_node/src/control/config_follower.rs
+++ b/crates/ragwortroad_node/src/control/config_follower.rs
@@ -4,31 +4,30 @@
 use ragwortroad_state::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// A node's part in following the configuration.
+/// The configuration in force at this node, and the state of the protocol that keeps it current.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigFollower {
-    /// The configuration in force here.
     pub(crate) config: FleetConfig,
-    /// Whose key is whose, by that configuration.
+    /// Owners of the API keys in `config`.
     pub(crate) keys: KeyIndex,
-    /// The leave to admit work with it.
+    /// Decides whether this node may admit requests under `config`.
     pub(crate) guard: CurrencyGuard,
-    /// Who answered as the leader last.
+    /// The node that last answered as the leader.
     pub(crate) leader: Option<NodeId>,
-    /// Versions that chats were served by.
+    /// The model versions that recently served each chat.
     pub(crate) versions: VersionMemory,
-    /// When this node asked last.
+    /// When this node last asked whether its configuration is current.
     pub(crate) last_asked: ClockTime,
-    /// When the leader confirmed last.
+    /// When the leader last confirmed the configuration; zero before the first time.
     pub(crate) last_confirmed: ClockTime,
-    /// Whether this node could admit work when that was last looked at.
+    /// Whether this node could admit requests at the last check.
     pub(crate) admits: bool,
-    /// The last update could not be followed; the next one must be whole.
+    /// Set when an update could not be applied; the next one must hold the full configuration.
     pub(crate) needs_full_config: bool,
 }
 
 impl ConfigFollower {
-    /// The customer that a key belongs to.
+    /// Returns the customer that owns an API key.
     pub(crate) fn customer_of(&self, key: [u8; 32]) -> Option<(&str, &CustomerEntry)> {
         let Some(KeyOwner::Customer(name)) = self.keys.owner(&KeyHash(key)) else {
             return None;
@@ -37,7 +36,8 @@
         Some((name, entry))
     }
 
-    /// The declared versions of a model, the one that is being rolled out last.
+    /// Returns the declared versions of a model with their weights; the version that is being
+    /// rolled out comes last.
     pub(crate) fn version_plan(&self, model: &str) -> Option<VersionPlan> {
         let entry = self.config.models.get(model)?;
         let rolling = entry.rolling_to.as_deref();
@@ -48,14 +48,14 @@
     }
 }
 
-/// Chats whose version is remembered, in each of two generations.
+/// Maximum number of chats in each of the two generations.
 const MAX_GENERATION_CHATS: usize = 32 * 1024;
 
-/// Which version each chat was served by lately.
+/// Remembers which model version recently served each chat.
 ///
-/// A chat that changes its version in the middle of a conversation changes its tone and loses its
-/// cached prefix. Chats return to the same few nodes, so a node's own memory holds most of them;
-/// the oldest half is dropped when the newer half is full.
+/// A version change in the middle of a conversation changes its tone and loses the cached prefix.
+/// Chats return to the same few nodes, so a memory local to the node covers most of them. When the
+/// newer generation is full, it replaces the older one, whose entries are dropped.
 #[derive(Debug, Default)]
 pub(crate) struct VersionMemory {
     newer: HashMap<(ChatKey, u64), Box<str>>,
@@ -63,14 +63,14 @@
 }
 
 impl VersionMemory {
-    /// The version that served `chat` with `model`.
+    /// Returns the version that served `chat` with `model`.
     pub(crate) fn get(&self, chat: ChatKey, model: &str) -> Option<String> {
         let key = (chat, OfferKey::model(model, "", None).0);
         let version = self.newer.get(&key).or_else(|| self.older.get(&key))?;
         Some(version.to_string())
     }
 
-    /// Notes the version that serves `chat`.
+    /// Records the version that serves `chat` with `model`.
     pub(crate) fn put(&mut self, chat: ChatKey, model: &str, version: &str) {
         let key = (chat, OfferKey::model(model, "", None).0);
         if self.newer.len() >= MAX_GENERATION_CHATS {
--- a/crates/ragwortroad_node/src/control/control_inbox.rs
+++ b/crates/ragwortroad_node/src/control/control_inbox.rs
@@ -14,67 +14,62 @@
 
 use crate::disk_worker::DiskReport;
 
-/// Everything that reaches the control thread.
+/// The channels that feed the control thread.
 #[derive(Debug)]
 pub(crate) struct ControlInbox {
-    /// Calls of traffic threads.
+    /// Calls from traffic threads.
     pub(crate) calls: Receiver<ControlCall>,
-    /// Messages of other nodes.
+    /// Messages from other nodes.
     pub(crate) peers: Receiver<PeerEvent>,
-    /// Reports of the disk thread; only members have one.
+    /// Reports from the disk thread; only members have one.
     pub(crate) disk: Option<Receiver<DiskReport>>,
-    /// Orders of the supervisor.
+    /// Commands from the supervisor.
     pub(crate) commands: Receiver<SupervisorCommand>,
 }
 
-/// What the supervisor wants of the control thread.
+/// A command from the supervisor to the control thread.
 #[derive(Debug)]
 pub(crate) enum SupervisorCommand {
-    /// Stop taking work and endpoints, and tell the others.
+    /// Stop taking requests and endpoints, and announce it to the other nodes.
     Drain,
-    /// End the thread; all traffic has ended.
+    /// End the thread; sent after all traffic has ended.
     Stop,
-    /// End the thread as a killed process would: send nothing more, to nobody.
+    /// End the thread as a killed process would, without sending anything.
     Crash,
-    /// Do nothing until the other end is dropped, as a process does that gets no processor.
+    /// Block until the other end is dropped, like a process that gets no CPU time.
     Freeze(Receiver<()>),
-    /// Answer a page that a traffic thread serves.
+    /// Return this node's timeline to a traffic thread.
     Timeline(TimelineCall),
 }
 
-/// A page that is made of control state.
+/// A request for this node's timeline, made by a traffic thread.
 #[derive(Debug)]
 pub(crate) struct TimelineCall {
-    /// SHA-256 of the operator's key.
     pub(crate) key_hash: [u8; 32],
-    /// Which events are wanted.
+    /// Selects the events to return.
     pub(crate) filter: EventFilter,
-    /// Where the page goes; nothing goes there where the key is wrong.
+    /// Receives the page, or `None` if no operator has this key.
     pub(crate) reply: flume::Sender<Option<String>>,
 }
 
-/// How long a closed channel keeps the thread from looking at the others.
+/// Longest sleep after a closed channel was selected.
 const CLOSED_CHANNEL_SLEEP: Duration = Duration::from_millis(5);
 
-/// One event for the control thread.
+/// An event for the control thread.
 #[derive(Debug)]
 pub(crate) enum ControlEvent {
-    /// A traffic thread calls.
     Call(Box<ControlCall>),
-    /// Another node says something.
+    /// A message from another node, or the loss of its connection.
     Peer(PeerEvent),
-    /// The disk thread reports.
     Disk(DiskReport),
-    /// The supervisor wants something.
     Supervisor(SupervisorCommand),
 }
 
 impl ControlInbox {
-    /// The next event, or nothing after `patience`.
+    /// Returns the next event, or `None` after `patience`.
     ///
-    /// A closed channel is always ready and never has an event. Selected again and again it would
-    /// keep a core busy, which shows as a node that is idle and hot; so the rest of the patience
-    /// is slept through in short steps.
+    /// A closed channel is always ready but never has an event. Selecting it in a loop would keep a
+    /// core busy on an idle node, so the thread sleeps for the rest of `patience` in short steps.
     pub(crate) fn next(&self, patience: Duration) -> Option<ControlEvent> {
         let mut selector = Selector::new()
             .recv(&self.calls, |event| wrap(event, boxed_call))
@@ -95,7 +90,7 @@
         }
     }
 
-    /// An event that is there already.
+    /// Returns an event if one is already queued.
     pub(crate) fn ready(&self) -> Option<ControlEvent> {
         let calls = || self.calls.try_recv().map(boxed_call).ok();
         let peers = || self.peers.try_recv().map(ControlEvent::Peer).ok();
@@ -104,17 +99,18 @@
             disk.try_recv().map(ControlEvent::Disk).ok()
         };
         let commands = || self.commands.try_recv().map(ControlEvent::Supervisor).ok();
-        // What the disk and the supervisor say is rare and holds others up, so it goes first.
+        // Events from the disk thread and the supervisor are rare and block other work, so they go
+        // first.
         disk().or_else(commands).or_else(peers).or_else(calls)
     }
 }
 
-/// A call as an event; boxed, since it is many times the size of the others.
+/// Boxes a call, which is many times the size of the other events.
 fn boxed_call(call: ControlCall) -> ControlEvent {
     ControlEvent::Call(Box::new(call))
 }
 
-/// The event in a received item; a closed channel gives none.
+/// Converts a received item to an event; `None` if its channel is closed.
 fn wrap<T>(
     received: Result<T, RecvError>,
     make: impl FnOnce(T) -> ControlEvent,
--- a/crates/ragwortroad_node/src/control/control_state.rs
+++ b/crates/ragwortroad_node/src/control/control_state.rs
@@ -48,79 +48,75 @@
     }, //
 };
 
-/// All state of one node; owned by its control thread.
+/// All state of one node, owned by its control thread.
 pub(crate) struct ControlState {
-    /// This process's clocks.
     pub(crate) clock: RealClock,
-    /// The process's settings.
     pub(crate) settings: ProcessSettings,
-    /// This node.
     pub(crate) node: NodeId,
     /// Differs between runs of this process.
     pub(crate) incarnation: u64,
-    /// Randomness of this process, seeded once.
+    /// Random number generator, seeded once for each process.
     pub(crate) random: Pcg64,
-    /// Hashes of the secrets in files.
     pub(crate) secrets: NodeSecrets,
-    /// Messages to other nodes.
+    /// Connections to other nodes.
     pub(crate) transport: PeerTransport,
-    /// Which nodes and endpoints there are.
+    /// The nodes and endpoints known through gossip.
     pub(crate) membership: MembershipTable,
-    /// Where requests go.
+    /// Selects an endpoint for each attempt.
     pub(crate) route: RouteTable,
-    /// Placement hints.
+    /// Encodes and decodes placement hints.
     pub(crate) hints: HintCodec,
-    /// Customers' limits.
+    /// Enforces the customers' limits.
     pub(crate) limiter: CustomerLimiter,
-    /// What this node may spend on retries.
+    /// Retries that this node may still make.
     pub(crate) retry_budget: RetryBudget,
-    /// When a failed attempt may be followed by another.
+    /// Decides whether a failed attempt may be retried.
     pub(crate) retry_policy: RetryPolicy,
-    /// The configuration in force here, and the leave to admit work with it.
+    /// The configuration in force, and whether requests may be admitted under it.
     pub(crate) follower: ConfigFollower,
-    /// This node's part in the replicated state.
+    /// Present if this node is a member of the replicated state.
     pub(crate) replica: Option<StateReplica>,
-    /// Attempts under way.
+    /// Attempts in flight.
     pub(crate) tickets: TicketTable,
-    /// Attempts that ended lately.
+    /// Attempts that ended recently.
     pub(crate) ended: EndedAttempts,
-    /// Attempts that wait for a home's answer.
+    /// Attempts that wait for a slot from another node, or for their hold to end.
     pub(crate) waits: WaitTable,
-    /// Claim steps that wait for the leader's answer.
+    /// Claim steps that the leader hasn't answered.
     pub(crate) claims: ClaimQueue,
     /// Slots granted to other nodes.
     pub(crate) grants: GrantTable,
-    /// Slots to be given back to other nodes.
+    /// Releases of slots that other nodes haven't confirmed.
     pub(crate) releases: ReleaseQueue,
-    /// Operators' lines passed on to the leader.
+    /// Operators' lines that were forwarded to the leader.
     pub(crate) lines: LineTable,
-    /// Sends orders to engines; started with the first grant.
+    /// Sends orders to engines; started when this node is first granted the lease for orders.
     pub(crate) orders: Option<OrderWorker>,
-    /// What was refused here for want of room; the leader places models by it.
+    /// Requests refused here for lack of capacity; the leader uses them to place models.
     pub(crate) refused: RefusedDemand,
-    /// Events for the time line.
+    /// Recent events for the timeline.
     pub(crate) events: EventLog,
-    /// No new work is taken in any more.
+    /// Set once a graceful shutdown has begun; no new requests are admitted from then on.
     pub(crate) draining: bool,
-    /// When the slow duties were done last.
+    /// When the once-a-second duties last ran.
     pub(crate) last_slow_tick: ClockTime,
-    /// When this node last introduced its data folder to the other members.
+    /// When this node last sent a hello for its data folder to the other members.
     pub(crate) last_hello: ClockTime,
-    /// Bytes between nodes, for who owns the process.
+    /// Bytes exchanged with other nodes, shared with the owner of the process.
     pub(crate) bytes: Arc<ByteCounts>,
 }
 
 /// How the control thread ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ThreadEnd {
-    /// In good order.
+    /// Orderly: the peers are told.
     Stop,
     /// As if the process were killed.
     Crash,
 }
 
 impl ThreadEnd {
-    /// The end that an event asks for, if it asks for one.
+    /// Returns how `event` ends the thread, or `None` if it doesn't.
     fn of(event: &ControlEvent) -> Option<Self> {
         match event {
             ControlEvent::Supervisor(SupervisorCommand::Stop) => Some(Self::Stop),
@@ -130,17 +126,16 @@
     }
 }
 
-/// Time between two ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two rounds of slow duties.
+/// Interval between two runs of the duties in `tick_second`.
 const SLOW_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Events handled before the duties that follow each round.
+/// Maximum number of events handled before the flush that ends each round.
 const MAX_ROUND_EVENTS: usize = 256;
 
 impl ControlState {
-    /// Serves events until the supervisor stops the thread.
+    /// Handles events until the supervisor ends the thread.
     pub(crate) fn run(mut self, inbox: &ControlInbox) {
         self.record_node_event(EventKind::ProcessStarted, self.node);
         let mut next_tick = self.clock.now();
@@ -166,7 +161,8 @@
         }
     }
 
-    /// Handles one event and those that are there already; tells when the thread is to end.
+    /// Handles one event and those already queued. Returns how to end the thread if an event asks
+    /// for it.
     fn serve_round(&mut self, first: ControlEvent, inbox: &ControlInbox) -> Option<ThreadEnd> {
         let mut next = Some(first);
         for _ in 0..MAX_ROUND_EVENTS {
@@ -177,7 +173,7 @@
             self.handle(event);
             next = inbox.ready();
         }
-        // The event taken last must not be lost with the round.
+        // The last event is already taken from its channel and would be lost with the round.
         if let Some(event) = next {
             if let Some(end) = ThreadEnd::of(&event) {
                 return Some(end);
@@ -187,7 +183,6 @@
         None
     }
 
-    /// Handles one event.
     fn handle(&mut self, event: ControlEvent) {
         let now = self.clock.now();
         match event {
@@ -199,7 +194,7 @@
                 self.serve_timeline(call)
             }
             ControlEvent::Supervisor(SupervisorCommand::Freeze(held)) => {
-                // Nothing is ever sent; the channel closes when the freeze is over.
+                // Nothing is ever sent; the channel closes when the freeze ends.
                 held.recv().unwrap_or_default();
             }
             ControlEvent::Supervisor(SupervisorCommand::Stop | SupervisorCommand::Crash) => {}
@@ -222,7 +217,7 @@
         }
     }
 
-    /// Duties that depend on time.
+    /// Runs the duties that depend on time.
     fn tick(&mut self, now: ClockTime) {
         self.tick_membership(now);
         self.tick_member(now);
@@ -239,7 +234,7 @@
         }
     }
 
-    /// Duties that need no more than a second's care.
+    /// Runs the duties that are needed once a second.
     fn tick_second(&mut self, now: ClockTime) {
         self.route.tick(now);
         self.refresh_remote_loads();
@@ -252,7 +247,7 @@
         self.publish_order_gauges(now);
     }
 
-    /// Sends what the round has gathered.
+    /// Sends what the events of one round have queued.
     fn flush(&mut self, now: ClockTime) {
         self.place_due_attempts(now);
         if self.claims.is_urgent() {
@@ -263,7 +258,7 @@
         }
     }
 
-    /// Begins a graceful shutdown: the traffic threads go on until all answers are whole.
+    /// Begins a graceful shutdown. The traffic threads continue until every response is complete.
     fn begin_drain(&mut self, now: ClockTime) {
         tracing::info!(node = self.settings.node.name, "draining");
         self.draining = true;
@@ -276,11 +271,12 @@
         }
     }
 
-    /// Ends what the thread has started.
+    /// Shuts down the threads and the transport owned by this state.
     fn end(self, end: ThreadEnd) {
         let transport = match end {
             ThreadEnd::Stop => Some(self.transport),
-            // Dropped without a farewell: its peers find out by its silence.
+            // The transport is dropped without closing its connections; the peers detect the
+            // failure by timeout.
             ThreadEnd::Crash => {
                 drop(self.transport);
                 None
@@ -297,20 +293,20 @@
         }
     }
 
-    /// A random number that nobody foresees.
+    /// Returns an unpredictable random number.
     pub(crate) fn next_random(&mut self) -> u64 {
         self.random.next_u64()
     }
 
-    /// The random numbers of a process.
+    /// Creates the generator of a process.
     pub(crate) fn seeded_rng(seed: u64) -> Pcg64 {
         Pcg64::seed_from_u64(seed)
     }
 }
 
-/// Sends a reply to a traffic thread; a caller that left meanwhile needs none.
+/// Replies to a traffic thread; a caller that has disconnected needs no reply.
 pub(crate) fn send_reply<T>(reply: &flume::Sender<T>, answer: T) {
     if reply.try_send(answer).is_err() {
-        tracing::debug!("a caller left before its reply");
+        tracing::debug!("caller disconnected before the reply");
     }
 }
--- a/crates/ragwortroad_node/src/control/endpoint_flow.rs
+++ b/crates/ragwortroad_node/src/control/endpoint_flow.rs
@@ -1,4 +1,5 @@
-//! Nodes and endpoints: announcements in, gossip in and out, the route table kept true to both.
+//! Handles announcements and gossip about nodes and endpoints, and updates the route table from
+//! both.
 
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_membership::prelude::*;
@@ -17,7 +18,7 @@
 };
 
 impl ControlState {
-    /// Serves an endpoint's announcement.
+    /// Handles an endpoint's announcement.
     pub(crate) fn announce(
         &mut self,
         call: AnnounceCall,
@@ -52,10 +53,11 @@
         Ok(self.membership.announce_answer(endpoint, now))
     }
 
-    /// An announcement with the load that this node knows exactly, where it is the home.
+    /// Replaces the load in an announcement by this node's own count if this node is the endpoint's
+    /// home.
     ///
-    /// Other nodes choose by what gossip tells them. The endpoint's own report is older than the
-    /// home's count of what it admitted.
+    /// Other nodes choose endpoints by the gossiped load, and the endpoint's own report is older
+    /// than the home's count of the requests it admitted.
     fn with_local_load(&self, announce: AnnounceWire, now: ClockTime) -> AnnounceWire {
         let endpoint = EndpointId::from_name(&announce.name);
         let is_home = self.membership.home_state(endpoint, now).admits_at(now);
@@ -69,20 +71,20 @@
         AnnounceWire { load, ..announce }
     }
 
-    /// Lets time pass for membership.
+    /// Runs the timers of the membership table.
     pub(crate) fn tick_membership(&mut self, now: ClockTime) {
         let actions = self.membership.handle(GossipInput::Tick, now);
         self.run_gossip_actions(actions, now);
     }
 
-    /// Takes in a gossip packet.
+    /// Handles a gossip packet.
     pub(crate) fn handle_gossip(&mut self, from: NodeId, bytes: Vec<u8>, now: ClockTime) {
         let packet = GossipInput::Packet { from, bytes };
         let actions = self.membership.handle(packet, now);
         self.run_gossip_actions(actions, now);
     }
 
-    /// Does what membership wants done.
+    /// Performs the actions that the membership table returned.
     pub(crate) fn run_gossip_actions(&mut self, actions: Vec<GossipAction>, now: ClockTime) {
         for action in actions {
             match action {
@@ -92,7 +94,7 @@
                 GossipAction::NodeUp(node) => self.node_up(node, now),
                 GossipAction::NodeSuspected(node) => {
                     self.record_node_event(EventKind::NodeSuspected, node);
-                    tracing::info!(node = self.node_name(node), "node is silent");
+                    tracing::info!(node = self.node_name(node), "node is unresponsive");
                 }
                 GossipAction::NodeDown(node) => self.node_down(node, now),
                 GossipAction::NodeLeaving(node) => {
@@ -141,7 +143,7 @@
         self.record_node_event(EventKind::NodeUp, node);
         tracing::info!(node = self.node_name(node), "node is up");
         self.refresh_nodes(now);
-        // Endpoints whose home came back can be asked for again.
+        // Endpoints whose home came back can be requested again.
         self.refresh_endpoints(now);
     }
 
@@ -156,22 +158,23 @@
             .as_ref()
             .is_some_and(|replica| replica.leads(now))
         {
-            // Its claims would say "in progress" until their longest run is over; callers who ask
-            // again elsewhere are told at once that the outcome is unknown.
+            // Otherwise its claims would stay "in progress" until their maximum run time has
+            // passed; with this step a caller that retries elsewhere learns at once that the
+            // outcome is unknown.
             self.claims.settle(ClaimStep::NodeLost { node });
         }
         self.refresh_nodes(now);
         self.refresh_endpoints(now);
     }
 
-    /// Takes over which nodes take callers.
+    /// Updates the nodes that take callers in the route table and the limiter.
     pub(crate) fn refresh_nodes(&mut self, now: ClockTime) {
         let nodes = self.available_nodes();
         self.route.set_nodes(&nodes);
         self.limiter.set_nodes(&nodes, now);
     }
 
-    /// Takes over all endpoints.
+    /// Updates all endpoints in the route table.
     pub(crate) fn refresh_endpoints(&mut self, now: ClockTime) {
         let endpoints = self.membership.endpoints();
         let endpoints: Vec<EndpointId> = endpoints.map(|record| record.id).collect();
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Takes over what membership and configuration say of an endpoint.
+    /// Updates an endpoint in the route table from the membership table and the configuration.
     fn refresh_endpoint(&mut self, endpoint: EndpointId, now: ClockTime) {
         let Some(record) = self.membership.endpoint(endpoint) else {
             return;
@@ -211,11 +214,11 @@
         self.route.upsert_endpoint(facts, exclusive_from);
     }
 
-    /// Tells the route table that loads are as they were last told.
+    /// Feeds the last gossiped loads of remote endpoints to the route table again.
     ///
-    /// Gossip tells only news, and the route table adds what was sent since the last digest to the
-    /// load in it. Without this an idle endpoint with another home would look fuller with every
-    /// request, until this node no longer asked for it at all.
+    /// Gossip sends only changes, and the route table adds the requests sent since the last digest
+    /// to the load in it. Without this refresh an idle endpoint with a remote home would look
+    /// fuller with every request, until this node stopped using it.
     pub(crate) fn refresh_remote_loads(&mut self) {
         let endpoints = self.membership.endpoints();
         let foreign = endpoints.filter(|record| record.home != self.node);
@@ -237,7 +240,8 @@
     }
 }
 
-/// Whose mean an endpoint's load is compared with: endpoints that can do the same work.
+/// Returns the group of endpoints whose mean load an endpoint is compared with: those that can
+/// serve the same requests.
 fn fleet_key(record: &EndpointRecord) -> FleetKey {
     if let Some(service) = &record.service {
         return FleetKey::from_name(&format!("service {service}"));
@@ -249,7 +253,7 @@
     FleetKey::from_name(&format!("models {}", models.join(" ")))
 }
 
-/// Everything an endpoint can serve.
+/// Returns everything an endpoint can serve.
 fn offers(record: &EndpointRecord) -> Vec<OfferKey> {
     let models = record.models.iter().flat_map(OfferKey::of_offer);
     let service = record.service.as_deref().map(OfferKey::service);
--- a/crates/ragwortroad_node/src/control/event_flow.rs
+++ b/crates/ragwortroad_node/src/control/event_flow.rs
@@ -1,4 +1,4 @@
-//! What goes into the time line.
+//! Records events for the timeline.
 
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_membership::prelude::*;
@@ -21,14 +21,13 @@
 };
 
 impl ControlState {
-    /// Keeps an event about a node.
     pub(crate) fn record_node_event(&mut self, kind: EventKind, node: NodeId) {
         let who = Some(self.node_name(node));
         let event = FleetEvent::new(kind);
         self.events.record(FleetEvent { who, ..event });
     }
 
-    /// Keeps an event about an endpoint.
+    /// Records an event about an endpoint, with its home node.
     pub(crate) fn record_endpoint_event(&mut self, kind: EventKind, endpoint: EndpointId) {
         let home = match self.membership.home_state(endpoint, self.clock.now()) {
             HomeState::Home { .. } | HomeState::Claiming => Some(self.node),
@@ -43,7 +42,6 @@
         self.events.record(event);
     }
 
-    /// Keeps an event about a revision of the configuration.
     pub(crate) fn record_revision_event(&mut self, kind: EventKind, revision: u64, detail: String) {
         self.events.record(FleetEvent {
             revision: Some(revision),
@@ -52,7 +50,7 @@
         });
     }
 
-    /// Keeps an event about the lead.
+    /// Records an event about this node's leadership.
     pub(crate) fn record_leader_event(&mut self, kind: EventKind, fence: Option<FenceNumber>) {
         let replica = self.replica.as_ref();
         let core = replica.and_then(|replica| replica.core.as_ref());
@@ -64,7 +62,6 @@
         });
     }
 
-    /// Keeps an event about an order to an engine.
     pub(crate) fn record_order_event(
         &mut self,
         kind: EventKind,
@@ -80,7 +77,7 @@
         });
     }
 
-    /// Keeps an event about a request that was let in.
+    /// Records an event about an admitted request.
     pub(crate) fn record_attempt_event(
         &mut self,
         kind: EventKind,
@@ -96,7 +93,7 @@
         });
     }
 
-    /// Keeps the dispatch of an attempt.
+    /// Records that an attempt was dispatched to an endpoint.
     pub(crate) fn record_dispatch(&mut self, attempt: &PendingAttempt, endpoint: EndpointId) {
         let event = FleetEvent {
             request: Some(attempt.call.request),
@@ -108,7 +105,7 @@
         self.events.record(event);
     }
 
-    /// Keeps the end of an attempt.
+    /// Records the end of an attempt.
     pub(crate) fn record_finish(&mut self, record: &TicketRecord, call: &FinishCall) {
         let outcome = match &call.outcome {
             AttemptOutcome::Completed { status, .. } => format!("status {status}"),
@@ -128,7 +125,7 @@
         self.events.record(event);
     }
 
-    /// Keeps a slot that this node, as an endpoint's home, granted or refused to another node.
+    /// Records that this node, as the endpoint's home, granted or refused a slot to another node.
     pub(crate) fn record_slot_event(
         &mut self,
         requester: NodeId,
@@ -150,7 +147,7 @@
         self.events.record(event);
     }
 
-    /// Keeps the moments at which this node loses and regains its leave to admit work.
+    /// Records when this node loses or regains its right to admit requests.
     pub(crate) fn record_currency(&mut self, now: ClockTime) {
         let admits = self.follower.guard.may_admit(now).is_ok();
         if admits == self.follower.admits {
@@ -165,7 +162,7 @@
         self.record_revision_event(kind, revision, String::new());
     }
 
-    /// Serves this node's part of the time line to an operator.
+    /// Returns this node's part of the timeline to an operator.
     pub(crate) fn serve_timeline(&mut self, call: TimelineCall) {
         let operator = self.operator_name(&call.key_hash, &self.follower.config);
         let page = operator.map(|_| {
--- a/crates/ragwortroad_node/src/control/fleet_view.rs
+++ b/crates/ragwortroad_node/src/control/fleet_view.rs
@@ -1,4 +1,4 @@
-//! Short questions about the fleet, for the other flows.
+//! Lookups of nodes and endpoints, and sending of messages to nodes, shared by the other flows.
 
 use std::net::SocketAddr;
 
@@ -9,31 +9,31 @@
 use crate::control::control_state::ControlState;
 
 impl ControlState {
-    /// Where an endpoint takes requests.
+    /// Returns the address at which an endpoint takes requests.
     pub(crate) fn endpoint_address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         let record = self.membership.endpoint(endpoint)?;
         Some(record.address)
     }
 
-    /// Where callers reach the home node of an endpoint.
+    /// Returns the caller address of an endpoint's home node.
     pub(crate) fn home_address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         let record = self.membership.endpoint(endpoint)?;
         self.caller_address(record.home)
     }
 
-    /// Where callers reach a node.
+    /// Returns the address at which a node takes callers.
     pub(crate) fn caller_address(&self, node: NodeId) -> Option<SocketAddr> {
         let record = self.membership.node(node)?;
         Some(record.caller_address)
     }
 
-    /// A node's name, or its number where only that is known.
+    /// Returns a node's name, or its id if the name isn't known.
     pub(crate) fn node_name(&self, node: NodeId) -> String {
         let record = self.membership.node(node);
         record.map_or_else(|| node.to_string(), |record| record.name.clone())
     }
 
-    /// Nodes that callers may be sent to, in the order of their identities.
+    /// Returns the nodes that callers may be sent to, sorted by id.
     pub(crate) fn available_nodes(&self) -> Vec<NodeId> {
         let config = &self.follower.config;
         let is_open = |record: &NodeRecord| !config.drains_node(&record.name);
@@ -45,7 +45,8 @@
         nodes
     }
 
-    /// Nodes that may hold the replicated state: those of the settings and of the configuration.
+    /// Returns the nodes that may hold the replicated state, from the settings and from the
+    /// configuration.
     pub(crate) fn member_nodes(&self) -> Vec<NodeId> {
         let seeds = self.settings.state.members.iter();
         let mut nodes: Vec<NodeId> = seeds.map(|seed| NodeId::from_name(&seed.name)).collect();
@@ -56,7 +57,7 @@
         nodes
     }
 
-    /// The leader by this node's knowledge.
+    /// Returns the leader as far as this node knows it.
     pub(crate) fn leader(&self) -> Option<NodeId> {
         let replica = self.replica.as_ref();
         replica
@@ -64,10 +65,10 @@
             .or(self.follower.leader)
     }
 
-    /// Queues a message for a node. A message that does not go out is repeated by its own flow.
+    /// Queues a message for a node. A lost message is resent by the flow that sent it.
     pub(crate) fn send(&self, to: NodeId, channel: PeerChannel, bytes: Vec<u8>) {
         let Some(address) = self.peer_address(to) else {
-            tracing::debug!(%to, ?channel, "no address is known for the node");
+            tracing::debug!(%to, ?channel, "cannot send a message: the node's address is not known");
             return;
         };
         self.send_at(address, to, channel, bytes);
@@ -88,11 +89,12 @@
         let stamped = self.events.add_stamp(&bytes);
         let outcome = self.transport.send(address, to, channel, stamped);
         if outcome != SendOutcome::Queued {
-            tracing::debug!(%to, ?channel, ?outcome, "a message was not queued");
+            tracing::debug!(%to, ?channel, ?outcome, "message not queued");
         }
     }
 
-    /// Where a node takes messages: by gossip, else by the settings or the configuration.
+    /// Returns the address at which a node takes messages: from gossip, else from the settings or
+    /// the configuration.
     fn peer_address(&self, node: NodeId) -> Option<SocketAddr> {
         if let Some(record) = self.membership.node(node) {
             return Some(record.gossip_address);
--- a/crates/ragwortroad_node/src/control/follow_flow.rs
+++ b/crates/ragwortroad_node/src/control/follow_flow.rs
@@ -1,4 +1,4 @@
-//! Following the configuration, and the leave to admit work with it.
+//! Follows the leader's configuration and renews this node's right to admit requests under it.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 };
 
 impl ControlState {
-    /// Asks whether the configuration here is current, when it is time.
+    /// Asks at regular intervals whether the configuration is current.
     pub(crate) fn tick_follow(&mut self, now: ClockTime) {
         let every = follow_timing(&self.settings.state).ask_every();
         if now.since(self.follower.last_asked) >= every {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Asks the leader, or every member where the leader is unknown or silent.
+    /// Asks the leader, or all members if the leader is unknown or unresponsive.
     fn send_confirm(&mut self, now: ClockTime) {
         let every = follow_timing(&self.settings.state).ask_every();
         self.follower.last_asked = now;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends a message, to this very node without a detour.
+    /// Sends a message; one to this node itself is handled directly.
     pub(crate) fn send_follow(&mut self, to: NodeId, message: FollowMessage, now: ClockTime) {
         if to == self.node {
             return self.dispatch_follow(to, message, now);
@@ -65,7 +65,7 @@
         self.send(to, PeerChannel::Follow, encode(&message));
     }
 
-    /// Serves a message between nodes and members.
+    /// Handles a message between nodes and members.
     pub(crate) fn handle_follow(&mut self, from: NodeId, bytes: &[u8], now: ClockTime) {
         if let Some(message) = decode(bytes) {
             self.dispatch_follow(from, message, now);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// This member's answer to a node that asks whether it is current.
+    /// Returns this member's answer to a node that asks whether its configuration is current.
     fn answer_confirm(
         &mut self,
         run: NodeRun,
@@ -155,7 +155,7 @@
         })
     }
 
-    /// The leader confirmed, and sent what was missing here.
+    /// Handles the leader's confirmation, with the update that this node lacks.
     fn handle_confirmed(
         &mut self,
         from: NodeId,
@@ -170,7 +170,7 @@
         let has_news = update.is_some();
         if let Some(update) = update {
             if let Err(error) = self.follower.config.follow(update) {
-                tracing::warn!(%error, "an update of the configuration was not followed");
+                tracing::warn!(%error, "cannot apply a configuration update; requesting the full configuration");
                 self.follower.needs_full_config = true;
                 return;
             }
@@ -180,7 +180,8 @@
         self.follower.guard.adopted(self.follower.config.revision);
         self.follower.guard.confirmed(ask, revision, lease);
         if has_news {
-            // The leader counts a change as in force here only once it has heard so.
+            // The leader counts a change as in force at this node only after this node has reported
+            // it.
             self.send_confirm(now);
         }
     }
@@ -191,12 +192,12 @@
         }
     }
 
-    /// Puts the configuration in force on everything that decides here.
+    /// Applies the configuration to the limiter, the route table and the key index.
     fn adopt_config(&mut self, now: ClockTime) {
         self.follower.keys = KeyIndex::from(&self.follower.config);
         let config = &self.follower.config;
         let revision = config.revision;
-        tracing::info!(revision, "configuration is in force here");
+        tracing::info!(revision, "configuration in force on this node");
         self.events.record(FleetEvent {
             revision: Some(revision),
             ..FleetEvent::new(EventKind::ChangeInForce)
@@ -216,13 +217,13 @@
         self.refresh_endpoints(now);
     }
 
-    /// Forgets what the last leader was, when another one is known.
+    /// Makes all unanswered claim steps due, so that they go to the new leader.
     pub(crate) fn handle_leader_change(&mut self) {
         self.claims.mark_all_due();
     }
 }
 
-/// A member's promise to a node while there is no leader to ask.
+/// Returns a member's promise to a node while there is no leader to ask.
 fn promise(
     replica: &mut StateReplica,
     ask: u64,
@@ -231,7 +232,7 @@
 ) -> Option<FollowMessage> {
     let core = replica.core.as_ref()?;
     let hears_leader = core.leader().is_some();
-    // With entries that are not committed the log may hold a change that the state does not show.
+    // Uncommitted log entries may hold a change that the state doesn't show yet.
     if !replica.is_settled() {
         return None;
     }
--- a/crates/ragwortroad_node/src/control/gauge_flow.rs
+++ b/crates/ragwortroad_node/src/control/gauge_flow.rs
@@ -1,11 +1,10 @@
-//! Gauges of the control state.
+//! Publishes the control state's gauges.
 
 use ragwortroad_types::prelude::*;
 
 use crate::control::control_state::ControlState;
 
 impl ControlState {
-    /// Publishes what operators watch.
     pub(crate) fn publish_gauges(&mut self, now: ClockTime) {
         let name = self.settings.node.name.clone();
         let gauge = |metric: &'static str, value: f64| {
--- a/crates/ragwortroad_node/src/control/grant_flow.rs
+++ b/crates/ragwortroad_node/src/control/grant_flow.rs
@@ -1,4 +1,4 @@
-//! From a place to a grant, and from a grant to its end.
+//! Places attempts on endpoints, grants them their slots, and ends them.
 
 use std::time::Duration;
 
@@ -23,20 +23,21 @@
     }, //
 };
 
-/// Homes that one attempt asks before it is refused.
+/// Maximum number of homes that one attempt asks before it is refused.
 const MAX_HOMES_ASKED: u32 = 6;
 
-/// Time after which a home's answer is no longer waited for.
+/// How long to wait for a home's answer.
 const SLOT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time a caller waits before it asks again for something that was full.
+/// Retry delay sent to a caller when every suitable endpoint is full.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Places that one decision goes through before it gives up; bounds the control thread's work.
+/// Maximum number of route choices for one placement; bounds the work of the control thread.
 const MAX_ROUTE_CHOICES: usize = 8;
 
 impl ControlState {
-    /// Finds a place for an attempt, or refuses it.
+    /// Finds an endpoint for an attempt, asks its home for a slot, holds the attempt, or refuses
+    /// it.
     pub(crate) fn place_attempt(&mut self, mut attempt: PendingAttempt, now: ClockTime) {
         for _ in 0..MAX_ROUTE_CHOICES {
             let query = RouteQuery {
@@ -56,8 +57,8 @@
                         let held = HeldSlot::Local(slot);
                         return self.grant_attempt(attempt, endpoint, held, now);
                     }
-                    // The right to admit lapsed between two ticks. Another node may have it by
-                    // now, and both together could pass the engine's bound.
+                    // This node's right to admit ended between two ticks. Another node may hold it
+                    // by now, and both together could exceed the engine's bound.
                     self.route
                         .release(endpoint, slot, SlotOutcome::Neutral, now);
                     attempt.excluded.push(endpoint);
@@ -110,7 +111,7 @@
         self.waits.add(question, wait);
     }
 
-    /// Grants an attempt its place.
+    /// Sends an attempt to its endpoint, with the slot it was granted.
     pub(crate) fn grant_attempt(
         &mut self,
         attempt: PendingAttempt,
@@ -150,7 +151,7 @@
             record_answer: attempt.claim.is_some(),
         };
         if attempt.reply.try_send(AdmitReply::Granted(grant)).is_err() {
-            // The caller left while its place was being found: nothing was sent.
+            // The caller disconnected while the attempt was being placed; nothing was sent.
             let outcome = AttemptOutcome::NotSent;
             let took = Duration::ZERO;
             self.finish(
@@ -164,10 +165,10 @@
         }
     }
 
-    /// Ends an attempt.
+    /// Ends an attempt: releases its slot, settles its limit charge and its claim.
     pub(crate) fn finish(&mut self, call: FinishCall, now: ClockTime) {
         let Some(record) = self.tickets.close(call.ticket) else {
-            tracing::warn!(ticket = call.ticket.0, "an attempt ended twice");
+            tracing::warn!(ticket = call.ticket.0, "attempt ended more than once");
             return;
         };
         self.record_finish(&record, &call);
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Gives a slot back to whoever granted it.
+    /// Releases a slot at the node that granted it.
     pub(crate) fn release_slot(
         &mut self,
         endpoint: EndpointId,
@@ -224,18 +225,18 @@
         }
     }
 
-    /// Looks for places again for attempts whose hold is over.
+    /// Places attempts whose hold has ended.
     pub(crate) fn place_due_attempts(&mut self, now: ClockTime) {
         for attempt in self.waits.take_due(now) {
             match self.check_admits(now) {
-                // The node may have lost its leave to admit while the attempt was held.
+                // The node may have lost its right to admit while the attempt was held.
                 Ok(()) => self.place_attempt(attempt, now),
                 Err(refusal) => self.refuse_attempt(attempt, refusal),
             }
         }
     }
 
-    /// Ends waits whose answer does not come, and goes on to the next place.
+    /// Ends waits for a home's answer that took too long, and places their attempts elsewhere.
     pub(crate) fn tick_waits(&mut self, now: ClockTime) {
         let membership = &self.membership;
         let is_gone = |home: NodeId| {
@@ -251,7 +252,7 @@
                 ..
             } = wait;
             self.route.mark_unresponsive(home);
-            // The slot may have been granted in an answer that was lost.
+            // The slot may have been granted by an answer that was lost.
             self.send_release(home, question, endpoint, SlotOutcome::Neutral, now);
             attempt.excluded.push(endpoint);
             self.place_attempt(attempt, now);
@@ -260,7 +261,7 @@
     }
 }
 
-/// What an end says of the endpoint.
+/// Returns what the end of an attempt tells about its endpoint.
 fn slot_outcome(outcome: &AttemptOutcome) -> SlotOutcome {
     match outcome {
         AttemptOutcome::Completed { status, .. } if *status < 500 => SlotOutcome::Succeeded,
@@ -271,7 +272,7 @@
     }
 }
 
-/// What is known of the request after an attempt's end.
+/// Returns what is known about the request after an attempt has ended.
 fn request_outcome(outcome: &AttemptOutcome) -> RequestOutcome {
     match outcome {
         AttemptOutcome::NotSent => RequestOutcome::NotRun,
@@ -282,7 +283,7 @@
     }
 }
 
-/// What is recorded under the key of an attempt; nothing where no byte was sent.
+/// Returns the result to record under an attempt's key; `None` if no byte was sent.
 fn claim_result(outcome: AttemptOutcome) -> Option<ClaimResult> {
     match outcome {
         AttemptOutcome::NotSent => None,
@@ -301,7 +302,7 @@
     }
 }
 
-/// The text that goes with a refusal of the route table.
+/// Returns the message for a refusal by the route table.
 fn refusal_text(code: RefusalCode) -> &'static str {
     match code {
         RefusalCode::NoEndpoint => "no endpoint that could take the request is present",
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -1,4 +1,4 @@
-//! What the leader does beside serving others.
+//! Duties of the leader: taking and giving up leadership, operators' changes, membership changes.
 
 use std::time::Duration;
 
@@ -30,14 +30,15 @@
     order::order_worker::OrderWorker,
 };
 
-/// Time between two commands that only move the state's clock on, so that claims expire.
+/// Interval between two commands that only advance the state's clock, so that claims expire.
 const CLOCK_TICK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long an operator waits for a change to be in force before being told what it waits for.
+/// How long an operator waits for a change to be in force before being told which nodes it waits
+/// for.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(15);
 
 impl ControlState {
-    /// Takes up the lead, does its duties, or lays it down.
+    /// Takes leadership, runs its duties, or steps down.
     pub(crate) fn tick_leader(&mut self, now: ClockTime) {
         let timing = follow_timing(&self.settings.state);
         let Some(replica) = &mut self.replica else {
@@ -49,7 +50,7 @@
         match (core.is_leader(), replica.leader_context.is_some()) {
             (true, false) if core.may_act_as_leader(now) => {
                 replica.leader_context = Some(LeaderContext::new(&replica.state, timing, now));
-                tracing::info!(term = core.term(), "this node leads");
+                tracing::info!(term = core.term(), "this node became leader");
                 self.record_leader_event(EventKind::LeaderElected, None);
                 self.settle_absent_nodes();
                 let action = StateAction::TakeOrders { holder: self.node };
@@ -61,10 +62,10 @@
         }
     }
 
-    /// Gives up the claims of nodes that are down as the lead begins.
+    /// Settles the claims of nodes that are down when leadership begins.
     ///
-    /// A node that died under no leader was missed by nobody who could say so in the log. Its keys
-    /// would be "in progress" for ten minutes, and callers would wait for an attempt that is over.
+    /// A node that failed while there was no leader was not reported to the log. Its keys would
+    /// stay "in progress" for ten minutes, and callers would wait for an attempt that is over.
     fn settle_absent_nodes(&mut self) {
         let nodes = self.membership.nodes();
         let down = nodes.filter(|(_, record)| !record.state.is_present());
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Proposes a command to the log.
+    /// Proposes a command to the replicated log.
     pub(crate) fn propose(&mut self, action: StateAction, kind: ProposalKind, now: ClockTime) {
         let wall_ms = self.clock.wall_ms();
         if let Some(replica) = &mut self.replica {
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Ends the lead here. Operators who wait are told to send their change again: the next
-    /// leader knows its outcome by its id.
+    /// Gives up leadership. Operators who wait are told to resend their change: the next leader
+    /// knows its outcome by its id.
     fn step_down(&mut self) {
         let Some(context) = self
             .replica
@@ -93,7 +94,7 @@
         else {
             return;
         };
-        tracing::info!("this node no longer leads");
+        tracing::info!("this node stepped down as leader");
         self.record_leader_event(EventKind::LeaderDeposed, None);
         if let Some(gate) = context.gate {
             self.record_leader_event(EventKind::LeaseEnded, Some(gate.fence()));
@@ -125,7 +126,7 @@
         self.promote_learners(now);
     }
 
-    /// Proposes a change, or holds it while this member's promises run.
+    /// Proposes a change, or holds it back while this member's promises are valid.
     pub(crate) fn propose_change(
         &mut self,
         command: ChangeCommand,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// A change was decided: refused at once, accepted once it is in force.
+    /// Answers a change: a refusal at once, an accepted change once it is in force.
     pub(crate) fn handle_change_outcome(
         &mut self,
         origin: LineOrigin,
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Tells an operator when an accepted change is in force everywhere.
+    /// Answers an operator when an accepted change is in force everywhere.
     pub(crate) fn watch_change(&mut self, revision: u64, origin: LineOrigin, now: ClockTime) {
         let context = self
             .replica
@@ -200,7 +201,7 @@
         self.answer_watches(now);
     }
 
-    /// Answers operators whose changes are in force, or who have waited long enough.
+    /// Answers operators whose changes are in force, or who have waited for the maximum time.
     fn answer_watches(&mut self, now: ClockTime) {
         let Some(context) = self
             .replica
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Carries a change of the declared members over to the group.
+    /// Removes the members that a configuration change removes from the consensus group.
     fn remove_undeclared_members(&mut self, revision: u64, now: ClockTime) {
         let Some(replica) = &self.replica else {
             return;
@@ -277,10 +278,11 @@
         }
     }
 
-    /// A node with a folder that has no place in the group asks for one.
+    /// Handles a node that asks to join the group with a data folder that isn't a member.
     ///
-    /// A node has one folder. If the group knows another one on the same node, that one is lost;
-    /// it is taken out first, so that it counts in no quorum any more, and the new one learns.
+    /// A node has one data folder. If the group knows a different one on the same node, that folder
+    /// is lost. It is removed first, so that it no longer counts in any quorum, and the new one
+    /// joins as a learner.
     pub(crate) fn enlist(&mut self, from: NodeId, member: MemberId, now: ClockTime) {
         let is_declared = self.member_nodes().contains(&from);
         let Some(replica) = self.replica.as_ref().filter(|replica| replica.leads(now)) else {
@@ -303,7 +305,7 @@
         self.propose_member(change, now);
     }
 
-    /// Lets learners that have caught up count in quorums.
+    /// Promotes a learner that has caught up to a voter.
     fn promote_learners(&mut self, now: ClockTime) {
         let core = self
             .replica
@@ -324,13 +326,13 @@
 
     fn propose_member(&mut self, change: MemberChange, now: ClockTime) {
         if let Some(replica) = &mut self.replica {
-            tracing::info!(?change, "changing the members");
+            tracing::info!(?change, "proposing a membership change");
             let actions = replica.propose_member(change, now);
             self.run_core_actions(actions, now);
         }
     }
 
-    /// The lease for orders was granted to this node by the log.
+    /// Starts giving orders after the log granted the lease for orders to this node.
     pub(crate) fn start_orders(&mut self, fence: FenceNumber, now: ClockTime) {
         self.record_leader_event(EventKind::LeaseGranted, Some(fence));
         let timing = order_timing(&self.settings.state);
@@ -346,7 +348,9 @@
         if self.orders.is_none() {
             match OrderWorker::start(self.clock) {
                 Ok(worker) => self.orders = Some(worker),
-                Err(error) => tracing::error!(%error, "engines get no orders from this node"),
+                Err(error) => {
+                    tracing::error!(%error, "cannot start the order thread; engines get no orders from this node")
+                }
             }
         }
     }
--- a/crates/ragwortroad_node/src/control/line_flow.rs
+++ b/crates/ragwortroad_node/src/control/line_flow.rs
@@ -1,4 +1,4 @@
-//! Operators' lines: passed on to the leader, checked, carried out, answered.
+//! Operators' lines: forwarded to the leader, parsed, executed, answered.
 
 use std::time::Duration;
 
@@ -32,18 +32,18 @@
     }, //
 };
 
-/// How long the leader's answer to a passed-on line is waited for; longer than the leader itself
+/// How long to wait for the leader's answer to a forwarded line; longer than the leader itself
 /// waits for a change to be in force.
 const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time after which an unanswered line is sent again.
+/// Time after which an unanswered line is resent.
 const LINE_RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Name of the operator whose key stands in the settings, until operators are declared.
+/// Name of the operator whose key is in the settings, used until operators are declared.
 const FIRST_OPERATOR: &str = "first-operator";
 
 impl ControlState {
-    /// Serves an operator's connection at this node.
+    /// Handles a line from an operator connected to this node.
     pub(crate) fn operator(
         &mut self,
         call: OperatorCall,
@@ -78,7 +78,7 @@
         self.send(leader, PeerChannel::Follow, encode(&message));
     }
 
-    /// Takes a line that another node passed on.
+    /// Handles a line that another node forwarded.
     pub(crate) fn handle_line(
         &mut self,
         from: NodeId,
@@ -98,7 +98,7 @@
         self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
     }
 
-    /// The leader answered a line of this node.
+    /// Passes the leader's answer on to the operator.
     pub(crate) fn handle_line_answer(
         &mut self,
         from: NodeId,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Sends lines again whose answer is late, and answers those whose leader never does.
+    /// Resends unanswered lines, and answers those that have timed out.
     pub(crate) fn tick_lines(&mut self, now: ClockTime) {
         if let Some(leader) = self.leader().filter(|leader| *leader != self.node) {
             let limit = now.before(LINE_RESEND_INTERVAL);
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Answers an operator, wherever the line came in.
+    /// Answers an operator, directly or through the node that forwarded the line.
     pub(crate) fn answer_line(&self, origin: LineOrigin, status: u16, text: &str, facts: Value) {
         let answer = line_answer(status, text, facts);
         match origin {
@@ -153,7 +153,8 @@
         self.answer_line(origin, 409, &text, json!({ "refused": facts }));
     }
 
-    /// Without a leader nothing can be changed, and only what this node itself knows can be told.
+    /// Serves a line while no leader is known: no change is possible, and answers hold only what
+    /// this node knows.
     fn serve_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorAnswer>) {
         let origin = LineOrigin::Local(reply);
         if self
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Carries out a line, as the leader.
+    /// Executes a line on the leader.
     fn serve_line(&mut self, line: OperatorLine, origin: LineOrigin, now: ClockTime) {
         let Some(replica) = &self.replica else {
             return;
@@ -215,10 +216,11 @@
         self.propose_change(command, origin, now);
     }
 
-    /// The revision that a change rests on whose line names none.
+    /// Returns the base revision for a change whose line names none.
     ///
-    /// A resend rests on the revision that the first sending rested on, or it would look like
-    /// another change under the same id and be refused, also where the first was refused.
+    /// A resent change uses the base revision of its first transmission. With another one it would
+    /// look like a different change under the same id and be refused, even if the first was
+    /// refused.
     fn base_revision(&self, change_id: &str) -> u64 {
         let Some(replica) = &self.replica else {
             return 0;
@@ -227,7 +229,7 @@
         first.unwrap_or(replica.state.config().revision)
     }
 
-    /// The operator that a key belongs to.
+    /// Returns the name of the operator that a key belongs to.
     pub(crate) fn operator_name(&self, key: &[u8; 32], config: &FleetConfig) -> Option<String> {
         if config.operators.is_empty() {
             let is_first = same_hash(key, &self.secrets.operator);
@@ -247,7 +249,7 @@
     }
 }
 
-/// An answer with a text for a person and facts for a program.
+/// Builds an answer with a text for people and fields for programs.
 fn line_answer(status: u16, text: &str, facts: Value) -> OperatorAnswer {
     let mut body = json!({ "text": text });
     if let (Some(body), Value::Object(facts)) = (body.as_object_mut(), facts) {
--- a/crates/ragwortroad_node/src/control/line_table.rs
+++ b/crates/ragwortroad_node/src/control/line_table.rs
@@ -6,37 +6,37 @@
 
 use crate::wire::follow_message::OperatorLine;
 
-/// Operators' lines that were passed on to the leader.
+/// Operators' lines that were forwarded to the leader.
 #[derive(Debug, Default)]
 pub(crate) struct LineTable {
     next: u64,
     lines: BTreeMap<u64, PendingLine>,
 }
 
-/// A line whose answer is awaited.
+/// A forwarded line that the leader hasn't answered.
 #[derive(Debug)]
 pub(crate) struct PendingLine {
     /// The operator's connection.
     pub(crate) reply: Sender<OperatorAnswer>,
-    /// The node it was sent to.
+    /// The node that the line was last sent to.
     pub(crate) leader: NodeId,
-    /// The line, to be sent again.
+    /// The line, kept for resending.
     pub(crate) line: OperatorLine,
-    /// When it came in.
+    /// When the operator sent it.
     pub(crate) since: ClockTime,
-    /// When it was sent last.
+    /// When it was last forwarded.
     pub(crate) sent: ClockTime,
 }
 
 impl LineTable {
-    /// Adds a line and numbers it.
+    /// Adds a line and returns its number.
     pub(crate) fn add(&mut self, line: PendingLine) -> u64 {
         self.next += 1;
         self.lines.insert(self.next, line);
         self.next
     }
 
-    /// Ends the wait for the answer of `leader`.
+    /// Removes and returns a line if it was last sent to `leader`.
     pub(crate) fn take(&mut self, token: u64, leader: NodeId) -> Option<PendingLine> {
         let asked = self.lines.get(&token)?.leader;
         if asked != leader {
@@ -45,10 +45,10 @@
         self.lines.remove(&token)
     }
 
-    /// Lines that were last sent before `limit`, to be sent to `leader` now.
+    /// Returns the lines last sent before `limit`, to be sent to `leader` now.
     ///
-    /// A line or its answer gets lost with a connection. Sending it again is harmless: a question
-    /// changes nothing, and a change is known by its id.
+    /// A line or its answer may be lost with a connection. Resending is safe: a query changes
+    /// nothing, and a change is deduplicated by its id.
     pub(crate) fn take_resends(
         &mut self,
         limit: ClockTime,
@@ -64,7 +64,7 @@
         late.map(again).collect()
     }
 
-    /// Ends waits that began before `limit`.
+    /// Removes and returns the lines received before `limit`.
     pub(crate) fn take_overdue(&mut self, limit: ClockTime) -> Vec<PendingLine> {
         let old = self.lines.iter().filter(|(_, line)| line.since < limit);
         let numbers: Vec<u64> = old.map(|(number, _)| *number).collect();
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -1,4 +1,4 @@
-//! A member's part in the replicated log: founding, frames, disk, applied commands.
+//! A member's part in the replicated log: bootstrap, frames, disk writes, committed commands.
 
 use std::{
     collections::VecDeque,
@@ -27,11 +27,12 @@
     wire::follow_message::FollowMessage,
 };
 
-/// Time between two hellos while a group is being founded, or asked for a place.
+/// Minimum interval between two hellos while the group is bootstrapped; requests to join an
+/// existing group wait four times as long.
 const HELLO_INTERVAL: Duration = Duration::from_millis(250);
 
 impl ControlState {
-    /// Lets time pass for this member.
+    /// Runs the timers of this member's replica.
     pub(crate) fn tick_member(&mut self, now: ClockTime) {
         let Some(replica) = &mut self.replica else {
             return;
@@ -45,7 +46,8 @@
         self.tick_leader(now);
     }
 
-    /// Says hello to the other founding members, and founds the group when all have said theirs.
+    /// Sends hellos to the other initial members, and bootstraps the group once all of them have
+    /// sent theirs.
     fn tick_founding(&mut self, now: ClockTime) {
         let seed = self.next_random();
         let Some(replica) = &mut self.replica else {
@@ -66,18 +68,18 @@
         }
     }
 
-    /// Takes in another founding member's hello, and returns this one's.
+    /// Handles another initial member's hello, and answers it.
     pub(crate) fn handle_hello(&mut self, from: NodeId, hello: FoundingHello, now: ClockTime) {
         let node = self.node;
         let Some(replica) = &mut self.replica else {
             return;
         };
         if hello.node != from {
-            tracing::warn!(%from, "a hello names another node than its certificate");
+            tracing::warn!(%from, "ignored a hello: it names another node than its sender's certificate");
             return;
         }
         replica.founding.take(hello);
-        // Who has a core already tells so to one that is still waiting for hellos.
+        // A member that already has a consensus core says so to one that still waits for hellos.
         if replica.core.is_some() {
             let own = replica.hello(node);
             let asks = now.since(self.last_hello) >= HELLO_INTERVAL;
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Asks the leader for a place in the group, where this member's folder has none.
+    /// Asks the leader for membership if this member's data folder isn't part of the group.
     fn request_membership(&mut self, now: ClockTime) {
         let Some(replica) = &self.replica else {
             return;
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Takes in a frame of another member.
+    /// Handles a frame from another member.
     pub(crate) fn handle_frame(&mut self, from: NodeId, bytes: &[u8], now: ClockTime) {
         let Some(replica) = &mut self.replica else {
             return;
@@ -118,12 +120,12 @@
         let frame = match PeerFrame::decode(bytes) {
             Ok(frame) => frame,
             Err(error) => {
-                tracing::warn!(%error, "a member's frame cannot be read");
+                tracing::warn!(%error, "cannot decode a member's frame");
                 return;
             }
         };
         if !is_from_known_node(replica, &frame, from) {
-            tracing::warn!(%from, member = %frame.from, "a frame names another node's folder");
+            tracing::warn!(%from, member = %frame.from, "ignored a frame: its member belongs to another node");
             return;
         }
         replica.nodes.insert(frame.from, from);
@@ -134,14 +136,14 @@
         self.run_core_actions(actions, now);
     }
 
-    /// Takes in a report of the disk thread.
+    /// Handles a report from the disk thread.
     pub(crate) fn handle_disk(&mut self, report: DiskReport, now: ClockTime) {
         let input = match report {
             DiskReport::Durable { batch } => CoreInput::Persisted { batch },
             DiskReport::Failed { reason } => {
                 tracing::error!(
                     reason,
-                    "this member acknowledges nothing until it is restarted"
+                    "data folder failed; this member acknowledges nothing until it is restarted"
                 );
                 CoreInput::PersistFailed
             }
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Does what the core wants done.
+    /// Performs the actions that the consensus core returned.
     pub(crate) fn run_core_actions(&mut self, actions: Vec<CoreAction>, now: ClockTime) {
         let mut queue = VecDeque::from(actions);
         while let Some(action) = queue.pop_front() {
@@ -182,13 +184,13 @@
                 }
                 CoreAction::MembersChanged { members, .. } => {
                     let count = members.records().len();
-                    tracing::info!(members = count, "the members changed");
+                    tracing::info!(members = count, "membership changed");
                     self.events.record(FleetEvent {
                         detail: format!("{count} members"),
                         ..FleetEvent::new(EventKind::MembersChanged)
                     });
                 }
-                // Reads rest on the leader's lease; none is proved by a round of its own.
+                // Reads rely on the leader's lease; none needs a confirmation round of its own.
                 CoreAction::ReadReady { .. } | CoreAction::ReadRefused { .. } => {}
             }
         }
@@ -199,16 +201,16 @@
             return;
         };
         let Some(node) = replica.node_of(frame.to) else {
-            tracing::debug!(member = %frame.to, "the node of a member is not known");
+            tracing::debug!(member = %frame.to, "cannot send a frame: the member's node is not known");
             return;
         };
         match frame.encode() {
             Ok(bytes) => self.send(node, PeerChannel::Consensus, bytes),
-            Err(error) => tracing::error!(%error, "a frame was not sent"),
+            Err(error) => tracing::error!(%error, "cannot encode a frame"),
         }
     }
 
-    /// Applies a committed command.
+    /// Applies a committed command to the state.
     fn apply(&mut self, index: u64, command: &[u8]) {
         let Some(replica) = &mut self.replica else {
             return;
@@ -220,7 +222,7 @@
                 }
             }
             Err(error) => {
-                tracing::error!(%error, "this member takes no further part");
+                tracing::error!(%error, "cannot apply a committed command; this member is halted");
                 replica.core = None;
                 replica.leader_context = None;
                 replica.halted = true;
@@ -238,14 +240,14 @@
                 replica.state = state;
             }
             Err(error) => {
-                tracing::error!(%error, "this member takes no further part");
+                tracing::error!(%error, "cannot restore a snapshot; this member is halted");
                 replica.core = None;
                 replica.halted = true;
             }
         }
     }
 
-    /// A proposal of this member came to its end.
+    /// Handles the result of a proposal made by this member.
     fn proposal_done(&mut self, token: u64, result: ProposeResult, now: ClockTime) {
         let Some(replica) = &mut self.replica else {
             return;
@@ -271,12 +273,12 @@
             (ProposalKind::TakeOrders, Some(Applied::OrdersTaken { fence, .. })) => {
                 self.start_orders(fence, now);
             }
-            // Nodes send their claim steps again until they are answered.
-            (kind, applied) => tracing::debug!(?kind, ?applied, ?result, "a proposal ended"),
+            // Nodes resend their claim steps until they are answered.
+            (kind, applied) => tracing::debug!(?kind, ?applied, ?result, "proposal ended"),
         }
     }
 
-    /// Tells an operator whose change did not come to a decision.
+    /// Tells an operator that a change was not decided.
     fn handle_lost_change(&mut self, origin: LineOrigin, result: ProposeResult) {
         let body = match result {
             ProposeResult::NotLeader { .. } | ProposeResult::Refused(_) => {
@@ -293,20 +295,20 @@
     }
 }
 
-/// Whether a frame comes from the node on which its sender's folder is known to be.
+/// Whether a frame comes from the node that the group knows for the sender's data folder.
 fn is_from_known_node(replica: &StateReplica, frame: &PeerFrame, from: NodeId) -> bool {
     let known = replica.core.as_ref();
     let known = known.and_then(|core| core.members().find(frame.from));
     known.is_none_or(|record| record.node == from)
 }
 
-/// Whether a frame brings a change of configuration or membership that this member has promised
+/// Whether a frame contains a change of configuration or membership that this member has promised
 /// not to write yet.
 ///
-/// A node without a leader goes on admitting work as long as so many members promise to accept no
-/// change that the others are no quorum. If this member took a change before its promise is over,
-/// the change could count as in force while that node still acts on the old configuration. The
-/// frame is treated as lost; the leader sends it again.
+/// A node without a leader keeps admitting requests while enough members promise to accept no
+/// change that the rest can't form a quorum. If this member accepted a change before its promise
+/// ends, the change could count as in force while that node still uses the old configuration. The
+/// frame is treated as lost; the leader resends it.
 fn breaks_promise(replica: &StateReplica, frame: &PeerFrame, now: ClockTime) -> bool {
     if replica.promises.may_write(now).is_ok() {
         return false;
@@ -318,7 +320,8 @@
     }
 }
 
-/// Whether an entry changes the configuration or the members; one that cannot be read might.
+/// Whether an entry changes the configuration or the members; an unreadable entry counts as one
+/// that does.
 fn is_change(entry: &WireEntry) -> bool {
     match postcard::from_bytes(&entry.bytes) {
         Ok(EntryPayload::Noop) => false,
--- a/crates/ragwortroad_node/src/control/mod.rs
+++ b/crates/ragwortroad_node/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread: all state of a node and every decision, in one place.
+//! The control thread, which holds all state of a node and makes every decision.
 //!
-//! [`ControlState`](control_state::ControlState) is spread over files by what is decided; each
-//! `*_flow` file holds one subject's part of its methods.
+//! The methods of [`ControlState`](control_state::ControlState) are split over files by subject,
+//! one `*_flow` file each.
 
 pub(crate) mod address_flow;
 pub(crate) mod admit_flow;
--- a/crates/ragwortroad_node/src/control/order_flow.rs
+++ b/crates/ragwortroad_node/src/control/order_flow.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: what they shall hold is planned here, and sent while the lease lasts.
+//! Plans the models that engines shall hold, and sends the orders while the lease is valid.
 
 use std::{
     collections::{
@@ -38,23 +38,24 @@
     },
 };
 
-/// Time from the grant to the first plan. A leader that has just started knows few engines yet,
-/// and would load models onto these that the others hold.
+/// Delay from the grant of the lease to the first plan. A leader that has just started knows few
+/// engines yet, and would order them to load models that other engines already hold.
 const PLAN_START_DELAY: Duration = Duration::from_secs(5);
 
-/// Time from the grant until an engine that this leader never heard of leaves the plan.
+/// Delay from the grant of the lease until an engine that this leader has never heard of is removed
+/// from the plan.
 const FORGET_DELAY: Duration = Duration::from_secs(60);
 
 impl ControlState {
-    /// Tells the others what this node refused for want of room.
+    /// Publishes to the other nodes what this node refused for lack of capacity.
     pub(crate) fn publish_refused_demand(&mut self) {
         let blob = self.refused.end_second();
         if !self.membership.set_blob(REFUSED_BLOB, blob) {
-            tracing::warn!("what was refused does not fit a blob; placement does not know of it");
+            tracing::warn!("refused demand does not fit its gossip blob; placement ignores it");
         }
     }
 
-    /// A second's refusals over all live nodes.
+    /// Sums the refusals of one second over all live nodes.
     fn fleet_refused_demand(&self) -> BTreeMap<OfferKey, u32> {
         let live = self.membership.live_nodes().map(|(node, _)| node);
         let live: BTreeSet<NodeId> = live.chain([self.node]).collect();
@@ -67,7 +68,7 @@
         sum
     }
 
-    /// Plans, once a second, what engines shall hold.
+    /// Plans which models the engines shall hold. Runs once a second on the leader.
     pub(crate) fn plan_engines(&mut self, now: ClockTime) {
         let Some(replica) = self.replica.as_ref().filter(|replica| replica.leads(now)) else {
             return;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Tells the orders what is planned and what is seen.
+    /// Updates the order table with the planned targets and the observed state of the engines.
     fn update_orders(&mut self, urgencies: &BTreeMap<String, u32>, history: &OfferHistory) {
         let Some(replica) = &mut self.replica else {
             return;
@@ -145,7 +146,7 @@
         *ordered_engines = present;
     }
 
-    /// Takes in what engines answered and sends the orders that are due.
+    /// Handles the reports on orders sent, and sends the orders that are due.
     pub(crate) fn tick_orders(&mut self, now: ClockTime) {
         let reports = self.orders.as_ref().map(OrderWorker::reports);
         for report in reports.unwrap_or_default() {
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Orders that the lease lets this node give now.
+    /// Returns the orders that this node may send now under its lease.
     fn due_orders(&mut self, now: ClockTime) -> Vec<OrderTask> {
         let Some(replica) = self.replica.as_mut().filter(|replica| replica.leads(now)) else {
             return Vec::new();
@@ -197,8 +198,8 @@
         orders.filter_map(task).collect()
     }
 
-    /// An order was answered, or not. An answer to an order that is no longer under way, of an
-    /// earlier lead or repeated, changes nothing.
+    /// Handles the outcome of sending an order. A confirmation of an order that is no longer
+    /// pending, from an earlier leadership or a resend, changes nothing.
     fn handle_order_report(&mut self, report: OrderReport) {
         let context = self
             .replica
@@ -213,12 +214,12 @@
         let OrderReport { id, engine, end } = report;
         metrics::counter!("ragwortroad_orders_ended_total", "end" => end.label()).increment(1);
         if end != OrderEnd::Confirmed {
-            tracing::warn!(engine, end = end.detail(), "an order was not confirmed");
+            tracing::warn!(engine, end = end.detail(), "order not confirmed");
         }
         self.record_order_event(EventKind::OrderAnswered, id, &engine, end.detail());
     }
 
-    /// Publishes what operators watch of orders.
+    /// Publishes the leader's gauges about orders.
     pub(crate) fn publish_order_gauges(&self, now: ClockTime) {
         let replica = self.replica.as_ref().filter(|replica| replica.leads(now));
         let context = replica.and_then(|replica| replica.leader_context.as_ref());
@@ -232,7 +233,7 @@
     }
 }
 
-/// Settings of the holder's orders.
+/// Returns the order table's settings from the configured ones.
 pub(crate) fn order_settings(keys: &EngineOrderSettings) -> OrderSettings {
     OrderSettings {
         resend_after: keys.resend,
--- a/crates/ragwortroad_node/src/control/peer_flow.rs
+++ b/crates/ragwortroad_node/src/control/peer_flow.rs
@@ -1,4 +1,4 @@
-//! Messages of other nodes, by channel.
+//! Dispatches messages from other nodes by channel.
 
 use ragwortroad_transport::prelude::*;
 use ragwortroad_types::prelude::*;
@@ -6,7 +6,7 @@
 use crate::control::control_state::ControlState;
 
 impl ControlState {
-    /// Serves what the transport brings.
+    /// Handles an event from the transport.
     pub(crate) fn handle_peer(&mut self, event: PeerEvent, now: ClockTime) {
         match event {
             PeerEvent::Received(message) => self.handle_message(message, now),
@@ -23,7 +23,7 @@
             bytes,
         } = message;
         let Some(bytes) = self.events.strip_stamp(&bytes) else {
-            tracing::warn!(%from, "a message has no stamp; upgrade the older node");
+            tracing::warn!(%from, "message has no timestamp; upgrade the older node");
             return;
         };
         match channel {
@@ -32,7 +32,7 @@
             PeerChannel::Slots => self.handle_slots(from, &bytes, now),
             PeerChannel::Follow => self.handle_follow(from, &bytes, now),
             PeerChannel::Timeline => {
-                tracing::debug!(%from, "a message on an unused channel");
+                tracing::debug!(%from, "ignored a message on an unused channel");
             }
         }
     }
--- a/crates/ragwortroad_node/src/control/show_flow.rs
+++ b/crates/ragwortroad_node/src/control/show_flow.rs
@@ -1,4 +1,4 @@
-//! Operators' questions: tables of what is true now.
+//! Answers operators' queries with tables of the current state.
 
 use ragwortroad_language::prelude::*;
 use ragwortroad_membership::prelude::*;
@@ -11,7 +11,7 @@
 };
 
 impl ControlState {
-    /// Answers a question from this node's view and `state`.
+    /// Answers a query from `state` and from this node's own view.
     pub(crate) fn answer_show(
         &self,
         origin: LineOrigin,
@@ -25,7 +25,7 @@
         self.answer_line(origin, 200, &text, table.to_json());
     }
 
-    /// The table of a topic that is not part of the replicated state.
+    /// Builds the table of a topic that is not part of the replicated state.
     fn view_table(&self, topic: ShowTopic) -> ResultTable {
         let mut table = ResultTable::new(topic);
         match topic {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// An endpoint's load: exact where this node is its home, else as it was last told.
+    /// Returns an endpoint's load: exact if this node is its home, else as last gossiped.
     fn known_load(&self, record: &EndpointRecord) -> Option<LoadReport> {
         let told = LoadReport {
             running: record.load.requests(record.capacity),
@@ -184,7 +184,7 @@
     CellValue::Number(value.into())
 }
 
-/// Whether an endpoint is there, in one word.
+/// Returns an endpoint's presence as one word.
 fn presence(record: &EndpointRecord) -> String {
     match record.damped {
         true => "flapping".to_owned(),
@@ -192,7 +192,7 @@
     }
 }
 
-/// Models with versions and adapters, as in `caption@v1+coats`.
+/// Formats models with their versions and adapters, as in `caption@v1+coats`.
 fn offers_text(offers: &[ModelOffer]) -> String {
     let text = |offer: &ModelOffer| {
         let adapters: String = offer
--- a/crates/ragwortroad_node/src/control/slot_flow.rs
+++ b/crates/ragwortroad_node/src/control/slot_flow.rs
@@ -1,4 +1,5 @@
-//! Slots asked of other nodes and granted to them, and customers' shares.
+//! Requests for slots from other nodes, grants to them, and the distribution of customers' limit
+//! shares.
 
 use std::time::Duration;
 
@@ -32,11 +33,11 @@
     },
 };
 
-/// Time after which an asker whose question came after its own release may ask anew.
+/// Retry delay for a requester whose `Ask` arrived after its own `Release`.
 const RELEASED_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl ControlState {
-    /// Serves a message about slots or shares.
+    /// Handles a message about slots or limit shares.
     pub(crate) fn handle_slots(&mut self, from: NodeId, bytes: &[u8], now: ClockTime) {
         let Some(message) = decode::<SlotMessage>(bytes) else {
             return;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// This node's answer as the home of an endpoint.
+    /// Decides on an `Ask` as the home of its endpoint.
     fn decide_ask(
         &mut self,
         (requester, question): (NodeId, u64),
@@ -121,7 +122,7 @@
         answer.into()
     }
 
-    /// A home answered a question of this node.
+    /// Handles a home's answer to an `Ask` of this node.
     fn handle_slot_answer(
         &mut self,
         home: NodeId,
@@ -130,7 +131,7 @@
         now: ClockTime,
     ) {
         let Some(wait) = self.waits.take(question, home) else {
-            // The attempt went elsewhere meanwhile; its release is on the way.
+            // The attempt was placed elsewhere in the meantime; its release is already sent.
             return;
         };
         let SlotWait {
@@ -173,7 +174,7 @@
         self.send_slots(home, &message);
     }
 
-    /// Gives a slot back to its home, now and until the home confirms it.
+    /// Releases a slot at its home, and keeps the release for resending until the home confirms it.
     pub(crate) fn send_release(
         &mut self,
         home: NodeId,
@@ -198,7 +199,7 @@
         self.send_slots(home, &message);
     }
 
-    /// Sends releases again that no home has confirmed.
+    /// Resends releases that no home has confirmed.
     pub(crate) fn resend_releases(&mut self, now: ClockTime) {
         for (question, release) in self.releases.take_due(now) {
             let message = SlotMessage::Release {
@@ -210,7 +211,8 @@
         }
     }
 
-    /// Tells the keepers of customers' limits what is wanted here, and others their shares.
+    /// Sends this node's demand to the coordinators of the customers' limits, and to the other
+    /// nodes their shares of the limits that this node coordinates.
     pub(crate) fn send_shares(&mut self, now: ClockTime) {
         for (keeper, digest) in self.limiter.demands(now) {
             let entries = digest.entries.iter();
--- a/crates/ragwortroad_node/src/disk_worker.rs
+++ b/crates/ragwortroad_node/src/disk_worker.rs
@@ -15,41 +15,37 @@
     ThreadSnafu, //
 };
 
-/// One batch that must be made durable.
+/// A batch of log changes to make durable.
 #[derive(Clone, Debug)]
 pub(crate) struct DiskWrite {
-    /// Names the batch in the report.
+    /// Identifies the batch in the report.
     pub(crate) batch: u64,
-    /// What changes.
     pub(crate) change: LogChange,
 }
 
-/// The fate of all batches up to one.
+/// The outcome of all batches up to one.
 #[derive(Clone, Debug)]
 pub(crate) enum DiskReport {
-    /// Every batch up to this one is durable.
-    Durable {
-        /// The last of them.
-        batch: u64,
-    },
+    /// Every batch up to and including this one is durable.
+    Durable { batch: u64 },
     /// The folder refuses writes from now on.
     Failed {
-        /// Why, with the remedy, for the log.
+        /// The cause and its remedy, for the log.
         reason: String,
     },
 }
 
 /// The thread that owns the data folder.
 ///
-/// A sync takes milliseconds on an old disk. On the control thread it would hold up every decision
-/// of the node; here, orders that arrive during one sync share the next one.
+/// A sync takes milliseconds on an old disk. On the control thread it would delay every decision of
+/// the node; here, the writes that arrive during one sync share the next one.
 #[derive(Debug)]
 pub(crate) struct DiskWorker {
     writes: Sender<DiskWrite>,
     thread: JoinHandle<()>,
 }
 
-/// Orders that share a sync at the most.
+/// Maximum number of queued writes added to the first of a group; a group shares one sync.
 const MAX_GROUP_WRITES: usize = 1024;
 
 impl DiskWorker {
@@ -66,11 +62,11 @@
     /// Queues a batch.
     pub(crate) fn write(&self, write: DiskWrite) {
         if self.writes.send(write).is_err() {
-            tracing::error!("the disk thread is gone; nothing is acknowledged any more");
+            tracing::error!("the disk thread has ended; this member acknowledges nothing any more");
         }
     }
 
-    /// Finishes what is queued and joins the thread.
+    /// Finishes the queued writes and joins the thread.
     pub(crate) fn join(self) {
         drop(self.writes);
         if self.thread.join().is_err() {
@@ -79,7 +75,7 @@
     }
 }
 
-/// Serves orders until the control thread drops its end.
+/// Writes batches until the control thread drops its sender.
 fn serve_writes(mut folder: LogFolder, queue: &Receiver<DiskWrite>, reports: &Sender<DiskReport>) {
     while let Ok(first) = queue.recv() {
         let group: Vec<DiskWrite> = std::iter::once(first)
--- a/crates/ragwortroad_node/src/event_log.rs
+++ b/crates/ragwortroad_node/src/event_log.rs
@@ -4,23 +4,22 @@
 
 use ragwortroad_clock::prelude::*;
 
-/// This node's events, and the clock that stamps them and every message.
+/// This node's recent events, and the hybrid clock that stamps events and messages.
 #[derive(Debug)]
 pub(crate) struct EventLog {
     ring: EventRing,
-    /// In a cell, since messages are stamped where nothing else changes.
+    /// A cell, because messages are stamped through a shared reference.
     stamps: Cell<HybridClock>,
     clock: RealClock,
 }
 
-/// Bytes of a stamp at the head of each message between nodes.
+/// Length of the timestamp at the head of each message between nodes.
 const STAMP_BYTES: usize = 8;
 
-/// Events in one answer.
+/// Maximum number of events in one timeline response.
 const MAX_PAGE_EVENTS: usize = 20_000;
 
 impl EventLog {
-    /// An empty log.
     pub(crate) fn new(clock: RealClock) -> Self {
         Self {
             ring: EventRing::new(RingSettings::default()),
@@ -29,13 +28,13 @@
         }
     }
 
-    /// Keeps an event, stamped as of now.
+    /// Records an event, stamped with the current time.
     pub(crate) fn record(&mut self, event: FleetEvent) {
         let stamp = self.stamp();
         self.ring.record(FleetEvent { stamp, ..event });
     }
 
-    /// Puts a stamp before a message's bytes.
+    /// Prepends a timestamp to a message.
     pub(crate) fn add_stamp(&self, bytes: &[u8]) -> Vec<u8> {
         let mut stamped = Vec::with_capacity(STAMP_BYTES + bytes.len());
         stamped.extend_from_slice(&self.stamp().0.to_le_bytes());
@@ -43,7 +42,8 @@
         stamped
     }
 
-    /// Takes a message's stamp into account and returns the rest; nothing where it has no stamp.
+    /// Advances the clock by a message's timestamp and returns the rest; `None` if the message is
+    /// too short to hold one.
     pub(crate) fn strip_stamp(&self, stamped: &[u8]) -> Option<Vec<u8>> {
         let (stamp, bytes) = stamped.split_at_checked(STAMP_BYTES)?;
         let stamp = u64::from_le_bytes(stamp.try_into().ok()?);
@@ -53,7 +53,7 @@
         Some(bytes.to_vec())
     }
 
-    /// The events that pass `filter`, as this node's part of a time line.
+    /// Returns the events that pass `filter`, as this node's part of a timeline.
     pub(crate) fn gather(&self, node: &str, zone: &str, filter: &EventFilter) -> NodeTimeline {
         self.ring.gather(node, zone, filter, MAX_PAGE_EVENTS)
     }
--- a/crates/ragwortroad_node/src/lib.rs
+++ b/crates/ragwortroad_node/src/lib.rs
@@ -29,7 +29,7 @@
 mod slot;
 mod wire;
 
-/// Everything a dependent crate usually needs.
+/// The types that a dependent crate usually needs.
 pub mod prelude {
     pub use crate::{
         node_error::NodeError,
--- a/crates/ragwortroad_node/src/member/leader_context.rs
+++ b/crates/ragwortroad_node/src/member/leader_context.rs
@@ -8,42 +8,42 @@
     LineOrigin, //
 };
 
-/// What a member keeps while it leads, and drops when it no longer does.
+/// State that a member holds only while it leads.
 #[derive(Debug)]
 pub(crate) struct LeaderContext {
     /// Stamps commands with the state's clock.
     pub(crate) clock: StampClock,
-    /// Which nodes may admit work, and under which revision.
+    /// Which nodes may admit requests, and under which revision.
     pub(crate) table: AdmissionTable,
-    /// Whether orders may be given; nothing until the own grant was applied.
+    /// Whether orders may be sent; `None` until the log has granted the lease for orders to this
+    /// node.
     pub(crate) gate: Option<OrderGate>,
-    /// Orders under way; made together with the gate.
+    /// Orders in flight; created together with the gate.
     pub(crate) orders: Option<OrderTable>,
-    /// Engines that the orders know.
+    /// Engines that the order table knows.
     pub(crate) ordered_engines: BTreeSet<String>,
-    /// Claim steps that go into the next command.
+    /// Claim steps for the next command, by batch.
     pub(crate) claims: Vec<(ClaimBatch, Vec<ClaimStep>)>,
     /// Accepted changes whose operators wait until they are in force everywhere.
     pub(crate) watches: Vec<ChangeWatch>,
-    /// Changes that wait until promises of this member are over.
+    /// Changes held back until this member's promises have ended.
     pub(crate) held_changes: Vec<(ChangeCommand, LineOrigin)>,
-    /// When the state's clock was moved on last.
+    /// When the state's clock was last advanced.
     pub(crate) last_tick: ClockTime,
 }
 
-/// An accepted change on its way into force.
+/// An accepted change that is not yet known to be in force everywhere.
 #[derive(Debug)]
 pub(crate) struct ChangeWatch {
-    /// Its revision.
     pub(crate) revision: u64,
-    /// Whom to tell.
+    /// Whom to answer.
     pub(crate) origin: LineOrigin,
-    /// When the operator is told what it still waits for.
+    /// When the operator is told which nodes the change still waits for.
     pub(crate) until: ClockTime,
 }
 
 impl LeaderContext {
-    /// The desk of a leader that has applied the first entry of its term at `now`.
+    /// Creates the context of a leader that has applied the first entry of its term at `now`.
     pub(crate) fn new(state: &FleetState, timing: FollowTiming, now: ClockTime) -> Self {
         Self {
             clock: StampClock::start(state.now(), now),
--- a/crates/ragwortroad_node/src/member/mod.rs
+++ b/crates/ragwortroad_node/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! This node's part in the replicated state, where it has one.
+//! This node's replica of the replicated state, on nodes that are members.
 
 pub(crate) mod leader_context;
 pub(crate) mod proposal_kind;
--- a/crates/ragwortroad_node/src/member/proposal_kind.rs
+++ b/crates/ragwortroad_node/src/member/proposal_kind.rs
@@ -2,44 +2,43 @@
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// What a proposal to the log was for, so that its result reaches who waits for it.
+/// The purpose of a proposal to the log; decides who receives its result.
 #[derive(Debug)]
 pub(crate) enum ProposalKind {
-    /// Moves the state's clock on.
+    /// Advances the state's clock.
     Tick,
-    /// The leader takes the lease for orders.
+    /// Takes the lease for orders.
     TakeOrders,
-    /// What engines shall be.
+    /// Sets the targets of engines.
     Plan,
-    /// Batches of claim steps, in the order in which they stand in the command.
+    /// Claim steps; the batches are in the order of their steps in the command.
     Claims(Vec<ClaimBatch>),
-    /// An operator's change.
+    /// An operator's change, with the operator to answer.
     Change(LineOrigin),
-    /// A change of members that goes with an accepted change or an enlisting node.
+    /// A membership change that follows from an accepted change or from a node that asks to join.
     Members,
 }
 
-/// One node's batch of claim steps within a proposal.
+/// One node's batch of claim steps in a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClaimBatch {
-    /// The node.
+    /// The node that sent the batch.
     pub(crate) node: NodeId,
-    /// The batch's number there.
+    /// The batch's number at that node.
     pub(crate) batch: u64,
-    /// How many steps.
+    /// Number of steps in the batch.
     pub(crate) steps: usize,
 }
 
-/// Whom the answer to an operator's line goes to.
+/// The receiver of the answer to an operator's line.
 #[derive(Clone, Debug)]
 pub(crate) enum LineOrigin {
-    /// An operator's connection at this node.
+    /// An operator connected to this node.
     Local(Sender<OperatorAnswer>),
-    /// Another node, which passed the line on.
+    /// Another node, which forwarded the line.
     Node {
-        /// The node.
         node: NodeId,
-        /// The line's number there.
+        /// The line's number at that node.
         token: u64,
     },
 }
--- a/crates/ragwortroad_node/src/member/state_replica.rs
+++ b/crates/ragwortroad_node/src/member/state_replica.rs
@@ -25,23 +25,24 @@
     },
 };
 
-/// A member's core, state and disk.
+/// A member's replica: its consensus core, the state applied so far, and the disk thread.
 pub(crate) struct StateReplica {
     /// The identity of the data folder.
     pub(crate) identity: MemberId,
-    /// What the folder held, until the core is made of it.
+    /// What the folder held at start; taken when the core is created.
     stored: Option<StoredState>,
-    /// Decides about founding; only as long as there is no core.
+    /// Decides how this member joins or bootstraps a group; used until there is a core.
     pub(crate) founding: FoundingTable,
-    /// The core; nothing while the group is being founded.
+    /// The consensus core; `None` while the group is being bootstrapped and after the replica has
+    /// halted.
     pub(crate) core: Option<ConsensusCore>,
-    /// What the log has led to.
+    /// The state that results from the committed log.
     pub(crate) state: FleetState,
-    /// The thread that owns the folder.
+    /// The thread that owns the data folder.
     pub(crate) disk: DiskWorker,
-    /// What came of applied commands that were proposed here, until their results are passed on.
+    /// Results of applied commands by log index, kept until their proposals are answered.
     pub(crate) applied: BTreeMap<u64, Applied>,
-    /// Proposals under way, by token.
+    /// Proposals in flight, by token.
     pub(crate) proposals: BTreeMap<u64, ProposalKind>,
     /// Nodes of members, as learned from their frames.
     pub(crate) nodes: BTreeMap<MemberId, NodeId>,
@@ -49,31 +50,30 @@
     pub(crate) promises: PromiseBook,
     /// Present while this member leads.
     pub(crate) leader_context: Option<LeaderContext>,
-    /// The state could not be carried on; only a restart with a mended program or folder helps.
+    /// Set when a command or snapshot could not be applied; only a restart with a corrected program
+    /// or data folder helps.
     pub(crate) halted: bool,
     next_token: u64,
     settings: CoreSettings,
     start: u64,
 }
 
-/// What a seat is made from.
+/// What a replica is created from.
 pub(crate) struct ReplicaOptions<'a> {
-    /// The process's settings.
     pub(crate) settings: &'a ProcessSettings,
-    /// This node.
     pub(crate) node: NodeId,
-    /// A random number, for an empty folder.
+    /// A random number; becomes the identity of an empty data folder.
     pub(crate) fresh_identity: u64,
-    /// Milliseconds of the wall clock.
+    /// Wall clock time of this process's start, in milliseconds.
     pub(crate) start: u64,
-    /// The time.
+    /// The current time.
     pub(crate) now: ClockTime,
-    /// Where the disk thread reports.
+    /// Receives the reports of the disk thread.
     pub(crate) reports: flume::Sender<DiskReport>,
 }
 
 impl StateReplica {
-    /// Opens the data folder, if the settings name one.
+    /// Opens the data folder; `None` if the settings name none.
     pub(crate) fn open(start: ReplicaOptions<'_>) -> Result<Option<Self>, NodeError> {
         let Some(path) = start.settings.state.data_folder.clone() else {
             return Ok(None);
@@ -116,12 +116,13 @@
         }))
     }
 
-    /// What this member says of itself to the others that the settings name.
+    /// Returns the hello that this member sends to the other members in the settings.
     pub(crate) fn hello(&self, node: NodeId) -> FoundingHello {
         let is_empty = match (&self.core, &self.stored) {
             (Some(core), _) => core.last_position().index == 0,
             (None, Some(stored)) => is_unused(stored),
-            // A halted member's folder is in use; "empty" could found a second group.
+            // A halted member's folder is in use; reporting it as empty could bootstrap a second
+            // group.
             (None, None) => false,
         };
         FoundingHello {
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Makes the core, once it is clear whether a group exists, is founded here, or elsewhere.
+    /// Creates the core once it is known whether to bootstrap a group here, follow an existing one
+    /// or join it.
     pub(crate) fn try_found(&mut self, now: ClockTime, seed: u64) -> Vec<CoreAction> {
         let founders = match self.founding.step() {
             FoundingStep::Wait { .. } => return Vec::new(),
@@ -152,32 +154,32 @@
                 actions
             }
             Err(error) => {
-                tracing::error!(%error, "this member cannot take part");
+                tracing::error!(%error, "cannot start the consensus core; this member does not participate");
                 Vec::new()
             }
         }
     }
 
-    /// Whether this member is the one in charge, by its own clock and a quorum's word.
+    /// Whether this member leads, by its own clock and a lease from a quorum.
     pub(crate) fn leads(&self, now: ClockTime) -> bool {
         let leads = |core: &ConsensusCore| core.may_act_as_leader(now);
         self.leader_context.is_some() && self.core.as_ref().is_some_and(leads)
     }
 
-    /// The node of a member.
+    /// Returns the node of a member, from the group's records or else from its frames.
     pub(crate) fn node_of(&self, member: MemberId) -> Option<NodeId> {
         let core = self.core.as_ref()?;
         let record = core.members().find(member).map(|record| record.node);
         record.or_else(|| self.nodes.get(&member).copied())
     }
 
-    /// The leader's node by this member's knowledge.
+    /// Returns the leader's node as far as this member knows it.
     pub(crate) fn leader_node(&self) -> Option<NodeId> {
         let leader = self.core.as_ref()?.leader()?;
         self.node_of(leader)
     }
 
-    /// Hands an input to the core.
+    /// Passes an input to the core; no actions while there is no core.
     pub(crate) fn handle(&mut self, input: CoreInput, now: ClockTime) -> Vec<CoreAction> {
         match &mut self.core {
             Some(core) => core.handle(input, now),
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Proposes a command and remembers what it is for.
+    /// Proposes a command, and records its purpose under a new token.
     pub(crate) fn propose(
         &mut self,
         action: StateAction,
@@ -194,7 +196,7 @@
         now: ClockTime,
     ) -> Vec<CoreAction> {
         let Some(context) = &self.leader_context else {
-            tracing::warn!("a proposal was made without the lead; it is dropped");
+            tracing::warn!("dropped a proposal: this node does not lead");
             return Vec::new();
         };
         let stamp = context.clock.stamp(now, wall_ms);
@@ -203,7 +205,7 @@
         self.handle(CoreInput::Propose { token, command }, now)
     }
 
-    /// Proposes a step in the membership.
+    /// Proposes a membership change.
     pub(crate) fn propose_member(
         &mut self,
         change: MemberChange,
@@ -219,7 +221,7 @@
         self.next_token
     }
 
-    /// Longest time for which this member's log has all it knows applied.
+    /// Whether every entry in this member's log is committed.
     pub(crate) fn is_settled(&self) -> bool {
         let core = self.core.as_ref();
         core.is_some_and(|core| core.commit_index() == core.last_position().index)
@@ -231,7 +233,7 @@
     stored.entries.is_empty() && stored.snapshot.is_none()
 }
 
-/// The state that a stored snapshot stands for.
+/// Restores the state from a stored snapshot; empty without one.
 fn stored_fleet(stored: &StoredState) -> Result<FleetState, NodeError> {
     let Some(snapshot) = &stored.snapshot else {
         return Ok(FleetState::default());
@@ -241,7 +243,7 @@
     })
 }
 
-/// Spans of the agreement, from the lease in the settings.
+/// Returns the consensus timeouts, derived from the lease in the settings.
 pub(crate) fn core_settings(settings: &StateSettings) -> CoreSettings {
     CoreSettings {
         election_timeout: settings.lease,
@@ -253,7 +255,7 @@
     }
 }
 
-/// Spans of the rule when a change is in force everywhere.
+/// Returns the durations that decide when a change is in force everywhere.
 pub(crate) fn follow_timing(settings: &StateSettings) -> FollowTiming {
     FollowTiming {
         bound: settings.follow_bound,
@@ -262,7 +264,7 @@
     }
 }
 
-/// Spans of the rule when orders of a former leader can no longer arrive.
+/// Returns the durations after which orders from a former leader can no longer arrive.
 pub(crate) fn order_timing(settings: &StateSettings) -> OrderTiming {
     OrderTiming {
         lease: core_settings(settings).lease_span(),
@@ -271,8 +273,8 @@
     }
 }
 
-/// Longest time between the check of the lease and an order's effect at its engine; the sender's
-/// timeouts keep it below.
+/// Maximum time between the check of the lease and an order's effect on its engine. The timeouts of
+/// the sender enforce it.
 pub(crate) const MAX_ORDER_FLIGHT: Duration = Duration::from_secs(5);
 
 fn drift_ppm(settings: &StateSettings) -> u32 {
--- a/crates/ragwortroad_node/src/metric_pages.rs
+++ b/crates/ragwortroad_node/src/metric_pages.rs
@@ -5,14 +5,14 @@
     PrometheusHandle, //
 };
 
-/// The process's metrics as a Prometheus text page.
+/// Renders the process's metrics as a Prometheus text page.
 pub(crate) struct MetricPages;
 
-/// The recorder is the process's, as are the macros that write to it.
+/// Global, because the recorder and the macros that write to it are global to the process.
 static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
 impl MetricPages {
-    /// The page as of now.
+    /// Renders the current metrics; empty if no recorder could be installed.
     pub(crate) fn render() -> String {
         let handle = HANDLE.get_or_init(install);
         handle
@@ -20,7 +20,7 @@
             .map_or_else(String::new, PrometheusHandle::render)
     }
 
-    /// Starts recording; several nodes in one process share the recorder.
+    /// Installs the recorder. Several nodes in one process share it.
     pub(crate) fn start() {
         HANDLE.get_or_init(install);
     }
--- a/crates/ragwortroad_node/src/node_process.rs
+++ b/crates/ragwortroad_node/src/node_process.rs
@@ -58,10 +58,10 @@
     }, //
 };
 
-/// One running node.
+/// A running node.
 ///
-/// It is the root of its threads: the control thread, which owns the transport and the disk
-/// thread, and the gateway with the traffic threads. [`Self::stop`] joins all of them.
+/// Owns the gateway with its traffic threads, and the control thread, which owns the transport and
+/// the disk thread. [`Self::stop`] joins all of them.
 pub struct NodeProcess {
     gateway: GatewayServer,
     control: JoinHandle<()>,
@@ -71,20 +71,25 @@
     gate: Arc<LinkGate>,
 }
 
-/// Share of first attempts that may be repeated, and retries that are saved up for quiet times.
+/// Ratio of retries to first attempts, earned with each first attempt.
 const RETRY_RATIO: f64 = 0.1;
-/// Retries a node may make before it has earned any.
+/// Retries that a node may make before it has earned any.
 const RETRY_RESERVE: u32 = 32;
 
-/// Shortest time between two loads of one endpoint told to the fleet. Older loads make nodes crowd
-/// the engine that was idle a moment ago; the gossip budget bounds what newer ones cost.
+/// Minimum interval between two gossiped loads of one endpoint. With older loads, nodes crowd the
+/// engine that was idle a moment ago; the gossip budget bounds the cost of newer ones.
 const MIN_LOAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a page may take the control thread.
+/// How long a timeline request waits for the control thread.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl NodeProcess {
-    /// Starts a node.
+    /// Starts a node: reads its secrets and keys, opens its ports and its data folder, and starts
+    /// its threads.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file, a port or the data folder can't be used, or if a thread can't be started.
     pub fn start(settings: ProcessSettings) -> Result<Self, NodeError> {
         MetricPages::start();
         let secrets = NodeSecrets::read(&settings.fleet)?;
@@ -131,33 +136,35 @@
         })
     }
 
-    /// Where callers, endpoints and operators connect.
+    /// Returns the address to which callers, endpoints and operators connect.
     pub fn caller_address(&self) -> SocketAddr {
         self.gateway.local_address()
     }
 
-    /// Where other nodes connect.
+    /// Returns the address to which other nodes connect.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address
     }
 
-    /// Requests between their head and the last byte of their answer.
+    /// Returns the number of requests in flight, from the request head to the last byte of the
+    /// response.
     pub fn in_flight(&self) -> usize {
         self.gateway.in_flight()
     }
 
-    /// Bytes sent to other nodes and received from them, in UDP payloads, as of the last second.
+    /// Returns the bytes sent to other nodes and received from them, in UDP payloads, updated once
+    /// a second.
     pub fn control_bytes(&self) -> (u64, u64) {
         self.bytes.read()
     }
 
-    /// The links to other nodes, which a test can cut.
+    /// Returns the gate that lets a test cut the links to other nodes.
     #[doc(hidden)]
     pub fn gate(&self) -> &LinkGate {
         &self.gate
     }
 
-    /// Keeps the control thread from doing anything until what is returned is dropped.
+    /// Blocks the control thread until the returned sender is dropped.
     #[doc(hidden)]
     pub fn freeze(&self) -> Sender<()> {
         let (hold, held) = flume::bounded(0);
@@ -167,9 +174,9 @@
         hold
     }
 
-    /// Ends at once, as a process that is killed does: nothing is drained, finished or told.
+    /// Ends the node at once, like a killed process: nothing is drained, completed or announced.
     ///
-    /// The control thread ends first, so that requests that are cut leave no trace in the log.
+    /// The control thread ends first, so that requests that are cut off leave no trace in the log.
     #[doc(hidden)]
     pub fn crash(self) {
         if self.commands.send(SupervisorCommand::Crash).is_err() {
@@ -181,16 +188,17 @@
         self.gateway.abandon();
     }
 
-    /// Drains: takes no new work, finishes every request in flight, joins every thread.
+    /// Shuts down gracefully: admits no new requests, completes those in flight, and joins every
+    /// thread.
     pub fn stop(self) {
         if self.commands.send(SupervisorCommand::Drain).is_err() {
             tracing::error!("the control thread ended before the drain");
         }
-        // Requests in flight need the control thread for their ends, so it goes on until they are
-        // whole.
+        // Requests in flight report their end to the control thread, so it runs until all of them
+        // are complete.
         self.gateway.join();
         if self.commands.send(SupervisorCommand::Stop).is_err() {
-            tracing::error!("the control thread ended before the traffic");
+            tracing::error!("the control thread ended before the traffic threads");
         }
         if self.control.join().is_err() {
             tracing::error!("the control thread panicked");
@@ -198,7 +206,7 @@
     }
 }
 
-/// Reads this node's certificate and key, and the fleet's authority.
+/// Reads this node's certificate and key, and the fleet's certificate authority.
 fn read_keys(settings: &ProcessSettings) -> Result<PeerKeys, NodeError> {
     let folder = &settings.fleet.keys;
     let name = &settings.node.name;
@@ -237,7 +245,7 @@
     GatewayServer::start(gateway, calls, pages).context(HttpSnafu)
 }
 
-/// The page of this node's events, made by the control thread.
+/// Returns the handler for this node's timeline, which the control thread produces.
 fn timeline_page(
     commands: Sender<SupervisorCommand>,
 ) -> impl Fn([u8; 32], &str) -> Result<String, RefusalWire> {
@@ -265,7 +273,8 @@
     }
 }
 
-/// The filter in `filter=HEX`, the hexadecimal form of its JSON; no query lets everything pass.
+/// Parses `filter=HEX`, the hexadecimal form of the filter's JSON. An empty query selects all
+/// events; `None` if the query is malformed.
 fn read_filter(query: &str) -> Option<EventFilter> {
     let Some(text) = query.strip_prefix("filter=") else {
         return query.is_empty().then(EventFilter::default);
@@ -276,13 +285,13 @@
     serde_json::from_slice(&bytes).ok()
 }
 
-/// What the control state is made of.
+/// What the control state is created from.
 struct ControlParts {
     settings: ProcessSettings,
     secrets: NodeSecrets,
     transport: PeerTransport,
     reports: Sender<crate::disk_worker::DiskReport>,
-    /// Where this node takes callers, and where it takes its peers.
+    /// The address for callers and the address for peers.
     addresses: (SocketAddr, SocketAddr),
 }
 
--- a/crates/ragwortroad_node/src/node_secrets.rs
+++ b/crates/ragwortroad_node/src/node_secrets.rs
@@ -15,14 +15,14 @@
     SecretSnafu, //
 };
 
-/// Hashes of the secrets that stand in files; the secrets themselves are not kept.
+/// Hashes of the secrets in files; the secrets themselves are not kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NodeSecrets {
     /// SHA-256 of the secret with which endpoints join.
     pub(crate) join: [u8; 32],
     /// SHA-256 of the first operator's key.
     pub(crate) operator: [u8; 32],
-    /// Secret of placement hints, the same on all nodes.
+    /// Secret key of placement hints, the same on all nodes.
     pub(crate) hints: u64,
 }
 
@@ -31,7 +31,7 @@
     pub(crate) fn read(settings: &FleetSettings) -> Result<Self, NodeError> {
         let join = read_hash(&settings.join_secret_file)?;
         let operator = read_hash(&settings.operator_key_file)?;
-        // All nodes share the join secret, and no caller knows it.
+        // All nodes share the join secret, and callers don't know it.
         let derived: [u8; 32] = Sha256::digest([&join[..], b"placement hints"].concat()).into();
         let mut start = [0; 8];
         start.copy_from_slice(&derived[..8]);
@@ -43,14 +43,14 @@
     }
 }
 
-/// SHA-256 of a file's first line without blanks around it.
+/// Returns the SHA-256 of a file's first line, without surrounding whitespace.
 fn read_hash(path: &Path) -> Result<[u8; 32], NodeError> {
     let text = fs::read_to_string(path).context(SecretSnafu { path })?;
     let line = text.lines().next().unwrap_or_default().trim();
     Ok(Sha256::digest(line.as_bytes()).into())
 }
 
-/// Whether two hashes are equal, in a time that does not depend on where they differ.
+/// Compares two hashes in constant time.
 pub(crate) fn same_hash(left: &[u8; 32], right: &[u8; 32]) -> bool {
     let difference = left.iter().zip(right).fold(0, |sum, (a, b)| sum | (a ^ b));
     difference == 0
--- a/crates/ragwortroad_node/src/order/engine_view.rs
+++ b/crates/ragwortroad_node/src/order/engine_view.rs
@@ -4,27 +4,27 @@
 use ragwortroad_state::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// One engine as the leader sees it when it plans.
+/// An engine as seen by the leader when it plans.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EngineView {
-    /// The name under which it announces itself.
+    /// The name under which the engine announces itself.
     pub(crate) name: String,
     /// Its failure domain.
     pub(crate) zone: String,
-    /// Requests it works on at once.
+    /// Requests it can run at once.
     pub(crate) capacity: u32,
-    /// Models it holds ready.
+    /// Models that are loaded and ready.
     pub(crate) models: BTreeSet<ModelOffer>,
-    /// Requests at work and queued.
+    /// Requests running and queued.
     pub(crate) load: u32,
-    /// Whether it wants new work.
+    /// Whether it accepts new work.
     pub(crate) takes_work: bool,
-    /// Whether operators took it out of service.
+    /// Whether an operator has drained it.
     pub(crate) drained: bool,
 }
 
 impl EngineView {
-    /// The engine in `record`; nothing where it is no engine or no longer there.
+    /// Creates the view of an endpoint; `None` if it is not an engine or is gone.
     pub(crate) fn of(record: &EndpointRecord, config: &FleetConfig) -> Option<Self> {
         if record.kind != EndpointKind::Engine || record.presence == EndpointPresence::Gone {
             return None;
--- a/crates/ragwortroad_node/src/order/mod.rs
+++ b/crates/ragwortroad_node/src/order/mod.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: what they shall hold, and the thread that sends the orders.
+//! Orders to engines: planning which models they hold, and the thread that sends the orders.
 
 pub(crate) mod engine_view;
 pub(crate) mod offer_history;
--- a/crates/ragwortroad_node/src/order/offer_history.rs
+++ b/crates/ragwortroad_node/src/order/offer_history.rs
@@ -2,15 +2,14 @@
 
 use ragwortroad_state::prelude::*;
 
-/// What operators once declared and took back, as far as the kept changes tell.
+/// What operators declared earlier and then removed, as far as the retained changes show.
 ///
-/// It tells a model that is to leave the engines from one that nobody ever declared, which is none
-/// of the fleet's business.
+/// Distinguishes a model to unload from one that was never declared, which the fleet leaves alone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OfferHistory {
     /// Models that were removed.
     pub(crate) models: BTreeSet<String>,
-    /// Adapters that were removed, with their models.
+    /// Adapters that were removed, as pairs of model and adapter.
     pub(crate) adapters: BTreeSet<(String, String)>,
     /// Endpoints whose drain was ended.
     pub(crate) undrained: BTreeSet<String>,
@@ -19,7 +18,7 @@
 }
 
 impl OfferHistory {
-    /// What the changes in `log` took back.
+    /// Collects what the changes in `log` removed.
     pub(crate) fn of(log: &ChangeLog) -> Self {
         let mut history = Self::default();
         for edit in log.history().flat_map(|change| &change.edits) {
@@ -46,7 +45,7 @@
         history
     }
 
-    /// Whether a drain was ended that held the endpoint of this name in this failure domain.
+    /// Whether a drain of this endpoint or of its failure domain was ended.
     pub(crate) fn undrains(&self, name: &str, domain: &str) -> bool {
         self.undrained.contains(name) || self.undrained_domains.contains(domain)
     }
--- a/crates/ragwortroad_node/src/order/order_report.rs
+++ b/crates/ragwortroad_node/src/order/order_report.rs
@@ -3,32 +3,28 @@
 use ragwortroad_state::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// An order on its way to the thread that sends it.
+/// An order handed to the thread that sends it.
 #[derive(Clone, Debug)]
 pub(crate) struct OrderTask {
-    /// The order.
     pub(crate) order: EngineOrder,
-    /// Where the engine takes it.
+    /// Where the engine receives orders.
     pub(crate) address: SocketAddr,
-    /// Whether the engine refuses old fencing numbers itself.
+    /// Whether the engine itself rejects outdated fencing numbers.
     pub(crate) checks_fencing: bool,
-    /// Asked once more directly before the write.
+    /// Checked once more directly before the write.
     pub(crate) gate: OrderGate,
-    /// The reading up to which this node was proved to be the leader when the order was handed over.
+    /// The clock reading up to which this node was known to lead when the order was handed over.
     ///
-    /// Invariant: never later than what the control thread knew, so a sender that was paused finds
-    /// it passed.
+    /// Invariant: never later than what the control thread knew, so that a sender resumed after a
+    /// pause finds it expired.
     pub(crate) lead_until: ClockTime,
 }
 
-/// What came of sending an order once.
+/// The outcome of sending an order once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OrderReport {
-    /// The order.
     pub(crate) id: OrderId,
-    /// The engine's name.
     pub(crate) engine: String,
-    /// How it ended.
     pub(crate) end: OrderEnd,
 }
 
@@ -39,14 +35,14 @@
     Confirmed,
     /// The engine answered with another status.
     Refused(u16),
-    /// The lease was over before the write; not a byte was sent.
+    /// The lease had expired before the write; no byte was sent.
     Withheld(GateRefusal),
-    /// No whole answer came.
+    /// No complete answer arrived.
     Failed(String),
 }
 
 impl OrderEnd {
-    /// The end in one word, for counters.
+    /// Returns the metric label.
     pub(crate) fn label(&self) -> &'static str {
         match self {
             Self::Confirmed => "confirmed",
@@ -56,7 +52,7 @@
         }
     }
 
-    /// The end for people.
+    /// Returns a description for people.
     pub(crate) fn detail(&self) -> String {
         match self {
             Self::Confirmed => "confirmed".to_owned(),
--- a/crates/ragwortroad_node/src/order/order_worker.rs
+++ b/crates/ragwortroad_node/src/order/order_worker.rs
@@ -55,8 +55,8 @@
 
 /// The thread that sends orders to engines.
 ///
-/// An engine that does not answer must hold up neither the control thread nor the orders to other
-/// engines, so orders under way share this thread side by side.
+/// An engine that doesn't answer must delay neither the control thread nor the orders to other
+/// engines, so all orders in flight run concurrently on this thread.
 #[derive(Debug)]
 pub(crate) struct OrderWorker {
     tasks: Sender<OrderTask>,
@@ -64,26 +64,28 @@
     thread: JoinHandle<()>,
 }
 
-/// Time to open a connection; nothing is sent meanwhile, so it is no part of an order's flight.
+/// Timeout for opening a connection. Nothing is sent before it is open, so this time is not part of
+/// an order's flight.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time in which what was written must be acknowledged by the engine's kernel, or the own one ends
-/// the connection and sends nothing again. It holds also while this process is paused.
+/// Time in which the engine's kernel must acknowledge what was written; otherwise the local kernel
+/// closes the connection and retransmits nothing. It holds even while this process is paused.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time an engine may take from the arrival of an order until nothing of it lies in a queue.
+/// Maximum time an engine may keep an order queued after its arrival.
 const MAX_ENGINE_QUEUE_TIME: Duration = Duration::from_secs(2);
 
-/// Time for an answer, which comes when a load is over.
+/// Timeout for an answer, which the engine sends when a load has completed.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Largest answer that is read.
+/// Maximum size of an answer that is read.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Orders under way at once.
+/// Maximum number of orders in flight.
 const MAX_TASKS: usize = 256;
 
-/// What the flight is made up of must leave room for the instructions between check and write.
+/// The parts of an order's flight must leave time for the instructions between the check and the
+/// write.
 const _: () = assert!(
     DELIVERY_TIMEOUT.as_millis() + MAX_ENGINE_QUEUE_TIME.as_millis() < MAX_ORDER_FLIGHT.as_millis(),
     "an order could take effect after the next leader's wait"
@@ -109,19 +111,19 @@
         })
     }
 
-    /// Hands an order over; one that is still under way is not sent a second time.
+    /// Queues an order. One that is still in flight is not sent a second time.
     pub(crate) fn send(&self, task: OrderTask) {
         if self.tasks.send(task).is_err() {
-            tracing::error!("the order thread is gone; engines get no orders from this node");
+            tracing::error!("the order thread has ended; engines get no orders from this node");
         }
     }
 
-    /// What came of orders since the last call.
+    /// Returns the reports since the last call.
     pub(crate) fn reports(&self) -> Vec<OrderReport> {
         self.reports.try_iter().collect()
     }
 
-    /// Cuts what is under way and joins the thread.
+    /// Aborts the orders in flight and joins the thread.
     pub(crate) fn join(self) {
         drop(self.tasks);
         if self.thread.join().is_err() {
@@ -130,7 +132,7 @@
     }
 }
 
-/// Sends orders until the control thread drops its end.
+/// Sends orders until the control thread drops its sender.
 async fn serve_tasks(queue: &Receiver<OrderTask>, results: &Sender<OrderReport>, clock: RealClock) {
     let mut in_flight = JoinSet::new();
     let mut ids = BTreeSet::new();
@@ -157,7 +159,7 @@
     }
 }
 
-/// Sends one order and awaits its answer.
+/// Sends one order and waits for its answer.
 async fn send_order(task: OrderTask, clock: RealClock) -> OrderReport {
     let end = match connect(task.address).await {
         Ok(stream) => send_and_await(stream, &task, clock).await,
@@ -167,19 +169,20 @@
     OrderReport { id, engine, end }
 }
 
-/// Opens a connection from which nothing arrives later than the limit after it was written.
+/// Opens a connection on which no data arrives later than `DELIVERY_TIMEOUT` after it was written.
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
-    // Without these the kernel would repeat a lost order for a quarter of an hour; it would arrive
-    // after the next leader's orders, and an engine that ignores fencing numbers would obey it.
+    // Without these options the kernel would retransmit a lost order for a quarter of an hour. It
+    // would arrive after the next leader's orders, and an engine that ignores fencing numbers would
+    // execute it.
     socket.set_tcp_user_timeout(Some(DELIVERY_TIMEOUT))?;
     socket.set_linger(Some(Duration::ZERO))?;
     Ok(stream)
 }
 
-/// Writes the order if the gate is still open, and awaits the answer.
+/// Writes the order if the gate still permits it, and waits for the answer.
 async fn send_and_await(stream: TcpStream, task: &OrderTask, clock: RealClock) -> OrderEnd {
     let request = match order_request(task) {
         Ok(request) => request,
@@ -190,7 +193,7 @@
         Err(error) => return OrderEnd::Failed(error.to_string()),
     };
     let answer = async {
-        // The connection is open; from here to the write there is nothing to wait for.
+        // The connection is open; nothing blocks between this check and the write.
         let gate = &task.gate;
         gate.may_order(clock.now(), task.lead_until, task.checks_fencing)
             .map_err(OrderEnd::Withheld)?;
@@ -199,7 +202,7 @@
         let response = response.map_err(|error| failed(&error))?;
         let status = response.status().as_u16();
         let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
-        // An answer that was cut confirms nothing.
+        // A truncated answer confirms nothing.
         body.await.map_err(|error| failed(&error))?;
         Ok(status)
     };
@@ -215,12 +218,12 @@
     }
 }
 
-/// Moves a connection's bytes; ends when it broke without an answer.
+/// Drives a connection; returns only if it fails before the answer.
 async fn drive_connection(connection: impl Future<Output = hyper::Result<()>>) -> OrderEnd {
     if let Err(error) = connection.await {
         return OrderEnd::Failed(error.to_string());
     }
-    // Closed in good order: the answer is on its way to its reader.
+    // The connection was closed in an orderly way: the answer is on its way to its reader.
     std::future::pending().await
 }
 
--- a/crates/ragwortroad_node/src/order/refused_demand.rs
+++ b/crates/ragwortroad_node/src/order/refused_demand.rs
@@ -8,26 +8,27 @@
     encode, //
 };
 
-/// The kind of the blob in which a node tells what it refused.
+/// Kind of the gossip blob in which a node publishes the requests it refused.
 pub(crate) const REFUSED_BLOB: u8 = 1;
 
-/// Offers told at the most; an entry has at most 15 bytes, so the blob stays below its limit.
+/// Maximum number of offers in a blob. An entry takes at most 15 bytes, which keeps the blob below
+/// its limit.
 const MAX_BLOB_OFFERS: usize = 24;
 
-/// Requests that this node refused for want of room, by what they asked for.
+/// Requests that this node refused for lack of capacity, by the offer they asked for.
 ///
-/// Engines report only work that reached them. Without this a model whose engines are full would
-/// look exactly as loaded as its bound allows, however many callers are turned away.
+/// Engines report only the work that reached them. Without these counts a model whose engines are
+/// full would seem loaded just to its bound, however many callers are refused.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RefusedDemand {
-    /// Since the last second.
+    /// Refusals in the current second.
     fresh: BTreeMap<OfferKey, u32>,
-    /// A second's refusals, as a moving mean.
+    /// Refusals for each second, as a moving average.
     mean: BTreeMap<OfferKey, u32>,
 }
 
 impl RefusedDemand {
-    /// A request was refused.
+    /// Counts a refusal if its cause was a lack of capacity.
     pub(crate) fn note(&mut self, offer: OfferKey, code: RefusalCode) {
         if matches!(code, RefusalCode::Overloaded | RefusalCode::NoEndpoint) {
             let count = self.fresh.entry(offer).or_default();
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Ends a second; the blob that tells what was refused, empty where nothing was.
+    /// Ends a second and returns the blob of refused requests; empty if there were none.
     pub(crate) fn end_second(&mut self) -> Vec<u8> {
         for (offer, mean) in &mut self.mean {
             let fresh = self.fresh.remove(offer).unwrap_or(0);
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Adds what a node told to `sum`.
+    /// Adds the counts in a node's blob to `sum`.
     pub(crate) fn add(sum: &mut BTreeMap<OfferKey, u32>, blob: &[u8]) {
         if blob.is_empty() {
             return;
--- a/crates/ragwortroad_node/src/order/target_plan.rs
+++ b/crates/ragwortroad_node/src/order/target_plan.rs
@@ -12,48 +12,48 @@
     offer_history::OfferHistory, //
 };
 
-/// What is declared and observed, for [`TargetPlan::of`].
+/// The declared and observed state from which [`TargetPlan::of`] plans.
 pub(crate) struct TargetInput<'a> {
     /// What operators declared.
     pub(crate) config: &'a FleetConfig,
-    /// What they took back.
+    /// What operators declared earlier and then removed.
     pub(crate) history: &'a OfferHistory,
-    /// The plan so far.
+    /// The current plan.
     pub(crate) plan: &'a OrderPlan,
-    /// The engines that are there.
+    /// The engines that are present.
     pub(crate) engines: &'a [EngineView],
-    /// Requests a second that found no room, by what they asked for.
+    /// Requests refused for lack of capacity in one second, by offer.
     pub(crate) refused: &'a BTreeMap<OfferKey, u32>,
-    /// Models an engine has room for.
+    /// Maximum number of models on an engine.
     pub(crate) max_offers: usize,
-    /// Loads that may be under way at once.
+    /// Maximum number of loads in flight.
     pub(crate) loads_at_once: usize,
 }
 
-/// What engines shall be from now on.
+/// The planned targets of engines.
 ///
-/// An engine that holds nothing declared, is not drained and gets nothing to load is not planned
-/// for; nor are models on planned engines that nobody ever declared. The fleet unloads only what
-/// operators once declared and took back, or a version that others have replaced.
+/// An engine is not planned for if it holds no declared model, is not drained and has nothing to
+/// load. On planned engines, models that were never declared are left alone. The fleet unloads only
+/// what operators declared and then removed, or a version that another one has replaced.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct TargetPlan {
-    /// Targets that differ from the plan so far.
+    /// Targets that differ from the current plan; `None` removes a target.
     pub(crate) changes: Vec<(String, Option<EngineTarget>)>,
-    /// How urgently each engine's loads are needed, the highest first.
+    /// Urgency of each engine's loads; the highest is loaded first.
     pub(crate) urgencies: BTreeMap<String, u32>,
 }
 
 /// A model and one of its versions.
 type VersionName = (String, String);
 
-/// Loads of what no engine serves go before all others.
+/// Loads of versions that no engine serves go before all others.
 const MAX_URGENCY: u32 = u32::MAX;
 
-/// Engines whose place in the old version's service is given up before the new one is there.
+/// Engines that a rollout may take from the replaced version before the new one is ready.
 const ROLLOUT_STEP_ENGINES: usize = 1;
 
 impl TargetPlan {
-    /// The plan for `input`.
+    /// Plans for `input`.
     pub(crate) fn of(input: &TargetInput<'_>) -> Self {
         let draft = TargetDraft::new(input);
         let demands = draft.demands();
@@ -65,7 +65,7 @@
     }
 }
 
-/// What engines hold by the plan so far, with the keys of all versions.
+/// The versions held under the current plan, and the offer keys of all versions.
 struct TargetDraft<'a> {
     input: &'a TargetInput<'a>,
     /// What each engine holds or is to hold, in the order of `input.engines`.
@@ -89,7 +89,7 @@
         Self { input, held, names }
     }
 
-    /// Every version that is held or declared, with how much it is wanted.
+    /// Returns the demand for every version that is held or declared.
     fn demands(&self) -> Vec<OfferDemand> {
         let to_demand = |(key, name): (&OfferKey, &VersionName)| {
             let holders = self.holders(name);
@@ -111,7 +111,7 @@
         self.names.iter().map(to_demand).collect()
     }
 
-    /// The fewest and the most engines that a declared version shall have.
+    /// Returns the minimum and maximum number of engines for a declared version.
     fn declared_range(&self, (model, version): &VersionName) -> Option<(usize, usize)> {
         let entry = self.input.config.models.get(model)?;
         let share = *entry.versions.get(version)?;
@@ -119,8 +119,9 @@
         Some((part(entry.replicas.wanted), part(entry.replicas.max)))
     }
 
-    /// The fewest engines that keep a version which is no longer declared: as many as the declared
-    /// ones still lack, but for one step, so that a rollout taken back halfway finds it in place.
+    /// Returns the minimum number of engines that keep a version which is no longer declared: as
+    /// many as the declared versions still lack, less one step. A rollout that is rolled back
+    /// halfway thus still finds the version in place.
     fn min_replaced_engines(&self, (model, _): &VersionName) -> usize {
         let Some(entry) = self.input.config.models.get(model) else {
             return 0;
@@ -139,8 +140,9 @@
         lacking.saturating_sub(ROLLOUT_STEP_ENGINES)
     }
 
-    /// Requests at work on a version and those that were refused. An engine's load counts in equal
-    /// parts for all it serves, a refused request as one that works for a second.
+    /// Returns the requests running for a version plus those refused. An engine's load counts in
+    /// equal parts for everything it serves; a refused request counts as one that runs for a
+    /// second.
     fn demand(&self, name: &VersionName) -> f64 {
         let serving = self.input.engines.iter();
         let serving = serving.filter(|engine| is_seen(engine, name));
@@ -165,7 +167,7 @@
             .count()
     }
 
-    /// Loads that are planned and not yet seen.
+    /// Returns the number of loads that are planned but not yet observed.
     fn loads_in_flight(&self) -> usize {
         let pairs = self.input.engines.iter().zip(&self.held);
         pairs
@@ -199,7 +201,7 @@
         PlacementPlan::compute(&input, &PlacementSettings::default())
     }
 
-    /// Targets that differ from the plan so far.
+    /// Returns the targets that differ from the current plan.
     fn changes(&self, placement: &PlacementPlan) -> Vec<(String, Option<EngineTarget>)> {
         let pairs = self.input.engines.iter().zip(&self.held);
         let targets = pairs.filter_map(|(engine, versions)| {
@@ -212,7 +214,7 @@
             .collect()
     }
 
-    /// What an engine holds after the placement's orders.
+    /// Returns the versions that an engine holds after the placement's orders.
     fn held_after(
         &self,
         engine: &EngineView,
@@ -229,7 +231,8 @@
         versions
     }
 
-    /// The target of an engine that shall hold `holds`; none where nothing declared is about it.
+    /// Returns the target of an engine that shall hold `versions`; `None` if nothing declared
+    /// concerns it.
     fn target(
         &self,
         engine: &EngineView,
@@ -251,8 +254,8 @@
         })
     }
 
-    /// A version with the adapters it shall have at an engine: those declared, and those there
-    /// that nobody took back.
+    /// Returns a version with the adapters it shall have on an engine: those declared, and those
+    /// present that were never removed.
     fn offer(&self, engine: &EngineView, (model, version): &VersionName) -> ModelOffer {
         let seen = engine.models.iter();
         let seen = seen.filter(|offer| offer.model == *model && offer.version == *version);
@@ -269,7 +272,8 @@
         }
     }
 
-    /// How much each engine's loads are needed: what no engine serves first, then the fullest.
+    /// Returns the urgency of each engine's loads: versions that no engine serves first, then those
+    /// whose engines are fullest.
     fn urgencies(
         &self,
         demands: &[OfferDemand],
@@ -296,10 +300,11 @@
     }
 }
 
-/// What an engine holds by the plan so far, or by its own word where there is none.
+/// Returns the versions that an engine holds under the current plan, or as it reports if it has no
+/// target.
 ///
-/// What is held and was never declared stays; what the plan holds and is no longer declared does
-/// not.
+/// Versions that are held but were never declared stay; planned versions that are no longer
+/// declared don't.
 fn held_versions(input: &TargetInput<'_>, engine: &EngineView) -> BTreeSet<VersionName> {
     let models = &input.config.models;
     let is_ours = |offer: &&ModelOffer| models.contains_key(&offer.model);
--- a/crates/ragwortroad_node/src/order/tests.rs
+++ b/crates/ragwortroad_node/src/order/tests.rs
@@ -14,7 +14,7 @@
     }, //
 };
 
-/// Plans, carries the plan out at once where `loads` says so, and plans again.
+/// A fleet whose engines are planned for and can be set to match the plan.
 struct PlanFixture {
     state: FleetState,
     engines: Vec<EngineView>,
@@ -78,7 +78,7 @@
         plan
     }
 
-    /// Engines become what the plan says.
+    /// Sets the models of all engines to their targets.
     fn apply_plan(&mut self) {
         for engine in &mut self.engines {
             if let Some(target) = self.state.plan().target(&engine.name) {
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Plans and carries out until nothing changes; the fewest engines that held one of `offers`.
+    /// Plans and applies until nothing changes; returns the minimum number of engines that held one
+    /// of `offers`.
     fn run_until_stable(&mut self, offers: &[ModelOffer]) -> usize {
         let mut least = usize::MAX;
         for _ in 0..50 {
@@ -102,7 +103,7 @@
                 return least;
             }
         }
-        panic!("the plan does not come to rest");
+        panic!("the plan does not converge");
     }
 
     fn holders(&self, model: &str, version: &str) -> usize {
@@ -133,7 +134,7 @@
     }
 }
 
-/// Guards against models that are unloaded before anybody declared one.
+/// A plan must not unload models that were never declared, even when a declared model is removed.
 #[test]
 fn undeclared_models_are_left_alone() {
     let mut fixture = PlanFixture::new(6, "caption");
@@ -147,7 +148,7 @@
         ),
         (2, 6)
     );
-    // Declared and taken back: now it is the operators' word that it goes.
+    // Declared and then removed: the plan may unload it.
     let model = "tutor".to_owned();
     fixture.change(vec![ConfigEdit::RemoveModel { model }]);
     fixture.run_until_stable(&[]);
@@ -160,7 +161,8 @@
     );
 }
 
-/// Guards against refusals while a rollout is taken back.
+/// A rollout and its rollback must not leave too few engines with a version of the model, which
+/// would cause refusals.
 #[test]
 fn rollout_and_rollback_keep_the_model_served() {
     for max_offers in [1, 2] {
@@ -174,7 +176,7 @@
             version: "v2".to_owned(),
             percent: 100,
         }]);
-        // Nothing is loaded yet: this is what a way back would find.
+        // Nothing is loaded yet: these are the engines that a rollback would find.
         fixture.plan();
         let old = fixture.planned_holders("v1");
         assert!(
@@ -212,7 +214,7 @@
     }
 }
 
-/// Guards against a model without engines that waits for others to load.
+/// A model that no engine serves must not wait for the loads of other models.
 #[test]
 fn unserved_model_is_the_most_urgent() {
     let mut fixture = PlanFixture::new(6, "caption");
@@ -232,12 +234,12 @@
             target.as_ref().is_some_and(|t| t.models.contains(&wanted)) && !models.contains(&wanted)
         });
         let urgency = loads.map(|(name, _)| plan.urgencies[name]).max();
-        urgency.unwrap_or_else(|| panic!("{model} is loaded nowhere"))
+        urgency.unwrap_or_else(|| panic!("{model} is not loaded on any engine"))
     };
     assert!(of("tutor") > of("note"));
 }
 
-/// Guards against refused callers that bring no engine up, or more than declared.
+/// Refused requests must raise the number of engines, but not beyond the declared maximum.
 #[test]
 fn refused_requests_add_engines_up_to_the_declared_maximum() {
     let mut fixture = PlanFixture::new(6, "caption");
--- a/crates/ragwortroad_node/src/request/claim_queue.rs
+++ b/crates/ragwortroad_node/src/request/claim_queue.rs
@@ -8,26 +8,26 @@
 
 use crate::request::pending_attempt::PendingAttempt;
 
-/// Steps on claims that the leader has not answered yet.
+/// Claim steps that the leader hasn't answered yet.
 ///
-/// A step is repeated until it is answered: a claim until its request's patience ends, all others
-/// for ever. A lost finish would leave the key "in progress", so that a caller who asks again for
-/// its booking would be told to wait for an attempt that is over.
+/// Each step is resent until it is answered: a claim until its request times out, all others
+/// forever. A lost `Finish` would leave the key in progress, and a caller that repeats its booking
+/// would be told to wait for an attempt that has ended.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimQueue {
     next_step: u64,
     next_batch: u64,
     steps: BTreeMap<u64, PendingStep>,
-    /// Steps of each batch under way, in the order of its message.
+    /// The steps of each batch in flight, in the order of its message.
     batches: BTreeMap<u64, SentBatch>,
 }
 
 #[derive(Debug)]
 struct PendingStep {
     step: ClaimStep,
-    /// The attempt that waits for a claim.
+    /// The attempt that waits for this claim; `None` for other steps.
     attempt: Option<PendingAttempt>,
-    /// When it was sent last; nothing before the first time.
+    /// When the step was last sent; `None` before the first time.
     sent: Option<ClockTime>,
 }
 
@@ -37,22 +37,22 @@
     sent: ClockTime,
 }
 
-/// Time after which an unanswered step is sent again.
+/// Time after which an unanswered step is resent.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after which a batch's answer is no longer waited for.
+/// How long the answer to a batch is accepted.
 const BATCH_TTL: Duration = Duration::from_secs(20);
 
-/// Steps in one message.
+/// Maximum number of steps in one message.
 const MAX_BATCH_STEPS: usize = 256;
 
 impl ClaimQueue {
-    /// Adds a claim for an attempt that waits for it.
+    /// Adds a claim, with the attempt that waits for it.
     pub(crate) fn claim(&mut self, step: ClaimStep, attempt: PendingAttempt) {
         self.add(step, Some(attempt));
     }
 
-    /// Adds a finish or a release.
+    /// Adds a step that no attempt waits for: a finish, a release or the loss of a node.
     pub(crate) fn settle(&mut self, step: ClaimStep) {
         self.add(step, None);
     }
@@ -67,16 +67,16 @@
         self.steps.insert(self.next_step, open);
     }
 
-    /// Whether a request waits for a claim that was not sent yet.
+    /// Whether an attempt waits for a claim that hasn't been sent yet.
     ///
-    /// Finishes and releases keep nobody waiting; sent together with the next claim or tick they
-    /// cost a fraction of the messages and log entries.
+    /// No caller waits for the other steps; sent with the next claim or tick, they cost a fraction
+    /// of the messages and log entries.
     pub(crate) fn is_urgent(&self) -> bool {
         let mut steps = self.steps.values();
         steps.any(|open| open.attempt.is_some() && open.sent.is_none())
     }
 
-    /// The next batch to send, of steps that are new or have waited long enough.
+    /// Returns the next batch of steps that are new or due for resending.
     pub(crate) fn next_batch(&mut self, now: ClockTime) -> Option<(u64, Vec<ClaimStep>)> {
         let is_due = |open: &PendingStep| {
             open.sent
@@ -104,7 +104,7 @@
         Some((self.next_batch, steps))
     }
 
-    /// Takes in the answer to a batch; attempts whose claim was decided come back.
+    /// Takes the outcomes of a batch and returns the attempts whose claims were decided.
     pub(crate) fn take_decided(
         &mut self,
         batch: u64,
@@ -121,10 +121,10 @@
         decided
     }
 
-    /// Gives up claims whose attempts have waited since before `limit`.
+    /// Removes the claims of attempts that started before `limit`, and returns these attempts.
     ///
-    /// The caller must settle each with a release, which the state keeps apart from the claim even
-    /// if it arrives first.
+    /// The caller must settle each one with a release. The state handles the release correctly even
+    /// if it arrives before the claim.
     pub(crate) fn take_expired(&mut self, limit: ClockTime) -> Vec<PendingAttempt> {
         let waited = |open: &PendingStep| {
             open.attempt
@@ -141,14 +141,14 @@
         numbers.into_iter().filter_map(take).collect()
     }
 
-    /// Makes every unanswered step due, when another leader is known.
+    /// Makes all unanswered steps due; called when the leader changes.
     pub(crate) fn mark_all_due(&mut self) {
         for open in self.steps.values_mut() {
             open.sent = None;
         }
     }
 
-    /// Steps not answered yet.
+    /// Returns the number of unanswered steps.
     pub(crate) fn len(&self) -> usize {
         self.steps.len()
     }
--- a/crates/ragwortroad_node/src/request/ended_attempts.rs
+++ b/crates/ragwortroad_node/src/request/ended_attempts.rs
@@ -9,30 +9,30 @@
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// Attempts that ended lately, for the decision about a retry.
+/// Attempts that ended recently, kept for the decision on a retry.
 ///
-/// The traffic thread only names the attempt that failed; what is known of it stands here, so that
-/// a retry never rests on what a traffic thread claims.
+/// A traffic thread only names the attempt that failed. Its outcome is looked up here, so that a
+/// retry never depends on what the traffic thread claims.
 #[derive(Debug, Default)]
 pub(crate) struct EndedAttempts {
     attempts: BTreeMap<TicketId, EndedAttempt>,
     order: VecDeque<(ClockTime, TicketId)>,
 }
 
-/// One attempt that is over.
+/// An attempt that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EndedAttempt {
-    /// What is known of it.
+    /// What is known about the request after it.
     pub(crate) outcome: RequestOutcome,
-    /// Attempts of its request until then.
+    /// Attempts of the request so far, this one included.
     pub(crate) attempts: u32,
 }
 
-/// How long an ended attempt is remembered; a retry follows at once.
+/// How long an ended attempt is kept; a retry follows immediately.
 const ENDED_ATTEMPT_TTL: Duration = Duration::from_secs(30);
 
 impl EndedAttempts {
-    /// Notes an end.
+    /// Adds an attempt, and removes those older than the retention time.
     pub(crate) fn add(&mut self, ticket: TicketId, attempt: EndedAttempt, now: ClockTime) {
         self.attempts.insert(ticket, attempt);
         self.order.push_back((now, ticket));
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The attempt, if it ended lately; it can be followed by one retry only.
+    /// Removes and returns an attempt that ended recently; one attempt can be retried only once.
     pub(crate) fn take(&mut self, ticket: TicketId) -> Option<EndedAttempt> {
         self.attempts.remove(&ticket)
     }
--- a/crates/ragwortroad_node/src/request/mod.rs
+++ b/crates/ragwortroad_node/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Requests between their admission call and their finish.
+//! Requests between their admission call and their end.
 
 pub(crate) mod claim_queue;
 pub(crate) mod ended_attempts;
--- a/crates/ragwortroad_node/src/request/pending_attempt.rs
+++ b/crates/ragwortroad_node/src/request/pending_attempt.rs
@@ -3,56 +3,53 @@
 use ragwortroad_state::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// One attempt that was let in and looks for a place.
+/// An admitted attempt that hasn't been placed on an endpoint yet.
 #[derive(Debug)]
 pub(crate) struct PendingAttempt {
-    /// The call as the traffic thread made it.
+    /// The admission call as made by the traffic thread.
     pub(crate) call: AdmitCall,
-    /// Where the reply goes.
+    /// Receives the decision.
     pub(crate) reply: flume::Sender<AdmitReply>,
-    /// The customer's name.
     pub(crate) customer: String,
-    /// The customer in the route table.
+    /// The customer's key in the route table.
     pub(crate) customer_key: CustomerKey,
-    /// What must be served.
+    /// The model version or service that is requested.
     pub(crate) offer: OfferKey,
-    /// The model's version, for a model request.
+    /// The model's version; `None` for a service request.
     pub(crate) version: Option<String>,
-    /// The chat.
     pub(crate) chat: Option<ChatKey>,
     /// Prefix keys of the prompt, shortest first.
     pub(crate) prefixes: Vec<PrefixKey>,
-    /// The engine that the caller's hint names.
+    /// The endpoint named by the caller's placement hint.
     pub(crate) hint: Option<EndpointId>,
-    /// Tokens the customer's limit was charged with.
+    /// Tokens charged to the customer's limit.
     pub(crate) tokens: u32,
-    /// The engines' scheduling priority.
+    /// The scheduling priority that is sent to the engine.
     pub(crate) priority: u8,
-    /// The claim it holds, for a request that must not run twice.
+    /// The claim that a request which must not run twice needs before it is sent.
     pub(crate) claim: Option<HeldClaim>,
-    /// Endpoints that failed the request or whose home refused it.
+    /// Endpoints that failed the request or whose home rejected it.
     pub(crate) excluded: Vec<EndpointId>,
-    /// Homes asked so far.
+    /// Number of homes asked so far.
     pub(crate) asked: u32,
-    /// Homes that answered that their endpoint is full.
+    /// Number of homes that answered that the endpoint is full.
     pub(crate) full: u32,
-    /// When the call came in.
+    /// When the call arrived.
     pub(crate) since: ClockTime,
 }
 
 /// A claim that an attempt holds or asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct HeldClaim {
-    /// The key.
     pub(crate) key: ClaimKey,
-    /// Half of the request's body hash.
+    /// The first half of the hash of the request's body.
     pub(crate) body: [u8; 16],
-    /// The attempt's own name; differs between two attempts of one request.
+    /// Unique to each attempt of a request.
     pub(crate) attempt: ClaimAttempt,
 }
 
 impl HeldClaim {
-    /// The step that asks for the claim.
+    /// Returns the step that asks for the claim.
     pub(crate) fn claim_step(&self) -> ClaimStep {
         ClaimStep::Claim {
             key: self.key.clone(),
@@ -61,7 +58,7 @@
         }
     }
 
-    /// The step that gives it back with nothing sent.
+    /// Returns the step that releases the claim when nothing was sent.
     pub(crate) fn release_step(&self) -> ClaimStep {
         ClaimStep::Release {
             key: self.key.clone(),
@@ -70,7 +67,7 @@
         }
     }
 
-    /// The step that records what came of it.
+    /// Returns the step that records the request's result.
     pub(crate) fn finish_step(&self, result: ClaimResult) -> ClaimStep {
         ClaimStep::Finish {
             key: self.key.clone(),
--- a/crates/ragwortroad_node/src/request/ticket_table.rs
+++ b/crates/ragwortroad_node/src/request/ticket_table.rs
@@ -6,52 +6,47 @@
 
 use crate::request::pending_attempt::HeldClaim;
 
-/// Attempts under way, by their tickets.
+/// Attempts in flight, by ticket.
 #[derive(Debug, Default)]
 pub(crate) struct TicketTable {
     next: u64,
     tickets: BTreeMap<TicketId, TicketRecord>,
 }
 
-/// One attempt under way.
+/// An attempt in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct TicketRecord {
-    /// The request.
     pub(crate) request: RequestId,
-    /// The customer in the route table.
+    /// The customer's key in the route table.
     pub(crate) customer: CustomerKey,
-    /// The customer's name.
     pub(crate) customer_name: String,
-    /// The chat.
     pub(crate) chat: Option<ChatKey>,
-    /// The endpoint.
     pub(crate) endpoint: EndpointId,
-    /// Who granted the slot.
     pub(crate) slot: HeldSlot,
     /// Tokens charged to the customer's limit.
     pub(crate) tokens: u32,
     /// Attempts of the request, this one included.
     pub(crate) attempts: u32,
-    /// The claim.
+    /// The claim that the attempt holds, if any.
     pub(crate) claim: Option<HeldClaim>,
 }
 
-/// The slot an attempt holds.
+/// A slot that an attempt holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeldSlot {
-    /// Granted here.
+    /// Granted by this node.
     Local(SlotId),
     /// Granted by another node.
     Remote {
-        /// The home.
+        /// The endpoint's home.
         home: NodeId,
-        /// The question it was granted for.
+        /// Number of the `Ask` message that the home granted.
         question: u64,
     },
 }
 
 impl TicketTable {
-    /// Adds an attempt.
+    /// Adds an attempt and returns its ticket.
     pub(crate) fn open(&mut self, record: TicketRecord) -> TicketId {
         self.next += 1;
         let ticket = TicketId(self.next);
@@ -59,12 +54,12 @@
         ticket
     }
 
-    /// Ends an attempt; nothing where it has ended before.
+    /// Removes an attempt; `None` if it has already ended.
     pub(crate) fn close(&mut self, ticket: TicketId) -> Option<TicketRecord> {
         self.tickets.remove(&ticket)
     }
 
-    /// Attempts under way.
+    /// Returns the number of attempts in flight.
     pub(crate) fn len(&self) -> usize {
         self.tickets.len()
     }
--- a/crates/ragwortroad_node/src/request/wait_table.rs
+++ b/crates/ragwortroad_node/src/request/wait_table.rs
@@ -4,13 +4,15 @@
 
 use crate::request::pending_attempt::PendingAttempt;
 
-/// Attempts that wait for another node's answer, by the number of their question.
+/// Attempts that wait for a home's answer, by the number of their `Ask` message, and attempts on
+/// hold.
 ///
-/// Invariant: every plan in it gets exactly one reply, at the latest when its time is over.
+/// Invariant: every attempt in it gets exactly one reply, at the latest when its wait times out.
 #[derive(Debug, Default)]
 pub(crate) struct WaitTable {
     slots: BTreeMap<u64, SlotWait>,
-    /// Attempts held until a place that is worth it may have room, by when to look again.
+    /// Attempts on hold until an endpoint worth waiting for may have capacity, by the time of the
+    /// next try.
     held: BTreeMap<(ClockTime, u64), PendingAttempt>,
     next_held: u64,
 }
@@ -18,9 +20,8 @@
 /// An attempt that waits for a slot.
 #[derive(Debug)]
 pub(crate) struct SlotWait {
-    /// The attempt.
     pub(crate) attempt: PendingAttempt,
-    /// The endpoint asked for.
+    /// The endpoint that the slot is for.
     pub(crate) endpoint: EndpointId,
     /// The home that was asked.
     pub(crate) home: NodeId,
@@ -29,12 +30,12 @@
 }
 
 impl WaitTable {
-    /// Starts a wait.
+    /// Adds a wait.
     pub(crate) fn add(&mut self, question: u64, wait: SlotWait) {
         self.slots.insert(question, wait);
     }
 
-    /// Ends the wait for the answer of `home` to `question`.
+    /// Removes and returns the wait for `question` if `home` was asked.
     pub(crate) fn take(&mut self, question: u64, home: NodeId) -> Option<SlotWait> {
         let asked = self.slots.get(&question)?.home;
         if asked != home {
@@ -43,7 +44,7 @@
         self.slots.remove(&question)
     }
 
-    /// Ends all waits that began before `limit`, and those for homes that `is_gone`.
+    /// Removes and returns the waits that began before `limit` or whose home `is_gone`.
     pub(crate) fn take_overdue(
         &mut self,
         limit: ClockTime,
@@ -60,25 +61,25 @@
         numbers.into_iter().filter_map(take).collect()
     }
 
-    /// Holds an attempt until `due`.
+    /// Puts an attempt on hold until `due`.
     pub(crate) fn hold(&mut self, attempt: PendingAttempt, due: ClockTime) {
         self.next_held += 1;
         self.held.insert((due, self.next_held), attempt);
     }
 
-    /// When the next held attempt is due.
+    /// Returns when the next attempt's hold ends.
     pub(crate) fn next_due(&self) -> Option<ClockTime> {
         self.held.first_key_value().map(|((due, _), _)| *due)
     }
 
-    /// Held attempts whose time has come, in that order.
+    /// Removes and returns the attempts whose hold has ended, in order of their due times.
     pub(crate) fn take_due(&mut self, now: ClockTime) -> Vec<PendingAttempt> {
         let later = self.held.split_off(&(ClockTime(now.0 + 1), 0));
         let due = std::mem::replace(&mut self.held, later);
         due.into_values().collect()
     }
 
-    /// Attempts waiting or held.
+    /// Returns the number of attempts waiting or on hold.
     pub(crate) fn len(&self) -> usize {
         self.slots.len() + self.held.len()
     }
--- a/crates/ragwortroad_node/src/slot/grant_table.rs
+++ b/crates/ragwortroad_node/src/slot/grant_table.rs
@@ -6,46 +6,45 @@
 use ragwortroad_routing::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// What a home remembers of other nodes' questions.
+/// Records, at an endpoint's home, the `Ask` messages of other nodes.
 ///
-/// Messages between nodes are lost and repeated. Without this memory a repeated question would
-/// take a second slot that nobody gives back, and the engine would look busy for ever; and a
-/// question that arrives after its own release would take a slot for a request that is over.
+/// Messages between nodes may be lost or resent. Without these records a resent `Ask` would take a
+/// second slot that is never released, and the engine would seem busy forever; and an `Ask` that
+/// arrives after its own `Release` would take a slot for a request that has ended.
 #[derive(Debug, Default)]
 pub(crate) struct GrantTable {
     /// Granted and not yet released.
     grants: BTreeMap<(NodeId, u64), GrantRecord>,
-    /// Released lately, with the time of the release.
+    /// Released recently, with the time of the release.
     released: BTreeMap<(NodeId, u64), ClockTime>,
-    /// The run of each asker's process, as it last said.
+    /// The last known run of each requester's process.
     runs: BTreeMap<NodeId, u64>,
 }
 
-/// One granted question.
+/// A granted `Ask`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GrantRecord {
-    /// The endpoint.
     pub(crate) endpoint: EndpointId,
     /// The slot in the route table.
     pub(crate) slot: SlotId,
 }
 
-/// What the book says to a question.
+/// What is recorded about an `Ask`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantStatus {
-    /// Not seen before; decide.
+    /// Nothing; the home decides.
     New,
-    /// Granted before; say so again.
+    /// Already granted; the same answer is sent again.
     Granted,
-    /// Released already; grant nothing.
+    /// Already released; nothing may be granted.
     Released,
 }
 
-/// How long a released question is remembered; longer than any message is under way.
+/// How long a release is remembered; longer than any message is in flight.
 const RELEASED_TTL: Duration = Duration::from_secs(60);
 
 impl GrantTable {
-    /// Whether a question was seen before.
+    /// Returns what is recorded about an `Ask`.
     pub(crate) fn look_up(&self, requester: NodeId, question: u64) -> GrantStatus {
         let key = (requester, question);
         if self.released.contains_key(&key) {
@@ -57,21 +56,22 @@
         }
     }
 
-    /// Notes an asker's run; true where its process was started anew since it last asked.
+    /// Records the run of a requester's process; returns true if the process restarted since its
+    /// last `Ask`.
     ///
-    /// A node that crashes and is back before it is missed gives nothing back of what its former
-    /// run held. Without this those slots would count until their longest life is over.
+    /// A node that crashes and restarts before its failure is detected releases none of the slots
+    /// of its former run. Without this check those slots would count until their time to live ends.
     pub(crate) fn record_run(&mut self, requester: NodeId, run: u64) -> bool {
         let former = self.runs.insert(requester, run);
         former.is_some_and(|former| former != run)
     }
 
-    /// Notes a grant.
+    /// Records a grant.
     pub(crate) fn grant(&mut self, requester: NodeId, question: u64, record: GrantRecord) {
         self.grants.insert((requester, question), record);
     }
 
-    /// Ends a question; the record comes back the first time only.
+    /// Records a release. Returns the grant the first time only.
     pub(crate) fn end(
         &mut self,
         requester: NodeId,
@@ -82,13 +82,13 @@
         self.grants.remove(&(requester, question))
     }
 
-    /// Forgets what no message can ask for any more.
+    /// Removes the releases that no message can refer to any more.
     pub(crate) fn tick(&mut self, now: ClockTime) {
         self.released
             .retain(|_, released| now.since(*released) < RELEASED_TTL);
     }
 
-    /// Forgets the grants of a node that is gone; the route table ends their slots itself.
+    /// Removes the grants of a node that is gone; the route table expires their slots itself.
     pub(crate) fn remove_node(&mut self, node: NodeId) {
         self.grants.retain(|(requester, _), _| *requester != node);
     }
--- a/crates/ragwortroad_node/src/slot/mod.rs
+++ b/crates/ragwortroad_node/src/slot/mod.rs
@@ -1,4 +1,4 @@
-//! Slots between nodes: what a home has granted, and what an asker must still give back.
+//! Slots between nodes: those a home has granted, and those a requester must still release.
 
 pub(crate) mod grant_table;
 pub(crate) mod release_queue;
--- a/crates/ragwortroad_node/src/wire/follow_message.rs
+++ b/crates/ragwortroad_node/src/wire/follow_message.rs
@@ -6,86 +6,84 @@
     Serialize, //
 };
 
-/// What nodes and state members tell each other beside the replicated log itself.
+/// Messages between nodes and members of the replicated state, other than consensus frames.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum FollowMessage {
-    /// What a member's data folder is, while a group is being founded.
+    /// Describes a member's data folder while the group is bootstrapped.
     Founding(FoundingHello),
     /// A node asks whether its configuration is current.
     Confirm {
-        /// Number of the question.
+        /// Number of the query.
         ask: u64,
         /// Differs between runs of the node's process.
         incarnation: u64,
         /// The revision in force at the node.
         revision: u64,
     },
-    /// The leader's answer.
+    /// The leader's answer to `Confirm`.
     Confirmed {
-        /// The question.
+        /// Number of the query.
         ask: u64,
         /// The revision that the lease is for.
         revision: u64,
-        /// How long the node may admit work, counted from when it asked.
+        /// Time the node may admit requests, counted from when it asked.
         lease_ms: u32,
-        /// What the node lacks, where it lacks something.
+        /// What the node's configuration lacks; `None` if it is current.
         update: Option<ConfigUpdate>,
     },
-    /// A member that hears no leader promises to accept no change for a while.
+    /// A member that hears no leader promises to accept no change for some time.
     Promised {
-        /// The question.
+        /// Number of the query.
         ask: u64,
-        /// The revision that stays.
+        /// The revision that stays in force.
         revision: u64,
-        /// The members that the promise is one of.
+        /// The group's members, of which the promise comes from one.
         members: Vec<NodeId>,
-        /// How long, counted from when the node asked.
+        /// Duration of the promise, counted from when the node asked.
         lease_ms: u32,
     },
-    /// The node asked is not the leader.
+    /// The receiver is not the leader.
     Elsewhere {
-        /// The leader by its knowledge.
+        /// The leader as far as the sender knows it.
         leader: Option<NodeId>,
     },
-    /// Steps on claims for the leader's log.
+    /// Claim steps for the leader's log.
     Claims {
         /// Number of the batch at its sender.
         batch: u64,
-        /// The steps.
         steps: Vec<ClaimStep>,
     },
-    /// What the state said to each step of a batch.
+    /// The outcomes of a batch of claim steps.
     ClaimsDone {
-        /// The batch.
+        /// Number of the batch.
         batch: u64,
         /// The outcomes in the order of the steps.
         outcomes: Vec<ClaimOutcome>,
     },
-    /// An operator's line for the leader.
+    /// An operator's line, forwarded to the leader.
     Line {
         /// Number of the line at its sender.
         token: u64,
-        /// The line.
         line: OperatorLine,
     },
-    /// The answer to a line.
+    /// The leader's answer to a line.
     LineDone {
-        /// The line's number.
+        /// Number of the line.
         token: u64,
         /// HTTP status.
         status: u16,
         /// A JSON object.
         body: String,
     },
-    /// A node with an empty data folder asks to become a member.
+    /// A node whose data folder isn't part of the group asks to become a member.
     Enlist {
-        /// The identity of its folder.
+        /// The identity of its data folder.
         member: MemberId,
     },
 }
 
-/// An operator's line on its way to the leader.
+/// An operator's line, as forwarded to the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct OperatorLine {
@@ -93,8 +91,8 @@
     pub(crate) key_hash: [u8; 32],
     /// The line as typed.
     pub(crate) line: String,
-    /// Whether a change may be made.
+    /// Whether the line may make a change.
     pub(crate) may_change: bool,
-    /// Identity of the change.
+    /// Deduplicates a resent change; absent for queries.
     pub(crate) change_id: Option<String>,
 }
--- a/crates/ragwortroad_node/src/wire/message_codec.rs
+++ b/crates/ragwortroad_node/src/wire/message_codec.rs
@@ -1,24 +1,24 @@
-//! Bytes of messages and back; the transport bounds their size.
+//! Encodes and decodes messages between nodes; the transport bounds their size.
 
 use serde::{
     Serialize,
     de::DeserializeOwned, //
 };
 
-/// The bytes of a message; empty, and logged, where a value has no encoding.
+/// Encodes a message. A message that can't be encoded is logged and yields no bytes.
 pub(crate) fn encode<M: Serialize>(message: &M) -> Vec<u8> {
     postcard::to_stdvec(message).unwrap_or_else(|error| {
-        tracing::error!(%error, "a message has no encoding");
+        tracing::error!(%error, "cannot encode a message");
         Vec::new()
     })
 }
 
-/// The message in `bytes`, or nothing where a peer of another version sent it.
+/// Decodes a message; `None` if it can't be read, as from a peer of another version.
 pub(crate) fn decode<M: DeserializeOwned>(bytes: &[u8]) -> Option<M> {
     match postcard::from_bytes(bytes) {
         Ok(message) => Some(message),
         Err(error) => {
-            tracing::warn!(%error, "a peer's message cannot be read; upgrade the older node");
+            tracing::warn!(%error, "cannot decode a peer's message; upgrade the older node");
             None
         }
     }
--- a/crates/ragwortroad_node/src/wire/mod.rs
+++ b/crates/ragwortroad_node/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other beside gossip and the replicated log.
+//! Messages between nodes, other than gossip and consensus frames.
 
 pub(crate) mod follow_message;
 pub(crate) mod message_codec;
--- a/crates/ragwortroad_node/src/wire/slot_message.rs
+++ b/crates/ragwortroad_node/src/wire/slot_message.rs
@@ -7,66 +7,64 @@
     Serialize, //
 };
 
-/// What nodes and homes tell each other about slots and customers' shares.
+/// Messages between requesters and homes about slots, and between nodes about limit shares.
 ///
-/// A question's number is drawn by the asker and names the slot from then on, so that every
-/// message can be repeated: a repeated `Ask` returns the same slot, a repeated `Release` ends it
-/// once.
+/// The requester draws the question number, which identifies the slot from then on. This makes
+/// every message safe to resend: a repeated `Ask` returns the same slot, and a repeated `Release`
+/// ends it once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum SlotMessage {
-    /// May one request of this customer be sent to the endpoint?
+    /// Asks a home whether one request of this customer may be sent to the endpoint.
     Ask {
-        /// The asker's number for the question.
+        /// Question number, drawn by the requester.
         question: u64,
-        /// The endpoint.
         endpoint: EndpointId,
         /// The customer's key in the route table.
         customer: u64,
-        /// What the request has to lose by going elsewhere.
+        /// The request's admission class.
         claim: AskClass,
-        /// The request, for the time line.
+        /// The request, for the timeline.
         request: RequestId,
-        /// Differs between runs of the asker's process.
+        /// Differs between runs of the requester's process.
         run: u64,
     },
-    /// The home's answer.
+    /// The home's answer to an `Ask`.
     Answer {
-        /// The question.
+        /// Question number of the `Ask`.
         question: u64,
-        /// What the home says.
         answer: SlotVerdict,
     },
-    /// The request of a question is over, or its answer came too late to be used.
+    /// The request has ended, or the answer came too late to be used.
     Release {
-        /// The question.
+        /// Question number of the `Ask`.
         question: u64,
-        /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the request ended.
         outcome: ReleaseOutcome,
     },
-    /// The release has been noted; it need not be sent again.
+    /// Confirms a `Release`, which need not be resent.
     Released {
-        /// The question.
+        /// Question number of the `Ask`.
         question: u64,
     },
-    /// What one node's callers wanted lately, for the keeper of their customers' limits:
+    /// Recent demand of one node's callers, for the coordinator of their customers' limits:
     /// customer, requests in ten seconds, concurrent requests.
     Demand(Vec<(u64, u16, u16)>),
-    /// The keeper's shares: customer, share of the rates in 65,535ths, concurrent requests.
+    /// Limit shares granted by the coordinator: customer, share of the rates in 65,535ths,
+    /// concurrent requests.
     Share(Vec<(u64, u16, u16)>),
 }
 
-/// A [`SlotClaim`] on the wire.
+/// An [`AdmissionClass`] on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum AskClass {
-    /// One endpoint is as good as another.
+    /// Any suitable endpoint serves the request equally well.
     Arriving,
-    /// Its context is at the endpoint.
+    /// The request's context is cached at the endpoint.
     Returning,
-    /// Its customer was refused everywhere a moment ago.
+    /// The customer was recently refused everywhere.
     Starved,
 }
 
@@ -94,16 +92,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum SlotVerdict {
-    /// Send it.
+    /// The request may be sent.
     Granted,
-    /// At the bound.
+    /// The endpoint is at its bound.
     Full {
-        /// Milliseconds until asking again makes sense.
+        /// Milliseconds until a retry makes sense.
         retry_after_ms: u32,
     },
-    /// Not, or not yet, the home.
+    /// The answering node isn't the endpoint's home, or not yet.
     NotHome {
-        /// The home by the answerer's knowledge.
+        /// The home as far as the answering node knows it.
         home: Option<NodeId>,
     },
 }
@@ -121,8 +119,8 @@
 }
 
 impl SlotVerdict {
-    /// The verdict as the route table of the asking node takes it in; the slot's number is known
-    /// at the home only.
+    /// Converts the verdict for the requester's route table. The slot's number is known only at the
+    /// home, so the one returned here is a placeholder.
     pub(crate) fn as_answer(self) -> SlotAnswer {
         match self {
             Self::Granted => SlotAnswer::Granted { slot: SlotId(0) },
@@ -138,11 +136,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum ReleaseOutcome {
-    /// A whole answer.
+    /// The answer was complete.
     Succeeded,
-    /// A server error, a broken answer, or no connection.
+    /// A server error, a broken answer, or a failed connection.
     Failed,
-    /// Says nothing of the endpoint.
+    /// The outcome says nothing about the endpoint.
     Neutral,
 }
 
