--- a/crates/ragwortroad_node/src/control/address_flow.rs
+++ b/crates/ragwortroad_node/src/control/address_flow.rs
@@ -52,7 +52,9 @@
         if addresses.is_empty() {
             let message = "no node takes requests now";
             let refusal = AdmitRefusal::not_run(RefusalCode::NoEndpoint, message);
-            return Err(self.refusal_wire(request, refusal.after(Duration::from_secs(1))));
+            return Err(
+                self.refusal_wire(request, refusal.with_retry_after(Duration::from_secs(1)))
+            );
         }
         let reason = match (hint, chat) {
             (Some(_), _) => "the first admits to the engine in the hint",
--- a/crates/ragwortroad_node/src/control/admit_flow.rs
+++ b/crates/ragwortroad_node/src/control/admit_flow.rs
@@ -49,7 +49,7 @@
     }
 
     /// Sets the delay after which the caller may retry.
-    pub(crate) fn after(self, retry_after: Duration) -> Self {
+    pub(crate) fn with_retry_after(self, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
             ..self
@@ -92,7 +92,7 @@
         }
         if let Err(reason) = self.follower.guard.may_admit(now) {
             let refusal = AdmitRefusal::not_run(RefusalCode::NotCurrent, reason.to_string());
-            return Err(refusal.after(NOT_CURRENT_RETRY_AFTER));
+            return Err(refusal.with_retry_after(NOT_CURRENT_RETRY_AFTER));
         }
         if self.follower.config.drains_node(&self.settings.node.name) {
             let message = "an operator drains this node";
@@ -119,7 +119,7 @@
             LimitAnswer::Refused { retry_after } => {
                 let message = format!("customer {} is over its limit", facts.customer);
                 let refusal = AdmitRefusal::not_run(RefusalCode::CustomerLimit, message);
-                return Err(refusal.after(retry_after));
+                return Err(refusal.with_retry_after(retry_after));
             }
         };
         let hint = call.hint.as_deref();
@@ -137,9 +137,9 @@
             priority,
             claim,
             excluded: call.excluded.clone(),
-            asked: 0,
-            full: 0,
-            since: now,
+            homes_asked: 0,
+            homes_full: 0,
+            started: now,
             reply: reply.clone(),
             customer: facts.customer,
             call,
@@ -158,7 +158,7 @@
         match &attempt.claim {
             Some(claim) => {
                 let step = claim.claim_step();
-                self.claims.claim(step, attempt);
+                self.claims.push_claim(step, attempt);
             }
             None => self.place_attempt(attempt, now),
         }
@@ -190,7 +190,7 @@
                 let pinned = entry
                     .models
                     .get(model)
-                    .and_then(|use_| use_.version.clone());
+                    .and_then(|model_use| model_use.version.clone());
                 let version = match pinned {
                     Some(version) => version,
                     None => self.version_for(model, chat, call.request)?,
@@ -317,9 +317,9 @@
     /// Refuses an admitted attempt, and releases its limit charge and its claim.
     pub(crate) fn refuse_attempt(&mut self, attempt: PendingAttempt, refusal: AdmitRefusal) {
         self.limiter.finish(attempt.customer_key, attempt.tokens, 0);
-        self.refused.note(attempt.offer, refusal.code);
+        self.refused.record(attempt.offer, refusal.code);
         if let Some(claim) = &attempt.claim {
-            self.claims.settle(claim.release_step());
+            self.claims.push_step(claim.release_step());
         }
         let detail = format!("{:?}: {}", refusal.code, refusal.message);
         self.record_attempt_event(EventKind::RequestRefused, &attempt, detail);
--- a/crates/ragwortroad_node/src/control/claim_flow.rs
+++ b/crates/ragwortroad_node/src/control/claim_flow.rs
@@ -89,8 +89,8 @@
             .replica
             .as_ref()
             .and_then(|replica| replica.leader_context.as_ref());
-        let gathered = context.into_iter().flat_map(|context| &context.claims);
-        let mut steps = gathered.flat_map(|(_, steps)| steps);
+        let queued = context.into_iter().flat_map(|context| &context.claims);
+        let mut steps = queued.flat_map(|(_, steps)| steps);
         steps.any(|step| matches!(step, ClaimStep::Claim { .. }))
     }
 
@@ -107,9 +107,9 @@
         else {
             return;
         };
-        let gathered = std::mem::take(&mut context.claims);
-        let batches = gathered.iter().map(|(batch, _)| *batch).collect();
-        let steps = gathered.into_iter().flat_map(|(_, steps)| steps).collect();
+        let queued = std::mem::take(&mut context.claims);
+        let batches = queued.iter().map(|(batch, _)| *batch).collect();
+        let steps = queued.into_iter().flat_map(|(_, steps)| steps).collect();
         let action = StateAction::Claims(steps);
         let kind = ProposalKind::Claims(batches);
         let actions = replica.propose(action, kind, wall_ms, now);
@@ -207,7 +207,7 @@
         for attempt in self.claims.take_expired(now.before(CLAIM_TIMEOUT)) {
             let message = "the claim could not be made durable in time";
             let refusal = AdmitRefusal::not_run(RefusalCode::ClaimUnavailable, message);
-            self.refuse_attempt(attempt, refusal.after(CLAIM_RETRY_AFTER));
+            self.refuse_attempt(attempt, refusal.with_retry_after(CLAIM_RETRY_AFTER));
         }
     }
 }
--- a/crates/ragwortroad_node/src/control/control_inbox.rs
+++ b/crates/ragwortroad_node/src/control/control_inbox.rs
@@ -70,20 +70,20 @@
     ///
     /// A closed channel is always ready but never has an event. Selecting it in a loop would keep a
     /// core busy on an idle node, so the thread sleeps for the rest of `patience` in short steps.
-    pub(crate) fn next(&self, patience: Duration) -> Option<ControlEvent> {
+    pub(crate) fn next(&self, timeout: Duration) -> Option<ControlEvent> {
         let mut selector = Selector::new()
-            .recv(&self.calls, |event| wrap(event, boxed_call))
-            .recv(&self.peers, |event| wrap(event, ControlEvent::Peer))
+            .recv(&self.calls, |event| to_event(event, boxed_call))
+            .recv(&self.peers, |event| to_event(event, ControlEvent::Peer))
             .recv(&self.commands, |event| {
-                wrap(event, ControlEvent::Supervisor)
+                to_event(event, ControlEvent::Supervisor)
             });
         if let Some(disk) = &self.disk {
-            selector = selector.recv(disk, |event| wrap(event, ControlEvent::Disk));
+            selector = selector.recv(disk, |event| to_event(event, ControlEvent::Disk));
         }
-        match selector.wait_timeout(patience) {
+        match selector.wait_timeout(timeout) {
             Ok(Some(event)) => Some(event),
             Ok(None) => {
-                thread::sleep(patience.min(CLOSED_CHANNEL_SLEEP));
+                thread::sleep(timeout.min(CLOSED_CHANNEL_SLEEP));
                 self.ready()
             }
             Err(_) => None,
@@ -111,7 +111,7 @@
 }
 
 /// Converts a received item to an event; `None` if its channel is closed.
-fn wrap<T>(
+fn to_event<T>(
     received: Result<T, RecvError>,
     make: impl FnOnce(T) -> ControlEvent,
 ) -> Option<ControlEvent> {
--- a/crates/ragwortroad_node/src/control/control_state.rs
+++ b/crates/ragwortroad_node/src/control/control_state.rs
@@ -141,14 +141,14 @@
         let mut next_tick = self.clock.now();
         loop {
             let now = self.clock.now();
-            let wake = self
+            let wake_at = self
                 .waits
                 .next_due()
                 .map_or(next_tick, |due| due.min(next_tick));
-            let patience = wake.since(now);
+            let timeout = wake_at.since(now);
             let end = inbox
-                .next(patience)
-                .and_then(|event| self.serve_round(event, inbox));
+                .next(timeout)
+                .and_then(|event| self.handle_round(event, inbox));
             if let Some(end) = end {
                 return self.end(end);
             }
@@ -163,7 +163,7 @@
 
     /// Handles one event and those already queued. Returns how to end the thread if an event asks
     /// for it.
-    fn serve_round(&mut self, first: ControlEvent, inbox: &ControlInbox) -> Option<ThreadEnd> {
+    fn handle_round(&mut self, first: ControlEvent, inbox: &ControlInbox) -> Option<ThreadEnd> {
         let mut next = Some(first);
         for _ in 0..MAX_ROUND_EVENTS {
             let event = next?;
@@ -193,9 +193,9 @@
             ControlEvent::Supervisor(SupervisorCommand::Timeline(call)) => {
                 self.serve_timeline(call)
             }
-            ControlEvent::Supervisor(SupervisorCommand::Freeze(held)) => {
+            ControlEvent::Supervisor(SupervisorCommand::Freeze(released)) => {
                 // Nothing is ever sent; the channel closes when the freeze ends.
-                held.recv().unwrap_or_default();
+                released.recv().unwrap_or_default();
             }
             ControlEvent::Supervisor(SupervisorCommand::Stop | SupervisorCommand::Crash) => {}
         }
@@ -213,7 +213,7 @@
                 let answer = self.announce(call, now);
                 send_reply(&reply, answer);
             }
-            ControlCall::Operator(call, reply) => self.operator(call, reply, now),
+            ControlCall::Operator(call, reply) => self.handle_operator(call, reply, now),
         }
     }
 
--- a/crates/ragwortroad_node/src/control/endpoint_flow.rs
+++ b/crates/ragwortroad_node/src/control/endpoint_flow.rs
@@ -161,7 +161,7 @@
             // Otherwise its claims would stay "in progress" until their maximum run time has
             // passed; with this step a caller that retries elsewhere learns at once that the
             // outcome is unknown.
-            self.claims.settle(ClaimStep::NodeLost { node });
+            self.claims.push_step(ClaimStep::NodeLost { node });
         }
         self.refresh_nodes(now);
         self.refresh_endpoints(now);
@@ -221,9 +221,9 @@
     /// fuller with every request, until this node stopped using it.
     pub(crate) fn refresh_remote_loads(&mut self) {
         let endpoints = self.membership.endpoints();
-        let foreign = endpoints.filter(|record| record.home != self.node);
-        let foreign: Vec<EndpointId> = foreign.map(|record| record.id).collect();
-        for endpoint in foreign {
+        let remote = endpoints.filter(|record| record.home != self.node);
+        let remote: Vec<EndpointId> = remote.map(|record| record.id).collect();
+        for endpoint in remote {
             self.refresh_load(endpoint);
         }
     }
--- a/crates/ragwortroad_node/src/control/fleet_view.rs
+++ b/crates/ragwortroad_node/src/control/fleet_view.rs
@@ -36,10 +36,10 @@
     /// Returns the nodes that callers may be sent to, sorted by id.
     pub(crate) fn available_nodes(&self) -> Vec<NodeId> {
         let config = &self.follower.config;
-        let is_open = |record: &NodeRecord| !config.drains_node(&record.name);
+        let is_undrained = |record: &NodeRecord| !config.drains_node(&record.name);
         let live = self.membership.live_nodes();
-        let open = live.filter(|(_, record)| is_open(record));
-        let mut nodes: Vec<NodeId> = open.map(|(node, _)| node).collect();
+        let available = live.filter(|(_, record)| is_undrained(record));
+        let mut nodes: Vec<NodeId> = available.map(|(node, _)| node).collect();
         nodes.retain(|node| !(self.draining && *node == self.node));
         nodes.sort_unstable();
         nodes
--- a/crates/ragwortroad_node/src/control/follow_flow.rs
+++ b/crates/ragwortroad_node/src/control/follow_flow.rs
@@ -27,15 +27,15 @@
 impl ControlState {
     /// Asks at regular intervals whether the configuration is current.
     pub(crate) fn tick_follow(&mut self, now: ClockTime) {
-        let every = follow_timing(&self.settings.state).ask_every();
-        if now.since(self.follower.last_asked) >= every {
+        let interval = follow_timing(&self.settings.state).ask_every();
+        if now.since(self.follower.last_asked) >= interval {
             self.send_confirm(now);
         }
     }
 
     /// Asks the leader, or all members if the leader is unknown or unresponsive.
     fn send_confirm(&mut self, now: ClockTime) {
-        let every = follow_timing(&self.settings.state).ask_every();
+        let interval = follow_timing(&self.settings.state).ask_every();
         self.follower.last_asked = now;
         let ask = self.follower.guard.ask(now);
         let revision = match self.follower.needs_full_config {
@@ -47,8 +47,8 @@
             incarnation: self.incarnation,
             revision,
         };
-        let heard_lately = now.since(self.follower.last_confirmed) <= every * 2;
-        let targets = match self.leader().filter(|_| heard_lately) {
+        let confirmed_recently = now.since(self.follower.last_confirmed) <= interval * 2;
+        let targets = match self.leader().filter(|_| confirmed_recently) {
             Some(leader) => vec![leader],
             None => self.member_nodes(),
         };
@@ -167,7 +167,7 @@
     ) {
         self.follower.leader = Some(from);
         self.follower.last_confirmed = now;
-        let has_news = update.is_some();
+        let has_update = update.is_some();
         if let Some(update) = update {
             if let Err(error) = self.follower.config.follow(update) {
                 tracing::warn!(%error, "cannot apply a configuration update; requesting the full configuration");
@@ -179,7 +179,7 @@
         }
         self.follower.guard.adopted(self.follower.config.revision);
         self.follower.guard.confirmed(ask, revision, lease);
-        if has_news {
+        if has_update {
             // The leader counts a change as in force at this node only after this node has reported
             // it.
             self.send_confirm(now);
--- a/crates/ragwortroad_node/src/control/grant_flow.rs
+++ b/crates/ragwortroad_node/src/control/grant_flow.rs
@@ -48,8 +48,8 @@
                 hint: attempt.hint,
                 excluded: &attempt.excluded,
                 salt: attempt.call.request.0,
-                refusals: attempt.full,
-                waited: now.since(attempt.since),
+                refusals: attempt.homes_full,
+                waited: now.since(attempt.started),
             };
             match self.route.choose(&query, now) {
                 RouteDecision::Admit { endpoint, slot, .. } => {
@@ -69,12 +69,13 @@
                     class: claim,
                     ..
                 } => {
-                    if attempt.asked < MAX_HOMES_ASKED {
+                    if attempt.homes_asked < MAX_HOMES_ASKED {
                         return self.ask_home(attempt, (endpoint, claim), home, now);
                     }
                     let message = "every engine asked is at its bound";
                     let refusal = AdmitRefusal::not_run(RefusalCode::Overloaded, message);
-                    return self.refuse_attempt(attempt, refusal.after(FULL_RETRY_AFTER));
+                    return self
+                        .refuse_attempt(attempt, refusal.with_retry_after(FULL_RETRY_AFTER));
                 }
                 RouteDecision::Hold { retry_after } => {
                     self.waits.hold(attempt, now.after(retry_after));
@@ -82,13 +83,13 @@
                 }
                 RouteDecision::Refuse { code, retry_after } => {
                     let refusal = AdmitRefusal::not_run(code, refusal_text(code));
-                    return self.refuse_attempt(attempt, refusal.after(retry_after));
+                    return self.refuse_attempt(attempt, refusal.with_retry_after(retry_after));
                 }
             }
         }
         let message = "no endpoint could be reached through its home";
         let refusal = AdmitRefusal::not_run(RefusalCode::NoEndpoint, message);
-        self.refuse_attempt(attempt, refusal.after(FULL_RETRY_AFTER));
+        self.refuse_attempt(attempt, refusal.with_retry_after(FULL_RETRY_AFTER));
     }
 
     /// Asks the home node of an endpoint for a slot.
@@ -100,13 +101,13 @@
         now: ClockTime,
     ) {
         let question = self.next_random();
-        attempt.asked += 1;
+        attempt.homes_asked += 1;
         self.send_ask(home, question, endpoint, claim, &attempt);
         let wait = SlotWait {
             attempt,
             endpoint,
             home,
-            asked: now,
+            asked_at: now,
         };
         self.waits.add(question, wait);
     }
@@ -123,7 +124,7 @@
             self.release_slot(endpoint, slot, SlotOutcome::Neutral, now);
             let message = "the endpoint left a moment ago";
             let refusal = AdmitRefusal::not_run(RefusalCode::NoEndpoint, message);
-            return self.refuse_attempt(attempt, refusal.after(FULL_RETRY_AFTER));
+            return self.refuse_attempt(attempt, refusal.with_retry_after(FULL_RETRY_AFTER));
         };
         let attempts = attempt.call.excluded.len() as u32 + 1;
         let ticket = self.tickets.open(TicketRecord {
@@ -204,7 +205,7 @@
                 Some(result) => claim.finish_step(result),
                 None => claim.release_step(),
             };
-            self.claims.settle(step);
+            self.claims.push_step(step);
         }
     }
 
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -52,7 +52,7 @@
                 replica.leader_context = Some(LeaderContext::new(&replica.state, timing, now));
                 tracing::info!(term = core.term(), "this node became leader");
                 self.record_leader_event(EventKind::LeaderElected, None);
-                self.settle_absent_nodes();
+                self.report_absent_nodes();
                 let action = StateAction::TakeOrders { holder: self.node };
                 self.propose(action, ProposalKind::TakeOrders, now);
             }
@@ -66,12 +66,12 @@
     ///
     /// A node that failed while there was no leader was not reported to the log. Its keys would
     /// stay "in progress" for ten minutes, and callers would wait for an attempt that is over.
-    fn settle_absent_nodes(&mut self) {
+    fn report_absent_nodes(&mut self) {
         let nodes = self.membership.nodes();
         let down = nodes.filter(|(_, record)| !record.state.is_present());
         let down: Vec<NodeId> = down.map(|(node, _)| node).collect();
         for node in down {
-            self.claims.settle(ClaimStep::NodeLost { node });
+            self.claims.push_step(ClaimStep::NodeLost { node });
         }
     }
 
@@ -121,7 +121,7 @@
             context.last_tick = now;
             self.propose(StateAction::Tick, ProposalKind::Tick, now);
         }
-        self.release_held(now);
+        self.propose_held_changes(now);
         self.answer_watches(now);
         self.promote_learners(now);
     }
@@ -146,7 +146,7 @@
         }
     }
 
-    fn release_held(&mut self, now: ClockTime) {
+    fn propose_held_changes(&mut self, now: ClockTime) {
         let Some(replica) = &mut self.replica else {
             return;
         };
@@ -336,14 +336,14 @@
     pub(crate) fn start_orders(&mut self, fence: FenceNumber, now: ClockTime) {
         self.record_leader_event(EventKind::LeaseGranted, Some(fence));
         let timing = order_timing(&self.settings.state);
-        let rules = order_settings(&self.settings.orders);
+        let settings = order_settings(&self.settings.orders);
         let context = self
             .replica
             .as_mut()
             .and_then(|replica| replica.leader_context.as_mut());
         if let Some(context) = context {
             context.gate = Some(OrderGate::new(timing, fence, now));
-            context.orders = Some(OrderTable::new(rules, fence, now));
+            context.orders = Some(OrderTable::new(settings, fence, now));
         }
         if self.orders.is_none() {
             match OrderWorker::start(self.clock) {
--- a/crates/ragwortroad_node/src/control/line_flow.rs
+++ b/crates/ragwortroad_node/src/control/line_flow.rs
@@ -44,7 +44,7 @@
 
 impl ControlState {
     /// Handles a line from an operator connected to this node.
-    pub(crate) fn operator(
+    pub(crate) fn handle_operator(
         &mut self,
         call: OperatorCall,
         reply: Sender<OperatorAnswer>,
@@ -61,19 +61,19 @@
             .as_ref()
             .is_some_and(|replica| replica.leads(now));
         if leads {
-            return self.serve_line(line, LineOrigin::Local(reply), now);
+            return self.execute_line(line, LineOrigin::Local(reply), now);
         }
         let Some(leader) = self.leader().filter(|leader| *leader != self.node) else {
-            return self.serve_without_leader(line, reply);
+            return self.answer_without_leader(line, reply);
         };
-        let open = PendingLine {
+        let pending = PendingLine {
             reply,
             leader,
             line: line.clone(),
-            since: now,
-            sent: now,
+            received: now,
+            last_sent: now,
         };
-        let token = self.lines.add(open);
+        let token = self.lines.add(pending);
         let message = FollowMessage::Line { token, line };
         self.send(leader, PeerChannel::Follow, encode(&message));
     }
@@ -92,7 +92,7 @@
             .as_ref()
             .is_some_and(|replica| replica.leads(now))
         {
-            return self.serve_line(line, origin, now);
+            return self.execute_line(line, origin, now);
         }
         let text = "not made: the lead is changing; send the line again";
         self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
@@ -106,8 +106,8 @@
         status: u16,
         body: String,
     ) {
-        if let Some(open) = self.lines.take(token, from) {
-            send_reply(&open.reply, OperatorAnswer { status, body });
+        if let Some(pending) = self.lines.take(token, from) {
+            send_reply(&pending.reply, OperatorAnswer { status, body });
         }
     }
 
@@ -120,13 +120,13 @@
                 self.send(leader, PeerChannel::Follow, encode(&message));
             }
         }
-        for open in self.lines.take_overdue(now.before(LINE_TIMEOUT)) {
-            let text = match open.line.may_change {
+        for pending in self.lines.take_overdue(now.before(LINE_TIMEOUT)) {
+            let text = match pending.line.may_change {
                 true => "not known: the leader did not answer; send it again with the same id",
                 false => "the leader did not answer; ask again",
             };
             let facts = json!({ "outcome": "unknown" });
-            send_reply(&open.reply, line_answer(504, text, facts));
+            send_reply(&pending.reply, line_answer(504, text, facts));
         }
     }
 
@@ -155,7 +155,7 @@
 
     /// Serves a line while no leader is known: no change is possible, and answers hold only what
     /// this node knows.
-    fn serve_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorAnswer>) {
+    fn answer_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorAnswer>) {
         let origin = LineOrigin::Local(reply);
         if self
             .operator_name(&line.key_hash, &self.follower.config)
@@ -165,7 +165,7 @@
                 let text = "this node has no configuration yet; ask another node";
                 return self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
             }
-            return self.refuse_key(origin);
+            return self.refuse_unknown_key(origin);
         }
         match parse_line(&line.line) {
             Ok(Statement::Show(query)) => {
@@ -177,29 +177,29 @@
                 let text = "not made: no leader is known; look at 'show members', then try again";
                 self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
             }
-            Err(error) => self.refuse_line(origin, &error),
+            Err(error) => self.refuse_invalid_line(origin, &error),
         }
     }
 
     /// Executes a line on the leader.
-    fn serve_line(&mut self, line: OperatorLine, origin: LineOrigin, now: ClockTime) {
+    fn execute_line(&mut self, line: OperatorLine, origin: LineOrigin, now: ClockTime) {
         let Some(replica) = &self.replica else {
             return;
         };
         let Some(operator) = self.operator_name(&line.key_hash, replica.state.config()) else {
-            return self.refuse_key(origin);
+            return self.refuse_unknown_key(origin);
         };
         match parse_line(&line.line) {
             Ok(Statement::Show(query)) => self.answer_show(origin, &query, &replica.state, ""),
             Ok(Statement::Help) => self.answer_line(origin, 200, HELP_TEXT, json!({})),
             Ok(Statement::Change(change)) => {
-                self.serve_change(change, &line, &operator, origin, now);
+                self.execute_change(change, &line, &operator, origin, now);
             }
-            Err(error) => self.refuse_line(origin, &error),
+            Err(error) => self.refuse_invalid_line(origin, &error),
         }
     }
 
-    fn serve_change(
+    fn execute_change(
         &mut self,
         change: ChangeStatement,
         line: &OperatorLine,
@@ -238,12 +238,12 @@
         config.operator_of(&KeyHash(*key)).map(str::to_owned)
     }
 
-    fn refuse_key(&self, origin: LineOrigin) {
+    fn refuse_unknown_key(&self, origin: LineOrigin) {
         let text = "refused: no operator has this key";
         self.answer_line(origin, 401, text, json!({ "outcome": "not_run" }));
     }
 
-    fn refuse_line(&self, origin: LineOrigin, error: &LanguageError) {
+    fn refuse_invalid_line(&self, origin: LineOrigin, error: &LanguageError) {
         let facts = json!({ "outcome": "not_run", "column": error.column });
         self.answer_line(origin, 400, &error.to_string(), facts);
     }
--- a/crates/ragwortroad_node/src/control/line_table.rs
+++ b/crates/ragwortroad_node/src/control/line_table.rs
@@ -23,9 +23,9 @@
     /// The line, kept for resending.
     pub(crate) line: OperatorLine,
     /// When the operator sent it.
-    pub(crate) since: ClockTime,
+    pub(crate) received: ClockTime,
     /// When it was last forwarded.
-    pub(crate) sent: ClockTime,
+    pub(crate) last_sent: ClockTime,
 }
 
 impl LineTable {
@@ -38,8 +38,8 @@
 
     /// Removes and returns a line if it was last sent to `leader`.
     pub(crate) fn take(&mut self, token: u64, leader: NodeId) -> Option<PendingLine> {
-        let asked = self.lines.get(&token)?.leader;
-        if asked != leader {
+        let asked_leader = self.lines.get(&token)?.leader;
+        if asked_leader != leader {
             return None;
         }
         self.lines.remove(&token)
@@ -55,20 +55,23 @@
         leader: NodeId,
         now: ClockTime,
     ) -> Vec<(u64, OperatorLine)> {
-        let late = self.lines.iter_mut().filter(|(_, line)| line.sent < limit);
-        let again = |(number, open): (&u64, &mut PendingLine)| {
-            open.leader = leader;
-            open.sent = now;
-            (*number, open.line.clone())
+        let late = self
+            .lines
+            .iter_mut()
+            .filter(|(_, line)| line.last_sent < limit);
+        let resend = |(number, pending): (&u64, &mut PendingLine)| {
+            pending.leader = leader;
+            pending.last_sent = now;
+            (*number, pending.line.clone())
         };
-        late.map(again).collect()
+        late.map(resend).collect()
     }
 
     /// Removes and returns the lines received before `limit`.
     pub(crate) fn take_overdue(&mut self, limit: ClockTime) -> Vec<PendingLine> {
-        let old = self.lines.iter().filter(|(_, line)| line.since < limit);
+        let old = self.lines.iter().filter(|(_, line)| line.received < limit);
         let numbers: Vec<u64> = old.map(|(number, _)| *number).collect();
-        let take = |number: u64| self.lines.remove(&number);
-        numbers.into_iter().filter_map(take).collect()
+        let remove = |number: u64| self.lines.remove(&number);
+        numbers.into_iter().filter_map(remove).collect()
     }
 }
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -53,7 +53,7 @@
         let Some(replica) = &mut self.replica else {
             return;
         };
-        let actions = replica.try_found(now, seed);
+        let actions = replica.try_bootstrap(now, seed);
         let hello = replica.hello(self.node);
         if !actions.is_empty() {
             return self.run_core_actions(actions, now);
@@ -82,8 +82,8 @@
         // A member that already has a consensus core says so to one that still waits for hellos.
         if replica.core.is_some() {
             let own = replica.hello(node);
-            let asks = now.since(self.last_hello) >= HELLO_INTERVAL;
-            if asks && own != hello {
+            let is_due = now.since(self.last_hello) >= HELLO_INTERVAL;
+            if is_due && own != hello {
                 self.last_hello = now;
                 self.send_follow(from, FollowMessage::Founding(own), now);
             }
@@ -165,8 +165,10 @@
                     }
                 }
                 CoreAction::Send(frame) => self.send_frame(&frame),
-                CoreAction::Apply { index, command, .. } => self.apply(index, &command),
-                CoreAction::RestoreSnapshot { index, bytes } => self.restore(index, &bytes),
+                CoreAction::Apply { index, command, .. } => self.apply_command(index, &command),
+                CoreAction::RestoreSnapshot { index, bytes } => {
+                    self.restore_snapshot(index, &bytes)
+                }
                 CoreAction::WantSnapshot { index } => {
                     if let Some(replica) = &mut self.replica {
                         let bytes = replica.state.to_snapshot();
@@ -175,7 +177,7 @@
                     }
                 }
                 CoreAction::ProposeDone { token, result } => {
-                    self.proposal_done(token, result, now);
+                    self.handle_proposal_result(token, result, now);
                 }
                 CoreAction::LeaderChanged { term, leader } => {
                     let leader = leader.map(|leader| leader.to_string());
@@ -211,7 +213,7 @@
     }
 
     /// Applies a committed command to the state.
-    fn apply(&mut self, index: u64, command: &[u8]) {
+    fn apply_command(&mut self, index: u64, command: &[u8]) {
         let Some(replica) = &mut self.replica else {
             return;
         };
@@ -230,7 +232,7 @@
         }
     }
 
-    fn restore(&mut self, index: u64, bytes: &[u8]) {
+    fn restore_snapshot(&mut self, index: u64, bytes: &[u8]) {
         let Some(replica) = &mut self.replica else {
             return;
         };
@@ -248,7 +250,7 @@
     }
 
     /// Handles the result of a proposal made by this member.
-    fn proposal_done(&mut self, token: u64, result: ProposeResult, now: ClockTime) {
+    fn handle_proposal_result(&mut self, token: u64, result: ProposeResult, now: ClockTime) {
         let Some(replica) = &mut self.replica else {
             return;
         };
--- a/crates/ragwortroad_node/src/control/order_flow.rs
+++ b/crates/ragwortroad_node/src/control/order_flow.rs
@@ -62,7 +62,7 @@
         let mut sum = BTreeMap::new();
         for (node, blob) in self.membership.blobs(REFUSED_BLOB) {
             if live.contains(&node) {
-                RefusedDemand::add(&mut sum, blob);
+                RefusedDemand::add_blob(&mut sum, blob);
             }
         }
         sum
@@ -135,7 +135,7 @@
                 models: record.models.iter().cloned().collect(),
             };
             table.observe(name, observed);
-            if !ordered_engines.contains(name) && history.undrains(name, &record.zone) {
+            if !ordered_engines.contains(name) && history.was_undrained(name, &record.zone) {
                 table.doubt_drain(name);
             }
             present.insert(name.to_owned());
@@ -180,8 +180,8 @@
         };
         let record = |engine: &str| membership.endpoint(EndpointId::from_name(engine));
         let may_order = |engine: &str| {
-            let checks = record(engine).is_some_and(|record| record.checks_fencing);
-            gate.may_order(now, lead_until, checks).is_ok()
+            let checks_fencing = record(engine).is_some_and(|record| record.checks_fencing);
+            gate.may_order(now, lead_until, checks_fencing).is_ok()
         };
         let size_of = |model: &str| models.get(model).map_or(0, |entry| entry.size_mb);
         let orders = table.due(now, may_order, size_of).into_iter();
--- a/crates/ragwortroad_node/src/control/show_flow.rs
+++ b/crates/ragwortroad_node/src/control/show_flow.rs
@@ -62,11 +62,11 @@
 
     /// Returns an endpoint's load: exact if this node is its home, else as last gossiped.
     fn known_load(&self, record: &EndpointRecord) -> Option<LoadReport> {
-        let told = LoadReport {
+        let gossiped = LoadReport {
             running: record.load.requests(record.capacity),
             ..LoadReport::default()
         };
-        self.membership.home_load(record.id).or(Some(told))
+        self.membership.home_load(record.id).or(Some(gossiped))
     }
 
     fn show_engines(&self, table: &mut ResultTable) {
--- a/crates/ragwortroad_node/src/control/slot_flow.rs
+++ b/crates/ragwortroad_node/src/control/slot_flow.rs
@@ -98,7 +98,7 @@
         (customer, claim): (CustomerKey, AdmissionClass),
         now: ClockTime,
     ) -> SlotVerdict {
-        match self.grants.look_up(requester, question) {
+        match self.grants.status(requester, question) {
             GrantStatus::Granted => return SlotVerdict::Granted,
             GrantStatus::Released => {
                 let retry_after_ms = RELEASED_RETRY_AFTER.as_millis() as u32;
@@ -148,7 +148,7 @@
         }
         match verdict {
             SlotVerdict::NotHome { .. } => attempt.excluded.push(endpoint),
-            SlotVerdict::Full { .. } => attempt.full += 1,
+            SlotVerdict::Full { .. } => attempt.homes_full += 1,
             SlotVerdict::Granted => {}
         }
         self.place_attempt(attempt, now);
@@ -188,7 +188,7 @@
             home,
             endpoint,
             outcome,
-            sent: now,
+            last_sent: now,
         };
         self.releases.add(question, release);
         let message = SlotMessage::Release {
--- a/crates/ragwortroad_node/src/lib.rs
+++ b/crates/ragwortroad_node/src/lib.rs
@@ -1,7 +1,7 @@
-//! One process of the fleet: supervisor, control thread, traffic threads.
+//! A node process of the fleet: supervisor, control thread and traffic threads.
 //!
-//! A [`NodeProcess`] joins the other crates to a running node. It is the only crate that reads
-//! clocks and draws seeds for the pure ones.
+//! [`NodeProcess`] combines the other crates into a running node. Only this crate reads clocks and
+//! draws random seeds; the deterministic crates get them as arguments.
 //!
 //! ```no_run
 //! use ragwortroad_node::prelude::*;
--- a/crates/ragwortroad_node/src/member/state_replica.rs
+++ b/crates/ragwortroad_node/src/member/state_replica.rs
@@ -86,7 +86,7 @@
             ..FolderSettings::default()
         };
         let (folder, stored) = LogFolder::open(&folder).context(FolderSnafu)?;
-        let state = stored_fleet(&stored)?;
+        let state = restore_state(&stored)?;
         let identity = MemberId(stored.identity);
         let is_empty = stored.entries.is_empty() && stored.snapshot.is_none();
         let hello = FoundingHello {
@@ -134,7 +134,7 @@
 
     /// Creates the core once it is known whether to bootstrap a group here, follow an existing one
     /// or join it.
-    pub(crate) fn try_found(&mut self, now: ClockTime, seed: u64) -> Vec<CoreAction> {
+    pub(crate) fn try_bootstrap(&mut self, now: ClockTime, seed: u64) -> Vec<CoreAction> {
         let founders = match self.founding.step() {
             FoundingStep::Wait { .. } => return Vec::new(),
             FoundingStep::Found(members) => Some(members),
@@ -234,7 +234,7 @@
 }
 
 /// Restores the state from a stored snapshot; empty without one.
-fn stored_fleet(stored: &StoredState) -> Result<FleetState, NodeError> {
+fn restore_state(stored: &StoredState) -> Result<FleetState, NodeError> {
     let Some(snapshot) = &stored.snapshot else {
         return Ok(FleetState::default());
     };
--- a/crates/ragwortroad_node/src/node_process.rs
+++ b/crates/ragwortroad_node/src/node_process.rs
@@ -167,8 +167,12 @@
     /// Blocks the control thread until the returned sender is dropped.
     #[doc(hidden)]
     pub fn freeze(&self) -> Sender<()> {
-        let (hold, held) = flume::bounded(0);
-        if self.commands.send(SupervisorCommand::Freeze(held)).is_err() {
+        let (hold, released) = flume::bounded(0);
+        if self
+            .commands
+            .send(SupervisorCommand::Freeze(released))
+            .is_err()
+        {
             tracing::error!("the control thread ended before the freeze");
         }
         hold
--- a/crates/ragwortroad_node/src/order/offer_history.rs
+++ b/crates/ragwortroad_node/src/order/offer_history.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether a drain of this endpoint or of its failure domain was ended.
-    pub(crate) fn undrains(&self, name: &str, domain: &str) -> bool {
+    pub(crate) fn was_undrained(&self, name: &str, domain: &str) -> bool {
         self.undrained.contains(name) || self.undrained_domains.contains(domain)
     }
 }
--- a/crates/ragwortroad_node/src/order/refused_demand.rs
+++ b/crates/ragwortroad_node/src/order/refused_demand.rs
@@ -29,7 +29,7 @@
 
 impl RefusedDemand {
     /// Counts a refusal if its cause was a lack of capacity.
-    pub(crate) fn note(&mut self, offer: OfferKey, code: RefusalCode) {
+    pub(crate) fn record(&mut self, offer: OfferKey, code: RefusalCode) {
         if matches!(code, RefusalCode::Overloaded | RefusalCode::NoEndpoint) {
             let count = self.fresh.entry(offer).or_default();
             *count = count.saturating_add(1);
@@ -54,7 +54,7 @@
     }
 
     /// Adds the counts in a node's blob to `sum`.
-    pub(crate) fn add(sum: &mut BTreeMap<OfferKey, u32>, blob: &[u8]) {
+    pub(crate) fn add_blob(sum: &mut BTreeMap<OfferKey, u32>, blob: &[u8]) {
         if blob.is_empty() {
             return;
         }
--- a/crates/ragwortroad_node/src/order/target_plan.rs
+++ b/crates/ragwortroad_node/src/order/target_plan.rs
@@ -93,19 +93,19 @@
     fn demands(&self) -> Vec<OfferDemand> {
         let to_demand = |(key, name): (&OfferKey, &VersionName)| {
             let holders = self.holders(name);
-            let (least, most, demand) = match self.declared_range(name) {
-                Some((least, most)) => (least, most, self.demand(name)),
+            let (min, max, demand) = match self.declared_range(name) {
+                Some((min, max)) => (min, max, self.demand(name)),
                 None if self.input.config.models.contains_key(&name.0) => {
-                    let least = self.min_replaced_engines(name).min(holders);
-                    (least, least, 0.0)
+                    let min = self.min_replaced_engines(name).min(holders);
+                    (min, min, 0.0)
                 }
                 None => (holders, holders, 0.0),
             };
             OfferDemand {
                 offer: *key,
                 demand,
-                min_engines: least,
-                max_engines: most,
+                min_engines: min,
+                max_engines: max,
             }
         };
         self.names.iter().map(to_demand).collect()
@@ -115,8 +115,11 @@
     fn declared_range(&self, (model, version): &VersionName) -> Option<(usize, usize)> {
         let entry = self.input.config.models.get(model)?;
         let share = *entry.versions.get(version)?;
-        let part = |count: u32| ((count * share).div_ceil(100) as usize).max(1);
-        Some((part(entry.replicas.wanted), part(entry.replicas.max)))
+        let engines_for = |count: u32| ((count * share).div_ceil(100) as usize).max(1);
+        Some((
+            engines_for(entry.replicas.wanted),
+            engines_for(entry.replicas.max),
+        ))
     }
 
     /// Returns the minimum number of engines that keep a version which is no longer declared: as
@@ -126,18 +129,18 @@
         let Some(entry) = self.input.config.models.get(model) else {
             return 0;
         };
-        let open = self.input.engines.iter().filter(|engine| engine.takes_work);
+        let available = self.input.engines.iter().filter(|engine| engine.takes_work);
         let names = entry
             .versions
             .keys()
             .map(|version| (model.clone(), version.clone()));
         let names: Vec<VersionName> = names.collect();
         let needed = names.iter().filter_map(|name| self.declared_range(name));
-        let needed = needed.map(|(least, _)| least).sum::<usize>();
-        let needed = needed.min(open.clone().count());
-        let ready = open.filter(|engine| names.iter().any(|name| is_seen(engine, name)));
-        let lacking = needed.saturating_sub(ready.count());
-        lacking.saturating_sub(ROLLOUT_STEP_ENGINES)
+        let needed = needed.map(|(min, _)| min).sum::<usize>();
+        let needed = needed.min(available.clone().count());
+        let ready = available.filter(|engine| names.iter().any(|name| is_seen(engine, name)));
+        let missing_engines = needed.saturating_sub(ready.count());
+        missing_engines.saturating_sub(ROLLOUT_STEP_ENGINES)
     }
 
     /// Returns the requests running for a version plus those refused. An engine's load counts in
@@ -240,8 +243,8 @@
     ) -> Option<EngineTarget> {
         let former = self.input.plan.target(&engine.name);
         let models = &self.input.config.models;
-        let concerns = versions.iter().any(|(model, _)| models.contains_key(model));
-        if former.is_none() && !concerns && !engine.drained {
+        let has_declared = versions.iter().any(|(model, _)| models.contains_key(model));
+        if former.is_none() && !has_declared && !engine.drained {
             return None;
         }
         Some(EngineTarget {
@@ -261,10 +264,10 @@
         let seen = seen.filter(|offer| offer.model == *model && offer.version == *version);
         let seen = seen.flat_map(|offer| offer.adapters.iter().cloned());
         let gone = &self.input.history.adapters;
-        let kept = seen.filter(|adapter| !gone.contains(&(model.clone(), adapter.clone())));
+        let retained = seen.filter(|adapter| !gone.contains(&(model.clone(), adapter.clone())));
         let entry = self.input.config.models.get(model);
         let declared = entry.into_iter().flat_map(|entry| &entry.adapters).cloned();
-        let adapters: BTreeSet<String> = kept.chain(declared).collect();
+        let adapters: BTreeSet<String> = retained.chain(declared).collect();
         ModelOffer {
             model: model.clone(),
             version: version.clone(),
@@ -279,7 +282,7 @@
         demands: &[OfferDemand],
         placement: &PlacementPlan,
     ) -> BTreeMap<String, u32> {
-        let need = |name: &VersionName| {
+        let urgency_of = |name: &VersionName| {
             let serving = self.input.engines.iter();
             let serving = serving.filter(|engine| engine.takes_work && is_seen(engine, name));
             let capacity: f64 = serving.map(|engine| f64::from(engine.capacity)).sum();
@@ -294,7 +297,10 @@
         let urgency = pairs.map(|(engine, versions)| {
             let versions = self.held_after(engine, versions, placement);
             let loads = versions.iter().filter(|name| !is_seen(engine, name));
-            (engine.name.clone(), loads.map(need).max().unwrap_or(0))
+            (
+                engine.name.clone(),
+                loads.map(urgency_of).max().unwrap_or(0),
+            )
         });
         urgency.collect()
     }
@@ -307,15 +313,16 @@
 /// declared don't.
 fn held_versions(input: &TargetInput<'_>, engine: &EngineView) -> BTreeSet<VersionName> {
     let models = &input.config.models;
-    let is_ours = |offer: &&ModelOffer| models.contains_key(&offer.model);
-    let is_foreign = |offer: &&ModelOffer| {
+    let is_declared = |offer: &&ModelOffer| models.contains_key(&offer.model);
+    let is_undeclared = |offer: &&ModelOffer| {
         !models.contains_key(&offer.model) && !input.history.models.contains(&offer.model)
     };
-    let foreign = engine.models.iter().filter(is_foreign);
+    let undeclared = engine.models.iter().filter(is_undeclared);
     let planned = input.plan.target(&engine.name);
-    let ours = planned.map_or(&engine.models, |target| &target.models);
-    let ours = ours.iter().filter(is_ours);
-    ours.chain(foreign)
+    let declared = planned.map_or(&engine.models, |target| &target.models);
+    let declared = declared.iter().filter(is_declared);
+    declared
+        .chain(undeclared)
         .map(|offer| (offer.model.clone(), offer.version.clone()))
         .collect()
 }
--- a/crates/ragwortroad_node/src/order/tests.rs
+++ b/crates/ragwortroad_node/src/order/tests.rs
@@ -90,7 +90,7 @@
     /// Plans and applies until nothing changes; returns the minimum number of engines that held one
     /// of `offers`.
     fn run_until_stable(&mut self, offers: &[ModelOffer]) -> usize {
-        let mut least = usize::MAX;
+        let mut fewest = usize::MAX;
         for _ in 0..50 {
             let planned = !self.plan().changes.is_empty();
             let before = self.engines.clone();
@@ -98,9 +98,9 @@
             let changed = planned || before != self.engines;
             let serving = self.engines.iter();
             let serving = serving.filter(|engine| offers.iter().any(|o| engine.models.contains(o)));
-            least = least.min(serving.count());
+            fewest = fewest.min(serving.count());
             if !changed {
-                return least;
+                return fewest;
             }
         }
         panic!("the plan does not converge");
@@ -226,7 +226,7 @@
         add_model("tutor", 1, 1),
     ]);
     let plan = fixture.plan();
-    let of = |model: &str| {
+    let urgency_of = |model: &str| {
         let loads = plan.changes.iter().filter(|(name, target)| {
             let engine = fixture.engines.iter().find(|engine| engine.name == *name);
             let models = &engine.unwrap().models;
@@ -236,7 +236,7 @@
         let urgency = loads.map(|(name, _)| plan.urgencies[name]).max();
         urgency.unwrap_or_else(|| panic!("{model} is not loaded on any engine"))
     };
-    assert!(of("tutor") > of("note"));
+    assert!(urgency_of("tutor") > urgency_of("note"));
 }
 
 /// Refused requests must raise the number of engines, but not beyond the declared maximum.
@@ -249,13 +249,13 @@
     let mut refused = RefusedDemand::default();
     let key = OfferKey::model("tutor", "v1", None);
     for _ in 0..500 {
-        refused.note(key, RefusalCode::Overloaded);
-        refused.note(key, RefusalCode::WrongKey);
+        refused.record(key, RefusalCode::Overloaded);
+        refused.record(key, RefusalCode::WrongKey);
     }
-    RefusedDemand::add(&mut fixture.refused, &refused.end_second());
+    RefusedDemand::add_blob(&mut fixture.refused, &refused.end_second());
     assert_eq!(fixture.refused, BTreeMap::from([(key, 500)]));
     fixture.run_until_stable(&[]);
     assert_eq!(fixture.holders("tutor", "v1"), 3);
-    let quiet = (0..20).map(|_| refused.end_second()).last();
-    assert_eq!(quiet, Some(Vec::new()));
+    let last_blob = (0..20).map(|_| refused.end_second()).last();
+    assert_eq!(last_blob, Some(Vec::new()));
 }
--- a/crates/ragwortroad_node/src/request/claim_queue.rs
+++ b/crates/ragwortroad_node/src/request/claim_queue.rs
@@ -28,7 +28,7 @@
     /// The attempt that waits for this claim; `None` for other steps.
     attempt: Option<PendingAttempt>,
     /// When the step was last sent; `None` before the first time.
-    sent: Option<ClockTime>,
+    last_sent: Option<ClockTime>,
 }
 
 #[derive(Debug)]
@@ -48,23 +48,23 @@
 
 impl ClaimQueue {
     /// Adds a claim, with the attempt that waits for it.
-    pub(crate) fn claim(&mut self, step: ClaimStep, attempt: PendingAttempt) {
-        self.add(step, Some(attempt));
+    pub(crate) fn push_claim(&mut self, step: ClaimStep, attempt: PendingAttempt) {
+        self.insert(step, Some(attempt));
     }
 
     /// Adds a step that no attempt waits for: a finish, a release or the loss of a node.
-    pub(crate) fn settle(&mut self, step: ClaimStep) {
-        self.add(step, None);
+    pub(crate) fn push_step(&mut self, step: ClaimStep) {
+        self.insert(step, None);
     }
 
-    fn add(&mut self, step: ClaimStep, attempt: Option<PendingAttempt>) {
+    fn insert(&mut self, step: ClaimStep, attempt: Option<PendingAttempt>) {
         self.next_step += 1;
-        let open = PendingStep {
+        let pending = PendingStep {
             step,
             attempt,
-            sent: None,
+            last_sent: None,
         };
-        self.steps.insert(self.next_step, open);
+        self.steps.insert(self.next_step, pending);
     }
 
     /// Whether an attempt waits for a claim that hasn't been sent yet.
@@ -73,22 +73,23 @@
     /// of the messages and log entries.
     pub(crate) fn is_urgent(&self) -> bool {
         let mut steps = self.steps.values();
-        steps.any(|open| open.attempt.is_some() && open.sent.is_none())
+        steps.any(|pending| pending.attempt.is_some() && pending.last_sent.is_none())
     }
 
     /// Returns the next batch of steps that are new or due for resending.
     pub(crate) fn next_batch(&mut self, now: ClockTime) -> Option<(u64, Vec<ClaimStep>)> {
-        let is_due = |open: &PendingStep| {
-            open.sent
+        let is_due = |pending: &PendingStep| {
+            pending
+                .last_sent
                 .is_none_or(|sent| now.since(sent) >= RESEND_INTERVAL)
         };
-        let due = self.steps.iter_mut().filter(|(_, open)| is_due(open));
+        let due = self.steps.iter_mut().filter(|(_, pending)| is_due(pending));
         let mut numbers = Vec::new();
         let mut steps = Vec::new();
-        for (number, open) in due.take(MAX_BATCH_STEPS) {
-            open.sent = Some(now);
+        for (number, pending) in due.take(MAX_BATCH_STEPS) {
+            pending.last_sent = Some(now);
             numbers.push(*number);
-            steps.push(open.step.clone());
+            steps.push(pending.step.clone());
         }
         if steps.is_empty() {
             return None;
@@ -115,7 +116,10 @@
         };
         let mut decided = Vec::new();
         for (number, outcome) in sent.steps.into_iter().zip(outcomes) {
-            let attempt = self.steps.remove(&number).and_then(|open| open.attempt);
+            let attempt = self
+                .steps
+                .remove(&number)
+                .and_then(|pending| pending.attempt);
             decided.extend(attempt.map(|attempt| (attempt, outcome)));
         }
         decided
@@ -123,28 +127,29 @@
 
     /// Removes the claims of attempts that started before `limit`, and returns these attempts.
     ///
-    /// The caller must settle each one with a release. The state handles the release correctly even
+    /// The caller must push a release for each one. The state handles the release correctly even
     /// if it arrives before the claim.
     pub(crate) fn take_expired(&mut self, limit: ClockTime) -> Vec<PendingAttempt> {
-        let waited = |open: &PendingStep| {
-            open.attempt
+        let is_expired = |pending: &PendingStep| {
+            pending
+                .attempt
                 .as_ref()
-                .is_some_and(|attempt| attempt.since < limit)
+                .is_some_and(|attempt| attempt.started < limit)
         };
         let numbers: Vec<u64> = self
             .steps
             .iter()
-            .filter(|(_, open)| waited(open))
+            .filter(|(_, pending)| is_expired(pending))
             .map(|(number, _)| *number)
             .collect();
-        let take = |number: u64| self.steps.remove(&number)?.attempt;
-        numbers.into_iter().filter_map(take).collect()
+        let remove_attempt = |number: u64| self.steps.remove(&number)?.attempt;
+        numbers.into_iter().filter_map(remove_attempt).collect()
     }
 
     /// Makes all unanswered steps due; called when the leader changes.
     pub(crate) fn mark_all_due(&mut self) {
-        for open in self.steps.values_mut() {
-            open.sent = None;
+        for pending in self.steps.values_mut() {
+            pending.last_sent = None;
         }
     }
 
--- a/crates/ragwortroad_node/src/request/pending_attempt.rs
+++ b/crates/ragwortroad_node/src/request/pending_attempt.rs
@@ -31,11 +31,11 @@
     /// Endpoints that failed the request or whose home rejected it.
     pub(crate) excluded: Vec<EndpointId>,
     /// Number of homes asked so far.
-    pub(crate) asked: u32,
+    pub(crate) homes_asked: u32,
     /// Number of homes that answered that the endpoint is full.
-    pub(crate) full: u32,
+    pub(crate) homes_full: u32,
     /// When the call arrived.
-    pub(crate) since: ClockTime,
+    pub(crate) started: ClockTime,
 }
 
 /// A claim that an attempt holds or asks for.
--- a/crates/ragwortroad_node/src/request/wait_table.rs
+++ b/crates/ragwortroad_node/src/request/wait_table.rs
@@ -26,7 +26,7 @@
     /// The home that was asked.
     pub(crate) home: NodeId,
     /// When it was asked.
-    pub(crate) asked: ClockTime,
+    pub(crate) asked_at: ClockTime,
 }
 
 impl WaitTable {
@@ -37,8 +37,8 @@
 
     /// Removes and returns the wait for `question` if `home` was asked.
     pub(crate) fn take(&mut self, question: u64, home: NodeId) -> Option<SlotWait> {
-        let asked = self.slots.get(&question)?.home;
-        if asked != home {
+        let asked_home = self.slots.get(&question)?.home;
+        if asked_home != home {
             return None;
         }
         self.slots.remove(&question)
@@ -50,15 +50,15 @@
         limit: ClockTime,
         is_gone: impl Fn(NodeId) -> bool,
     ) -> Vec<(u64, SlotWait)> {
-        let over = |wait: &SlotWait| wait.asked < limit || is_gone(wait.home);
+        let is_overdue = |wait: &SlotWait| wait.asked_at < limit || is_gone(wait.home);
         let numbers: Vec<u64> = self
             .slots
             .iter()
-            .filter(|(_, wait)| over(wait))
+            .filter(|(_, wait)| is_overdue(wait))
             .map(|(number, _)| *number)
             .collect();
-        let take = |number: u64| Some((number, self.slots.remove(&number)?));
-        numbers.into_iter().filter_map(take).collect()
+        let remove = |number: u64| Some((number, self.slots.remove(&number)?));
+        numbers.into_iter().filter_map(remove).collect()
     }
 
     /// Puts an attempt on hold until `due`.
--- a/crates/ragwortroad_node/src/slot/grant_table.rs
+++ b/crates/ragwortroad_node/src/slot/grant_table.rs
@@ -45,7 +45,7 @@
 
 impl GrantTable {
     /// Returns what is recorded about an `Ask`.
-    pub(crate) fn look_up(&self, requester: NodeId, question: u64) -> GrantStatus {
+    pub(crate) fn status(&self, requester: NodeId, question: u64) -> GrantStatus {
         let key = (requester, question);
         if self.released.contains_key(&key) {
             return GrantStatus::Released;
--- a/crates/ragwortroad_node/src/slot/release_queue.rs
+++ b/crates/ragwortroad_node/src/slot/release_queue.rs
@@ -26,7 +26,7 @@
     /// How the request ended.
     pub(crate) outcome: ReleaseOutcome,
     /// When it was last sent.
-    pub(crate) sent: ClockTime,
+    pub(crate) last_sent: ClockTime,
 }
 
 /// Interval between two transmissions of a release.
@@ -40,8 +40,8 @@
 
     /// Removes a release that its home has confirmed.
     pub(crate) fn confirm(&mut self, home: NodeId, question: u64) {
-        let held = self.pending.get(&question);
-        if held.is_some_and(|release| release.home == home) {
+        let known = self.pending.get(&question);
+        if known.is_some_and(|release| release.home == home) {
             self.pending.remove(&question);
         }
     }
@@ -55,8 +55,8 @@
     pub(crate) fn take_due(&mut self, now: ClockTime) -> Vec<(u64, PendingRelease)> {
         let mut due = Vec::new();
         for (question, release) in &mut self.pending {
-            if now.since(release.sent) >= RESEND_INTERVAL {
-                release.sent = now;
+            if now.since(release.last_sent) >= RESEND_INTERVAL {
+                release.last_sent = now;
                 due.push((*question, *release));
             }
         }
