--- a/crates/ragwortroad_node/src/control/control_inbox.rs
+++ b/crates/ragwortroad_node/src/control/control_inbox.rs
@@ -66,10 +66,10 @@
 }
 
 impl ControlInbox {
-    /// Returns the next event, or `None` after `patience`.
+    /// Returns the next event, or `None` after `timeout`.
     ///
     /// A closed channel is always ready but never has an event. Selecting it in a loop would keep a
-    /// core busy on an idle node, so the thread sleeps for the rest of `patience` in short steps.
+    /// core busy on an idle node, so the thread sleeps for the rest of `timeout` in short steps.
     pub(crate) fn next(&self, timeout: Duration) -> Option<ControlEvent> {
         let mut selector = Selector::new()
             .recv(&self.calls, |event| to_event(event, boxed_call))
--- a/crates/ragwortroad_node/src/control/grant_flow.rs
+++ b/crates/ragwortroad_node/src/control/grant_flow.rs
@@ -66,11 +66,11 @@
                 RouteDecision::AskHome {
                     endpoint,
                     home,
-                    class: claim,
+                    class: admission_class,
                     ..
                 } => {
                     if attempt.homes_asked < MAX_HOMES_ASKED {
-                        return self.ask_home(attempt, (endpoint, claim), home, now);
+                        return self.ask_home(attempt, (endpoint, admission_class), home, now);
                     }
                     let message = "every engine asked is at its bound";
                     let refusal = AdmitRefusal::not_run(RefusalCode::Overloaded, message);
@@ -96,13 +96,13 @@
     fn ask_home(
         &mut self,
         mut attempt: PendingAttempt,
-        (endpoint, claim): (EndpointId, AdmissionClass),
+        (endpoint, class): (EndpointId, AdmissionClass),
         home: NodeId,
         now: ClockTime,
     ) {
         let question = self.next_random();
         attempt.homes_asked += 1;
-        self.send_ask(home, question, endpoint, claim, &attempt);
+        self.send_ask(home, question, endpoint, class, &attempt);
         let wait = SlotWait {
             attempt,
             endpoint,
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -21,11 +21,11 @@
         proposal_kind::{
             LineOrigin,
             ProposalKind, //
-        }, //
+        },
         state_replica::{
             follow_timing,
             order_timing, //
-        },
+        }, //
     },
     order::order_worker::OrderWorker,
 };
@@ -173,7 +173,7 @@
             ChangeOutcome::Accepted { revision } => {
                 tracing::info!(revision, "change accepted");
                 self.record_revision_event(EventKind::ChangeAccepted, revision, String::new());
-                self.remove_undeclared_members(revision, now);
+                self.apply_member_removals(revision, now);
                 self.watch_change(revision, origin, now);
             }
             refused => {
@@ -250,7 +250,7 @@
     }
 
     /// Removes the members that a configuration change removes from the consensus group.
-    fn remove_undeclared_members(&mut self, revision: u64, now: ClockTime) {
+    fn apply_member_removals(&mut self, revision: u64, now: ClockTime) {
         let Some(replica) = &self.replica else {
             return;
         };
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -14,15 +14,15 @@
 use crate::{
     control::control_state::ControlState,
     disk_worker::{
-        DiskReport, //
-        DiskWrite,
+        DiskReport,
+        DiskWrite, //
     },
     member::{
         proposal_kind::{
             LineOrigin,
             ProposalKind, //
-        }, //
-        state_replica::StateReplica,
+        },
+        state_replica::StateReplica, //
     },
     wire::follow_message::FollowMessage,
 };
--- a/crates/ragwortroad_node/src/control/order_flow.rs
+++ b/crates/ragwortroad_node/src/control/order_flow.rs
@@ -1,4 +1,4 @@
-//! Plans the models that engines shall hold, and sends the orders while the lease is valid.
+//! Plans the models that engines are to hold, and sends the orders while the lease is valid.
 
 use std::{
     collections::{
@@ -68,7 +68,7 @@
         sum
     }
 
-    /// Plans which models the engines shall hold. Runs once a second on the leader.
+    /// Plans which models the engines are to hold. Runs once a second on the leader.
     pub(crate) fn plan_engines(&mut self, now: ClockTime) {
         let Some(replica) = self.replica.as_ref().filter(|replica| replica.leads(now)) else {
             return;
--- a/crates/ragwortroad_node/src/control/slot_flow.rs
+++ b/crates/ragwortroad_node/src/control/slot_flow.rs
@@ -16,8 +16,8 @@
     },
     slot::{
         grant_table::{
-            GrantRecord, //
-            GrantStatus,
+            GrantRecord,
+            GrantStatus, //
         },
         release_queue::PendingRelease, //
     },
@@ -57,8 +57,8 @@
                     self.grants.remove_node(from);
                 }
                 let customer = CustomerKey(customer);
-                let claim = claim.into();
-                let answer = self.decide_ask((from, question), endpoint, (customer, claim), now);
+                let class = claim.into();
+                let answer = self.decide_ask((from, question), endpoint, (customer, class), now);
                 let granted = answer == SlotVerdict::Granted;
                 self.record_slot_event(from, request, endpoint, granted);
                 self.send_slots(from, &SlotMessage::Answer { question, answer });
@@ -95,7 +95,7 @@
         &mut self,
         (requester, question): (NodeId, u64),
         endpoint: EndpointId,
-        (customer, claim): (CustomerKey, AdmissionClass),
+        (customer, class): (CustomerKey, AdmissionClass),
         now: ClockTime,
     ) -> SlotVerdict {
         match self.grants.status(requester, question) {
@@ -114,7 +114,7 @@
         }
         let answer = self
             .route
-            .grant_slot(endpoint, requester, customer, claim, now);
+            .grant_slot(endpoint, requester, customer, class, now);
         if let SlotAnswer::Granted { slot } = answer {
             self.grants
                 .grant(requester, question, GrantRecord { endpoint, slot });
@@ -160,14 +160,14 @@
         home: NodeId,
         question: u64,
         endpoint: EndpointId,
-        claim: AdmissionClass,
+        class: AdmissionClass,
         attempt: &PendingAttempt,
     ) {
         let message = SlotMessage::Ask {
             question,
             endpoint,
             customer: attempt.customer_key.0,
-            claim: claim.into(),
+            claim: class.into(),
             request: attempt.call.request,
             run: self.incarnation,
         };
@@ -214,13 +214,13 @@
     /// Sends this node's demand to the coordinators of the customers' limits, and to the other
     /// nodes their shares of the limits that this node coordinates.
     pub(crate) fn send_shares(&mut self, now: ClockTime) {
-        for (keeper, digest) in self.limiter.demands(now) {
+        for (coordinator, digest) in self.limiter.demands(now) {
             let entries = digest.entries.iter();
             let entries = entries.map(|entry| {
                 let requests = entry.requests_per_10_s;
                 (entry.customer.0, requests, entry.concurrent)
             });
-            self.send_slots(keeper, &SlotMessage::Demand(entries.collect()));
+            self.send_slots(coordinator, &SlotMessage::Demand(entries.collect()));
         }
         for (node, digest) in self.limiter.shares(now) {
             if node == self.node {
--- a/crates/ragwortroad_node/src/node_process.rs
+++ b/crates/ragwortroad_node/src/node_process.rs
@@ -26,16 +26,16 @@
         config_follower::ConfigFollower,
         control_inbox::{
             ControlInbox,
-            SupervisorCommand, //
-            TimelineCall,
+            SupervisorCommand,
+            TimelineCall, //
         },
         control_state::ControlState,
         line_table::LineTable, //
     },
     event_log::EventLog,
     member::state_replica::{
-        ReplicaOptions, //
-        StateReplica,
+        ReplicaOptions,
+        StateReplica, //
     },
     metric_pages::MetricPages,
     node_error::{
@@ -71,9 +71,9 @@
     gate: Arc<LinkGate>,
 }
 
-/// Ratio of retries to first attempts, earned with each first attempt.
+/// Retries earned with each first attempt.
 const RETRY_RATIO: f64 = 0.1;
-/// Retries that a node may make before it has earned any.
+/// Maximum number of retries saved up for later; all of them are available from the start.
 const RETRY_RESERVE: u32 = 32;
 
 /// Minimum interval between two gossiped loads of one endpoint. With older loads, nodes crowd the
--- a/crates/ragwortroad_node/src/order/target_plan.rs
+++ b/crates/ragwortroad_node/src/order/target_plan.rs
@@ -234,7 +234,7 @@
         versions
     }
 
-    /// Returns the target of an engine that shall hold `versions`; `None` if nothing declared
+    /// Returns the target of an engine that is to hold `versions`; `None` if nothing declared
     /// concerns it.
     fn target(
         &self,
@@ -257,7 +257,7 @@
         })
     }
 
-    /// Returns a version with the adapters it shall have on an engine: those declared, and those
+    /// Returns a version with the adapters it is to have on an engine: those declared, and those
     /// present that were never removed.
     fn offer(&self, engine: &EngineView, (model, version): &VersionName) -> ModelOffer {
         let seen = engine.models.iter();
--- a/crates/ragwortroad_node/src/wire/slot_message.rs
+++ b/crates/ragwortroad_node/src/wire/slot_message.rs
@@ -69,8 +69,8 @@
 }
 
 impl From<AdmissionClass> for AskClass {
-    fn from(claim: AdmissionClass) -> Self {
-        match claim {
+    fn from(class: AdmissionClass) -> Self {
+        match class {
             AdmissionClass::Arriving => Self::Arriving,
             AdmissionClass::Returning => Self::Returning,
             AdmissionClass::Starved => Self::Starved,
@@ -79,8 +79,8 @@
 }
 
 impl From<AskClass> for AdmissionClass {
-    fn from(claim: AskClass) -> Self {
-        match claim {
+    fn from(class: AskClass) -> Self {
+        match class {
             AskClass::Arriving => Self::Arriving,
             AskClass::Returning => Self::Returning,
             AskClass::Starved => Self::Starved,
