--- a/crates/ragwortroad_node/src/control/control_inbox.rs
+++ b/crates/ragwortroad_node/src/control/control_inbox.rs
@@ -45,6 +45,7 @@
 /// A request for this node's timeline, made by a traffic thread.
 #[derive(Debug)]
 pub(crate) struct TimelineCall {
+    /// SHA-256 of the operator's key.
     pub(crate) key_hash: [u8; 32],
     /// Selects the events to return.
     pub(crate) filter: EventFilter,
--- a/crates/ragwortroad_node/src/control/endpoint_flow.rs
+++ b/crates/ragwortroad_node/src/control/endpoint_flow.rs
@@ -158,7 +158,7 @@
             .as_ref()
             .is_some_and(|replica| replica.leads(now))
         {
-            // Otherwise its claims would stay "in progress" until their maximum run time has
+            // Otherwise the node's claims would stay "in progress" until their maximum run time has
             // passed; with this step a caller that retries elsewhere learns at once that the
             // outcome is unknown.
             self.claims.push_step(ClaimStep::NodeLost { node });
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -307,8 +307,8 @@
 /// Whether a frame contains a change of configuration or membership that this member has promised
 /// not to write yet.
 ///
-/// A node without a leader keeps admitting requests while enough members promise to accept no
-/// change that the rest can't form a quorum. If this member accepted a change before its promise
+/// A node without a leader keeps admitting requests while so many members promise to accept no
+/// change that the others can't form a quorum. If this member accepted a change before its promise
 /// ends, the change could count as in force while that node still uses the old configuration. The
 /// frame is treated as lost; the leader resends it.
 fn breaks_promise(replica: &StateReplica, frame: &PeerFrame, now: ClockTime) -> bool {
--- a/crates/ragwortroad_node/src/control/slot_flow.rs
+++ b/crates/ragwortroad_node/src/control/slot_flow.rs
@@ -71,7 +71,7 @@
                 endpoint: _,
                 outcome,
             } => {
-                if let Some(record) = self.grants.end(from, question, now) {
+                if let Some(record) = self.grants.release(from, question, now) {
                     let outcome = outcome.into();
                     self.route
                         .release(record.endpoint, record.slot, outcome, now);
--- a/crates/ragwortroad_node/src/request/pending_attempt.rs
+++ b/crates/ragwortroad_node/src/request/pending_attempt.rs
@@ -10,6 +10,7 @@
     pub(crate) call: AdmitCall,
     /// Receives the decision.
     pub(crate) reply: flume::Sender<AdmitReply>,
+    /// The customer's name.
     pub(crate) customer: String,
     /// The customer's key in the route table.
     pub(crate) customer_key: CustomerKey,
--- a/crates/ragwortroad_node/src/slot/grant_table.rs
+++ b/crates/ragwortroad_node/src/slot/grant_table.rs
@@ -72,7 +72,7 @@
     }
 
     /// Records a release. Returns the grant the first time only.
-    pub(crate) fn end(
+    pub(crate) fn release(
         &mut self,
         requester: NodeId,
         question: u64,
