--- a/crates/ragwortroad_node/src/control/control_state.rs
+++ b/crates/ragwortroad_node/src/control/control_state.rs
@@ -21,155 +21,151 @@
 use crate::{
     byte_counts::ByteCounts,
     control::{
+        config_follower::ConfigFollower,
         control_inbox::{
             ControlEvent,
             ControlInbox,
-            SteeringOrder, //
+            SupervisorCommand, //
         },
-        follow_seat::FollowSeat,
         line_table::LineTable, //
     },
     event_log::EventLog,
-    member::member_seat::MemberSeat,
+    member::state_replica::StateReplica,
     node_secrets::NodeSecrets,
     order::{
         order_worker::OrderWorker,
         refused_demand::RefusedDemand, //
     },
     request::{
-        claim_desk::ClaimDesk,
+        claim_queue::ClaimQueue,
         ended_attempts::EndedAttempts,
         ticket_table::TicketTable,
         wait_table::WaitTable, //
     },
     slot::{
-        grant_book::GrantBook,
+        grant_table::GrantTable,
         release_queue::ReleaseQueue, //
     }, //
 };
 
-/// All state of one node; owned by its control thread.
+/// All state of one node, owned by its control thread.
 pub(crate) struct ControlState {
-    /// This process's clocks.
     pub(crate) clock: RealClock,
-    /// The process's settings.
     pub(crate) settings: ProcessSettings,
-    /// This node.
     pub(crate) node: NodeId,
     /// Differs between runs of this process.
     pub(crate) incarnation: u64,
-    /// Randomness of this process, seeded once.
+    /// Random number generator, seeded once for each process.
     pub(crate) random: Pcg64,
-    /// Hashes of the secrets in files.
     pub(crate) secrets: NodeSecrets,
-    /// Messages to other nodes.
+    /// Connections to other nodes.
     pub(crate) transport: PeerTransport,
-    /// Which nodes and endpoints there are.
+    /// The nodes and endpoints known through gossip.
     pub(crate) membership: MembershipTable,
-    /// Where requests go.
+    /// Selects an endpoint for each attempt.
     pub(crate) route: RouteTable,
-    /// Placement hints.
+    /// Encodes and decodes placement hints.
     pub(crate) hints: HintCodec,
-    /// Customers' limits.
+    /// Enforces the customers' limits.
     pub(crate) limiter: CustomerLimiter,
-    /// What this node may spend on retries.
-    pub(crate) budget: RetryBudget,
-    /// When a failed attempt may be followed by another.
-    pub(crate) rule: RetryPolicy,
-    /// The configuration in force here, and the leave to admit work with it.
-    pub(crate) follow: FollowSeat,
-    /// This node's part in the replicated state.
-    pub(crate) member: Option<MemberSeat>,
-    /// Attempts under way.
+    /// Retries that this node may still make.
+    pub(crate) retry_budget: RetryBudget,
+    /// Decides whether a failed attempt may be retried.
+    pub(crate) retry_policy: RetryPolicy,
+    /// The configuration in force, and whether requests may be admitted under it.
+    pub(crate) follower: ConfigFollower,
+    /// Present if this node is a member of the replicated state.
+    pub(crate) replica: Option<StateReplica>,
+    /// Attempts in flight.
     pub(crate) tickets: TicketTable,
-    /// Attempts that ended lately.
+    /// Attempts that ended recently.
     pub(crate) ended: EndedAttempts,
-    /// Attempts that wait for a home's answer.
+    /// Attempts that wait for a slot from another node, or for their hold to end.
     pub(crate) waits: WaitTable,
-    /// Claim steps that wait for the leader's answer.
-    pub(crate) claims: ClaimDesk,
+    /// Claim steps that the leader hasn't answered.
+    pub(crate) claims: ClaimQueue,
     /// Slots granted to other nodes.
-    pub(crate) grants: GrantBook,
-    /// Slots to be given back to other nodes.
+    pub(crate) grants: GrantTable,
+    /// Releases of slots that other nodes haven't confirmed.
     pub(crate) releases: ReleaseQueue,
-    /// Operators' lines passed on to the leader.
+    /// Operators' lines that were forwarded to the leader.
     pub(crate) lines: LineTable,
-    /// Sends orders to engines; started with the first grant.
+    /// Sends orders to engines; started when this node is first granted the lease for orders.
     pub(crate) orders: Option<OrderWorker>,
-    /// What was refused here for want of room; the leader places models by it.
+    /// Requests refused here for lack of capacity; the leader uses them to place models.
     pub(crate) refused: RefusedDemand,
-    /// Events for the time line.
+    /// Recent events for the timeline.
     pub(crate) events: EventLog,
-    /// No new work is taken in any more.
+    /// Set once a graceful shutdown has begun; no new requests are admitted from then on.
     pub(crate) draining: bool,
-    /// When the slow duties were done last.
-    pub(crate) second: ClockTime,
-    /// When this node last introduced its data folder to the other members.
-    pub(crate) said_hello: ClockTime,
-    /// Bytes between nodes, for who owns the process.
+    /// When the once-a-second duties last ran.
+    pub(crate) last_slow_tick: ClockTime,
+    /// When this node last sent a hello for its data folder to the other members.
+    pub(crate) last_hello: ClockTime,
+    /// Bytes exchanged with other nodes, shared with the owner of the process.
     pub(crate) bytes: Arc<ByteCounts>,
 }
 
 /// How the control thread ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ThreadEnd {
-    /// In good order.
+    /// Orderly: the peers are told.
     Stop,
     /// As if the process were killed.
     Crash,
 }
 
 impl ThreadEnd {
-    /// The end that an event asks for, if it asks for one.
+    /// Returns how `event` ends the thread, or `None` if it doesn't.
     fn of(event: &ControlEvent) -> Option<Self> {
         match event {
-            ControlEvent::Steering(SteeringOrder::Stop) => Some(Self::Stop),
-            ControlEvent::Steering(SteeringOrder::Crash) => Some(Self::Crash),
+            ControlEvent::Supervisor(SupervisorCommand::Stop) => Some(Self::Stop),
+            ControlEvent::Supervisor(SupervisorCommand::Crash) => Some(Self::Crash),
             _ => None,
         }
     }
 }
 
-/// Time between two ticks.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two rounds of slow duties.
-const SECOND: Duration = Duration::from_secs(1);
+/// Interval between two runs of the duties in `tick_second`.
+const SLOW_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Events handled before the duties that follow each round.
-const ROUND_EVENTS: usize = 256;
+/// Maximum number of events handled before the flush that ends each round.
+const MAX_ROUND_EVENTS: usize = 256;
 
 impl ControlState {
-    /// Serves events until the supervisor stops the thread.
+    /// Handles events until the supervisor ends the thread.
     pub(crate) fn run(mut self, inbox: &ControlInbox) {
-        self.note_node(EventKind::ProcessStarted, self.node);
+        self.record_node_event(EventKind::ProcessStarted, self.node);
         let mut next_tick = self.clock.now();
         loop {
             let now = self.clock.now();
-            let wake = self
+            let wake_at = self
                 .waits
                 .next_due()
                 .map_or(next_tick, |due| due.min(next_tick));
-            let patience = wake.since(now);
+            let timeout = wake_at.since(now);
             let end = inbox
-                .next(patience)
-                .and_then(|event| self.serve_round(event, inbox));
+                .next(timeout)
+                .and_then(|event| self.handle_round(event, inbox));
             if let Some(end) = end {
                 return self.end(end);
             }
             let now = self.clock.now();
             if now >= next_tick {
                 self.tick(now);
-                next_tick = now.after(TICK);
+                next_tick = now.after(TICK_INTERVAL);
             }
             self.flush(now);
         }
     }
 
-    /// Handles one event and those that are there already; tells when the thread is to end.
-    fn serve_round(&mut self, first: ControlEvent, inbox: &ControlInbox) -> Option<ThreadEnd> {
+    /// Handles one event and those already queued. Returns how to end the thread if an event asks
+    /// for it.
+    fn handle_round(&mut self, first: ControlEvent, inbox: &ControlInbox) -> Option<ThreadEnd> {
         let mut next = Some(first);
-        for _ in 0..ROUND_EVENTS {
+        for _ in 0..MAX_ROUND_EVENTS {
             let event = next?;
             if let Some(end) = ThreadEnd::of(&event) {
                 return Some(end);
@@ -177,7 +173,7 @@
             self.handle(event);
             next = inbox.ready();
         }
-        // The event taken last must not be lost with the round.
+        // The last event is already taken from its channel and would be lost with the round.
         if let Some(event) = next {
             if let Some(end) = ThreadEnd::of(&event) {
                 return Some(end);
@@ -187,20 +183,21 @@
         None
     }
 
-    /// Handles one event.
     fn handle(&mut self, event: ControlEvent) {
         let now = self.clock.now();
         match event {
             ControlEvent::Call(call) => self.handle_call(*call, now),
             ControlEvent::Peer(event) => self.handle_peer(event, now),
             ControlEvent::Disk(report) => self.handle_disk(report, now),
-            ControlEvent::Steering(SteeringOrder::Drain) => self.begin_drain(now),
-            ControlEvent::Steering(SteeringOrder::Page(call)) => self.serve_page(call),
-            ControlEvent::Steering(SteeringOrder::Freeze(held)) => {
-                // Nothing is ever sent; the channel closes when the freeze is over.
-                held.recv().unwrap_or_default();
+            ControlEvent::Supervisor(SupervisorCommand::Drain) => self.begin_drain(now),
+            ControlEvent::Supervisor(SupervisorCommand::Timeline(call)) => {
+                self.serve_timeline(call)
             }
-            ControlEvent::Steering(SteeringOrder::Stop | SteeringOrder::Crash) => {}
+            ControlEvent::Supervisor(SupervisorCommand::Freeze(released)) => {
+                // Nothing is ever sent; the channel closes when the freeze ends.
+                released.recv().unwrap_or_default();
+            }
+            ControlEvent::Supervisor(SupervisorCommand::Stop | SupervisorCommand::Crash) => {}
         }
     }
 
@@ -210,17 +207,17 @@
             ControlCall::Finish(finish) => self.finish(finish, now),
             ControlCall::Addresses(call, reply) => {
                 let answer = self.addresses(&call, now);
-                reply_to(&reply, answer);
+                send_reply(&reply, answer);
             }
             ControlCall::Announce(call, reply) => {
                 let answer = self.announce(call, now);
-                reply_to(&reply, answer);
+                send_reply(&reply, answer);
             }
-            ControlCall::Operator(call, reply) => self.operator(call, reply, now),
+            ControlCall::Operator(call, reply) => self.handle_operator(call, reply, now),
         }
     }
 
-    /// Duties that depend on time.
+    /// Runs the duties that depend on time.
     fn tick(&mut self, now: ClockTime) {
         self.tick_membership(now);
         self.tick_member(now);
@@ -230,29 +227,29 @@
         self.send_claims(now);
         self.propose_claims(now);
         self.tick_orders(now);
-        self.note_currency(now);
-        if now.since(self.second) >= SECOND {
-            self.second = now;
+        self.record_currency(now);
+        if now.since(self.last_slow_tick) >= SLOW_TICK_INTERVAL {
+            self.last_slow_tick = now;
             self.tick_second(now);
         }
     }
 
-    /// Duties that need no more than a second's care.
+    /// Runs the duties that are needed once a second.
     fn tick_second(&mut self, now: ClockTime) {
         self.route.tick(now);
-        self.repeat_digests();
+        self.refresh_remote_loads();
         self.grants.tick(now);
         self.send_shares(now);
-        self.repeat_releases(now);
-        self.tell_refused();
+        self.resend_releases(now);
+        self.publish_refused_demand();
         self.plan_engines(now);
         self.publish_gauges(now);
         self.publish_order_gauges(now);
     }
 
-    /// Sends what the round has gathered.
+    /// Sends what the events of one round have queued.
     fn flush(&mut self, now: ClockTime) {
-        self.place_held(now);
+        self.place_due_attempts(now);
         if self.claims.is_urgent() {
             self.send_claims(now);
         }
@@ -261,24 +258,25 @@
         }
     }
 
-    /// Begins a graceful shutdown: the traffic threads go on until all answers are whole.
+    /// Begins a graceful shutdown. The traffic threads continue until every response is complete.
     fn begin_drain(&mut self, now: ClockTime) {
         tracing::info!(node = self.settings.node.name, "draining");
         self.draining = true;
-        self.note_node(EventKind::ProcessStopping, self.node);
+        self.record_node_event(EventKind::ProcessStopping, self.node);
         let actions = self.membership.handle(GossipInput::LeaveStarted, now);
-        self.do_gossip(actions, now);
-        if let Some(seat) = &mut self.member {
-            let actions = seat.handle(CoreInput::HandOver, now);
-            self.do_core(actions, now);
+        self.run_gossip_actions(actions, now);
+        if let Some(replica) = &mut self.replica {
+            let actions = replica.handle(CoreInput::HandOver, now);
+            self.run_core_actions(actions, now);
         }
     }
 
-    /// Ends what the thread has started.
+    /// Shuts down the threads and the transport owned by this state.
     fn end(self, end: ThreadEnd) {
         let transport = match end {
             ThreadEnd::Stop => Some(self.transport),
-            // Dropped without a farewell: its peers find out by its silence.
+            // The transport is dropped without closing its connections; the peers detect the
+            // failure by timeout.
             ThreadEnd::Crash => {
                 drop(self.transport);
                 None
@@ -287,28 +285,28 @@
         if let Some(worker) = self.orders {
             worker.join();
         }
-        if let Some(seat) = self.member {
-            seat.disk.join();
+        if let Some(replica) = self.replica {
+            replica.disk.join();
         }
         if let Some(transport) = transport {
             transport.shutdown();
         }
     }
 
-    /// A random number that nobody foresees.
-    pub(crate) fn draw(&mut self) -> u64 {
+    /// Returns an unpredictable random number.
+    pub(crate) fn next_random(&mut self) -> u64 {
         self.random.next_u64()
     }
 
-    /// The random numbers of a process.
-    pub(crate) fn seeded(seed: u64) -> Pcg64 {
+    /// Creates the generator of a process.
+    pub(crate) fn seeded_rng(seed: u64) -> Pcg64 {
         Pcg64::seed_from_u64(seed)
     }
 }
 
-/// Sends a reply to a traffic thread; a caller that left meanwhile needs none.
-pub(crate) fn reply_to<T>(reply: &flume::Sender<T>, answer: T) {
+/// Replies to a traffic thread; a caller that has disconnected needs no reply.
+pub(crate) fn send_reply<T>(reply: &flume::Sender<T>, answer: T) {
     if reply.try_send(answer).is_err() {
-        tracing::debug!("a caller left before its reply");
+        tracing::debug!("caller disconnected before the reply");
     }
 }
--- a/crates/ragwortroad_node/src/control/grant_flow.rs
+++ b/crates/ragwortroad_node/src/control/grant_flow.rs
@@ -1,4 +1,4 @@
-//! From a place to a grant, and from a grant to its end.
+//! Places attempts on endpoints, grants them their slots, and ends them.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     },
     request::{
         ended_attempts::EndedAttempt,
-        request_plan::RequestPlan,
+        pending_attempt::PendingAttempt,
         ticket_table::{
             HeldSlot,
             TicketRecord, //
@@ -23,97 +23,99 @@
     }, //
 };
 
-/// Homes that one attempt asks before it is refused.
-const MOST_ASKED: u32 = 6;
+/// Maximum number of homes that one attempt asks before it is refused.
+const MAX_HOMES_ASKED: u32 = 6;
 
-/// Time after which a home's answer is no longer waited for.
-const SLOT_PATIENCE: Duration = Duration::from_millis(400);
+/// How long to wait for a home's answer.
+const SLOT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time a caller waits before it asks again for something that was full.
-const FULL_PAUSE: Duration = Duration::from_millis(500);
+/// Retry delay sent to a caller when every suitable endpoint is full.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Places that one decision goes through before it gives up; bounds the control thread's work.
-const MOST_PLACES: usize = 8;
+/// Maximum number of route choices for one placement; bounds the work of the control thread.
+const MAX_ROUTE_CHOICES: usize = 8;
 
 impl ControlState {
-    /// Finds a place for an attempt, or refuses it.
-    pub(crate) fn place_plan(&mut self, mut plan: RequestPlan, now: ClockTime) {
-        for _ in 0..MOST_PLACES {
+    /// Finds an endpoint for an attempt, asks its home for a slot, holds the attempt, or refuses
+    /// it.
+    pub(crate) fn place_attempt(&mut self, mut attempt: PendingAttempt, now: ClockTime) {
+        for _ in 0..MAX_ROUTE_CHOICES {
             let query = RouteQuery {
-                offer: plan.offer,
-                customer: plan.customer_key,
-                chat: plan.chat,
-                prefixes: &plan.prefixes,
-                hint: plan.hint,
-                excluded: &plan.excluded,
-                salt: plan.call.request.0,
-                refusals: plan.full,
-                waited: now.since(plan.since),
+                offer: attempt.offer,
+                customer: attempt.customer_key,
+                chat: attempt.chat,
+                prefixes: &attempt.prefixes,
+                hint: attempt.hint,
+                excluded: &attempt.excluded,
+                salt: attempt.call.request.0,
+                refusals: attempt.homes_full,
+                waited: now.since(attempt.started),
             };
             match self.route.choose(&query, now) {
                 RouteDecision::Admit { endpoint, slot, .. } => {
                     if self.membership.home_state(endpoint, now).admits_at(now) {
-                        let held = HeldSlot::Own(slot);
-                        return self.grant_plan(plan, endpoint, held, now);
+                        let held = HeldSlot::Local(slot);
+                        return self.grant_attempt(attempt, endpoint, held, now);
                     }
-                    // The right to admit lapsed between two ticks. Another node may have it by
-                    // now, and both together could pass the engine's bound.
+                    // This node's right to admit ended between two ticks. Another node may hold it
+                    // by now, and both together could exceed the engine's bound.
                     self.route
                         .release(endpoint, slot, SlotOutcome::Neutral, now);
-                    plan.excluded.push(endpoint);
+                    attempt.excluded.push(endpoint);
                 }
                 RouteDecision::AskHome {
                     endpoint,
                     home,
-                    class: claim,
+                    class: admission_class,
                     ..
                 } => {
-                    if plan.asked < MOST_ASKED {
-                        return self.ask_home(plan, (endpoint, claim), home, now);
+                    if attempt.homes_asked < MAX_HOMES_ASKED {
+                        return self.ask_home(attempt, (endpoint, admission_class), home, now);
                     }
                     let message = "every engine asked is at its bound";
                     let refusal = AdmitRefusal::not_run(RefusalCode::Overloaded, message);
-                    return self.refuse_plan(plan, refusal.after(FULL_PAUSE));
+                    return self
+                        .refuse_attempt(attempt, refusal.with_retry_after(FULL_RETRY_AFTER));
                 }
                 RouteDecision::Hold { retry_after } => {
-                    self.waits.hold(plan, now.after(retry_after));
+                    self.waits.hold(attempt, now.after(retry_after));
                     return;
                 }
                 RouteDecision::Refuse { code, retry_after } => {
                     let refusal = AdmitRefusal::not_run(code, refusal_text(code));
-                    return self.refuse_plan(plan, refusal.after(retry_after));
+                    return self.refuse_attempt(attempt, refusal.with_retry_after(retry_after));
                 }
             }
         }
         let message = "no endpoint could be reached through its home";
         let refusal = AdmitRefusal::not_run(RefusalCode::NoEndpoint, message);
-        self.refuse_plan(plan, refusal.after(FULL_PAUSE));
+        self.refuse_attempt(attempt, refusal.with_retry_after(FULL_RETRY_AFTER));
     }
 
     /// Asks the home node of an endpoint for a slot.
     fn ask_home(
         &mut self,
-        mut plan: RequestPlan,
-        (endpoint, claim): (EndpointId, AdmissionClass),
+        mut attempt: PendingAttempt,
+        (endpoint, class): (EndpointId, AdmissionClass),
         home: NodeId,
         now: ClockTime,
     ) {
-        let question = self.draw();
-        plan.asked += 1;
-        self.send_ask(home, question, endpoint, claim, &plan);
+        let question = self.next_random();
+        attempt.homes_asked += 1;
+        self.send_ask(home, question, endpoint, class, &attempt);
         let wait = SlotWait {
-            plan,
+            attempt,
             endpoint,
             home,
-            asked: now,
+            asked_at: now,
         };
         self.waits.add(question, wait);
     }
 
-    /// Grants an attempt its place.
-    pub(crate) fn grant_plan(
+    /// Sends an attempt to its endpoint, with the slot it was granted.
+    pub(crate) fn grant_attempt(
         &mut self,
-        plan: RequestPlan,
+        attempt: PendingAttempt,
         endpoint: EndpointId,
         slot: HeldSlot,
         now: ClockTime,
@@ -122,35 +124,35 @@
             self.release_slot(endpoint, slot, SlotOutcome::Neutral, now);
             let message = "the endpoint left a moment ago";
             let refusal = AdmitRefusal::not_run(RefusalCode::NoEndpoint, message);
-            return self.refuse_plan(plan, refusal.after(FULL_PAUSE));
+            return self.refuse_attempt(attempt, refusal.with_retry_after(FULL_RETRY_AFTER));
         };
-        let attempts = plan.call.excluded.len() as u32 + 1;
+        let attempts = attempt.call.excluded.len() as u32 + 1;
         let ticket = self.tickets.open(TicketRecord {
-            request: plan.call.request,
-            customer: plan.customer_key,
-            customer_name: plan.customer.clone(),
-            chat: plan.chat,
+            request: attempt.call.request,
+            customer: attempt.customer_key,
+            customer_name: attempt.customer.clone(),
+            chat: attempt.chat,
             endpoint,
             slot,
-            tokens: plan.tokens,
+            tokens: attempt.tokens,
             attempts,
-            claim: plan.claim.clone(),
+            claim: attempt.claim.clone(),
         });
-        self.note_dispatch(&plan, endpoint);
-        self.route.record_placement(plan.customer_key);
+        self.record_dispatch(&attempt, endpoint);
+        self.route.record_placement(attempt.customer_key);
         let grant = AdmitGrant {
             ticket,
             endpoint,
             address,
-            hint: self.hints.encode(plan.customer_key, endpoint),
+            hint: self.hints.encode(attempt.customer_key, endpoint),
             next_node: self.home_address(endpoint),
-            priority: plan.priority,
-            version: plan.version,
-            customer: plan.customer,
-            record_answer: plan.claim.is_some(),
+            priority: attempt.priority,
+            version: attempt.version,
+            customer: attempt.customer,
+            record_answer: attempt.claim.is_some(),
         };
-        if plan.reply.try_send(AdmitReply::Granted(grant)).is_err() {
-            // The caller left while its place was being found: nothing was sent.
+        if attempt.reply.try_send(AdmitReply::Granted(grant)).is_err() {
+            // The caller disconnected while the attempt was being placed; nothing was sent.
             let outcome = AttemptOutcome::NotSent;
             let took = Duration::ZERO;
             self.finish(
@@ -164,13 +166,13 @@
         }
     }
 
-    /// Ends an attempt.
+    /// Ends an attempt: releases its slot, settles its limit charge and its claim.
     pub(crate) fn finish(&mut self, call: FinishCall, now: ClockTime) {
         let Some(record) = self.tickets.close(call.ticket) else {
-            tracing::warn!(ticket = call.ticket.0, "an attempt ended twice");
+            tracing::warn!(ticket = call.ticket.0, "attempt ended more than once");
             return;
         };
-        self.note_finish(&record, &call);
+        self.record_finish(&record, &call);
         tracing::debug!(
             request = %record.request,
             customer = record.customer_name,
@@ -203,11 +205,11 @@
                 Some(result) => claim.finish_step(result),
                 None => claim.release_step(),
             };
-            self.claims.settle(step);
+            self.claims.push_step(step);
         }
     }
 
-    /// Gives a slot back to whoever granted it.
+    /// Releases a slot at the node that granted it.
     pub(crate) fn release_slot(
         &mut self,
         endpoint: EndpointId,
@@ -216,51 +218,51 @@
         now: ClockTime,
     ) {
         match slot {
-            HeldSlot::Own(slot) => self.route.release(endpoint, slot, outcome, now),
-            HeldSlot::Foreign { home, question } => {
+            HeldSlot::Local(slot) => self.route.release(endpoint, slot, outcome, now),
+            HeldSlot::Remote { home, question } => {
                 self.route.observe_outcome(endpoint, outcome, now);
                 self.send_release(home, question, endpoint, outcome, now);
             }
         }
     }
 
-    /// Looks for places again for attempts whose hold is over.
-    pub(crate) fn place_held(&mut self, now: ClockTime) {
-        for plan in self.waits.due(now) {
-            match self.check_open(now) {
-                // The node may have lost its leave to admit while the attempt was held.
-                Ok(()) => self.place_plan(plan, now),
-                Err(refusal) => self.refuse_plan(plan, refusal),
+    /// Places attempts whose hold has ended.
+    pub(crate) fn place_due_attempts(&mut self, now: ClockTime) {
+        for attempt in self.waits.take_due(now) {
+            match self.check_admits(now) {
+                // The node may have lost its right to admit while the attempt was held.
+                Ok(()) => self.place_attempt(attempt, now),
+                Err(refusal) => self.refuse_attempt(attempt, refusal),
             }
         }
     }
 
-    /// Ends waits whose answer does not come, and goes on to the next place.
+    /// Ends waits for a home's answer that took too long, and places their attempts elsewhere.
     pub(crate) fn tick_waits(&mut self, now: ClockTime) {
         let membership = &self.membership;
         let is_gone = |home: NodeId| {
             let record = membership.node(home);
             record.is_none_or(|record| !record.state.is_present())
         };
-        let limit = now.before(SLOT_PATIENCE);
-        for (question, wait) in self.waits.overdue(limit, is_gone) {
+        let limit = now.before(SLOT_TIMEOUT);
+        for (question, wait) in self.waits.take_overdue(limit, is_gone) {
             let SlotWait {
-                mut plan,
+                mut attempt,
                 endpoint,
                 home,
                 ..
             } = wait;
             self.route.mark_unresponsive(home);
-            // The slot may have been granted in an answer that was lost.
+            // The slot may have been granted by an answer that was lost.
             self.send_release(home, question, endpoint, SlotOutcome::Neutral, now);
-            plan.excluded.push(endpoint);
-            self.place_plan(plan, now);
+            attempt.excluded.push(endpoint);
+            self.place_attempt(attempt, now);
         }
         self.tick_claims(now);
     }
 }
 
-/// What an end says of the endpoint.
+/// Returns what the end of an attempt tells about its endpoint.
 fn slot_outcome(outcome: &AttemptOutcome) -> SlotOutcome {
     match outcome {
         AttemptOutcome::Completed { status, .. } if *status < 500 => SlotOutcome::Succeeded,
@@ -271,7 +273,7 @@
     }
 }
 
-/// What is known of the request after an attempt's end.
+/// Returns what is known about the request after an attempt has ended.
 fn request_outcome(outcome: &AttemptOutcome) -> RequestOutcome {
     match outcome {
         AttemptOutcome::NotSent => RequestOutcome::NotRun,
@@ -282,7 +284,7 @@
     }
 }
 
-/// What is recorded under the key of an attempt; nothing where no byte was sent.
+/// Returns the result to record under an attempt's key; `None` if no byte was sent.
 fn claim_result(outcome: AttemptOutcome) -> Option<ClaimResult> {
     match outcome {
         AttemptOutcome::NotSent => None,
@@ -301,7 +303,7 @@
     }
 }
 
-/// The text that goes with a refusal of the route table.
+/// Returns the message for a refusal by the route table.
 fn refusal_text(code: RefusalCode) -> &'static str {
     match code {
         RefusalCode::NoEndpoint => "no endpoint that could take the request is present",
--- a/crates/ragwortroad_node/src/control/line_table.rs
+++ b/crates/ragwortroad_node/src/control/line_table.rs
@@ -6,69 +6,72 @@
 
 use crate::wire::follow_message::OperatorLine;
 
-/// Operators' lines that were passed on to the leader.
+/// Operators' lines that were forwarded to the leader.
 #[derive(Debug, Default)]
 pub(crate) struct LineTable {
     next: u64,
-    lines: BTreeMap<u64, OpenLine>,
+    lines: BTreeMap<u64, PendingLine>,
 }
 
-/// A line whose answer is awaited.
+/// A forwarded line that the leader hasn't answered.
 #[derive(Debug)]
-pub(crate) struct OpenLine {
+pub(crate) struct PendingLine {
     /// The operator's connection.
     pub(crate) reply: Sender<OperatorAnswer>,
-    /// The node it was sent to.
+    /// The node that the line was last sent to.
     pub(crate) leader: NodeId,
-    /// The line, to be sent again.
+    /// The line, kept for resending.
     pub(crate) line: OperatorLine,
-    /// When it came in.
-    pub(crate) since: ClockTime,
-    /// When it was sent last.
-    pub(crate) sent: ClockTime,
+    /// When the operator sent it.
+    pub(crate) received: ClockTime,
+    /// When it was last forwarded.
+    pub(crate) last_sent: ClockTime,
 }
 
 impl LineTable {
-    /// Adds a line and numbers it.
-    pub(crate) fn add(&mut self, line: OpenLine) -> u64 {
+    /// Adds a line and returns its number.
+    pub(crate) fn add(&mut self, line: PendingLine) -> u64 {
         self.next += 1;
         self.lines.insert(self.next, line);
         self.next
     }
 
-    /// Ends the wait for the answer of `leader`.
-    pub(crate) fn take(&mut self, token: u64, leader: NodeId) -> Option<OpenLine> {
-        let asked = self.lines.get(&token)?.leader;
-        if asked != leader {
+    /// Removes and returns a line if it was last sent to `leader`.
+    pub(crate) fn take(&mut self, token: u64, leader: NodeId) -> Option<PendingLine> {
+        let asked_leader = self.lines.get(&token)?.leader;
+        if asked_leader != leader {
             return None;
         }
         self.lines.remove(&token)
     }
 
-    /// Lines that were last sent before `limit`, to be sent to `leader` now.
+    /// Returns the lines last sent before `limit`, to be sent to `leader` now.
     ///
-    /// A line or its answer gets lost with a connection. Sending it again is harmless: a question
-    /// changes nothing, and a change is known by its id.
-    pub(crate) fn repeat(
+    /// A line or its answer may be lost with a connection. Resending is safe: a query changes
+    /// nothing, and a change is deduplicated by its id.
+    pub(crate) fn take_resends(
         &mut self,
         limit: ClockTime,
         leader: NodeId,
         now: ClockTime,
     ) -> Vec<(u64, OperatorLine)> {
-        let late = self.lines.iter_mut().filter(|(_, line)| line.sent < limit);
-        let again = |(number, open): (&u64, &mut OpenLine)| {
-            open.leader = leader;
-            open.sent = now;
-            (*number, open.line.clone())
+        let late = self
+            .lines
+            .iter_mut()
+            .filter(|(_, line)| line.last_sent < limit);
+        let resend = |(number, pending): (&u64, &mut PendingLine)| {
+            pending.leader = leader;
+            pending.last_sent = now;
+            (*number, pending.line.clone())
         };
-        late.map(again).collect()
+        late.map(resend).collect()
     }
 
-    /// Ends waits that began before `limit`.
-    pub(crate) fn overdue(&mut self, limit: ClockTime) -> Vec<OpenLine> {
-        let old = self.lines.iter().filter(|(_, line)| line.since < limit);
+    /// Removes and returns the lines received before `limit`.
+    pub(crate) fn take_overdue(&mut self, limit: ClockTime) -> Vec<PendingLine> {
+        let old = self.lines.iter().filter(|(_, line)| line.received < limit);
         let numbers: Vec<u64> = old.map(|(number, _)| *number).collect();
-        let take = |number: u64| self.lines.remove(&number);
-        numbers.into_iter().filter_map(take).collect()
+        let remove = |number: u64| self.lines.remove(&number);
+        numbers.into_iter().filter_map(remove).collect()
     }
 }
--- a/crates/ragwortroad_node/src/control/slot_flow.rs
+++ b/crates/ragwortroad_node/src/control/slot_flow.rs
@@ -1,4 +1,5 @@
-//! Slots asked of other nodes and granted to them, and customers' shares.
+//! Requests for slots from other nodes, grants to them, and the distribution of customers' limit
+//! shares.
 
 use std::time::Duration;
 
@@ -9,16 +10,16 @@
 use crate::{
     control::control_state::ControlState,
     request::{
-        request_plan::RequestPlan,
+        pending_attempt::PendingAttempt,
         ticket_table::HeldSlot,
         wait_table::SlotWait, //
     },
     slot::{
-        grant_book::{
-            BookAnswer,
-            GrantRecord, //
+        grant_table::{
+            GrantRecord,
+            GrantStatus, //
         },
-        release_queue::OpenRelease, //
+        release_queue::PendingRelease, //
     },
     wire::{
         message_codec::{
@@ -32,11 +33,11 @@
     },
 };
 
-/// Time after which an asker whose question came after its own release may ask anew.
-const ENDED_PAUSE: Duration = Duration::from_millis(100);
+/// Retry delay for a requester whose `Ask` arrived after its own `Release`.
+const RELEASED_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl ControlState {
-    /// Serves a message about slots or shares.
+    /// Handles a message about slots or limit shares.
     pub(crate) fn handle_slots(&mut self, from: NodeId, bytes: &[u8], now: ClockTime) {
         let Some(message) = decode::<SlotMessage>(bytes) else {
             return;
@@ -51,26 +52,26 @@
                 request,
                 run,
             } => {
-                if self.grants.is_new_run(from, run) {
+                if self.grants.record_run(from, run) {
                     self.route.expire_node_slots(from, now);
-                    self.grants.node_gone(from);
+                    self.grants.remove_node(from);
                 }
                 let customer = CustomerKey(customer);
-                let claim = claim.into();
-                let answer = self.answer_ask((from, question), endpoint, (customer, claim), now);
+                let class = claim.into();
+                let answer = self.decide_ask((from, question), endpoint, (customer, class), now);
                 let granted = answer == SlotVerdict::Granted;
-                self.note_slot(from, request, endpoint, granted);
+                self.record_slot_event(from, request, endpoint, granted);
                 self.send_slots(from, &SlotMessage::Answer { question, answer });
             }
             SlotMessage::Answer { question, answer } => {
-                self.take_answer(from, question, answer, now);
+                self.handle_slot_answer(from, question, answer, now);
             }
             SlotMessage::Release {
                 question,
                 endpoint: _,
                 outcome,
             } => {
-                if let Some(record) = self.grants.end(from, question, now) {
+                if let Some(record) = self.grants.release(from, question, now) {
                     let outcome = outcome.into();
                     self.route
                         .release(record.endpoint, record.slot, outcome, now);
@@ -89,21 +90,21 @@
         }
     }
 
-    /// This node's answer as the home of an endpoint.
-    fn answer_ask(
+    /// Decides on an `Ask` as the home of its endpoint.
+    fn decide_ask(
         &mut self,
-        (asker, question): (NodeId, u64),
+        (requester, question): (NodeId, u64),
         endpoint: EndpointId,
-        (customer, claim): (CustomerKey, AdmissionClass),
+        (customer, class): (CustomerKey, AdmissionClass),
         now: ClockTime,
     ) -> SlotVerdict {
-        match self.grants.look_up(asker, question) {
-            BookAnswer::Granted => return SlotVerdict::Granted,
-            BookAnswer::Ended => {
-                let retry_after_ms = ENDED_PAUSE.as_millis() as u32;
+        match self.grants.status(requester, question) {
+            GrantStatus::Granted => return SlotVerdict::Granted,
+            GrantStatus::Released => {
+                let retry_after_ms = RELEASED_RETRY_AFTER.as_millis() as u32;
                 return SlotVerdict::Full { retry_after_ms };
             }
-            BookAnswer::New => {}
+            GrantStatus::New => {}
         }
         if self.draining || !self.membership.home_state(endpoint, now).admits_at(now) {
             let record = self.membership.endpoint(endpoint);
@@ -111,35 +112,46 @@
             let home = home.filter(|home| *home != self.node);
             return SlotVerdict::NotHome { home };
         }
-        let answer = self.route.grant_slot(endpoint, asker, customer, claim, now);
+        let answer = self
+            .route
+            .grant_slot(endpoint, requester, customer, class, now);
         if let SlotAnswer::Granted { slot } = answer {
             self.grants
-                .grant(asker, question, GrantRecord { endpoint, slot });
+                .grant(requester, question, GrantRecord { endpoint, slot });
         }
         answer.into()
     }
 
-    /// A home answered a question of this node.
-    fn take_answer(&mut self, home: NodeId, question: u64, verdict: SlotVerdict, now: ClockTime) {
+    /// Handles a home's answer to an `Ask` of this node.
+    fn handle_slot_answer(
+        &mut self,
+        home: NodeId,
+        question: u64,
+        verdict: SlotVerdict,
+        now: ClockTime,
+    ) {
         let Some(wait) = self.waits.take(question, home) else {
-            // The attempt went elsewhere meanwhile; its release is on the way.
+            // The attempt was placed elsewhere in the meantime; its release is already sent.
             return;
         };
         let SlotWait {
-            mut plan, endpoint, ..
+            mut attempt,
+            endpoint,
+            ..
         } = wait;
         let answer = verdict.as_answer();
-        self.route.record_answer(endpoint, answer, plan.chat, now);
+        self.route
+            .record_answer(endpoint, answer, attempt.chat, now);
         if verdict == SlotVerdict::Granted {
-            let slot = HeldSlot::Foreign { home, question };
-            return self.grant_plan(plan, endpoint, slot, now);
+            let slot = HeldSlot::Remote { home, question };
+            return self.grant_attempt(attempt, endpoint, slot, now);
         }
         match verdict {
-            SlotVerdict::NotHome { .. } => plan.excluded.push(endpoint),
-            SlotVerdict::Full { .. } => plan.full += 1,
+            SlotVerdict::NotHome { .. } => attempt.excluded.push(endpoint),
+            SlotVerdict::Full { .. } => attempt.homes_full += 1,
             SlotVerdict::Granted => {}
         }
-        self.place_plan(plan, now);
+        self.place_attempt(attempt, now);
     }
 
     /// Asks a home for a slot.
@@ -148,21 +160,21 @@
         home: NodeId,
         question: u64,
         endpoint: EndpointId,
-        claim: AdmissionClass,
-        plan: &RequestPlan,
+        class: AdmissionClass,
+        attempt: &PendingAttempt,
     ) {
         let message = SlotMessage::Ask {
             question,
             endpoint,
-            customer: plan.customer_key.0,
-            claim: claim.into(),
-            request: plan.call.request,
+            customer: attempt.customer_key.0,
+            claim: class.into(),
+            request: attempt.call.request,
             run: self.incarnation,
         };
         self.send_slots(home, &message);
     }
 
-    /// Gives a slot back to its home, now and until the home confirms it.
+    /// Releases a slot at its home, and keeps the release for resending until the home confirms it.
     pub(crate) fn send_release(
         &mut self,
         home: NodeId,
@@ -172,11 +184,11 @@
         now: ClockTime,
     ) {
         let outcome = outcome.into();
-        let release = OpenRelease {
+        let release = PendingRelease {
             home,
             endpoint,
             outcome,
-            sent: now,
+            last_sent: now,
         };
         self.releases.add(question, release);
         let message = SlotMessage::Release {
@@ -187,9 +199,9 @@
         self.send_slots(home, &message);
     }
 
-    /// Sends releases again that no home has confirmed.
-    pub(crate) fn repeat_releases(&mut self, now: ClockTime) {
-        for (question, release) in self.releases.due(now) {
+    /// Resends releases that no home has confirmed.
+    pub(crate) fn resend_releases(&mut self, now: ClockTime) {
+        for (question, release) in self.releases.take_due(now) {
             let message = SlotMessage::Release {
                 question,
                 endpoint: release.endpoint,
@@ -199,15 +211,16 @@
         }
     }
 
-    /// Tells the keepers of customers' limits what is wanted here, and others their shares.
+    /// Sends this node's demand to the coordinators of the customers' limits, and to the other
+    /// nodes their shares of the limits that this node coordinates.
     pub(crate) fn send_shares(&mut self, now: ClockTime) {
-        for (keeper, digest) in self.limiter.demands(now) {
+        for (coordinator, digest) in self.limiter.demands(now) {
             let entries = digest.entries.iter();
             let entries = entries.map(|entry| {
                 let requests = entry.requests_per_10_s;
                 (entry.customer.0, requests, entry.concurrent)
             });
-            self.send_slots(keeper, &SlotMessage::Demand(entries.collect()));
+            self.send_slots(coordinator, &SlotMessage::Demand(entries.collect()));
         }
         for (node, digest) in self.limiter.shares(now) {
             if node == self.node {
