--- a/crates/ragwortroad_consensus/examples/group_cost.rs
+++ b/crates/ragwortroad_consensus/examples/group_cost.rs
@@ -58,7 +58,7 @@
             world.nodes[leader].is_paused = true;
         });
         failover("handover", nodes, |world, leader| {
-            world.input(leader, CoreInput::HandOver);
+            world.input(leader, CoreInput::TransferLeadership);
         });
     }
     println!("Catching up after a restart, three members, commands of 8 to 119 bytes:");
--- a/crates/ragwortroad_consensus/src/applying.rs
+++ b/crates/ragwortroad_consensus/src/applying.rs
@@ -61,12 +61,12 @@
     /// caller then has is the one after `applied`.
     pub(crate) fn want_snapshot(&mut self) {
         let since = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-        let is_due = self.applied - since >= self.settings.snapshot_entries
-            || self.applied_bytes >= self.settings.snapshot_bytes;
+        let is_due = self.applied - since >= self.settings.snapshot_threshold_entries
+            || self.applied_bytes >= self.settings.snapshot_threshold_bytes;
         if is_due && !self.snapshot_wanted {
             self.snapshot_wanted = true;
             let index = self.applied;
-            self.out.push(CoreAction::WantSnapshot { index });
+            self.out.push(CoreAction::TakeSnapshot { index });
         }
     }
 }
--- a/crates/ragwortroad_consensus/src/founding_table.rs
+++ b/crates/ragwortroad_consensus/src/bootstrap_table.rs
@@ -14,7 +14,7 @@
 /// What a node with a disk says of itself while a group is being founded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct FoundingHello {
+pub struct BootstrapHello {
     /// The node.
     pub node: NodeId,
     /// The identity of its data folder.
@@ -25,14 +25,14 @@
 
 /// What there is to do about founding a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FoundingStep {
+pub enum BootstrapDecision {
     /// Some of the named nodes have not answered: wait.
     Wait {
         /// Those nodes.
         missing: Vec<NodeId>,
     },
     /// All folders are empty and this node is the one to found: start with these members.
-    Found(MemberSet),
+    Bootstrap(MemberSet),
     /// All folders are empty and another node founds: start without founders, and follow.
     Follow,
     /// A group exists: start without founders. An empty folder is then added as a learner.
@@ -45,43 +45,43 @@
 /// A node that lost its disk later finds that the others' folders are not empty, and so cannot
 /// found a second group beside the first.
 #[derive(Clone, Debug)]
-pub struct FoundingTable {
-    own: FoundingHello,
+pub struct BootstrapTable {
+    own: BootstrapHello,
     /// The nodes that the settings name, with what each has said last.
-    hellos: BTreeMap<NodeId, Option<FoundingHello>>,
+    hellos: BTreeMap<NodeId, Option<BootstrapHello>>,
 }
 
-impl FoundingTable {
+impl BootstrapTable {
     /// A table for the node that says `own`, with `named` nodes in the settings.
-    pub fn new(own: FoundingHello, named: impl IntoIterator<Item = NodeId>) -> Self {
+    pub fn new(own: BootstrapHello, named: impl IntoIterator<Item = NodeId>) -> Self {
         let mut hellos: BTreeMap<_, _> = named.into_iter().map(|node| (node, None)).collect();
         hellos.insert(own.node, Some(own));
         Self { own, hellos }
     }
 
     /// Takes in what a node said.
-    pub fn take(&mut self, hello: FoundingHello) {
+    pub fn record_hello(&mut self, hello: BootstrapHello) {
         if let Some(known) = self.hellos.get_mut(&hello.node) {
             *known = Some(hello);
         }
     }
 
     /// What to do now.
-    pub fn step(&self) -> FoundingStep {
+    pub fn decide(&self) -> BootstrapDecision {
         let heard: Vec<_> = self.hellos.values().flatten().copied().collect();
         if heard.iter().any(|hello| !hello.is_empty) {
-            return FoundingStep::Join;
+            return BootstrapDecision::Join;
         }
         let unheard = self.hellos.iter().filter(|(_, hello)| hello.is_none());
         let missing: Vec<_> = unheard.map(|(&node, _)| node).collect();
         if !missing.is_empty() {
-            return FoundingStep::Wait { missing };
+            return BootstrapDecision::Wait { missing };
         }
         let founder = heard.iter().map(|hello| hello.node).min();
         if founder != Some(self.own.node) {
-            return FoundingStep::Follow;
+            return BootstrapDecision::Follow;
         }
         let voters = heard.iter().map(|hello| (hello.member, hello.node));
-        FoundingStep::Found(MemberSet::from_voters(voters))
+        BootstrapDecision::Bootstrap(MemberSet::from_voters(voters))
     }
 }
--- a/crates/ragwortroad_consensus/src/changing.rs
+++ b/crates/ragwortroad_consensus/src/changing.rs
@@ -63,7 +63,7 @@
         let progress = self.leading().and_then(|state| state.progress.get(&member));
         progress.is_some_and(|progress| {
             let acked = progress.acked_at;
-            let is_near = progress.match_index + settings.promote_lag >= last;
+            let is_near = progress.match_index + settings.max_promotion_lag >= last;
             let is_present = acked.is_some_and(|at| now < at.after(settings.election_timeout));
             progress.match_index > 0 && is_near && is_present
         })
--- a/crates/ragwortroad_consensus/src/consensus_core.rs
+++ b/crates/ragwortroad_consensus/src/consensus_core.rs
@@ -16,11 +16,11 @@
 use ragwortroad_types::ClockTime;
 
 use crate::{
-    BrokenRule,
     CoreAction,
     CoreInput,
     CoreSettings,
     EntryLog,
+    InjectedBug,
     LeaderState,
     MemberHistory,
     MemberId,
@@ -109,8 +109,8 @@
             CoreInput::PersistFailed => self.fail(),
             CoreInput::SnapshotTaken { index, bytes } => self.take_snapshot(index, bytes),
             CoreInput::ChangeMember { token, change } => self.change_member(token, &change, now),
-            CoreInput::PeerReached { member } => self.send_lost(member, now),
-            CoreInput::HandOver => self.hand_over(now),
+            CoreInput::PeerConnected { member } => self.send_lost(member, now),
+            CoreInput::TransferLeadership => self.hand_over(now),
             CoreInput::TrustDisk => self.check = RestartCheck::skipped(),
         }
     }
@@ -120,11 +120,11 @@
         self.confirm_boot();
         loop {
             if let Some((batch, mut change)) = self.gate.take_batch() {
-                if self.settings.breaks(BrokenRule::ForgetVote) {
+                if self.settings.breaks(InjectedBug::SkipVoteWrite) {
                     change.vote = None;
                 }
                 self.out.push(CoreAction::Persist { batch, change });
-                if self.settings.breaks(BrokenRule::ActBeforeSync) {
+                if self.settings.breaks(InjectedBug::ActBeforeSync) {
                     self.gate.persisted(batch);
                 }
             }
@@ -212,7 +212,7 @@
     /// common: the next try comes sooner and is spread wider.
     pub(crate) fn draw_vote(&mut self, now: ClockTime) {
         let timeout = self.settings.election_timeout;
-        match self.settings.acts_by_lease {
+        match self.settings.uses_leader_lease {
             true => self.draw_within(now, timeout / 2, timeout / 2),
             false => self.draw_within(now, timeout / 8, timeout / 2),
         }
--- a/crates/ragwortroad_consensus/src/core_action.rs
+++ b/crates/ragwortroad_consensus/src/core_action.rs
@@ -38,7 +38,7 @@
     /// Hand in the state with `SnapshotTaken`; always the last action of an input.
     ///
     /// The state may be copied now and encoded elsewhere, as long as it is the one after `index`.
-    WantSnapshot {
+    TakeSnapshot {
         /// The last index applied.
         index: u64,
     },
--- a/crates/ragwortroad_consensus/src/core_error.rs
+++ b/crates/ragwortroad_consensus/src/core_error.rs
@@ -18,8 +18,8 @@
     },
     /// A group cannot be founded on a folder that is in use.
     #[snafu(display("the data folder belongs to a group already; do not found another on it"))]
-    AlreadyFounded,
+    AlreadyBootstrapped,
     /// The founders do not include this member.
     #[snafu(display("the founders do not include this member; list its own identity too"))]
-    NotFounder,
+    NotInitialMember,
 }
--- a/crates/ragwortroad_consensus/src/core_input.rs
+++ b/crates/ragwortroad_consensus/src/core_input.rs
@@ -30,7 +30,7 @@
     },
     /// A write failed; the data folder takes no more.
     PersistFailed,
-    /// The state after `index`, wanted by [`CoreAction::WantSnapshot`](crate::CoreAction).
+    /// The state after `index`, wanted by [`CoreAction::TakeSnapshot`](crate::CoreAction).
     SnapshotTaken {
         /// The last index it stands for.
         index: u64,
@@ -45,12 +45,12 @@
         change: MemberChange,
     },
     /// A new connection to a member: what was under way on the one before it may be lost.
-    PeerReached {
+    PeerConnected {
         /// The member.
         member: MemberId,
     },
     /// Hand over the leadership, before this process stops.
-    HandOver,
+    TransferLeadership,
     /// An operator declares that the data folder was not rolled back.
     TrustDisk,
 }
--- a/crates/ragwortroad_consensus/src/core_new.rs
+++ b/crates/ragwortroad_consensus/src/core_new.rs
@@ -30,8 +30,8 @@
     RestartCheck,
     StartTable,
     core_error::{
-        AlreadyFoundedSnafu,
-        NotFounderSnafu,
+        AlreadyBootstrappedSnafu,
+        NotInitialMemberSnafu,
         UndecodableSnafu, //
     }, //
 };
@@ -55,14 +55,14 @@
         let is_unused = stored.snapshot.is_none() && stored.entries.is_empty();
         let log = EntryLog::new(base, stored.entries);
         let is_own_word = stored.is_new || stored.is_same_boot;
-        let is_trusted = is_own_word || settings.trust_disk || start.founders.is_some();
+        let is_trusted = is_own_word || settings.trust_disk || start.initial_members.is_some();
         let check = if is_trusted {
             RestartCheck::skipped()
         } else {
             RestartCheck::new(log.last(), history.latest().clone())
         };
         // A leader may rely for its lease on what this member promised before it restarted.
-        let promised = if stored.is_new || !settings.acts_by_lease {
+        let promised = if stored.is_new || !settings.uses_leader_lease {
             now
         } else {
             now.after(settings.election_timeout)
@@ -93,14 +93,14 @@
             has_failed: false,
             out: Vec::new(),
         };
-        match core.settings.acts_by_lease {
+        match core.settings.uses_leader_lease {
             true => core.draw_election(now),
             // To ask who would vote binds nobody, and a member that hears a leader says no.
             false => core.draw_pre_vote(now),
         }
-        if let Some(founders) = start.founders {
-            ensure!(is_unused, AlreadyFoundedSnafu);
-            ensure!(founders.is_voter(core.id), NotFounderSnafu);
+        if let Some(founders) = start.initial_members {
+            ensure!(is_unused, AlreadyBootstrappedSnafu);
+            ensure!(founders.is_voter(core.id), NotInitialMemberSnafu);
             core.found(founders, now);
         }
         core.restore();
--- a/crates/ragwortroad_consensus/src/core_settings.rs
+++ b/crates/ragwortroad_consensus/src/core_settings.rs
@@ -7,7 +7,7 @@
     /// has not heard from a quorum for this long steps down.
     pub election_timeout: Duration,
     /// Time between heartbeats.
-    pub heartbeat_every: Duration,
+    pub heartbeat_interval: Duration,
     /// Assumed bound on how much faster or slower than true time a member's clock runs, in
     /// millionths. The lease is shorter than the election timeout by twice this.
     pub clock_drift_ppm: u32,
@@ -27,15 +27,15 @@
     /// Reads waiting for proof that they are current.
     pub max_reads: usize,
     /// A snapshot is wanted after this many entries.
-    pub snapshot_entries: u64,
+    pub snapshot_threshold_entries: u64,
     /// A snapshot is wanted after this many bytes of entries.
-    pub snapshot_bytes: usize,
+    pub snapshot_threshold_bytes: usize,
     /// Entries kept in memory behind a snapshot, for members that are a little late.
-    pub keep_entries: u64,
+    pub trailing_entries: u64,
     /// Bytes of snapshot in one message.
-    pub chunk_bytes: usize,
+    pub max_chunk_bytes: usize,
     /// A learner may be promoted when it lacks no more than this many entries.
-    pub promote_lag: u64,
+    pub max_promotion_lag: u64,
     /// Skip the check with other members after the machine has restarted.
     ///
     /// The check is what notices that a disk went back to an older state as a whole, as when a VM
@@ -48,22 +48,22 @@
     /// Without it each read takes a message to a quorum and back, and a member that restarts need
     /// not wait an election timeout for what it may have promised before: a group whose processes
     /// were all killed has a leader again as soon as a quorum is up.
-    pub acts_by_lease: bool,
+    pub uses_leader_lease: bool,
     /// A rule to break, so that tests can show that their checks fail.
     #[doc(hidden)]
-    pub broken_rule: Option<BrokenRule>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
 /// A rule that a test has the core break.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BrokenRule {
+pub enum InjectedBug {
     /// Effects go out before what they depend on is durable.
     ActBeforeSync,
     /// Votes are not written.
-    ForgetVote,
+    SkipVoteWrite,
     /// A member votes although it has heard from a leader just now.
-    VoteAtOnce,
+    VoteWithinLease,
     /// Entries of earlier terms are committed by counting.
     CommitOldTerms,
     /// Acknowledgements of a member's earlier start still count.
@@ -74,7 +74,7 @@
     fn default() -> Self {
         Self {
             election_timeout: Duration::from_millis(1200),
-            heartbeat_every: Duration::from_millis(300),
+            heartbeat_interval: Duration::from_millis(300),
             clock_drift_ppm: 10_000,
             resend_after: Duration::from_millis(600),
             max_append_bytes: 64 << 10,
@@ -82,14 +82,14 @@
             max_command_bytes: 256 << 10,
             max_proposals: 4096,
             max_reads: 4096,
-            snapshot_entries: 10_000,
-            snapshot_bytes: 8 << 20,
-            keep_entries: 1000,
-            chunk_bytes: 128 << 10,
-            promote_lag: 64,
+            snapshot_threshold_entries: 10_000,
+            snapshot_threshold_bytes: 8 << 20,
+            trailing_entries: 1000,
+            max_chunk_bytes: 128 << 10,
+            max_promotion_lag: 64,
             trust_disk: false,
-            acts_by_lease: true,
-            broken_rule: None,
+            uses_leader_lease: true,
+            injected_bug: None,
         }
     }
 }
@@ -111,7 +111,7 @@
         Duration::from_micros(span).saturating_sub(READING_ERROR)
     }
 
-    pub(crate) fn breaks(&self, rule: BrokenRule) -> bool {
-        self.broken_rule == Some(rule)
+    pub(crate) fn breaks(&self, rule: InjectedBug) -> bool {
+        self.injected_bug == Some(rule)
     }
 }
--- a/crates/ragwortroad_consensus/src/core_start.rs
+++ b/crates/ragwortroad_consensus/src/core_start.rs
@@ -13,5 +13,5 @@
     /// rolled back from the start before.
     pub start: u64,
     /// The first members, on the one node that founds the group, and only for an empty folder.
-    pub founders: Option<MemberSet>,
+    pub initial_members: Option<MemberSet>,
 }
--- a/crates/ragwortroad_consensus/src/core_view.rs
+++ b/crates/ragwortroad_consensus/src/core_view.rs
@@ -7,8 +7,8 @@
 use ragwortroad_types::ClockTime;
 
 use crate::{
-    BrokenRule,
     ConsensusCore,
+    InjectedBug,
     LogPosition,
     MemberId,
     MemberState, //
@@ -53,8 +53,8 @@
     /// Whether commands, reads and changes of members are to be brought here.
     ///
     /// They are proved by a quorum in any case; this says only where it is worth trying.
-    pub fn takes_commands(&self, now: ClockTime) -> bool {
-        match self.settings.acts_by_lease {
+    pub fn accepts_proposals(&self, now: ClockTime) -> bool {
+        match self.settings.uses_leader_lease {
             true => self.may_act_as_leader(now),
             false => self.is_leader(),
         }
@@ -64,7 +64,7 @@
     ///
     /// Never where the settings rule leases out.
     pub fn may_act_as_leader(&self, now: ClockTime) -> bool {
-        let Some(state) = self.leading().filter(|_| self.settings.acts_by_lease) else {
+        let Some(state) = self.leading().filter(|_| self.settings.uses_leader_lease) else {
             return false;
         };
         let is_current = self.commit >= state.first_index;
@@ -141,7 +141,7 @@
     }
 
     /// The members whose answers a restarted member still lacks; none once it takes part.
-    pub fn check_waits_for(&self) -> Vec<MemberId> {
+    pub fn restart_check_pending(&self) -> Vec<MemberId> {
         if self.check.is_done {
             return Vec::new();
         }
@@ -155,7 +155,7 @@
 
     /// When the next `Tick` is needed; a later one delays heartbeats and elections.
     pub fn wake_at(&self) -> ClockTime {
-        let every = self.settings.heartbeat_every;
+        let every = self.settings.heartbeat_interval;
         if let Some(asked_at) = self.check.asked_at.filter(|_| !self.check.is_done) {
             return asked_at.after(every);
         }
@@ -167,7 +167,7 @@
 
     /// Whether a vote may be given at `now`, as far as a leader's lease goes.
     pub(crate) fn is_free_to_vote(&self, now: ClockTime) -> bool {
-        if self.settings.breaks(BrokenRule::VoteAtOnce) {
+        if self.settings.breaks(InjectedBug::VoteWithinLease) {
             return true;
         }
         !self.is_leader() && now >= self.no_vote_until
--- a/crates/ragwortroad_consensus/src/leading.rs
+++ b/crates/ragwortroad_consensus/src/leading.rs
@@ -6,10 +6,10 @@
 use ragwortroad_types::ClockTime;
 
 use crate::{
-    BrokenRule,
     ConsensusCore,
     CoreAction,
     EntryPayload,
+    InjectedBug,
     LeaderState,
     MemberId,
     MemberProgress,
@@ -64,7 +64,7 @@
     }
 
     fn beat(&mut self, now: ClockTime) {
-        let every = self.settings.heartbeat_every;
+        let every = self.settings.heartbeat_interval;
         let Some(state) = self.leading_mut() else {
             return;
         };
@@ -157,7 +157,7 @@
         };
         let reached = self.members().quorum_value(matched).unwrap_or(0);
         let is_own = self.log.term_at(reached) == Some(self.vote.term);
-        let may_commit = is_own || self.settings.breaks(BrokenRule::CommitOldTerms);
+        let may_commit = is_own || self.settings.breaks(InjectedBug::CommitOldTerms);
         if reached > self.commit && may_commit {
             self.commit_to(reached);
             self.tell_commit(now);
--- a/crates/ragwortroad_consensus/src/lib.rs
+++ b/crates/ragwortroad_consensus/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! let stored = StoredState { identity: 17, is_new: true, ..StoredState::default() };
 //! let founders = MemberSet::from_voters([(MemberId(17), NodeId::from_name("rvk-1"))]);
-//! let start = CoreStart { stored, start: 1, founders: Some(founders) };
+//! let start = CoreStart { stored, start: 1, initial_members: Some(founders) };
 //! let now = ClockTime(1000);
 //! let (mut core, mut actions) = ConsensusCore::new(CoreSettings::default(), start, now, 1)?;
 //! actions.extend(core.handle(CoreInput::Propose { token: 1, command: b"on".to_vec() }, now));
@@ -26,6 +26,7 @@
 //! ```
 
 mod applying;
+mod bootstrap_table;
 mod changing;
 mod consensus_core;
 mod core_action;
@@ -39,7 +40,6 @@
 mod entry_log;
 mod entry_payload;
 mod following;
-mod founding_table;
 mod leader_state;
 mod leading;
 mod log_position;
@@ -64,6 +64,11 @@
 /// Everything a dependent crate usually needs.
 pub mod prelude {
     pub use crate::{
+        bootstrap_table::{
+            BootstrapDecision,
+            BootstrapHello,
+            BootstrapTable, //
+        },
         consensus_core::ConsensusCore,
         core_action::{
             CoreAction,
@@ -74,11 +79,6 @@
         core_settings::CoreSettings,
         core_start::CoreStart,
         entry_payload::EntryPayload,
-        founding_table::{
-            FoundingHello,
-            FoundingStep,
-            FoundingTable, //
-        },
         log_position::LogPosition,
         member_change::{
             ChangeRefusal,
@@ -106,7 +106,7 @@
 }
 
 #[doc(hidden)]
-pub use core_settings::BrokenRule;
+pub use core_settings::InjectedBug;
 pub use prelude::*;
 
 use entry_log::EntryLog;
--- a/crates/ragwortroad_consensus/src/receiving.rs
+++ b/crates/ragwortroad_consensus/src/receiving.rs
@@ -3,8 +3,8 @@
 use ragwortroad_types::ClockTime;
 
 use crate::{
-    BrokenRule,
     ConsensusCore,
+    InjectedBug,
     MemberId,
     MemberStart,
     MemberState,
@@ -98,9 +98,9 @@
     pub(crate) fn learn_start(&mut self, member: MemberId, start: u64, now: ClockTime) -> bool {
         match self.starts.learn(member, start) {
             StartNews::Same => true,
-            StartNews::Older => self.settings.breaks(BrokenRule::CountOldStarts),
+            StartNews::Older => self.settings.breaks(InjectedBug::CountOldStarts),
             StartNews::Newer => {
-                if !self.settings.breaks(BrokenRule::CountOldStarts) {
+                if !self.settings.breaks(InjectedBug::CountOldStarts) {
                     self.forget_promises(member, now);
                 }
                 true
--- a/crates/ragwortroad_consensus/src/rejoining.rs
+++ b/crates/ragwortroad_consensus/src/rejoining.rs
@@ -12,7 +12,7 @@
 impl ConsensusCore {
     /// Asks the others, from time to time, until enough have answered.
     pub(crate) fn say_hello(&mut self, now: ClockTime) {
-        let every = self.settings.heartbeat_every;
+        let every = self.settings.heartbeat_interval;
         let is_due = self
             .check
             .asked_at
--- a/crates/ragwortroad_consensus/src/replicating.rs
+++ b/crates/ragwortroad_consensus/src/replicating.rs
@@ -112,7 +112,7 @@
 
     fn next_chunk(&mut self, member: MemberId, now: ClockTime) -> Option<PeerMessage> {
         let term = self.vote.term;
-        let chunk_bytes = self.settings.chunk_bytes;
+        let max_chunk_bytes = self.settings.max_chunk_bytes;
         let progress = self.progress_mut(member)?;
         let SendMode::Snapshot(transfer) = &progress.mode else {
             return None;
@@ -120,7 +120,7 @@
         let snapshot = &transfer.snapshot;
         let total = snapshot.bytes.len();
         let start = (transfer.received as usize).min(total);
-        let end = (start + chunk_bytes).min(total);
+        let end = (start + max_chunk_bytes).min(total);
         let chunk = SnapshotChunk {
             term,
             sent_at: now,
--- a/crates/ragwortroad_consensus/src/snapshotting.rs
+++ b/crates/ragwortroad_consensus/src/snapshotting.rs
@@ -36,7 +36,7 @@
             bytes,
         });
         self.applied_bytes = 0;
-        let kept = self.settings.keep_entries;
+        let kept = self.settings.trailing_entries;
         let dropped = index.saturating_sub(kept);
         self.log.drop_until(dropped);
         self.members.drop_until(self.log.base().index);
--- a/crates/ragwortroad_consensus/tests/by_hand/hand_group.rs
+++ b/crates/ragwortroad_consensus/tests/by_hand/hand_group.rs
@@ -55,7 +55,7 @@
         let member = &mut self.members[at];
         let settings = FolderSettings {
             fresh_identity: member_id(at).0,
-            boot: member.boot.to_string(),
+            boot_id: member.boot.to_string(),
             ..FolderSettings::default()
         };
         let port = DiskPort::Fake(member.disk.clone());
@@ -64,7 +64,7 @@
         let start = CoreStart {
             stored,
             start: self.starts,
-            founders,
+            initial_members: founders,
         };
         let made = ConsensusCore::new(self.settings.clone(), start, self.now, at as u64);
         let (core, actions) = made.expect("the core starts");
--- a/crates/ragwortroad_consensus/tests/by_hand/main.rs
+++ b/crates/ragwortroad_consensus/tests/by_hand/main.rs
@@ -5,8 +5,8 @@
 use std::cell::Cell;
 
 use ragwortroad_consensus::{
-    BrokenRule,
     CoreSettings,
+    InjectedBug,
     prelude::*, //
 };
 
@@ -15,16 +15,16 @@
     member_id, //
 };
 
-fn broken(rule: Option<BrokenRule>) -> CoreSettings {
+fn broken(rule: Option<InjectedBug>) -> CoreSettings {
     CoreSettings {
-        broken_rule: rule,
+        injected_bug: rule,
         max_append_bytes: 1,
         ..CoreSettings::default()
     }
 }
 
 /// A command of an old term comes to a quorum; then a leader that never had it is elected.
-fn commit_of_an_old_term(rule: Option<BrokenRule>) -> bool {
+fn commit_of_an_old_term(rule: Option<InjectedBug>) -> bool {
     let mut group = HandGroup::new(5, broken(rule));
     group.propose(0, b"old");
     group.carry(|_, _, _| false);
@@ -37,7 +37,7 @@
     let own = group.core(0).last_position();
     let has_old = [Cell::new(false), Cell::new(false), Cell::new(false)];
     for _ in 0..4 {
-        group.now = group.now.after(group.settings.heartbeat_every * 2);
+        group.now = group.now.after(group.settings.heartbeat_interval * 2);
         group.input(0, CoreInput::Tick);
         group.carry(|frame, from, to| {
             if from > 2 || to > 2 {
@@ -58,11 +58,11 @@
 #[test]
 fn entries_of_old_terms_wait_for_one_of_the_new() {
     assert!(!commit_of_an_old_term(None));
-    assert!(commit_of_an_old_term(Some(BrokenRule::CommitOldTerms)));
+    assert!(commit_of_an_old_term(Some(InjectedBug::CommitOldTerms)));
 }
 
 /// A member's answer arrives after its VM was restored to a state before that answer.
-fn late_answer_of_an_old_start(rule: Option<BrokenRule>) -> bool {
+fn late_answer_of_an_old_start(rule: Option<InjectedBug>) -> bool {
     let mut group = HandGroup::new(5, broken(rule));
     let image = group.members[1].disk.image();
     group.propose(0, b"late");
@@ -92,7 +92,7 @@
 fn answers_of_old_starts_do_not_count() {
     assert!(!late_answer_of_an_old_start(None));
     assert!(late_answer_of_an_old_start(Some(
-        BrokenRule::CountOldStarts
+        InjectedBug::CountOldStarts
     )));
 }
 
@@ -128,7 +128,7 @@
     group.wait(2, 4);
     group.wait(1, 4);
     assert!(!group.core(1).is_leader() && !group.core(2).is_leader());
-    assert_eq!(group.core(1).check_waits_for(), [member_id(0)]);
+    assert_eq!(group.core(1).restart_check_pending(), [member_id(0)]);
     group.start(0);
     group.carry(|_, _, _| true);
     group.wait(1, 4);
@@ -143,7 +143,7 @@
     let mut group = HandGroup::new(3, broken(None));
     let term = group.core(0).term();
     for _ in 0..20 {
-        group.now = group.now.after(group.settings.heartbeat_every);
+        group.now = group.now.after(group.settings.heartbeat_interval);
         group.input(0, CoreInput::Tick);
         group.input(2, CoreInput::Tick);
         group.carry(|_, _, to| to != 2);
@@ -159,7 +159,7 @@
     group.propose(0, b"before");
     group.carry(|_, _, _| true);
     let asked_at = group.now;
-    group.input(0, CoreInput::HandOver);
+    group.input(0, CoreInput::TransferLeadership);
     assert!(!group.core(0).may_act_as_leader(group.now));
     group.carry(|_, _, _| true);
     let acting = (1..3).filter(|&at| group.core(at).may_act_as_leader(group.now));
@@ -190,23 +190,23 @@
 /// Guards against a second group that a founder with a lost disk forms.
 #[test]
 fn only_empty_folders_found_a_group() {
-    let hello = |at: usize, is_empty| FoundingHello {
+    let hello = |at: usize, is_empty| BootstrapHello {
         node: ragwortroad_types::NodeId(at as u64),
         member: member_id(at),
         is_empty,
     };
     let nodes = || (0..3).map(ragwortroad_types::NodeId);
-    let mut table = FoundingTable::new(hello(0, true), nodes());
-    table.take(hello(1, true));
-    assert!(matches!(table.step(), FoundingStep::Wait { missing } if missing.len() == 1));
-    table.take(hello(2, true));
-    assert!(matches!(table.step(), FoundingStep::Found(set) if set.quorum() == 2));
-    table.take(hello(2, false));
-    assert_eq!(table.step(), FoundingStep::Join);
-    let mut other = FoundingTable::new(hello(1, true), nodes());
-    other.take(hello(0, true));
-    other.take(hello(2, true));
-    assert_eq!(other.step(), FoundingStep::Follow);
+    let mut table = BootstrapTable::new(hello(0, true), nodes());
+    table.record_hello(hello(1, true));
+    assert!(matches!(table.decide(), BootstrapDecision::Wait { missing } if missing.len() == 1));
+    table.record_hello(hello(2, true));
+    assert!(matches!(table.decide(), BootstrapDecision::Bootstrap(set) if set.quorum() == 2));
+    table.record_hello(hello(2, false));
+    assert_eq!(table.decide(), BootstrapDecision::Join);
+    let mut other = BootstrapTable::new(hello(1, true), nodes());
+    other.record_hello(hello(0, true));
+    other.record_hello(hello(2, true));
+    assert_eq!(other.decide(), BootstrapDecision::Follow);
 }
 
 /// Guards against a member that misses entries which were on a broken connection.
@@ -221,10 +221,10 @@
     let behind = group.core(2).last_position().index;
     assert!(behind < group.core(0).last_position().index);
     let member = member_id(2);
-    group.input(0, CoreInput::PeerReached { member });
+    group.input(0, CoreInput::PeerConnected { member });
     group.carry(|_, _, _| true);
     assert_eq!(group.core(2).last_position(), group.core(0).last_position());
     // To a member that lacks nothing, nothing is sent.
-    group.input(0, CoreInput::PeerReached { member });
+    group.input(0, CoreInput::PeerConnected { member });
     assert!(group.hold(0, 2).is_empty());
 }
--- a/crates/ragwortroad_consensus/tests/frames.rs
+++ b/crates/ragwortroad_consensus/tests/frames.rs
@@ -82,7 +82,7 @@
     let start = CoreStart {
         stored,
         start: 1,
-        founders: is_founder.then(|| MemberSet::from_voters(voters)),
+        initial_members: is_founder.then(|| MemberSet::from_voters(voters)),
     };
     let made = ConsensusCore::new(CoreSettings::default(), start, ClockTime(1), 1);
     made.expect("the core starts").0
--- a/crates/ragwortroad_consensus/tests/schedules/main.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/main.rs
@@ -4,8 +4,8 @@
 mod world;
 
 use ragwortroad_consensus::{
-    BrokenRule,
     CoreSettings, //
+    InjectedBug,
 };
 
 use world::{
@@ -71,7 +71,7 @@
 fn faults_without_leases_lose_nothing() {
     let without_leases = |seed| SimPlan {
         core: CoreSettings {
-            acts_by_lease: false,
+            uses_leader_lease: false,
             ..SimPlan::small_core()
         },
         ..all_faults(seed)
@@ -96,9 +96,9 @@
     })
 }
 
-fn broken(rule: BrokenRule) -> CoreSettings {
+fn broken(rule: InjectedBug) -> CoreSettings {
     CoreSettings {
-        broken_rule: Some(rule),
+        injected_bug: Some(rule),
         ..SimPlan::small_core()
     }
 }
@@ -106,7 +106,7 @@
 /// Guards against schedules that do not notice an acknowledgement before the sync.
 #[test]
 fn acting_before_the_sync_is_noticed() {
-    let found = first_breach(&broken(BrokenRule::ActBeforeSync), |seed| SimPlan {
+    let found = first_breach(&broken(InjectedBug::ActBeforeSync), |seed| SimPlan {
         seed,
         kinds: vec![FaultKind::PowerCut],
         slow_write_percent: 50,
@@ -120,7 +120,7 @@
 /// Had a member not written its vote, it would give another one after a restart.
 #[test]
 fn an_unwritten_vote_is_noticed() {
-    let found = first_breach(&broken(BrokenRule::ForgetVote), all_faults);
+    let found = first_breach(&broken(InjectedBug::SkipVoteWrite), all_faults);
     println!("unwritten votes: {found:?}");
     let breach = found.unwrap_or_default();
     assert!(breach.contains("voted twice") || breach.contains("two leaders"));
@@ -129,7 +129,7 @@
 /// Had a member voted while a leader may rely on it, two leaders would give orders at once.
 #[test]
 fn a_vote_within_the_lease_is_noticed() {
-    let found = first_breach(&broken(BrokenRule::VoteAtOnce), |seed| SimPlan {
+    let found = first_breach(&broken(InjectedBug::VoteWithinLease), |seed| SimPlan {
         seed,
         kinds: vec![FaultKind::Cut],
         client_every_ms: 900,
--- a/crates/ragwortroad_consensus/tests/schedules/world/fault_kind.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/fault_kind.rs
@@ -20,7 +20,7 @@
     /// The disk is replaced by an empty one.
     LostDisk,
     /// The leader is asked to hand over.
-    HandOver,
+    TransferLeadership,
     /// A member that is well is taken out of a group that can spare it, and comes back later.
     RemoveMember,
 }
@@ -36,7 +36,7 @@
         Self::Pause,
         Self::Cut,
         Self::LostDisk,
-        Self::HandOver,
+        Self::TransferLeadership,
         Self::RemoveMember,
     ];
 }
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_client.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_client.rs
@@ -68,7 +68,7 @@
         let last = self.checker.last_accepted();
         let leader = self.nodes.iter().position(|node| {
             let now = node.clock.reading(self.now_us);
-            node.core().is_some_and(|core| core.takes_commands(now))
+            node.core().is_some_and(|core| core.accepts_proposals(now))
         });
         let Some(leader) = leader else {
             let states: Vec<_> = self.nodes.iter().map(SimNode::describe).collect();
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_faults.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_faults.rs
@@ -34,7 +34,7 @@
             FaultKind::Pause => self.pause(node),
             FaultKind::Cut => self.cut(node),
             FaultKind::LostDisk => self.lose_disk(node),
-            FaultKind::HandOver => self.hand_over(),
+            FaultKind::TransferLeadership => self.hand_over(),
             FaultKind::RemoveMember => self.remove_member(node),
         }
     }
@@ -203,7 +203,7 @@
             .position(|node| !node.is_paused && node.core().is_some_and(ConsensusCore::is_leader));
         if let Some(leader) = leader {
             self.counts.handovers += 1;
-            self.input(leader, CoreInput::HandOver);
+            self.input(leader, CoreInput::TransferLeadership);
         }
     }
 
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_operator.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_operator.rs
@@ -24,7 +24,7 @@
     pub(crate) fn settled_members(&self, world: &SimWorld) -> Option<MemberSet> {
         let mut cores = world.nodes.iter().filter_map(|node| {
             let now = node.clock.reading(world.now_us);
-            node.core().filter(|core| core.takes_commands(now))
+            node.core().filter(|core| core.accepts_proposals(now))
         });
         let core = cores.find(|core| core.members_index() <= core.commit_index())?;
         Some(core.members().clone())
@@ -102,7 +102,7 @@
     pub(crate) fn acting_node(&self) -> Option<usize> {
         self.nodes.iter().position(|node| {
             let now = node.clock.reading(self.now_us);
-            !node.is_paused && node.core().is_some_and(|core| core.takes_commands(now))
+            !node.is_paused && node.core().is_some_and(|core| core.accepts_proposals(now))
         })
     }
 
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_plan.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_plan.rs
@@ -59,14 +59,14 @@
     pub(crate) fn small_core() -> CoreSettings {
         CoreSettings {
             election_timeout: Duration::from_millis(400),
-            heartbeat_every: Duration::from_millis(100),
+            heartbeat_interval: Duration::from_millis(100),
             resend_after: Duration::from_millis(200),
             max_append_bytes: 300,
             max_in_flight: 3,
-            snapshot_entries: 60,
-            keep_entries: 10,
-            chunk_bytes: 500,
-            promote_lag: 8,
+            snapshot_threshold_entries: 60,
+            trailing_entries: 10,
+            max_chunk_bytes: 500,
+            max_promotion_lag: 8,
             ..CoreSettings::default()
         }
     }
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_world.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_world.rs
@@ -169,7 +169,7 @@
         let fresh_identity = self.next_identity;
         let settings = FolderSettings {
             fresh_identity,
-            boot: self.nodes[node].boot.to_string(),
+            boot_id: self.nodes[node].boot.to_string(),
             ..FolderSettings::default()
         };
         let disk = self.nodes[node].disk.clone();
@@ -190,7 +190,7 @@
         let start = CoreStart {
             stored,
             start: FIRST_START + self.now_us,
-            founders: self.founders.clone().filter(|_| is_founder),
+            initial_members: self.founders.clone().filter(|_| is_founder),
         };
         let now = self.local(node);
         let seed = self.rng.random();
@@ -232,7 +232,7 @@
     fn act(&mut self, node: usize, actions: Vec<CoreAction>) {
         let mut wanted = None;
         for action in actions {
-            if let CoreAction::WantSnapshot { index } = action {
+            if let CoreAction::TakeSnapshot { index } = action {
                 wanted = Some(index);
             } else {
                 self.act_one(node, action);
@@ -300,7 +300,7 @@
                 self.checker.reads(index, process.state.index, expected);
             }
             CoreAction::ReadRefused { .. }
-            | CoreAction::WantSnapshot { .. }
+            | CoreAction::TakeSnapshot { .. }
             | CoreAction::LeaderChanged { .. }
             | CoreAction::MembersChanged { .. } => {}
         }
--- a/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
+++ b/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
@@ -40,7 +40,7 @@
     fleet
 }
 
-fn fences(orders: &[OrderRecord]) -> BTreeSet<FenceNumber> {
+fn fences(orders: &[OrderRecord]) -> BTreeSet<FencingToken> {
     orders.iter().map(|record| record.order.fence).collect()
 }
 
@@ -115,7 +115,7 @@
     let record = |fence: u64| OrderRecord {
         endpoint: "engine-0".to_owned(),
         order: OrderWire {
-            fence: FenceNumber(fence),
+            fence: FencingToken(fence),
             number: 1,
             kind: OrderKind::SetDrain { drain: false },
         },
--- a/crates/ragwortroad_gateway/src/call/control_call.rs
+++ b/crates/ragwortroad_gateway/src/call/control_call.rs
@@ -24,9 +24,9 @@
     /// The attempt of an earlier grant is over.
     Finish(FinishCall),
     /// Which addresses should this caller use?
-    Addresses(AddressCall, Sender<Result<AddressAnswer, RefusalWire>>),
+    Addresses(AddressCall, Sender<Result<AddressResponse, RefusalWire>>),
     /// An endpoint announces itself.
-    Announce(AnnounceCall, Sender<Result<AnnounceAnswer, RefusalWire>>),
+    Announce(AnnounceCall, Sender<Result<AnnounceResponse, RefusalWire>>),
     /// An operator asks or changes something.
     Operator(OperatorCall, Sender<OperatorAnswer>),
 }
--- a/crates/ragwortroad_gateway/tests/common/fake_control.rs
+++ b/crates/ragwortroad_gateway/tests/common/fake_control.rs
@@ -97,7 +97,7 @@
             }
             ControlCall::Finish(finish) => log.lock().unwrap().finishes.push(finish),
             ControlCall::Addresses(_, reply) => {
-                let answer = AddressAnswer {
+                let answer = AddressResponse {
                     addresses: routes.addresses.clone(),
                     keep_ms: 1000,
                     reason: "the fake's order".to_owned(),
@@ -105,7 +105,7 @@
                 drop(reply.send(Ok(answer)));
             }
             ControlCall::Announce(call, reply) => {
-                let answer = AnnounceAnswer {
+                let answer = AnnounceResponse {
                     announce_to: routes.addresses.clone(),
                     every_ms: 1000 + call.announce.sequence,
                 };
--- a/crates/ragwortroad_load/src/address_book.rs
+++ b/crates/ragwortroad_load/src/address_book.rs
@@ -45,7 +45,7 @@
         (Instant::now() < answer.until).then(|| answer.addresses.clone())
     }
 
-    pub(crate) fn keep(&self, name: &str, answer: &AddressAnswer) {
+    pub(crate) fn keep(&self, name: &str, answer: &AddressResponse) {
         let until = Instant::now() + Duration::from_millis(answer.keep_ms);
         let addresses = answer.addresses.clone();
         let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/ragwortroad_load/src/caller_client.rs
+++ b/crates/ragwortroad_load/src/caller_client.rs
@@ -265,7 +265,7 @@
             deadline: Duration::from_secs(2),
         };
         let answer = call_whole(&seed, &request);
-        let found = serde_json::from_slice::<AddressAnswer>(&answer.body);
+        let found = serde_json::from_slice::<AddressResponse>(&answer.body);
         if let (CallEnd::Answered, Ok(found)) = (&answer.end, found) {
             book.keep(name, &found);
             return found.addresses;
--- a/crates/ragwortroad_log/src/folder_files.rs
+++ b/crates/ragwortroad_log/src/folder_files.rs
@@ -5,7 +5,7 @@
     LogError,
     log_error::{
         DiskSnafu,
-        MisfitSnafu, //
+        InvalidChangeSnafu, //
     },
     log_record::{
         CountedVote,
@@ -70,7 +70,7 @@
 pub(crate) fn write_frame(frame: &RecordFrame, buffer: &mut Vec<u8>) -> Result<(), LogError> {
     frame.write(buffer).or_else(|error| {
         let detail = error.to_string();
-        MisfitSnafu { detail }.fail()
+        InvalidChangeSnafu { detail }.fail()
     })
 }
 
--- a/crates/ragwortroad_log/src/folder_generation.rs
+++ b/crates/ragwortroad_log/src/folder_generation.rs
@@ -20,7 +20,7 @@
     folder_replay,
     log_error::{
         DiskSnafu,
-        MisfitSnafu, //
+        InvalidChangeSnafu, //
     },
     log_record::{
         LogHeader,
@@ -34,7 +34,10 @@
     /// Starts a new log file after `snapshot` with the entries that are still needed.
     pub(crate) fn start_generation(&mut self, snapshot: &StoredSnapshot) -> Result<(), LogError> {
         let detail = "an older snapshot cannot replace a newer one";
-        ensure!(snapshot.index > self.snapshot_index, MisfitSnafu { detail });
+        ensure!(
+            snapshot.index > self.snapshot_index,
+            InvalidChangeSnafu { detail }
+        );
         let kept = self.entries_after(snapshot)?;
         let old = self.generation;
         self.generation += 1;
--- a/crates/ragwortroad_log/src/folder_open.rs
+++ b/crates/ragwortroad_log/src/folder_open.rs
@@ -146,7 +146,7 @@
         vote: CountedVote::default(),
         vote_file_count: 0,
         starts: Vec::new(),
-        boot: settings.boot.clone(),
+        boot_id: settings.boot_id.clone(),
         confirms_boot: false,
         last_index: 0,
         snapshot_index: 0,
@@ -212,7 +212,7 @@
     let entries = replay_entries(&scan.frames);
     check_entries(&entries, &header, &name)?;
 
-    let cut_bytes = (bytes.len() - scan.intact_bytes) as u64;
+    let truncated_bytes = (bytes.len() - scan.intact_bytes) as u64;
     let next_sequence = rewrite_log(&mut port, &name, &bytes, &scan)?;
     remove_leftovers(&mut port, names, generation)?;
     let mut folder = LogFolder {
@@ -226,7 +226,7 @@
         vote,
         vote_file_count: vote_copy.count,
         starts: starts.clone(),
-        boot: settings.boot.clone(),
+        boot_id: settings.boot_id.clone(),
         confirms_boot: false,
         last_index: header.snapshot_index + entries.len() as u64,
         snapshot_index: header.snapshot_index,
@@ -236,12 +236,12 @@
     let state = StoredState {
         identity,
         is_new: false,
-        is_same_boot: boot_known == settings.boot.as_bytes() && !settings.boot.is_empty(),
+        is_same_boot: boot_known == settings.boot_id.as_bytes() && !settings.boot_id.is_empty(),
         starts,
         vote: vote.vote,
         snapshot,
         entries,
-        cut_bytes,
+        truncated_bytes,
     };
     Ok((folder, state))
 }
--- a/crates/ragwortroad_log/src/folder_settings.rs
+++ b/crates/ragwortroad_log/src/folder_settings.rs
@@ -9,8 +9,8 @@
     pub fresh_identity: u64,
     /// What the operating system calls its current boot, empty if it does not say.
     ///
-    /// [`current_boot`](crate::current_boot) asks for it.
-    pub boot: String,
+    /// [`current_boot_id`](crate::current_boot_id) asks for it.
+    pub boot_id: String,
     /// Largest content of one entry in bytes.
     pub max_entry_bytes: usize,
     /// Bytes that the folder's files may take; beyond them writes fail as on a full disk.
@@ -22,7 +22,7 @@
         Self {
             path: PathBuf::from("data"),
             fresh_identity: 0,
-            boot: String::new(),
+            boot_id: String::new(),
             max_entry_bytes: 4 << 20,
             quota_bytes: None,
         }
--- a/crates/ragwortroad_log/src/lib.rs
+++ b/crates/ragwortroad_log/src/lib.rs
@@ -25,7 +25,7 @@
 //! # Ok::<(), LogError>(())
 //! ```
 
-mod boot_name;
+mod boot_id_file;
 mod disk_port;
 mod fake_disk;
 mod fake_state;
@@ -51,7 +51,7 @@
 /// Everything a dependent crate usually needs.
 pub mod prelude {
     pub use crate::{
-        boot_name::current_boot,
+        boot_id_file::current_boot_id,
         disk_port::DiskPort,
         fake_disk::{
             DiskImage,
--- a/crates/ragwortroad_log/src/log_error.rs
+++ b/crates/ragwortroad_log/src/log_error.rs
@@ -53,7 +53,7 @@
     WritesRefused,
     /// A change does not fit what the folder holds.
     #[snafu(display("the change does not fit the log: {detail}; this is a fault in the program"))]
-    Misfit {
+    InvalidChange {
         /// What does not fit.
         detail: String,
     },
--- a/crates/ragwortroad_log/src/log_folder.rs
+++ b/crates/ragwortroad_log/src/log_folder.rs
@@ -20,7 +20,7 @@
     folder_replay,
     log_error::{
         DiskSnafu,
-        MisfitSnafu,
+        InvalidChangeSnafu,
         TooLargeSnafu,
         WritesRefusedSnafu, //
     },
@@ -50,7 +50,7 @@
     pub(crate) vote_file_count: u64,
     pub(crate) starts: Vec<MemberStart>,
     /// The current boot of the machine, empty if unknown.
-    pub(crate) boot: String,
+    pub(crate) boot_id: String,
     /// The boot is to be written down once what came before is durable.
     pub(crate) confirms_boot: bool,
     /// Index of the last entry, or of the snapshot.
@@ -119,12 +119,12 @@
     fn append_vote(&mut self, vote: VoteRecord) -> Result<(), LogError> {
         let before = self.vote.vote;
         let detail = "the vote goes back";
-        ensure!(vote.term >= before.term, MisfitSnafu { detail });
+        ensure!(vote.term >= before.term, InvalidChangeSnafu { detail });
         let detail = "the vote of a term changes";
         let changes = vote.term == before.term && vote.voted_for != before.voted_for;
         ensure!(
             !changes || before.voted_for.is_none(),
-            MisfitSnafu { detail }
+            InvalidChangeSnafu { detail }
         );
         self.vote = CountedVote {
             count: self.vote_file_count + 1,
@@ -135,7 +135,7 @@
 
     fn append_truncate(&mut self, from: u64) -> Result<(), LogError> {
         let detail = format!("cannot drop entry {from}, which is in the snapshot");
-        ensure!(from > self.snapshot_index, MisfitSnafu { detail });
+        ensure!(from > self.snapshot_index, InvalidChangeSnafu { detail });
         if from > self.last_index {
             return Ok(());
         }
@@ -149,7 +149,7 @@
         ensure!(bytes <= limit, TooLargeSnafu { bytes, limit });
         let expected = self.last_index + 1;
         let detail = format!("entry {} comes where {expected} belongs", entry.index);
-        ensure!(entry.index == expected, MisfitSnafu { detail });
+        ensure!(entry.index == expected, InvalidChangeSnafu { detail });
         self.last_index = entry.index;
         self.append_record(LogRecord::Entry(entry.clone()))
     }
@@ -195,7 +195,7 @@
 
     fn write_boot(&mut self) -> Result<(), LogError> {
         if std::mem::take(&mut self.confirms_boot) {
-            write_whole(&mut self.port, BOOT_NAME, self.boot.as_bytes())?;
+            write_whole(&mut self.port, BOOT_NAME, self.boot_id.as_bytes())?;
         }
         Ok(())
     }
--- a/crates/ragwortroad_log/src/stored_state.rs
+++ b/crates/ragwortroad_log/src/stored_state.rs
@@ -28,5 +28,5 @@
     /// Invariant: indexes are contiguous and start right after the snapshot's.
     pub entries: Vec<StoredEntry>,
     /// Bytes of an unfinished write that were cut from the log's end.
-    pub cut_bytes: u64,
+    pub truncated_bytes: u64,
 }
--- a/crates/ragwortroad_log/tests/folder.rs
+++ b/crates/ragwortroad_log/tests/folder.rs
@@ -6,7 +6,7 @@
 fn settings() -> FolderSettings {
     FolderSettings {
         fresh_identity: 17,
-        boot: "boot-1".to_owned(),
+        boot_id: "boot-1".to_owned(),
         ..FolderSettings::default()
     }
 }
--- a/crates/ragwortroad_membership/src/table/home_wishes.rs
+++ b/crates/ragwortroad_membership/src/table/home_wishes.rs
@@ -31,7 +31,7 @@
 
     /// The answer to an announcement of `endpoint`, to be asked for after the announcement was
     /// handled.
-    pub fn announce_answer(&self, endpoint: EndpointId, now: ClockTime) -> AnnounceAnswer {
+    pub fn announce_answer(&self, endpoint: EndpointId, now: ClockTime) -> AnnounceResponse {
         let zone = self
             .endpoints
             .record(endpoint)
@@ -49,7 +49,7 @@
         } else {
             QUICK_ANNOUNCE
         };
-        AnnounceAnswer {
+        AnnounceResponse {
             announce_to,
             every_ms: every.as_millis() as u64,
         }
--- a/crates/ragwortroad_node/src/control/address_flow.rs
+++ b/crates/ragwortroad_node/src/control/address_flow.rs
@@ -26,7 +26,7 @@
         &mut self,
         call: &AddressCall,
         now: ClockTime,
-    ) -> Result<AddressAnswer, RefusalWire> {
+    ) -> Result<AddressResponse, RefusalWire> {
         let request = RequestId(self.draw());
         let Some((customer, _)) = self.follow.customer_of(call.key_hash) else {
             // A node that has no configuration yet knows no customer; others may.
@@ -59,7 +59,7 @@
             (None, Some(_)) => "the chat's own nodes",
             (None, None) => "spread evenly; name a chat to reach its own nodes",
         };
-        Ok(AddressAnswer {
+        Ok(AddressResponse {
             addresses,
             keep_ms: KEEP.as_millis() as u64,
             reason: reason.to_owned(),
--- a/crates/ragwortroad_node/src/control/control_state.rs
+++ b/crates/ragwortroad_node/src/control/control_state.rs
@@ -269,7 +269,7 @@
         let actions = self.membership.handle(GossipInput::LeaveStarted, now);
         self.do_gossip(actions, now);
         if let Some(seat) = &mut self.member {
-            let actions = seat.handle(CoreInput::HandOver, now);
+            let actions = seat.handle(CoreInput::TransferLeadership, now);
             self.do_core(actions, now);
         }
     }
--- a/crates/ragwortroad_node/src/control/endpoint_flow.rs
+++ b/crates/ragwortroad_node/src/control/endpoint_flow.rs
@@ -22,7 +22,7 @@
         &mut self,
         call: AnnounceCall,
         now: ClockTime,
-    ) -> Result<AnnounceAnswer, RefusalWire> {
+    ) -> Result<AnnounceResponse, RefusalWire> {
         let request = RequestId(self.draw());
         if !same_hash(&call.secret_hash, &self.secrets.join) {
             let message = "the join secret is not the fleet's";
--- a/crates/ragwortroad_node/src/control/event_flow.rs
+++ b/crates/ragwortroad_node/src/control/event_flow.rs
@@ -53,7 +53,7 @@
     }
 
     /// Keeps an event about the lead.
-    pub(crate) fn note_lead(&mut self, kind: EventKind, fence: Option<FenceNumber>) {
+    pub(crate) fn note_lead(&mut self, kind: EventKind, fence: Option<FencingToken>) {
         let seat = self.member.as_ref();
         let core = seat.and_then(|seat| seat.core.as_ref());
         self.events.note(FleetEvent {
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -313,7 +313,7 @@
     }
 
     /// The lease for orders was granted to this node by the log.
-    pub(crate) fn orders_taken(&mut self, fence: FenceNumber, now: ClockTime) {
+    pub(crate) fn orders_taken(&mut self, fence: FencingToken, now: ClockTime) {
         self.note_lead(EventKind::LeaseGranted, Some(fence));
         let timing = order_timing(&self.settings.state);
         let rules = order_settings(&self.settings.orders);
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -67,7 +67,7 @@
     }
 
     /// Takes in another founding member's hello, and returns this one's.
-    pub(crate) fn take_hello(&mut self, from: NodeId, hello: FoundingHello, now: ClockTime) {
+    pub(crate) fn take_hello(&mut self, from: NodeId, hello: BootstrapHello, now: ClockTime) {
         let node = self.node;
         let Some(seat) = &mut self.member else {
             return;
@@ -76,7 +76,7 @@
             tracing::warn!(%from, "a hello names another node than its certificate");
             return;
         }
-        seat.founding.take(hello);
+        seat.founding.record_hello(hello);
         // Who has a core already tells so to one that is still waiting for hellos.
         if seat.core.is_some() {
             let own = seat.hello(node);
@@ -165,7 +165,7 @@
                 CoreAction::Send(frame) => self.send_frame(&frame),
                 CoreAction::Apply { index, command, .. } => self.apply(index, &command),
                 CoreAction::RestoreSnapshot { index, bytes } => self.restore(index, &bytes),
-                CoreAction::WantSnapshot { index } => {
+                CoreAction::TakeSnapshot { index } => {
                     if let Some(seat) = &mut self.member {
                         let bytes = seat.state.to_snapshot();
                         let taken = CoreInput::SnapshotTaken { index, bytes };
--- a/crates/ragwortroad_node/src/member/member_seat.rs
+++ b/crates/ragwortroad_node/src/member/member_seat.rs
@@ -32,7 +32,7 @@
     /// What the folder held, until the core is made of it.
     stored: Option<StoredState>,
     /// Decides about founding; only as long as there is no core.
-    pub(crate) founding: FoundingTable,
+    pub(crate) founding: BootstrapTable,
     /// The core; nothing while the group is being founded.
     pub(crate) core: Option<ConsensusCore>,
     /// What the log has led to.
@@ -81,7 +81,7 @@
         let folder = FolderSettings {
             path,
             fresh_identity: start.fresh_identity,
-            boot: current_boot(),
+            boot_id: current_boot_id(),
             quota_bytes: start.settings.state.data_quota,
             ..FolderSettings::default()
         };
@@ -89,7 +89,7 @@
         let state = stored_fleet(&stored)?;
         let identity = MemberId(stored.identity);
         let is_empty = stored.entries.is_empty() && stored.snapshot.is_none();
-        let hello = FoundingHello {
+        let hello = BootstrapHello {
             node: start.node,
             member: identity,
             is_empty,
@@ -100,7 +100,7 @@
         Ok(Some(Self {
             identity,
             stored: Some(stored),
-            founding: FoundingTable::new(hello, named),
+            founding: BootstrapTable::new(hello, named),
             core: None,
             state,
             disk: DiskWorker::start(folder, start.reports)?,
@@ -117,14 +117,14 @@
     }
 
     /// What this member says of itself to the others that the settings name.
-    pub(crate) fn hello(&self, node: NodeId) -> FoundingHello {
+    pub(crate) fn hello(&self, node: NodeId) -> BootstrapHello {
         let is_empty = match (&self.core, &self.stored) {
             (Some(core), _) => core.last_position().index == 0,
             (None, Some(stored)) => is_unused(stored),
             // A halted member's folder is in use; "empty" could found a second group.
             (None, None) => false,
         };
-        FoundingHello {
+        BootstrapHello {
             node,
             member: self.identity,
             is_empty,
@@ -133,10 +133,10 @@
 
     /// Makes the core, once it is clear whether a group exists, is founded here, or elsewhere.
     pub(crate) fn try_found(&mut self, now: ClockTime, seed: u64) -> Vec<CoreAction> {
-        let founders = match self.founding.step() {
-            FoundingStep::Wait { .. } => return Vec::new(),
-            FoundingStep::Found(members) => Some(members),
-            FoundingStep::Follow | FoundingStep::Join => None,
+        let founders = match self.founding.decide() {
+            BootstrapDecision::Wait { .. } => return Vec::new(),
+            BootstrapDecision::Bootstrap(members) => Some(members),
+            BootstrapDecision::Follow | BootstrapDecision::Join => None,
         };
         let Some(stored) = self.stored.take() else {
             return Vec::new();
@@ -144,7 +144,7 @@
         let start = CoreStart {
             stored,
             start: self.start,
-            founders,
+            initial_members: founders,
         };
         match ConsensusCore::new(self.settings.clone(), start, now, seed) {
             Ok((core, actions)) => {
@@ -245,7 +245,7 @@
 pub(crate) fn core_settings(settings: &StateSettings) -> CoreSettings {
     CoreSettings {
         election_timeout: settings.lease,
-        heartbeat_every: settings.lease / 4,
+        heartbeat_interval: settings.lease / 4,
         resend_after: settings.lease / 2,
         clock_drift_ppm: drift_ppm(settings),
         trust_disk: settings.trust_disk,
--- a/crates/ragwortroad_node/src/wire/follow_message.rs
+++ b/crates/ragwortroad_node/src/wire/follow_message.rs
@@ -11,7 +11,7 @@
 #[derive(Serialize, Deserialize)]
 pub(crate) enum FollowMessage {
     /// What a member's data folder is, while a group is being founded.
-    Founding(FoundingHello),
+    Founding(BootstrapHello),
     /// A node asks whether its configuration is current.
     Confirm {
         /// Number of the question.
--- a/crates/ragwortroad_registry/src/group_seat.rs
+++ b/crates/ragwortroad_registry/src/group_seat.rs
@@ -58,7 +58,7 @@
     /// What the folder held, until the core is made of it.
     stored: Option<StoredState>,
     /// Decides about founding; nothing on a registry that only joins.
-    founding: Option<FoundingTable>,
+    founding: Option<BootstrapTable>,
     /// Nodes that found the group; empty where this registry only joins.
     founders: Vec<NodeId>,
     core: Option<ConsensusCore>,
@@ -157,7 +157,7 @@
             return Vec::new();
         };
         if let Some(founding) = &mut self.founding {
-            founding.take(FoundingHello {
+            founding.record_hello(BootstrapHello {
                 node: NodeId::from_name(&hello.address.to_string()),
                 member: MemberId(member),
                 is_empty: hello.is_empty,
@@ -196,13 +196,13 @@
         let identity = MemberId(stored.identity);
         self.identity = Some(identity);
         let is_founder = self.founders.contains(&self.node);
-        let own = FoundingHello {
+        let own = BootstrapHello {
             node: self.node,
             member: identity,
             is_empty: is_unused(&stored),
         };
         let founds = is_founder && is_unused(&stored);
-        self.founding = founds.then(|| FoundingTable::new(own, self.founders.iter().copied()));
+        self.founding = founds.then(|| BootstrapTable::new(own, self.founders.iter().copied()));
         self.stored = Some(stored);
         self.try_start(now)
     }
@@ -212,11 +212,11 @@
         if self.core.is_some() || self.stored.is_none() {
             return Vec::new();
         }
-        let step = self.founding.as_ref().map(FoundingTable::step);
+        let step = self.founding.as_ref().map(BootstrapTable::decide);
         let founders = match step {
-            Some(FoundingStep::Wait { .. }) => return Vec::new(),
-            Some(FoundingStep::Found(members)) => Some(members),
-            Some(FoundingStep::Follow | FoundingStep::Join) | None => None,
+            Some(BootstrapDecision::Wait { .. }) => return Vec::new(),
+            Some(BootstrapDecision::Bootstrap(members)) => Some(members),
+            Some(BootstrapDecision::Follow | BootstrapDecision::Join) | None => None,
         };
         let Some(stored) = self.stored.take() else {
             return Vec::new();
@@ -228,7 +228,7 @@
         let start = CoreStart {
             stored,
             start: self.start,
-            founders,
+            initial_members: founders,
         };
         match ConsensusCore::new(self.settings.clone(), start, now, self.seed) {
             Ok((core, actions)) => {
@@ -263,7 +263,7 @@
                 CoreAction::Send(frame) => effects.push(SeatEffect::Send(frame)),
                 CoreAction::Apply { command, .. } => effects.extend(self.apply(&command)),
                 CoreAction::RestoreSnapshot { bytes, .. } => effects.extend(self.restore(&bytes)),
-                CoreAction::WantSnapshot { index } => effects.extend(self.snapshot(index, now)),
+                CoreAction::TakeSnapshot { index } => effects.extend(self.snapshot(index, now)),
                 CoreAction::ProposeDone { token, result } => {
                     effects.push(SeatEffect::Decided { token, result });
                 }
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -58,7 +58,7 @@
         entry.queue = Some(queue);
         let hello = entry.hello.as_ref();
         if let Some(member) = hello.and_then(|(hello, _)| hello.member).map(MemberId) {
-            let effects = self.seat.handle(CoreInput::PeerReached { member }, now);
+            let effects = self.seat.handle(CoreInput::PeerConnected { member }, now);
             self.carry_out(effects, now);
         }
     }
@@ -171,7 +171,7 @@
         self.carry_out(effects, now);
         // Until its first word nobody knew which member is reached there.
         if let Some(member) = member.filter(|_| is_first) {
-            let effects = self.seat.handle(CoreInput::PeerReached { member }, now);
+            let effects = self.seat.handle(CoreInput::PeerConnected { member }, now);
             self.carry_out(effects, now);
         }
     }
@@ -213,7 +213,7 @@
         let Some(core) = self.seat.core() else {
             return;
         };
-        if now < self.plan_at || !core.takes_commands(now) {
+        if now < self.plan_at || !core.accepts_proposals(now) {
             return;
         }
         self.plan_at = now.after(PLAN_EVERY);
--- a/crates/ragwortroad_registry/src/registry_process.rs
+++ b/crates/ragwortroad_registry/src/registry_process.rs
@@ -157,7 +157,7 @@
     let folder = FolderSettings {
         path: folder,
         fresh_identity: random(),
-        boot: current_boot(),
+        boot_id: current_boot_id(),
         quota_bytes: settings.data_quota,
         ..FolderSettings::default()
     };
@@ -291,13 +291,13 @@
     CoreSettings {
         trust_disk: settings.trust_disk,
         election_timeout: ELECTION_TIMEOUT,
-        heartbeat_every: HEARTBEAT_EVERY,
+        heartbeat_interval: HEARTBEAT_EVERY,
         resend_after: RESEND_AFTER,
         max_command_bytes: MAX_COMMAND_BYTES,
-        snapshot_entries: SNAPSHOT_ENTRIES,
-        snapshot_bytes: SNAPSHOT_BYTES,
-        keep_entries: 100,
-        acts_by_lease: false,
+        snapshot_threshold_entries: SNAPSHOT_ENTRIES,
+        snapshot_threshold_bytes: SNAPSHOT_BYTES,
+        trailing_entries: 100,
+        uses_leader_lease: false,
         ..CoreSettings::default()
     }
 }
--- a/crates/ragwortroad_registry/src/registry_state.rs
+++ b/crates/ragwortroad_registry/src/registry_state.rs
@@ -256,7 +256,7 @@
         tracing::info!("stopping");
         self.is_stopping = true;
         // Without a handover the group has no leader until an election timeout has passed.
-        let effects = self.seat.handle(CoreInput::HandOver, now);
+        let effects = self.seat.handle(CoreInput::TransferLeadership, now);
         self.carry_out(effects, now);
     }
 }
--- a/crates/ragwortroad_standin/src/announce_loop.rs
+++ b/crates/ragwortroad_standin/src/announce_loop.rs
@@ -117,7 +117,7 @@
     }
 }
 
-fn send_announce(address: &str, secret: &str, announce: &AnnounceWire) -> Option<AnnounceAnswer> {
+fn send_announce(address: &str, secret: &str, announce: &AnnounceWire) -> Option<AnnounceResponse> {
     let body = serde_json::to_string(announce).ok()?;
     let answer = minreq::post(format!("http://{address}/v1/announce"))
         .with_header("authorization", format!("Bearer {secret}"))
--- a/crates/ragwortroad_standin/src/engine_pages.rs
+++ b/crates/ragwortroad_standin/src/engine_pages.rs
@@ -74,7 +74,7 @@
 }
 
 /// Writes an order down; the highest fencing number where its own is older and that is checked.
-fn take_order(state: &EngineState, order: &OrderWire, checks: bool) -> Result<(), FenceNumber> {
+fn take_order(state: &EngineState, order: &OrderWire, checks: bool) -> Result<(), FencingToken> {
     let mut parts = state.parts();
     let obeyed = !checks || order.fence >= parts.fence;
     parts.orders.push(OrderRecord {
--- a/crates/ragwortroad_standin/src/engine_state.rs
+++ b/crates/ragwortroad_standin/src/engine_state.rs
@@ -44,7 +44,7 @@
     pub(crate) cache: PrefixCache,
     pub(crate) offers: Vec<ModelOffer>,
     /// Highest fencing number of an order taken.
-    pub(crate) fence: FenceNumber,
+    pub(crate) fence: FencingToken,
     /// Every order that came, in order.
     pub(crate) orders: Vec<OrderRecord>,
     pub(crate) role: RoleWire,
@@ -70,7 +70,7 @@
         let parts = EngineParts {
             cache: PrefixCache::new(settings.cache_blocks),
             offers: settings.offers.clone(),
-            fence: FenceNumber::default(),
+            fence: FencingToken::default(),
             orders: Vec::new(),
             role: RoleWire::default(),
             drain: false,
--- a/crates/ragwortroad_standin/tests/standin_duties.rs
+++ b/crates/ragwortroad_standin/tests/standin_duties.rs
@@ -35,7 +35,7 @@
 fn take_announce(node: &Server, next: &str) -> AnnounceWire {
     let mut request = node.recv_timeout(BOUND).unwrap().unwrap();
     let wire = serde_json::from_reader(request.as_reader()).unwrap();
-    let answer = AnnounceAnswer {
+    let answer = AnnounceResponse {
         announce_to: vec![next.to_owned()],
         every_ms: 5,
     };
@@ -46,7 +46,7 @@
 
 fn order(engine: &StandinEngine, fence: u64, version: &str) -> u16 {
     let wire = OrderWire {
-        fence: FenceNumber(fence),
+        fence: FencingToken(fence),
         number: 1,
         kind: OrderKind::Load {
             offer: ModelOffer {
--- a/crates/ragwortroad_state/src/fleet_state.rs
+++ b/crates/ragwortroad_state/src/fleet_state.rs
@@ -59,7 +59,7 @@
         /// Who has it.
         holder: NodeId,
         /// Its number.
-        fence: FenceNumber,
+        fence: FencingToken,
     },
     /// A plan was taken in or refused.
     Planned(PlanOutcome),
--- a/crates/ragwortroad_state/src/order/engine_order.rs
+++ b/crates/ragwortroad_state/src/order/engine_order.rs
@@ -11,7 +11,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct OrderId {
     /// The holder's fencing number.
-    pub fence: FenceNumber,
+    pub fence: FencingToken,
     /// Counts up by one with each order under one fencing number.
     pub number: u64,
 }
--- a/crates/ragwortroad_state/src/order/lease_table.rs
+++ b/crates/ragwortroad_state/src/order/lease_table.rs
@@ -14,14 +14,14 @@
 #[derive(Serialize, Deserialize)]
 pub struct LeaseTable {
     /// Invariant: never falls, and grows with each grant.
-    fence: FenceNumber,
+    fence: FencingToken,
     holder: Option<NodeId>,
     granted_at: StateTime,
 }
 
 impl LeaseTable {
     /// The fencing number of the last grant.
-    pub fn fence(&self) -> FenceNumber {
+    pub fn fence(&self) -> FencingToken {
         self.fence
     }
 
@@ -35,8 +35,8 @@
         self.granted_at
     }
 
-    pub(crate) fn grant(&mut self, holder: NodeId, now: StateTime) -> FenceNumber {
-        self.fence = FenceNumber(self.fence.0 + 1);
+    pub(crate) fn grant(&mut self, holder: NodeId, now: StateTime) -> FencingToken {
+        self.fence = FencingToken(self.fence.0 + 1);
         self.holder = Some(holder);
         self.granted_at = now;
         self.fence
--- a/crates/ragwortroad_state/src/order/order_gate.rs
+++ b/crates/ragwortroad_state/src/order/order_gate.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderGate {
     timing: OrderTiming,
-    fence: FenceNumber,
+    fence: FencingToken,
     /// Invariant: read when the grant was applied, so after the election that deposed the former
     /// holder.
     applied_at: ClockTime,
@@ -42,7 +42,7 @@
 
 impl OrderGate {
     /// The gate of the holder with number `fence`, whose grant was applied at `applied_at`.
-    pub fn new(timing: OrderTiming, fence: FenceNumber, applied_at: ClockTime) -> Self {
+    pub fn new(timing: OrderTiming, fence: FencingToken, applied_at: ClockTime) -> Self {
         Self {
             timing,
             fence,
@@ -51,7 +51,7 @@
     }
 
     /// The holder's fencing number.
-    pub fn fence(&self) -> FenceNumber {
+    pub fn fence(&self) -> FencingToken {
         self.fence
     }
 
@@ -68,7 +68,7 @@
         now: ClockTime,
         lead_until: ClockTime,
         checks_fencing: bool,
-    ) -> Result<FenceNumber, GateRefusal> {
+    ) -> Result<FencingToken, GateRefusal> {
         if now >= lead_until {
             return Err(GateRefusal::LeaseOver);
         }
--- a/crates/ragwortroad_state/src/order/order_plan.rs
+++ b/crates/ragwortroad_state/src/order/order_plan.rs
@@ -30,7 +30,7 @@
     /// It came from a former holder.
     OldFence {
         /// The number now.
-        fence: FenceNumber,
+        fence: FencingToken,
     },
 }
 
@@ -51,7 +51,7 @@
     pub(crate) fn set(
         &mut self,
         lease: &LeaseTable,
-        fence: FenceNumber,
+        fence: FencingToken,
         targets: Vec<(String, Option<EngineTarget>)>,
     ) -> PlanOutcome {
         if fence != lease.fence() {
--- a/crates/ragwortroad_state/src/order/order_table.rs
+++ b/crates/ragwortroad_state/src/order/order_table.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct OrderTable {
     settings: OrderSettings,
-    fence: FenceNumber,
+    fence: FencingToken,
     next_number: u64,
     engines: BTreeMap<String, EngineState>,
     pending: BTreeMap<OrderId, PendingOrder>,
@@ -41,7 +41,7 @@
 
 impl OrderTable {
     /// The orders of the holder with number `fence`; none yet.
-    pub fn new(settings: OrderSettings, fence: FenceNumber, now: ClockTime) -> Self {
+    pub fn new(settings: OrderSettings, fence: FencingToken, now: ClockTime) -> Self {
         Self {
             settings,
             fence,
--- a/crates/ragwortroad_state/src/state_command.rs
+++ b/crates/ragwortroad_state/src/state_command.rs
@@ -47,7 +47,7 @@
     /// The holder plans what engines shall be.
     Plan {
         /// The holder's number.
-        fence: FenceNumber,
+        fence: FencingToken,
         /// Targets by engine; none where it is no longer planned for.
         targets: Vec<(String, Option<EngineTarget>)>,
     },
--- a/crates/ragwortroad_state/tests/engine_orders.rs
+++ b/crates/ragwortroad_state/tests/engine_orders.rs
@@ -65,8 +65,8 @@
     };
     let mut lease = LeaseTableProbe::default();
     let mut holders: Vec<PausedHolder> = Vec::new();
-    let mut wire: Vec<(u64, FenceNumber, bool)> = Vec::new();
-    let mut highest = [FenceNumber(0); 2];
+    let mut wire: Vec<(u64, FencingToken, bool)> = Vec::new();
+    let mut highest = [FencingToken(0); 2];
     let (mut true_ms, mut effects, mut broken) = (0, 0, false);
     for _ in 0..3000 {
         true_ms += draw.below(60);
@@ -138,7 +138,7 @@
 struct LeaseTableProbe(FleetState);
 
 impl LeaseTableProbe {
-    fn grant(&mut self) -> FenceNumber {
+    fn grant(&mut self) -> FencingToken {
         let action = StateAction::TakeOrders { holder: NodeId(1) };
         let index = self.0.applied() + 1;
         match self
@@ -237,7 +237,7 @@
             rate,
             ..OrderSettings::default()
         };
-        let mut table = OrderTable::new(settings, FenceNumber(3), ClockTime(0));
+        let mut table = OrderTable::new(settings, FencingToken(3), ClockTime(0));
         let mut engines: BTreeMap<String, (EngineSight, EngineRole)> = BTreeMap::new();
         let mut late: Vec<EngineOrder> = Vec::new();
         for number in 0..5 {
@@ -300,7 +300,7 @@
         assert_eq!(table.due(ClockTime(now + 60_000), |_| true, |_| 500), []);
         assert_eq!(table.pending().count(), 0);
         assert!(!table.answered(OrderId {
-            fence: FenceNumber(2),
+            fence: FencingToken(2),
             number: 1
         }));
     }
@@ -324,7 +324,7 @@
 #[test]
 fn a_drain_of_a_former_holder_is_ended_by_the_next() {
     let now = ClockTime::ZERO;
-    let mut table = OrderTable::new(OrderSettings::default(), FenceNumber(2), now);
+    let mut table = OrderTable::new(OrderSettings::default(), FencingToken(2), now);
     table.plan("engine", target("caption", "v1"), 0);
     table.observe(
         "engine",
--- a/crates/ragwortroad_state/tests/state_replay.rs
+++ b/crates/ragwortroad_state/tests/state_replay.rs
@@ -103,7 +103,7 @@
             holder: NodeId(draw.below(3)),
         },
         4 => StateAction::Plan {
-            fence: FenceNumber(draw.below(3) + state.lease().fence().0 - 1),
+            fence: FencingToken(draw.below(3) + state.lease().fence().0 - 1),
             targets: vec![("engine".to_owned(), Some(EngineTarget::default()))],
         },
         _ => {
--- a/crates/ragwortroad_timeline/src/fleet_event.rs
+++ b/crates/ragwortroad_timeline/src/fleet_event.rs
@@ -34,7 +34,7 @@
     pub term: Option<u64>,
     /// Fencing number of an order or lease.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub fence: Option<FenceNumber>,
+    pub fence: Option<FencingToken>,
     /// The request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
--- a/crates/ragwortroad_timeline/tests/forms.rs
+++ b/crates/ragwortroad_timeline/tests/forms.rs
@@ -65,7 +65,7 @@
         },
         FleetEvent {
             term: Some(4),
-            fence: Some(FenceNumber(8)),
+            fence: Some(FencingToken(8)),
             ..at(16_000, EventKind::LeaseGranted)
         },
         of_request(16_100, EventKind::RequestAdmitted),
--- a/crates/ragwortroad_types/src/address_answer.rs
+++ b/crates/ragwortroad_types/src/address_response.rs
@@ -6,7 +6,7 @@
 /// The answer to a caller's question which addresses to use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct AddressAnswer {
+pub struct AddressResponse {
     /// `IP:port` of nodes, best first.
     pub addresses: Vec<String>,
     /// Milliseconds the caller may keep the answer.
--- a/crates/ragwortroad_types/src/announce_answer.rs
+++ b/crates/ragwortroad_types/src/announce_response.rs
@@ -6,7 +6,7 @@
 /// The answer to an endpoint's announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct AnnounceAnswer {
+pub struct AnnounceResponse {
     /// `IP:port` of the nodes to announce to from now on, the home node first.
     pub announce_to: Vec<String>,
     /// Milliseconds until the next announcement is wanted.
--- a/crates/ragwortroad_types/src/announce_wire.rs
+++ b/crates/ragwortroad_types/src/announce_wire.rs
@@ -13,7 +13,7 @@
 /// What an endpoint tells the fleet of itself, as the JSON body of `POST /v1/announce`.
 ///
 /// An endpoint announces itself to one node at a time: the first of the addresses in the last
-/// [`AnnounceAnswer`](crate::AnnounceAnswer), and the next one when that does not answer.
+/// [`AnnounceResponse`](crate::AnnounceResponse), and the next one when that does not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AnnounceWire {
--- a/crates/ragwortroad_types/src/fence_number.rs
+++ b/crates/ragwortroad_types/src/fencing_token.rs
@@ -8,9 +8,9 @@
 /// Fencing number of an order to an endpoint: grows with every change of who may give orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct FenceNumber(pub u64);
+pub struct FencingToken(pub u64);
 
-impl fmt::Display for FenceNumber {
+impl fmt::Display for FencingToken {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.0)
     }
--- a/crates/ragwortroad_types/src/lib.rs
+++ b/crates/ragwortroad_types/src/lib.rs
@@ -10,8 +10,8 @@
 //! assert_ne!(chat, ChatKey::from_parts("studio-south", "chat-17"));
 //! ```
 
-mod address_answer;
-mod announce_answer;
+mod address_response;
+mod announce_response;
 mod announce_wire;
 mod cache_event;
 mod chat_body;
@@ -19,7 +19,7 @@
 mod clock_time;
 mod endpoint_id;
 mod endpoint_kind;
-mod fence_number;
+mod fencing_token;
 mod load_report;
 mod model_offer;
 mod node_id;
@@ -33,8 +33,8 @@
 /// Everything a dependent crate usually needs.
 pub mod prelude {
     pub use crate::{
-        address_answer::AddressAnswer,
-        announce_answer::AnnounceAnswer,
+        address_response::AddressResponse,
+        announce_response::AnnounceResponse,
         announce_wire::AnnounceWire,
         cache_event::{
             CacheChange,
@@ -48,7 +48,7 @@
         clock_time::ClockTime,
         endpoint_id::EndpointId,
         endpoint_kind::EndpointKind,
-        fence_number::FenceNumber,
+        fencing_token::FencingToken,
         load_report::LoadReport,
         model_offer::ModelOffer,
         node_id::NodeId,
--- a/crates/ragwortroad_types/src/order_wire.rs
+++ b/crates/ragwortroad_types/src/order_wire.rs
@@ -4,7 +4,7 @@
 };
 
 use crate::{
-    FenceNumber,
+    FencingToken,
     ModelOffer, //
 };
 
@@ -16,7 +16,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct OrderWire {
     /// The fencing number of whoever gives the order.
-    pub fence: FenceNumber,
+    pub fence: FencingToken,
     /// Counts up with each order under one fencing number; a resend has the same.
     #[serde(default)]
     pub number: u64,
