--- a/crates/ragwortroad_clock/src/real_clock.rs
+++ b/crates/ragwortroad_clock/src/real_clock.rs
@@ -18,7 +18,7 @@
 }
 
 impl RealClock {
-    /// A clock that reads [`Self::LEAD`] now.
+    /// A clock that reads [`Self::START_OFFSET`] now.
     pub fn start() -> Self {
         Self { start: boot_time() }
     }
@@ -27,7 +27,7 @@
     ///
     /// Pure crates subtract spans from readings; with a start at zero those differences would be
     /// cut off at zero and something that never happened would look recent.
-    const LEAD: Duration = Duration::from_secs(3600);
+    const START_OFFSET: Duration = Duration::from_secs(3600);
 
     /// Time that never goes back and goes on while the VM is suspended.
     ///
@@ -35,7 +35,7 @@
     /// find its lease still running when it wakes up, with another leader long elected.
     pub fn now(&self) -> ClockTime {
         let elapsed = boot_time().saturating_sub(self.start);
-        ClockTime::ZERO.after(Self::LEAD + elapsed)
+        ClockTime::ZERO.after(Self::START_OFFSET + elapsed)
     }
 
     /// Milliseconds since 1970, which may jump; only for people and for the hybrid logical clock.
--- a/crates/ragwortroad_consensus/examples/group_cost.rs
+++ b/crates/ragwortroad_consensus/examples/group_cost.rs
@@ -18,7 +18,7 @@
     SimWorld, //
 };
 
-fn calm_world(seed: u64, nodes: usize) -> SimWorld {
+fn fault_free_world(seed: u64, nodes: usize) -> SimWorld {
     let mut world = SimWorld::new(SimPlan {
         seed,
         nodes,
@@ -27,14 +27,14 @@
         core: CoreSettings::default(),
         ..SimPlan::default()
     });
-    world.is_calm = true;
+    world.is_fault_free = true;
     world.run_until(8_000_000);
     world
 }
 
-fn acting(world: &SimWorld) -> Option<usize> {
+fn acting_node(world: &SimWorld) -> Option<usize> {
     (0..world.nodes.len()).find(|&node| {
-        let now = world.local(node);
+        let now = world.local_time(node);
         let target = &world.nodes[node];
         !target.is_paused
             && target
@@ -68,7 +68,7 @@
 }
 
 fn quiet(nodes: usize) {
-    let mut world = calm_world(1, nodes);
+    let mut world = fault_free_world(1, nodes);
     let before = world.counts.clone();
     world.run_until(68_000_000);
     let messages = (world.counts.messages - before.messages) as f64 / 60.0;
@@ -78,8 +78,8 @@
 }
 
 fn busy(nodes: usize) {
-    let mut world = calm_world(1, nodes);
-    let Some(leader) = acting(&world) else {
+    let mut world = fault_free_world(1, nodes);
+    let Some(leader) = acting_node(&world) else {
         return println!("  no leader");
     };
     let before = world.counts.clone();
@@ -106,17 +106,17 @@
     let lease = CoreSettings::default().lease_span().as_millis() as f64;
     let mut spans = Vec::new();
     for seed in 0..300 {
-        let mut world = calm_world(seed, nodes);
-        let begun = world.now_us + seed * 1003;
-        world.run_until(begun);
-        let Some(leader) = acting(&world) else {
+        let mut world = fault_free_world(seed, nodes);
+        let started_us = world.now_us + seed * 1003;
+        world.run_until(started_us);
+        let Some(leader) = acting_node(&world) else {
             continue;
         };
         end(&mut world, leader);
-        while acting(&world).is_none() {
+        while acting_node(&world).is_none() {
             world.run_until(world.now_us + 1000);
         }
-        spans.push((world.now_us - begun) as f64 / 1000.0 / lease);
+        spans.push((world.now_us - started_us) as f64 / 1000.0 / lease);
     }
     spans.sort_unstable_by(f64::total_cmp);
     let at = |percent: usize| spans[(spans.len() - 1) * percent / 100];
@@ -130,13 +130,13 @@
 }
 
 fn catch_up(missed: u64) {
-    let mut world = calm_world(3, 3);
-    let Some(leader) = acting(&world) else {
+    let mut world = fault_free_world(3, 3);
+    let Some(leader) = acting_node(&world) else {
         return println!("  no leader");
     };
-    let late = (leader + 1) % 3;
-    world.nodes[late].process = None;
-    world.nodes[late].epoch += 1;
+    let lagging = (leader + 1) % 3;
+    world.nodes[lagging].process = None;
+    world.nodes[lagging].epoch += 1;
     for _ in 0..missed.div_ceil(100) {
         for _ in 0..100 {
             let token = world.token();
@@ -150,13 +150,13 @@
         core.map_or(0, ConsensusCore::commit_index)
     };
     let target = commit(&world, leader);
-    let begun = world.now_us;
+    let started_us = world.now_us;
     let before = world.counts.message_bytes;
-    world.start(late);
-    while commit(&world, late) < target {
+    world.start(lagging);
+    while commit(&world, lagging) < target {
         world.run_until(world.now_us + 1000);
     }
-    let span = (world.now_us - begun) / 1000;
+    let span = (world.now_us - started_us) / 1000;
     let bytes = world.counts.message_bytes - before;
     println!("  {missed} missed: {span} ms, {bytes} bytes");
 }
--- a/crates/ragwortroad_consensus/src/applying.rs
+++ b/crates/ragwortroad_consensus/src/commit_apply.rs
@@ -20,7 +20,7 @@
     fn apply_next(&mut self) {
         let index = self.applied + 1;
         let Some(entry) = self.log.entry(index) else {
-            return self.stop_applying();
+            return self.fail_apply();
         };
         let term = entry.term;
         self.applied_bytes += entry.bytes.len();
@@ -36,20 +36,20 @@
             Ok(EntryPayload::Members(members)) => {
                 self.out.push(CoreAction::MembersChanged { index, members });
             }
-            Err(_) => return self.stop_applying(),
+            Err(_) => return self.fail_apply(),
         }
         self.applied = index;
-        self.finish_proposal(index, term);
+        self.complete_proposal(index, term);
     }
 
     /// An entry cannot be read: going on without it would fork the state.
-    fn stop_applying(&mut self) {
+    fn fail_apply(&mut self) {
         self.step_down();
         self.has_failed = true;
     }
 
-    fn finish_proposal(&mut self, index: u64, term: u64) {
-        let state = self.leading_mut();
+    fn complete_proposal(&mut self, index: u64, term: u64) {
+        let state = self.leader_state_mut();
         let token = state.and_then(|state| state.proposals.remove(&index));
         if let Some(token) = token {
             let result = ProposeResult::Committed { index, term };
@@ -59,12 +59,12 @@
 
     /// Asks for a snapshot if one is due, as the last action of an input: the state that the
     /// caller then has is the one after `applied`.
-    pub(crate) fn want_snapshot(&mut self) {
+    pub(crate) fn request_snapshot_if_due(&mut self) {
         let since = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let is_due = self.applied - since >= self.settings.snapshot_threshold_entries
             || self.applied_bytes >= self.settings.snapshot_threshold_bytes;
-        if is_due && !self.snapshot_wanted {
-            self.snapshot_wanted = true;
+        if is_due && !self.snapshot_requested {
+            self.snapshot_requested = true;
             let index = self.applied;
             self.out.push(CoreAction::TakeSnapshot { index });
         }
--- a/crates/ragwortroad_consensus/src/consensus_core.rs
+++ b/crates/ragwortroad_consensus/src/consensus_core.rs
@@ -28,12 +28,12 @@
     MemberState,
     PeerFrame,
     PeerMessage,
-    PersistGate,
+    PersistBarrier,
     ProposeResult,
     RestartCheck,
     SnapshotAssembly,
     StartTable,
-    persist_gate::HeldEffect, //
+    persist_barrier::DeferredEffect, //
 };
 
 /// One member of a group that agrees on a log, as pure state.
@@ -62,14 +62,14 @@
     pub(crate) applied: u64,
     /// Bytes of the entries applied since the last snapshot.
     pub(crate) applied_bytes: usize,
-    pub(crate) snapshot_wanted: bool,
+    pub(crate) snapshot_requested: bool,
     /// The log equals the leader's up to here.
     ///
     /// A heartbeat's commit index says nothing about entries beyond: they may be leftovers of an
     /// earlier term, and applying one would fork the state.
-    pub(crate) agreed: u64,
+    pub(crate) leader_match_index: u64,
     pub(crate) state: MemberState,
-    pub(crate) gate: PersistGate,
+    pub(crate) barrier: PersistBarrier,
     pub(crate) check: RestartCheck,
     pub(crate) starts: StartTable,
     /// The disk has been told that it is not older than what was acknowledged.
@@ -78,7 +78,7 @@
     /// Before this, no vote is given: a leader may rely on this member for its lease.
     pub(crate) no_vote_until: ClockTime,
     /// When an election starts if nothing is heard.
-    pub(crate) election_at: ClockTime,
+    pub(crate) election_deadline: ClockTime,
     /// A write failed; this member promises nothing any more.
     pub(crate) has_failed: bool,
     pub(crate) out: Vec<CoreAction>,
@@ -91,26 +91,26 @@
     /// of an earlier one would not fit the log.
     pub fn handle(&mut self, input: CoreInput, now: ClockTime) -> Vec<CoreAction> {
         if self.has_failed {
-            self.refuse(input);
+            self.reject_input(input);
         } else {
-            self.take(input, now);
+            self.dispatch(input, now);
             self.flush(now);
         }
         std::mem::take(&mut self.out)
     }
 
-    fn take(&mut self, input: CoreInput, now: ClockTime) {
+    fn dispatch(&mut self, input: CoreInput, now: ClockTime) {
         match input {
             CoreInput::Tick => self.tick(now),
-            CoreInput::Frame(frame) => self.take_frame(frame, now),
+            CoreInput::Frame(frame) => self.handle_frame(frame, now),
             CoreInput::Propose { token, command } => self.propose(token, command, now),
-            CoreInput::ReadRequest { token } => self.read(token, now),
-            CoreInput::Persisted { batch } => self.gate.persisted(batch),
-            CoreInput::PersistFailed => self.fail(),
-            CoreInput::SnapshotTaken { index, bytes } => self.take_snapshot(index, bytes),
+            CoreInput::ReadRequest { token } => self.request_read(token, now),
+            CoreInput::Persisted { batch } => self.barrier.mark_persisted(batch),
+            CoreInput::PersistFailed => self.handle_persist_failure(),
+            CoreInput::SnapshotTaken { index, bytes } => self.compact_to_snapshot(index, bytes),
             CoreInput::ChangeMember { token, change } => self.change_member(token, &change, now),
-            CoreInput::PeerConnected { member } => self.send_lost(member, now),
-            CoreInput::TransferLeadership => self.hand_over(now),
+            CoreInput::PeerConnected { member } => self.resend_unacknowledged(member, now),
+            CoreInput::TransferLeadership => self.transfer_leadership(now),
             CoreInput::TrustDisk => self.check = RestartCheck::skipped(),
         }
     }
@@ -119,43 +119,43 @@
     fn flush(&mut self, now: ClockTime) {
         self.confirm_boot();
         loop {
-            if let Some((batch, mut change)) = self.gate.take_batch() {
-                if self.settings.breaks(InjectedBug::SkipVoteWrite) {
+            if let Some((batch, mut change)) = self.barrier.take_batch() {
+                if self.settings.has_bug(InjectedBug::SkipVoteWrite) {
                     change.vote = None;
                 }
                 self.out.push(CoreAction::Persist { batch, change });
-                if self.settings.breaks(InjectedBug::ActBeforeSync) {
-                    self.gate.persisted(batch);
+                if self.settings.has_bug(InjectedBug::ActBeforeSync) {
+                    self.barrier.mark_persisted(batch);
                 }
             }
-            let Some(effect) = self.gate.release() else {
+            let Some(effect) = self.barrier.pop_ready() else {
                 break;
             };
-            self.do_held(effect, now);
+            self.run_effect(effect, now);
         }
-        self.want_snapshot();
+        self.request_snapshot_if_due();
     }
 
-    fn do_held(&mut self, effect: HeldEffect, now: ClockTime) {
+    fn run_effect(&mut self, effect: DeferredEffect, now: ClockTime) {
         match effect {
-            HeldEffect::Send(to, message) => self.send(to, message),
-            HeldEffect::OwnVote(term) => self.count_own_vote(term, now),
-            HeldEffect::OwnMatch(term, index) => self.count_own_match(term, index, now),
+            DeferredEffect::Send(to, message) => self.send(to, message),
+            DeferredEffect::OwnVote(term) => self.count_own_vote(term, now),
+            DeferredEffect::OwnMatch(term, index) => self.count_own_match(term, index, now),
         }
     }
 
-    fn take_frame(&mut self, frame: PeerFrame, now: ClockTime) {
+    fn handle_frame(&mut self, frame: PeerFrame, now: ClockTime) {
         if frame.to != self.id || frame.from == self.id {
             return;
         }
-        if !self.learn_start(frame.from, frame.start, now) {
+        if !self.observe_start(frame.from, frame.start, now) {
             return;
         }
-        self.take_message(frame.from, frame.message, now);
+        self.handle_message(frame.from, frame.message, now);
     }
 
     /// Answers an input after a failed write.
-    fn refuse(&mut self, input: CoreInput) {
+    fn reject_input(&mut self, input: CoreInput) {
         let leader = None;
         match input {
             CoreInput::Propose { token, .. } | CoreInput::ChangeMember { token, .. } => {
@@ -172,10 +172,10 @@
     /// A write failed: what reached the disk is unknown, so nothing more is promised from here.
     ///
     /// The process goes on; a new core may start once the folder has been opened anew.
-    fn fail(&mut self) {
+    fn handle_persist_failure(&mut self) {
         self.step_down();
         self.leader = None;
-        self.gate.clear();
+        self.barrier.clear();
         self.has_failed = true;
     }
 
@@ -189,38 +189,38 @@
     }
 
     /// Sends once everything changed so far is durable.
-    pub(crate) fn send_held(&mut self, to: MemberId, message: PeerMessage) {
-        self.gate.hold(HeldEffect::Send(to, message));
+    pub(crate) fn send_after_persist(&mut self, to: MemberId, message: PeerMessage) {
+        self.barrier.defer(DeferredEffect::Send(to, message));
     }
 
     /// An election starts an election timeout and some more from now, if nothing is heard.
-    pub(crate) fn draw_election(&mut self, now: ClockTime) {
+    pub(crate) fn reset_election_timer(&mut self, now: ClockTime) {
         let least = self.settings.election_timeout;
-        self.draw_within(now, least, least / 2);
+        self.set_election_deadline(now, least, least / 2);
     }
 
     /// The question who would vote binds nobody and is soon asked again: a member that heard the
     /// leader a little later says no only a little longer.
-    pub(crate) fn draw_pre_vote(&mut self, now: ClockTime) {
+    pub(crate) fn reset_pre_vote_timer(&mut self, now: ClockTime) {
         let least = self.settings.election_timeout / 8;
-        self.draw_within(now, least, least * 2);
+        self.set_election_deadline(now, least, least * 2);
     }
 
     /// Votes that split between candidates need another term.
     ///
     /// Without leases many members start at once after a common restart, and split votes are
     /// common: the next try comes sooner and is spread wider.
-    pub(crate) fn draw_vote(&mut self, now: ClockTime) {
+    pub(crate) fn reset_candidate_timer(&mut self, now: ClockTime) {
         let timeout = self.settings.election_timeout;
         match self.settings.uses_leader_lease {
-            true => self.draw_within(now, timeout / 2, timeout / 2),
-            false => self.draw_within(now, timeout / 8, timeout / 2),
+            true => self.set_election_deadline(now, timeout / 2, timeout / 2),
+            false => self.set_election_deadline(now, timeout / 8, timeout / 2),
         }
     }
 
-    fn draw_within(&mut self, now: ClockTime, least: Duration, spread: Duration) {
+    fn set_election_deadline(&mut self, now: ClockTime, least: Duration, spread: Duration) {
         let extra = self.rng.random_range(0..=spread.as_millis() as u64);
-        self.election_at = now.after(least).after(Duration::from_millis(extra));
+        self.election_deadline = now.after(least).after(Duration::from_millis(extra));
     }
 
     pub(crate) fn set_leader(&mut self, leader: Option<MemberId>) {
@@ -237,14 +237,14 @@
     }
 
     /// The state of the leader, if this member is one.
-    pub(crate) fn leading(&self) -> Option<&LeaderState> {
+    pub(crate) fn leader_state(&self) -> Option<&LeaderState> {
         match &self.state {
             MemberState::Leader(state) => Some(state),
             _ => None,
         }
     }
 
-    pub(crate) fn leading_mut(&mut self) -> Option<&mut LeaderState> {
+    pub(crate) fn leader_state_mut(&mut self) -> Option<&mut LeaderState> {
         match &mut self.state {
             MemberState::Leader(state) => Some(state),
             _ => None,
--- a/crates/ragwortroad_consensus/src/core_view.rs
+++ b/crates/ragwortroad_consensus/src/core_queries.rs
@@ -15,7 +15,7 @@
 };
 
 /// Stands for this member's own confirmation, which is always the latest.
-const OWN_ACK: ClockTime = ClockTime(u64::MAX);
+const SELF_ACKED_AT: ClockTime = ClockTime(u64::MAX);
 
 impl ConsensusCore {
     /// This member's identity.
@@ -45,7 +45,7 @@
     /// It moves on as heartbeats are confirmed; until it is reached no other member can have been
     /// elected, given the drift of the settings.
     pub fn lease_valid_until(&self) -> Option<ClockTime> {
-        let state = self.leading()?;
+        let state = self.leader_state()?;
         let acked = self.quorum_acked_at(state)?;
         Some(acked.after(self.settings.lease_span()))
     }
@@ -64,7 +64,10 @@
     ///
     /// Never where the settings rule leases out.
     pub fn may_act_as_leader(&self, now: ClockTime) -> bool {
-        let Some(state) = self.leading().filter(|_| self.settings.uses_leader_lease) else {
+        let Some(state) = self
+            .leader_state()
+            .filter(|_| self.settings.uses_leader_lease)
+        else {
             return false;
         };
         let is_current = self.commit >= state.first_index;
@@ -75,7 +78,7 @@
     pub(crate) fn quorum_acked_at(&self, state: &crate::LeaderState) -> Option<ClockTime> {
         let acked = |member: MemberId| {
             if member == self.id {
-                return Some(OWN_ACK);
+                return Some(SELF_ACKED_AT);
             }
             state
                 .progress
@@ -84,8 +87,12 @@
         };
         let reached = self.members().quorum_value(acked).flatten()?;
         // A leader that is a quorum by itself confirms its own messages as they leave.
-        let is_alone = reached == OWN_ACK;
-        Some(if is_alone { state.beat_at } else { reached })
+        let is_alone = reached == SELF_ACKED_AT;
+        Some(if is_alone {
+            state.heartbeat_sent_at
+        } else {
+            reached
+        })
     }
 
     /// Entries up to this index are durable on a quorum, as far as is known here.
@@ -125,7 +132,7 @@
 
     /// How far each other member's log is known to be durable, on a leader.
     pub fn match_indexes(&self) -> Vec<(MemberId, u64)> {
-        let progress = self.leading().map(|state| &state.progress);
+        let progress = self.leader_state().map(|state| &state.progress);
         let matches = progress.into_iter().flatten();
         matches
             .map(|(&member, progress)| (member, progress.match_index))
@@ -145,7 +152,7 @@
         if self.check.is_done {
             return Vec::new();
         }
-        self.check.silent(self.id)
+        self.check.unanswered(self.id)
     }
 
     /// Whether a write failed, so that only a new core on a reopened folder takes part again.
@@ -160,14 +167,14 @@
             return asked_at.after(every);
         }
         match &self.state {
-            MemberState::Leader(state) => state.beat_at.after(every),
-            _ => self.election_at,
+            MemberState::Leader(state) => state.heartbeat_sent_at.after(every),
+            _ => self.election_deadline,
         }
     }
 
     /// Whether a vote may be given at `now`, as far as a leader's lease goes.
     pub(crate) fn is_free_to_vote(&self, now: ClockTime) -> bool {
-        if self.settings.breaks(InjectedBug::VoteWithinLease) {
+        if self.settings.has_bug(InjectedBug::VoteWithinLease) {
             return true;
         }
         !self.is_leader() && now >= self.no_vote_until
--- a/crates/ragwortroad_consensus/src/core_settings.rs
+++ b/crates/ragwortroad_consensus/src/core_settings.rs
@@ -95,7 +95,7 @@
 }
 
 /// Readings are cut to whole milliseconds, so a span between two can be off by one at each end.
-const READING_ERROR: Duration = Duration::from_millis(2);
+const CLOCK_READING_ERROR: Duration = Duration::from_millis(2);
 
 impl CoreSettings {
     /// How long after sending a heartbeat that a quorum confirmed its sender may act as leader.
@@ -108,10 +108,10 @@
         let drift = u64::from(self.clock_drift_ppm).min(million);
         let full = self.election_timeout.as_micros() as u64;
         let span = full * (million - drift) / (million + drift);
-        Duration::from_micros(span).saturating_sub(READING_ERROR)
+        Duration::from_micros(span).saturating_sub(CLOCK_READING_ERROR)
     }
 
-    pub(crate) fn breaks(&self, rule: InjectedBug) -> bool {
-        self.injected_bug == Some(rule)
+    pub(crate) fn has_bug(&self, bug: InjectedBug) -> bool {
+        self.injected_bug == Some(bug)
     }
 }
--- a/crates/ragwortroad_consensus/src/core_new.rs
+++ b/crates/ragwortroad_consensus/src/core_startup.rs
@@ -26,7 +26,7 @@
     MemberId,
     MemberSet,
     MemberState,
-    PersistGate,
+    PersistBarrier,
     RestartCheck,
     StartTable,
     core_error::{
@@ -54,15 +54,15 @@
         }
         let is_unused = stored.snapshot.is_none() && stored.entries.is_empty();
         let log = EntryLog::new(base, stored.entries);
-        let is_own_word = stored.is_new || stored.is_same_boot;
-        let is_trusted = is_own_word || settings.trust_disk || start.initial_members.is_some();
+        let is_known_current = stored.is_new || stored.is_same_boot;
+        let is_trusted = is_known_current || settings.trust_disk || start.initial_members.is_some();
         let check = if is_trusted {
             RestartCheck::skipped()
         } else {
             RestartCheck::new(log.last(), history.latest().clone())
         };
         // A leader may rely for its lease on what this member promised before it restarted.
-        let promised = if stored.is_new || !settings.uses_leader_lease {
+        let votes_blocked_until = if stored.is_new || !settings.uses_leader_lease {
             now
         } else {
             now.after(settings.election_timeout)
@@ -80,57 +80,57 @@
             commit: base.index,
             applied: base.index,
             applied_bytes: 0,
-            snapshot_wanted: false,
-            agreed: base.index,
+            snapshot_requested: false,
+            leader_match_index: base.index,
             state: MemberState::Follower,
-            gate: PersistGate::default(),
+            barrier: PersistBarrier::default(),
             check,
             starts: StartTable::from_stored(&stored.starts),
             is_confirmed: false,
             assembly: None,
-            no_vote_until: promised,
-            election_at: now,
+            no_vote_until: votes_blocked_until,
+            election_deadline: now,
             has_failed: false,
             out: Vec::new(),
         };
         match core.settings.uses_leader_lease {
-            true => core.draw_election(now),
+            true => core.reset_election_timer(now),
             // To ask who would vote binds nobody, and a member that hears a leader says no.
-            false => core.draw_pre_vote(now),
+            false => core.reset_pre_vote_timer(now),
         }
         if let Some(founders) = start.initial_members {
             ensure!(is_unused, AlreadyBootstrappedSnafu);
             ensure!(founders.is_voter(core.id), NotInitialMemberSnafu);
-            core.found(founders, now);
+            core.append_bootstrap_entry(founders, now);
         }
-        core.restore();
-        core.say_hello(now);
+        core.emit_stored_snapshot();
+        core.send_hellos(now);
         let first = core.handle(crate::CoreInput::Tick, now);
         Ok((core, first))
     }
 
     /// Writes the first entry, as if this member had been elected in term 1.
-    fn found(&mut self, founders: MemberSet, now: ClockTime) {
+    fn append_bootstrap_entry(&mut self, founders: MemberSet, now: ClockTime) {
         let vote = VoteRecord {
             term: self.vote.term.max(1),
             voted_for: self.vote.voted_for.or(Some(self.id.0)),
         };
         self.vote = vote;
-        self.gate.change().vote = Some(vote);
+        self.barrier.change().vote = Some(vote);
         let payload = EntryPayload::Members(founders.clone());
         let entry = StoredEntry {
             index: 1,
             term: 1,
             bytes: payload.encode(),
         };
-        self.gate.change().entries.push(entry.clone());
+        self.barrier.change().entries.push(entry.clone());
         self.log.push(entry);
         self.members.push(1, founders);
-        self.election_at = now;
+        self.election_deadline = now;
     }
 
     /// Hands out the state of the stored snapshot.
-    fn restore(&mut self) {
+    fn emit_stored_snapshot(&mut self) {
         if let Some(snapshot) = &self.snapshot {
             let index = snapshot.index;
             let bytes = snapshot.bytes.clone();
--- a/crates/ragwortroad_consensus/src/election.rs
+++ b/crates/ragwortroad_consensus/src/election.rs
@@ -12,24 +12,24 @@
     PeerMessage,
     ProposeResult,
     VoteTally,
-    persist_gate::HeldEffect, //
+    persist_barrier::DeferredEffect, //
 };
 
 impl ConsensusCore {
     pub(crate) fn tick(&mut self, now: ClockTime) {
-        self.say_hello(now);
+        self.send_hellos(now);
         if self.is_leader() {
-            self.lead(now);
+            self.tick_leader(now);
         } else if self.may_campaign(now) {
             self.start_pre_vote(now);
-        } else if now >= self.election_at {
-            self.draw_election(now);
+        } else if now >= self.election_deadline {
+            self.reset_election_timer(now);
             self.set_leader(None);
         }
     }
 
     fn may_campaign(&self, now: ClockTime) -> bool {
-        let is_late = now >= self.election_at && now >= self.no_vote_until;
+        let is_late = now >= self.election_deadline && now >= self.no_vote_until;
         is_late && self.is_electable() && self.log.last() >= self.check.log_floor
     }
 
@@ -38,7 +38,7 @@
     /// A member that is cut off time and again would otherwise come back each time with a higher
     /// term and depose a leader that everybody else hears well.
     fn start_pre_vote(&mut self, now: ClockTime) {
-        self.draw_pre_vote(now);
+        self.reset_pre_vote_timer(now);
         self.set_leader(None);
         let mut tally = VoteTally::default();
         tally.granted.insert(self.id);
@@ -56,16 +56,16 @@
 
     /// Votes for itself and, once that is durable, asks the others.
     pub(crate) fn start_vote(&mut self, handover: bool, now: ClockTime) {
-        self.draw_vote(now);
+        self.reset_candidate_timer(now);
         self.set_leader(None);
-        self.agreed = self.commit;
+        self.leader_match_index = self.commit;
         let term = self.vote.term.saturating_add(1);
         self.set_vote(VoteRecord {
             term,
             voted_for: Some(self.id.0),
         });
         self.state = MemberState::Candidate(VoteTally::default());
-        self.gate.hold(HeldEffect::OwnVote(term));
+        self.barrier.defer(DeferredEffect::OwnVote(term));
         let last = self.log.last();
         for voter in self.other_voters() {
             let message = PeerMessage::Vote {
@@ -73,7 +73,7 @@
                 last,
                 handover,
             };
-            self.send_held(voter, message);
+            self.send_after_persist(voter, message);
         }
     }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    pub(crate) fn take_pre_vote(
+    pub(crate) fn handle_pre_vote(
         &mut self,
         from: MemberId,
         asked: u64,
@@ -100,7 +100,7 @@
         now: ClockTime,
     ) {
         let term = self.vote.term;
-        let granted = asked > term && self.is_free_to_vote(now) && self.is_new_enough(last);
+        let granted = asked > term && self.is_free_to_vote(now) && self.is_log_up_to_date(last);
         let reply = PeerMessage::PreVoteReply {
             asked,
             term,
@@ -109,7 +109,7 @@
         self.send(from, reply);
     }
 
-    pub(crate) fn take_pre_vote_reply(
+    pub(crate) fn handle_pre_vote_reply(
         &mut self,
         from: MemberId,
         asked: u64,
@@ -131,7 +131,7 @@
     ///
     /// A leader that hands over has stopped acting before it asked for the election, so there is
     /// no lease to wait for.
-    pub(crate) fn take_vote(
+    pub(crate) fn handle_vote(
         &mut self,
         from: MemberId,
         term: u64,
@@ -145,9 +145,10 @@
         if term > self.vote.term {
             self.adopt_term(term, now);
         }
-        let granted = term == self.vote.term && self.may_vote_for(from) && self.is_new_enough(last);
+        let granted =
+            term == self.vote.term && self.may_vote_for(from) && self.is_log_up_to_date(last);
         if granted {
-            self.draw_election(now);
+            self.reset_election_timer(now);
             self.set_vote(VoteRecord {
                 term,
                 voted_for: Some(from.0),
@@ -156,9 +157,9 @@
         let reply = PeerMessage::VoteReply {
             term: self.vote.term,
             granted,
-            starts: self.starts.wire(from, self.members.latest()),
+            starts: self.starts.starts_for(from, self.members.latest()),
         };
-        self.send_held(from, reply);
+        self.send_after_persist(from, reply);
     }
 
     fn may_vote_for(&self, candidate: MemberId) -> bool {
@@ -168,17 +169,17 @@
         }
     }
 
-    fn is_new_enough(&self, last: LogPosition) -> bool {
+    fn is_log_up_to_date(&self, last: LogPosition) -> bool {
         last >= self.log.last() && last >= self.check.log_floor
     }
 
-    pub(crate) fn take_vote_reply(&mut self, from: MemberId, granted: bool, now: ClockTime) {
+    pub(crate) fn handle_vote_reply(&mut self, from: MemberId, granted: bool, now: ClockTime) {
         if granted {
             self.count_vote(from, now);
         }
     }
 
-    pub(crate) fn take_handover(&mut self, from: MemberId, now: ClockTime) {
+    pub(crate) fn handle_handover(&mut self, from: MemberId, now: ClockTime) {
         let is_from_leader = self.leader == Some(from);
         let is_new = self.log.last() >= self.check.log_floor;
         if is_from_leader && is_new && self.is_electable() {
@@ -190,8 +191,8 @@
     pub(crate) fn adopt_term(&mut self, term: u64, now: ClockTime) {
         self.step_down();
         self.set_leader(None);
-        self.agreed = self.commit;
-        self.draw_election(now);
+        self.leader_match_index = self.commit;
+        self.reset_election_timer(now);
         self.set_vote(VoteRecord {
             term,
             voted_for: None,
@@ -201,7 +202,7 @@
     pub(crate) fn set_vote(&mut self, vote: VoteRecord) {
         if self.vote != vote {
             self.vote = vote;
-            self.gate.change().vote = Some(vote);
+            self.barrier.change().vote = Some(vote);
         }
     }
 
--- a/crates/ragwortroad_consensus/src/entry_log.rs
+++ b/crates/ragwortroad_consensus/src/entry_log.rs
@@ -66,7 +66,7 @@
     }
 
     /// The first index of the run of entries that have the same term as the one at `index`.
-    pub(crate) fn first_of_term(&self, index: u64) -> u64 {
+    pub(crate) fn first_index_of_term(&self, index: u64) -> u64 {
         let term = self.term_at(index);
         let mut first = index;
         while first > self.base.index && self.term_at(first - 1) == term {
--- a/crates/ragwortroad_consensus/src/following.rs
+++ b/crates/ragwortroad_consensus/src/following.rs
@@ -15,7 +15,7 @@
 
 impl ConsensusCore {
     /// Takes a message of the leader of the term at hand.
-    pub(crate) fn take_from_leader(
+    pub(crate) fn handle_leader_message(
         &mut self,
         from: MemberId,
         message: PeerMessage,
@@ -27,37 +27,37 @@
         self.step_down();
         self.set_leader(Some(from));
         self.no_vote_until = now.after(self.settings.election_timeout);
-        self.draw_election(now);
+        self.reset_election_timer(now);
         match message {
             PeerMessage::Heartbeat {
                 commit, sent_at, ..
-            } => self.take_heartbeat(from, commit, sent_at),
+            } => self.handle_heartbeat(from, commit, sent_at),
             PeerMessage::Append {
                 prev,
                 commit,
                 sent_at,
                 entries,
                 ..
-            } => self.take_append(from, prev, commit, sent_at, entries),
-            PeerMessage::Chunk(chunk) => self.take_chunk(from, chunk),
+            } => self.handle_append(from, prev, commit, sent_at, entries),
+            PeerMessage::Chunk(chunk) => self.handle_chunk(from, chunk),
             _ => {}
         }
     }
 
-    fn take_heartbeat(&mut self, from: MemberId, commit: u64, sent_at: ClockTime) {
-        self.commit_to(commit.min(self.agreed));
+    fn handle_heartbeat(&mut self, from: MemberId, commit: u64, sent_at: ClockTime) {
+        self.commit_to(commit.min(self.leader_match_index));
         let term = self.vote.term;
         let reply = PeerMessage::HeartbeatReply { term, sent_at };
         // The answer depends on nothing but the term: waiting for entries would cost the leader
         // its lease whenever a disk is slow.
-        if self.gate.is_vote_durable() {
+        if self.barrier.is_vote_durable() {
             self.send(from, reply);
         } else {
-            self.send_held(from, reply);
+            self.send_after_persist(from, reply);
         }
     }
 
-    fn take_append(
+    fn handle_append(
         &mut self,
         from: MemberId,
         prev: LogPosition,
@@ -73,8 +73,8 @@
             None => {
                 let matched = prev.index + entries.len() as u64;
                 self.merge_entries(prev.index, entries);
-                self.agreed = self.agreed.max(matched);
-                self.commit_to(commit.min(self.agreed));
+                self.leader_match_index = self.leader_match_index.max(matched);
+                self.commit_to(commit.min(self.leader_match_index));
                 AppendOutcome::Matched(matched)
             }
         };
@@ -91,9 +91,9 @@
             term: self.vote.term,
             sent_at,
             outcome,
-            starts: self.starts.wire(to, self.members.latest()),
+            starts: self.starts.starts_for(to, self.members.latest()),
         };
-        self.send_held(to, reply);
+        self.send_after_persist(to, reply);
     }
 
     /// Where the logs may agree, if `prev` is not in this one.
@@ -106,7 +106,7 @@
         match self.log.term_at(prev.index) {
             Some(term) if term == prev.term => None,
             Some(_) => {
-                let first = self.log.first_of_term(prev.index);
+                let first = self.log.first_index_of_term(prev.index);
                 Some((first - 1).max(self.commit))
             }
             None => Some(self.log.last().index),
@@ -133,14 +133,14 @@
     fn drop_entries(&mut self, from: u64) {
         self.log.truncate_from(from);
         self.members.truncate_from(from);
-        self.gate.change().truncate_from = Some(from);
+        self.barrier.change().truncate_from = Some(from);
     }
 
     fn add_entry(&mut self, entry: StoredEntry) {
         if let Ok(EntryPayload::Members(set)) = EntryPayload::decode(&entry.bytes) {
             self.members.push(entry.index, set);
         }
-        self.gate.change().entries.push(entry.clone());
+        self.barrier.change().entries.push(entry.clone());
         self.log.push(entry);
     }
 }
--- a/crates/ragwortroad_consensus/src/leader_state.rs
+++ b/crates/ragwortroad_consensus/src/leader_state.rs
@@ -22,13 +22,13 @@
     /// When the leader was elected.
     pub(crate) since: ClockTime,
     /// When the last heartbeats left.
-    pub(crate) beat_at: ClockTime,
+    pub(crate) heartbeat_sent_at: ClockTime,
     /// Tokens of proposals, by the index of their entry.
     pub(crate) proposals: BTreeMap<u64, u64>,
     /// Reads that wait for proof, oldest first.
     pub(crate) reads: VecDeque<PendingRead>,
     /// Until when to look for a member to hand over to.
-    pub(crate) handover_until: Option<ClockTime>,
+    pub(crate) transfer_deadline: Option<ClockTime>,
 }
 
 /// A read that waits for proof that it is current.
--- a/crates/ragwortroad_consensus/src/leading.rs
+++ b/crates/ragwortroad_consensus/src/leading.rs
@@ -17,7 +17,7 @@
     PeerMessage,
     PendingRead,
     ProposeResult,
-    persist_gate::HeldEffect, //
+    persist_barrier::DeferredEffect, //
 };
 
 impl ConsensusCore {
@@ -33,45 +33,45 @@
             progress,
             first_index: next_index,
             since: now,
-            beat_at: now,
+            heartbeat_sent_at: now,
             ..LeaderState::default()
         }));
-        self.agreed = next_index;
+        self.leader_match_index = next_index;
         self.set_leader(Some(self.id));
-        self.append_own(&EntryPayload::Noop, now);
+        self.append_as_leader(&EntryPayload::Noop, now);
     }
 
     /// What a leader does as time passes.
-    pub(crate) fn lead(&mut self, now: ClockTime) {
-        if self.is_cut_off(now) {
+    pub(crate) fn tick_leader(&mut self, now: ClockTime) {
+        if self.has_lost_quorum(now) {
             self.step_down();
             self.set_leader(None);
-            return self.draw_election(now);
+            return self.reset_election_timer(now);
         }
-        self.try_hand_over(now);
+        self.try_transfer_leadership(now);
         self.resend_stalled(now);
-        self.beat(now);
-        self.finish_reads(now);
+        self.send_heartbeats(now);
+        self.complete_reads(now);
     }
 
     /// No quorum has been heard for an election timeout: others may have elected a leader by now,
     /// and callers should look for it.
-    fn is_cut_off(&self, now: ClockTime) -> bool {
-        self.leading().is_some_and(|state| {
+    fn has_lost_quorum(&self, now: ClockTime) -> bool {
+        self.leader_state().is_some_and(|state| {
             let heard = self.quorum_acked_at(state).unwrap_or(state.since);
             now >= heard.max(state.since).after(self.settings.election_timeout)
         })
     }
 
-    fn beat(&mut self, now: ClockTime) {
+    fn send_heartbeats(&mut self, now: ClockTime) {
         let every = self.settings.heartbeat_interval;
-        let Some(state) = self.leading_mut() else {
+        let Some(state) = self.leader_state_mut() else {
             return;
         };
-        if now < state.beat_at.after(every) {
+        if now < state.heartbeat_sent_at.after(every) {
             return;
         }
-        state.beat_at = now;
+        state.heartbeat_sent_at = now;
         let members: Vec<_> = state.progress.keys().copied().collect();
         for member in members {
             self.send_heartbeat(member, now);
@@ -81,27 +81,27 @@
     fn send_heartbeat(&mut self, member: MemberId, now: ClockTime) {
         let term = self.vote.term;
         let commit = self.commit;
-        let state = self.leading_mut();
+        let state = self.leader_state_mut();
         let Some(progress) = state.and_then(|state| state.progress.get_mut(&member)) else {
             return;
         };
-        progress.told_commit = commit.min(progress.match_index);
+        progress.notified_commit = commit.min(progress.match_index);
         let message = PeerMessage::Heartbeat {
             term,
-            commit: progress.told_commit,
+            commit: progress.notified_commit,
             sent_at: now,
         };
         self.send(member, message);
     }
 
     /// Adds an entry of its own term; returns its index.
-    pub(crate) fn append_own(&mut self, payload: &EntryPayload, now: ClockTime) -> u64 {
+    pub(crate) fn append_as_leader(&mut self, payload: &EntryPayload, now: ClockTime) -> u64 {
         let term = self.vote.term;
         let index = self.log.last().index + 1;
         let bytes = payload.encode();
         let entry = StoredEntry { index, term, bytes };
-        self.gate.change().entries.push(entry.clone());
-        self.gate.hold(HeldEffect::OwnMatch(term, index));
+        self.barrier.change().entries.push(entry.clone());
+        self.barrier.defer(DeferredEffect::OwnMatch(term, index));
         self.log.push(entry);
         if let EntryPayload::Members(set) = payload {
             self.members.push(index, set.clone());
@@ -114,20 +114,20 @@
         let max_bytes = self.settings.max_command_bytes;
         let max_proposals = self.settings.max_proposals;
         let leader = self.leader;
-        let refusal = match self.leading() {
+        let refusal = match self.leader_state() {
             None => Some(ProposeResult::NotLeader { leader }),
             Some(_) if command.len() > max_bytes => Some(ProposeResult::TooLarge),
             Some(state) => {
                 let is_full = state.proposals.len() >= max_proposals;
-                let is_leaving = state.handover_until.is_some();
-                (is_full || is_leaving).then_some(ProposeResult::Busy)
+                let is_transferring = state.transfer_deadline.is_some();
+                (is_full || is_transferring).then_some(ProposeResult::Busy)
             }
         };
         if let Some(result) = refusal {
             return self.out.push(CoreAction::ProposeDone { token, result });
         }
-        let index = self.append_own(&EntryPayload::Command(command), now);
-        if let Some(state) = self.leading_mut() {
+        let index = self.append_as_leader(&EntryPayload::Command(command), now);
+        if let Some(state) = self.leader_state_mut() {
             state.proposals.insert(index, token);
         }
     }
@@ -136,7 +136,7 @@
         if term != self.vote.term {
             return;
         }
-        if let Some(state) = self.leading_mut() {
+        if let Some(state) = self.leader_state_mut() {
             state.own_match = state.own_match.max(index);
             self.advance_commit(now);
         }
@@ -147,7 +147,7 @@
     /// An entry of an earlier term on a quorum can still be replaced by a later leader that never
     /// had it, so counting alone must not commit it.
     pub(crate) fn advance_commit(&mut self, now: ClockTime) {
-        let Some(state) = self.leading() else {
+        let Some(state) = self.leader_state() else {
             return;
         };
         let matched = |member: MemberId| match state.progress.get(&member) {
@@ -157,18 +157,18 @@
         };
         let reached = self.members().quorum_value(matched).unwrap_or(0);
         let is_own = self.log.term_at(reached) == Some(self.vote.term);
-        let may_commit = is_own || self.settings.breaks(InjectedBug::CommitOldTerms);
+        let may_commit = is_own || self.settings.has_bug(InjectedBug::CommitOldTerms);
         if reached > self.commit && may_commit {
             self.commit_to(reached);
-            self.tell_commit(now);
-            self.finish_reads(now);
+            self.notify_commit(now);
+            self.complete_reads(now);
         }
     }
 
     /// Tells members to which no entries are on their way, so that they apply at once, too.
-    fn tell_commit(&mut self, now: ClockTime) {
+    fn notify_commit(&mut self, now: ClockTime) {
         let commit = self.commit;
-        let Some(state) = self.leading() else {
+        let Some(state) = self.leader_state() else {
             return;
         };
         let idle = state
@@ -186,49 +186,51 @@
     /// The quorum's last answer commits, and those that come after it find nothing else to send.
     /// Told by the next heartbeat only, two of five registries served an old configuration for
     /// 0.15 s longer, and after a common restart none at all.
-    pub(crate) fn tell_late_commit(&mut self, member: MemberId, now: ClockTime) {
+    pub(crate) fn notify_late_commit(&mut self, member: MemberId, now: ClockTime) {
         let commit = self.commit;
-        let progress = self.leading().and_then(|state| state.progress.get(&member));
-        let is_untold = progress.is_some_and(|progress| {
+        let progress = self
+            .leader_state()
+            .and_then(|state| state.progress.get(&member));
+        let needs_notice = progress.is_some_and(|progress| {
             let known = commit.min(progress.match_index);
-            progress.in_flight == 0 && progress.told_commit < known
+            progress.in_flight == 0 && progress.notified_commit < known
         });
-        if is_untold {
+        if needs_notice {
             self.send_heartbeat(member, now);
         }
     }
 
-    pub(crate) fn take_ack(&mut self, from: MemberId, sent_at: ClockTime, now: ClockTime) {
+    pub(crate) fn handle_ack(&mut self, from: MemberId, sent_at: ClockTime, now: ClockTime) {
         let timeout = self.settings.election_timeout;
-        let state = self.leading_mut();
+        let state = self.leader_state_mut();
         let Some(progress) = state.and_then(|state| state.progress.get_mut(&from)) else {
             return;
         };
-        let is_back = progress.is_silent(timeout, now) && progress.active_at < now;
-        progress.acked(sent_at, now);
-        if is_back {
-            progress.send_again();
+        let has_recovered = progress.is_silent(timeout, now) && progress.last_active_at < now;
+        progress.record_ack(sent_at, now);
+        if has_recovered {
+            progress.reset_in_flight();
             self.send_entries(from, now);
         }
-        self.finish_reads(now);
+        self.complete_reads(now);
     }
 
-    pub(crate) fn read(&mut self, token: u64, now: ClockTime) {
+    pub(crate) fn request_read(&mut self, token: u64, now: ClockTime) {
         let max_reads = self.settings.max_reads;
         let leader = self.leader;
-        let state = self.leading_mut();
+        let state = self.leader_state_mut();
         let Some(state) = state.filter(|state| state.reads.len() < max_reads) else {
             return self.out.push(CoreAction::ReadRefused { token, leader });
         };
         let asked_at = now;
         state.reads.push_back(PendingRead { token, asked_at });
-        self.finish_reads(now);
+        self.complete_reads(now);
     }
 
     /// Answers reads that are proved: by the lease, or by a message that left after the read came
     /// and that a quorum has confirmed.
-    pub(crate) fn finish_reads(&mut self, now: ClockTime) {
-        let Some(state) = self.leading() else {
+    pub(crate) fn complete_reads(&mut self, now: ClockTime) {
+        let Some(state) = self.leader_state() else {
             return;
         };
         if self.commit < state.first_index || state.reads.is_empty() {
@@ -238,7 +240,7 @@
         let acked = self.quorum_acked_at(state);
         let index = self.commit;
         let mut ready = Vec::new();
-        if let Some(state) = self.leading_mut() {
+        if let Some(state) = self.leader_state_mut() {
             while let Some(read) = state.reads.front() {
                 if !has_lease && acked.is_none_or(|acked| acked <= read.asked_at) {
                     break;
--- a/crates/ragwortroad_consensus/src/lib.rs
+++ b/crates/ragwortroad_consensus/src/lib.rs
@@ -25,17 +25,16 @@
 //! # Ok::<(), CoreError>(())
 //! ```
 
-mod applying;
 mod bootstrap_table;
-mod changing;
+mod commit_apply;
 mod consensus_core;
 mod core_action;
 mod core_error;
 mod core_input;
-mod core_new;
+mod core_queries;
 mod core_settings;
 mod core_start;
-mod core_view;
+mod core_startup;
 mod election;
 mod entry_log;
 mod entry_payload;
@@ -50,13 +49,14 @@
 mod member_record;
 mod member_set;
 mod member_state;
+mod membership;
+mod message_handling;
 mod peer_frame;
 mod peer_message;
-mod persist_gate;
-mod receiving;
-mod rejoining;
+mod persist_barrier;
 mod replicating;
 mod restart_check;
+mod restart_queries;
 mod snapshot_assembly;
 mod snapshotting;
 mod start_table;
@@ -124,7 +124,7 @@
     MemberState,
     VoteTally, //
 };
-use persist_gate::PersistGate;
+use persist_barrier::PersistBarrier;
 use restart_check::RestartCheck;
 use snapshot_assembly::SnapshotAssembly;
 use start_table::StartTable;
--- a/crates/ragwortroad_consensus/src/member_progress.rs
+++ b/crates/ragwortroad_consensus/src/member_progress.rs
@@ -41,13 +41,13 @@
     /// Messages sent and not answered.
     pub(crate) in_flight: usize,
     /// When something was sent or answered last, for sending again.
-    pub(crate) active_at: ClockTime,
+    pub(crate) last_active_at: ClockTime,
     /// When the leader began to send to the member.
     pub(crate) since: ClockTime,
     /// When the latest confirmed message left.
     pub(crate) acked_at: Option<ClockTime>,
     /// Highest index that the member has been told is committed and that it has.
-    pub(crate) told_commit: u64,
+    pub(crate) notified_commit: u64,
 }
 
 impl MemberProgress {
@@ -57,10 +57,10 @@
             next_index,
             mode: SendMode::Probe,
             in_flight: 0,
-            active_at: now,
+            last_active_at: now,
             since: now,
             acked_at: None,
-            told_commit: 0,
+            notified_commit: 0,
         }
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Gives up on what is under way, and starts from what is known to have come.
-    pub(crate) fn send_again(&mut self) {
+    pub(crate) fn reset_in_flight(&mut self) {
         self.in_flight = 0;
         if matches!(self.mode, SendMode::Pipeline) {
             self.probe(self.match_index + 1);
@@ -80,7 +80,7 @@
     }
 
     /// The member has everything up to `index`.
-    pub(crate) fn matched(&mut self, index: u64) {
+    pub(crate) fn record_match(&mut self, index: u64) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -98,7 +98,7 @@
     }
 
     /// A message sent at `sent_at` has been confirmed.
-    pub(crate) fn acked(&mut self, sent_at: ClockTime, now: ClockTime) {
+    pub(crate) fn record_ack(&mut self, sent_at: ClockTime, now: ClockTime) {
         // A reading from the future can only come of a fault in the member; trusting it would
         // lengthen the lease.
         let sent_at = sent_at.min(now);
--- a/crates/ragwortroad_consensus/src/member_set.rs
+++ b/crates/ragwortroad_consensus/src/member_set.rs
@@ -76,7 +76,7 @@
     }
 
     /// The set after `change`.
-    pub(crate) fn changed(&self, change: &MemberChange) -> Result<Self, ChangeRefusal> {
+    pub(crate) fn with_change(&self, change: &MemberChange) -> Result<Self, ChangeRefusal> {
         let mut set = self.clone();
         match *change {
             MemberChange::AddLearner { member, node } => {
--- a/crates/ragwortroad_consensus/src/changing.rs
+++ b/crates/ragwortroad_consensus/src/membership.rs
@@ -39,11 +39,13 @@
         change: &MemberChange,
         now: ClockTime,
     ) -> Result<MemberSet, ChangeRefusal> {
-        let first_index = self.leading().map_or(u64::MAX, |state| state.first_index);
+        let first_index = self
+            .leader_state()
+            .map_or(u64::MAX, |state| state.first_index);
         if self.commit < first_index.max(self.members.latest_index()) {
             return Err(ChangeRefusal::ChangeUnderWay);
         }
-        let set = self.members().changed(change)?;
+        let set = self.members().with_change(change)?;
         match *change {
             MemberChange::Promote { member } if !self.has_caught_up(member, now) => {
                 Err(ChangeRefusal::NotCaughtUp)
@@ -60,69 +62,77 @@
     pub fn has_caught_up(&self, member: MemberId, now: ClockTime) -> bool {
         let last = self.log.last().index;
         let settings = &self.settings;
-        let progress = self.leading().and_then(|state| state.progress.get(&member));
+        let progress = self
+            .leader_state()
+            .and_then(|state| state.progress.get(&member));
         progress.is_some_and(|progress| {
             let acked = progress.acked_at;
-            let is_near = progress.match_index + settings.max_promotion_lag >= last;
-            let is_present = acked.is_some_and(|at| now < at.after(settings.election_timeout));
-            progress.match_index > 0 && is_near && is_present
+            let has_nearly_all = progress.match_index + settings.max_promotion_lag >= last;
+            let is_responsive = acked.is_some_and(|at| now < at.after(settings.election_timeout));
+            progress.match_index > 0 && has_nearly_all && is_responsive
         })
     }
 
     fn append_members(&mut self, token: u64, set: MemberSet, now: ClockTime) {
         let own = self.id;
         let next_index = self.log.last().index + 1;
-        if let Some(state) = self.leading_mut() {
+        if let Some(state) = self.leader_state_mut() {
             state
                 .progress
                 .retain(|member, _| set.find(*member).is_some());
             for record in set.records() {
-                let fresh = || MemberProgress::new(next_index, now);
-                state.progress.entry(record.member).or_insert_with(fresh);
+                let new_progress = || MemberProgress::new(next_index, now);
+                state
+                    .progress
+                    .entry(record.member)
+                    .or_insert_with(new_progress);
             }
             state.progress.remove(&own);
         }
-        let index = self.append_own(&EntryPayload::Members(set), now);
-        if let Some(state) = self.leading_mut() {
+        let index = self.append_as_leader(&EntryPayload::Members(set), now);
+        if let Some(state) = self.leader_state_mut() {
             state.proposals.insert(index, token);
         }
     }
 
     /// Starts to hand over to a member that has everything.
-    pub(crate) fn hand_over(&mut self, now: ClockTime) {
+    pub(crate) fn transfer_leadership(&mut self, now: ClockTime) {
         let until = now.after(self.settings.election_timeout);
-        if let Some(state) = self.leading_mut() {
-            state.handover_until = Some(until);
+        if let Some(state) = self.leader_state_mut() {
+            state.transfer_deadline = Some(until);
         }
-        self.try_hand_over(now);
+        self.try_transfer_leadership(now);
     }
 
     /// Hands over if some voter has all entries.
     ///
     /// The leader stops acting for good before it asks for the election, and so its lease is over
     /// and voters need not wait for it. If the request is lost, an ordinary election follows.
-    pub(crate) fn try_hand_over(&mut self, now: ClockTime) {
-        let Some(until) = self.leading().and_then(|state| state.handover_until) else {
+    pub(crate) fn try_transfer_leadership(&mut self, now: ClockTime) {
+        let Some(until) = self
+            .leader_state()
+            .and_then(|state| state.transfer_deadline)
+        else {
             return;
         };
         if now >= until {
-            if let Some(state) = self.leading_mut() {
-                state.handover_until = None;
+            if let Some(state) = self.leader_state_mut() {
+                state.transfer_deadline = None;
             }
             return;
         }
-        if let Some(heir) = self.find_heir() {
+        if let Some(transferee) = self.find_transferee() {
             let term = self.vote.term;
             self.step_down();
             self.set_leader(None);
-            self.draw_election(now);
-            self.send(heir, PeerMessage::Handover { term });
+            self.reset_election_timer(now);
+            self.send(transferee, PeerMessage::Handover { term });
         }
     }
 
-    fn find_heir(&self) -> Option<MemberId> {
+    fn find_transferee(&self) -> Option<MemberId> {
         let last = self.log.last().index;
-        let progress = &self.leading()?.progress;
+        let progress = &self.leader_state()?.progress;
         let voters = self.other_voters().into_iter();
         let complete = voters.filter_map(|voter| {
             let progress = progress.get(&voter)?;
--- a/crates/ragwortroad_consensus/src/receiving.rs
+++ b/crates/ragwortroad_consensus/src/message_handling.rs
@@ -9,34 +9,34 @@
     MemberStart,
     MemberState,
     PeerMessage,
-    start_table::StartNews, //
+    start_table::StartOrder, //
 };
 
 impl ConsensusCore {
-    pub(crate) fn take_message(&mut self, from: MemberId, message: PeerMessage, now: ClockTime) {
+    pub(crate) fn handle_message(&mut self, from: MemberId, message: PeerMessage, now: ClockTime) {
         let message = match message {
-            PeerMessage::Hello => return self.answer_hello(from),
+            PeerMessage::Hello => return self.handle_hello(from),
             reply @ PeerMessage::HelloReply { .. } => {
-                return self.take_hello_reply(from, reply, now);
+                return self.handle_hello_reply(from, reply, now);
             }
             other => other,
         };
         if !self.check.is_done {
-            return self.ask_stranger(from);
+            return self.query_unknown_member(from);
         }
         match message {
-            PeerMessage::PreVote { term, last } => self.take_pre_vote(from, term, last, now),
+            PeerMessage::PreVote { term, last } => self.handle_pre_vote(from, term, last, now),
             PeerMessage::Vote {
                 term,
                 last,
                 handover,
-            } => self.take_vote(from, term, last, handover, now),
-            other => self.take_termed(from, other, now),
+            } => self.handle_vote(from, term, last, handover, now),
+            other => self.handle_term_message(from, other, now),
         }
     }
 
     /// Takes a message that counts only within its sender's term.
-    fn take_termed(&mut self, from: MemberId, message: PeerMessage, now: ClockTime) {
+    fn handle_term_message(&mut self, from: MemberId, message: PeerMessage, now: ClockTime) {
         let Some(term) = message.term() else {
             return;
         };
@@ -44,22 +44,22 @@
             self.adopt_term(term, now);
         }
         if let PeerMessage::PreVoteReply { asked, granted, .. } = message {
-            return self.take_pre_vote_reply(from, asked, granted, now);
+            return self.handle_pre_vote_reply(from, asked, granted, now);
         }
         if term < self.vote.term {
-            return self.answer_late(from, &message);
+            return self.reply_stale_term(from, &message);
         }
         match message {
-            PeerMessage::HeartbeatReply { sent_at, .. } => self.take_ack(from, sent_at, now),
+            PeerMessage::HeartbeatReply { sent_at, .. } => self.handle_ack(from, sent_at, now),
             PeerMessage::AppendReply {
                 sent_at,
                 outcome,
                 starts,
                 ..
             } => {
-                self.learn_starts(&starts, now);
-                self.take_ack(from, sent_at, now);
-                self.take_append_reply(from, outcome, now);
+                self.observe_starts(&starts, now);
+                self.handle_ack(from, sent_at, now);
+                self.handle_append_reply(from, outcome, now);
             }
             PeerMessage::ChunkReply {
                 sent_at,
@@ -67,22 +67,22 @@
                 received,
                 ..
             } => {
-                self.take_ack(from, sent_at, now);
-                self.take_chunk_reply(from, index, received, now);
+                self.handle_ack(from, sent_at, now);
+                self.handle_chunk_reply(from, index, received, now);
             }
             PeerMessage::VoteReply {
                 granted, starts, ..
             } => {
-                self.learn_starts(&starts, now);
-                self.take_vote_reply(from, granted, now);
+                self.observe_starts(&starts, now);
+                self.handle_vote_reply(from, granted, now);
             }
-            PeerMessage::Handover { .. } => self.take_handover(from, now),
-            from_leader => self.take_from_leader(from, from_leader, now),
+            PeerMessage::Handover { .. } => self.handle_handover(from, now),
+            from_leader => self.handle_leader_message(from, from_leader, now),
         }
     }
 
     /// Tells a leader of an earlier term that there is a later one.
-    fn answer_late(&mut self, from: MemberId, message: &PeerMessage) {
+    fn reply_stale_term(&mut self, from: MemberId, message: &PeerMessage) {
         let sent_at = match message {
             PeerMessage::Heartbeat { sent_at, .. } | PeerMessage::Append { sent_at, .. } => {
                 *sent_at
@@ -95,30 +95,30 @@
     }
 
     /// Takes note of a member's start; whether its message counts.
-    pub(crate) fn learn_start(&mut self, member: MemberId, start: u64, now: ClockTime) -> bool {
-        match self.starts.learn(member, start) {
-            StartNews::Same => true,
-            StartNews::Older => self.settings.breaks(InjectedBug::CountOldStarts),
-            StartNews::Newer => {
-                if !self.settings.breaks(InjectedBug::CountOldStarts) {
-                    self.forget_promises(member, now);
+    pub(crate) fn observe_start(&mut self, member: MemberId, start: u64, now: ClockTime) -> bool {
+        match self.starts.observe(member, start) {
+            StartOrder::Same => true,
+            StartOrder::Older => self.settings.has_bug(InjectedBug::CountOldStarts),
+            StartOrder::Newer => {
+                if !self.settings.has_bug(InjectedBug::CountOldStarts) {
+                    self.discard_acks(member, now);
                 }
                 true
             }
         }
     }
 
-    pub(crate) fn learn_starts(&mut self, starts: &[MemberStart], now: ClockTime) {
+    pub(crate) fn observe_starts(&mut self, starts: &[MemberStart], now: ClockTime) {
         for known in starts {
             let is_member = self.members().find(known.member).is_some();
             if is_member && known.member != self.id {
-                self.learn_start(known.member, known.start, now);
+                self.observe_start(known.member, known.start, now);
             }
         }
     }
 
     /// Uncounts what `member` promised before its restart, and finds out what it has now.
-    fn forget_promises(&mut self, member: MemberId, now: ClockTime) {
+    fn discard_acks(&mut self, member: MemberId, now: ClockTime) {
         let next_index = self.log.last().index.saturating_add(1);
         match &mut self.state {
             MemberState::PreCandidate(tally) | MemberState::Candidate(tally) => {
--- a/crates/ragwortroad_consensus/src/persist_gate.rs
+++ b/crates/ragwortroad_consensus/src/persist_barrier.rs
@@ -9,7 +9,7 @@
 
 /// An effect that must not happen before something is durable.
 #[derive(Clone, Debug)]
-pub(crate) enum HeldEffect {
+pub(crate) enum DeferredEffect {
     /// Send a message.
     Send(MemberId, PeerMessage),
     /// Count this member's own vote in a term.
@@ -23,30 +23,30 @@
 /// Writing is asynchronous: a batch goes to the disk's thread and comes back later. Had a vote or
 /// an acknowledgement gone out before, a crash in between would leave a promise that nobody keeps.
 #[derive(Debug, Default)]
-pub(crate) struct PersistGate {
+pub(crate) struct PersistBarrier {
     /// What the input at hand has changed.
     change: LogChange,
     /// Effects of the input at hand.
-    fresh: Vec<HeldEffect>,
+    new_effects: Vec<DeferredEffect>,
     /// Effects with the batch each waits for.
     ///
     /// Invariant: batches never go down.
-    held: VecDeque<(u64, HeldEffect)>,
+    deferred: VecDeque<(u64, DeferredEffect)>,
     last_batch: u64,
-    done_batch: u64,
+    persisted_batch: u64,
     /// The batch with the latest vote.
     vote_batch: u64,
 }
 
-impl PersistGate {
+impl PersistBarrier {
     /// The change to add to.
     pub(crate) fn change(&mut self) -> &mut LogChange {
         &mut self.change
     }
 
     /// Holds `effect` until all that was changed so far is durable.
-    pub(crate) fn hold(&mut self, effect: HeldEffect) {
-        self.fresh.push(effect);
+    pub(crate) fn defer(&mut self, effect: DeferredEffect) {
+        self.new_effects.push(effect);
     }
 
     /// Ends the input at hand: the batch to write, if anything changed.
@@ -60,34 +60,35 @@
             (self.last_batch, change)
         });
         let needed = self.last_batch;
-        let fresh = self.fresh.drain(..);
-        self.held.extend(fresh.map(|effect| (needed, effect)));
+        let new_effects = self.new_effects.drain(..);
+        self.deferred
+            .extend(new_effects.map(|effect| (needed, effect)));
         batch
     }
 
     /// All batches up to `batch` are durable.
-    pub(crate) fn persisted(&mut self, batch: u64) {
-        self.done_batch = self.done_batch.max(batch.min(self.last_batch));
+    pub(crate) fn mark_persisted(&mut self, batch: u64) {
+        self.persisted_batch = self.persisted_batch.max(batch.min(self.last_batch));
     }
 
     /// The next effect that may happen now.
-    pub(crate) fn release(&mut self) -> Option<HeldEffect> {
-        let (needed, _) = self.held.front()?;
-        if *needed > self.done_batch {
+    pub(crate) fn pop_ready(&mut self) -> Option<DeferredEffect> {
+        let (needed, _) = self.deferred.front()?;
+        if *needed > self.persisted_batch {
             return None;
         }
-        self.held.pop_front().map(|(_, effect)| effect)
+        self.deferred.pop_front().map(|(_, effect)| effect)
     }
 
     /// Whether the term and vote are durable, whatever else is not.
     pub(crate) fn is_vote_durable(&self) -> bool {
-        self.change.vote.is_none() && self.done_batch >= self.vote_batch
+        self.change.vote.is_none() && self.persisted_batch >= self.vote_batch
     }
 
     /// Forgets every effect: nothing that waits will ever be durable.
     pub(crate) fn clear(&mut self) {
         self.change = LogChange::default();
-        self.fresh.clear();
-        self.held.clear();
+        self.new_effects.clear();
+        self.deferred.clear();
     }
 }
--- a/crates/ragwortroad_consensus/src/replicating.rs
+++ b/crates/ragwortroad_consensus/src/replicating.rs
@@ -20,7 +20,7 @@
 impl ConsensusCore {
     /// Sends to every member what may go now.
     pub(crate) fn send_all(&mut self, now: ClockTime) {
-        let members: Vec<_> = match self.leading() {
+        let members: Vec<_> = match self.leader_state() {
             Some(state) => state.progress.keys().copied().collect(),
             None => return,
         };
@@ -40,7 +40,7 @@
         let base = self.log.base().index;
         let last = self.log.last().index;
         let max_in_flight = self.settings.max_in_flight;
-        let progress = self.leading()?.progress.get(&member)?;
+        let progress = self.leader_state()?.progress.get(&member)?;
         let allowed = match progress.mode {
             SendMode::Probe => 1,
             SendMode::Pipeline if progress.next_index > last => 0,
@@ -54,7 +54,7 @@
             return self.next_chunk(member, now);
         }
         if progress.next_index <= base {
-            return self.start_transfer(member, now);
+            return self.start_snapshot_transfer(member, now);
         }
         self.next_append(member, now)
     }
@@ -63,7 +63,7 @@
         let term = self.vote.term;
         let commit = self.commit;
         let max_bytes = self.settings.max_append_bytes;
-        let progress = self.leading()?.progress.get(&member)?;
+        let progress = self.leader_state()?.progress.get(&member)?;
         let prev_index = progress.next_index - 1;
         let prev = LogPosition {
             term: self.log.term_at(prev_index)?,
@@ -83,7 +83,7 @@
         let count = entries.len() as u64;
         let progress = self.progress_mut(member)?;
         progress.in_flight += 1;
-        progress.active_at = now;
+        progress.last_active_at = now;
         if matches!(progress.mode, SendMode::Pipeline) {
             progress.next_index += count;
         }
@@ -97,7 +97,7 @@
     }
 
     /// The member lacks entries that are no longer in the log here.
-    fn start_transfer(&mut self, member: MemberId, now: ClockTime) -> Option<PeerMessage> {
+    fn start_snapshot_transfer(&mut self, member: MemberId, now: ClockTime) -> Option<PeerMessage> {
         let snapshot = Arc::clone(self.snapshot.as_ref()?);
         let members = self.members.at(snapshot.index).clone();
         let progress = self.progress_mut(member)?;
@@ -134,11 +134,11 @@
             bytes: snapshot.bytes[start..end].to_vec(),
         };
         progress.in_flight += 1;
-        progress.active_at = now;
+        progress.last_active_at = now;
         Some(PeerMessage::Chunk(chunk))
     }
 
-    pub(crate) fn take_append_reply(
+    pub(crate) fn handle_append_reply(
         &mut self,
         from: MemberId,
         outcome: AppendOutcome,
@@ -148,11 +148,11 @@
         let Some(progress) = self.progress_mut(from) else {
             return;
         };
-        progress.active_at = now;
+        progress.last_active_at = now;
         match outcome {
             // No member of this term can have more than its leader.
             AppendOutcome::Matched(index) if index > last => return,
-            AppendOutcome::Matched(index) => progress.matched(index),
+            AppendOutcome::Matched(index) => progress.record_match(index),
             // An answer that was overtaken says nothing new.
             AppendOutcome::Conflict { prev, .. } if prev <= progress.match_index => return,
             AppendOutcome::Conflict { prev, hint } => {
@@ -161,11 +161,11 @@
         }
         self.advance_commit(now);
         self.send_entries(from, now);
-        self.tell_late_commit(from, now);
-        self.try_hand_over(now);
+        self.notify_late_commit(from, now);
+        self.try_transfer_leadership(now);
     }
 
-    pub(crate) fn take_chunk_reply(
+    pub(crate) fn handle_chunk_reply(
         &mut self,
         from: MemberId,
         index: u64,
@@ -179,8 +179,8 @@
             return;
         };
         let total = transfer.snapshot.bytes.len() as u64;
-        let is_news = transfer.snapshot.index == index && received != transfer.received;
-        if !is_news || received >= total {
+        let is_new_progress = transfer.snapshot.index == index && received != transfer.received;
+        if !is_new_progress || received >= total {
             return;
         }
         transfer.received = received;
@@ -192,16 +192,16 @@
     pub(crate) fn resend_stalled(&mut self, now: ClockTime) {
         let resend_after = self.settings.resend_after;
         let last = self.log.last().index;
-        let Some(state) = self.leading_mut() else {
+        let Some(state) = self.leader_state_mut() else {
             return;
         };
         let mut stalled = Vec::new();
         for (&member, progress) in &mut state.progress {
             let is_waiting = progress.in_flight > 0 || progress.match_index < last;
-            if !is_waiting || now < progress.active_at.after(resend_after) {
+            if !is_waiting || now < progress.last_active_at.after(resend_after) {
                 continue;
             }
-            progress.send_again();
+            progress.reset_in_flight();
             stalled.push(member);
         }
         for member in stalled {
@@ -213,18 +213,18 @@
     ///
     /// Where nothing is lost while a connection lasts, sending again is for this case only, and its
     /// time may be long; without this a member that has just come back would wait that time.
-    pub(crate) fn send_lost(&mut self, member: MemberId, now: ClockTime) {
+    pub(crate) fn resend_unacknowledged(&mut self, member: MemberId, now: ClockTime) {
         let last = self.log.last().index;
         let Some(progress) = self.progress_mut(member) else {
             return;
         };
         if progress.in_flight > 0 || progress.match_index < last {
-            progress.send_again();
+            progress.reset_in_flight();
             self.send_entries(member, now);
         }
     }
 
     fn progress_mut(&mut self, member: MemberId) -> Option<&mut MemberProgress> {
-        self.leading_mut()?.progress.get_mut(&member)
+        self.leader_state_mut()?.progress.get_mut(&member)
     }
 }
--- a/crates/ragwortroad_consensus/src/restart_check.rs
+++ b/crates/ragwortroad_consensus/src/restart_check.rs
@@ -58,7 +58,7 @@
     }
 
     /// Takes in an answer.
-    pub(crate) fn answer(
+    pub(crate) fn record_answer(
         &mut self,
         from: MemberId,
         term: u64,
@@ -73,10 +73,10 @@
     }
 
     /// The voters other than `own` that have not answered.
-    pub(crate) fn silent(&self, own: MemberId) -> Vec<MemberId> {
+    pub(crate) fn unanswered(&self, own: MemberId) -> Vec<MemberId> {
         let voters = self.members().voters();
-        let silent = voters.filter(|voter| *voter != own && !self.answered.contains_key(voter));
-        silent.collect()
+        let unanswered = voters.filter(|voter| *voter != own && !self.answered.contains_key(voter));
+        unanswered.collect()
     }
 
     /// Ends the check.
@@ -91,7 +91,7 @@
     }
 
     /// Whether enough others than `own` have answered.
-    pub(crate) fn has_enough(&self, own: MemberId) -> bool {
+    pub(crate) fn has_enough_answers(&self, own: MemberId) -> bool {
         let members = self.members();
         if members.is_empty() {
             return false;
@@ -99,7 +99,7 @@
         let answers = members
             .voters()
             .filter(|voter| *voter != own && self.answered.contains_key(voter));
-        answers.count() >= answers_needed(members, own)
+        answers.count() >= required_answers(members, own)
     }
 }
 
@@ -109,7 +109,7 @@
 /// of a quorum of a group of `n + 1`, of which one member may be unknown here. The others of such a
 /// quorum that are known number at least two fewer than it; with so many answers that fewer than
 /// these are silent, one of them has answered. A group of one has nobody to ask.
-fn answers_needed(members: &MemberSet, own: MemberId) -> usize {
+fn required_answers(members: &MemberSet, own: MemberId) -> usize {
     let voters = members.voters().count();
     let others = members.voters().filter(|voter| *voter != own).count();
     let next_quorum = voters.div_ceil(2) + 1;
--- a/crates/ragwortroad_consensus/src/rejoining.rs
+++ b/crates/ragwortroad_consensus/src/restart_queries.rs
@@ -11,7 +11,7 @@
 
 impl ConsensusCore {
     /// Asks the others, from time to time, until enough have answered.
-    pub(crate) fn say_hello(&mut self, now: ClockTime) {
+    pub(crate) fn send_hellos(&mut self, now: ClockTime) {
         let every = self.settings.heartbeat_interval;
         let is_due = self
             .check
@@ -21,7 +21,7 @@
             return;
         }
         self.check.asked_at = Some(now);
-        if self.check.has_enough(self.id) {
+        if self.check.has_enough_answers(self.id) {
             return self.finish_check(now);
         }
         let records = self.check.members().records();
@@ -35,7 +35,7 @@
 
     /// Asks whoever turns up and is not among the members known here: while this member was away
     /// all that it knew may have been replaced, or it had not yet heard of any.
-    pub(crate) fn ask_stranger(&mut self, from: MemberId) {
+    pub(crate) fn query_unknown_member(&mut self, from: MemberId) {
         if self.check.members().find(from).is_none() {
             self.send(from, PeerMessage::Hello);
         }
@@ -46,23 +46,28 @@
     ///
     /// The member's start becomes durable with it: after a restart here, an acknowledgement that
     /// does not carry that start would let a leader count one of the member's earlier start.
-    pub(crate) fn answer_hello(&mut self, from: MemberId) {
-        if let Some(start) = self.starts.take_unwritten(from) {
+    pub(crate) fn handle_hello(&mut self, from: MemberId) {
+        if let Some(start) = self.starts.take_unpersisted(from) {
             let member = from.0;
             let known = ragwortroad_log::MemberStart { member, start };
-            self.gate.change().starts.push(known);
+            self.barrier.change().starts.push(known);
         }
         let reply = PeerMessage::HelloReply {
             asked: self.starts.latest(from),
             term: self.vote.term,
             last: self.log.last(),
             members: self.members().clone(),
-            starts: self.starts.wire(from, self.members.latest()),
+            starts: self.starts.starts_for(from, self.members.latest()),
         };
-        self.send_held(from, reply);
+        self.send_after_persist(from, reply);
     }
 
-    pub(crate) fn take_hello_reply(&mut self, from: MemberId, reply: PeerMessage, now: ClockTime) {
+    pub(crate) fn handle_hello_reply(
+        &mut self,
+        from: MemberId,
+        reply: PeerMessage,
+        now: ClockTime,
+    ) {
         let PeerMessage::HelloReply {
             asked,
             term,
@@ -76,16 +81,16 @@
         if self.check.is_done || asked != self.start {
             return;
         }
-        let had = self.check.members().clone();
-        self.check.answer(from, term, last, members);
+        let previous = self.check.members().clone();
+        self.check.record_answer(from, term, last, members);
         for known in &starts {
-            self.learn_start(known.member, known.start, now);
+            self.observe_start(known.member, known.start, now);
         }
-        if self.check.has_enough(self.id) {
+        if self.check.has_enough_answers(self.id) {
             self.finish_check(now);
-        } else if *self.check.members() != had {
+        } else if *self.check.members() != previous {
             self.check.asked_at = None;
-            self.say_hello(now);
+            self.send_hellos(now);
         }
     }
 
@@ -112,7 +117,7 @@
     pub(crate) fn confirm_boot(&mut self) {
         if !self.is_confirmed && self.is_verified() {
             self.is_confirmed = true;
-            self.gate.change().confirms_boot = true;
+            self.barrier.change().confirms_boot = true;
         }
     }
 }
--- a/crates/ragwortroad_consensus/src/snapshot_assembly.rs
+++ b/crates/ragwortroad_consensus/src/snapshot_assembly.rs
@@ -23,7 +23,7 @@
     }
 
     /// Whether `chunk` is of the same snapshot.
-    pub(crate) fn is_of(&self, chunk: &SnapshotChunk) -> bool {
+    pub(crate) fn matches(&self, chunk: &SnapshotChunk) -> bool {
         self.last == chunk.last && self.total == chunk.total
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Whether all pieces are there.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.bytes.len() as u64 == self.total
     }
 }
--- a/crates/ragwortroad_consensus/src/snapshotting.rs
+++ b/crates/ragwortroad_consensus/src/snapshotting.rs
@@ -19,8 +19,8 @@
 impl ConsensusCore {
     /// The state after `index` replaces the entries up to it, but for a few that members who are a
     /// little late may need.
-    pub(crate) fn take_snapshot(&mut self, index: u64, bytes: Vec<u8>) {
-        self.snapshot_wanted = false;
+    pub(crate) fn compact_to_snapshot(&mut self, index: u64, bytes: Vec<u8>) {
+        self.snapshot_requested = false;
         let since = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let Some(term) = self.log.term_at(index) else {
             return;
@@ -29,7 +29,7 @@
             return;
         }
         let members = encode_members(self.members.at(index));
-        self.keep_snapshot(StoredSnapshot {
+        self.store_snapshot(StoredSnapshot {
             index,
             term,
             members,
@@ -42,25 +42,25 @@
         self.members.drop_until(self.log.base().index);
     }
 
-    fn keep_snapshot(&mut self, snapshot: StoredSnapshot) {
-        self.gate.change().snapshot = Some(snapshot.clone());
+    fn store_snapshot(&mut self, snapshot: StoredSnapshot) {
+        self.barrier.change().snapshot = Some(snapshot.clone());
         self.snapshot = Some(Arc::new(snapshot));
     }
 
-    pub(crate) fn take_chunk(&mut self, from: MemberId, chunk: SnapshotChunk) {
+    pub(crate) fn handle_chunk(&mut self, from: MemberId, chunk: SnapshotChunk) {
         let index = chunk.last.index;
         if index <= self.commit {
             let outcome = AppendOutcome::Matched(index);
-            self.agreed = self.agreed.max(index);
+            self.leader_match_index = self.leader_match_index.max(index);
             return self.reply_append(from, chunk.sent_at, outcome);
         }
         let assembly = self
             .assembly
             .take()
-            .filter(|assembly| assembly.is_of(&chunk));
+            .filter(|assembly| assembly.matches(&chunk));
         let mut assembly = assembly.unwrap_or_else(|| SnapshotAssembly::new(&chunk));
         assembly.add(&chunk);
-        if assembly.is_whole() {
+        if assembly.is_complete() {
             let outcome = AppendOutcome::Matched(index);
             let sent_at = chunk.sent_at;
             self.install_snapshot(chunk, assembly.bytes);
@@ -74,7 +74,7 @@
             index,
             received,
         };
-        self.send_held(from, reply);
+        self.send_after_persist(from, reply);
     }
 
     fn install_snapshot(&mut self, chunk: SnapshotChunk, bytes: Vec<u8>) {
@@ -91,14 +91,14 @@
         self.commit = index;
         self.applied = index;
         self.applied_bytes = 0;
-        self.snapshot_wanted = false;
-        self.agreed = self.agreed.max(index);
+        self.snapshot_requested = false;
+        self.leader_match_index = self.leader_match_index.max(index);
         self.out.push(CoreAction::RestoreSnapshot {
             index,
             bytes: bytes.clone(),
         });
         let members = chunk.members;
-        self.keep_snapshot(StoredSnapshot {
+        self.store_snapshot(StoredSnapshot {
             index,
             term: last.term,
             members: encode_members(&members),
--- a/crates/ragwortroad_consensus/src/start_table.rs
+++ b/crates/ragwortroad_consensus/src/start_table.rs
@@ -17,12 +17,12 @@
 pub(crate) struct StartTable {
     starts: BTreeMap<MemberId, u64>,
     /// The starts that are on the disk, or on their way to it.
-    written: BTreeMap<MemberId, u64>,
+    persisted: BTreeMap<MemberId, u64>,
 }
 
 /// What a start number says about a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StartNews {
+pub(crate) enum StartOrder {
     /// Known already.
     Same,
     /// The member has restarted.
@@ -39,26 +39,26 @@
             .map(|known| (MemberId(known.member), known.start));
         let starts: BTreeMap<_, _> = known.collect();
         Self {
-            written: starts.clone(),
+            persisted: starts.clone(),
             starts,
         }
     }
 
     /// Takes note that `member` has had a start `start`.
-    pub(crate) fn learn(&mut self, member: MemberId, start: u64) -> StartNews {
+    pub(crate) fn observe(&mut self, member: MemberId, start: u64) -> StartOrder {
         let known = self.starts.entry(member).or_insert(start);
         match start.cmp(known) {
-            std::cmp::Ordering::Less => StartNews::Older,
-            std::cmp::Ordering::Equal => StartNews::Same,
+            std::cmp::Ordering::Less => StartOrder::Older,
+            std::cmp::Ordering::Equal => StartOrder::Same,
             std::cmp::Ordering::Greater => {
                 *known = start;
-                StartNews::Newer
+                StartOrder::Newer
             }
         }
     }
 
     /// The starts of `members` as they go into messages to `receiver`, which knows its own.
-    pub(crate) fn wire(&self, receiver: MemberId, members: &MemberSet) -> Vec<MemberStart> {
+    pub(crate) fn starts_for(&self, receiver: MemberId, members: &MemberSet) -> Vec<MemberStart> {
         let mut starts = Vec::new();
         for record in members.records() {
             let member = record.member;
@@ -68,10 +68,10 @@
         starts
     }
 
-    /// The latest start of `member`, if it is still to be written.
-    pub(crate) fn take_unwritten(&mut self, member: MemberId) -> Option<u64> {
+    /// The latest start of `member`, if it is still to be persisted.
+    pub(crate) fn take_unpersisted(&mut self, member: MemberId) -> Option<u64> {
         let start = self.latest(member);
-        let before = self.written.insert(member, start);
+        let before = self.persisted.insert(member, start);
         (before != Some(start)).then_some(start)
     }
 
--- a/crates/ragwortroad_consensus/tests/by_hand/main.rs
+++ b/crates/ragwortroad_consensus/tests/by_hand/main.rs
@@ -1,6 +1,6 @@
 //! Failures that need one order of messages among very many, brought about by hand.
 
-mod hand_group;
+mod scripted_group;
 
 use std::cell::Cell;
 
@@ -10,27 +10,27 @@
     prelude::*, //
 };
 
-use hand_group::{
-    HandGroup,
+use scripted_group::{
+    ScriptedGroup,
     member_id, //
 };
 
-fn broken(rule: Option<InjectedBug>) -> CoreSettings {
+fn settings_with_bug(bug: Option<InjectedBug>) -> CoreSettings {
     CoreSettings {
-        injected_bug: rule,
+        injected_bug: bug,
         max_append_bytes: 1,
         ..CoreSettings::default()
     }
 }
 
 /// A command of an old term comes to a quorum; then a leader that never had it is elected.
-fn commit_of_an_old_term(rule: Option<InjectedBug>) -> bool {
-    let mut group = HandGroup::new(5, broken(rule));
+fn commits_entry_of_old_term(bug: Option<InjectedBug>) -> bool {
+    let mut group = ScriptedGroup::new(5, settings_with_bug(bug));
     group.propose(0, b"old");
-    group.carry(|_, _, _| false);
-    group.elect(4, &[2, 3, 4]);
+    group.deliver(|_, _, _| false);
+    group.run_election(4, &[2, 3, 4]);
     assert!(group.core(4).is_leader());
-    group.elect(0, &[0, 1, 2, 3]);
+    group.run_election(0, &[0, 1, 2, 3]);
     assert!(group.core(0).is_leader());
     // The old command gets to two more members; the leader's own entry comes too early there, and
     // stays behind once it would fit.
@@ -39,7 +39,7 @@
     for _ in 0..4 {
         group.now = group.now.after(group.settings.heartbeat_interval * 2);
         group.input(0, CoreInput::Tick);
-        group.carry(|frame, from, to| {
+        group.deliver(|frame, from, to| {
             if from > 2 || to > 2 {
                 return false;
             }
@@ -56,27 +56,27 @@
 }
 
 #[test]
-fn entries_of_old_terms_wait_for_one_of_the_new() {
-    assert!(!commit_of_an_old_term(None));
-    assert!(commit_of_an_old_term(Some(InjectedBug::CommitOldTerms)));
+fn old_term_entries_commit_only_with_an_entry_of_the_current_term() {
+    assert!(!commits_entry_of_old_term(None));
+    assert!(commits_entry_of_old_term(Some(InjectedBug::CommitOldTerms)));
 }
 
 /// A member's answer arrives after its VM was restored to a state before that answer.
-fn late_answer_of_an_old_start(rule: Option<InjectedBug>) -> bool {
-    let mut group = HandGroup::new(5, broken(rule));
+fn commits_by_stale_ack(bug: Option<InjectedBug>) -> bool {
+    let mut group = ScriptedGroup::new(5, settings_with_bug(bug));
     let image = group.members[1].disk.image();
     group.propose(0, b"late");
-    let to_restored = group.hold(0, 1);
-    let to_second = group.hold(0, 2);
-    group.carry(|_, _, _| false);
+    let to_restored = group.intercept(0, 1);
+    let to_second = group.intercept(0, 2);
+    group.deliver(|_, _, _| false);
     for frame in to_restored {
         group.input(1, CoreInput::Frame(frame));
     }
-    let late = group.hold(1, 0);
+    let late = group.intercept(1, 0);
     group.stop(1, true);
     group.members[1].disk.roll_back(&image);
     group.start(1);
-    group.carry(|_, from, to| from != 0 && to != 0);
+    group.deliver(|_, from, to| from != 0 && to != 0);
     assert!(group.core(1).is_verified());
     for frame in to_second {
         group.input(2, CoreInput::Frame(frame));
@@ -84,25 +84,23 @@
     for frame in late {
         group.input(0, CoreInput::Frame(frame));
     }
-    group.carry(|_, from, to| [0, 2].contains(&from) && [0, 2].contains(&to));
+    group.deliver(|_, from, to| [0, 2].contains(&from) && [0, 2].contains(&to));
     group.members[0].applied == [b"late".to_vec()]
 }
 
 #[test]
-fn answers_of_old_starts_do_not_count() {
-    assert!(!late_answer_of_an_old_start(None));
-    assert!(late_answer_of_an_old_start(Some(
-        InjectedBug::CountOldStarts
-    )));
+fn acks_from_before_a_rollback_do_not_count() {
+    assert!(!commits_by_stale_ack(None));
+    assert!(commits_by_stale_ack(Some(InjectedBug::CountOldStarts)));
 }
 
 /// Guards against members that apply an accepted command only with the next heartbeat.
 #[test]
-fn members_that_answer_late_apply_at_once() {
-    let mut group = HandGroup::new(5, CoreSettings::default());
+fn members_outside_the_first_quorum_apply_without_a_heartbeat() {
+    let mut group = ScriptedGroup::new(5, CoreSettings::default());
     for _ in 0..3 {
         group.propose(0, b"new");
-        group.carry(|_, _, _| true);
+        group.deliver(|_, _, _| true);
     }
     for (at, member) in group.members.iter().enumerate() {
         assert_eq!(member.applied.len(), 3, "member {at}");
@@ -111,11 +109,11 @@
 
 /// Guards against a rolled-back disk that a second process on the same boot takes for good.
 #[test]
-fn a_kill_before_the_check_leaves_it_to_be_done() {
-    let mut group = HandGroup::new(3, broken(None));
+fn a_process_killed_during_the_restart_check_repeats_it() {
+    let mut group = ScriptedGroup::new(3, settings_with_bug(None));
     let image = group.members[1].disk.image();
     group.propose(0, b"kept");
-    group.carry(|_, from, to| from < 2 && to < 2);
+    group.deliver(|_, from, to| from < 2 && to < 2);
     assert_eq!(group.members[0].applied, [b"kept".to_vec()]);
     group.stop(1, true);
     group.members[1].disk.roll_back(&image);
@@ -125,28 +123,28 @@
     assert!(!group.core(1).is_verified());
     // The first member is gone; the other two must not go on without the command.
     group.stop(0, false);
-    group.wait(2, 4);
-    group.wait(1, 4);
+    group.wait_for_leader(2, 4);
+    group.wait_for_leader(1, 4);
     assert!(!group.core(1).is_leader() && !group.core(2).is_leader());
     assert_eq!(group.core(1).restart_check_pending(), [member_id(0)]);
     group.start(0);
-    group.carry(|_, _, _| true);
-    group.wait(1, 4);
-    group.wait(0, 4);
+    group.deliver(|_, _, _| true);
+    group.wait_for_leader(1, 4);
+    group.wait_for_leader(0, 4);
     assert!(group.core(0).is_leader());
     assert_eq!(group.members[0].applied, [b"kept".to_vec()]);
 }
 
 /// Guards against a member that deposes a well leader each time it comes back.
 #[test]
-fn a_flapping_member_disturbs_nobody() {
-    let mut group = HandGroup::new(3, broken(None));
+fn a_partitioned_member_does_not_raise_the_term() {
+    let mut group = ScriptedGroup::new(3, settings_with_bug(None));
     let term = group.core(0).term();
     for _ in 0..20 {
         group.now = group.now.after(group.settings.heartbeat_interval);
         group.input(0, CoreInput::Tick);
         group.input(2, CoreInput::Tick);
-        group.carry(|_, _, to| to != 2);
+        group.deliver(|_, _, to| to != 2);
     }
     assert!(group.core(0).may_act_as_leader(group.now));
     assert_eq!((group.core(0).term(), group.core(2).term()), (term, term));
@@ -154,14 +152,14 @@
 
 /// Guards against callers who wait for the lease of a leader that is stopped in good order.
 #[test]
-fn a_leader_hands_over_without_a_pause() {
-    let mut group = HandGroup::new(3, broken(None));
+fn leadership_transfer_needs_no_lease_expiry() {
+    let mut group = ScriptedGroup::new(3, settings_with_bug(None));
     group.propose(0, b"before");
-    group.carry(|_, _, _| true);
+    group.deliver(|_, _, _| true);
     let asked_at = group.now;
     group.input(0, CoreInput::TransferLeadership);
     assert!(!group.core(0).may_act_as_leader(group.now));
-    group.carry(|_, _, _| true);
+    group.deliver(|_, _, _| true);
     let acting = (1..3).filter(|&at| group.core(at).may_act_as_leader(group.now));
     assert_eq!(acting.count(), 1);
     assert_eq!(group.now, asked_at);
@@ -174,8 +172,8 @@
 
 /// Guards against a leader that acts past the end of its lease after it stood still.
 #[test]
-fn a_paused_leader_stops_on_its_own_clock() {
-    let mut group = HandGroup::new(3, broken(None));
+fn a_paused_leader_loses_its_lease_on_its_own_clock() {
+    let mut group = ScriptedGroup::new(3, settings_with_bug(None));
     let until = group.core(0).lease_valid_until().expect("there is a lease");
     let last = until.before(std::time::Duration::from_millis(1));
     assert!(group.core(0).may_act_as_leader(last));
@@ -189,7 +187,7 @@
 
 /// Guards against a second group that a founder with a lost disk forms.
 #[test]
-fn only_empty_folders_found_a_group() {
+fn only_empty_folders_bootstrap_a_group() {
     let hello = |at: usize, is_empty| BootstrapHello {
         node: ragwortroad_types::NodeId(at as u64),
         member: member_id(at),
@@ -211,20 +209,20 @@
 
 /// Guards against a member that misses entries which were on a broken connection.
 #[test]
-fn a_new_connection_brings_what_the_old_one_lost() {
-    let mut group = HandGroup::new(3, CoreSettings::default());
-    group.wait(0, 3);
+fn reconnecting_resends_unacknowledged_entries() {
+    let mut group = ScriptedGroup::new(3, CoreSettings::default());
+    group.wait_for_leader(0, 3);
     assert!(group.core(0).is_leader());
     group.propose(0, b"change");
-    group.carry(|_, _, to| to != 2);
+    group.deliver(|_, _, to| to != 2);
     assert_eq!(group.members[0].applied, [b"change".to_vec()]);
     let behind = group.core(2).last_position().index;
     assert!(behind < group.core(0).last_position().index);
     let member = member_id(2);
     group.input(0, CoreInput::PeerConnected { member });
-    group.carry(|_, _, _| true);
+    group.deliver(|_, _, _| true);
     assert_eq!(group.core(2).last_position(), group.core(0).last_position());
     // To a member that lacks nothing, nothing is sent.
     group.input(0, CoreInput::PeerConnected { member });
-    assert!(group.hold(0, 2).is_empty());
+    assert!(group.intercept(0, 2).is_empty());
 }
--- a/crates/ragwortroad_consensus/tests/by_hand/hand_group.rs
+++ b/crates/ragwortroad_consensus/tests/by_hand/scripted_group.rs
@@ -5,18 +5,18 @@
 use ragwortroad_types::prelude::*;
 
 /// A group whose every message a test carries or drops by hand; disks write at once.
-pub(crate) struct HandGroup {
+pub(crate) struct ScriptedGroup {
     pub(crate) settings: CoreSettings,
-    pub(crate) members: Vec<HandMember>,
+    pub(crate) members: Vec<ScriptedMember>,
     pub(crate) now: ClockTime,
-    wire: VecDeque<PeerFrame>,
+    in_flight: VecDeque<PeerFrame>,
     starts: u64,
     founders: MemberSet,
 }
 
 /// One member of it.
 #[derive(Default)]
-pub(crate) struct HandMember {
+pub(crate) struct ScriptedMember {
     pub(crate) disk: FakeDisk,
     pub(crate) core: Option<ConsensusCore>,
     folder: Option<LogFolder>,
@@ -25,23 +25,23 @@
     pub(crate) results: Vec<ProposeResult>,
 }
 
-impl HandGroup {
+impl ScriptedGroup {
     /// A group of `count` voters, of which the first has been elected by all.
     pub(crate) fn new(count: usize, settings: CoreSettings) -> Self {
         let voters = (0..count).map(|at| (member_id(at), NodeId(at as u64)));
         let mut group = Self {
             settings,
-            members: (0..count).map(|_| HandMember::default()).collect(),
+            members: (0..count).map(|_| ScriptedMember::default()).collect(),
             now: ClockTime(1000),
-            wire: VecDeque::new(),
+            in_flight: VecDeque::new(),
             starts: 0,
             founders: MemberSet::from_voters(voters),
         };
         for at in 0..count {
             group.start(at);
         }
-        group.carry(|_, _, _| true);
-        group.wait(0, 2);
+        group.deliver(|_, _, _| true);
+        group.wait_for_leader(0, 2);
         assert!(group.core(0).may_act_as_leader(group.now));
         group
     }
@@ -101,7 +101,7 @@
                     folder.sync().expect("the disk works");
                     written = Some(batch);
                 }
-                CoreAction::Send(frame) => self.wire.push_back(frame),
+                CoreAction::Send(frame) => self.in_flight.push_back(frame),
                 CoreAction::Apply { command, .. } => member.applied.push(command),
                 CoreAction::ProposeDone { result, .. } => member.results.push(result),
                 _ => {}
@@ -113,8 +113,8 @@
     }
 
     /// Carries messages until there are none, dropping those that `passes` says no to.
-    pub(crate) fn carry(&mut self, passes: impl Fn(&PeerFrame, usize, usize) -> bool) {
-        while let Some(frame) = self.wire.pop_front() {
+    pub(crate) fn deliver(&mut self, passes: impl Fn(&PeerFrame, usize, usize) -> bool) {
+        while let Some(frame) = self.in_flight.pop_front() {
             let from = (frame.from.0 - member_id(0).0) as usize;
             let to = (frame.to.0 - member_id(0).0) as usize;
             if passes(&frame, from, to) {
@@ -124,14 +124,14 @@
     }
 
     /// Takes the messages from one member to another off the wire, to carry them later.
-    pub(crate) fn hold(&mut self, from: usize, to: usize) -> Vec<PeerFrame> {
+    pub(crate) fn intercept(&mut self, from: usize, to: usize) -> Vec<PeerFrame> {
         let (from, to) = (member_id(from), member_id(to));
-        let (held, rest) = self
-            .wire
+        let (intercepted, rest) = self
+            .in_flight
             .drain(..)
             .partition(|frame| frame.from == from && frame.to == to);
-        self.wire = rest;
-        held.into()
+        self.in_flight = rest;
+        intercepted.into()
     }
 
     pub(crate) fn propose(&mut self, at: usize, command: &[u8]) {
@@ -140,23 +140,23 @@
     }
 
     /// Lets up to `rounds` elections of `at` go by, with all messages carried, until it leads.
-    pub(crate) fn wait(&mut self, at: usize, rounds: u32) {
+    pub(crate) fn wait_for_leader(&mut self, at: usize, rounds: u32) {
         for _ in 0..rounds {
             if self.core(at).is_leader() {
                 break;
             }
             self.now = self.now.after(self.settings.election_timeout * 2);
             self.input(at, CoreInput::Tick);
-            self.carry(|_, _, _| true);
+            self.deliver(|_, _, _| true);
         }
     }
 
     /// Lets `at` campaign, and carries nothing but what elections need between `among`.
-    pub(crate) fn elect(&mut self, at: usize, among: &[usize]) {
+    pub(crate) fn run_election(&mut self, at: usize, among: &[usize]) {
         for _ in 0..3 {
             self.now = self.now.after(self.settings.election_timeout * 2);
             self.input(at, CoreInput::Tick);
-            self.carry(|frame, from, to| {
+            self.deliver(|frame, from, to| {
                 let is_entry = matches!(frame.message, PeerMessage::Append { .. });
                 !is_entry && among.contains(&from) && among.contains(&to)
             });
--- a/crates/ragwortroad_consensus/tests/frames.rs
+++ b/crates/ragwortroad_consensus/tests/frames.rs
@@ -93,7 +93,7 @@
 
     /// Every frame comes out as it went in, is as long as it says, and is no frame when cut.
     #[test]
-    fn frames_come_out_as_they_went_in(ends in any::<[u64; 3]>(), message in messages()) {
+    fn frames_round_trip(ends in any::<[u64; 3]>(), message in messages()) {
         let frame = PeerFrame {
             from: MemberId(ends[0]),
             to: MemberId(ends[1]),
@@ -108,7 +108,7 @@
 
     /// Bytes that are no frame are an error, and nothing else.
     #[test]
-    fn any_bytes_are_refused_or_read(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(frame) = PeerFrame::decode(&bytes) {
             prop_assert!(frame.encoded_len() <= bytes.len());
         }
@@ -116,7 +116,7 @@
 
     /// Guards against a member that ends on a message that makes no sense.
     #[test]
-    fn a_core_survives_any_message(
+    fn arbitrary_messages_do_not_panic_the_core(
         is_founder in any::<bool>(),
         sent in prop::collection::vec((1_u64..5, 0_u64..3, messages()), 1..20),
     ) {
--- a/crates/ragwortroad_consensus/tests/schedules/main.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/main.rs
@@ -24,9 +24,9 @@
     let mut counts = SimCounts::default();
     for seed in (0..count).chain(known.iter().copied()) {
         let mut world = SimWorld::new(make(seed));
-        let breach = world.run();
+        let violation = world.run();
         counts.add(&world.counts);
-        assert_eq!(breach, None, "{title}, seed {seed}");
+        assert_eq!(violation, None, "{title}, seed {seed}");
     }
     counts.print(title);
     counts
@@ -60,7 +60,7 @@
 
 /// Guards against lost commands, stale reads and two leaders under crashes, pauses and losses.
 #[test]
-fn faults_of_all_kinds_lose_nothing() {
+fn all_fault_kinds_preserve_safety() {
     let known = [37, 52, 201, 386, 1909];
     let counts = run_all("all faults", 28, &known, all_faults);
     assert!(counts.lost_disks > 20 && counts.torn_writes > 20);
@@ -68,11 +68,11 @@
 
 /// Guards against lost commands and stale reads where each read is proved anew.
 #[test]
-fn faults_without_leases_lose_nothing() {
+fn all_fault_kinds_preserve_safety_without_leases() {
     let without_leases = |seed| SimPlan {
         core: CoreSettings {
             uses_leader_lease: false,
-            ..SimPlan::small_core()
+            ..SimPlan::small_limits()
         },
         ..all_faults(seed)
     };
@@ -82,13 +82,13 @@
 
 /// Guards against lost commands after a VM was restored from a backup.
 #[test]
-fn rolled_back_disks_lose_nothing() {
+fn disk_rollbacks_preserve_safety() {
     let counts = run_all("rollbacks", 20, &[172], rollbacks);
     assert!(counts.rollbacks > 60);
 }
 
 /// The first breach that shows up with `core` under the plans that `make` gives.
-fn first_breach(core: &CoreSettings, make: impl Fn(u64) -> SimPlan) -> Option<String> {
+fn first_violation(core: &CoreSettings, make: impl Fn(u64) -> SimPlan) -> Option<String> {
     (0..40).find_map(|seed| {
         let plan = make(seed);
         let core = core.clone();
@@ -96,22 +96,24 @@
     })
 }
 
-fn broken(rule: InjectedBug) -> CoreSettings {
+fn settings_with_bug(bug: InjectedBug) -> CoreSettings {
     CoreSettings {
-        injected_bug: Some(rule),
-        ..SimPlan::small_core()
+        injected_bug: Some(bug),
+        ..SimPlan::small_limits()
     }
 }
 
 /// Guards against schedules that do not notice an acknowledgement before the sync.
 #[test]
-fn acting_before_the_sync_is_noticed() {
-    let found = first_breach(&broken(InjectedBug::ActBeforeSync), |seed| SimPlan {
-        seed,
-        kinds: vec![FaultKind::PowerCut],
-        slow_write_percent: 50,
-        client_every_ms: 15,
-        ..SimPlan::default()
+fn checker_detects_acks_before_sync() {
+    let found = first_violation(&settings_with_bug(InjectedBug::ActBeforeSync), |seed| {
+        SimPlan {
+            seed,
+            kinds: vec![FaultKind::PowerCut],
+            slow_write_percent: 50,
+            client_every_ms: 15,
+            ..SimPlan::default()
+        }
     });
     println!("acting before the sync: {found:?}");
     assert!(found.is_some());
@@ -119,48 +121,50 @@
 
 /// Had a member not written its vote, it would give another one after a restart.
 #[test]
-fn an_unwritten_vote_is_noticed() {
-    let found = first_breach(&broken(InjectedBug::SkipVoteWrite), all_faults);
+fn checker_detects_an_unpersisted_vote() {
+    let found = first_violation(&settings_with_bug(InjectedBug::SkipVoteWrite), all_faults);
     println!("unwritten votes: {found:?}");
-    let breach = found.unwrap_or_default();
-    assert!(breach.contains("voted twice") || breach.contains("two leaders"));
+    let violation = found.unwrap_or_default();
+    assert!(violation.contains("voted twice") || violation.contains("two leaders"));
 }
 
 /// Had a member voted while a leader may rely on it, two leaders would give orders at once.
 #[test]
-fn a_vote_within_the_lease_is_noticed() {
-    let found = first_breach(&broken(InjectedBug::VoteWithinLease), |seed| SimPlan {
-        seed,
-        kinds: vec![FaultKind::Cut],
-        client_every_ms: 900,
-        ..SimPlan::default()
+fn checker_detects_a_vote_within_the_lease() {
+    let found = first_violation(&settings_with_bug(InjectedBug::VoteWithinLease), |seed| {
+        SimPlan {
+            seed,
+            kinds: vec![FaultKind::Partition],
+            client_every_ms: 900,
+            ..SimPlan::default()
+        }
     });
     println!("votes within the lease: {found:?}");
-    assert!(found.is_some_and(|breach| breach.contains("act as leader at once")));
+    assert!(found.is_some_and(|violation| violation.contains("act as leader at once")));
 }
 
 /// Guards against schedules that do not notice a second vote from a rolled-back disk.
 #[test]
-fn trust_in_a_rolled_back_disk_is_noticed() {
+fn checker_detects_a_trusted_rolled_back_disk() {
     let core = CoreSettings {
         trust_disk: true,
-        ..SimPlan::small_core()
+        ..SimPlan::small_limits()
     };
-    let found = first_breach(&core, rollbacks);
+    let found = first_violation(&core, rollbacks);
     println!("trust in rolled-back disks: {found:?}");
     assert!(found.is_some());
 }
 
 /// Guards against schedules that do not notice a lease that outlives the next election.
 #[test]
-fn drift_beyond_the_setting_is_noticed() {
-    let found = first_breach(&SimPlan::small_core(), |seed| SimPlan {
+fn checker_detects_clock_drift_beyond_the_setting() {
+    let found = first_violation(&SimPlan::small_limits(), |seed| SimPlan {
         seed,
         drift_ppm: 300_000,
-        kinds: vec![FaultKind::Cut],
+        kinds: vec![FaultKind::Partition],
         client_every_ms: 900,
         ..SimPlan::default()
     });
     println!("drift beyond the setting: {found:?}");
-    assert!(found.is_some_and(|breach| breach.contains("act as leader at once")));
+    assert!(found.is_some_and(|violation| violation.contains("act as leader at once")));
 }
--- a/crates/ragwortroad_consensus/tests/schedules/world/fault_kind.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/fault_kind.rs
@@ -16,7 +16,7 @@
     /// The process stands still for a while.
     Pause,
     /// Messages get through in one direction only, or not at all.
-    Cut,
+    Partition,
     /// The disk is replaced by an empty one.
     LostDisk,
     /// The leader is asked to hand over.
@@ -34,7 +34,7 @@
         Self::FailedSync,
         Self::FullDisk,
         Self::Pause,
-        Self::Cut,
+        Self::Partition,
         Self::LostDisk,
         Self::TransferLeadership,
         Self::RemoveMember,
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_checker.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_checker.rs
@@ -17,17 +17,17 @@
     commands: BTreeMap<u64, Vec<u8>>,
     seen: BTreeSet<Vec<u8>>,
     accepted: BTreeMap<u64, Vec<u8>>,
-    pub(crate) breach: Option<String>,
+    pub(crate) violation: Option<String>,
 }
 
 impl SimChecker {
-    fn expect(&mut self, holds: bool, breach: impl FnOnce() -> String) {
-        if !holds && self.breach.is_none() {
-            self.breach = Some(breach());
+    fn expect(&mut self, holds: bool, violation: impl FnOnce() -> String) {
+        if !holds && self.violation.is_none() {
+            self.violation = Some(violation());
         }
     }
 
-    pub(crate) fn leads(&mut self, member: MemberId, term: u64) -> bool {
+    pub(crate) fn record_leader(&mut self, member: MemberId, term: u64) -> bool {
         let is_new = !self.leaders.contains_key(&term);
         let known = *self.leaders.entry(term).or_insert(member);
         self.expect(known == member, || {
@@ -36,7 +36,7 @@
         is_new
     }
 
-    pub(crate) fn sends(&mut self, frame: &PeerFrame) {
+    pub(crate) fn record_vote(&mut self, frame: &PeerFrame) {
         let vote = match frame.message {
             PeerMessage::VoteReply {
                 term,
@@ -54,7 +54,7 @@
         });
     }
 
-    pub(crate) fn applies(&mut self, state: SimState, command: &[u8]) {
+    pub(crate) fn record_apply(&mut self, state: SimState, command: &[u8]) {
         let index = state.index;
         let known = *self.digests.entry(index).or_insert(state.digest);
         self.expect(known == state.digest, || {
@@ -67,7 +67,7 @@
         }
     }
 
-    pub(crate) fn restores(&mut self, index: u64, state: SimState) {
+    pub(crate) fn check_restore(&mut self, index: u64, state: SimState) {
         let known = self.digests.range(..=index).next_back();
         let digest = known.map_or(0, |(_, &digest)| digest);
         self.expect(digest == state.digest, || {
@@ -75,7 +75,7 @@
         });
     }
 
-    pub(crate) fn accepts(&mut self, index: u64, command: Vec<u8>) {
+    pub(crate) fn record_accepted(&mut self, index: u64, command: Vec<u8>) {
         let is_same = self.commands.get(&index) == Some(&command);
         self.expect(is_same, || {
             format!("the command accepted at {index} is not there")
@@ -90,7 +90,7 @@
             .map_or(0, |(&index, _)| index)
     }
 
-    pub(crate) fn reads(&mut self, index: u64, applied: u64, expected: u64) {
+    pub(crate) fn check_read(&mut self, index: u64, applied: u64, expected: u64) {
         self.expect(index >= expected, || {
             format!("a read at {index} misses the command accepted at {expected}")
         });
@@ -99,13 +99,13 @@
         });
     }
 
-    pub(crate) fn acting(&mut self, acting: &[MemberId]) {
+    pub(crate) fn check_acting_leaders(&mut self, acting: &[MemberId]) {
         self.expect(acting.len() < 2, || {
             format!("two members may act as leader at once: {acting:?}")
         });
     }
 
-    pub(crate) fn fails(&mut self, breach: String) {
-        self.expect(false, || breach);
+    pub(crate) fn record_violation(&mut self, violation: String) {
+        self.expect(false, || violation);
     }
 }
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_client.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_client.rs
@@ -11,7 +11,7 @@
 
 impl SimWorld {
     /// A caller sends a command, or a read, to some node, mostly to one that leads.
-    pub(crate) fn call(&mut self) {
+    pub(crate) fn client_step(&mut self) {
         let every = self.plan.client_every_ms * 1000;
         let next = self.rng.random_range(0..every * 2);
         self.schedule(next, SimEvent::Client);
@@ -74,7 +74,7 @@
             let states: Vec<_> = self.nodes.iter().map(SimNode::describe).collect();
             return self
                 .checker
-                .fails(format!("no leader after all faults were over: {states:#?}"));
+                .record_violation(format!("no leader after all faults were over: {states:#?}"));
         };
         let members = self.nodes[leader].core().map(|core| core.members().clone());
         for record in members.unwrap_or_default().records() {
@@ -88,7 +88,7 @@
             if commit.is_none_or(|commit| commit + 40 < last) {
                 let member = record.member;
                 let states: Vec<_> = self.nodes.iter().map(SimNode::describe).collect();
-                self.checker.fails(format!(
+                self.checker.record_violation(format!(
                     "{member} is at {commit:?}, accepted was {last}: {states:#?}"
                 ));
             }
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_clock.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_clock.rs
@@ -5,14 +5,14 @@
 pub(crate) struct SimClock {
     pub(crate) offset_us: u64,
     /// Microseconds it gains in a second.
-    pub(crate) gain_ppm: i64,
+    pub(crate) drift_ppm: i64,
 }
 
 impl SimClock {
     /// What it shows at the true time `true_us`.
     pub(crate) fn reading(&self, true_us: u64) -> ClockTime {
-        let gain = i128::from(true_us) * i128::from(self.gain_ppm) / 1_000_000;
-        let local = i128::from(self.offset_us) + i128::from(true_us) + gain;
-        ClockTime((local / 1000) as u64)
+        let gain = i128::from(true_us) * i128::from(self.drift_ppm) / 1_000_000;
+        let local_time = i128::from(self.offset_us) + i128::from(true_us) + gain;
+        ClockTime((local_time / 1000) as u64)
     }
 }
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_counts.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_counts.rs
@@ -8,7 +8,7 @@
     pub(crate) lost: u64,
     pub(crate) duplicated: u64,
     pub(crate) delayed: u64,
-    pub(crate) cuts: u64,
+    pub(crate) partitions: u64,
     pub(crate) crashes: u64,
     pub(crate) torn_writes: u64,
     pub(crate) kills: u64,
@@ -37,7 +37,7 @@
             ("lost", self.lost),
             ("duplicated", self.duplicated),
             ("delayed", self.delayed),
-            ("cuts", self.cuts),
+            ("cuts", self.partitions),
             ("crashes", self.crashes),
             ("crashes in a write", self.torn_writes),
             ("kills", self.kills),
@@ -65,7 +65,7 @@
         self.lost += other.lost;
         self.duplicated += other.duplicated;
         self.delayed += other.delayed;
-        self.cuts += other.cuts;
+        self.partitions += other.partitions;
         self.crashes += other.crashes;
         self.torn_writes += other.torn_writes;
         self.kills += other.kills;
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_faults.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_faults.rs
@@ -15,7 +15,7 @@
     pub(crate) fn fault(&mut self) {
         let every = self.plan.fault_every_ms * 1000;
         let next = self.rng.random_range(0..every * 2);
-        if self.is_calm {
+        if self.is_fault_free {
             return;
         }
         self.schedule(next, SimEvent::Fault);
@@ -32,7 +32,7 @@
             FaultKind::FailedSync => self.nodes[node].disk.fail_syncs(1),
             FaultKind::FullDisk => self.fill_disk(node),
             FaultKind::Pause => self.pause(node),
-            FaultKind::Cut => self.cut(node),
+            FaultKind::Partition => self.partition(node),
             FaultKind::LostDisk => self.lose_disk(node),
             FaultKind::TransferLeadership => self.hand_over(),
             FaultKind::RemoveMember => self.remove_member(node),
@@ -98,7 +98,7 @@
         self.schedule(span, SimEvent::Resume(node, epoch));
     }
 
-    pub(crate) fn resume(&mut self, node: usize, epoch: u64) {
+    pub(crate) fn resume_node(&mut self, node: usize, epoch: u64) {
         if self.nodes[node].epoch != epoch {
             return;
         }
@@ -109,8 +109,8 @@
     }
 
     /// Nothing gets through from a node, or to it, or both, to one other or to all.
-    fn cut(&mut self, node: usize) {
-        self.counts.cuts += 1;
+    fn partition(&mut self, node: usize) {
+        self.counts.partitions += 1;
         let kind = self.rng.random_range(0..4);
         let only = self.rng.random_range(0..self.nodes.len());
         let span = self.rng.random_range(100_000..5_000_000);
@@ -119,30 +119,30 @@
                 continue;
             }
             if kind != 1 {
-                self.cuts.insert((node, other));
+                self.partitions.insert((node, other));
                 self.schedule(span, SimEvent::Heal(node, other));
             }
             if kind != 0 {
-                self.cuts.insert((other, node));
+                self.partitions.insert((other, node));
                 self.schedule(span, SimEvent::Heal(other, node));
             }
         }
     }
 
     /// Whether the group can bear the loss of one more disk: the last one has been made good.
-    fn can_lose(&self) -> bool {
+    fn can_lose_disk(&self) -> bool {
         let Some(members) = self.operator.settled_members(self) else {
             return false;
         };
         let is_held = |record: &MemberRecord| {
             let mut nodes = self.nodes.iter();
-            nodes.any(|node| node.member == Some(record.member) && node.is_sound())
+            nodes.any(|node| node.member == Some(record.member) && node.is_healthy())
         };
         members.voters().count() >= 3 && members.records().iter().all(is_held)
     }
 
     pub(crate) fn lose_disk(&mut self, node: usize) {
-        if !self.can_lose() {
+        if !self.can_lose_disk() {
             return;
         }
         self.counts.lost_disks += 1;
@@ -156,7 +156,7 @@
     }
 
     /// Keeps a copy of the disk as it would be after a crash.
-    pub(crate) fn keep_image(&mut self, node: usize) {
+    pub(crate) fn save_image(&mut self, node: usize) {
         let target = &mut self.nodes[node];
         if let Some(process) = &target.process {
             let members = process.core.members_index();
@@ -171,16 +171,16 @@
         let Some((_, image)) = image.filter(|(index, _)| Some(*index) == members) else {
             return;
         };
-        if !self.can_lose() {
+        if !self.can_lose_disk() {
             return;
         }
         self.counts.rollbacks += 1;
-        let most = self.nodes.iter().filter_map(|node| node.core());
-        let most = most.map(ConsensusCore::commit_index).max();
+        let max_commit = self.nodes.iter().filter_map(|node| node.core());
+        let max_commit = max_commit.map(ConsensusCore::commit_index).max();
         self.end(node);
         self.nodes[node].boot += 1;
         self.nodes[node].disk.roll_back(&image);
-        self.nodes[node].rolled_back_from = most;
+        self.nodes[node].rolled_back_from = max_commit;
     }
 
     fn remove_member(&mut self, node: usize) {
@@ -208,14 +208,14 @@
     }
 
     /// All faults are over.
-    pub(crate) fn calm_down(&mut self) {
-        self.is_calm = true;
-        self.cuts.clear();
+    pub(crate) fn end_faults(&mut self) {
+        self.is_fault_free = true;
+        self.partitions.clear();
         for node in 0..self.nodes.len() {
             let epoch = self.nodes[node].epoch;
             self.nodes[node].disk.set_capacity(None);
             self.nodes[node].disk.fail_syncs(0);
-            self.resume(node, epoch);
+            self.resume_node(node, epoch);
             if self.nodes[node].disk.has_stopped() {
                 self.crash(node);
             }
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_network.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_network.rs
@@ -10,7 +10,7 @@
 
 impl SimWorld {
     pub(crate) fn send(&mut self, from: usize, frame: &PeerFrame) {
-        self.checker.sends(frame);
+        self.checker.record_vote(frame);
         let found = self
             .nodes
             .iter()
@@ -22,7 +22,7 @@
         assert_eq!(bytes.len(), frame.encoded_len());
         self.counts.messages += 1;
         self.counts.message_bytes += bytes.len() as u64;
-        if self.cuts.contains(&(from, to)) || self.chance(self.plan.loss_percent) {
+        if self.partitions.contains(&(from, to)) || self.chance(self.plan.loss_percent) {
             self.counts.lost += 1;
             return;
         }
@@ -37,7 +37,7 @@
 
     /// Whether something with this probability happens; never once the schedule has calmed down.
     pub(crate) fn chance(&mut self, percent: u32) -> bool {
-        !self.is_calm && self.rng.random_range(0..100) < percent
+        !self.is_fault_free && self.rng.random_range(0..100) < percent
     }
 
     fn delay(&mut self) -> u64 {
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_node.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_node.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether it runs, is heard, and holds what was accepted up to the rollback.
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn is_healthy(&self) -> bool {
         let from = self.rolled_back_from.unwrap_or(0);
         self.lost.is_none()
             && !self.is_paused
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_operator.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_operator.rs
@@ -13,11 +13,11 @@
     /// A node whose disk is to be lost as soon as the repair of another is done.
     next_loss: Option<usize>,
     /// How often the operator has looked since somebody was in charge.
-    looks: u32,
+    checks_without_leader: u32,
 }
 
 /// The operator looks every 100 ms.
-const LOOKS_BEFORE_TRUST: u32 = 30;
+const CHECKS_BEFORE_TRUST: u32 = 30;
 
 impl SimOperator {
     /// The members, if a leader has them committed.
@@ -32,11 +32,11 @@
 }
 
 impl SimWorld {
-    pub(crate) fn operate(&mut self) {
-        self.schedule(100_000, SimEvent::Operate);
+    pub(crate) fn run_operator(&mut self) {
+        self.schedule(100_000, SimEvent::RunOperator);
         self.restart_failed();
         for node in &mut self.nodes {
-            if node.is_sound() {
+            if node.is_healthy() {
                 node.rolled_back_from = None;
             }
         }
@@ -44,7 +44,7 @@
         let Some(leader) = self.acting_node() else {
             return self.trust_disks();
         };
-        self.operator.looks = 0;
+        self.operator.checks_without_leader = 0;
         let Some(members) = self.operator.settled_members(self) else {
             return;
         };
@@ -53,7 +53,7 @@
                 let token = self.token();
                 self.input(leader, CoreInput::ChangeMember { token, change });
             }
-            None => self.lose_second(),
+            None => self.lose_next_disk(),
         }
     }
 
@@ -73,22 +73,22 @@
     /// Somebody makes backups of the disks, and at times puts one back.
     fn restore_backups(&mut self) {
         let node = self.rng.random_range(0..self.nodes.len());
-        if !self.is_calm && self.rng.random_range(0..100) < self.plan.rollback_percent {
+        if !self.is_fault_free && self.rng.random_range(0..100) < self.plan.rollback_percent {
             self.roll_back(node);
         }
         if self.rng.random_range(0..20) == 0 {
-            self.keep_image(node);
+            self.save_image(node);
         }
     }
 
     /// With a disk gone for good and nobody in charge, the operator vouches for the other disks.
     fn trust_disks(&mut self) {
-        self.operator.looks += 1;
+        self.operator.checks_without_leader += 1;
         let is_lost = self.nodes.iter().any(|node| node.lost.is_some());
-        if self.operator.looks < LOOKS_BEFORE_TRUST || !is_lost {
+        if self.operator.checks_without_leader < CHECKS_BEFORE_TRUST || !is_lost {
             return;
         }
-        self.operator.looks = 0;
+        self.operator.checks_without_leader = 0;
         for node in 0..self.nodes.len() {
             let target = &self.nodes[node];
             let is_stuck = target.core().is_some_and(|core| !core.is_verified());
@@ -133,9 +133,9 @@
     }
 
     /// The next disk is lost right after the repair of the last one.
-    fn lose_second(&mut self) {
+    fn lose_next_disk(&mut self) {
         if let Some(node) = self.operator.next_loss.take()
-            && !self.is_calm
+            && !self.is_fault_free
             && self.rng.random_range(0..2) == 0
         {
             self.lose_disk(node);
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_plan.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_plan.rs
@@ -12,8 +12,8 @@
     /// Nodes that found the group; the others wait as spares.
     pub(crate) founders: usize,
     /// True time with faults, and then without.
-    pub(crate) faulty_ms: u64,
-    pub(crate) calm_ms: u64,
+    pub(crate) fault_ms: u64,
+    pub(crate) fault_free_ms: u64,
     pub(crate) loss_percent: u32,
     pub(crate) duplicate_percent: u32,
     pub(crate) late_percent: u32,
@@ -38,8 +38,8 @@
             seed: 1,
             nodes: 3,
             founders: 3,
-            faulty_ms: 60_000,
-            calm_ms: 12_000,
+            fault_ms: 60_000,
+            fault_free_ms: 12_000,
             loss_percent: 5,
             duplicate_percent: 3,
             late_percent: 3,
@@ -49,14 +49,14 @@
             drift_ppm: 10_000,
             kinds: FaultKind::ALL.to_vec(),
             rollback_percent: 1,
-            core: Self::small_core(),
+            core: Self::small_limits(),
         }
     }
 }
 
 impl SimPlan {
     /// Bounds so small that snapshots, pieces and full pipelines come up all the time.
-    pub(crate) fn small_core() -> CoreSettings {
+    pub(crate) fn small_limits() -> CoreSettings {
         CoreSettings {
             election_timeout: Duration::from_millis(400),
             heartbeat_interval: Duration::from_millis(100),
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_world.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_world.rs
@@ -35,7 +35,7 @@
     Heal(usize, usize),
     Client,
     Fault,
-    Operate,
+    RunOperator,
 }
 
 /// The group, its disks, clocks and messages.
@@ -45,11 +45,11 @@
     pub(crate) now_us: u64,
     pub(crate) nodes: Vec<SimNode>,
     /// Directions in which nothing gets through.
-    pub(crate) cuts: BTreeSet<(usize, usize)>,
+    pub(crate) partitions: BTreeSet<(usize, usize)>,
     pub(crate) checker: SimChecker,
     pub(crate) counts: SimCounts,
     pub(crate) operator: SimOperator,
-    pub(crate) is_calm: bool,
+    pub(crate) is_fault_free: bool,
     events: BTreeMap<(u64, u64), SimEvent>,
     next_event: u64,
     pub(crate) next_token: u64,
@@ -61,7 +61,7 @@
 const FIRST_IDENTITY: u64 = 0x9000_0000_0000_0000;
 
 /// As large as milliseconds of the wall clock.
-const FIRST_START: u64 = 1_700_000_000_000;
+const FIRST_START_NUMBER: u64 = 1_700_000_000_000;
 
 const TICK_US: u64 = 20_000;
 
@@ -72,7 +72,7 @@
             .map(|_| {
                 SimNode::new(SimClock {
                     offset_us: rng.random_range(0..10_000_000),
-                    gain_ppm: plan.drift_ppm * rng.random_range(-1..=1),
+                    drift_ppm: plan.drift_ppm * rng.random_range(-1..=1),
                 })
             })
             .collect();
@@ -80,14 +80,14 @@
             rng,
             now_us: 1000,
             nodes,
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             checker: SimChecker::default(),
             counts: SimCounts {
                 schedules: 1,
                 ..SimCounts::default()
             },
             operator: SimOperator::default(),
-            is_calm: false,
+            is_fault_free: false,
             events: BTreeMap::new(),
             next_event: 0,
             next_token: 1,
@@ -95,12 +95,12 @@
             founders: None,
             plan,
         };
-        world.set_up();
+        world.bootstrap();
         world
     }
 
     /// The first node founds the group with the identities that the others will have.
-    fn set_up(&mut self) {
+    fn bootstrap(&mut self) {
         let voters = (0..self.plan.founders).map(|node| {
             let identity = MemberId(self.next_identity + node as u64);
             (identity, NodeId(node as u64))
@@ -111,7 +111,7 @@
         }
         self.schedule(50_000, SimEvent::Client);
         self.schedule(300_000, SimEvent::Fault);
-        self.schedule(200_000, SimEvent::Operate);
+        self.schedule(200_000, SimEvent::RunOperator);
     }
 
     pub(crate) fn schedule(&mut self, after_us: u64, event: SimEvent) {
@@ -122,7 +122,7 @@
 
     /// Runs until the true time `until_us`, or to the first breach.
     pub(crate) fn run_until(&mut self, until_us: u64) {
-        while self.checker.breach.is_none() {
+        while self.checker.violation.is_none() {
             let Some(entry) = self.events.first_entry() else {
                 break;
             };
@@ -132,12 +132,12 @@
             let ((at, _), event) = entry.remove_entry();
             self.now_us = self.now_us.max(at);
             self.counts.steps += 1;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now_us = self.now_us.max(until_us);
     }
 
-    fn happen(&mut self, event: SimEvent) {
+    fn handle_event(&mut self, event: SimEvent) {
         let target = match event {
             SimEvent::Tick(node, _) | SimEvent::Deliver(node, _) | SimEvent::Written(node, _) => {
                 Some(node)
@@ -152,13 +152,13 @@
             SimEvent::Tick(node, epoch) => self.tick(node, epoch),
             SimEvent::Deliver(node, bytes) => self.deliver(node, &bytes),
             SimEvent::Written(node, epoch) => self.write(node, epoch),
-            SimEvent::Resume(node, epoch) => self.resume(node, epoch),
+            SimEvent::Resume(node, epoch) => self.resume_node(node, epoch),
             SimEvent::Heal(from, to) => {
-                self.cuts.remove(&(from, to));
+                self.partitions.remove(&(from, to));
             }
-            SimEvent::Client => self.call(),
+            SimEvent::Client => self.client_step(),
             SimEvent::Fault => self.fault(),
-            SimEvent::Operate => self.operate(),
+            SimEvent::RunOperator => self.run_operator(),
         }
     }
 
@@ -179,7 +179,7 @@
             Err(error) => {
                 return self
                     .checker
-                    .fails(format!("node {node} cannot open: {error}"));
+                    .record_violation(format!("node {node} cannot open: {error}"));
             }
         };
         if stored.identity == fresh_identity {
@@ -189,31 +189,31 @@
         let is_founder = node == 0 && stored.is_new && self.now_us <= 1000;
         let start = CoreStart {
             stored,
-            start: FIRST_START + self.now_us,
+            start: FIRST_START_NUMBER + self.now_us,
             initial_members: self.founders.clone().filter(|_| is_founder),
         };
-        let now = self.local(node);
+        let now = self.local_time(node);
         let seed = self.rng.random();
         let made = ConsensusCore::new(self.plan.core.clone(), start, now, seed);
         let (core, actions) = made.expect("the folder's content starts a core");
         self.nodes[node].process = Some(SimProcess::new(core, folder));
         let epoch = self.nodes[node].epoch;
         self.schedule(TICK_US, SimEvent::Tick(node, epoch));
-        self.act(node, actions);
+        self.run_actions(node, actions);
     }
 
-    pub(crate) fn local(&self, node: usize) -> ClockTime {
+    pub(crate) fn local_time(&self, node: usize) -> ClockTime {
         self.nodes[node].clock.reading(self.now_us)
     }
 
     fn tick(&mut self, node: usize, epoch: u64) {
         if self.nodes[node].epoch == epoch {
             self.input(node, CoreInput::Tick);
-            let now = self.local(node);
+            let now = self.local_time(node);
             let core = self.nodes[node].core();
             if core.is_some_and(|core| !core.has_failed() && core.wake_at() <= now) {
-                let breach = format!("node {node} wants to be woken in the past, at {now}");
-                self.checker.fails(breach);
+                let violation = format!("node {node} wants to be woken in the past, at {now}");
+                self.checker.record_violation(violation);
             }
             self.schedule(TICK_US, SimEvent::Tick(node, epoch));
         }
@@ -221,31 +221,31 @@
 
     /// Hands one input to a node's core and does what it asks for.
     pub(crate) fn input(&mut self, node: usize, input: CoreInput) {
-        let now = self.local(node);
+        let now = self.local_time(node);
         let Some(process) = &mut self.nodes[node].process else {
             return;
         };
         let actions = process.core.handle(input, now);
-        self.act(node, actions);
+        self.run_actions(node, actions);
     }
 
-    fn act(&mut self, node: usize, actions: Vec<CoreAction>) {
+    fn run_actions(&mut self, node: usize, actions: Vec<CoreAction>) {
         let mut wanted = None;
         for action in actions {
             if let CoreAction::TakeSnapshot { index } = action {
                 wanted = Some(index);
             } else {
-                self.act_one(node, action);
+                self.run_action(node, action);
             }
         }
         if let Some(index) = wanted {
-            self.give_snapshot(node, index);
+            self.send_snapshot(node, index);
         }
         let core = self.nodes[node].core();
         if let Some((id, term)) = core
             .filter(|core| core.is_leader())
             .map(|core| (core.id(), core.term()))
-            && self.checker.leads(id, term)
+            && self.checker.record_leader(id, term)
         {
             self.counts.elections += 1;
         }
@@ -260,10 +260,10 @@
             let core = node.core().filter(|core| core.may_act_as_leader(now));
             acting.extend(core.map(ConsensusCore::id));
         }
-        self.checker.acting(&acting);
+        self.checker.check_acting_leaders(&acting);
     }
 
-    fn act_one(&mut self, node: usize, action: CoreAction) {
+    fn run_action(&mut self, node: usize, action: CoreAction) {
         let Some(process) = &mut self.nodes[node].process else {
             return;
         };
@@ -275,12 +275,12 @@
             CoreAction::Send(frame) => self.send(node, &frame),
             CoreAction::Apply { index, command, .. } => {
                 process.state.apply(index, &command);
-                self.checker.applies(process.state, &command);
+                self.checker.record_apply(process.state, &command);
             }
             CoreAction::RestoreSnapshot { index, bytes } => {
                 process.state = SimState::from_bytes(&bytes);
                 self.counts.restores += 1;
-                self.checker.restores(index, process.state);
+                self.checker.check_restore(index, process.state);
             }
             CoreAction::ProposeDone { token, result } => {
                 let command = process.commands.remove(&token);
@@ -288,7 +288,7 @@
                     match command {
                         Some(command) => {
                             self.counts.accepted += 1;
-                            self.checker.accepts(index, command);
+                            self.checker.record_accepted(index, command);
                         }
                         None => self.counts.member_changes += 1,
                     }
@@ -297,7 +297,8 @@
             CoreAction::ReadReady { token, index } => {
                 let expected = process.reads.remove(&token).unwrap_or(u64::MAX);
                 self.counts.reads_ready += 1;
-                self.checker.reads(index, process.state.index, expected);
+                self.checker
+                    .check_read(index, process.state.index, expected);
             }
             CoreAction::ReadRefused { .. }
             | CoreAction::TakeSnapshot { .. }
@@ -307,7 +308,7 @@
     }
 
     /// Only after all actions of the call before: a batch must not overtake another.
-    fn give_snapshot(&mut self, node: usize, index: u64) {
+    fn send_snapshot(&mut self, node: usize, index: u64) {
         let process = self.nodes[node].process.as_ref();
         if let Some(bytes) = process.map(|process| process.state.to_bytes()) {
             self.input(node, CoreInput::SnapshotTaken { index, bytes });
@@ -316,8 +317,8 @@
 
     fn start_write(&mut self, node: usize) {
         let is_slow = self.chance(self.plan.slow_write_percent);
-        let most = if is_slow { 300_000 } else { 8000 };
-        let latency = self.rng.random_range(200..most);
+        let max_latency_us = if is_slow { 300_000 } else { 8000 };
+        let latency = self.rng.random_range(200..max_latency_us);
         let epoch = self.nodes[node].epoch;
         let Some(process) = &mut self.nodes[node].process else {
             return;
@@ -347,7 +348,7 @@
             }
             Err(error) => self
                 .checker
-                .fails(format!("node {node} cannot write: {error}")),
+                .record_violation(format!("node {node} cannot write: {error}")),
         }
         let process = self.nodes[node].process.as_ref();
         if process.is_some_and(|process| !process.writes.is_empty()) {
@@ -362,13 +363,13 @@
 
     /// Runs the whole plan; the first breach, if any.
     pub(crate) fn run(&mut self) -> Option<String> {
-        self.run_until(self.plan.faulty_ms * 1000);
-        self.calm_down();
-        let end = self.now_us + self.plan.calm_ms * 1000;
+        self.run_until(self.plan.fault_ms * 1000);
+        self.end_faults();
+        let end = self.now_us + self.plan.fault_free_ms * 1000;
         self.run_until(end);
-        if self.checker.breach.is_none() {
+        if self.checker.violation.is_none() {
             self.check_progress();
         }
-        self.checker.breach.clone()
+        self.checker.violation.clone()
     }
 }
--- a/crates/ragwortroad_log/examples/appends_per_second.rs
+++ b/crates/ragwortroad_log/examples/appends_per_second.rs
@@ -18,7 +18,7 @@
 /// Bytes of one entry, about those of a claim.
 const ENTRY_BYTES: usize = 200;
 
-/// How long each size of group is measured.
+/// How long each size of batch_size is measured.
 const SPAN: Duration = Duration::from_secs(3);
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -33,23 +33,23 @@
     let (mut folder, state) = LogFolder::open(&settings)?;
     let mut index = state.entries.last().map_or(0, |entry| entry.index);
     println!("entries a sync | entries a second | sync p50 | sync p99");
-    for group in [1, 16, 256] {
+    for batch_size in [1, 16, 256] {
         let mut spans = Vec::new();
-        let begun = Instant::now();
-        while begun.elapsed() < SPAN {
-            let asked = Instant::now();
-            for _ in 0..group {
+        let started_at = Instant::now();
+        while started_at.elapsed() < SPAN {
+            let batch_started_at = Instant::now();
+            for _ in 0..batch_size {
                 index += 1;
                 folder.append(&change(index))?;
             }
             folder.sync()?;
-            spans.push(asked.elapsed());
+            spans.push(batch_started_at.elapsed());
         }
-        let rate = spans.len() as f64 * f64::from(group) / begun.elapsed().as_secs_f64();
+        let rate = spans.len() as f64 * f64::from(batch_size) / started_at.elapsed().as_secs_f64();
         spans.sort_unstable();
         let p50 = spans[spans.len() / 2];
         let p99 = spans[spans.len() * 99 / 100];
-        println!("{group:>14} | {rate:>16.0} | {p50:>8.2?} | {p99:>8.2?}");
+        println!("{batch_size:>14} | {rate:>16.0} | {p50:>8.2?} | {p99:>8.2?}");
     }
     Ok(())
 }
--- a/crates/ragwortroad_log/src/fake_disk.rs
+++ b/crates/ragwortroad_log/src/fake_disk.rs
@@ -55,7 +55,7 @@
     /// Syncs asked for so far, and how many of them failed.
     pub fn sync_counts(&self) -> (u64, u64) {
         let state = self.lock();
-        (state.syncs, state.sync_fails)
+        (state.syncs, state.failed_syncs)
     }
 
     /// Loses everything, as when a VM's disk is replaced by an empty one.
@@ -155,7 +155,7 @@
 
     pub(crate) fn create(&self, name: &str) -> io::Result<()> {
         let mut state = self.lock();
-        state.step()?;
+        state.count_operation()?;
         let at = state.files.len();
         state.files.push(FakeFile::default());
         state.change(NameChange::Link(name.to_owned(), at));
@@ -164,10 +164,10 @@
 
     pub(crate) fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.lock();
-        state.step()?;
+        state.count_operation()?;
         let at = state.find(name)?;
-        let room = state.room();
-        let fits = bytes.len().min(room as usize);
+        let free_bytes = state.free_bytes();
+        let fits = bytes.len().min(free_bytes as usize);
         state.files[at].current.extend_from_slice(&bytes[..fits]);
         if fits < bytes.len() {
             return Err(io::ErrorKind::StorageFull.into());
@@ -177,12 +177,12 @@
 
     pub(crate) fn sync(&self, name: &str) -> io::Result<()> {
         let mut state = self.lock();
-        state.step()?;
+        state.count_operation()?;
         let at = state.find(name)?;
         state.syncs += 1;
         if state.fail_syncs > 0 {
             state.fail_syncs -= 1;
-            state.sync_fails += 1;
+            state.failed_syncs += 1;
             state.files[at].poisoned = true;
             return Err(io::Error::other("fake disk failed to sync"));
         }
@@ -195,7 +195,7 @@
 
     pub(crate) fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.lock();
-        state.step()?;
+        state.count_operation()?;
         state.find(from)?;
         state.change(NameChange::Rename(from.to_owned(), to.to_owned()));
         Ok(())
@@ -203,7 +203,7 @@
 
     pub(crate) fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.lock();
-        state.step()?;
+        state.count_operation()?;
         state.find(name)?;
         state.change(NameChange::Unlink(name.to_owned()));
         Ok(())
@@ -211,11 +211,11 @@
 
     pub(crate) fn sync_folder(&self) -> io::Result<()> {
         let mut state = self.lock();
-        state.step()?;
+        state.count_operation()?;
         state.syncs += 1;
         if state.fail_syncs > 0 {
             state.fail_syncs -= 1;
-            state.sync_fails += 1;
+            state.failed_syncs += 1;
             return Err(io::Error::other("fake disk failed to sync the folder"));
         }
         state.durable_names = state.names.clone();
--- a/crates/ragwortroad_log/src/fake_state.rs
+++ b/crates/ragwortroad_log/src/fake_state.rs
@@ -19,7 +19,7 @@
     pub(crate) stop_after: Option<u32>,
     pub(crate) capacity: Option<u64>,
     pub(crate) syncs: u64,
-    pub(crate) sync_fails: u64,
+    pub(crate) failed_syncs: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -42,7 +42,7 @@
 
 impl DiskState {
     /// Counts one change, unless the machine has stopped.
-    pub(crate) fn step(&mut self) -> io::Result<()> {
+    pub(crate) fn count_operation(&mut self) -> io::Result<()> {
         match &mut self.stop_after {
             Some(0) => Err(io::Error::other("the machine has stopped")),
             Some(left) => {
@@ -63,14 +63,14 @@
         self.pending.push(change);
     }
 
-    pub(crate) fn room(&self) -> u64 {
+    pub(crate) fn free_bytes(&self) -> u64 {
         let used: usize = self
             .names
             .values()
             .map(|&at| self.files[at].current.len())
             .sum();
         self.capacity
-            .map_or(u64::MAX, |most| most.saturating_sub(used as u64))
+            .map_or(u64::MAX, |limit| limit.saturating_sub(used as u64))
     }
 }
 
--- a/crates/ragwortroad_log/src/folder_files.rs
+++ b/crates/ragwortroad_log/src/folder_files.rs
@@ -15,7 +15,7 @@
 };
 
 /// Layout of the files this program writes and reads.
-pub(crate) const VERSION: u32 = 1;
+pub(crate) const FORMAT_VERSION: u32 = 1;
 
 /// Name of the file that holds the folder's identity.
 pub(crate) const IDENTITY_NAME: &str = "identity";
@@ -30,19 +30,19 @@
 pub(crate) const TEMP_ENDING: &str = ".tmp";
 
 /// Start of the names of log files.
-pub(crate) const LOG_START: &str = "log-";
+pub(crate) const LOG_PREFIX: &str = "log-";
 
 /// Start of the names of snapshot files.
-pub(crate) const SNAPSHOT_START: &str = "snapshot-";
+pub(crate) const SNAPSHOT_PREFIX: &str = "snapshot-";
 
 /// The log file of one generation.
 pub(crate) fn log_name(generation: u64) -> String {
-    format!("{LOG_START}{generation:016x}")
+    format!("{LOG_PREFIX}{generation:016x}")
 }
 
 /// The snapshot file of one generation.
 pub(crate) fn snapshot_name(generation: u64) -> String {
-    format!("{SNAPSHOT_START}{generation:016x}")
+    format!("{SNAPSHOT_PREFIX}{generation:016x}")
 }
 
 /// The generation in a file's name, if it starts with `start`.
@@ -51,7 +51,11 @@
 }
 
 /// Writes `bytes` as the file `name`, durably, so that a crash leaves the old file or the new one.
-pub(crate) fn write_whole(port: &mut DiskPort, name: &str, bytes: &[u8]) -> Result<(), LogError> {
+pub(crate) fn write_atomically(
+    port: &mut DiskPort,
+    name: &str,
+    bytes: &[u8],
+) -> Result<(), LogError> {
     let temp = format!("{name}{TEMP_ENDING}");
     let action = "write";
     port.create(&temp).context(DiskSnafu { action, name })?;
@@ -83,5 +87,5 @@
     };
     let mut bytes = Vec::new();
     write_frame(&frame, &mut bytes)?;
-    write_whole(port, VOTE_NAME, &bytes)
+    write_atomically(port, VOTE_NAME, &bytes)
 }
--- a/crates/ragwortroad_log/src/folder_generation.rs
+++ b/crates/ragwortroad_log/src/folder_generation.rs
@@ -11,11 +11,11 @@
     StoredEntry,
     StoredSnapshot,
     folder_files::{
-        VERSION,
+        FORMAT_VERSION,
         log_name,
         snapshot_name,
+        write_atomically, //
         write_frame,
-        write_whole, //
     },
     folder_replay,
     log_error::{
@@ -74,13 +74,13 @@
         };
         let mut bytes = Vec::new();
         write_frame(&frame, &mut bytes)?;
-        write_whole(&mut self.port, &snapshot_name(self.generation), &bytes)
+        write_atomically(&mut self.port, &snapshot_name(self.generation), &bytes)
     }
 
     /// Writes the log file of the current generation with a header and `entries`.
     pub(crate) fn write_log(&mut self, entries: &[StoredEntry]) -> Result<(), LogError> {
         let header = LogHeader {
-            version: VERSION,
+            version: FORMAT_VERSION,
             identity: self.identity,
             generation: self.generation,
             vote: self.vote,
@@ -94,7 +94,7 @@
         self.synced_sequence = self.next_sequence;
         self.append_record(LogRecord::Durable)?;
         let bytes = std::mem::take(&mut self.buffer);
-        write_whole(&mut self.port, &log_name(self.generation), &bytes)?;
+        write_atomically(&mut self.port, &log_name(self.generation), &bytes)?;
         self.synced_sequence = self.next_sequence;
         Ok(())
     }
--- a/crates/ragwortroad_log/src/folder_open.rs
+++ b/crates/ragwortroad_log/src/folder_open.rs
@@ -15,17 +15,17 @@
     StoredState,
     folder_files::{
         BOOT_NAME,
+        FORMAT_VERSION,
         IDENTITY_NAME,
-        LOG_START,
-        SNAPSHOT_START,
+        LOG_PREFIX,
+        SNAPSHOT_PREFIX,
         TEMP_ENDING,
-        VERSION,
         VOTE_NAME,
         generation_of,
         log_name,
+        write_atomically, //
         write_frame,
         write_vote,
-        write_whole, //
     },
     folder_replay::{
         check_entries,
@@ -83,7 +83,7 @@
     if names.iter().any(|name| name == IDENTITY_NAME) {
         return open_existing(port, settings, &names);
     }
-    refuse_if_used(&port, &names)?;
+    ensure_unused(&port, &names)?;
     create(port, settings)
 }
 
@@ -104,10 +104,10 @@
 ///
 /// If the file of a folder in use were lost and the folder taken for empty, the member would
 /// forget its vote and vote again. So anything but the files of an unused folder is refused.
-fn refuse_if_used(port: &DiskPort, names: &[String]) -> Result<(), LogError> {
+fn ensure_unused(port: &DiskPort, names: &[String]) -> Result<(), LogError> {
     let used = names.iter().any(|name| {
-        let is_snapshot = name.starts_with(SNAPSHOT_START);
-        let is_log = name.starts_with(LOG_START);
+        let is_snapshot = name.starts_with(SNAPSHOT_PREFIX);
+        let is_log = name.starts_with(LOG_PREFIX);
         is_snapshot || is_log && !is_unused_log(port, name)
     });
     let detail = "the identity file is missing, but there is a log";
@@ -156,7 +156,7 @@
     let frame = identity_frame(identity);
     let mut bytes = Vec::new();
     write_frame(&frame, &mut bytes)?;
-    write_whole(&mut folder.port, IDENTITY_NAME, &bytes)?;
+    write_atomically(&mut folder.port, IDENTITY_NAME, &bytes)?;
     let state = StoredState {
         identity,
         is_new: true,
@@ -167,7 +167,7 @@
 
 fn identity_frame(identity: u64) -> RecordFrame {
     let header = LogHeader {
-        version: VERSION,
+        version: FORMAT_VERSION,
         identity,
         generation: 0,
         vote: CountedVote::default(),
@@ -196,7 +196,7 @@
     };
     let generations = names
         .iter()
-        .filter_map(|name| generation_of(name, LOG_START));
+        .filter_map(|name| generation_of(name, LOG_PREFIX));
     let detail = "the log file is missing";
     let generation = generations.max().context(RolledBackSnafu { detail })?;
 
@@ -208,13 +208,13 @@
     check_vote(vote, vote_copy)?;
     let snapshot = read_snapshot(&port, &header)?;
     let starts = replay_starts(&scan.frames, &header);
-    let boot_known = port.read(BOOT_NAME).unwrap_or_default();
+    let confirmed_boot_id = port.read(BOOT_NAME).unwrap_or_default();
     let entries = replay_entries(&scan.frames);
     check_entries(&entries, &header, &name)?;
 
     let truncated_bytes = (bytes.len() - scan.intact_bytes) as u64;
     let next_sequence = rewrite_log(&mut port, &name, &bytes, &scan)?;
-    remove_leftovers(&mut port, names, generation)?;
+    remove_stale_generations(&mut port, names, generation)?;
     let mut folder = LogFolder {
         port,
         identity,
@@ -236,7 +236,8 @@
     let state = StoredState {
         identity,
         is_new: false,
-        is_same_boot: boot_known == settings.boot_id.as_bytes() && !settings.boot_id.is_empty(),
+        is_same_boot: confirmed_boot_id == settings.boot_id.as_bytes()
+            && !settings.boot_id.is_empty(),
         starts,
         vote: vote.vote,
         snapshot,
@@ -260,25 +261,25 @@
     scan: &RecordScan,
 ) -> Result<u64, LogError> {
     let sequence = scan.frames.last().map_or(0, |last| last.sequence + 1);
-    let mark = RecordFrame {
+    let durable_mark = RecordFrame {
         sequence,
         synced: sequence,
         record: LogRecord::Durable,
     };
     let mut intact = bytes[..scan.intact_bytes].to_vec();
-    write_frame(&mark, &mut intact)?;
-    write_whole(port, name, &intact)?;
+    write_frame(&durable_mark, &mut intact)?;
+    write_atomically(port, name, &intact)?;
     Ok(sequence + 1)
 }
 
-fn remove_leftovers(
+fn remove_stale_generations(
     port: &mut DiskPort,
     names: &[String],
     generation: u64,
 ) -> Result<(), LogError> {
     for name in names {
-        let of_log = generation_of(name, LOG_START);
-        let of_snapshot = generation_of(name, SNAPSHOT_START);
+        let of_log = generation_of(name, LOG_PREFIX);
+        let of_snapshot = generation_of(name, SNAPSHOT_PREFIX);
         if of_log.or(of_snapshot).is_some_and(|of| of != generation) {
             let action = "remove";
             port.remove(name).context(DiskSnafu { action, name })?;
--- a/crates/ragwortroad_log/src/folder_replay.rs
+++ b/crates/ragwortroad_log/src/folder_replay.rs
@@ -14,7 +14,7 @@
     StoredEntry,
     StoredSnapshot,
     folder_files::{
-        VERSION,
+        FORMAT_VERSION,
         snapshot_name, //
     },
     log_error::{
@@ -51,14 +51,14 @@
     let mut starts = header.starts.clone();
     for frame in frames {
         if let LogRecord::Start(start) = frame.record {
-            keep_start(&mut starts, start);
+            upsert_start(&mut starts, start);
         }
     }
     starts
 }
 
 /// Puts `start` in the place of an earlier one of the same member.
-pub(crate) fn keep_start(starts: &mut Vec<MemberStart>, start: MemberStart) {
+pub(crate) fn upsert_start(starts: &mut Vec<MemberStart>, start: MemberStart) {
     starts.retain(|known| known.member != start.member);
     starts.push(start);
     if starts.len() > MAX_STARTS {
@@ -96,7 +96,7 @@
     let Some(LogRecord::Header(header)) = first else {
         return corrupt(name, 0, "the header cannot be read");
     };
-    if header.version != VERSION {
+    if header.version != FORMAT_VERSION {
         return corrupt(name, 0, "another version of this program wrote it");
     }
     if header.identity != identity || header.generation != generation {
--- a/crates/ragwortroad_log/src/hint_file.rs
+++ b/crates/ragwortroad_log/src/hint_file.rs
@@ -3,7 +3,7 @@
 use crate::{
     DiskPort,
     LogError,
-    folder_files::write_whole,
+    folder_files::write_atomically,
     log_error::DiskSnafu, //
 };
 
@@ -40,6 +40,6 @@
 
     /// Replaces it, durably.
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), LogError> {
-        write_whole(&mut self.port, HINT_NAME, bytes)
+        write_atomically(&mut self.port, HINT_NAME, bytes)
     }
 }
--- a/crates/ragwortroad_log/src/log_folder.rs
+++ b/crates/ragwortroad_log/src/log_folder.rs
@@ -13,9 +13,9 @@
     folder_files::{
         BOOT_NAME,
         log_name,
+        write_atomically, //
         write_frame,
         write_vote,
-        write_whole, //
     },
     folder_replay,
     log_error::{
@@ -89,7 +89,9 @@
     /// Makes everything collected durable, with one sync for all of it.
     pub fn sync(&mut self) -> Result<(), LogError> {
         ensure!(!self.writes_refused, WritesRefusedSnafu);
-        let outcome = self.write_buffer().and_then(|()| self.write_boot());
+        let outcome = self
+            .write_buffer()
+            .and_then(|()| self.write_confirmed_boot());
         self.writes_refused |= outcome.is_err();
         outcome
     }
@@ -99,7 +101,7 @@
             self.append_vote(vote)?;
         }
         for &start in &change.starts {
-            folder_replay::keep_start(&mut self.starts, start);
+            folder_replay::upsert_start(&mut self.starts, start);
             self.append_record(LogRecord::Start(start))?;
         }
         if let Some(from) = change.truncate_from {
@@ -193,9 +195,9 @@
         Ok(())
     }
 
-    fn write_boot(&mut self) -> Result<(), LogError> {
+    fn write_confirmed_boot(&mut self) -> Result<(), LogError> {
         if std::mem::take(&mut self.confirms_boot) {
-            write_whole(&mut self.port, BOOT_NAME, self.boot_id.as_bytes())?;
+            write_atomically(&mut self.port, BOOT_NAME, self.boot_id.as_bytes())?;
         }
         Ok(())
     }
--- a/crates/ragwortroad_log/src/real_disk.rs
+++ b/crates/ragwortroad_log/src/real_disk.rs
@@ -27,7 +27,7 @@
     /// The file written last, kept open because the log is appended to all the time.
     open: Option<(String, File)>,
     /// Bytes that may still be written, where they are limited.
-    room: Option<u64>,
+    free_bytes: Option<u64>,
 }
 
 /// Name of the file whose lock says that a process uses the folder.
@@ -45,7 +45,9 @@
         let lock = File::create(path.join(LOCK_NAME))?;
         match lock.try_lock() {
             Ok(()) => Ok(Some(Self {
-                room: quota.map(|quota| room_below(&path, quota)).transpose()?,
+                free_bytes: quota
+                    .map(|quota| free_below_quota(&path, quota))
+                    .transpose()?,
                 path,
                 _lock: lock,
                 open: None,
@@ -76,13 +78,15 @@
     }
 
     pub(crate) fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let Some(room) = self.room else {
+        let Some(free_bytes) = self.free_bytes else {
             return self.file(name)?.write_all(bytes);
         };
         // As on a full disk, the bytes that fit are written, and the rest is not.
-        let fits = usize::try_from(room).unwrap_or(usize::MAX).min(bytes.len());
+        let fits = usize::try_from(free_bytes)
+            .unwrap_or(usize::MAX)
+            .min(bytes.len());
         self.file(name)?.write_all(&bytes[..fits])?;
-        self.room = Some(room - fits as u64);
+        self.free_bytes = Some(free_bytes - fits as u64);
         match fits == bytes.len() {
             true => Ok(()),
             false => Err(io::ErrorKind::StorageFull.into()),
@@ -103,7 +107,7 @@
         let path = self.path.join(name);
         let freed = fs::metadata(&path)?.len();
         fs::remove_file(path)?;
-        self.room = self.room.map(|room| room + freed);
+        self.free_bytes = self.free_bytes.map(|free_bytes| free_bytes + freed);
         Ok(())
     }
 
@@ -126,7 +130,7 @@
 }
 
 /// What a quota leaves beside the files that are there.
-fn room_below(path: &Path, quota: u64) -> io::Result<u64> {
+fn free_below_quota(path: &Path, quota: u64) -> io::Result<u64> {
     let mut taken = 0;
     for item in fs::read_dir(path)? {
         taken += item?.metadata()?.len();
--- a/crates/ragwortroad_log/src/record_scan.rs
+++ b/crates/ragwortroad_log/src/record_scan.rs
@@ -32,7 +32,7 @@
             scan.intact_bytes += length;
             scan.frames.push(frame);
         }
-        if let Some(detail) = scan.find_witness(&bytes[scan.intact_bytes..]) {
+        if let Some(detail) = scan.find_sync_proof(&bytes[scan.intact_bytes..]) {
             return CorruptSnafu {
                 name,
                 offset: scan.intact_bytes as u64,
@@ -44,13 +44,13 @@
     }
 
     /// Looks behind a damaged record for an intact one that says the damaged one was synced.
-    fn find_witness(&self, rest: &[u8]) -> Option<String> {
+    fn find_sync_proof(&self, rest: &[u8]) -> Option<String> {
         let missing = self.frames.last().map_or(0, |last| last.sequence + 1);
-        let most = missing.saturating_add(rest.len() as u64);
+        let limit = missing.saturating_add(rest.len() as u64);
         for start in 0..rest.len().saturating_sub(OVERHEAD_BYTES) {
             let (sequence, synced) = RecordFrame::numbers(&rest[start..])?;
             // The numbers rule out nearly every position before a checksum is worked out.
-            let plausible = sequence > missing && sequence <= most && synced > missing;
+            let plausible = sequence > missing && sequence <= limit && synced > missing;
             if !plausible || synced > sequence {
                 continue;
             }
--- a/crates/ragwortroad_log/tests/folder.rs
+++ b/crates/ragwortroad_log/tests/folder.rs
@@ -121,7 +121,7 @@
 
     /// Guards against acknowledged entries that a crash takes along.
     #[test]
-    fn a_crash_keeps_what_was_acknowledged(
+    fn a_crash_keeps_acknowledged_changes(
         rounds in prop::collection::vec(
             (prop::collection::vec(any::<u64>(), 1..25), 0_u32..60, any::<u64>(), any::<bool>()),
             1..5,
@@ -155,7 +155,7 @@
 
     /// Guards against rotten bytes that are read as an unfinished write.
     #[test]
-    fn rot_is_refused_and_never_skipped(
+    fn damaged_bytes_are_detected_and_never_skipped(
         draws in prop::collection::vec(any::<u64>(), 1..30),
         place in any::<prop::sample::Index>(),
         file in any::<prop::sample::Index>(),
@@ -182,7 +182,7 @@
 
     /// A file holds something else altogether; opening must say so and not fall over.
     #[test]
-    fn any_bytes_are_refused_or_read(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn opening_arbitrary_bytes_fails_cleanly(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         for name in ["identity", "vote", "log-0000000000000000", "boot"] {
             let disk = FakeDisk::default();
             drop(open(&disk).expect("opens"));
@@ -205,7 +205,7 @@
 
 /// Guards against a second vote after a file of the folder was restored or lost.
 #[test]
-fn a_file_that_went_back_is_refused() {
+fn a_single_rolled_back_file_is_refused() {
     let disk = FakeDisk::default();
     let (mut folder, _) = open(&disk).expect("opens");
     let mut copies = Vec::new();
@@ -235,7 +235,7 @@
 
 /// Guards against acknowledgements after a failed sync.
 #[test]
-fn a_failed_sync_closes_the_folder() {
+fn a_failed_sync_refuses_further_writes() {
     let disk = FakeDisk::default();
     let (mut folder, _) = open(&disk).expect("opens");
     folder.append(&change(1)).expect("appends");
@@ -253,7 +253,7 @@
 
 /// Guards against a full disk that ends the process or loses entries.
 #[test]
-fn a_full_disk_is_an_error_and_no_loss() {
+fn a_full_disk_returns_an_error_and_loses_nothing() {
     let disk = FakeDisk::default();
     let (mut folder, _) = open(&disk).expect("opens");
     folder.append(&change(1)).expect("appends");
--- a/crates/ragwortroad_log/tests/hints.rs
+++ b/crates/ragwortroad_log/tests/hints.rs
@@ -8,7 +8,7 @@
 
 /// Guards against half a list of hints after a loss of power.
 #[test]
-fn hints_are_whole_after_a_loss_of_power() {
+fn hints_survive_a_power_loss_whole() {
     for lost in 0..40 {
         let disk = FakeDisk::default();
         let mut hints = file(&disk);
