--- a/crates/ragwortroad_clock/src/lib.rs
+++ b/crates/ragwortroad_clock/src/lib.rs
@@ -1,8 +1,8 @@
-//! The one place that reads clocks, for the processes that drive pure state.
+//! The only crate that reads clocks, for the processes that drive state machines without I/O.
 
 mod real_clock;
 
-/// Everything a dependent crate usually needs.
+/// Common items for dependent crates.
 pub mod prelude {
     pub use crate::real_clock::RealClock;
 }
--- a/crates/ragwortroad_consensus/examples/group_cost.rs
+++ b/crates/ragwortroad_consensus/examples/group_cost.rs
@@ -1,13 +1,13 @@
-//! Measures, over fake messages and disks: bytes a second of a quiet group, the time without a
-//! leader, and what it takes to catch up.
+//! Measures, on a simulated network and simulated disks, the traffic of idle and busy groups, the
+//! time without a leader, and the cost of catching up after a restart.
 //!
-//! One way takes 0.5 to 6 ms, a sync 0.2 to 8 ms.
+//! One-way message latency is 0.5 to 6 ms, and a sync takes 0.2 to 8 ms.
 //!
 //! ```sh
 //! cargo run --release -p ragwortroad_consensus --example group_cost
 //! ```
 
-// The tests use the rest of it.
+// The schedule tests use the rest of the module.
 #[allow(dead_code)]
 #[path = "../tests/schedules/world/mod.rs"]
 mod world;
@@ -22,7 +22,7 @@
     let mut world = SimWorld::new(SimPlan {
         seed,
         nodes,
-        founders: nodes,
+        initial_members: nodes,
         client_every_ms: 100_000_000,
         core: CoreSettings::default(),
         ..SimPlan::default()
@@ -44,20 +44,20 @@
 }
 
 fn main() {
-    println!("Quiet group, without the transport's own bytes:");
+    println!("Idle group, without transport overhead:");
     for nodes in [3, 5, 7] {
         quiet(nodes);
     }
-    println!("Busy group, 1000 commands a second of 8 to 119 bytes:");
+    println!("Busy group, 1000 commands per second of 8 to 119 bytes:");
     for nodes in [3, 5, 7] {
         busy(nodes);
     }
-    println!("Time without anyone in charge, in lease lengths:");
+    println!("Time without an acting leader, in lease lengths:");
     for nodes in [3, 5, 7] {
         failover("leader lost", nodes, |world, leader| {
             world.nodes[leader].is_paused = true;
         });
-        failover("handover", nodes, |world, leader| {
+        failover("leadership transfer", nodes, |world, leader| {
             world.input(leader, CoreInput::TransferLeadership);
         });
     }
@@ -74,7 +74,9 @@
     let messages = (world.counts.messages - before.messages) as f64 / 60.0;
     let bytes = (world.counts.message_bytes - before.message_bytes) as f64 / 60.0;
     let each = bytes / nodes as f64;
-    println!("  {nodes} members: {messages:.1} messages/s, {bytes:.0} B/s, {each:.0} B/s a member");
+    println!(
+        "  {nodes} members: {messages:.1} messages/s, {bytes:.0} B/s, {each:.0} B/s per member"
+    );
 }
 
 fn busy(nodes: usize) {
@@ -93,15 +95,16 @@
     let accepted = (world.counts.accepted - before.accepted) as f64;
     let messages = (world.counts.messages - before.messages) as f64 / accepted;
     let bytes = (world.counts.message_bytes - before.message_bytes) as f64 / accepted;
-    // By Little's law, with one command a millisecond.
+    // By Little's law, with one command proposed per millisecond.
     let mean = waiting as f64 / 10_000.0;
     println!(
-        "  {nodes} members: accepted after {mean:.1} ms on average, \
-         {messages:.2} messages and {bytes:.0} bytes each"
+        "  {nodes} members: mean commit latency {mean:.1} ms, \
+         {messages:.2} messages and {bytes:.0} bytes per command"
     );
 }
 
-/// Ends the leader's time by `end` in many groups; measures until another may act.
+/// Runs many groups, ends the leadership of each with `end`, and measures the time until another
+/// member may act as leader.
 fn failover(title: &str, nodes: usize, end: impl Fn(&mut SimWorld, usize)) {
     let lease = CoreSettings::default().lease_span().as_millis() as f64;
     let mut spans = Vec::new();
@@ -121,7 +124,7 @@
     spans.sort_unstable_by(f64::total_cmp);
     let at = |percent: usize| spans[(spans.len() - 1) * percent / 100];
     println!(
-        "  {title}, {nodes} members: p50 {:.2}, p99 {:.2}, most {:.2} ({} runs, lease {lease} ms)",
+        "  {title}, {nodes} members: p50 {:.2}, p99 {:.2}, max {:.2} ({} runs, lease {lease} ms)",
         at(50),
         at(99),
         at(100),
@@ -158,5 +161,5 @@
     }
     let span = (world.now_us - started_us) / 1000;
     let bytes = world.counts.message_bytes - before;
-    println!("  {missed} missed: {span} ms, {bytes} bytes");
+    println!("  {missed} entries missed: {span} ms, {bytes} bytes");
 }
--- a/crates/ragwortroad_consensus/src/bootstrap_table.rs
+++ b/crates/ragwortroad_consensus/src/bootstrap_table.rs
@@ -11,77 +11,81 @@
     MemberSet, //
 };
 
-/// What a node with a disk says of itself while a group is being founded.
+/// The state of one voting node's data folder, exchanged while a group is being bootstrapped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct BootstrapHello {
-    /// The node.
+    /// The node that sends this message.
     pub node: NodeId,
-    /// The identity of its data folder.
+    /// The random identity of the node's data folder.
     pub member: MemberId,
-    /// Whether the folder has neither entries nor a snapshot.
+    /// Whether the folder has neither log entries nor a snapshot.
     pub is_empty: bool,
 }
 
-/// What there is to do about founding a group.
+/// The next step of a node that may have to bootstrap a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BootstrapDecision {
-    /// Some of the named nodes have not answered: wait.
+    /// At least one named node has not sent its [`BootstrapHello`] yet.
     Wait {
-        /// Those nodes.
+        /// The nodes that have not answered.
         missing: Vec<NodeId>,
     },
-    /// All folders are empty and this node is the one to found: start with these members.
+    /// All folders are empty and this node bootstraps the group: start the core with these initial
+    /// members.
     Bootstrap(MemberSet),
-    /// All folders are empty and another node founds: start without founders, and follow.
+    /// All folders are empty and another node bootstraps the group: start the core without initial
+    /// members and wait for a leader.
     Follow,
-    /// A group exists: start without founders. An empty folder is then added as a learner.
+    /// A group already exists: start the core without initial members. The leader adds a node with
+    /// an empty folder as a learner.
     Join,
 }
 
-/// Decides, on nodes whose settings name the first members, whether to found a group.
+/// Decides whether this node bootstraps a group. Used on nodes whose settings name the initial
+/// members.
 ///
-/// Only if every named node says that its folder is empty, the one with the least identity founds.
-/// A node that lost its disk later finds that the others' folders are not empty, and so cannot
-/// found a second group beside the first.
+/// Only if every named node reports an empty folder does the node with the lowest ID
+/// bootstrap the group. A node that loses its disk later sees that the other folders are not empty,
+/// and so cannot create a second group beside the first.
 #[derive(Clone, Debug)]
 pub struct BootstrapTable {
     own: BootstrapHello,
-    /// The nodes that the settings name, with what each has said last.
+    /// The latest message of each node that the settings name; `None` before the first one.
     hellos: BTreeMap<NodeId, Option<BootstrapHello>>,
 }
 
 impl BootstrapTable {
-    /// A table for the node that says `own`, with `named` nodes in the settings.
+    /// Creates a table from this node's own state and the nodes named in the settings.
     pub fn new(own: BootstrapHello, named: impl IntoIterator<Item = NodeId>) -> Self {
         let mut hellos: BTreeMap<_, _> = named.into_iter().map(|node| (node, None)).collect();
         hellos.insert(own.node, Some(own));
         Self { own, hellos }
     }
 
-    /// Takes in what a node said.
+    /// Records the latest message of a node; a node that the settings do not name is ignored.
     pub fn record_hello(&mut self, hello: BootstrapHello) {
         if let Some(known) = self.hellos.get_mut(&hello.node) {
             *known = Some(hello);
         }
     }
 
-    /// What to do now.
+    /// Returns the next step, given the messages received so far.
     pub fn decide(&self) -> BootstrapDecision {
-        let heard: Vec<_> = self.hellos.values().flatten().copied().collect();
-        if heard.iter().any(|hello| !hello.is_empty) {
+        let received: Vec<_> = self.hellos.values().flatten().copied().collect();
+        if received.iter().any(|hello| !hello.is_empty) {
             return BootstrapDecision::Join;
         }
-        let unheard = self.hellos.iter().filter(|(_, hello)| hello.is_none());
-        let missing: Vec<_> = unheard.map(|(&node, _)| node).collect();
+        let unanswered = self.hellos.iter().filter(|(_, hello)| hello.is_none());
+        let missing: Vec<_> = unanswered.map(|(&node, _)| node).collect();
         if !missing.is_empty() {
             return BootstrapDecision::Wait { missing };
         }
-        let founder = heard.iter().map(|hello| hello.node).min();
+        let founder = received.iter().map(|hello| hello.node).min();
         if founder != Some(self.own.node) {
             return BootstrapDecision::Follow;
         }
-        let voters = heard.iter().map(|hello| (hello.member, hello.node));
+        let voters = received.iter().map(|hello| (hello.member, hello.node));
         BootstrapDecision::Bootstrap(MemberSet::from_voters(voters))
     }
 }
--- a/crates/ragwortroad_consensus/src/commit_apply.rs
+++ b/crates/ragwortroad_consensus/src/commit_apply.rs
@@ -1,4 +1,4 @@
-//! Commits: entries that are durable on a quorum go out to the state.
+//! Advances the commit index and emits committed entries for the state machine.
 
 use crate::{
     ConsensusCore,
@@ -8,7 +8,7 @@
 };
 
 impl ConsensusCore {
-    /// Everything up to `index` is durable on a quorum.
+    /// Commits and applies all entries up to `index`, which are durable on a quorum.
     pub(crate) fn commit_to(&mut self, index: u64) {
         let index = index.min(self.log.last().index);
         self.commit = self.commit.max(index);
@@ -42,7 +42,8 @@
         self.complete_proposal(index, term);
     }
 
-    /// An entry cannot be read: going on without it would fork the state.
+    /// Fails this member because an entry cannot be read: skipping it would make the replicas'
+    /// states diverge.
     fn fail_apply(&mut self) {
         self.step_down();
         self.has_failed = true;
@@ -57,8 +58,10 @@
         }
     }
 
-    /// Asks for a snapshot if one is due, as the last action of an input: the state that the
-    /// caller then has is the one after `applied`.
+    /// Requests a snapshot if one is due.
+    ///
+    /// The request is the last action of an input, so that the state the driver then has is the one
+    /// after `applied`.
     pub(crate) fn request_snapshot_if_due(&mut self) {
         let since = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let is_due = self.applied - since >= self.settings.snapshot_threshold_entries
--- a/crates/ragwortroad_consensus/src/consensus_core.rs
+++ b/crates/ragwortroad_consensus/src/consensus_core.rs
@@ -36,59 +36,61 @@
     persist_barrier::DeferredEffect, //
 };
 
-/// One member of a group that agrees on a log, as pure state.
+/// One member of a Raft group, as a state machine without I/O.
 ///
-/// Inputs go in with the time, actions come out; time, randomness, disk and messages belong to the
-/// caller. The caller does the actions in their order, writes batches in their order, and applies
-/// commands as they come out.
+/// The driver passes inputs together with the current time, and the core returns actions; time,
+/// randomness, the disk and the network belong to the driver. The driver performs the actions in
+/// order, writes batches in order, and applies commands in the order in which they are emitted.
 #[derive(Debug)]
 pub struct ConsensusCore {
     pub(crate) settings: CoreSettings,
     pub(crate) id: MemberId,
     pub(crate) start: u64,
     pub(crate) rng: Pcg64Mcg,
-    /// Invariant: `vote.term` never goes down, and `voted_for` changes only with the term or from
-    /// none.
+    /// Invariant: `vote.term` never decreases, and `voted_for` changes only together with the term
+    /// or from `None`.
     pub(crate) vote: VoteRecord,
     pub(crate) leader: Option<MemberId>,
     pub(crate) log: EntryLog,
     pub(crate) members: MemberHistory,
     pub(crate) snapshot: Option<Arc<StoredSnapshot>>,
-    /// Entries up to here are durable on a quorum.
+    /// Index of the last entry known to be durable on a quorum.
     pub(crate) commit: u64,
-    /// Entries up to here went out as actions.
+    /// Index of the last entry emitted as an action.
     ///
-    /// Invariant: not above `commit`.
+    /// Invariant: at most `commit`.
     pub(crate) applied: u64,
     /// Bytes of the entries applied since the last snapshot.
     pub(crate) applied_bytes: usize,
     pub(crate) snapshot_requested: bool,
-    /// The log equals the leader's up to here.
+    /// Index up to which this log is known to equal the leader's.
     ///
-    /// A heartbeat's commit index says nothing about entries beyond: they may be leftovers of an
-    /// earlier term, and applying one would fork the state.
+    /// A heartbeat's commit index says nothing about later entries: they may be left over from an
+    /// earlier term, and applying one would make the replicas' states diverge.
     pub(crate) leader_match_index: u64,
     pub(crate) state: MemberState,
     pub(crate) barrier: PersistBarrier,
     pub(crate) check: RestartCheck,
     pub(crate) starts: StartTable,
-    /// The disk has been told that it is not older than what was acknowledged.
+    /// Whether the data folder has been confirmed, in this boot, to be no older than what this
+    /// member acknowledged.
     pub(crate) is_confirmed: bool,
     pub(crate) assembly: Option<SnapshotAssembly>,
-    /// Before this, no vote is given: a leader may rely on this member for its lease.
+    /// Time before which this member grants no vote, because a leader may rely on it for its lease.
     pub(crate) no_vote_until: ClockTime,
-    /// When an election starts if nothing is heard.
+    /// Time at which an election starts unless the member hears from a leader or candidate first.
     pub(crate) election_deadline: ClockTime,
-    /// A write failed; this member promises nothing any more.
+    /// Whether a write failed or an entry could not be read; a failed member promises nothing any
+    /// more.
     pub(crate) has_failed: bool,
     pub(crate) out: Vec<CoreAction>,
 }
 
 impl ConsensusCore {
-    /// Handles one input at the time `now`; returns what is to be done.
+    /// Handles one input at the time `now` and returns the actions to perform.
     ///
-    /// All of it is to be done, in order, before the next input: a batch handed to the disk ahead
-    /// of an earlier one would not fit the log.
+    /// The driver must perform all of them, in order, before it passes the next input: a batch
+    /// written ahead of an earlier one would not fit the log.
     pub fn handle(&mut self, input: CoreInput, now: ClockTime) -> Vec<CoreAction> {
         if self.has_failed {
             self.reject_input(input);
@@ -115,7 +117,8 @@
         }
     }
 
-    /// Ends an input: what changed goes to the disk, what is durable takes effect.
+    /// Ends an input: emits the changes to be persisted, and runs the effects whose changes are
+    /// durable.
     fn flush(&mut self, now: ClockTime) {
         self.confirm_boot();
         loop {
@@ -154,7 +157,7 @@
         self.handle_message(frame.from, frame.message, now);
     }
 
-    /// Answers an input after a failed write.
+    /// Rejects an input after this member has failed.
     fn reject_input(&mut self, input: CoreInput) {
         let leader = None;
         match input {
@@ -169,9 +172,10 @@
         }
     }
 
-    /// A write failed: what reached the disk is unknown, so nothing more is promised from here.
+    /// Stops this member after a failed write: what reached the disk is unknown, so it promises
+    /// nothing more.
     ///
-    /// The process goes on; a new core may start once the folder has been opened anew.
+    /// The process continues; a new core may start once the data folder has been reopened.
     fn handle_persist_failure(&mut self) {
         self.step_down();
         self.leader = None;
@@ -188,28 +192,31 @@
         }));
     }
 
-    /// Sends once everything changed so far is durable.
+    /// Sends a message once all changes made so far are durable.
     pub(crate) fn send_after_persist(&mut self, to: MemberId, message: PeerMessage) {
         self.barrier.defer(DeferredEffect::Send(to, message));
     }
 
-    /// An election starts an election timeout and some more from now, if nothing is heard.
+    /// Restarts the election timer: an election timeout plus a random part, unless a leader is
+    /// heard first.
     pub(crate) fn reset_election_timer(&mut self, now: ClockTime) {
-        let least = self.settings.election_timeout;
-        self.set_election_deadline(now, least, least / 2);
+        let min_delay = self.settings.election_timeout;
+        self.set_election_deadline(now, min_delay, min_delay / 2);
     }
 
-    /// The question who would vote binds nobody and is soon asked again: a member that heard the
-    /// leader a little later says no only a little longer.
+    /// Restarts the timer after a pre-vote.
+    ///
+    /// A pre-vote binds nobody and is repeated soon, so that a voter that heard the leader slightly
+    /// later delays the election only slightly when it refuses.
     pub(crate) fn reset_pre_vote_timer(&mut self, now: ClockTime) {
-        let least = self.settings.election_timeout / 8;
-        self.set_election_deadline(now, least, least * 2);
+        let min_delay = self.settings.election_timeout / 8;
+        self.set_election_deadline(now, min_delay, min_delay * 2);
     }
 
-    /// Votes that split between candidates need another term.
+    /// Restarts the timer of a candidate, since a split vote needs another term.
     ///
-    /// Without leases many members start at once after a common restart, and split votes are
-    /// common: the next try comes sooner and is spread wider.
+    /// Without leases many members start at once after a common restart and split votes are common,
+    /// so the next attempt comes sooner and is spread over a wider range.
     pub(crate) fn reset_candidate_timer(&mut self, now: ClockTime) {
         let timeout = self.settings.election_timeout;
         match self.settings.uses_leader_lease {
@@ -218,9 +225,9 @@
         }
     }
 
-    fn set_election_deadline(&mut self, now: ClockTime, least: Duration, spread: Duration) {
-        let extra = self.rng.random_range(0..=spread.as_millis() as u64);
-        self.election_deadline = now.after(least).after(Duration::from_millis(extra));
+    fn set_election_deadline(&mut self, now: ClockTime, min_delay: Duration, spread: Duration) {
+        let jitter = self.rng.random_range(0..=spread.as_millis() as u64);
+        self.election_deadline = now.after(min_delay).after(Duration::from_millis(jitter));
     }
 
     pub(crate) fn set_leader(&mut self, leader: Option<MemberId>) {
@@ -231,12 +238,11 @@
         }
     }
 
-    /// Whether this member may vote or be elected.
+    /// Whether this member may campaign: it has passed the restart check and is a voter.
     pub(crate) fn is_electable(&self) -> bool {
         self.check.is_done && self.members().is_voter(self.id)
     }
 
-    /// The state of the leader, if this member is one.
     pub(crate) fn leader_state(&self) -> Option<&LeaderState> {
         match &self.state {
             MemberState::Leader(state) => Some(state),
@@ -255,7 +261,7 @@
         Pcg64Mcg::seed_from_u64(seed)
     }
 
-    /// The members in force here, committed or not.
+    /// The member set in force here, whether committed or not.
     pub fn members(&self) -> &MemberSet {
         self.members.latest()
     }
--- a/crates/ragwortroad_consensus/src/core_action.rs
+++ b/crates/ragwortroad_consensus/src/core_action.rs
@@ -7,99 +7,101 @@
     PeerFrame, //
 };
 
-/// Something a member wants done, in this order.
+/// An action that the driver has to perform; actions are performed in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CoreAction {
-    /// Make a change durable, in order of batches, and then hand in `Persisted`.
+    /// Make a change durable, in order of batches, then pass
+    /// [`CoreInput::Persisted`](crate::CoreInput).
     Persist {
-        /// Number of the change, counting up by one.
+        /// Number of the batch, increasing by one.
         batch: u64,
-        /// The change.
+        /// The change to write.
         change: LogChange,
     },
-    /// Send a frame to its receiver; it may get lost.
+    /// Send a frame to its receiver. It may be lost.
     Send(PeerFrame),
-    /// Apply a committed command to the state.
+    /// Apply a committed command to the replicated state.
     Apply {
-        /// Its index.
+        /// Log index of the command.
         index: u64,
-        /// Its term.
+        /// Term of the command's entry.
         term: u64,
-        /// The command.
+        /// The command as it was proposed.
         command: Vec<u8>,
     },
-    /// Replace the state by this one.
+    /// Replace the replicated state by a snapshot.
     RestoreSnapshot {
-        /// The last index it stands for.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// The state.
+        /// The encoded state.
         bytes: Vec<u8>,
     },
-    /// Hand in the state with `SnapshotTaken`; always the last action of an input.
+    /// Take a snapshot and pass it as `SnapshotTaken`; always the last action of an input.
     ///
     /// The state may be copied now and encoded elsewhere, as long as it is the one after `index`.
     TakeSnapshot {
-        /// The last index applied.
+        /// Index of the last applied entry.
         index: u64,
     },
-    /// What became of a command or a membership change.
+    /// A proposed command or membership change has finished.
     ProposeDone {
-        /// The proposal's token.
+        /// The token passed with the proposal.
         token: u64,
-        /// What became of it.
+        /// How it finished.
         result: ProposeResult,
     },
-    /// The state, as now applied, is current enough to answer a read.
+    /// The replicated state, as applied now, is current enough to answer a read.
     ReadReady {
-        /// The read's token.
+        /// The token passed with the read request.
         token: u64,
-        /// The index it is current to.
+        /// The commit index up to which the state is current.
         index: u64,
     },
     /// The read cannot be answered here.
     ReadRefused {
-        /// The read's token.
+        /// The token passed with the read request.
         token: u64,
-        /// Whom to ask, if known.
+        /// The member to ask instead, if known.
         leader: Option<MemberId>,
     },
-    /// Another leader, or another term, is known.
+    /// The known leader or the term has changed.
     LeaderChanged {
-        /// The term.
+        /// The current term.
         term: u64,
-        /// Its leader, if known.
+        /// The leader of that term, if known.
         leader: Option<MemberId>,
     },
-    /// The group's members changed, durably on a quorum.
+    /// A membership change has been committed.
     MembersChanged {
-        /// Index of the change.
+        /// Log index of the change.
         index: u64,
-        /// The members.
+        /// The member set from that index on.
         members: MemberSet,
     },
 }
 
-/// What became of a proposal.
+/// The result of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeResult {
-    /// It is durable on a quorum, and applied here.
+    /// The entry is durable on a quorum and applied here.
     Committed {
-        /// Its index.
+        /// Log index of the entry.
         index: u64,
-        /// Its term.
+        /// Term of the entry.
         term: u64,
     },
-    /// Not added to the log: this member is not the leader.
+    /// Not appended: this member is not the leader.
     NotLeader {
-        /// Whom to ask, if known.
+        /// The member to ask instead, if known.
         leader: Option<MemberId>,
     },
-    /// Added, but this member lost the leadership first; it may or may not be committed.
+    /// Appended, but this member lost leadership before the entry was committed; it may still be
+    /// committed later.
     Unknown,
-    /// Not added: too many wait already, or the leadership is being handed over.
+    /// Not appended: too many proposals are pending, or leadership is being transferred.
     Busy,
-    /// Not added: larger than the settings allow.
+    /// Not appended: the command exceeds `max_command_bytes`.
     TooLarge,
-    /// Not added: the membership change is not possible.
+    /// Not appended: the membership change is not allowed now.
     Refused(ChangeRefusal),
 }
--- a/crates/ragwortroad_consensus/src/core_error.rs
+++ b/crates/ragwortroad_consensus/src/core_error.rs
@@ -1,25 +1,27 @@
 use snafu::Snafu;
 
-/// Why a member cannot start from what its data folder holds.
+/// The reason why a member cannot start from the content of its data folder.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CoreError {
-    /// Something stored cannot be decoded.
+    /// A stored value cannot be decoded.
     #[snafu(display(
         "cannot decode {what} from the data folder: {source}; run the version that wrote it, or \
-         move the data folder away and restart as a new identity"
+         move the data folder away and restart with a new identity"
     ))]
     Undecodable {
-        /// What it is.
+        /// The kind of value, for the error message.
         what: &'static str,
-        /// What the codec said.
+        /// The error of the decoder.
         source: postcard::Error,
     },
-    /// A group cannot be founded on a folder that is in use.
-    #[snafu(display("the data folder belongs to a group already; do not found another on it"))]
+    /// A group cannot be bootstrapped on a folder that already belongs to one.
+    #[snafu(display(
+        "the data folder already belongs to a group; do not bootstrap another one on it"
+    ))]
     AlreadyBootstrapped,
-    /// The founders do not include this member.
-    #[snafu(display("the founders do not include this member; list its own identity too"))]
+    /// The initial members do not include this member.
+    #[snafu(display("the initial members do not include this member; add its own identity"))]
     NotInitialMember,
 }
--- a/crates/ragwortroad_consensus/src/core_input.rs
+++ b/crates/ragwortroad_consensus/src/core_input.rs
@@ -4,52 +4,52 @@
     PeerFrame, //
 };
 
-/// Something that happens to a member.
+/// An event that the driver passes to a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CoreInput {
     /// Time has passed.
     Tick,
-    /// A message came in.
+    /// A message has arrived.
     Frame(PeerFrame),
-    /// Add a command to the log.
+    /// Append a command to the log.
     Propose {
         /// Returned with the result.
         token: u64,
-        /// The command.
+        /// The command, opaque to this crate.
         command: Vec<u8>,
     },
-    /// Prove that a read of the state after some index is current.
+    /// Prove that the applied state is current enough for a linearizable read.
     ReadRequest {
         /// Returned with the result.
         token: u64,
     },
     /// All changes up to this batch are durable.
     Persisted {
-        /// The batch.
+        /// Number of the last durable batch.
         batch: u64,
     },
-    /// A write failed; the data folder takes no more.
+    /// A write failed; the data folder accepts no more writes.
     PersistFailed,
-    /// The state after `index`, wanted by [`CoreAction::TakeSnapshot`](crate::CoreAction).
+    /// The snapshot requested by [`CoreAction::TakeSnapshot`](crate::CoreAction).
     SnapshotTaken {
-        /// The last index it stands for.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// The state.
+        /// The encoded state.
         bytes: Vec<u8>,
     },
-    /// Change the members.
+    /// Change the member set.
     ChangeMember {
         /// Returned with the result.
         token: u64,
-        /// The step.
+        /// The requested change.
         change: MemberChange,
     },
-    /// A new connection to a member: what was under way on the one before it may be lost.
+    /// A new connection to a member is open; messages in flight on the previous one may be lost.
     PeerConnected {
-        /// The member.
+        /// The member at the other end.
         member: MemberId,
     },
-    /// Hand over the leadership, before this process stops.
+    /// Transfer leadership to another voter before this process stops.
     TransferLeadership,
     /// An operator declares that the data folder was not rolled back.
     TrustDisk,
--- a/crates/ragwortroad_consensus/src/core_queries.rs
+++ b/crates/ragwortroad_consensus/src/core_queries.rs
@@ -1,4 +1,4 @@
-//! What can be asked of a member without changing it.
+//! Read-only queries on a member.
 
 use ragwortroad_log::{
     StoredEntry,
@@ -14,45 +14,45 @@
     MemberState, //
 };
 
-/// Stands for this member's own confirmation, which is always the latest.
+/// Stands for this member's own acknowledgement, which is always the latest.
 const SELF_ACKED_AT: ClockTime = ClockTime(u64::MAX);
 
 impl ConsensusCore {
-    /// This member's identity.
+    /// The identity of this member, stored in its data folder.
     pub fn id(&self) -> MemberId {
         self.id
     }
 
-    /// The term this member is in; the fencing number of a leader's orders.
+    /// The current term; the leader of a term uses it as the fencing token of its orders.
     pub fn term(&self) -> u64 {
         self.vote.term
     }
 
-    /// The leader of the term, if known.
+    /// The leader of the current term, if known.
     pub fn leader(&self) -> Option<MemberId> {
         self.leader
     }
 
     /// Whether this member was elected in its term and has not stepped down.
     ///
-    /// That alone allows nothing: see [`may_act_as_leader`](Self::may_act_as_leader).
+    /// This alone permits nothing: see [`may_act_as_leader`](Self::may_act_as_leader).
     pub fn is_leader(&self) -> bool {
         matches!(self.state, MemberState::Leader(_))
     }
 
-    /// The time, on this member's clock, from which on another leader is possible.
+    /// The time, on this member's clock, at which its leader lease expires; `None` unless it leads.
     ///
-    /// It moves on as heartbeats are confirmed; until it is reached no other member can have been
-    /// elected, given the drift of the settings.
+    /// The lease is extended as heartbeats are acknowledged. Until it expires no other member can
+    /// have been elected, as long as clocks drift no more than the settings assume.
     pub fn lease_valid_until(&self) -> Option<ClockTime> {
         let state = self.leader_state()?;
         let acked = self.quorum_acked_at(state)?;
         Some(acked.after(self.settings.lease_span()))
     }
 
-    /// Whether commands, reads and changes of members are to be brought here.
+    /// Whether clients should send commands, reads and membership changes to this member.
     ///
-    /// They are proved by a quorum in any case; this says only where it is worth trying.
+    /// A quorum confirms each of them in any case; this only says where an attempt is worthwhile.
     pub fn accepts_proposals(&self, now: ClockTime) -> bool {
         match self.settings.uses_leader_lease {
             true => self.may_act_as_leader(now),
@@ -60,9 +60,10 @@
         }
     }
 
-    /// Whether this member is the only one that can be in charge, and knows all that was accepted.
+    /// Whether this member holds a valid leader lease and knows every committed entry, so that no
+    /// other member can act as leader.
     ///
-    /// Never where the settings rule leases out.
+    /// Always `false` if the settings disable leases.
     pub fn may_act_as_leader(&self, now: ClockTime) -> bool {
         let Some(state) = self
             .leader_state()
@@ -74,7 +75,7 @@
         is_current && self.lease_valid_until().is_some_and(|until| now < until)
     }
 
-    /// When a quorum, this member included, last confirmed a message, by the time it was sent.
+    /// The send time of the latest message that a quorum, this member included, has acknowledged.
     pub(crate) fn quorum_acked_at(&self, state: &crate::LeaderState) -> Option<ClockTime> {
         let acked = |member: MemberId| {
             if member == self.id {
@@ -86,7 +87,7 @@
                 .and_then(|progress| progress.acked_at)
         };
         let reached = self.members().quorum_value(acked).flatten()?;
-        // A leader that is a quorum by itself confirms its own messages as they leave.
+        // A leader that forms a quorum by itself acknowledges its own messages as they are sent.
         let is_alone = reached == SELF_ACKED_AT;
         Some(if is_alone {
             state.heartbeat_sent_at
@@ -95,16 +96,16 @@
         })
     }
 
-    /// Entries up to this index are durable on a quorum, as far as is known here.
+    /// Index up to which entries are durable on a quorum, as far as this member knows.
     pub fn commit_index(&self) -> u64 {
         self.commit
     }
 
-    /// Committed entries after `index`, up to about `max_bytes` but at least one, for those who
-    /// follow the log without being members.
+    /// Returns committed entries after `index`, up to about `max_bytes` but at least one, for
+    /// observers that follow the log without being members.
     ///
-    /// Nothing if they are no longer in memory: then [`latest_snapshot`](Self::latest_snapshot)
-    /// has what came before those that are. Their bytes are read by
+    /// Returns `None` if they are no longer in memory; [`latest_snapshot`](Self::latest_snapshot)
+    /// then covers what precedes the entries that are. Decode their bytes with
     /// [`EntryPayload::decode`](crate::EntryPayload::decode).
     pub fn committed_after(&self, index: u64, max_bytes: usize) -> Option<&[StoredEntry]> {
         if index < self.log.base().index {
@@ -115,22 +116,23 @@
         Some(&slice[..committed])
     }
 
-    /// The latest snapshot, taken here or received.
+    /// The latest snapshot, whether taken here or received from a leader.
     pub fn latest_snapshot(&self) -> Option<&StoredSnapshot> {
         self.snapshot.as_deref()
     }
 
-    /// Last entry of the log here, durable or not.
+    /// Position of the last entry in this member's log, durable or not.
     pub fn last_position(&self) -> LogPosition {
         self.log.last()
     }
 
-    /// Index of the entry that put the members here in force.
+    /// Index of the log entry that put the current member set in force.
     pub fn members_index(&self) -> u64 {
         self.members.latest_index()
     }
 
-    /// How far each other member's log is known to be durable, on a leader.
+    /// Index up to which each other member's log is known to be durable; empty unless this member
+    /// leads.
     pub fn match_indexes(&self) -> Vec<(MemberId, u64)> {
         let progress = self.leader_state().map(|state| &state.progress);
         let matches = progress.into_iter().flatten();
@@ -139,15 +141,15 @@
             .collect()
     }
 
-    /// Whether this member takes part in full.
+    /// Whether this member takes part fully.
     ///
-    /// One whose machine has restarted first asks the others what they know, and then catches up
-    /// with what they had.
+    /// After a restart of its machine, a member first asks the others for their terms and logs, and
+    /// then catches up with the latest log among them.
     pub fn is_verified(&self) -> bool {
         self.check.is_done && self.log.last() >= self.check.log_floor
     }
 
-    /// The members whose answers a restarted member still lacks; none once it takes part.
+    /// The members whose answers the restart check still needs; empty once the member takes part.
     pub fn restart_check_pending(&self) -> Vec<MemberId> {
         if self.check.is_done {
             return Vec::new();
@@ -155,24 +157,24 @@
         self.check.unanswered(self.id)
     }
 
-    /// Whether a write failed, so that only a new core on a reopened folder takes part again.
+    /// Whether this member has failed; only a new core on a reopened data folder takes part again.
     pub fn has_failed(&self) -> bool {
         self.has_failed
     }
 
-    /// When the next `Tick` is needed; a later one delays heartbeats and elections.
+    /// Time at which the next `Tick` is due; a later one delays heartbeats and elections.
     pub fn wake_at(&self) -> ClockTime {
-        let every = self.settings.heartbeat_interval;
+        let interval = self.settings.heartbeat_interval;
         if let Some(asked_at) = self.check.asked_at.filter(|_| !self.check.is_done) {
-            return asked_at.after(every);
+            return asked_at.after(interval);
         }
         match &self.state {
-            MemberState::Leader(state) => state.heartbeat_sent_at.after(every),
+            MemberState::Leader(state) => state.heartbeat_sent_at.after(interval),
             _ => self.election_deadline,
         }
     }
 
-    /// Whether a vote may be given at `now`, as far as a leader's lease goes.
+    /// Whether the leader lease permits this member to grant a vote at `now`.
     pub(crate) fn is_free_to_vote(&self, now: ClockTime) -> bool {
         if self.settings.has_bug(InjectedBug::VoteWithinLease) {
             return true;
--- a/crates/ragwortroad_consensus/src/core_settings.rs
+++ b/crates/ragwortroad_consensus/src/core_settings.rs
@@ -1,72 +1,74 @@
 use std::time::Duration;
 
-/// Settings of the agreement; the same on all members.
+/// Settings of the consensus protocol; they must be the same on all members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoreSettings {
-    /// A member that has heard from a leader votes for no other for this long, and a leader that
-    /// has not heard from a quorum for this long steps down.
+    /// Time after hearing from a leader during which a member votes for no other candidate, and
+    /// time without contact to a quorum after which a leader steps down.
     pub election_timeout: Duration,
-    /// Time between heartbeats.
+    /// Time between two heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// Assumed bound on how much faster or slower than true time a member's clock runs, in
-    /// millionths. The lease is shorter than the election timeout by twice this.
+    /// Assumed bound, in parts per million, on how much faster or slower than true time a member's
+    /// clock runs. The lease is shorter than the election timeout by about twice this fraction.
     pub clock_drift_ppm: u32,
-    /// Time after which something unanswered is sent again.
+    /// Time after which an unacknowledged message is sent again.
     pub resend_after: Duration,
-    /// Bytes of entries in one message; a single larger entry still goes.
+    /// Limit on the bytes of entries in one message; a single larger entry is still sent.
     pub max_append_bytes: usize,
-    /// Messages with entries under way to one member.
+    /// Limit on the unacknowledged append messages to one member.
     ///
-    /// With one, what comes in meanwhile goes together in the next: fewest messages and bytes, at
-    /// the price of up to one way there and back more. Raise it where members are far apart.
+    /// With a limit of one, entries proposed in the meantime share the next message: this takes the
+    /// fewest messages and bytes, but adds up to one round trip of latency. Raise it where members
+    /// are far apart.
     pub max_in_flight: usize,
-    /// Bytes of one command.
+    /// Limit on the bytes of one command.
     pub max_command_bytes: usize,
-    /// Commands proposed and not committed yet.
+    /// Limit on the commands that are proposed but not committed.
     pub max_proposals: usize,
-    /// Reads waiting for proof that they are current.
+    /// Limit on the reads that wait for proof that the state is current.
     pub max_reads: usize,
-    /// A snapshot is wanted after this many entries.
+    /// Number of applied entries after which a snapshot is taken.
     pub snapshot_threshold_entries: u64,
-    /// A snapshot is wanted after this many bytes of entries.
+    /// Bytes of applied entries after which a snapshot is taken.
     pub snapshot_threshold_bytes: usize,
-    /// Entries kept in memory behind a snapshot, for members that are a little late.
+    /// Number of entries kept in memory behind a snapshot, for members that lag slightly.
     pub trailing_entries: u64,
-    /// Bytes of snapshot in one message.
+    /// Limit on the bytes of snapshot data in one message.
     pub max_chunk_bytes: usize,
-    /// A learner may be promoted when it lacks no more than this many entries.
+    /// Number of missing entries up to which a learner may be promoted.
     pub max_promotion_lag: u64,
-    /// Skip the check with other members after the machine has restarted.
+    /// Skips the restart check after the machine has restarted.
     ///
-    /// The check is what notices that a disk went back to an older state as a whole, as when a VM
-    /// is restored from a backup: the member would vote again in a term in which it has voted.
-    /// With it, a member of three needs an answer from both others after a restart of its machine;
-    /// if one of them is gone for good, an operator has to say that the disk can be trusted.
+    /// The check detects a disk that went back to an older state as a whole, as when a VM is
+    /// restored from a backup: such a member would vote again in a term in which it has already
+    /// voted. With the check, a member of a group of three needs answers from both others after its
+    /// machine restarts; if one of them is lost permanently, an operator has to declare that the
+    /// disk can be trusted.
     pub trust_disk: bool,
-    /// Whether a leader may act, and prove reads, by the time since a quorum confirmed it.
+    /// Whether a leader may act, and serve reads, on the basis of a time lease.
     ///
-    /// Without it each read takes a message to a quorum and back, and a member that restarts need
-    /// not wait an election timeout for what it may have promised before: a group whose processes
-    /// were all killed has a leader again as soon as a quorum is up.
+    /// Without leases each read takes a round trip to a quorum. In return a restarted member need
+    /// not wait an election timeout for promises made before the restart, so a group whose
+    /// processes were all killed has a leader again as soon as a quorum is up.
     pub uses_leader_lease: bool,
-    /// A rule to break, so that tests can show that their checks fail.
+    /// A safety rule to violate, so that tests can show that their checks detect it.
     #[doc(hidden)]
     pub injected_bug: Option<InjectedBug>,
 }
 
-/// A rule that a test has the core break.
+/// A bug that a test injects into the core.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// Effects go out before what they depend on is durable.
+    /// Runs effects before the changes that they depend on are durable.
     ActBeforeSync,
-    /// Votes are not written.
+    /// Does not persist votes.
     SkipVoteWrite,
-    /// A member votes although it has heard from a leader just now.
+    /// Grants a vote although a leader was heard within the election timeout.
     VoteWithinLease,
-    /// Entries of earlier terms are committed by counting.
+    /// Commits entries of earlier terms by counting replicas.
     CommitOldTerms,
-    /// Acknowledgements of a member's earlier start still count.
+    /// Counts acknowledgements sent before the latest restart of a member.
     CountOldStarts,
 }
 
@@ -94,15 +96,17 @@
     }
 }
 
-/// Readings are cut to whole milliseconds, so a span between two can be off by one at each end.
+/// Clock readings are truncated to milliseconds, so a difference of two readings is off by up to
+/// one at each end.
 const CLOCK_READING_ERROR: Duration = Duration::from_millis(2);
 
 impl CoreSettings {
-    /// How long after sending a heartbeat that a quorum confirmed its sender may act as leader.
+    /// Length of the leader lease, counted from the sending of a heartbeat that a quorum
+    /// acknowledged.
     ///
-    /// The members count `election_timeout` on clocks that may run fast, the leader counts this on
-    /// one that may run slow; with rates within `1 ± d` it ends first if it is no longer than
-    /// `election_timeout * (1 - d) / (1 + d)`.
+    /// Followers measure `election_timeout` on clocks that may run fast, and the leader measures
+    /// the lease on a clock that may run slow. With rates within `1 ± d`, the lease ends first if
+    /// it is no longer than `election_timeout * (1 - d) / (1 + d)`.
     pub fn lease_span(&self) -> Duration {
         let million = 1_000_000_u64;
         let drift = u64::from(self.clock_drift_ppm).min(million);
--- a/crates/ragwortroad_consensus/src/core_start.rs
+++ b/crates/ragwortroad_consensus/src/core_start.rs
@@ -2,16 +2,18 @@
 
 use crate::MemberSet;
 
-/// What a member starts from.
+/// The state from which a member starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CoreStart {
-    /// What its data folder holds.
+    /// The content of the data folder.
     pub stored: StoredState,
-    /// A number greater than at any earlier start on this VM: milliseconds of the wall clock.
+    /// A start number, greater than at every earlier start on this VM: milliseconds of the wall
+    /// clock.
     ///
-    /// It must not come from the data folder, for it has to tell a start after the folder was
+    /// It must not come from the data folder, because it has to tell a start after the folder was
     /// rolled back from the start before.
     pub start: u64,
-    /// The first members, on the one node that founds the group, and only for an empty folder.
+    /// The initial member set. Set only on the node that bootstraps the group, and only with an
+    /// empty folder.
     pub initial_members: Option<MemberSet>,
 }
--- a/crates/ragwortroad_consensus/src/core_startup.rs
+++ b/crates/ragwortroad_consensus/src/core_startup.rs
@@ -1,4 +1,4 @@
-//! Starting a member from what its data folder holds.
+//! Starts a member from the content of its data folder.
 
 use std::sync::Arc;
 
@@ -37,7 +37,12 @@
 };
 
 impl ConsensusCore {
-    /// A member as of `start`, and what is to be done first.
+    /// Creates a member from `start`, and returns it with the first actions to perform.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a stored value cannot be decoded, or if `start` names initial members although the
+    /// folder is in use or without naming this member.
     pub fn new(
         settings: CoreSettings,
         start: CoreStart,
@@ -61,7 +66,7 @@
         } else {
             RestartCheck::new(log.last(), history.latest().clone())
         };
-        // A leader may rely for its lease on what this member promised before it restarted.
+        // A leader may rely for its lease on a promise that this member made before it restarted.
         let votes_blocked_until = if stored.is_new || !settings.uses_leader_lease {
             now
         } else {
@@ -95,13 +100,13 @@
         };
         match core.settings.uses_leader_lease {
             true => core.reset_election_timer(now),
-            // To ask who would vote binds nobody, and a member that hears a leader says no.
+            // A pre-vote binds nobody, and a member that hears a leader refuses it.
             false => core.reset_pre_vote_timer(now),
         }
-        if let Some(founders) = start.initial_members {
+        if let Some(initial_members) = start.initial_members {
             ensure!(is_unused, AlreadyBootstrappedSnafu);
-            ensure!(founders.is_voter(core.id), NotInitialMemberSnafu);
-            core.append_bootstrap_entry(founders, now);
+            ensure!(initial_members.is_voter(core.id), NotInitialMemberSnafu);
+            core.append_bootstrap_entry(initial_members, now);
         }
         core.emit_stored_snapshot();
         core.send_hellos(now);
@@ -109,15 +114,15 @@
         Ok((core, first))
     }
 
-    /// Writes the first entry, as if this member had been elected in term 1.
-    fn append_bootstrap_entry(&mut self, founders: MemberSet, now: ClockTime) {
+    /// Appends the first entry, as if this member had been elected in term 1.
+    fn append_bootstrap_entry(&mut self, initial_members: MemberSet, now: ClockTime) {
         let vote = VoteRecord {
             term: self.vote.term.max(1),
             voted_for: self.vote.voted_for.or(Some(self.id.0)),
         };
         self.vote = vote;
         self.barrier.change().vote = Some(vote);
-        let payload = EntryPayload::Members(founders.clone());
+        let payload = EntryPayload::Members(initial_members.clone());
         let entry = StoredEntry {
             index: 1,
             term: 1,
@@ -125,11 +130,11 @@
         };
         self.barrier.change().entries.push(entry.clone());
         self.log.push(entry);
-        self.members.push(1, founders);
+        self.members.push(1, initial_members);
         self.election_deadline = now;
     }
 
-    /// Hands out the state of the stored snapshot.
+    /// Emits the state of the stored snapshot.
     fn emit_stored_snapshot(&mut self) {
         if let Some(snapshot) = &self.snapshot {
             let index = snapshot.index;
--- a/crates/ragwortroad_consensus/src/election.rs
+++ b/crates/ragwortroad_consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who asks for votes, and who gets one.
+//! Leader election: campaigning, and granting votes.
 
 use ragwortroad_log::VoteRecord;
 use ragwortroad_types::ClockTime;
@@ -33,10 +33,10 @@
         is_late && self.is_electable() && self.log.last() >= self.check.log_floor
     }
 
-    /// Asks who would vote for this member before it disturbs anyone.
+    /// Starts a pre-vote before raising the term.
     ///
-    /// A member that is cut off time and again would otherwise come back each time with a higher
-    /// term and depose a leader that everybody else hears well.
+    /// A member that is repeatedly partitioned would otherwise return with a higher term each time
+    /// and depose a leader that all others hear well.
     fn start_pre_vote(&mut self, now: ClockTime) {
         self.reset_pre_vote_timer(now);
         self.set_leader(None);
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Votes for itself and, once that is durable, asks the others.
+    /// Votes for itself in a new term and, once that vote is durable, requests votes from the
+    /// others.
     pub(crate) fn start_vote(&mut self, handover: bool, now: ClockTime) {
         self.reset_candidate_timer(now);
         self.set_leader(None);
@@ -127,9 +128,10 @@
         }
     }
 
-    /// Gives a vote, or refuses it, or stays silent while a leader may rely on this member.
+    /// Grants or refuses a vote; does not answer while a leader may rely on this member for its
+    /// lease.
     ///
-    /// A leader that hands over has stopped acting before it asked for the election, so there is
+    /// A leader that transfers leadership stops acting before it requests the election, so there is
     /// no lease to wait for.
     pub(crate) fn handle_vote(
         &mut self,
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Goes on to a later term.
+    /// Moves to a later term as a follower.
     pub(crate) fn adopt_term(&mut self, term: u64, now: ClockTime) {
         self.step_down();
         self.set_leader(None);
@@ -206,7 +208,7 @@
         }
     }
 
-    /// Stops leading or asking for votes; the term stays.
+    /// Returns to follower in the same term, and fails the pending proposals and reads of a leader.
     pub(crate) fn step_down(&mut self) {
         let state = std::mem::replace(&mut self.state, MemberState::Follower);
         let MemberState::Leader(state) = state else {
--- a/crates/ragwortroad_consensus/src/entry_log.rs
+++ b/crates/ragwortroad_consensus/src/entry_log.rs
@@ -2,10 +2,10 @@
 
 use crate::LogPosition;
 
-/// The entries held in memory, and the place they follow.
+/// The log entries held in memory, and the position that they follow.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EntryLog {
-    /// The entry before the first in memory.
+    /// Position of the entry before the first one in memory.
     base: LogPosition,
     /// Invariant: contiguous, starting at `base.index + 1`.
     entries: Vec<StoredEntry>,
@@ -27,7 +27,7 @@
         })
     }
 
-    /// The term of the entry at `index`, if it is in memory or right before.
+    /// Returns the term of the entry at `index`, if it is in memory or is the base.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -50,7 +50,7 @@
         self.entries.truncate(kept as usize);
     }
 
-    /// The entries from `from` on, up to about `max_bytes` but at least one.
+    /// Returns entries starting at index `from`, up to about `max_bytes` but at least one.
     pub(crate) fn slice(&self, from: u64, max_bytes: usize) -> &[StoredEntry] {
         let Some(start) = from.checked_sub(self.base.index + 1) else {
             return &[];
@@ -65,7 +65,8 @@
         &rest[..count]
     }
 
-    /// The first index of the run of entries that have the same term as the one at `index`.
+    /// Returns the first index of the run of entries that have the same term as the entry at
+    /// `index`.
     pub(crate) fn first_index_of_term(&self, index: u64) -> u64 {
         let term = self.term_at(index);
         let mut first = index;
@@ -75,7 +76,7 @@
         first
     }
 
-    /// Drops entries up to `index` from memory.
+    /// Discards the entries up to `index` from memory.
     pub(crate) fn drop_until(&mut self, index: u64) {
         let Some(term) = self.term_at(index) else {
             return;
@@ -85,7 +86,7 @@
         self.base = LogPosition { term, index };
     }
 
-    /// Drops everything and continues after `base`.
+    /// Discards all entries and continues after `base`.
     pub(crate) fn reset(&mut self, base: LogPosition) {
         self.entries.clear();
         self.base = base;
--- a/crates/ragwortroad_consensus/src/entry_payload.rs
+++ b/crates/ragwortroad_consensus/src/entry_payload.rs
@@ -11,26 +11,30 @@
     core_error::UndecodableSnafu, //
 };
 
-/// What a log entry holds.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// First entry of a leader's term, so that earlier terms' entries can be committed.
+    /// The first entry of a leader's term; committing it commits the entries of earlier terms.
     Noop,
     /// A command for the replicated state.
     Command(Vec<u8>),
-    /// The members from this entry on.
+    /// The member set in force from this entry on.
     Members(MemberSet),
 }
 
 impl EntryPayload {
-    /// The payload that the bytes of an entry stand for.
+    /// Decodes the bytes of a log entry.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the bytes are not an encoded payload.
     pub fn decode(bytes: &[u8]) -> Result<Self, CoreError> {
         let what = "a log entry";
         postcard::from_bytes(bytes).context(UndecodableSnafu { what })
     }
 
-    /// The bytes of an entry; encoding plain types into memory does not fail.
+    /// Encodes the payload; encoding plain types into memory does not fail.
     pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
--- a/crates/ragwortroad_consensus/src/following.rs
+++ b/crates/ragwortroad_consensus/src/following.rs
@@ -1,4 +1,4 @@
-//! What a member does with what comes from the leader.
+//! Handles messages from the leader on a follower.
 
 use ragwortroad_log::StoredEntry;
 use ragwortroad_types::ClockTime;
@@ -14,7 +14,7 @@
 };
 
 impl ConsensusCore {
-    /// Takes a message of the leader of the term at hand.
+    /// Handles a message from the leader of the current term.
     pub(crate) fn handle_leader_message(
         &mut self,
         from: MemberId,
@@ -48,8 +48,8 @@
         self.commit_to(commit.min(self.leader_match_index));
         let term = self.vote.term;
         let reply = PeerMessage::HeartbeatReply { term, sent_at };
-        // The answer depends on nothing but the term: waiting for entries would cost the leader
-        // its lease whenever a disk is slow.
+        // The reply depends only on the term: waiting for entries to be persisted would cost the
+        // leader its lease whenever a disk is slow.
         if self.barrier.is_vote_durable() {
             self.send(from, reply);
         } else {
@@ -96,10 +96,11 @@
         self.send_after_persist(to, reply);
     }
 
-    /// Where the logs may agree, if `prev` is not in this one.
+    /// Returns the last index at which the logs may still match, or `None` if this log contains
+    /// `prev`.
     fn conflict_hint(&self, prev: LogPosition) -> Option<u64> {
         let base = self.log.base();
-        // What lies before the base is committed, so every leader has the same.
+        // Entries up to the base are committed, so every leader has the same ones.
         if prev.index <= base.index.max(self.commit) {
             return None;
         }
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Adds entries that follow `prev_index`, dropping what contradicts them.
+    /// Appends the entries that follow `prev_index`, and truncates entries that conflict with them.
     fn merge_entries(&mut self, prev_index: u64, entries: Vec<WireEntry>) {
         for (index, entry) in (prev_index + 1..).zip(entries) {
             if index <= self.commit || self.log.term_at(index) == Some(entry.term) {
--- a/crates/ragwortroad_consensus/src/leader_state.rs
+++ b/crates/ragwortroad_consensus/src/leader_state.rs
@@ -10,28 +10,29 @@
     MemberProgress, //
 };
 
-/// What only a leader has.
+/// State that only a leader has.
 #[derive(Debug, Default)]
 pub(crate) struct LeaderState {
-    /// All other members.
+    /// Replication progress of all other members.
     pub(crate) progress: BTreeMap<MemberId, MemberProgress>,
-    /// Index of the first entry of the leader's term: once it is committed, all before is, too.
+    /// Index of the first entry of the leader's term; once it is committed, so is everything before
+    /// it.
     pub(crate) first_index: u64,
-    /// How far the leader's own log is durable.
+    /// Index up to which the leader's own log is durable.
     pub(crate) own_match: u64,
-    /// When the leader was elected.
+    /// Time at which the leader was elected.
     pub(crate) since: ClockTime,
-    /// When the last heartbeats left.
+    /// Time at which the last heartbeats were sent.
     pub(crate) heartbeat_sent_at: ClockTime,
-    /// Tokens of proposals, by the index of their entry.
+    /// Tokens of pending proposals, by the index of their entry.
     pub(crate) proposals: BTreeMap<u64, u64>,
-    /// Reads that wait for proof, oldest first.
+    /// Reads that wait for proof that the state is current, oldest first.
     pub(crate) reads: VecDeque<PendingRead>,
-    /// Until when to look for a member to hand over to.
+    /// Time until which the leader looks for a voter to transfer leadership to.
     pub(crate) transfer_deadline: Option<ClockTime>,
 }
 
-/// A read that waits for proof that it is current.
+/// A read that waits for proof that the state is current.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingRead {
     pub(crate) token: u64,
--- a/crates/ragwortroad_consensus/src/leading.rs
+++ b/crates/ragwortroad_consensus/src/leading.rs
@@ -1,4 +1,4 @@
-//! What a leader does: heartbeats, entries to the others, commits, and reads.
+//! Leader duties: heartbeats, replication, commits and reads.
 
 use std::collections::BTreeMap;
 
@@ -41,7 +41,7 @@
         self.append_as_leader(&EntryPayload::Noop, now);
     }
 
-    /// What a leader does as time passes.
+    /// Runs the periodic work of a leader.
     pub(crate) fn tick_leader(&mut self, now: ClockTime) {
         if self.has_lost_quorum(now) {
             self.step_down();
@@ -54,21 +54,23 @@
         self.complete_reads(now);
     }
 
-    /// No quorum has been heard for an election timeout: others may have elected a leader by now,
-    /// and callers should look for it.
+    /// Whether no quorum has answered for an election timeout. Others may have elected a leader by
+    /// then, and clients should look for it.
     fn has_lost_quorum(&self, now: ClockTime) -> bool {
         self.leader_state().is_some_and(|state| {
-            let heard = self.quorum_acked_at(state).unwrap_or(state.since);
-            now >= heard.max(state.since).after(self.settings.election_timeout)
+            let last_heard_at = self.quorum_acked_at(state).unwrap_or(state.since);
+            now >= last_heard_at
+                .max(state.since)
+                .after(self.settings.election_timeout)
         })
     }
 
     fn send_heartbeats(&mut self, now: ClockTime) {
-        let every = self.settings.heartbeat_interval;
+        let interval = self.settings.heartbeat_interval;
         let Some(state) = self.leader_state_mut() else {
             return;
         };
-        if now < state.heartbeat_sent_at.after(every) {
+        if now < state.heartbeat_sent_at.after(interval) {
             return;
         }
         state.heartbeat_sent_at = now;
@@ -94,7 +96,7 @@
         self.send(member, message);
     }
 
-    /// Adds an entry of its own term; returns its index.
+    /// Appends an entry in the leader's own term and returns its index.
     pub(crate) fn append_as_leader(&mut self, payload: &EntryPayload, now: ClockTime) -> u64 {
         let term = self.vote.term;
         let index = self.log.last().index + 1;
@@ -142,10 +144,10 @@
         }
     }
 
-    /// Commits what a quorum has, as soon as that includes an entry of this term.
+    /// Commits what a quorum has, provided that this includes an entry of the current term.
     ///
-    /// An entry of an earlier term on a quorum can still be replaced by a later leader that never
-    /// had it, so counting alone must not commit it.
+    /// An entry of an earlier term on a quorum can still be overwritten by a later leader that
+    /// never had it, so counting replicas alone must not commit it.
     pub(crate) fn advance_commit(&mut self, now: ClockTime) {
         let Some(state) = self.leader_state() else {
             return;
@@ -165,7 +167,8 @@
         }
     }
 
-    /// Tells members to which no entries are on their way, so that they apply at once, too.
+    /// Sends the commit index to members with no appends in flight, so that they apply without
+    /// delay.
     fn notify_commit(&mut self, now: ClockTime) {
         let commit = self.commit;
         let Some(state) = self.leader_state() else {
@@ -181,11 +184,12 @@
         }
     }
 
-    /// Tells a member that has just confirmed entries which of them are committed.
+    /// Sends the commit index to a member that has just acknowledged entries.
     ///
-    /// The quorum's last answer commits, and those that come after it find nothing else to send.
-    /// Told by the next heartbeat only, two of five registries served an old configuration for
-    /// 0.15 s longer, and after a common restart none at all.
+    /// The last acknowledgement of a quorum commits the entries, and later acknowledgements trigger
+    /// no other message. If these members learn of the commit only with the next heartbeat, two of
+    /// five registries serve an old configuration for 0.15 s longer, and after a common restart
+    /// none at all.
     pub(crate) fn notify_late_commit(&mut self, member: MemberId, now: ClockTime) {
         let commit = self.commit;
         let progress = self
@@ -227,8 +231,8 @@
         self.complete_reads(now);
     }
 
-    /// Answers reads that are proved: by the lease, or by a message that left after the read came
-    /// and that a quorum has confirmed.
+    /// Completes the reads that are proved current: by the lease, or by a message that was sent
+    /// after the read arrived and that a quorum has acknowledged.
     pub(crate) fn complete_reads(&mut self, now: ClockTime) {
         let Some(state) = self.leader_state() else {
             return;
--- a/crates/ragwortroad_consensus/src/lib.rs
+++ b/crates/ragwortroad_consensus/src/lib.rs
@@ -1,8 +1,9 @@
-//! Leader election and log replication as pure state.
+//! Raft leader election and log replication as a state machine without I/O.
 //!
 //! A [`ConsensusCore`] is one member of a group that agrees on the order of commands. It reads no
-//! clock, draws no unseeded randomness and touches no disk or network: inputs go in with the time,
-//! and actions come out for the caller to do, so that every schedule can be replayed.
+//! clock, uses no unseeded randomness and accesses no disk or network: the driver passes inputs
+//! together with the time and performs the returned actions, so that every schedule can be
+//! replayed.
 //!
 //! ```
 //! use ragwortroad_consensus::prelude::*;
@@ -10,8 +11,8 @@
 //! use ragwortroad_types::prelude::*;
 //!
 //! let stored = StoredState { identity: 17, is_new: true, ..StoredState::default() };
-//! let founders = MemberSet::from_voters([(MemberId(17), NodeId::from_name("rvk-1"))]);
-//! let start = CoreStart { stored, start: 1, initial_members: Some(founders) };
+//! let voters = MemberSet::from_voters([(MemberId(17), NodeId::from_name("rvk-1"))]);
+//! let start = CoreStart { stored, start: 1, initial_members: Some(voters) };
 //! let now = ClockTime(1000);
 //! let (mut core, mut actions) = ConsensusCore::new(CoreSettings::default(), start, now, 1)?;
 //! actions.extend(core.handle(CoreInput::Propose { token: 1, command: b"on".to_vec() }, now));
@@ -61,7 +62,7 @@
 mod snapshotting;
 mod start_table;
 
-/// Everything a dependent crate usually needs.
+/// Common items for dependent crates.
 pub mod prelude {
     pub use crate::{
         bootstrap_table::{
--- a/crates/ragwortroad_consensus/src/log_position.rs
+++ b/crates/ragwortroad_consensus/src/log_position.rs
@@ -3,12 +3,12 @@
     Serialize, //
 };
 
-/// The place of one entry; of two logs, the one whose last position is greater is newer.
+/// Position of a log entry. Of two logs, the one whose last position is greater is more up to date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The term of the entry.
+    /// Term of the entry.
     pub term: u64,
-    /// Its index; 0 stands before the first.
+    /// Index of the entry; 0 is the position before the first one.
     pub index: u64,
 }
--- a/crates/ragwortroad_consensus/src/member_change.rs
+++ b/crates/ragwortroad_consensus/src/member_change.rs
@@ -4,42 +4,43 @@
 
 use crate::MemberId;
 
-/// One step in the group's membership; only one is under way at a time.
+/// A single-server membership change; only one may be in progress at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// Let a member learn; it counts in no quorum.
+    /// Adds a member that receives the log but does not count in quorums.
     AddLearner {
-        /// The identity of its data folder.
+        /// Identity of the member's data folder.
         member: MemberId,
-        /// The node the folder is on.
+        /// The node that holds the folder.
         node: NodeId,
     },
-    /// Let a learner that has caught up count in quorums.
+    /// Makes a voter of a learner that has caught up.
     Promote {
-        /// The learner.
+        /// The learner to promote.
         member: MemberId,
     },
-    /// Take a member out.
+    /// Removes a voter or learner from the group.
     Remove {
-        /// The member.
+        /// The member to remove.
         member: MemberId,
     },
 }
 
-/// Why a membership change was refused.
+/// The reason why a membership change was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeRefusal {
-    /// Another change is not committed yet, or the leader has not committed anything of its term.
+    /// Another change is not committed yet, or the leader has not committed an entry of its own
+    /// term.
     ChangeUnderWay,
-    /// The learner lacks too many entries, or has not been heard of lately.
+    /// The learner lacks too many entries, or has not been heard from recently.
     NotCaughtUp,
-    /// The member is one already.
+    /// The identity already belongs to a member.
     AlreadyMember,
     /// No member has this identity.
     NoSuchMember,
-    /// The change would leave no voter.
+    /// The change would leave the group without a voter.
     LastVoter,
-    /// The leader cannot take itself out.
+    /// The leader cannot remove itself.
     IsLeader,
 }
 
--- a/crates/ragwortroad_consensus/src/member_history.rs
+++ b/crates/ragwortroad_consensus/src/member_history.rs
@@ -1,12 +1,12 @@
 use crate::MemberSet;
 
-/// The member sets of the log, oldest first.
+/// The member sets in the log, oldest first.
 ///
-/// A set is in force as soon as it is in the log, committed or not, so a set whose entry is dropped
-/// gives way to the one before.
+/// A set is in force as soon as it is in the log, whether committed or not. When its entry is
+/// truncated, the previous set applies again.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberHistory {
-    /// Invariant: never empty; indexes grow.
+    /// Invariant: never empty, and indexes increase.
     sets: Vec<(u64, MemberSet)>,
 }
 
@@ -16,17 +16,17 @@
         Self { sets }
     }
 
-    /// The set in force.
+    /// Returns the set in force.
     pub(crate) fn latest(&self) -> &MemberSet {
         &self.sets[self.sets.len() - 1].1
     }
 
-    /// The index of the set in force.
+    /// Returns the log index of the set in force.
     pub(crate) fn latest_index(&self) -> u64 {
         self.sets[self.sets.len() - 1].0
     }
 
-    /// The set that was in force at `index`.
+    /// Returns the set that was in force at `index`.
     pub(crate) fn at(&self, index: u64) -> &MemberSet {
         let mut sets = self.sets.iter().rev();
         let found = sets.find(|(since, _)| *since <= index);
@@ -42,7 +42,7 @@
         self.sets.truncate(kept.max(1));
     }
 
-    /// Forgets sets that are older than the one in force at `index`.
+    /// Discards sets older than the one in force at `index`.
     pub(crate) fn drop_until(&mut self, index: u64) {
         let older = self
             .sets
--- a/crates/ragwortroad_consensus/src/member_id.rs
+++ b/crates/ragwortroad_consensus/src/member_id.rs
@@ -5,10 +5,10 @@
     Serialize, //
 };
 
-/// Identity of one member: the random identity of its data folder.
+/// Identity of a member: the random identity of its data folder.
 ///
-/// A member whose disk was replaced has an empty folder and so another identity; nothing that the
-/// old identity promised is expected of the new one.
+/// A member whose disk was replaced has an empty folder and so a new identity, which is not bound
+/// by the votes and acknowledgements of the old one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberId(pub u64);
--- a/crates/ragwortroad_consensus/src/member_progress.rs
+++ b/crates/ragwortroad_consensus/src/member_progress.rs
@@ -8,45 +8,45 @@
 
 use crate::MemberSet;
 
-/// How a leader sends to one member.
+/// How a leader replicates to one member.
 #[derive(Clone, Debug)]
 pub(crate) enum SendMode {
-    /// One message at a time, to find where the logs agree.
+    /// Sends one message at a time, to find the index up to which the logs match.
     Probe,
-    /// Several messages ahead of their answers.
+    /// Sends several messages without waiting for their replies.
     Pipeline,
-    /// Pieces of a snapshot.
+    /// Sends the chunks of a snapshot.
     Snapshot(SnapshotTransfer),
 }
 
-/// A snapshot on its way to one member.
+/// A snapshot in transfer to one member.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotTransfer {
     pub(crate) snapshot: Arc<StoredSnapshot>,
     pub(crate) members: MemberSet,
-    /// Bytes the member has confirmed.
+    /// Bytes that the member has acknowledged.
     pub(crate) received: u64,
 }
 
-/// What a leader knows of one member.
+/// A leader's view of one member.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberProgress {
-    /// The member's log equals the leader's up to here, durably.
+    /// Index up to which the member's log is durable and equals the leader's.
     pub(crate) match_index: u64,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     ///
     /// Invariant: greater than `match_index`.
     pub(crate) next_index: u64,
     pub(crate) mode: SendMode,
-    /// Messages sent and not answered.
+    /// Number of unacknowledged messages.
     pub(crate) in_flight: usize,
-    /// When something was sent or answered last, for sending again.
+    /// Time at which entries were last sent or acknowledged; resending is counted from it.
     pub(crate) last_active_at: ClockTime,
-    /// When the leader began to send to the member.
+    /// Time at which the leader began to replicate to the member.
     pub(crate) since: ClockTime,
-    /// When the latest confirmed message left.
+    /// Send time of the latest acknowledged message.
     pub(crate) acked_at: Option<ClockTime>,
-    /// Highest index that the member has been told is committed and that it has.
+    /// Highest commit index that the member has been sent for entries that it has.
     pub(crate) notified_commit: u64,
 }
 
@@ -64,14 +64,14 @@
         }
     }
 
-    /// Starts over where nothing is known of the member's log.
+    /// Starts probing from `next_index`, where the member's log is unknown.
     pub(crate) fn probe(&mut self, next_index: u64) {
         self.mode = SendMode::Probe;
         self.next_index = next_index.max(self.match_index + 1);
         self.in_flight = 0;
     }
 
-    /// Gives up on what is under way, and starts from what is known to have come.
+    /// Gives up the messages in flight, and continues after the last entry known to have arrived.
     pub(crate) fn reset_in_flight(&mut self) {
         self.in_flight = 0;
         if matches!(self.mode, SendMode::Pipeline) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The member has everything up to `index`.
+    /// Records that the member has all entries up to `index`.
     pub(crate) fn record_match(&mut self, index: u64) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
@@ -91,16 +91,16 @@
         }
     }
 
-    /// Whether nothing has been heard of the member for `timeout`.
+    /// Whether the member has not been heard from for `timeout`.
     pub(crate) fn is_silent(&self, timeout: Duration, now: ClockTime) -> bool {
-        let heard = self.acked_at.unwrap_or(self.since);
-        now >= heard.after(timeout)
+        let last_heard_at = self.acked_at.unwrap_or(self.since);
+        now >= last_heard_at.after(timeout)
     }
 
-    /// A message sent at `sent_at` has been confirmed.
+    /// Records the acknowledgement of a message sent at `sent_at`.
     pub(crate) fn record_ack(&mut self, sent_at: ClockTime, now: ClockTime) {
-        // A reading from the future can only come of a fault in the member; trusting it would
-        // lengthen the lease.
+        // A reading from the future can only result from a fault in the member; trusting it would
+        // extend the lease.
         let sent_at = sent_at.min(now);
         self.acked_at = self.acked_at.max(Some(sent_at));
     }
--- a/crates/ragwortroad_consensus/src/member_record.rs
+++ b/crates/ragwortroad_consensus/src/member_record.rs
@@ -10,20 +10,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum MemberRole {
-    /// Votes, and its acknowledgement counts.
+    /// Votes in elections, and its acknowledgements count.
     Voter,
-    /// Receives everything and counts in no quorum.
+    /// Receives the log but does not count in quorums.
     Learner,
 }
 
-/// One member of the group.
+/// A member of the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The identity of its data folder.
+    /// Identity of the member's data folder.
     pub member: MemberId,
-    /// The node the folder is on.
+    /// The node that holds the folder.
     pub node: NodeId,
-    /// Whether it counts in quorums.
+    /// Whether the member counts in quorums.
     pub role: MemberRole,
 }
--- a/crates/ragwortroad_consensus/src/member_set.rs
+++ b/crates/ragwortroad_consensus/src/member_set.rs
@@ -12,16 +12,16 @@
     MemberRole, //
 };
 
-/// The members of the group.
+/// The members of a group, voters and learners.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberSet {
-    /// Invariant: sorted by identity, each once.
+    /// Invariant: sorted by identity, without duplicates.
     records: Vec<MemberRecord>,
 }
 
 impl MemberSet {
-    /// A set of voters, to found a group.
+    /// Creates a set of voters, to bootstrap a group.
     pub fn from_voters(voters: impl IntoIterator<Item = (MemberId, NodeId)>) -> Self {
         let role = MemberRole::Voter;
         let mut records: Vec<_> = voters
@@ -33,22 +33,22 @@
         Self { records }
     }
 
-    /// All members.
+    /// All members, sorted by identity.
     pub fn records(&self) -> &[MemberRecord] {
         &self.records
     }
 
-    /// Whether there is no member.
+    /// Whether the set has no members, as on a member that has not heard from a leader yet.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The record of `member`.
+    /// The record of `member`, or `None` if it is not in the set.
     pub fn find(&self, member: MemberId) -> Option<&MemberRecord> {
         self.records.iter().find(|record| record.member == member)
     }
 
-    /// Whether `member` counts in quorums.
+    /// Whether `member` is in the set and counts in quorums.
     pub fn is_voter(&self, member: MemberId) -> bool {
         self.find(member)
             .is_some_and(|record| record.role == MemberRole::Voter)
@@ -63,19 +63,20 @@
         voters.map(|record| record.member)
     }
 
-    /// The number of voters that make a quorum.
+    /// Number of voters that form a quorum.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// The largest value that a quorum of voters has reached, `value` giving each voter's.
+    /// Returns the largest value that a quorum of voters has reached, where `value` maps each voter
+    /// to its own.
     pub(crate) fn quorum_value<T: Ord + Copy>(&self, value: impl Fn(MemberId) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters().map(value).collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
         values.get(self.quorum() - 1).copied()
     }
 
-    /// The set after `change`.
+    /// Returns the set after `change`.
     pub(crate) fn with_change(&self, change: &MemberChange) -> Result<Self, ChangeRefusal> {
         let mut set = self.clone();
         match *change {
--- a/crates/ragwortroad_consensus/src/member_state.rs
+++ b/crates/ragwortroad_consensus/src/member_state.rs
@@ -6,27 +6,27 @@
     MemberSet, //
 };
 
-/// What a member is doing.
+/// The Raft role of a member.
 #[derive(Debug)]
 pub(crate) enum MemberState {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks who would vote for it.
+    /// Asks whether others would vote for it, without raising the term.
     PreCandidate(VoteTally),
-    /// Asks for votes.
+    /// Requests votes in a new term.
     Candidate(VoteTally),
-    /// In charge, as long as its lease is valid.
+    /// Leads its term; it may act only while its lease is valid.
     Leader(Box<LeaderState>),
 }
 
-/// Votes for one candidate.
+/// The votes granted to one candidate.
 #[derive(Debug, Default)]
 pub(crate) struct VoteTally {
     pub(crate) granted: BTreeSet<MemberId>,
 }
 
 impl VoteTally {
-    /// Whether the votes are a quorum of `members`.
+    /// Whether the granted votes form a quorum of `members`.
     pub(crate) fn has_quorum(&self, members: &MemberSet) -> bool {
         let count = members
             .voters()
--- a/crates/ragwortroad_consensus/src/membership.rs
+++ b/crates/ragwortroad_consensus/src/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of who is a member, and of who leads.
+//! Membership changes and leadership transfer.
 
 use ragwortroad_types::ClockTime;
 
@@ -30,10 +30,11 @@
         }
     }
 
-    /// The set after `change`, if it may be made now.
+    /// Returns the member set after `change`, if the change is allowed now.
     ///
-    /// One at a time, and only once the leader has committed an entry of its own term: two leaders
-    /// that each made a change of the same set could otherwise each find a quorum in theirs.
+    /// Only one change may be in progress, and only after the leader has committed an entry of its
+    /// own term. Otherwise two leaders that each changed the same set could each find a quorum in
+    /// their own.
     fn check_change(
         &self,
         change: &MemberChange,
@@ -55,10 +56,11 @@
         }
     }
 
-    /// Whether `member` has nearly all entries and has been heard of lately.
+    /// Whether `member` has nearly all entries and was heard from within the election timeout.
+    /// Always `false` unless this member leads.
     ///
-    /// A voter that lacks much counts in the quorum without being able to confirm anything; the
-    /// loss of one more member would stop the group.
+    /// A voter that lags far behind counts towards the quorum size but cannot acknowledge new
+    /// entries, so the loss of one more member would stop the group.
     pub fn has_caught_up(&self, member: MemberId, now: ClockTime) -> bool {
         let last = self.log.last().index;
         let settings = &self.settings;
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Starts to hand over to a member that has everything.
+    /// Starts to transfer leadership to a voter that has all entries.
     pub(crate) fn transfer_leadership(&mut self, now: ClockTime) {
         let until = now.after(self.settings.election_timeout);
         if let Some(state) = self.leader_state_mut() {
@@ -104,10 +106,10 @@
         self.try_transfer_leadership(now);
     }
 
-    /// Hands over if some voter has all entries.
+    /// Transfers leadership if a voter has all entries.
     ///
-    /// The leader stops acting for good before it asks for the election, and so its lease is over
-    /// and voters need not wait for it. If the request is lost, an ordinary election follows.
+    /// The leader stops acting for good before it requests the election, so its lease is over and
+    /// voters need not wait for it. If the request is lost, an ordinary election follows.
     pub(crate) fn try_transfer_leadership(&mut self, now: ClockTime) {
         let Some(until) = self
             .leader_state()
--- a/crates/ragwortroad_consensus/src/message_handling.rs
+++ b/crates/ragwortroad_consensus/src/message_handling.rs
@@ -1,4 +1,4 @@
-//! What a message means, by its term and the state of this member.
+//! Dispatches messages by their term and the role of this member.
 
 use ragwortroad_types::ClockTime;
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Takes a message that counts only within its sender's term.
+    /// Handles a message that is valid only within its sender's term.
     fn handle_term_message(&mut self, from: MemberId, message: PeerMessage, now: ClockTime) {
         let Some(term) = message.term() else {
             return;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Tells a leader of an earlier term that there is a later one.
+    /// Informs the leader of an earlier term that a later term exists.
     fn reply_stale_term(&mut self, from: MemberId, message: &PeerMessage) {
         let sent_at = match message {
             PeerMessage::Heartbeat { sent_at, .. } | PeerMessage::Append { sent_at, .. } => {
@@ -94,7 +94,7 @@
         self.send(from, PeerMessage::HeartbeatReply { term, sent_at });
     }
 
-    /// Takes note of a member's start; whether its message counts.
+    /// Records a member's start number, and returns whether its message counts.
     pub(crate) fn observe_start(&mut self, member: MemberId, start: u64, now: ClockTime) -> bool {
         match self.starts.observe(member, start) {
             StartOrder::Same => true,
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Uncounts what `member` promised before its restart, and finds out what it has now.
+    /// Discards the votes and acknowledgements that `member` gave before its restart, and probes
+    /// the log it has now.
     fn discard_acks(&mut self, member: MemberId, now: ClockTime) {
         let next_index = self.log.last().index.saturating_add(1);
         match &mut self.state {
--- a/crates/ragwortroad_consensus/src/peer_frame.rs
+++ b/crates/ragwortroad_consensus/src/peer_frame.rs
@@ -13,57 +13,66 @@
     PeerMessage, //
 };
 
-/// A message with its two ends, as it goes over the wire.
+/// A message with its sender and receiver, as encoded on the wire.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PeerFrame {
-    /// Who says it.
+    /// The sender.
     pub from: MemberId,
-    /// Whom it is for: a new identity on the same node must not take what was for the old one.
+    /// The receiver: a new identity on the same node must not process messages for the old one.
     pub to: MemberId,
-    /// The sender's start, so that messages of an earlier start of it can be told and dropped.
+    /// The sender's start number, by which messages from before its latest restart are recognized
+    /// and dropped.
     pub start: u64,
-    /// What is said.
+    /// The message itself.
     pub message: PeerMessage,
 }
 
-/// Largest encoded frame that is accepted.
+/// Largest encoded frame that is accepted, in bytes.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// Why bytes are no frame.
+/// The reason why a frame cannot be encoded or decoded.
 #[derive(Debug)]
 #[derive(Snafu)]
 pub enum FrameError {
-    /// Too many bytes.
+    /// The frame exceeds [`MAX_FRAME_BYTES`].
     #[snafu(display(
-        "a frame of {bytes} bytes is over the limit of {MAX_FRAME_BYTES}; \
+        "a frame of {bytes} bytes exceeds the limit of {MAX_FRAME_BYTES}; \
          check that both ends run the same version"
     ))]
     FrameTooLarge {
-        /// How many.
+        /// Size of the frame.
         bytes: usize,
     },
-    /// The bytes mean nothing.
+    /// The bytes are not an encoded frame.
     #[snafu(display("cannot decode a frame: {source}; check that both ends run the same version"))]
     Undecodable {
-        /// What the codec said.
+        /// The error of the codec.
         source: postcard::Error,
     },
     /// Bytes follow the frame.
     #[snafu(display("{bytes} bytes follow a frame; check that both ends run the same version"))]
     TrailingBytes {
-        /// How many.
+        /// Number of trailing bytes.
         bytes: usize,
     },
 }
 
 impl PeerFrame {
-    /// The frame as bytes.
+    /// Encodes the frame.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the error of the codec.
     pub fn encode(&self) -> Result<Vec<u8>, FrameError> {
         postcard::to_stdvec(self).context(UndecodableSnafu)
     }
 
-    /// The frame that `bytes` are.
+    /// Decodes a frame that takes up all of `bytes`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the bytes are too many, are no frame, or go on behind it.
     pub fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
         let size = bytes.len();
         ensure!(size <= MAX_FRAME_BYTES, FrameTooLargeSnafu { bytes: size });
@@ -72,7 +81,7 @@
         Ok(frame)
     }
 
-    /// Bytes the frame takes on the wire.
+    /// Size of the encoded frame in bytes.
     pub fn encoded_len(&self) -> usize {
         postcard::experimental::serialized_size(self).unwrap_or(0)
     }
--- a/crates/ragwortroad_consensus/src/peer_message.rs
+++ b/crates/ragwortroad_consensus/src/peer_message.rs
@@ -10,124 +10,125 @@
     MemberSet, //
 };
 
-/// What one member says to another.
+/// A message from one member to another.
 ///
-/// `sent_at` is a reading of the leader's own clock, which a member returns as it got it: the
-/// leader learns when a confirmed message left without keeping a table of rounds.
+/// `sent_at` is a reading of the leader's own clock that members echo unchanged, so that the leader
+/// learns when an acknowledged message was sent without keeping a table of rounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Leader: I am still in charge.
+    /// Leader to follower: renews leadership without entries.
     Heartbeat {
         /// The leader's term.
         term: u64,
-        /// Commit index, not beyond what the receiver is known to have.
+        /// Commit index, at most the index up to which the receiver is known to match.
         commit: u64,
-        /// When it was sent.
+        /// Time of sending on the leader's clock.
         sent_at: ClockTime,
     },
-    /// Answer to a heartbeat.
+    /// Reply to a heartbeat.
     HeartbeatReply {
         /// The sender's term.
         term: u64,
-        /// The heartbeat's time.
+        /// The heartbeat's `sent_at`.
         sent_at: ClockTime,
     },
-    /// Leader: entries that follow `prev`.
+    /// Leader to follower: entries that follow `prev`.
     Append {
         /// The leader's term.
         term: u64,
-        /// The entry before the first.
+        /// Position of the entry before the first one in the message.
         prev: LogPosition,
         /// The leader's commit index.
         commit: u64,
-        /// When it was sent.
+        /// Time of sending on the leader's clock.
         sent_at: ClockTime,
-        /// The entries.
+        /// The entries, in log order.
         entries: Vec<WireEntry>,
     },
-    /// Answer to entries or to a whole snapshot, sent once they are durable.
+    /// Reply to entries or to a complete snapshot, sent once they are durable.
     AppendReply {
         /// The sender's term.
         term: u64,
-        /// The leader's time.
+        /// The `sent_at` of the message that is acknowledged.
         sent_at: ClockTime,
-        /// Whether they fitted.
+        /// Whether the entries followed the sender's log.
         outcome: AppendOutcome,
-        /// The latest starts the sender knows of.
+        /// The latest start numbers that the sender knows.
         starts: Vec<MemberStart>,
     },
-    /// Would you vote for me in `term`? Binds nobody.
+    /// Asks whether the receiver would vote for the sender in `term`; the answer is not binding.
     PreVote {
-        /// The term the sender would start.
+        /// The term that the sender would start.
         term: u64,
-        /// Last entry of the sender's log.
+        /// Position of the last entry in the sender's log.
         last: LogPosition,
     },
-    /// Answer to a pre-vote.
+    /// Reply to a pre-vote.
     PreVoteReply {
-        /// The term that was asked for.
+        /// The term of the pre-vote.
         asked: u64,
         /// The sender's own term.
         term: u64,
-        /// Whether it would.
+        /// Whether the sender would grant its vote.
         granted: bool,
     },
-    /// Vote for me in `term`.
+    /// Requests a vote in `term`.
     Vote {
-        /// The sender's term.
+        /// The candidate's term.
         term: u64,
-        /// Last entry of the sender's log.
+        /// Position of the last entry in the candidate's log.
         last: LogPosition,
-        /// The leader itself asked for this election and has stopped acting.
+        /// Whether the leader itself requested this election after it stopped acting.
         handover: bool,
     },
-    /// Answer to a vote request, sent once the vote is durable.
+    /// Reply to a vote request, sent once the vote is durable.
     VoteReply {
         /// The sender's term.
         term: u64,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
-        /// The latest starts the sender knows of.
+        /// The latest start numbers that the sender knows.
         starts: Vec<MemberStart>,
     },
-    /// Leader: a piece of a snapshot.
+    /// Leader to follower: a chunk of a snapshot.
     Chunk(SnapshotChunk),
-    /// Answer to a piece: how many bytes from the start have come.
+    /// Reply to a chunk.
     ChunkReply {
         /// The sender's term.
         term: u64,
-        /// The leader's time.
+        /// The chunk's `sent_at`.
         sent_at: ClockTime,
-        /// The snapshot's index.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// Bytes from the start that are there.
+        /// Bytes received so far, counted from the start of the snapshot without a gap.
         received: u64,
     },
-    /// Leader: I have stopped acting in `term`; start an election now.
+    /// Leader to voter: the leader has stopped acting in `term`, and the receiver should start an
+    /// election now.
     Handover {
         /// The leader's term.
         term: u64,
     },
-    /// I have restarted; what do you know?
+    /// Query of a restarted member for the term, log and start numbers of the receiver.
     Hello,
-    /// Answer to a hello.
+    /// Reply to a query of a restarted member.
     HelloReply {
-        /// The start that asked.
+        /// Start number of the member that asked.
         asked: u64,
         /// The sender's term.
         term: u64,
-        /// Last entry of the sender's log.
+        /// Position of the last entry in the sender's log.
         last: LogPosition,
-        /// The members in force there.
+        /// The member set in force at the sender.
         members: MemberSet,
-        /// The latest starts the sender knows of.
+        /// The latest start numbers that the sender knows.
         starts: Vec<MemberStart>,
     },
 }
 
 impl PeerMessage {
-    /// The term the sender was in, where the message tells it.
+    /// The sender's term, or `None` for messages that do not carry it.
     pub fn term(&self) -> Option<u64> {
         match *self {
             Self::Heartbeat { term, .. }
@@ -145,57 +146,57 @@
     }
 }
 
-/// An entry on its way; its index follows from its place in the message.
+/// A log entry in a message; its index follows from its place in the message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WireEntry {
-    /// The term of the leader that created it.
+    /// Term of the leader that created the entry.
     pub term: u64,
     /// The encoded payload.
     pub bytes: Vec<u8>,
 }
 
-/// Whether entries fitted a member's log.
+/// Whether a member could append the entries of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The member's log equals the leader's up to this index, durably.
+    /// The member's log is durable and equals the leader's up to this index.
     Matched(u64),
-    /// The entry before the first was not there.
+    /// The member's log does not contain the entry before the first one of the message.
     Conflict {
         /// Index of that entry.
         prev: u64,
-        /// The last index that may be equal.
+        /// The last index at which the logs may match.
         hint: u64,
     },
 }
 
-/// The latest start of a member that the sender knows of.
+/// The latest start number of a member that the sender knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberStart {
-    /// The member.
+    /// The member that started.
     pub member: MemberId,
-    /// Its start; a later start has a greater number.
+    /// Its start number; a later start has a greater one.
     pub start: u64,
 }
 
-/// A piece of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SnapshotChunk {
     /// The leader's term.
     pub term: u64,
-    /// When it was sent.
+    /// Time of sending on the leader's clock.
     pub sent_at: ClockTime,
-    /// The entry the snapshot ends with.
+    /// Position of the last entry that the snapshot covers.
     pub last: LogPosition,
-    /// The members at that entry.
+    /// The member set in force at that entry.
     pub members: MemberSet,
-    /// Size of the whole snapshot.
+    /// Size of the whole snapshot in bytes.
     pub total: u64,
-    /// Where the piece belongs.
+    /// Offset of the chunk in the snapshot, in bytes.
     pub offset: u64,
-    /// The piece.
+    /// The bytes of the chunk.
     pub bytes: Vec<u8>,
 }
--- a/crates/ragwortroad_consensus/src/persist_barrier.rs
+++ b/crates/ragwortroad_consensus/src/persist_barrier.rs
@@ -7,49 +7,49 @@
     PeerMessage, //
 };
 
-/// An effect that must not happen before something is durable.
+/// An effect that must not happen before certain changes are durable.
 #[derive(Clone, Debug)]
 pub(crate) enum DeferredEffect {
-    /// Send a message.
+    /// Send a message to a member.
     Send(MemberId, PeerMessage),
     /// Count this member's own vote in a term.
     OwnVote(u64),
-    /// Count this member's own log up to an index, in a term.
+    /// In a term, count this member's own log as durable up to an index.
     OwnMatch(u64, u64),
 }
 
-/// Collects changes into batches, and holds effects until the batches they need are durable.
+/// Collects changes into batches, and defers effects until the batches they depend on are durable.
 ///
-/// Writing is asynchronous: a batch goes to the disk's thread and comes back later. Had a vote or
-/// an acknowledgement gone out before, a crash in between would leave a promise that nobody keeps.
+/// Writes are asynchronous: a batch is handed to the disk thread and confirmed later. If a vote or
+/// an acknowledgement were sent before, a crash in between would break the promise it makes.
 #[derive(Debug, Default)]
 pub(crate) struct PersistBarrier {
-    /// What the input at hand has changed.
+    /// Changes made by the current input.
     change: LogChange,
-    /// Effects of the input at hand.
+    /// Effects deferred by the current input.
     new_effects: Vec<DeferredEffect>,
-    /// Effects with the batch each waits for.
+    /// Effects with the batch that each waits for.
     ///
-    /// Invariant: batches never go down.
+    /// Invariant: batch numbers never decrease.
     deferred: VecDeque<(u64, DeferredEffect)>,
     last_batch: u64,
     persisted_batch: u64,
-    /// The batch with the latest vote.
+    /// Number of the batch with the latest vote.
     vote_batch: u64,
 }
 
 impl PersistBarrier {
-    /// The change to add to.
+    /// Returns the changes of the current input, to be extended.
     pub(crate) fn change(&mut self) -> &mut LogChange {
         &mut self.change
     }
 
-    /// Holds `effect` until all that was changed so far is durable.
+    /// Defers `effect` until all changes made so far are durable.
     pub(crate) fn defer(&mut self, effect: DeferredEffect) {
         self.new_effects.push(effect);
     }
 
-    /// Ends the input at hand: the batch to write, if anything changed.
+    /// Ends the current input and returns the batch to write, if anything changed.
     pub(crate) fn take_batch(&mut self) -> Option<(u64, LogChange)> {
         let change = std::mem::take(&mut self.change);
         let batch = (!change.is_empty()).then(|| {
@@ -66,12 +66,12 @@
         batch
     }
 
-    /// All batches up to `batch` are durable.
+    /// Records that all batches up to `batch` are durable.
     pub(crate) fn mark_persisted(&mut self, batch: u64) {
         self.persisted_batch = self.persisted_batch.max(batch.min(self.last_batch));
     }
 
-    /// The next effect that may happen now.
+    /// Removes and returns the next effect whose batch is durable.
     pub(crate) fn pop_ready(&mut self) -> Option<DeferredEffect> {
         let (needed, _) = self.deferred.front()?;
         if *needed > self.persisted_batch {
@@ -80,12 +80,13 @@
         self.deferred.pop_front().map(|(_, effect)| effect)
     }
 
-    /// Whether the term and vote are durable, whatever else is not.
+    /// Whether the term and vote are durable, regardless of other changes.
     pub(crate) fn is_vote_durable(&self) -> bool {
         self.change.vote.is_none() && self.persisted_batch >= self.vote_batch
     }
 
-    /// Forgets every effect: nothing that waits will ever be durable.
+    /// Drops all changes and effects after a failed write: what they wait for never becomes
+    /// durable.
     pub(crate) fn clear(&mut self) {
         self.change = LogChange::default();
         self.new_effects.clear();
--- a/crates/ragwortroad_consensus/src/replicating.rs
+++ b/crates/ragwortroad_consensus/src/replicating.rs
@@ -1,4 +1,4 @@
-//! How a leader brings the other members' logs up to its own.
+//! Replicates the leader's log to the other members.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 };
 
 impl ConsensusCore {
-    /// Sends to every member what may go now.
+    /// Sends pending entries to every member.
     pub(crate) fn send_all(&mut self, now: ClockTime) {
         let members: Vec<_> = match self.leader_state() {
             Some(state) => state.progress.keys().copied().collect(),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Sends entries to one member as far as the bound on messages under way allows.
+    /// Sends entries to one member, up to the limit on messages in flight.
     pub(crate) fn send_entries(&mut self, member: MemberId, now: ClockTime) {
         while let Some(message) = self.next_message(member, now) {
             self.send(member, message);
@@ -69,7 +69,8 @@
             term: self.log.term_at(prev_index)?,
             index: prev_index,
         };
-        // A member that does not answer gets no entries again and again, only the question.
+        // A member that does not answer gets empty probes instead of the same entries again and
+        // again.
         let is_silent = progress.is_silent(self.settings.election_timeout, now);
         let slice = self.log.slice(progress.next_index, max_bytes);
         let entries: Vec<_> = slice
@@ -96,7 +97,7 @@
         })
     }
 
-    /// The member lacks entries that are no longer in the log here.
+    /// Starts a snapshot transfer to a member that needs entries which this log no longer has.
     fn start_snapshot_transfer(&mut self, member: MemberId, now: ClockTime) -> Option<PeerMessage> {
         let snapshot = Arc::clone(self.snapshot.as_ref()?);
         let members = self.members.at(snapshot.index).clone();
@@ -150,10 +151,10 @@
         };
         progress.last_active_at = now;
         match outcome {
-            // No member of this term can have more than its leader.
+            // No member can have more entries of this term than its leader.
             AppendOutcome::Matched(index) if index > last => return,
             AppendOutcome::Matched(index) => progress.record_match(index),
-            // An answer that was overtaken says nothing new.
+            // A reply that was overtaken by a later one carries no new information.
             AppendOutcome::Conflict { prev, .. } if prev <= progress.match_index => return,
             AppendOutcome::Conflict { prev, hint } => {
                 progress.probe(prev.min(hint.saturating_add(1)))
@@ -188,7 +189,7 @@
         self.send_entries(from, now);
     }
 
-    /// Sends again what was not answered for a while: it, or its answer, was lost.
+    /// Resends what has gone unacknowledged for `resend_after`: the message or its reply was lost.
     pub(crate) fn resend_stalled(&mut self, now: ClockTime) {
         let resend_after = self.settings.resend_after;
         let last = self.log.last().index;
@@ -209,10 +210,11 @@
         }
     }
 
-    /// Sends again at once what a broken connection may have lost on its way to `member`.
+    /// Resends at once what may have been lost with a broken connection to `member`.
     ///
-    /// Where nothing is lost while a connection lasts, sending again is for this case only, and its
-    /// time may be long; without this a member that has just come back would wait that time.
+    /// Where nothing is lost while a connection lasts, resending serves only this case and
+    /// `resend_after` may be long; without this call a member that has just reconnected would wait
+    /// for that time.
     pub(crate) fn resend_unacknowledged(&mut self, member: MemberId, now: ClockTime) {
         let last = self.log.last().index;
         let Some(progress) = self.progress_mut(member) else {
--- a/crates/ragwortroad_consensus/src/restart_check.rs
+++ b/crates/ragwortroad_consensus/src/restart_check.rs
@@ -8,33 +8,34 @@
     MemberSet, //
 };
 
-/// What a restarted member finds out before it takes part again.
+/// The check that a restarted member makes before it takes part again.
 ///
-/// Its disk may have gone back to an older state as a whole. Then it has forgotten a vote, and
-/// could vote again in the same term; or entries it acknowledged, and could help elect a leader
-/// that lacks them. Nothing on its own disk shows that. So it asks the others, until every quorum
-/// that it may have been part of has a member among those that answered, and takes from the
-/// answers the least that it must respect.
+/// Its disk may have gone back to an older state as a whole. It has then forgotten a vote, and
+/// could vote twice in one term, or entries that it acknowledged, and could help to elect a leader
+/// that lacks them. Nothing on its own disk shows this. It therefore queries the others until every
+/// quorum that it may have been part of has a member among those that answered, and derives from
+/// the answers the lowest term and log position that it must respect.
 #[derive(Debug)]
 pub(crate) struct RestartCheck {
     pub(crate) is_done: bool,
-    /// The highest term among the answers.
+    /// Highest term among the answers.
     pub(crate) vote_floor: u64,
-    /// No candidate with an older log gets a vote.
+    /// Latest log position among the answers; a candidate with an older log gets no vote.
     pub(crate) log_floor: LogPosition,
-    /// The last position of the log of each member that answered.
+    /// Last log position of each member that answered.
     answered: BTreeMap<MemberId, LogPosition>,
-    /// The last position and the members of the newest log among the answers and this member's own.
+    /// Last position and member set of the most up-to-date log among the answers and this member's
+    /// own.
     ///
-    /// A set with a higher index in an older log may never have been accepted; members that it
-    /// alone names could be asked for ever.
+    /// A set with a higher index in an older log may never have been committed; members that only
+    /// it names could be queried forever.
     members: (LogPosition, MemberSet),
-    /// When the question was sent last.
+    /// Time at which the query was last sent.
     pub(crate) asked_at: Option<ClockTime>,
 }
 
 impl RestartCheck {
-    /// A check that is done, for a folder that is new or trusted.
+    /// Creates a finished check, for a folder that is new or trusted.
     pub(crate) fn skipped() -> Self {
         let mut check = Self::new(LogPosition::default(), MemberSet::default());
         check.is_done = true;
@@ -52,12 +53,12 @@
         }
     }
 
-    /// The members to ask.
+    /// The members to query.
     pub(crate) fn members(&self) -> &MemberSet {
         &self.members.1
     }
 
-    /// Takes in an answer.
+    /// Records the answer of one member.
     pub(crate) fn record_answer(
         &mut self,
         from: MemberId,
@@ -72,17 +73,17 @@
         }
     }
 
-    /// The voters other than `own` that have not answered.
+    /// Returns the voters other than `own` that have not answered.
     pub(crate) fn unanswered(&self, own: MemberId) -> Vec<MemberId> {
         let voters = self.members().voters();
         let unanswered = voters.filter(|voter| *voter != own && !self.answered.contains_key(voter));
         unanswered.collect()
     }
 
-    /// Ends the check.
+    /// Finishes the check.
     ///
-    /// Only voters' logs count: what a learner alone has was never accepted, and a learner cannot
-    /// be elected to spread it.
+    /// Only the logs of voters count: an entry that only a learner has was never committed, and a
+    /// learner cannot be elected to replicate it.
     pub(crate) fn finish(&mut self) {
         self.is_done = true;
         let voters = self.members.1.voters();
@@ -90,7 +91,7 @@
         self.log_floor = lasts.max().copied().unwrap_or_default();
     }
 
-    /// Whether enough others than `own` have answered.
+    /// Whether enough voters other than `own` have answered.
     pub(crate) fn has_enough_answers(&self, own: MemberId) -> bool {
         let members = self.members();
         if members.is_empty() {
@@ -103,12 +104,12 @@
     }
 }
 
-/// How many voters other than `own` must answer.
+/// Number of voters other than `own` that must answer.
 ///
-/// The group may have grown by one voter since the members known here, so `own` may have been part
-/// of a quorum of a group of `n + 1`, of which one member may be unknown here. The others of such a
-/// quorum that are known number at least two fewer than it; with so many answers that fewer than
-/// these are silent, one of them has answered. A group of one has nobody to ask.
+/// The group may have grown by one voter since the member set known here, so `own` may have been
+/// part of a quorum of a group of `n + 1`, of which one member may be unknown here. The other known
+/// members of such a quorum number at least its size minus two. Once fewer voters than that are
+/// silent, one of them has answered. A group of one has nobody to query.
 fn required_answers(members: &MemberSet, own: MemberId) -> usize {
     let voters = members.voters().count();
     let others = members.voters().filter(|voter| *voter != own).count();
--- a/crates/ragwortroad_consensus/src/restart_queries.rs
+++ b/crates/ragwortroad_consensus/src/restart_queries.rs
@@ -1,4 +1,4 @@
-//! The check a member makes after a restart: see [`RestartCheck`](crate::RestartCheck).
+//! The queries of a restarted member and their answers: see [`RestartCheck`](crate::RestartCheck).
 
 use ragwortroad_log::VoteRecord;
 use ragwortroad_types::ClockTime;
@@ -10,13 +10,13 @@
 };
 
 impl ConsensusCore {
-    /// Asks the others, from time to time, until enough have answered.
+    /// Queries the other members at the heartbeat interval until enough have answered.
     pub(crate) fn send_hellos(&mut self, now: ClockTime) {
-        let every = self.settings.heartbeat_interval;
+        let interval = self.settings.heartbeat_interval;
         let is_due = self
             .check
             .asked_at
-            .is_none_or(|asked_at| now >= asked_at.after(every));
+            .is_none_or(|asked_at| now >= asked_at.after(interval));
         if self.check.is_done || !is_due {
             return;
         }
@@ -33,19 +33,20 @@
         }
     }
 
-    /// Asks whoever turns up and is not among the members known here: while this member was away
-    /// all that it knew may have been replaced, or it had not yet heard of any.
+    /// Queries a sender that is not in the known member set: while this member was down the whole
+    /// set may have been replaced, or it had not learned of any set yet.
     pub(crate) fn query_unknown_member(&mut self, from: MemberId) {
         if self.check.members().find(from).is_none() {
             self.send(from, PeerMessage::Hello);
         }
     }
 
-    /// Tells a restarted member what is known here, once that is durable: a position that a crash
-    /// takes back would be a floor that no candidate can reach.
+    /// Answers a restarted member once the reported state is durable: a reported position that a
+    /// crash undoes would be a floor that no candidate can reach.
     ///
-    /// The member's start becomes durable with it: after a restart here, an acknowledgement that
-    /// does not carry that start would let a leader count one of the member's earlier start.
+    /// The member's start number becomes durable with it. Otherwise, after a restart here, an
+    /// acknowledgement without that number would let a leader count one from before the member's
+    /// restart.
     pub(crate) fn handle_hello(&mut self, from: MemberId) {
         if let Some(start) = self.starts.take_unpersisted(from) {
             let member = from.0;
@@ -94,10 +95,10 @@
         }
     }
 
-    /// Takes over what the answers forbid.
+    /// Applies the constraints derived from the answers.
     ///
-    /// This member may have voted in any term up to the floor, so its vote there is used up: it is
-    /// written as one for itself, which it never asks anyone to count.
+    /// This member may have voted in any term up to the floor, so its vote there counts as used: it
+    /// is recorded as a vote for itself, which it never asks anyone to count.
     fn finish_check(&mut self, now: ClockTime) {
         self.check.finish();
         let floor = self.check.vote_floor;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Tells the disk once in a boot that it is not older than what was acknowledged, so that a
+    /// Records once per boot that the data folder is no older than what was acknowledged, so that a
     /// restart of the process alone needs no check.
     pub(crate) fn confirm_boot(&mut self) {
         if !self.is_confirmed && self.is_verified() {
--- a/crates/ragwortroad_consensus/src/snapshot_assembly.rs
+++ b/crates/ragwortroad_consensus/src/snapshot_assembly.rs
@@ -3,17 +3,17 @@
     SnapshotChunk, //
 };
 
-/// A snapshot that is coming in piece by piece.
+/// A snapshot that is being received in chunks.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotAssembly {
     last: LogPosition,
     total: u64,
-    /// Invariant: the pieces so far, without a gap.
+    /// Invariant: the chunks received so far, without a gap.
     pub(crate) bytes: Vec<u8>,
 }
 
 impl SnapshotAssembly {
-    /// An empty one for the snapshot that `chunk` is of.
+    /// Creates an empty assembly for the snapshot that `chunk` belongs to.
     pub(crate) fn new(chunk: &SnapshotChunk) -> Self {
         Self {
             last: chunk.last,
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Whether `chunk` is of the same snapshot.
+    /// Whether `chunk` belongs to the same snapshot.
     pub(crate) fn matches(&self, chunk: &SnapshotChunk) -> bool {
         self.last == chunk.last && self.total == chunk.total
     }
 
-    /// Adds a piece, if it is the next one.
+    /// Appends a chunk if it is the next one.
     pub(crate) fn add(&mut self, chunk: &SnapshotChunk) {
         let end = self.bytes.len() as u64 + chunk.bytes.len() as u64;
         if chunk.offset == self.bytes.len() as u64 && end <= self.total {
@@ -35,7 +35,6 @@
         }
     }
 
-    /// Whether all pieces are there.
     pub(crate) fn is_complete(&self) -> bool {
         self.bytes.len() as u64 == self.total
     }
--- a/crates/ragwortroad_consensus/src/snapshotting.rs
+++ b/crates/ragwortroad_consensus/src/snapshotting.rs
@@ -1,4 +1,4 @@
-//! Snapshots: taking them, and taking over one that comes from the leader.
+//! Stores local snapshots, and installs snapshots sent by the leader.
 
 use std::sync::Arc;
 
@@ -17,8 +17,8 @@
 };
 
 impl ConsensusCore {
-    /// The state after `index` replaces the entries up to it, but for a few that members who are a
-    /// little late may need.
+    /// Replaces the entries up to `index` by a snapshot, except for `trailing_entries` that members
+    /// which lag slightly may still need.
     pub(crate) fn compact_to_snapshot(&mut self, index: u64, bytes: Vec<u8>) {
         self.snapshot_requested = false;
         let since = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
@@ -108,7 +108,7 @@
     }
 }
 
-/// The bytes of `members`; encoding into memory of plain types does not fail.
+/// Encodes `members`; encoding plain types into memory does not fail.
 fn encode_members(members: &MemberSet) -> Vec<u8> {
     postcard::to_stdvec(members).unwrap_or_default()
 }
--- a/crates/ragwortroad_consensus/src/start_table.rs
+++ b/crates/ragwortroad_consensus/src/start_table.rs
@@ -6,33 +6,33 @@
     MemberStart, //
 };
 
-/// The latest start of each member that this one knows of.
+/// The latest start number known of each member.
 ///
-/// A member that restarts may have lost, with a rolled-back disk, what it acknowledged before. It
-/// asks enough others what they know before it takes part again. What could still go wrong is an
-/// acknowledgement from before its restart, counted by a leader together with one that another
-/// member gives after it told the restarted one that there is nothing. So every vote and
-/// acknowledgement carries this table, and whoever counts them drops those of an older start.
+/// A member that restarts with a rolled-back disk may have lost what it acknowledged before, so it
+/// queries enough others before it takes part again. One hazard remains: a leader could count an
+/// acknowledgement from before that restart together with one that another member gives after it
+/// answered the query without the entry. So every vote and acknowledgement carries this table, and
+/// the member that counts them drops those from older starts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StartTable {
     starts: BTreeMap<MemberId, u64>,
-    /// The starts that are on the disk, or on their way to it.
+    /// Start numbers that are on disk or in a batch to be written.
     persisted: BTreeMap<MemberId, u64>,
 }
 
-/// What a start number says about a member.
+/// How a start number compares with the latest known one of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StartOrder {
-    /// Known already.
+    /// The latest known start.
     Same,
-    /// The member has restarted.
+    /// The member has restarted since.
     Newer,
-    /// It comes from before the latest start.
+    /// The message was sent before the latest known start.
     Older,
 }
 
 impl StartTable {
-    /// The table with what was told to others before this member's own restart.
+    /// Restores the start numbers that were sent to others before this member's own restart.
     pub(crate) fn from_stored(stored: &[ragwortroad_log::MemberStart]) -> Self {
         let known = stored
             .iter()
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes note that `member` has had a start `start`.
+    /// Records that `member` has started with number `start`.
     pub(crate) fn observe(&mut self, member: MemberId, start: u64) -> StartOrder {
         let known = self.starts.entry(member).or_insert(start);
         match start.cmp(known) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The starts of `members` as they go into messages to `receiver`, which knows its own.
+    /// Returns the start numbers of `members` to send to `receiver`, without the receiver's own.
     pub(crate) fn starts_for(&self, receiver: MemberId, members: &MemberSet) -> Vec<MemberStart> {
         let mut starts = Vec::new();
         for record in members.records() {
@@ -68,14 +68,14 @@
         starts
     }
 
-    /// The latest start of `member`, if it is still to be persisted.
+    /// Returns the latest start number of `member` if it still has to be persisted.
     pub(crate) fn take_unpersisted(&mut self, member: MemberId) -> Option<u64> {
         let start = self.latest(member);
-        let before = self.persisted.insert(member, start);
-        (before != Some(start)).then_some(start)
+        let previous = self.persisted.insert(member, start);
+        (previous != Some(start)).then_some(start)
     }
 
-    /// The latest start of `member`, if any is known.
+    /// Returns the latest start number of `member`, or 0 if none is known.
     pub(crate) fn latest(&self, member: MemberId) -> u64 {
         self.starts.get(&member).copied().unwrap_or(0)
     }
--- a/crates/ragwortroad_consensus/tests/by_hand/main.rs
+++ b/crates/ragwortroad_consensus/tests/by_hand/main.rs
@@ -1,4 +1,4 @@
-//! Failures that need one order of messages among very many, brought about by hand.
+//! Failures that need one particular order of messages, scripted message by message.
 
 mod scripted_group;
 
@@ -23,7 +23,8 @@
     }
 }
 
-/// A command of an old term comes to a quorum; then a leader that never had it is elected.
+/// An entry of an old term reaches a quorum; then a leader that never had it is elected. Returns
+/// whether the old leader applies the entry before that.
 fn commits_entry_of_old_term(bug: Option<InjectedBug>) -> bool {
     let mut group = ScriptedGroup::new(5, settings_with_bug(bug));
     group.propose(0, b"old");
@@ -32,8 +33,8 @@
     assert!(group.core(4).is_leader());
     group.run_election(0, &[0, 1, 2, 3]);
     assert!(group.core(0).is_leader());
-    // The old command gets to two more members; the leader's own entry comes too early there, and
-    // stays behind once it would fit.
+    // The old entry reaches two more members. The append with the leader's own entry is dropped
+    // while it does not follow the receiver's log, and also once it would.
     let own = group.core(0).last_position();
     let has_old = [Cell::new(false), Cell::new(false), Cell::new(false)];
     for _ in 0..4 {
@@ -55,13 +56,16 @@
     group.members[0].applied == [b"old".to_vec()]
 }
 
+/// Guards against a leader that commits an entry of an earlier term as soon as a quorum has it,
+/// although a later leader without it can still overwrite it.
 #[test]
 fn old_term_entries_commit_only_with_an_entry_of_the_current_term() {
     assert!(!commits_entry_of_old_term(None));
     assert!(commits_entry_of_old_term(Some(InjectedBug::CommitOldTerms)));
 }
 
-/// A member's answer arrives after its VM was restored to a state before that answer.
+/// A member's acknowledgement arrives after its VM was restored to a state before it. Returns
+/// whether the leader commits on it.
 fn commits_by_stale_ack(bug: Option<InjectedBug>) -> bool {
     let mut group = ScriptedGroup::new(5, settings_with_bug(bug));
     let image = group.members[1].disk.image();
@@ -88,13 +92,16 @@
     group.members[0].applied == [b"late".to_vec()]
 }
 
+/// Guards against a leader that commits an entry on an acknowledgement which the member gave before
+/// its disk was rolled back.
 #[test]
 fn acks_from_before_a_rollback_do_not_count() {
     assert!(!commits_by_stale_ack(None));
     assert!(commits_by_stale_ack(Some(InjectedBug::CountOldStarts)));
 }
 
-/// Guards against members that apply an accepted command only with the next heartbeat.
+/// Guards against members that apply a committed command only with the next heartbeat, because
+/// their acknowledgement came after those of the quorum.
 #[test]
 fn members_outside_the_first_quorum_apply_without_a_heartbeat() {
     let mut group = ScriptedGroup::new(5, CoreSettings::default());
@@ -107,7 +114,8 @@
     }
 }
 
-/// Guards against a rolled-back disk that a second process on the same boot takes for good.
+/// Guards against a rolled-back disk that is trusted after a process restart within the same boot,
+/// although the restart check had not finished.
 #[test]
 fn a_process_killed_during_the_restart_check_repeats_it() {
     let mut group = ScriptedGroup::new(3, settings_with_bug(None));
@@ -121,7 +129,7 @@
     group.stop(1, false);
     group.start(1);
     assert!(!group.core(1).is_verified());
-    // The first member is gone; the other two must not go on without the command.
+    // The first member is down; the other two must not continue without the command.
     group.stop(0, false);
     group.wait_for_leader(2, 4);
     group.wait_for_leader(1, 4);
@@ -135,7 +143,8 @@
     assert_eq!(group.members[0].applied, [b"kept".to_vec()]);
 }
 
-/// Guards against a member that deposes a well leader each time it comes back.
+/// Guards against a member that deposes a healthy leader each time it reconnects. The member
+/// receives nothing but may send.
 #[test]
 fn a_partitioned_member_does_not_raise_the_term() {
     let mut group = ScriptedGroup::new(3, settings_with_bug(None));
@@ -150,7 +159,8 @@
     assert_eq!((group.core(0).term(), group.core(2).term()), (term, term));
 }
 
-/// Guards against callers who wait for the lease of a leader that is stopped in good order.
+/// Guards against clients that wait for the lease of a leader to expire when the leader is stopped
+/// in an orderly way.
 #[test]
 fn leadership_transfer_needs_no_lease_expiry() {
     let mut group = ScriptedGroup::new(3, settings_with_bug(None));
@@ -170,7 +180,7 @@
     ));
 }
 
-/// Guards against a leader that acts past the end of its lease after it stood still.
+/// Guards against a leader that acts beyond the end of its lease after its process was paused.
 #[test]
 fn a_paused_leader_loses_its_lease_on_its_own_clock() {
     let mut group = ScriptedGroup::new(3, settings_with_bug(None));
@@ -185,7 +195,7 @@
     assert!(!group.core(0).is_leader());
 }
 
-/// Guards against a second group that a founder with a lost disk forms.
+/// Guards against a second group, bootstrapped by an initial member that lost its disk.
 #[test]
 fn only_empty_folders_bootstrap_a_group() {
     let hello = |at: usize, is_empty| BootstrapHello {
@@ -207,7 +217,7 @@
     assert_eq!(other.decide(), BootstrapDecision::Follow);
 }
 
-/// Guards against a member that misses entries which were on a broken connection.
+/// Guards against a member that stays without entries that were lost with a broken connection.
 #[test]
 fn reconnecting_resends_unacknowledged_entries() {
     let mut group = ScriptedGroup::new(3, CoreSettings::default());
@@ -222,7 +232,7 @@
     group.input(0, CoreInput::PeerConnected { member });
     group.deliver(|_, _, _| true);
     assert_eq!(group.core(2).last_position(), group.core(0).last_position());
-    // To a member that lacks nothing, nothing is sent.
+    // A member that lacks nothing is sent nothing.
     group.input(0, CoreInput::PeerConnected { member });
     assert!(group.intercept(0, 2).is_empty());
 }
--- a/crates/ragwortroad_consensus/tests/by_hand/scripted_group.rs
+++ b/crates/ragwortroad_consensus/tests/by_hand/scripted_group.rs
@@ -4,17 +4,17 @@
 use ragwortroad_log::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// A group whose every message a test carries or drops by hand; disks write at once.
+/// A group in which the test delivers or drops every message; disk writes complete at once.
 pub(crate) struct ScriptedGroup {
     pub(crate) settings: CoreSettings,
     pub(crate) members: Vec<ScriptedMember>,
     pub(crate) now: ClockTime,
     in_flight: VecDeque<PeerFrame>,
     starts: u64,
-    founders: MemberSet,
+    initial_members: MemberSet,
 }
 
-/// One member of it.
+/// A member of the group with its disk.
 #[derive(Default)]
 pub(crate) struct ScriptedMember {
     pub(crate) disk: FakeDisk,
@@ -26,7 +26,7 @@
 }
 
 impl ScriptedGroup {
-    /// A group of `count` voters, of which the first has been elected by all.
+    /// Creates a group of `count` voters, of which all have elected the first.
     pub(crate) fn new(count: usize, settings: CoreSettings) -> Self {
         let voters = (0..count).map(|at| (member_id(at), NodeId(at as u64)));
         let mut group = Self {
@@ -35,7 +35,7 @@
             now: ClockTime(1000),
             in_flight: VecDeque::new(),
             starts: 0,
-            founders: MemberSet::from_voters(voters),
+            initial_members: MemberSet::from_voters(voters),
         };
         for at in 0..count {
             group.start(at);
@@ -60,21 +60,22 @@
         };
         let port = DiskPort::Fake(member.disk.clone());
         let (folder, stored) = LogFolder::open_on(port, &settings).expect("the folder opens");
-        let founders = Some(self.founders.clone()).filter(|_| at == 0 && stored.is_new);
+        let initial_members =
+            Some(self.initial_members.clone()).filter(|_| at == 0 && stored.is_new);
         let start = CoreStart {
             stored,
             start: self.starts,
-            initial_members: founders,
+            initial_members,
         };
-        let made = ConsensusCore::new(self.settings.clone(), start, self.now, at as u64);
-        let (core, actions) = made.expect("the core starts");
+        let created = ConsensusCore::new(self.settings.clone(), start, self.now, at as u64);
+        let (core, actions) = created.expect("the core starts");
         member.core = Some(core);
         member.folder = Some(folder);
         member.applied.clear();
         self.act(at, actions);
     }
 
-    /// Ends the process, and with `new_boot` the machine restarts.
+    /// Stops the process; with `new_boot` the machine restarts, too.
     pub(crate) fn stop(&mut self, at: usize, new_boot: bool) {
         let member = &mut self.members[at];
         member.core = None;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Carries messages until there are none, dropping those that `passes` says no to.
+    /// Delivers messages until none are left, dropping those that `passes` rejects.
     pub(crate) fn deliver(&mut self, passes: impl Fn(&PeerFrame, usize, usize) -> bool) {
         while let Some(frame) = self.in_flight.pop_front() {
             let from = (frame.from.0 - member_id(0).0) as usize;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Takes the messages from one member to another off the wire, to carry them later.
+    /// Removes the messages from one member to another, so that the test can deliver them later.
     pub(crate) fn intercept(&mut self, from: usize, to: usize) -> Vec<PeerFrame> {
         let (from, to) = (member_id(from), member_id(to));
         let (intercepted, rest) = self
@@ -139,7 +140,7 @@
         self.input(at, CoreInput::Propose { token: 1, command });
     }
 
-    /// Lets up to `rounds` elections of `at` go by, with all messages carried, until it leads.
+    /// Runs up to `rounds` elections of `at` with all messages delivered, until it leads.
     pub(crate) fn wait_for_leader(&mut self, at: usize, rounds: u32) {
         for _ in 0..rounds {
             if self.core(at).is_leader() {
@@ -151,7 +152,8 @@
         }
     }
 
-    /// Lets `at` campaign, and carries nothing but what elections need between `among`.
+    /// Lets `at` campaign, and delivers only messages without entries between the members in
+    /// `among`.
     pub(crate) fn run_election(&mut self, at: usize, among: &[usize]) {
         for _ in 0..3 {
             self.now = self.now.after(self.settings.election_timeout * 2);
--- a/crates/ragwortroad_consensus/tests/frames.rs
+++ b/crates/ragwortroad_consensus/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames that come in from the network, whatever they hold.
+//! Properties of frames from the network, whatever their content.
 
 use proptest::prelude::*;
 use ragwortroad_consensus::prelude::*;
@@ -71,8 +71,8 @@
     prop_oneof![append, reply, vote, chunk, short]
 }
 
-/// A member that has founded a group of three, or a new one that knows of none.
-fn core(is_founder: bool) -> ConsensusCore {
+/// A member that has bootstrapped a group of three, or a new one that knows of no group.
+fn core(is_bootstrapping: bool) -> ConsensusCore {
     let voters = (1..4).map(|at| (MemberId(at), NodeId(at)));
     let stored = ragwortroad_log::StoredState {
         identity: 1,
@@ -82,16 +82,17 @@
     let start = CoreStart {
         stored,
         start: 1,
-        initial_members: is_founder.then(|| MemberSet::from_voters(voters)),
+        initial_members: is_bootstrapping.then(|| MemberSet::from_voters(voters)),
     };
-    let made = ConsensusCore::new(CoreSettings::default(), start, ClockTime(1), 1);
-    made.expect("the core starts").0
+    let created = ConsensusCore::new(CoreSettings::default(), start, ClockTime(1), 1);
+    created.expect("the core starts").0
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Every frame comes out as it went in, is as long as it says, and is no frame when cut.
+    /// Guards against frames that change in encoding or misstate their length, and against
+    /// truncated frames that are accepted.
     #[test]
     fn frames_round_trip(ends in any::<[u64; 3]>(), message in messages()) {
         let frame = PeerFrame {
@@ -106,7 +107,7 @@
         prop_assert_eq!(PeerFrame::decode(&bytes).expect("decodes"), frame);
     }
 
-    /// Bytes that are no frame are an error, and nothing else.
+    /// Guards against a decoder that panics on bytes that are no frame, or reads beyond them.
     #[test]
     fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         if let Ok(frame) = PeerFrame::decode(&bytes) {
@@ -114,13 +115,13 @@
         }
     }
 
-    /// Guards against a member that ends on a message that makes no sense.
+    /// Guards against a member that panics on a message that makes no sense.
     #[test]
     fn arbitrary_messages_do_not_panic_the_core(
-        is_founder in any::<bool>(),
+        is_bootstrapping in any::<bool>(),
         sent in prop::collection::vec((1_u64..5, 0_u64..3, messages()), 1..20),
     ) {
-        let mut core = core(is_founder);
+        let mut core = core(is_bootstrapping);
         let mut now = ClockTime(1);
         for (from, start, message) in sent {
             now = ClockTime(now.0 + 100);
--- a/crates/ragwortroad_consensus/tests/schedules/main.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/main.rs
@@ -1,4 +1,4 @@
-//! Seeded schedules over the real consensus core and the real log on fakes of disk, clock and
+//! Runs the real consensus core and log in seeded schedules, with simulated disks, clocks and
 //! messages.
 
 mod world;
@@ -15,7 +15,8 @@
     SimWorld, //
 };
 
-/// Runs plans with the seeds from 0 on, as many as the environment asks for, and those of earlier faults.
+/// Runs plans with seeds from 0 up, `SCHEDULES` of them if that variable is set, and with the seeds
+/// in `known`, which found faults earlier.
 fn run_all(title: &str, count: u64, known: &[u64], make: impl Fn(u64) -> SimPlan) -> SimCounts {
     let wanted = std::env::var("SCHEDULES").ok();
     let count = wanted
@@ -37,7 +38,7 @@
     SimPlan {
         seed,
         nodes,
-        founders: nodes.min(3),
+        initial_members: nodes.min(3),
         client_every_ms: [60, 900, 15][seed as usize % 3],
         ..SimPlan::default()
     }
@@ -50,7 +51,7 @@
     SimPlan {
         seed,
         nodes,
-        founders: nodes,
+        initial_members: nodes,
         kinds,
         rollback_percent: 10,
         fault_every_ms: 2000,
@@ -58,7 +59,8 @@
     }
 }
 
-/// Guards against lost commands, stale reads and two leaders under crashes, pauses and losses.
+/// Guards against lost commands, stale reads and two leaders under crashes, pauses and message
+/// loss.
 #[test]
 fn all_fault_kinds_preserve_safety() {
     let known = [37, 52, 201, 386, 1909];
@@ -66,7 +68,7 @@
     assert!(counts.lost_disks > 20 && counts.torn_writes > 20);
 }
 
-/// Guards against lost commands and stale reads where each read is proved anew.
+/// Guards against lost commands and stale reads where each read is confirmed by a quorum.
 #[test]
 fn all_fault_kinds_preserve_safety_without_leases() {
     let without_leases = |seed| SimPlan {
@@ -87,7 +89,7 @@
     assert!(counts.rollbacks > 60);
 }
 
-/// The first breach that shows up with `core` under the plans that `make` gives.
+/// Returns the first violation found with `core` in the plans that `make` returns for 40 seeds.
 fn first_violation(core: &CoreSettings, make: impl Fn(u64) -> SimPlan) -> Option<String> {
     (0..40).find_map(|seed| {
         let plan = make(seed);
@@ -103,7 +105,7 @@
     }
 }
 
-/// Guards against schedules that do not notice an acknowledgement before the sync.
+/// Guards against schedules that do not detect an acknowledgement sent before the sync.
 #[test]
 fn checker_detects_acks_before_sync() {
     let found = first_violation(&settings_with_bug(InjectedBug::ActBeforeSync), |seed| {
@@ -115,20 +117,22 @@
             ..SimPlan::default()
         }
     });
-    println!("acting before the sync: {found:?}");
+    println!("effects before the sync: {found:?}");
     assert!(found.is_some());
 }
 
-/// Had a member not written its vote, it would give another one after a restart.
+/// Guards against schedules that do not detect a second vote in one term, which a member grants
+/// after a restart if the first was not written.
 #[test]
 fn checker_detects_an_unpersisted_vote() {
     let found = first_violation(&settings_with_bug(InjectedBug::SkipVoteWrite), all_faults);
-    println!("unwritten votes: {found:?}");
+    println!("unpersisted votes: {found:?}");
     let violation = found.unwrap_or_default();
     assert!(violation.contains("voted twice") || violation.contains("two leaders"));
 }
 
-/// Had a member voted while a leader may rely on it, two leaders would give orders at once.
+/// Guards against schedules that do not detect two leaders acting at once, because a member voted
+/// while a leader could rely on it for its lease.
 #[test]
 fn checker_detects_a_vote_within_the_lease() {
     let found = first_violation(&settings_with_bug(InjectedBug::VoteWithinLease), |seed| {
@@ -143,7 +147,7 @@
     assert!(found.is_some_and(|violation| violation.contains("act as leader at once")));
 }
 
-/// Guards against schedules that do not notice a second vote from a rolled-back disk.
+/// Guards against schedules that do not detect a second vote from a rolled-back disk.
 #[test]
 fn checker_detects_a_trusted_rolled_back_disk() {
     let core = CoreSettings {
@@ -155,7 +159,8 @@
     assert!(found.is_some());
 }
 
-/// Guards against schedules that do not notice a lease that outlives the next election.
+/// Guards against schedules that do not detect a lease that outlives the next election, because
+/// clocks drift more than the settings assume.
 #[test]
 fn checker_detects_clock_drift_beyond_the_setting() {
     let found = first_violation(&SimPlan::small_limits(), |seed| SimPlan {
@@ -165,6 +170,6 @@
         client_every_ms: 900,
         ..SimPlan::default()
     });
-    println!("drift beyond the setting: {found:?}");
+    println!("clock drift beyond the setting: {found:?}");
     assert!(found.is_some_and(|violation| violation.contains("act as leader at once")));
 }
--- a/crates/ragwortroad_consensus/tests/schedules/world/fault_kind.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/fault_kind.rs
@@ -1,27 +1,27 @@
-/// What can go wrong at a node.
+/// A fault that the simulation injects at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultKind {
-    /// The machine stops and restarts.
+    /// The machine crashes and restarts.
     Crash,
-    /// The machine stops in the middle of a write.
+    /// The machine crashes during a write.
     CrashInWrite,
-    /// Several machines stop at once.
+    /// Several machines crash at once.
     PowerCut,
-    /// The process ends and restarts.
+    /// The process is killed and restarts; the machine keeps running.
     Kill,
-    /// A sync fails.
+    /// The next sync fails.
     FailedSync,
-    /// The disk is full.
+    /// The disk becomes full.
     FullDisk,
-    /// The process stands still for a while.
+    /// The process is paused for a while.
     Pause,
-    /// Messages get through in one direction only, or not at all.
+    /// Messages are dropped in one direction or both.
     Partition,
     /// The disk is replaced by an empty one.
     LostDisk,
-    /// The leader is asked to hand over.
+    /// The leader is asked to transfer leadership.
     TransferLeadership,
-    /// A member that is well is taken out of a group that can spare it, and comes back later.
+    /// A healthy member is removed from a group that can spare it, and is added again later.
     RemoveMember,
 }
 
--- a/crates/ragwortroad_consensus/tests/schedules/world/mod.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/mod.rs
@@ -1,4 +1,4 @@
-//! A group of members on fake disks, clocks and messages, driven from one seed.
+//! A simulated group with fake disks, clocks and messages, driven by one seed.
 
 mod fault_kind;
 mod sim_checker;
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_checker.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_checker.rs
@@ -7,12 +7,12 @@
 
 use super::SimState;
 
-/// What must hold in every schedule; the first breach is kept.
+/// Checks the safety properties of every schedule and keeps the first violation.
 #[derive(Debug, Default)]
 pub(crate) struct SimChecker {
     leaders: BTreeMap<u64, MemberId>,
     votes: BTreeMap<(MemberId, u64), MemberId>,
-    /// The state's digest after each command, as the first member applied it.
+    /// Digest of the state after each command, as computed by the first member that applied it.
     digests: BTreeMap<u64, u64>,
     commands: BTreeMap<u64, Vec<u8>>,
     seen: BTreeSet<Vec<u8>>,
@@ -58,11 +58,13 @@
         let index = state.index;
         let known = *self.digests.entry(index).or_insert(state.digest);
         self.expect(known == state.digest, || {
-            format!("members differ in what was accepted up to {index}")
+            format!("members applied different commands up to index {index}")
         });
         if !self.commands.contains_key(&index) {
             let is_new = self.seen.insert(command.to_vec());
-            self.expect(is_new, || format!("a command came twice, again at {index}"));
+            self.expect(is_new, || {
+                format!("a command was applied twice, again at index {index}")
+            });
             self.commands.insert(index, command.to_vec());
         }
     }
@@ -71,19 +73,19 @@
         let known = self.digests.range(..=index).next_back();
         let digest = known.map_or(0, |(_, &digest)| digest);
         self.expect(digest == state.digest, || {
-            format!("a snapshot at {index} differs from what was accepted")
+            format!("a snapshot at {index} differs from the accepted commands")
         });
     }
 
     pub(crate) fn record_accepted(&mut self, index: u64, command: Vec<u8>) {
         let is_same = self.commands.get(&index) == Some(&command);
         self.expect(is_same, || {
-            format!("the command accepted at {index} is not there")
+            format!("the command accepted at index {index} was not applied there")
         });
         self.accepted.insert(index, command);
     }
 
-    /// Index of the last command that any caller knows to be accepted.
+    /// Index of the last command that any client knows to be accepted.
     pub(crate) fn last_accepted(&self) -> u64 {
         self.accepted
             .last_key_value()
@@ -95,7 +97,7 @@
             format!("a read at {index} misses the command accepted at {expected}")
         });
         self.expect(applied >= expected, || {
-            format!("a read of the state at {applied} misses {expected}")
+            format!("a read of the state at {applied} misses the command accepted at {expected}")
         });
     }
 
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_client.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_client.rs
@@ -1,4 +1,4 @@
-//! What callers do, and what they expect once all faults are over.
+//! Simulated clients, and the check that the group makes progress once all faults are over.
 
 use ragwortroad_consensus::prelude::*;
 use rand::RngExt;
@@ -10,10 +10,10 @@
 };
 
 impl SimWorld {
-    /// A caller sends a command, or a read, to some node, mostly to one that leads.
+    /// Sends a command or a read to a node, mostly to one that leads.
     pub(crate) fn client_step(&mut self) {
-        let every = self.plan.client_every_ms * 1000;
-        let next = self.rng.random_range(0..every * 2);
+        let interval = self.plan.client_every_ms * 1000;
+        let next = self.rng.random_range(0..interval * 2);
         self.schedule(next, SimEvent::Client);
         let leaders: Vec<_> = (0..self.nodes.len())
             .filter(|&node| {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// With all faults over, the group works again and every member has all that was accepted.
+    /// Checks that the group has a leader again and that every member has all accepted commands.
     pub(crate) fn check_progress(&mut self) {
         let last = self.checker.last_accepted();
         let leader = self.nodes.iter().position(|node| {
@@ -89,7 +89,7 @@
                 let member = record.member;
                 let states: Vec<_> = self.nodes.iter().map(SimNode::describe).collect();
                 self.checker.record_violation(format!(
-                    "{member} is at {commit:?}, accepted was {last}: {states:#?}"
+                    "{member} committed up to {commit:?}, but clients know of {last}: {states:#?}"
                 ));
             }
         }
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_counts.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_counts.rs
@@ -1,4 +1,4 @@
-/// What happened in one schedule, or in many.
+/// Counts of events in one schedule, or summed over many.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SimCounts {
     pub(crate) schedules: u64,
@@ -37,19 +37,19 @@
             ("lost", self.lost),
             ("duplicated", self.duplicated),
             ("delayed", self.delayed),
-            ("cuts", self.partitions),
+            ("partitions", self.partitions),
             ("crashes", self.crashes),
-            ("crashes in a write", self.torn_writes),
+            ("crashes during a write", self.torn_writes),
             ("kills", self.kills),
             ("pauses", self.pauses),
             ("failed writes", self.failed_writes),
             ("lost disks", self.lost_disks),
             ("rollbacks", self.rollbacks),
-            ("disks vouched for", self.trusted),
+            ("disks trusted", self.trusted),
             ("handovers", self.handovers),
             ("elections", self.elections),
             ("snapshots restored", self.restores),
-            ("member changes", self.member_changes),
+            ("membership changes", self.member_changes),
             ("proposed", self.proposed),
             ("accepted", self.accepted),
             ("reads", self.reads),
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_faults.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and how it is over again.
+//! Injects faults and ends them again.
 
 use rand::RngExt;
 
@@ -11,10 +11,10 @@
 };
 
 impl SimWorld {
-    /// One fault of a random kind at a random node.
+    /// Injects one fault of a random kind at a random node.
     pub(crate) fn fault(&mut self) {
-        let every = self.plan.fault_every_ms * 1000;
-        let next = self.rng.random_range(0..every * 2);
+        let interval = self.plan.fault_every_ms * 1000;
+        let next = self.rng.random_range(0..interval * 2);
         if self.is_fault_free {
             return;
         }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Several machines stop at once.
+    /// Crashes several machines at once.
     fn cut_power(&mut self) {
         for node in 0..self.nodes.len() {
             if self.rng.random_range(0..4) > 0 {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The machine stops; what was not synced is lost in part.
+    /// Crashes the machine; part of the data that was not synced is lost.
     pub(crate) fn crash(&mut self, node: usize) {
         self.counts.crashes += 1;
         let rng = &mut self.rng;
@@ -59,7 +59,7 @@
         self.end(node);
     }
 
-    /// The process ends; the machine goes on and forgets nothing.
+    /// Kills the process; the machine keeps running and loses no data.
     fn kill(&mut self, node: usize) {
         self.counts.kills += 1;
         self.end(node);
@@ -71,12 +71,12 @@
         target.epoch += 1;
         target.is_paused = false;
         target.backlog.clear();
-        let down = self.rng.random_range(20_000..2_000_000);
-        self.schedule(down, SimEvent::Start(node));
+        let downtime_us = self.rng.random_range(20_000..2_000_000);
+        self.schedule(downtime_us, SimEvent::Start(node));
     }
 
     fn fill_disk(&mut self, node: usize) {
-        let room = self.rng.random_range(0..400);
+        let spare_bytes = self.rng.random_range(0..400);
         let disk = &self.nodes[node].disk;
         let used: usize = disk
             .names()
@@ -84,7 +84,7 @@
             .filter_map(|name| disk.bytes(name))
             .map(|bytes| bytes.len())
             .sum();
-        disk.set_capacity(Some((used + room) as u64));
+        disk.set_capacity(Some((used + spare_bytes) as u64));
     }
 
     fn pause(&mut self, node: usize) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Nothing gets through from a node, or to it, or both, to one other or to all.
+    /// Drops messages from a node, to it, or both, with one other node or with all.
     fn partition(&mut self, node: usize) {
         self.counts.partitions += 1;
         let kind = self.rng.random_range(0..4);
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Whether the group can bear the loss of one more disk: the last one has been made good.
+    /// Whether the group can tolerate the loss of one more disk, because it has recovered from the
+    /// last one.
     fn can_lose_disk(&self) -> bool {
         let Some(members) = self.operator.settled_members(self) else {
             return false;
@@ -155,7 +156,7 @@
         target.lost = target.member.take();
     }
 
-    /// Keeps a copy of the disk as it would be after a crash.
+    /// Saves a copy of what the disk would hold after a crash.
     pub(crate) fn save_image(&mut self, node: usize) {
         let target = &mut self.nodes[node];
         if let Some(process) = &target.process {
@@ -164,7 +165,7 @@
         }
     }
 
-    /// The whole disk goes back to an earlier state, as after a restore from a backup.
+    /// Rolls the whole disk back to an earlier state, as after a restore from a backup.
     pub(crate) fn roll_back(&mut self, node: usize) {
         let image = self.nodes[node].image.clone();
         let members = self.nodes[node].core().map(ConsensusCore::members_index);
@@ -207,7 +208,7 @@
         }
     }
 
-    /// All faults are over.
+    /// Ends all faults.
     pub(crate) fn end_faults(&mut self) {
         self.is_fault_free = true;
         self.partitions.clear();
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_network.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_network.rs
@@ -1,4 +1,4 @@
-//! Messages on their way: lost, doubled, late, or not let through.
+//! Simulated network that loses, duplicates, delays and partitions messages.
 
 use ragwortroad_consensus::prelude::*;
 use rand::RngExt;
@@ -35,7 +35,7 @@
         self.schedule(delay, SimEvent::Deliver(to, bytes));
     }
 
-    /// Whether something with this probability happens; never once the schedule has calmed down.
+    /// Returns `true` with the given probability, and always `false` once faults are over.
     pub(crate) fn chance(&mut self, percent: u32) -> bool {
         !self.is_fault_free && self.rng.random_range(0..100) < percent
     }
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_node.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_node.rs
@@ -7,25 +7,26 @@
     SimProcess, //
 };
 
-/// One VM with a disk.
+/// A simulated VM with a disk.
 pub(crate) struct SimNode {
     pub(crate) disk: FakeDisk,
     pub(crate) clock: SimClock,
     pub(crate) process: Option<SimProcess>,
-    /// Counts up with every end of the process, so that its events end with it.
+    /// Incremented when the process ends, which cancels the events scheduled for it.
     pub(crate) epoch: u64,
-    /// Counts up with every restart of the machine.
+    /// Incremented when the machine restarts.
     pub(crate) boot: u64,
     pub(crate) is_paused: bool,
-    /// What came in during the pause.
+    /// Events that arrived during a pause.
     pub(crate) backlog: Vec<SimEvent>,
-    /// An earlier content of the disk, with the index of the members in force then.
+    /// An earlier state of the disk, with the index of the member set that was in force then.
     pub(crate) image: Option<(u64, DiskImage)>,
-    /// The identity of the disk, once a process has run on it.
+    /// The identity in the data folder, once a process has opened it.
     pub(crate) member: Option<MemberId>,
-    /// The identity whose disk was lost and that is still to be taken out of the group.
+    /// The identity whose disk was lost and that has yet to be removed from the group.
     pub(crate) lost: Option<MemberId>,
-    /// What the disk has to show again before it counts as mended after a rollback.
+    /// The commit index that the member has to reach before the disk counts as recovered from a
+    /// rollback.
     pub(crate) rolled_back_from: Option<u64>,
 }
 
@@ -50,7 +51,7 @@
         self.process.as_ref().map(|process| &process.core)
     }
 
-    /// Whether it runs, is heard, and holds what was accepted up to the rollback.
+    /// Whether the member runs, is reachable, and holds everything accepted before its rollback.
     pub(crate) fn is_healthy(&self) -> bool {
         let from = self.rolled_back_from.unwrap_or(0);
         self.lost.is_none()
@@ -60,7 +61,7 @@
             })
     }
 
-    /// What a person needs to see to find out why it does not take part.
+    /// Describes the node, to diagnose why it does not take part.
     pub(crate) fn describe(&self) -> String {
         let core = self.core().map(|core| {
             format!(
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_operator.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_operator.rs
@@ -7,20 +7,21 @@
     SimWorld, //
 };
 
-/// Puts members with a new identity in the place of lost ones, and restarts failed processes.
+/// A simulated operator that replaces members with lost disks by new identities, and restarts
+/// failed processes.
 #[derive(Debug, Default)]
 pub(crate) struct SimOperator {
-    /// A node whose disk is to be lost as soon as the repair of another is done.
+    /// The node whose disk is lost as soon as the repair of another one is complete.
     next_loss: Option<usize>,
-    /// How often the operator has looked since somebody was in charge.
+    /// Consecutive checks that found no leader.
     checks_without_leader: u32,
 }
 
-/// The operator looks every 100 ms.
+/// The operator checks every 100 ms.
 const CHECKS_BEFORE_TRUST: u32 = 30;
 
 impl SimOperator {
-    /// The members, if a leader has them committed.
+    /// The member set, if a leader has committed it.
     pub(crate) fn settled_members(&self, world: &SimWorld) -> Option<MemberSet> {
         let mut cores = world.nodes.iter().filter_map(|node| {
             let now = node.clock.reading(world.now_us);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// A process whose disk failed is started anew once the disk works again.
+    /// Restarts processes whose disk failed, with the disk working again.
     fn restart_failed(&mut self) {
         for node in 0..self.nodes.len() {
             let has_failed = self.nodes[node]
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Somebody makes backups of the disks, and at times puts one back.
+    /// Takes backups of disks, and occasionally restores one.
     fn restore_backups(&mut self) {
         let node = self.rng.random_range(0..self.nodes.len());
         if !self.is_fault_free && self.rng.random_range(0..100) < self.plan.rollback_percent {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// With a disk gone for good and nobody in charge, the operator vouches for the other disks.
+    /// Declares the remaining disks trusted if a disk is lost permanently and there is no leader.
     fn trust_disks(&mut self) {
         self.operator.checks_without_leader += 1;
         let is_lost = self.nodes.iter().any(|node| node.lost.is_some());
@@ -106,7 +107,7 @@
         })
     }
 
-    /// The next step that brings the members to one identity a node: learn, promote, remove.
+    /// Returns the next change towards one identity per node: add, promote, remove.
     fn next_change(&mut self, members: &MemberSet) -> Option<MemberChange> {
         for (at, node) in self.nodes.iter().enumerate() {
             let Some(member) = node.member else {
@@ -132,7 +133,7 @@
         None
     }
 
-    /// The next disk is lost right after the repair of the last one.
+    /// Loses the next disk right after the repair of the last one.
     fn lose_next_disk(&mut self) {
         if let Some(node) = self.operator.next_loss.take()
             && !self.is_fault_free
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_plan.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_plan.rs
@@ -4,14 +4,14 @@
 
 use super::FaultKind;
 
-/// What a schedule does to a group.
+/// Parameters of one schedule.
 #[derive(Clone, Debug)]
 pub(crate) struct SimPlan {
     pub(crate) seed: u64,
     pub(crate) nodes: usize,
-    /// Nodes that found the group; the others wait as spares.
-    pub(crate) founders: usize,
-    /// True time with faults, and then without.
+    /// Number of nodes that bootstrap the group; the others join later.
+    pub(crate) initial_members: usize,
+    /// True time with faults, followed by true time without.
     pub(crate) fault_ms: u64,
     pub(crate) fault_free_ms: u64,
     pub(crate) loss_percent: u32,
@@ -21,13 +21,13 @@
     pub(crate) fault_every_ms: u64,
     /// Mean time between commands or reads.
     pub(crate) client_every_ms: u64,
-    /// Writes that take up to 300 ms.
+    /// Share of writes that take up to 300 ms.
     pub(crate) slow_write_percent: u32,
-    /// How far the clocks are off, in millionths.
+    /// Drift of the clocks, in parts per million.
     pub(crate) drift_ppm: i64,
-    /// What goes wrong, each as likely as the others.
+    /// Kinds of faults to inject, with equal probability.
     pub(crate) kinds: Vec<FaultKind>,
-    /// Chance that a disk is rolled back, each time the operator looks and the group can bear it.
+    /// Probability of a disk rollback at each check of the operator, if the group can tolerate it.
     pub(crate) rollback_percent: u32,
     pub(crate) core: CoreSettings,
 }
@@ -37,7 +37,7 @@
         Self {
             seed: 1,
             nodes: 3,
-            founders: 3,
+            initial_members: 3,
             fault_ms: 60_000,
             fault_free_ms: 12_000,
             loss_percent: 5,
@@ -55,7 +55,7 @@
 }
 
 impl SimPlan {
-    /// Bounds so small that snapshots, pieces and full pipelines come up all the time.
+    /// Limits so small that snapshots, chunks and full pipelines occur all the time.
     pub(crate) fn small_limits() -> CoreSettings {
         CoreSettings {
             election_timeout: Duration::from_millis(400),
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_process.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_process.rs
@@ -8,17 +8,18 @@
 
 use super::SimState;
 
-/// One running process: the control thread's core, the disk thread's folder, and the state.
+/// A running process: the core of the control thread, the data folder of the disk thread, and the
+/// replicated state.
 pub(crate) struct SimProcess {
     pub(crate) core: ConsensusCore,
     pub(crate) folder: LogFolder,
-    /// Changes on their way to the disk.
+    /// Changes queued for the disk.
     pub(crate) writes: VecDeque<(u64, LogChange)>,
     pub(crate) is_writing: bool,
     pub(crate) state: SimState,
-    /// Commands by token, to check what was accepted.
+    /// Commands by token, to check which ones were accepted.
     pub(crate) commands: BTreeMap<u64, Vec<u8>>,
-    /// What each read must at least see, by token.
+    /// The lowest index that each read must see, by token.
     pub(crate) reads: BTreeMap<u64, u64>,
 }
 
@@ -35,7 +36,7 @@
         }
     }
 
-    /// What the disk thread does: all that waits becomes durable with one sync.
+    /// Does the work of the disk thread: makes all queued changes durable with one sync.
     pub(crate) fn write_group(&mut self) -> Result<Option<u64>, LogError> {
         let mut last = None;
         for (batch, change) in self.writes.drain(..) {
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_state.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_state.rs
@@ -1,11 +1,11 @@
-/// The replicated state: a digest over all commands in their order.
+/// The replicated state: a digest of all commands in order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SimState {
     pub(crate) index: u64,
     pub(crate) digest: u64,
 }
 
-/// Bytes of a snapshot, so that it takes several pieces.
+/// Large enough that a snapshot takes several chunks.
 const SNAPSHOT_BYTES: usize = 1800;
 
 impl SimState {
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_world.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_world.rs
@@ -24,7 +24,7 @@
     SimState, //
 };
 
-/// Something that happens at a time.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub(crate) enum SimEvent {
     Start(usize),
@@ -38,13 +38,13 @@
     RunOperator,
 }
 
-/// The group, its disks, clocks and messages.
+/// The simulated group with its disks, clocks and messages.
 pub(crate) struct SimWorld {
     pub(crate) plan: SimPlan,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now_us: u64,
     pub(crate) nodes: Vec<SimNode>,
-    /// Directions in which nothing gets through.
+    /// Directed links on which messages are dropped.
     pub(crate) partitions: BTreeSet<(usize, usize)>,
     pub(crate) checker: SimChecker,
     pub(crate) counts: SimCounts,
@@ -54,10 +54,10 @@
     next_event: u64,
     pub(crate) next_token: u64,
     next_identity: u64,
-    founders: Option<MemberSet>,
+    initial_members: Option<MemberSet>,
 }
 
-/// As large as identities drawn at random are, for their bytes on the wire.
+/// As large as random identities are, because of their size in messages.
 const FIRST_IDENTITY: u64 = 0x9000_0000_0000_0000;
 
 /// As large as milliseconds of the wall clock.
@@ -92,20 +92,20 @@
             next_event: 0,
             next_token: 1,
             next_identity: FIRST_IDENTITY,
-            founders: None,
+            initial_members: None,
             plan,
         };
         world.bootstrap();
         world
     }
 
-    /// The first node founds the group with the identities that the others will have.
+    /// Lets the first node bootstrap the group with the identities that the other nodes will have.
     fn bootstrap(&mut self) {
-        let voters = (0..self.plan.founders).map(|node| {
+        let voters = (0..self.plan.initial_members).map(|node| {
             let identity = MemberId(self.next_identity + node as u64);
             (identity, NodeId(node as u64))
         });
-        self.founders = Some(MemberSet::from_voters(voters));
+        self.initial_members = Some(MemberSet::from_voters(voters));
         for node in 0..self.plan.nodes {
             self.start(node);
         }
@@ -120,7 +120,7 @@
         self.events.insert(key, event);
     }
 
-    /// Runs until the true time `until_us`, or to the first breach.
+    /// Runs until the true time `until_us`, or until the first violation.
     pub(crate) fn run_until(&mut self, until_us: u64) {
         while self.checker.violation.is_none() {
             let Some(entry) = self.events.first_entry() else {
@@ -186,16 +186,16 @@
             self.next_identity += 1;
         }
         self.nodes[node].member = Some(MemberId(stored.identity));
-        let is_founder = node == 0 && stored.is_new && self.now_us <= 1000;
+        let is_bootstrapping = node == 0 && stored.is_new && self.now_us <= 1000;
         let start = CoreStart {
             stored,
             start: FIRST_START_NUMBER + self.now_us,
-            initial_members: self.founders.clone().filter(|_| is_founder),
+            initial_members: self.initial_members.clone().filter(|_| is_bootstrapping),
         };
         let now = self.local_time(node);
         let seed = self.rng.random();
-        let made = ConsensusCore::new(self.plan.core.clone(), start, now, seed);
-        let (core, actions) = made.expect("the folder's content starts a core");
+        let created = ConsensusCore::new(self.plan.core.clone(), start, now, seed);
+        let (core, actions) = created.expect("the core starts from the folder");
         self.nodes[node].process = Some(SimProcess::new(core, folder));
         let epoch = self.nodes[node].epoch;
         self.schedule(TICK_US, SimEvent::Tick(node, epoch));
@@ -212,14 +212,14 @@
             let now = self.local_time(node);
             let core = self.nodes[node].core();
             if core.is_some_and(|core| !core.has_failed() && core.wake_at() <= now) {
-                let violation = format!("node {node} wants to be woken in the past, at {now}");
+                let violation = format!("node {node} requests its next tick in the past, at {now}");
                 self.checker.record_violation(violation);
             }
             self.schedule(TICK_US, SimEvent::Tick(node, epoch));
         }
     }
 
-    /// Hands one input to a node's core and does what it asks for.
+    /// Passes an input to a node's core and performs the actions that it returns.
     pub(crate) fn input(&mut self, node: usize, input: CoreInput) {
         let now = self.local_time(node);
         let Some(process) = &mut self.nodes[node].process else {
@@ -252,7 +252,7 @@
         self.check_acting();
     }
 
-    /// Whoever would say now that it may act, on its own clock, paused or not.
+    /// Checks that at most one node would act as leader by its own clock, paused or not.
     fn check_acting(&mut self) {
         let mut acting = Vec::new();
         for node in &self.nodes {
@@ -307,7 +307,7 @@
         }
     }
 
-    /// Only after all actions of the call before: a batch must not overtake another.
+    /// Called only after all actions of the previous input, so that no batch overtakes another.
     fn send_snapshot(&mut self, node: usize, index: u64) {
         let process = self.nodes[node].process.as_ref();
         if let Some(bytes) = process.map(|process| process.state.to_bytes()) {
@@ -361,7 +361,7 @@
         self.input(node, CoreInput::Frame(frame));
     }
 
-    /// Runs the whole plan; the first breach, if any.
+    /// Runs the whole plan and returns the first violation, if any.
     pub(crate) fn run(&mut self) -> Option<String> {
         self.run_until(self.plan.fault_ms * 1000);
         self.end_faults();
--- a/crates/ragwortroad_log/examples/appends_per_second.rs
+++ b/crates/ragwortroad_log/examples/appends_per_second.rs
@@ -1,4 +1,4 @@
-//! Measures how many entries a second become durable, with 1, 16 and 256 of them a sync.
+//! Measures how many entries per second become durable, with 1, 16 and 256 entries per sync.
 //!
 //! ```sh
 //! cargo run --release -p ragwortroad_log --example appends_per_second -- [FOLDER]
@@ -15,10 +15,10 @@
 
 use ragwortroad_log::prelude::*;
 
-/// Bytes of one entry, about those of a claim.
+/// Bytes of one entry, about as many as a claim has.
 const ENTRY_BYTES: usize = 200;
 
-/// How long each size of batch_size is measured.
+/// Time for which each batch size is measured.
 const SPAN: Duration = Duration::from_secs(3);
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -32,7 +32,7 @@
     };
     let (mut folder, state) = LogFolder::open(&settings)?;
     let mut index = state.entries.last().map_or(0, |entry| entry.index);
-    println!("entries a sync | entries a second | sync p50 | sync p99");
+    println!("  entries/sync |   entries/second | sync p50 | sync p99");
     for batch_size in [1, 16, 256] {
         let mut spans = Vec::new();
         let started_at = Instant::now();
--- a/crates/ragwortroad_log/src/boot_id_file.rs
+++ b/crates/ragwortroad_log/src/boot_id_file.rs
@@ -1,12 +1,12 @@
 use std::fs;
 
-/// Where Linux says which boot this is.
-const BOOT_PATH: &str = "/proc/sys/kernel/random/boot_id";
+/// The file in which Linux reports the ID of the current boot.
+const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
 
-/// The operating system's name for the current boot of the machine, empty if it has none.
+/// Returns the operating system's ID of the current boot, or an empty string if there is none.
 ///
-/// Without one, every restart of the process counts as one of the machine.
+/// Without an ID every restart of the process counts as a restart of the machine.
 pub fn current_boot_id() -> String {
-    let name = fs::read_to_string(BOOT_PATH).unwrap_or_default();
+    let name = fs::read_to_string(BOOT_ID_PATH).unwrap_or_default();
     name.trim().to_owned()
 }
--- a/crates/ragwortroad_log/src/disk_port.rs
+++ b/crates/ragwortroad_log/src/disk_port.rs
@@ -5,14 +5,14 @@
     RealDisk, //
 };
 
-/// The file operations a [`LogFolder`](crate::LogFolder) needs, on a disk or on a fake of one.
+/// The file operations that a [`LogFolder`](crate::LogFolder) needs, on a real or a fake disk.
 ///
-/// Names are those of files directly in the folder.
+/// File names are relative to the folder, without subfolders.
 #[derive(Debug)]
 pub enum DiskPort {
-    /// The operating system's files.
+    /// Files of the operating system.
     Real(RealDisk),
-    /// Files in memory that can tear, fail, fill up and get lost.
+    /// Files in memory whose writes can be torn, fail, run out of space or be lost.
     Fake(FakeDisk),
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Creates `name`, or empties it.
+    /// Creates the file `name`, or truncates it.
     pub(crate) fn create(&mut self, name: &str) -> io::Result<()> {
         match self {
             Self::Real(disk) => disk.create(name),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Makes creations, renames and removals durable.
+    /// Makes file creations, renames and removals durable.
     pub(crate) fn sync_folder(&mut self) -> io::Result<()> {
         match self {
             Self::Real(disk) => disk.sync_folder(),
--- a/crates/ragwortroad_log/src/fake_disk.rs
+++ b/crates/ragwortroad_log/src/fake_disk.rs
@@ -15,15 +15,15 @@
     NameChange, //
 };
 
-/// A disk in memory: what is not synced can be lost, torn or reordered by a crash.
+/// A disk in memory: data that is not synced can be lost, torn or reordered by a crash.
 ///
-/// Clones share the disk, so that a test keeps it while the process on it "crashes".
+/// Clones share the disk, so that a test keeps it while the process that uses it "crashes".
 #[derive(Clone, Debug, Default)]
 pub struct FakeDisk {
     state: Arc<Mutex<DiskState>>,
 }
 
-/// A copy of what would survive a crash, to roll a disk back to.
+/// A copy of the data that would survive a crash, to which a disk can be rolled back.
 #[derive(Clone, Debug, Default)]
 pub struct DiskImage {
     files: Vec<FakeFile>,
@@ -31,39 +31,39 @@
 }
 
 impl FakeDisk {
-    /// Lets the next `count` syncs fail.
+    /// Makes the next `count` syncs fail.
     pub fn fail_syncs(&self, count: u32) {
         self.lock().fail_syncs = count;
     }
 
-    /// Stops the machine in the middle: after `count` more changes nothing gets through until
+    /// Halts the machine after `count` more operations; then every operation fails until
     /// [`crash`](Self::crash).
     pub fn stop_after(&self, count: u32) {
         self.lock().stop_after = Some(count);
     }
 
-    /// Whether the machine has stopped.
+    /// Whether the machine has halted.
     pub fn has_stopped(&self) -> bool {
         self.lock().stop_after == Some(0)
     }
 
-    /// Bounds the sum of all files' bytes.
+    /// Limits the total size of all files in bytes.
     pub fn set_capacity(&self, capacity: Option<u64>) {
         self.lock().capacity = capacity;
     }
 
-    /// Syncs asked for so far, and how many of them failed.
+    /// Returns the number of syncs so far, and how many of them failed.
     pub fn sync_counts(&self) -> (u64, u64) {
         let state = self.lock();
         (state.syncs, state.failed_syncs)
     }
 
-    /// Loses everything, as when a VM's disk is replaced by an empty one.
+    /// Discards all data, as when the disk of a VM is replaced by an empty one.
     pub fn lose(&self) {
         *self.lock() = DiskState::default();
     }
 
-    /// What a crash would leave for sure.
+    /// Returns the data that is certain to survive a crash.
     pub fn image(&self) -> DiskImage {
         let state = self.lock();
         DiskImage {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Puts an earlier image back, as when a VM is restored from a backup.
+    /// Restores an earlier image, as when a VM is restored from a backup.
     pub fn roll_back(&self, image: &DiskImage) {
         let mut files = image.files.clone();
         for file in &mut files {
@@ -87,7 +87,7 @@
         };
     }
 
-    /// Changes one byte of a file, durably: damage by the disk itself.
+    /// Flips the bits of `mask` in one byte of a file, durably, as a failing disk does.
     pub fn damage(&self, name: &str, offset: usize, mask: u8) {
         let mut state = self.lock();
         let Some(&at) = state.names.get(name) else {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Puts a whole file in place, durably: what someone else did to the folder.
+    /// Creates or replaces a whole file, durably, as if somebody else had changed the folder.
     pub fn put(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.lock();
         let at = state.files.len();
@@ -114,7 +114,7 @@
         state.durable_names.insert(name.to_owned(), at);
     }
 
-    /// The bytes of a file as a running process sees them.
+    /// The content of a file as a running process sees it.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         self.read(name).ok()
     }
@@ -124,7 +124,8 @@
         self.lock().names.keys().cloned().collect()
     }
 
-    /// Stops the machine: `draw(n)`, a number below `n`, decides what of the unsynced survives.
+    /// Crashes the machine. `draw(n)` returns a number below `n` and decides which unsynced data
+    /// survives.
     pub fn crash(&self, mut draw: impl FnMut(u64) -> u64) {
         let mut state = self.lock();
         let kept = draw(state.pending.len() as u64 + 1) as usize;
--- a/crates/ragwortroad_log/src/fake_state.rs
+++ b/crates/ragwortroad_log/src/fake_state.rs
@@ -1,4 +1,4 @@
-//! What a fake disk holds, and what of it survives a crash.
+//! The content of a fake disk, and the part of it that survives a crash.
 
 use std::{
     collections::BTreeMap,
@@ -8,14 +8,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct DiskState {
     pub(crate) files: Vec<FakeFile>,
-    /// What a running process sees.
+    /// Files by name, as a running process sees them.
     pub(crate) names: BTreeMap<String, usize>,
-    /// What a crash leaves for sure.
+    /// Files by name that are certain to survive a crash.
     pub(crate) durable_names: BTreeMap<String, usize>,
-    /// Changes of names since the folder was synced, oldest first.
+    /// Name changes since the folder was last synced, oldest first.
     pub(crate) pending: Vec<NameChange>,
     pub(crate) fail_syncs: u32,
-    /// Operations left before the machine stops.
+    /// Operations left before the machine halts.
     pub(crate) stop_after: Option<u32>,
     pub(crate) capacity: Option<u64>,
     pub(crate) syncs: u64,
@@ -26,7 +26,7 @@
 pub(crate) struct FakeFile {
     pub(crate) current: Vec<u8>,
     pub(crate) synced: Vec<u8>,
-    /// A sync failed: the pages count as clean, but never reach the disk.
+    /// Whether a sync failed: the pages count as clean but never reach the disk.
     pub(crate) poisoned: bool,
 }
 
@@ -37,11 +37,11 @@
     Unlink(String),
 }
 
-/// Bytes a disk writes as a whole.
+/// Number of bytes that a disk writes atomically.
 const SECTOR_BYTES: usize = 512;
 
 impl DiskState {
-    /// Counts one change, unless the machine has stopped.
+    /// Counts one operation, and fails if the machine has halted.
     pub(crate) fn count_operation(&mut self) -> io::Result<()> {
         match &mut self.stop_after {
             Some(0) => Err(io::Error::other("the machine has stopped")),
@@ -93,7 +93,7 @@
 }
 
 impl FakeFile {
-    /// Keeps the synced bytes, and of what was appended since any of its sectors.
+    /// Keeps the synced bytes and a random part of the sectors appended since.
     pub(crate) fn crash(&mut self, draw: &mut impl FnMut(u64) -> u64) {
         let kept = self.synced.len();
         let appended = self.current.len() > kept && self.current.starts_with(&self.synced);
--- a/crates/ragwortroad_log/src/folder_files.rs
+++ b/crates/ragwortroad_log/src/folder_files.rs
@@ -14,43 +14,44 @@
     record_frame::RecordFrame, //
 };
 
-/// Layout of the files this program writes and reads.
+/// Version of the file format that this program writes and reads.
 pub(crate) const FORMAT_VERSION: u32 = 1;
 
-/// Name of the file that holds the folder's identity.
+/// File that holds the folder's identity.
 pub(crate) const IDENTITY_NAME: &str = "identity";
 
-/// Name of the file that holds a second copy of the vote.
+/// File that holds a second copy of the vote.
 pub(crate) const VOTE_NAME: &str = "vote";
 
-/// Name of the file that says during which boot the folder was last confirmed.
+/// File that holds the ID of the boot during which the folder was last confirmed.
 pub(crate) const BOOT_NAME: &str = "boot";
 
-/// Ending of files that are not complete yet.
+/// Suffix of files that are not complete yet.
 pub(crate) const TEMP_ENDING: &str = ".tmp";
 
-/// Start of the names of log files.
+/// Prefix of log file names.
 pub(crate) const LOG_PREFIX: &str = "log-";
 
-/// Start of the names of snapshot files.
+/// Prefix of snapshot file names.
 pub(crate) const SNAPSHOT_PREFIX: &str = "snapshot-";
 
-/// The log file of one generation.
+/// Name of the log file of a generation.
 pub(crate) fn log_name(generation: u64) -> String {
     format!("{LOG_PREFIX}{generation:016x}")
 }
 
-/// The snapshot file of one generation.
+/// Name of the snapshot file of a generation.
 pub(crate) fn snapshot_name(generation: u64) -> String {
     format!("{SNAPSHOT_PREFIX}{generation:016x}")
 }
 
-/// The generation in a file's name, if it starts with `start`.
+/// Returns the generation in a file name that begins with the prefix `start`.
 pub(crate) fn generation_of(name: &str, start: &str) -> Option<u64> {
     u64::from_str_radix(name.strip_prefix(start)?, 16).ok()
 }
 
-/// Writes `bytes` as the file `name`, durably, so that a crash leaves the old file or the new one.
+/// Writes the file `name` atomically and durably: after a crash it has either its old content or
+/// `bytes`.
 pub(crate) fn write_atomically(
     port: &mut DiskPort,
     name: &str,
@@ -70,7 +71,7 @@
     port.sync_folder().context(DiskSnafu { action, name })
 }
 
-/// Adds `frame` to `buffer`.
+/// Appends the encoded `frame` to `buffer`.
 pub(crate) fn write_frame(frame: &RecordFrame, buffer: &mut Vec<u8>) -> Result<(), LogError> {
     frame.write(buffer).or_else(|error| {
         let detail = error.to_string();
@@ -78,7 +79,6 @@
     })
 }
 
-/// Writes the vote file.
 pub(crate) fn write_vote(port: &mut DiskPort, vote: CountedVote) -> Result<(), LogError> {
     let frame = RecordFrame {
         sequence: vote.count,
--- a/crates/ragwortroad_log/src/folder_generation.rs
+++ b/crates/ragwortroad_log/src/folder_generation.rs
@@ -1,4 +1,4 @@
-//! Snapshots: each starts a new log file and takes the place of what came before.
+//! Snapshots: each one starts a new log file and replaces the previous generation.
 
 use snafu::{
     ResultExt,
@@ -48,7 +48,8 @@
         self.remove_generation(old)
     }
 
-    /// The entries of the current file that stay when `snapshot` replaces those up to its index.
+    /// Returns the entries of the current log file that remain when `snapshot` replaces those up to
+    /// its index.
     fn entries_after(&self, snapshot: &StoredSnapshot) -> Result<Vec<StoredEntry>, LogError> {
         let name = log_name(self.generation);
         let action = "read";
--- a/crates/ragwortroad_log/src/folder_open.rs
+++ b/crates/ragwortroad_log/src/folder_open.rs
@@ -1,4 +1,4 @@
-//! Reading a data folder back, and deciding whether it can be trusted.
+//! Reads a data folder back, and decides whether it can be trusted.
 
 use snafu::{
     OptionExt,
@@ -55,6 +55,11 @@
 
 impl LogFolder {
     /// Opens the folder named in `settings`, or creates it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if another process has the folder open, a file operation fails, or the content is
+    /// damaged or was rolled back.
     pub fn open(settings: &FolderSettings) -> Result<(Self, StoredState), LogError> {
         let name = settings.path.display().to_string();
         let action = "open";
@@ -67,6 +72,10 @@
     }
 
     /// Opens the folder behind `port`, or creates its content.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file operation fails, or if the content is damaged or was rolled back.
     pub fn open_on(
         port: DiskPort,
         settings: &FolderSettings,
@@ -87,7 +96,7 @@
     create(port, settings)
 }
 
-/// Names of all whole files; removes what a crash left unfinished.
+/// Returns the names of all complete files, after removing those that a crash left incomplete.
 fn list_files(port: &mut DiskPort) -> Result<Vec<String>, LogError> {
     let name = "the folder";
     let action = "list";
@@ -100,17 +109,18 @@
     Ok(names)
 }
 
-/// A folder without an identity file is empty, or was left in the middle of being created.
+/// Refuses a folder that has no identity file but has been in use. Without that file, a folder must
+/// be empty or left over from an interrupted creation.
 ///
-/// If the file of a folder in use were lost and the folder taken for empty, the member would
-/// forget its vote and vote again. So anything but the files of an unused folder is refused.
+/// If the identity file of a folder in use were lost and the folder taken for empty, the member
+/// would forget its vote and vote again.
 fn ensure_unused(port: &DiskPort, names: &[String]) -> Result<(), LogError> {
     let used = names.iter().any(|name| {
         let is_snapshot = name.starts_with(SNAPSHOT_PREFIX);
         let is_log = name.starts_with(LOG_PREFIX);
         is_snapshot || is_log && !is_unused_log(port, name)
     });
-    let detail = "the identity file is missing, but there is a log";
+    let detail = "the identity file is missing although there is a log";
     ensure!(!used, RolledBackSnafu { detail });
     Ok(())
 }
@@ -128,7 +138,8 @@
     is_whole && is_unused && !bytes.is_empty()
 }
 
-/// Writes the identity last, so that a folder with one has all other files.
+/// Creates the content of a folder. The identity is written last, so that a folder with an identity
+/// has all other files.
 fn create(
     mut port: DiskPort,
     settings: &FolderSettings,
@@ -188,11 +199,11 @@
 ) -> Result<(LogFolder, StoredState), LogError> {
     let identity = match read_single(&port, IDENTITY_NAME)? {
         LogRecord::Header(header) => header.identity,
-        _ => return corrupt(IDENTITY_NAME, 0, "it holds something else"),
+        _ => return corrupt(IDENTITY_NAME, 0, "it holds a record of another type"),
     };
     let vote_copy = match read_single(&port, VOTE_NAME)? {
         LogRecord::Vote(vote) => vote,
-        _ => return corrupt(VOTE_NAME, 0, "it holds something else"),
+        _ => return corrupt(VOTE_NAME, 0, "it holds a record of another type"),
     };
     let generations = names
         .iter()
@@ -247,13 +258,12 @@
     Ok((folder, state))
 }
 
-/// Writes the log file anew with what is intact, so that all of it is durable.
+/// Rewrites the log file with its intact records, so that all of them are durable, and returns the
+/// sequence number of the next record.
 ///
-/// An earlier process may have seen a sync fail, and the operating system may since count the
-/// pages as clean: they read well, a further sync reports success, and a crash loses them. Copied
-/// bytes are dirty again, so their sync says the truth. It also cuts an unfinished write.
-///
-/// Returns the sequence of the next record.
+/// A sync may have failed in an earlier process, after which the operating system may count the
+/// pages as clean: they can be read, another sync reports success, and a crash loses them. Copied
+/// bytes are dirty again, so their sync is reliable. Rewriting also cuts off an incomplete write.
 fn rewrite_log(
     port: &mut DiskPort,
     name: &str,
--- a/crates/ragwortroad_log/src/folder_replay.rs
+++ b/crates/ragwortroad_log/src/folder_replay.rs
@@ -1,4 +1,4 @@
-//! What the records of a data folder's files amount to, and whether they fit together.
+//! Replays the records of a data folder, and checks that its files are consistent.
 
 use std::io;
 
@@ -31,10 +31,10 @@
     record_scan::RecordScan, //
 };
 
-/// Members whose starts are kept; many times the members of any group.
+/// Limit on the members whose start numbers are kept; many times the size of any group.
 const MAX_STARTS: usize = 64;
 
-/// The entries that `frames` leave in the log.
+/// Returns the entries that remain in the log after `frames`.
 pub(crate) fn replay_entries(frames: &[RecordFrame]) -> Vec<StoredEntry> {
     let mut entries: Vec<StoredEntry> = Vec::new();
     for frame in frames {
@@ -57,7 +57,7 @@
     starts
 }
 
-/// Puts `start` in the place of an earlier one of the same member.
+/// Inserts `start`, replacing an earlier start number of the same member.
 pub(crate) fn upsert_start(starts: &mut Vec<MemberStart>, start: MemberStart) {
     starts.retain(|known| known.member != start.member);
     starts.push(start);
@@ -74,12 +74,12 @@
     votes.next_back().unwrap_or(first)
 }
 
-/// Compares the log's vote with the vote file's: see [`CountedVote`].
+/// Compares the vote in the log with the vote file: see [`CountedVote`].
 pub(crate) fn check_vote(vote: CountedVote, copy: CountedVote) -> Result<(), LogError> {
     let same = vote == copy;
     let ahead = vote.count == copy.count + 1 && vote.vote.term >= copy.vote.term;
     let detail = format!(
-        "the log's vote has number {} and the vote file's {}",
+        "the vote has number {} in the log and {} in the vote file",
         vote.count, copy.count
     );
     ensure!(same || ahead, RolledBackSnafu { detail });
@@ -97,7 +97,7 @@
         return corrupt(name, 0, "the header cannot be read");
     };
     if header.version != FORMAT_VERSION {
-        return corrupt(name, 0, "another version of this program wrote it");
+        return corrupt(name, 0, "it has another file format version");
     }
     if header.identity != identity || header.generation != generation {
         return corrupt(name, 0, "it belongs to another data folder");
@@ -115,7 +115,7 @@
         .zip(entries)
         .all(|(index, entry)| index == entry.index);
     if !contiguous {
-        return corrupt(name, 0, "entries are missing between others");
+        return corrupt(name, 0, "there is a gap between entries");
     }
     Ok(())
 }
@@ -138,12 +138,12 @@
     }
 }
 
-/// The record of a file that holds just one.
+/// Reads the record of a file that holds exactly one.
 pub(crate) fn read_single(port: &DiskPort, name: &str) -> Result<LogRecord, LogError> {
     let bytes = read_file(port, name)?;
     match RecordFrame::read(&bytes) {
         Some((frame, length)) if length == bytes.len() => Ok(frame.record),
-        _ => corrupt(name, 0, "its checksum does not fit"),
+        _ => corrupt(name, 0, "its checksum does not match"),
     }
 }
 
--- a/crates/ragwortroad_log/src/folder_settings.rs
+++ b/crates/ragwortroad_log/src/folder_settings.rs
@@ -1,19 +1,19 @@
 use std::path::PathBuf;
 
-/// Settings of one data folder.
+/// Settings of a data folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FolderSettings {
-    /// The folder; it is created if it is missing.
+    /// Path of the folder, which is created if it does not exist.
     pub path: PathBuf,
-    /// Identity the folder gets if it is empty: random, and never used before.
+    /// Identity for an empty folder; must be random and never used before.
     pub fresh_identity: u64,
-    /// What the operating system calls its current boot, empty if it does not say.
-    ///
-    /// [`current_boot_id`](crate::current_boot_id) asks for it.
+    /// The operating system's ID of the current boot, empty if unknown: see
+    /// [`current_boot_id`](crate::current_boot_id).
     pub boot_id: String,
-    /// Largest content of one entry in bytes.
+    /// Limit on the content of one entry, in bytes.
     pub max_entry_bytes: usize,
-    /// Bytes that the folder's files may take; beyond them writes fail as on a full disk.
+    /// Limit on the total size of the folder's files, in bytes; writes beyond it fail as on a full
+    /// disk. `None` sets no limit.
     pub quota_bytes: Option<u64>,
 }
 
--- a/crates/ragwortroad_log/src/hint_file.rs
+++ b/crates/ragwortroad_log/src/hint_file.rs
@@ -7,25 +7,29 @@
     log_error::DiskSnafu, //
 };
 
-/// Name of the file in its folder.
+/// Name of the file.
 const HINT_NAME: &str = "hints";
 
-/// A small file that is replaced as a whole, for what may be lost but is better kept.
+/// A small file that is replaced atomically, for data that is useful but may be lost.
 ///
-/// It stands in a folder of its own, so that nothing of it can disturb a log. After a crash it holds
-/// what some earlier [`write`](Self::write) wrote, whole, or nothing.
+/// It has a folder of its own, so that it cannot interfere with a log. After a crash it holds the
+/// whole of some earlier [`write`](Self::write), or nothing.
 #[derive(Debug)]
 pub struct HintFile {
     port: DiskPort,
 }
 
 impl HintFile {
-    /// A file in the folder of `port`.
+    /// Uses the folder behind `port`, which must hold no other data.
     pub fn new(port: DiskPort) -> Self {
         Self { port }
     }
 
-    /// What was written last; nothing where nothing was.
+    /// Returns what was last written, or `None` if nothing was.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the folder or the file cannot be read.
     pub fn read(&self) -> Result<Option<Vec<u8>>, LogError> {
         let name = HINT_NAME;
         let action = "list";
@@ -38,7 +42,11 @@
         Ok(Some(bytes))
     }
 
-    /// Replaces it, durably.
+    /// Replaces the content, durably.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file operation fails; the earlier content may remain.
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), LogError> {
         write_atomically(&mut self.port, HINT_NAME, bytes)
     }
--- a/crates/ragwortroad_log/src/lib.rs
+++ b/crates/ragwortroad_log/src/lib.rs
@@ -1,9 +1,9 @@
-//! Append-only log and snapshots on one data folder, durable once synced.
+//! Write-ahead log and snapshots of a consensus member, stored in one data folder.
 //!
-//! A [`LogFolder`] holds what one member of a replicated group must not forget: its identity, its
-//! vote, the log's entries and the last snapshot. Changes are collected with
-//! [`append`](LogFolder::append) and become durable together with one [`sync`](LogFolder::sync);
-//! nothing may be acknowledged before that call has returned without an error.
+//! A [`LogFolder`] holds the durable state of a member: its identity, its vote, the log entries and
+//! the last snapshot. Changes are buffered with [`append`](LogFolder::append) and become durable
+//! together with one [`sync`](LogFolder::sync); nothing may be acknowledged before that call has
+//! returned without an error.
 //!
 //! ```
 //! use ragwortroad_log::prelude::*;
@@ -48,7 +48,7 @@
 mod stored_state;
 mod vote_record;
 
-/// Everything a dependent crate usually needs.
+/// Common items for dependent crates.
 pub mod prelude {
     pub use crate::{
         boot_id_file::current_boot_id,
--- a/crates/ragwortroad_log/src/log_change.rs
+++ b/crates/ragwortroad_log/src/log_change.rs
@@ -5,31 +5,31 @@
     VoteRecord, //
 };
 
-/// One change of what a member must not forget.
+/// A change of a member's durable state.
 ///
-/// The parts apply in the order of the fields.
+/// The parts are applied in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogChange {
-    /// The new vote.
+    /// The new term and vote.
     pub vote: Option<VoteRecord>,
-    /// Starts of other members that this one has told them it knows of.
+    /// Start numbers of other members that this member has reported to them.
     pub starts: Vec<MemberStart>,
-    /// Drop all entries from this index on.
+    /// Index from which on all entries are removed.
     pub truncate_from: Option<u64>,
-    /// Entries that follow the last one kept.
+    /// Entries that follow the last remaining one.
     pub entries: Vec<StoredEntry>,
     /// A snapshot that replaces all entries up to its index.
     ///
-    /// Entries after it are kept if the log has the snapshot's own entry with the same term;
-    /// otherwise they belong to another history and are dropped.
+    /// Later entries are kept if the log has an entry with the snapshot's index and term; otherwise
+    /// they belong to a different history and are removed.
     pub snapshot: Option<StoredSnapshot>,
-    /// The member has made sure, in this boot of the machine, that the folder is not older than
-    /// what it acknowledged.
+    /// Whether the member has verified, in this boot of the machine, that the folder is no older
+    /// than what it acknowledged.
     pub confirms_boot: bool,
 }
 
 impl LogChange {
-    /// Whether nothing changes.
+    /// Whether the change has no effect.
     pub fn is_empty(&self) -> bool {
         self.vote.is_none()
             && self.truncate_from.is_none()
