--- a/crates/ragwortroad_log/src/log_error.rs
+++ b/crates/ragwortroad_log/src/log_error.rs
@@ -1,68 +1,68 @@
 use snafu::Snafu;
 
-/// Why a data folder could not be opened or written.
+/// The reason why a data folder could not be opened or written.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LogError {
-    /// The operating system refused a file operation.
+    /// A file operation of the operating system failed.
     #[snafu(display(
         "cannot {action} '{name}' in the data folder: {source}; free space or replace the disk, \
          then restart this process"
     ))]
     Disk {
-        /// What was tried.
+        /// The operation that failed.
         action: &'static str,
-        /// The file.
+        /// Name of the file.
         name: String,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Another process holds the folder.
+    /// Another process has the folder open.
     #[snafu(display(
-        "the data folder is in use by another process; stop that one, or set another data folder"
+        "the data folder is in use by another process; stop that process or configure another data folder"
     ))]
     InUse,
-    /// Bytes that were durable once cannot be read any more.
+    /// Data that was durable can no longer be read.
     #[snafu(display(
         "'{name}' is damaged at byte {offset}: {detail}; move the data folder away and restart: \
-         the member joins under a new identity and learns from the others"
+         the member joins under a new identity and catches up from the others"
     ))]
     Corrupt {
-        /// The file.
+        /// Name of the file.
         name: String,
-        /// Where the damage starts.
+        /// Position of the damage in the file, in bytes.
         offset: u64,
-        /// What was found.
+        /// Description of the damage.
         detail: String,
     },
-    /// A file that must be there is missing, or files contradict each other.
+    /// A required file is missing, or files contradict each other.
     #[snafu(display(
         "the data folder is incomplete or was rolled back: {detail}; move it away and restart: \
-         the member joins under a new identity and learns from the others"
+         the member joins under a new identity and catches up from the others"
     ))]
     RolledBack {
-        /// What was found.
+        /// Description of the inconsistency.
         detail: String,
     },
-    /// An earlier write failed, so the folder takes no more.
+    /// An earlier write failed, so the folder accepts no more writes.
     #[snafu(display(
         "an earlier write to the data folder failed, and what reached the disk is unknown; \
-         open the folder again once the disk works"
+         reopen the folder once the disk works"
     ))]
     WritesRefused,
-    /// A change does not fit what the folder holds.
-    #[snafu(display("the change does not fit the log: {detail}; this is a fault in the program"))]
+    /// A change is not valid for the content of the folder.
+    #[snafu(display("invalid change of the log: {detail}; this is a bug in the program"))]
     InvalidChange {
-        /// What does not fit.
+        /// The rule that the change violates.
         detail: String,
     },
-    /// An entry is larger than the settings allow.
-    #[snafu(display("an entry of {bytes} bytes is over the limit of {limit}; split the command"))]
+    /// An entry exceeds [`FolderSettings::max_entry_bytes`](crate::FolderSettings).
+    #[snafu(display("an entry of {bytes} bytes exceeds the limit of {limit}; split the command"))]
     TooLarge {
         /// Size of the entry.
         bytes: usize,
-        /// The limit.
+        /// The limit from the settings.
         limit: usize,
     },
 }
--- a/crates/ragwortroad_log/src/log_folder.rs
+++ b/crates/ragwortroad_log/src/log_folder.rs
@@ -31,54 +31,60 @@
     record_frame::RecordFrame, //
 };
 
-/// One data folder, open for writing.
+/// A data folder, open for writing.
 #[derive(Debug)]
 pub struct LogFolder {
     pub(crate) port: DiskPort,
     pub(crate) identity: u64,
     pub(crate) max_entry_bytes: usize,
-    /// Invariant: the log file and the snapshot file of this generation are whole.
+    /// Invariant: the log file and the snapshot file of this generation are complete.
     pub(crate) generation: u64,
-    /// Sequence of the next record.
+    /// Sequence number of the next record.
     pub(crate) next_sequence: u64,
-    /// Records below this sequence are durable.
+    /// Records below this sequence number are durable.
     pub(crate) synced_sequence: u64,
-    /// Records that are not written yet.
+    /// Encoded records that are not written yet.
     pub(crate) buffer: Vec<u8>,
     pub(crate) vote: CountedVote,
-    /// Invariant: the vote file's count; `vote.count` is this, or one more with a vote unsynced.
+    /// Invariant: the count in the vote file; `vote.count` equals it, or is one more while a vote
+    /// is not synced.
     pub(crate) vote_file_count: u64,
     pub(crate) starts: Vec<MemberStart>,
-    /// The current boot of the machine, empty if unknown.
+    /// ID of the current boot, empty if unknown.
     pub(crate) boot_id: String,
-    /// The boot is to be written down once what came before is durable.
+    /// Whether to record the boot ID once all earlier changes are durable.
     pub(crate) confirms_boot: bool,
-    /// Index of the last entry, or of the snapshot.
+    /// Index of the last entry, or of the snapshot if there is no later entry.
     pub(crate) last_index: u64,
     pub(crate) snapshot_index: u64,
-    /// A write or sync failed.
+    /// Whether a write or sync failed.
     ///
     /// After a failed sync the operating system may count the pages as clean although they never
-    /// reached the disk; a later sync would then report success for bytes that are lost, and an
-    /// acknowledgement would be a lie. So nothing is written until the folder is opened anew and
-    /// read back.
+    /// reached the disk. A later sync would then report success for lost data, and an
+    /// acknowledgement based on it would be false. Nothing is written until the folder has been
+    /// reopened and read back.
     pub(crate) writes_refused: bool,
 }
 
 impl LogFolder {
-    /// The folder's identity.
+    /// The random identity of the folder, which is also the member's.
     pub fn identity(&self) -> u64 {
         self.identity
     }
 
-    /// Whether an earlier failure closed the folder for writing.
+    /// Whether the folder refuses writes because an earlier one failed.
     pub fn writes_refused(&self) -> bool {
         self.writes_refused
     }
 
-    /// Collects `change`; it is durable only once [`sync`](Self::sync) has returned.
+    /// Buffers `change`, which becomes durable only when [`sync`](Self::sync) returns.
     ///
-    /// A change with a snapshot is durable when this returns, and so is all collected before it.
+    /// A change with a snapshot is durable when this method returns, and so are all changes before
+    /// it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the change is not valid, a file operation fails, or an earlier write failed.
     pub fn append(&mut self, change: &LogChange) -> Result<(), LogError> {
         ensure!(!self.writes_refused, WritesRefusedSnafu);
         let outcome = self.append_parts(change);
@@ -86,7 +92,12 @@
         outcome
     }
 
-    /// Makes everything collected durable, with one sync for all of it.
+    /// Makes all buffered changes durable with one sync.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file operation fails or an earlier write failed; what reached the disk is then
+    /// unknown.
     pub fn sync(&mut self) -> Result<(), LogError> {
         ensure!(!self.writes_refused, WritesRefusedSnafu);
         let outcome = self
@@ -119,13 +130,13 @@
     }
 
     fn append_vote(&mut self, vote: VoteRecord) -> Result<(), LogError> {
-        let before = self.vote.vote;
-        let detail = "the vote goes back";
-        ensure!(vote.term >= before.term, InvalidChangeSnafu { detail });
+        let previous = self.vote.vote;
+        let detail = "the term of the vote decreases";
+        ensure!(vote.term >= previous.term, InvalidChangeSnafu { detail });
         let detail = "the vote of a term changes";
-        let changes = vote.term == before.term && vote.voted_for != before.voted_for;
+        let changes = vote.term == previous.term && vote.voted_for != previous.voted_for;
         ensure!(
-            !changes || before.voted_for.is_none(),
+            !changes || previous.voted_for.is_none(),
             InvalidChangeSnafu { detail }
         );
         self.vote = CountedVote {
@@ -136,7 +147,7 @@
     }
 
     fn append_truncate(&mut self, from: u64) -> Result<(), LogError> {
-        let detail = format!("cannot drop entry {from}, which is in the snapshot");
+        let detail = format!("cannot truncate entry {from}, which the snapshot covers");
         ensure!(from > self.snapshot_index, InvalidChangeSnafu { detail });
         if from > self.last_index {
             return Ok(());
@@ -150,7 +161,10 @@
         let limit = self.max_entry_bytes;
         ensure!(bytes <= limit, TooLargeSnafu { bytes, limit });
         let expected = self.last_index + 1;
-        let detail = format!("entry {} comes where {expected} belongs", entry.index);
+        let detail = format!(
+            "entry {} was appended where entry {expected} is expected",
+            entry.index
+        );
         ensure!(entry.index == expected, InvalidChangeSnafu { detail });
         self.last_index = entry.index;
         self.append_record(LogRecord::Entry(entry.clone()))
@@ -186,7 +200,7 @@
         self.write_vote_copy()
     }
 
-    /// Brings the vote file up to the log, once the log's own copy is durable.
+    /// Updates the vote file after the vote in the log has become durable.
     pub(crate) fn write_vote_copy(&mut self) -> Result<(), LogError> {
         if self.vote.count != self.vote_file_count {
             write_vote(&mut self.port, self.vote)?;
--- a/crates/ragwortroad_log/src/log_record.rs
+++ b/crates/ragwortroad_log/src/log_record.rs
@@ -10,52 +10,53 @@
     VoteRecord, //
 };
 
-/// What one record of a file says.
+/// The content of one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum LogRecord {
     /// First record of a log file.
     Header(LogHeader),
-    /// The member's vote.
+    /// The member's term and vote.
     Vote(CountedVote),
-    /// A start of another member.
+    /// A start number of another member.
     Start(MemberStart),
-    /// Entries from this index on are dropped.
+    /// Removes all entries from this index on.
     Truncate(u64),
-    /// One more entry.
+    /// Appends an entry.
     Entry(StoredEntry),
-    /// Everything before is durable.
+    /// Marks all earlier records as durable.
     ///
-    /// It ends a file that was written as a whole, so that damage to the records before it is not
-    /// taken for an unfinished write.
+    /// It ends a file that was written as a whole, so that damage to its earlier records is not
+    /// mistaken for an incomplete write.
     Durable,
-    /// The one record of a snapshot file.
+    /// The identity of the folder and its snapshot; the only record of a snapshot file.
     Snapshot(u64, StoredSnapshot),
 }
 
-/// What a log file starts with.
+/// The header of a log file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct LogHeader {
-    /// Layout of the files.
+    /// Version of the file format.
     pub(crate) version: u32,
     /// The folder's identity.
     pub(crate) identity: u64,
-    /// Counts up with every snapshot; part of the file's name.
+    /// Incremented with every snapshot; part of the file name.
     pub(crate) generation: u64,
-    /// The vote when the file was created.
+    /// The vote at the time the file was created.
     pub(crate) vote: CountedVote,
-    /// The starts of others known when the file was created.
+    /// The start numbers of other members known when the file was created.
     pub(crate) starts: Vec<MemberStart>,
-    /// Index of the snapshot the file continues from, 0 for none.
+    /// Index of the snapshot that the file continues, or 0 if there is none.
     pub(crate) snapshot_index: u64,
 }
 
-/// A vote with the number of times the vote file had been written before it, plus one.
+/// A vote, numbered by the writes of the vote file.
 ///
-/// The vote is in the log and, right after, in a file of its own. If the log alone goes back to an
-/// older copy, the vote file's count is ahead of the log's; if the vote file goes back, it is more
-/// than one behind. Either would let the member vote twice in a term, so neither folder opens.
+/// `count` is one more than the number of earlier writes. The vote is written to the log and then
+/// to a file of its own. If only the log is rolled back, the count in the vote file is ahead; if
+/// only the vote file is rolled back, it is more than one behind. Either would let the member vote
+/// twice in one term, so the folder is not opened in either case.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct CountedVote {
--- a/crates/ragwortroad_log/src/real_disk.rs
+++ b/crates/ragwortroad_log/src/real_disk.rs
@@ -19,24 +19,28 @@
 #[derive(Debug)]
 pub struct RealDisk {
     path: PathBuf,
-    /// Held for as long as the folder is open.
+    /// File lock, held while the folder is open.
     ///
-    /// Two processes on one folder would each vote from their own memory of it; a second process
-    /// fails to take the lock instead.
+    /// Two processes on one folder would each vote from their own view of it; the lock makes the
+    /// second one fail.
     _lock: File,
-    /// The file written last, kept open because the log is appended to all the time.
+    /// The file written last, kept open because the log is appended to continuously.
     open: Option<(String, File)>,
-    /// Bytes that may still be written, where they are limited.
+    /// Bytes left to write under the quota; `None` without a quota.
     free_bytes: Option<u64>,
 }
 
-/// Name of the file whose lock says that a process uses the folder.
+/// File whose lock shows that a process uses the folder.
 pub(crate) const LOCK_NAME: &str = "lock";
 
 impl RealDisk {
-    /// Opens the folder at `path`, or creates it; nothing if another process has it open.
+    /// Opens the folder at `path`, or creates it; returns `None` if another process has it open.
     ///
-    /// Its files may take `quota` bytes together.
+    /// `quota` limits the total size of its files in bytes.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the folder cannot be created, read or locked.
     pub fn open(path: PathBuf, quota: Option<u64>) -> io::Result<Option<Self>> {
         fs::create_dir_all(&path)?;
         if let Some(parent) = path.parent().filter(|parent| parent.is_dir()) {
@@ -81,7 +85,7 @@
         let Some(free_bytes) = self.free_bytes else {
             return self.file(name)?.write_all(bytes);
         };
-        // As on a full disk, the bytes that fit are written, and the rest is not.
+        // As on a full disk, the bytes that fit are written and the rest are not.
         let fits = usize::try_from(free_bytes)
             .unwrap_or(usize::MAX)
             .min(bytes.len());
@@ -129,11 +133,11 @@
     }
 }
 
-/// What a quota leaves beside the files that are there.
+/// Returns how much of a quota the existing files leave.
 fn free_below_quota(path: &Path, quota: u64) -> io::Result<u64> {
-    let mut taken = 0;
+    let mut used_bytes = 0;
     for item in fs::read_dir(path)? {
-        taken += item?.metadata()?.len();
+        used_bytes += item?.metadata()?.len();
     }
-    Ok(quota.saturating_sub(taken))
+    Ok(quota.saturating_sub(used_bytes))
 }
--- a/crates/ragwortroad_log/src/record_frame.rs
+++ b/crates/ragwortroad_log/src/record_frame.rs
@@ -7,25 +7,24 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RecordFrame {
-    /// Counts up by one with every record of the folder.
+    /// Sequence number, incremented with every record of the folder.
     pub(crate) sequence: u64,
-    /// Every record below this sequence was synced when this one was written.
+    /// All records below this sequence number were synced when this one was written.
     pub(crate) synced: u64,
-    /// What the record says.
     pub(crate) record: LogRecord,
 }
 
-/// Bytes of length and checksum.
+/// Size of length and checksum.
 const PREFIX_BYTES: usize = 8;
 
-/// Bytes of sequence and synced.
+/// Size of the sequence and synced numbers.
 const NUMBER_BYTES: usize = 16;
 
-/// Bytes before the record's own content.
+/// Size of everything before the encoded record.
 pub(crate) const OVERHEAD_BYTES: usize = PREFIX_BYTES + NUMBER_BYTES;
 
 impl RecordFrame {
-    /// Adds the frame's bytes to `buffer`.
+    /// Appends the encoded frame to `buffer`.
     pub(crate) fn write(&self, buffer: &mut Vec<u8>) -> Result<(), postcard::Error> {
         let start = buffer.len();
         buffer.extend_from_slice(&[0; PREFIX_BYTES]);
@@ -45,7 +44,7 @@
         Ok(())
     }
 
-    /// The frame at the start of `bytes` and its length, if a whole and intact one is there.
+    /// Returns the frame at the start of `bytes` and its length, if it is complete and intact.
     pub(crate) fn read(bytes: &[u8]) -> Option<(Self, usize)> {
         let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?);
         let checksum = u32::from_le_bytes(bytes.get(4..PREFIX_BYTES)?.try_into().ok()?);
@@ -68,7 +67,8 @@
         rest.is_empty().then_some((frame, end))
     }
 
-    /// Sequence and synced of the frame that may start `bytes`, unchecked.
+    /// Returns the sequence and synced numbers of a possible frame at the start of `bytes`, without
+    /// verification.
     pub(crate) fn numbers(bytes: &[u8]) -> Option<(u64, u64)> {
         let sequence = bytes.get(PREFIX_BYTES..PREFIX_BYTES + 8)?;
         let synced = bytes.get(PREFIX_BYTES + 8..OVERHEAD_BYTES)?;
--- a/crates/ragwortroad_log/src/record_scan.rs
+++ b/crates/ragwortroad_log/src/record_scan.rs
@@ -7,21 +7,21 @@
     }, //
 };
 
-/// All intact records of one log file, up to the first that is not.
+/// The intact records of a log file, up to the first one that is damaged.
 #[derive(Debug, Default)]
 pub(crate) struct RecordScan {
     pub(crate) frames: Vec<RecordFrame>,
-    /// Bytes of the intact records; what follows is an unfinished write.
+    /// Size of the intact records; what follows is an incomplete write.
     pub(crate) intact_bytes: usize,
 }
 
 impl RecordScan {
-    /// Reads `bytes` of the log file `name`.
+    /// Reads the content `bytes` of the log file `name`.
     ///
-    /// A damaged record with an intact one behind it that says the damaged one had been synced is
-    /// damage to something acknowledged: dropping it would lose an accepted change without a
-    /// word. Without such a witness the damaged bytes are an unfinished write, which nothing can
-    /// have been acknowledged on, and end the log.
+    /// If an intact record after a damaged one shows that the damaged one had been synced,
+    /// acknowledged data is damaged, and dropping it would silently lose an accepted change.
+    /// Without such proof the damaged bytes are an incomplete write, on which nothing can have been
+    /// acknowledged, and the log ends before them.
     pub(crate) fn read(name: &str, bytes: &[u8]) -> Result<Self, LogError> {
         let mut scan = Self::default();
         while let Some((frame, length)) = RecordFrame::read(&bytes[scan.intact_bytes..]) {
@@ -43,13 +43,13 @@
         Ok(scan)
     }
 
-    /// Looks behind a damaged record for an intact one that says the damaged one was synced.
+    /// Looks for an intact record after a damaged one that shows that the damaged one was synced.
     fn find_sync_proof(&self, rest: &[u8]) -> Option<String> {
         let missing = self.frames.last().map_or(0, |last| last.sequence + 1);
         let limit = missing.saturating_add(rest.len() as u64);
         for start in 0..rest.len().saturating_sub(OVERHEAD_BYTES) {
             let (sequence, synced) = RecordFrame::numbers(&rest[start..])?;
-            // The numbers rule out nearly every position before a checksum is worked out.
+            // The numbers rule out nearly every position before a checksum is computed.
             let plausible = sequence > missing && sequence <= limit && synced > missing;
             if !plausible || synced > sequence {
                 continue;
--- a/crates/ragwortroad_log/src/stored_state.rs
+++ b/crates/ragwortroad_log/src/stored_state.rs
@@ -5,28 +5,28 @@
     VoteRecord, //
 };
 
-/// What a data folder held when it was opened.
+/// The content of a data folder at the time it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredState {
-    /// The folder's identity, drawn when the folder was first used.
+    /// The identity, assigned when the folder was first used.
     pub identity: u64,
-    /// Whether this opening created the folder's content.
+    /// Whether this call created the content of the folder.
     pub is_new: bool,
-    /// Whether a change that confirms the boot was written during this same boot.
+    /// Whether the folder was confirmed during the current boot.
     ///
-    /// Then only the process has restarted, and the disk cannot have been put back to an older
-    /// state as a whole, as a restore of the VM does.
+    /// If so, only the process has restarted, and the disk cannot have gone back to an older state
+    /// as a whole, as when a VM is restored.
     pub is_same_boot: bool,
-    /// The last durable vote.
+    /// The last durable term and vote.
     pub vote: VoteRecord,
-    /// The latest start of each other member that has asked after its own.
+    /// The latest start number of each member that has queried this one after a restart.
     pub starts: Vec<MemberStart>,
     /// The last durable snapshot.
     pub snapshot: Option<StoredSnapshot>,
     /// The entries after the snapshot.
     ///
-    /// Invariant: indexes are contiguous and start right after the snapshot's.
+    /// Invariant: indexes are contiguous and begin right after the snapshot's.
     pub entries: Vec<StoredEntry>,
-    /// Bytes of an unfinished write that were cut from the log's end.
+    /// Size of an incomplete write that was cut off the end of the log.
     pub truncated_bytes: u64,
 }
--- a/crates/ragwortroad_log/src/vote_record.rs
+++ b/crates/ragwortroad_log/src/vote_record.rs
@@ -3,12 +3,12 @@
     Serialize, //
 };
 
-/// The term a member is in and whom it voted for in that term.
+/// The current term of a member and its vote in that term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct VoteRecord {
-    /// The highest term the member has taken part in.
+    /// Highest term in which the member has taken part.
     pub term: u64,
-    /// The identity it voted for in `term`, if it did.
+    /// Identity of the candidate that the member voted for in `term`, if any.
     pub voted_for: Option<u64>,
 }
--- a/crates/ragwortroad_log/tests/folder.rs
+++ b/crates/ragwortroad_log/tests/folder.rs
@@ -1,4 +1,4 @@
-//! Data folders on a fake disk that tears, fails and rots, and on a real one.
+//! Data folders on a fake disk with torn, failing and damaged writes, and on a real disk.
 
 use proptest::prelude::*;
 use ragwortroad_log::prelude::*;
@@ -15,7 +15,7 @@
     LogFolder::open_on(DiskPort::Fake(disk.clone()), &settings())
 }
 
-/// What a folder should hold after some changes, worked out without it.
+/// The expected content of a folder, computed independently of it.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct FolderModel {
     vote: VoteRecord,
@@ -40,7 +40,7 @@
         self.first() + self.entries.len() as u64
     }
 
-    /// Makes a change of the kind that `draw` says, and applies it here.
+    /// Creates a change of the kind selected by `draw`, and applies it to the model.
     fn change(&mut self, draw: u64) -> LogChange {
         let mut change = LogChange::default();
         let pick = draw >> 8;
@@ -85,7 +85,8 @@
     }
 }
 
-/// Makes changes until the disk stops; the states after each record, and which were acknowledged.
+/// Writes changes until the disk fails. Returns the states after each record, and the positions of
+/// those that were acknowledged.
 fn write(
     folder: &mut LogFolder,
     model: FolderModel,
@@ -96,7 +97,7 @@
     for &draw in draws {
         let mut next = states[states.len() - 1].clone();
         let change = next.change(draw);
-        // Entries are written one by one, so that a crash may keep some of them.
+        // Entries are separate records, so a crash may keep only the first ones.
         for count in 1..change.entries.len() {
             let mut part = states[states.len() - count].clone();
             part.entries.extend_from_slice(&change.entries[..count]);
@@ -119,7 +120,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against acknowledged entries that a crash takes along.
+    /// Guards against acknowledged entries that are lost in a crash.
     #[test]
     fn a_crash_keeps_acknowledged_changes(
         rounds in prop::collection::vec(
@@ -148,12 +149,12 @@
             let found = FolderModel::of(&state);
             let last = acknowledged[acknowledged.len() - 1];
             let kept = states[last..].contains(&found);
-            prop_assert!(kept, "lost something acknowledged");
+            prop_assert!(kept, "lost an acknowledged change");
             model = found;
         }
     }
 
-    /// Guards against rotten bytes that are read as an unfinished write.
+    /// Guards against damaged data that is mistaken for an incomplete write.
     #[test]
     fn damaged_bytes_are_detected_and_never_skipped(
         draws in prop::collection::vec(any::<u64>(), 1..30),
@@ -180,7 +181,7 @@
         }
     }
 
-    /// A file holds something else altogether; opening must say so and not fall over.
+    /// Guards against a panic when a file holds arbitrary bytes; opening must fail instead.
     #[test]
     fn opening_arbitrary_bytes_fails_cleanly(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         for name in ["identity", "vote", "log-0000000000000000", "boot"] {
@@ -203,7 +204,7 @@
     }
 }
 
-/// Guards against a second vote after a file of the folder was restored or lost.
+/// Guards against a second vote after one file of the folder was restored from a copy or lost.
 #[test]
 fn a_single_rolled_back_file_is_refused() {
     let disk = FakeDisk::default();
@@ -276,7 +277,8 @@
     assert_eq!((state.vote.term, state.entries.len()), (1, 0));
 }
 
-/// Two processes are started on one folder by mistake; each would vote from its own memory.
+/// Guards against two processes started on one folder by mistake, each of which would vote from its
+/// own view of it.
 #[test]
 fn a_second_process_is_refused() {
     let temp = tempfile::tempdir().expect("a temporary folder");
--- a/crates/ragwortroad_log/tests/hints.rs
+++ b/crates/ragwortroad_log/tests/hints.rs
@@ -1,4 +1,4 @@
-//! A file of hints on a fake disk that loses power.
+//! The hint file on a fake disk that loses power.
 
 use ragwortroad_log::prelude::*;
 
@@ -6,7 +6,7 @@
     HintFile::new(DiskPort::Fake(disk.clone()))
 }
 
-/// Guards against half a list of hints after a loss of power.
+/// Guards against a partial list of hints after a power loss.
 #[test]
 fn hints_survive_a_power_loss_whole() {
     for lost in 0..40 {
--- a/crates/ragwortroad_types/src/announce_wire.rs
+++ b/crates/ragwortroad_types/src/announce_wire.rs
@@ -10,46 +10,48 @@
     ModelOffer, //
 };
 
-/// What an endpoint tells the fleet of itself, as the JSON body of `POST /v1/announce`.
+/// The announcement by which an endpoint reports its state, sent as the JSON body of `POST
+/// /v1/announce`.
 ///
-/// An endpoint announces itself to one node at a time: the first of the addresses in the last
-/// [`AnnounceResponse`](crate::AnnounceResponse), and the next one when that does not answer.
+/// An endpoint announces itself to one node at a time: to the first address in the last
+/// [`AnnounceResponse`](crate::AnnounceResponse), and to the next one if that node does not
+/// respond.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AnnounceWire {
-    /// The endpoint's name, unique in the fleet.
+    /// Name of the endpoint, unique in the fleet.
     pub name: String,
-    /// `IP:port` at which it takes requests.
+    /// `IP:port` on which it accepts requests.
     pub address: String,
-    /// What it does with a request.
+    /// Whether it is an engine or a plain service.
     pub kind: EndpointKind,
-    /// The failure domain (zone) it runs in.
+    /// The failure domain (zone) in which it runs.
     pub zone: String,
-    /// The service's name, for a plain service.
+    /// Name of the service, for a plain service.
     #[serde(default)]
     pub service: Option<String>,
-    /// Models it holds ready, for an engine.
+    /// Models that are ready to serve, for an engine.
     #[serde(default)]
     pub models: Vec<ModelOffer>,
-    /// Requests it works on at once before they queue.
+    /// Number of requests processed concurrently before further ones queue.
     pub capacity: u32,
-    /// Whether it refuses an order that carries an old fencing number.
+    /// Whether it rejects orders with an outdated fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Counts up with every restart of the endpoint.
+    /// Incremented with every restart of the endpoint.
     pub incarnation: u64,
-    /// Counts up by one with every announcement of one incarnation.
+    /// Incremented by one with every announcement of an incarnation.
     pub sequence: u64,
-    /// Counts up whenever the endpoint starts announcing itself to another node, and whenever an
-    /// announcement got no answer, even if the next one goes to the same node.
+    /// Incremented whenever the endpoint starts to announce itself to another node, and whenever an
+    /// announcement got no response, even if the next one goes to the same node.
     #[serde(default)]
     pub home_epoch: u64,
-    /// Its load, somewhat late.
+    /// Its load, measured shortly before the announcement was sent.
     pub load: LoadReport,
-    /// Changes of its prefix cache since the last announcement, with gaps.
+    /// Changes of its prefix cache since the last announcement; some may be missing.
     #[serde(default)]
     pub cache_events: Vec<CacheEvent>,
-    /// It will stop soon and must get no new work.
+    /// Whether it stops soon and must receive no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/crates/ragwortroad_types/src/cache_event.rs
+++ b/crates/ragwortroad_types/src/cache_event.rs
@@ -5,25 +5,25 @@
 
 use crate::PrefixKey;
 
-/// Whether a prefix entered an engine's cache or left it.
+/// Whether a prefix was added to an engine's cache or removed from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// The prefix is in the cache now.
+    /// The prefix has been added to the cache.
     Stored,
-    /// The prefix was dropped.
+    /// The prefix has been removed from the cache.
     Evicted,
 }
 
-/// One change of an engine's prefix cache.
+/// A change of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts up by one with every event since the engine started; a gap shows lost events.
+    /// Incremented by one with every event since the engine started; a gap indicates lost events.
     pub sequence: u64,
-    /// What happened.
+    /// Whether the prefix was stored or evicted.
     pub change: CacheChange,
-    /// The prefix.
+    /// The prefix that is concerned.
     pub prefix: PrefixKey,
 }
--- a/crates/ragwortroad_types/src/chat_body.rs
+++ b/crates/ragwortroad_types/src/chat_body.rs
@@ -8,30 +8,31 @@
     Value, //
 };
 
-/// A model request's body in the OpenAI chat format, as far as the fleet reads it.
+/// The body of a model request in the OpenAI chat format, with the fields that the fleet
+/// interprets.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ChatBody {
-    /// The model's name, followed by `:adapter` where an adapter is wanted.
+    /// Name of the model, followed by `:adapter` if an adapter is requested.
     pub model: String,
-    /// The chat so far, oldest first.
+    /// The messages of the chat, oldest first.
     pub messages: Vec<ChatMessage>,
-    /// Whether the answer is wanted as server-sent events.
+    /// Whether the response is to be streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Upper bound of tokens to generate.
+    /// Limit on the tokens to generate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u32>,
-    /// The chat that the request continues, as the caller names it.
+    /// The client's ID of the chat that this request continues.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub chat_id: Option<String>,
-    /// Tokens that the caller has already; the engine goes on behind them.
+    /// Number of tokens that the client has already received; the engine continues after them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume_from: Option<u32>,
     /// The text of those tokens.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume_text: Option<String>,
-    /// Every other field, unread.
+    /// All other fields, passed through unread.
     #[serde(flatten)]
     pub others: Map<String, Value>,
 }
@@ -40,18 +41,18 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks: `system`, `user`, `assistant` or `tool`.
+    /// Author of the message: `system`, `user`, `assistant` or `tool`.
     pub role: String,
-    /// The text, or a list of parts.
+    /// The text, or a list of content parts.
     #[serde(default)]
     pub content: Value,
-    /// Every other field, unread.
+    /// All other fields, passed through unread.
     #[serde(flatten)]
     pub others: Map<String, Value>,
 }
 
 impl ChatMessage {
-    /// A message that is plain text.
+    /// Creates a message with plain text.
     pub fn text(role: &str, text: &str) -> Self {
         Self {
             role: role.to_owned(),
@@ -62,9 +63,10 @@
 }
 
 impl ChatBody {
-    /// The chat as one text, in which a longer chat begins with each shorter one.
+    /// Returns the chat as one text, such that the text of a longer chat begins with that of each
+    /// shorter one.
     ///
-    /// Nodes and engines compute prefix keys over this text, so both must make it the same way.
+    /// Nodes and engines compute prefix keys over this text, so both must build it in the same way.
     pub fn prompt_text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         for message in &self.messages {
@@ -80,7 +82,7 @@
         text
     }
 
-    /// The model's name and the adapter's, if one is named.
+    /// Returns the name of the model, and that of the adapter if one is requested.
     pub fn model_parts(&self) -> (&str, Option<&str>) {
         match self.model.split_once(':') {
             Some((model, adapter)) => (model, Some(adapter)),
--- a/crates/ragwortroad_types/src/clock_time.rs
+++ b/crates/ragwortroad_types/src/clock_time.rs
@@ -8,30 +8,30 @@
     Serialize, //
 };
 
-/// A reading of a clock in milliseconds, handed in by whoever owns the clock.
+/// A clock reading in milliseconds, passed in by the code that owns the clock.
 ///
-/// Pure crates never read a clock: the caller passes the time with every input, so that a run can
-/// be replayed. Within one process it is a monotonic clock's reading; between processes only
-/// differences of one process's own readings mean anything.
+/// Crates without I/O never read a clock; the time is passed with every input, so that a run can be
+/// replayed. Within a process this is the reading of a monotonic clock. Between processes, only
+/// differences of readings of one process are meaningful.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ClockTime(pub u64);
 
 impl ClockTime {
-    /// The reading at the clock's start.
+    /// The reading at the start of the clock.
     pub const ZERO: Self = Self(0);
 
-    /// The reading `span` after this one.
+    /// Returns the reading `span` later, saturating at the maximum.
     pub fn after(self, span: Duration) -> Self {
         Self(self.0.saturating_add(span.as_millis() as u64))
     }
 
-    /// The reading `span` before this one, or [`Self::ZERO`] where that lies before the start.
+    /// Returns the reading `span` earlier, saturating at [`Self::ZERO`].
     pub fn before(self, span: Duration) -> Self {
         Self(self.0.saturating_sub(span.as_millis() as u64))
     }
 
-    /// The time from `earlier` to this reading, or nothing where `earlier` is the later one.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is the later reading.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
--- a/crates/ragwortroad_types/src/endpoint_id.rs
+++ b/crates/ragwortroad_types/src/endpoint_id.rs
@@ -5,13 +5,13 @@
     Serialize, //
 };
 
-/// Identity of one endpoint: the hash of the name under which it announces itself.
+/// Identity of an endpoint: the hash of the name under which it announces itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct EndpointId(pub u64);
 
 impl EndpointId {
-    /// The identity of the endpoint that announces itself as `name`.
+    /// Returns the identity of the endpoint that announces itself as `name`.
     pub fn from_name(name: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
--- a/crates/ragwortroad_types/src/endpoint_kind.rs
+++ b/crates/ragwortroad_types/src/endpoint_kind.rs
@@ -3,13 +3,13 @@
     Serialize, //
 };
 
-/// What an endpoint does with a request.
+/// The kind of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
-    /// Serves models; caches prompt prefixes.
+    /// Serves models, and caches prompt prefixes.
     Engine,
-    /// A plain service, reached by path; some of its calls are not idempotent.
+    /// A plain service, reached by path; some of its requests are not idempotent.
     Service,
 }
--- a/crates/ragwortroad_types/src/fencing_token.rs
+++ b/crates/ragwortroad_types/src/fencing_token.rs
@@ -5,7 +5,7 @@
     Serialize, //
 };
 
-/// Fencing number of an order to an endpoint: grows with every change of who may give orders.
+/// Fencing token of an order to an endpoint; it increases whenever another node may issue orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
--- a/crates/ragwortroad_types/src/lib.rs
+++ b/crates/ragwortroad_types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers, time, and the wire types every ragwortroad crate shares.
+//! Identifiers, time, and the wire types that all ragwortroad crates share.
 //!
-//! Nothing here does input or output, reads a clock, or draws randomness: these are the words in
-//! which the other crates talk to each other, to endpoints and to callers.
+//! Nothing here performs I/O, reads a clock or uses randomness. The other crates use these types
+//! to communicate with each other, with endpoints and with clients.
 //!
 //! ```
 //! use ragwortroad_types::prelude::*;
@@ -30,7 +30,7 @@
 mod request_id;
 mod request_outcome;
 
-/// Everything a dependent crate usually needs.
+/// Common items for dependent crates.
 pub mod prelude {
     pub use crate::{
         address_response::AddressResponse,
--- a/crates/ragwortroad_types/src/load_report.rs
+++ b/crates/ragwortroad_types/src/load_report.rs
@@ -3,14 +3,14 @@
     Serialize, //
 };
 
-/// The load an endpoint reports of itself, always somewhat late.
+/// The load that an endpoint reports of itself; always slightly out of date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests being worked on.
+    /// Number of requests being processed.
     pub running: u32,
-    /// Requests waiting at the endpoint.
+    /// Number of requests queued at the endpoint.
     pub queued: u32,
-    /// How old the figures were when they were sent, in milliseconds.
+    /// Age of the figures when they were sent, in milliseconds.
     pub age_ms: u32,
 }
--- a/crates/ragwortroad_types/src/model_offer.rs
+++ b/crates/ragwortroad_types/src/model_offer.rs
@@ -3,15 +3,15 @@
     Serialize, //
 };
 
-/// A model, in one version, that an engine holds ready.
+/// A version of a model that is ready to serve on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ModelOffer {
-    /// The model's name.
+    /// Name of the model.
     pub model: String,
-    /// The version's name.
+    /// Name of the version.
     pub version: String,
-    /// Adapters loaded for it.
+    /// Names of the adapters loaded for the model.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
--- a/crates/ragwortroad_types/src/node_id.rs
+++ b/crates/ragwortroad_types/src/node_id.rs
@@ -5,13 +5,13 @@
     Serialize, //
 };
 
-/// Identity of one node of the fleet: the hash of the name in its settings.
+/// Identity of a node of the fleet: the hash of the name in its settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// The identity of the node that has `name` in its settings.
+    /// Returns the identity of the node with `name` in its settings.
     pub fn from_name(name: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
--- a/crates/ragwortroad_types/src/order_wire.rs
+++ b/crates/ragwortroad_types/src/order_wire.rs
@@ -8,60 +8,60 @@
     ModelOffer, //
 };
 
-/// An order to an engine, as the JSON body of `POST /v1/orders`.
+/// An order to an engine, sent as the JSON body of `POST /v1/orders`.
 ///
-/// It says what shall be and not what to do next, so that an engine that gets it twice, or late,
+/// It states the desired state rather than an action, so an engine that receives it twice, or late,
 /// does nothing the second time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OrderWire {
-    /// The fencing number of whoever gives the order.
+    /// Fencing token of the node that issues the order.
     pub fence: FencingToken,
-    /// Counts up with each order under one fencing number; a resend has the same.
+    /// Incremented with each order under one fencing token; a resend keeps the number.
     #[serde(default)]
     pub number: u64,
-    /// What it is about.
+    /// The desired state.
     #[serde(flatten)]
     pub kind: OrderKind,
 }
 
-/// What an order asks for.
+/// The desired state that an order sets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum OrderKind {
-    /// Hold the model, with the adapters that are named.
+    /// Keep the model loaded, with the named adapters.
     Load {
-        /// The model.
+        /// The model, its version and its adapters.
         offer: ModelOffer,
     },
-    /// Hold it no longer; only the adapters where some are named.
+    /// Unload the model, or only the named adapters if there are any.
     Unload {
-        /// The model.
+        /// The model, its version and its adapters.
         offer: ModelOffer,
     },
-    /// Have a role.
+    /// Work in the given role.
     SetRole {
-        /// The role.
+        /// The phase of requests to work on.
         role: RoleWire,
     },
-    /// Take nothing new, or take work again.
+    /// Accept no new requests, or accept them again.
     SetDrain {
-        /// Whether to take nothing new.
+        /// Whether to stop accepting new requests.
         drain: bool,
     },
 }
 
-/// Which part of a request an engine works on.
+/// The phase of a request that an engine works on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RoleWire {
-    /// Reads prompts and generates.
+    /// Prefill and decode.
     #[default]
     Both,
-    /// Reads prompts only.
+    /// Processing the prompt only.
     Prefill,
-    /// Generates only.
+    /// Generating tokens only.
     Decode,
 }
--- a/crates/ragwortroad_types/src/prefix_key.rs
+++ b/crates/ragwortroad_types/src/prefix_key.rs
@@ -5,7 +5,7 @@
     Serialize, //
 };
 
-/// A prompt prefix, as the hash chain over its blocks up to one block's end.
+/// Identifies a prompt prefix by a hash chain over its blocks, up to the end of one block.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct PrefixKey(pub u64);
@@ -19,10 +19,11 @@
 /// Bytes of prompt text in one block of a prefix chain.
 pub const PREFIX_BLOCK_BYTES: usize = 512;
 
-/// The prefix keys of `prompt`, one for each whole block of [`PREFIX_BLOCK_BYTES`], shortest first.
+/// Returns the prefix keys of `prompt`, one for each complete block of [`PREFIX_BLOCK_BYTES`],
+/// shortest prefix first.
 ///
-/// The chain starts from the customer and the model, so that equal text of two customers never
-/// shares a key, and neither does one customer's text under two models.
+/// The chain is seeded with the customer and the model, so equal text of two customers never shares
+/// a key, nor does one customer's text under two models.
 pub fn prefix_chain(customer: &str, model: &str, prompt: &[u8]) -> Vec<PrefixKey> {
     let start = xxhash_rust::xxh3::xxh3_64(customer.as_bytes());
     let mut link = xxhash_rust::xxh3::xxh3_64_with_seed(model.as_bytes(), start);
--- a/crates/ragwortroad_types/src/refusal_code.rs
+++ b/crates/ragwortroad_types/src/refusal_code.rs
@@ -3,28 +3,28 @@
     Serialize, //
 };
 
-/// The stable reason for a refusal, for programs to act upon.
+/// The stable, machine-readable reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCode {
-    /// The request could not be read as HTTP or as the body its path wants.
+    /// The request is not valid HTTP, or its body is not what the path expects.
     MalformedRequest,
-    /// Body or headers are larger than the settings allow.
+    /// The body or the headers exceed the limits in the settings.
     TooLarge,
-    /// No customer, operator or endpoint has this key.
+    /// The key belongs to no customer, operator or endpoint.
     WrongKey,
-    /// No such path here.
+    /// The node serves no such path.
     UnknownPath,
-    /// No model of this name serves this customer.
+    /// No model with this name is available to the customer.
     UnknownModel,
-    /// No service of this name serves this customer.
+    /// No service with this name is available to the customer.
     UnknownService,
-    /// No endpoint that could take the request is present.
+    /// No endpoint that could serve the request is available.
     NoEndpoint,
-    /// Every endpoint that could take the request is at its bound.
+    /// Every endpoint that could serve the request is at its load bound.
     Overloaded,
-    /// The customer is over its own limit.
+    /// The customer exceeds its own limit.
     CustomerLimit,
     /// The node is shutting down; the addresses in the refusal take over.
     NodeDraining,
@@ -32,22 +32,22 @@
     NotCurrent,
     /// The claim of a non-idempotent request could not be made durable.
     ClaimUnavailable,
-    /// The same idempotency key came before with another body.
+    /// The idempotency key was used before with a different body.
     KeyReused,
-    /// The same idempotency key is running now.
+    /// A request with this idempotency key is in progress.
     KeyInProgress,
-    /// The idempotency key is older than the window in which keys are remembered.
+    /// The idempotency key is older than the time for which keys are remembered.
     KeyExpired,
-    /// The endpoint ended its answer early, or answered another request.
+    /// The endpoint ended its response early, or responded to another request.
     BrokenAnswer,
-    /// The deadline passed first.
+    /// The deadline passed before the request finished.
     DeadlinePassed,
-    /// A fault in this node.
+    /// An internal error of this node.
     InternalFault,
 }
 
 impl RefusalCode {
-    /// The HTTP status that goes with the reason.
+    /// Returns the HTTP status code for the reason.
     pub fn status(self) -> u16 {
         match self {
             Self::MalformedRequest => 400,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// What the caller can do about it.
+    /// Returns what the client can do about it.
     pub fn remedy(self) -> &'static str {
         match self {
             Self::MalformedRequest => "send well-formed HTTP/1.1 with a JSON body",
--- a/crates/ragwortroad_types/src/refusal_wire.rs
+++ b/crates/ragwortroad_types/src/refusal_wire.rs
@@ -13,34 +13,34 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RefusalWire {
-    /// The refusal itself.
+    /// The content of the refusal.
     pub error: RefusalDetail,
 }
 
-/// What a refusal tells the caller.
+/// The information that a refusal gives to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RefusalDetail {
     /// Whether the request ran.
     pub outcome: RequestOutcome,
-    /// The stable reason.
+    /// The machine-readable reason.
     pub code: RefusalCode,
-    /// What happened, for a person.
+    /// What happened, in words for a person.
     pub message: String,
-    /// What to do about it.
+    /// What the client can do about it.
     pub remedy: String,
-    /// The request's identity, as 16 hexadecimal digits.
+    /// The request ID, as 16 hexadecimal digits.
     pub request_id: String,
-    /// Milliseconds to wait before asking again, where waiting helps.
+    /// Milliseconds to wait before a retry, if waiting helps.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Other addresses to ask, best first.
+    /// Other addresses to try, best first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub addresses: Vec<String>,
 }
 
 impl RefusalWire {
-    /// A refusal for `code` that needs neither a wait nor other addresses.
+    /// Creates a refusal for `code` without a retry delay or other addresses.
     pub fn new(
         outcome: RequestOutcome,
         code: RefusalCode,
--- a/crates/ragwortroad_types/src/request_id.rs
+++ b/crates/ragwortroad_types/src/request_id.rs
@@ -5,7 +5,7 @@
     Serialize, //
 };
 
-/// Identity of one caller's request, drawn at random by the node that took it in.
+/// Identity of a client's request, chosen at random by the node that received it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct RequestId(pub u64);
