--- a/crates/ragwortroad_clock/src/real_clock.rs
+++ b/crates/ragwortroad_clock/src/real_clock.rs
@@ -18,7 +18,7 @@
 }
 
 impl RealClock {
-    /// Starts a clock whose current reading is [`Self::START_OFFSET`].
+    /// Starts a clock with a reading well above zero, so that durations can be subtracted from it.
     pub fn start() -> Self {
         Self { start: boot_time() }
     }
--- a/crates/ragwortroad_consensus/src/bootstrap_table.rs
+++ b/crates/ragwortroad_consensus/src/bootstrap_table.rs
@@ -45,9 +45,9 @@
 /// Decides whether this node bootstraps a group. Used on nodes whose settings name the initial
 /// members.
 ///
-/// Only if every named node reports an empty folder does the node with the lowest ID
-/// bootstrap the group. A node that loses its disk later sees that the other folders are not empty,
-/// and so cannot create a second group beside the first.
+/// Only if every named node reports an empty folder does the node with the lowest ID bootstrap the
+/// group. A node that loses its disk later sees that the other folders are not empty, and so cannot
+/// create a second group beside the first.
 #[derive(Clone, Debug)]
 pub struct BootstrapTable {
     own: BootstrapHello,
--- a/crates/ragwortroad_consensus/tests/by_hand/main.rs
+++ b/crates/ragwortroad_consensus/tests/by_hand/main.rs
@@ -23,8 +23,8 @@
     }
 }
 
-/// An entry of an old term reaches a quorum; then a leader that never had it is elected. Returns
-/// whether the old leader applies the entry before that.
+/// An entry of an old term reaches a quorum after a leader without it was elected in between.
+/// Returns whether the re-elected first leader applies the entry.
 fn commits_entry_of_old_term(bug: Option<InjectedBug>) -> bool {
     let mut group = ScriptedGroup::new(5, settings_with_bug(bug));
     group.propose(0, b"old");
@@ -33,8 +33,8 @@
     assert!(group.core(4).is_leader());
     group.run_election(0, &[0, 1, 2, 3]);
     assert!(group.core(0).is_leader());
-    // The old entry reaches two more members. The append with the leader's own entry is dropped
-    // while it does not follow the receiver's log, and also once it would.
+    // The old entry reaches two more members. The leader's own entry first arrives before the old
+    // one, where it does not fit, and is dropped once it would fit.
     let own = group.core(0).last_position();
     let has_old = [Cell::new(false), Cell::new(false), Cell::new(false)];
     for _ in 0..4 {
--- a/crates/ragwortroad_consensus/tests/schedules/main.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/main.rs
@@ -4,8 +4,8 @@
 mod world;
 
 use ragwortroad_consensus::{
-    CoreSettings, //
-    InjectedBug,
+    CoreSettings,
+    InjectedBug, //
 };
 
 use world::{
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_faults.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_faults.rs
@@ -34,7 +34,7 @@
             FaultKind::Pause => self.pause(node),
             FaultKind::Partition => self.partition(node),
             FaultKind::LostDisk => self.lose_disk(node),
-            FaultKind::TransferLeadership => self.hand_over(),
+            FaultKind::TransferLeadership => self.transfer_leadership(),
             FaultKind::RemoveMember => self.remove_member(node),
         }
     }
@@ -197,7 +197,7 @@
         }
     }
 
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         let leader = self
             .nodes
             .iter()
--- a/crates/ragwortroad_log/src/folder_generation.rs
+++ b/crates/ragwortroad_log/src/folder_generation.rs
@@ -14,8 +14,8 @@
         FORMAT_VERSION,
         log_name,
         snapshot_name,
-        write_atomically, //
-        write_frame,
+        write_atomically,
+        write_frame, //
     },
     folder_replay,
     log_error::{
--- a/crates/ragwortroad_log/src/folder_open.rs
+++ b/crates/ragwortroad_log/src/folder_open.rs
@@ -23,9 +23,9 @@
         VOTE_NAME,
         generation_of,
         log_name,
-        write_atomically, //
+        write_atomically,
         write_frame,
-        write_vote,
+        write_vote, //
     },
     folder_replay::{
         check_entries,
--- a/crates/ragwortroad_log/src/log_folder.rs
+++ b/crates/ragwortroad_log/src/log_folder.rs
@@ -13,9 +13,9 @@
     folder_files::{
         BOOT_NAME,
         log_name,
-        write_atomically, //
+        write_atomically,
         write_frame,
-        write_vote,
+        write_vote, //
     },
     folder_replay,
     log_error::{
