--- a/crates/ragwortroad_consensus/tests/schedules/main.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/main.rs
@@ -1,11 +1,11 @@
-//! Seeded schedules over the real consensus core and the real log on fakes of disk, clock and
+//! Runs the real consensus core and log in seeded schedules, with simulated disks, clocks and
 //! messages.
 
 mod world;
 
 use ragwortroad_consensus::{
-    BrokenRule,
-    CoreSettings, //
+    CoreSettings,
+    InjectedBug, //
 };
 
 use world::{
@@ -15,7 +15,8 @@
     SimWorld, //
 };
 
-/// Runs plans with the seeds from 0 on, as many as the environment asks for, and those of earlier faults.
+/// Runs plans with seeds from 0 up, `SCHEDULES` of them if that variable is set, and with the seeds
+/// in `known`, which found faults earlier.
 fn run_all(title: &str, count: u64, known: &[u64], make: impl Fn(u64) -> SimPlan) -> SimCounts {
     let wanted = std::env::var("SCHEDULES").ok();
     let count = wanted
@@ -24,9 +25,9 @@
     let mut counts = SimCounts::default();
     for seed in (0..count).chain(known.iter().copied()) {
         let mut world = SimWorld::new(make(seed));
-        let breach = world.run();
+        let violation = world.run();
         counts.add(&world.counts);
-        assert_eq!(breach, None, "{title}, seed {seed}");
+        assert_eq!(violation, None, "{title}, seed {seed}");
     }
     counts.print(title);
     counts
@@ -37,7 +38,7 @@
     SimPlan {
         seed,
         nodes,
-        founders: nodes.min(3),
+        initial_members: nodes.min(3),
         client_every_ms: [60, 900, 15][seed as usize % 3],
         ..SimPlan::default()
     }
@@ -50,7 +51,7 @@
     SimPlan {
         seed,
         nodes,
-        founders: nodes,
+        initial_members: nodes,
         kinds,
         rollback_percent: 10,
         fault_every_ms: 2000,
@@ -58,21 +59,22 @@
     }
 }
 
-/// Guards against lost commands, stale reads and two leaders under crashes, pauses and losses.
+/// Guards against lost commands, stale reads and two leaders under crashes, pauses and message
+/// loss.
 #[test]
-fn faults_of_all_kinds_lose_nothing() {
+fn all_fault_kinds_preserve_safety() {
     let known = [37, 52, 201, 386, 1909];
     let counts = run_all("all faults", 28, &known, all_faults);
     assert!(counts.lost_disks > 20 && counts.torn_writes > 20);
 }
 
-/// Guards against lost commands and stale reads where each read is proved anew.
+/// Guards against lost commands and stale reads where each read is confirmed by a quorum.
 #[test]
-fn faults_without_leases_lose_nothing() {
+fn all_fault_kinds_preserve_safety_without_leases() {
     let without_leases = |seed| SimPlan {
         core: CoreSettings {
-            acts_by_lease: false,
-            ..SimPlan::small_core()
+            uses_leader_lease: false,
+            ..SimPlan::small_limits()
         },
         ..all_faults(seed)
     };
@@ -82,13 +84,13 @@
 
 /// Guards against lost commands after a VM was restored from a backup.
 #[test]
-fn rolled_back_disks_lose_nothing() {
+fn disk_rollbacks_preserve_safety() {
     let counts = run_all("rollbacks", 20, &[172], rollbacks);
     assert!(counts.rollbacks > 60);
 }
 
-/// The first breach that shows up with `core` under the plans that `make` gives.
-fn first_breach(core: &CoreSettings, make: impl Fn(u64) -> SimPlan) -> Option<String> {
+/// Returns the first violation found with `core` in the plans that `make` returns for 40 seeds.
+fn first_violation(core: &CoreSettings, make: impl Fn(u64) -> SimPlan) -> Option<String> {
     (0..40).find_map(|seed| {
         let plan = make(seed);
         let core = core.clone();
@@ -96,71 +98,78 @@
     })
 }
 
-fn broken(rule: BrokenRule) -> CoreSettings {
+fn settings_with_bug(bug: InjectedBug) -> CoreSettings {
     CoreSettings {
-        broken_rule: Some(rule),
-        ..SimPlan::small_core()
+        injected_bug: Some(bug),
+        ..SimPlan::small_limits()
     }
 }
 
-/// Guards against schedules that do not notice an acknowledgement before the sync.
+/// Guards against schedules that do not detect an acknowledgement sent before the sync.
 #[test]
-fn acting_before_the_sync_is_noticed() {
-    let found = first_breach(&broken(BrokenRule::ActBeforeSync), |seed| SimPlan {
-        seed,
-        kinds: vec![FaultKind::PowerCut],
-        slow_write_percent: 50,
-        client_every_ms: 15,
-        ..SimPlan::default()
+fn checker_detects_acks_before_sync() {
+    let found = first_violation(&settings_with_bug(InjectedBug::ActBeforeSync), |seed| {
+        SimPlan {
+            seed,
+            kinds: vec![FaultKind::PowerCut],
+            slow_write_percent: 50,
+            client_every_ms: 15,
+            ..SimPlan::default()
+        }
     });
-    println!("acting before the sync: {found:?}");
+    println!("effects before the sync: {found:?}");
     assert!(found.is_some());
 }
 
-/// Had a member not written its vote, it would give another one after a restart.
+/// Guards against schedules that do not detect a second vote in one term, which a member grants
+/// after a restart if the first was not written.
 #[test]
-fn an_unwritten_vote_is_noticed() {
-    let found = first_breach(&broken(BrokenRule::ForgetVote), all_faults);
-    println!("unwritten votes: {found:?}");
-    let breach = found.unwrap_or_default();
-    assert!(breach.contains("voted twice") || breach.contains("two leaders"));
+fn checker_detects_an_unpersisted_vote() {
+    let found = first_violation(&settings_with_bug(InjectedBug::SkipVoteWrite), all_faults);
+    println!("unpersisted votes: {found:?}");
+    let violation = found.unwrap_or_default();
+    assert!(violation.contains("voted twice") || violation.contains("two leaders"));
 }
 
-/// Had a member voted while a leader may rely on it, two leaders would give orders at once.
+/// Guards against schedules that do not detect two leaders acting at once, because a member voted
+/// while a leader could rely on it for its lease.
 #[test]
-fn a_vote_within_the_lease_is_noticed() {
-    let found = first_breach(&broken(BrokenRule::VoteAtOnce), |seed| SimPlan {
-        seed,
-        kinds: vec![FaultKind::Cut],
-        client_every_ms: 900,
-        ..SimPlan::default()
+fn checker_detects_a_vote_within_the_lease() {
+    let found = first_violation(&settings_with_bug(InjectedBug::VoteWithinLease), |seed| {
+        SimPlan {
+            seed,
+            kinds: vec![FaultKind::Partition],
+            client_every_ms: 900,
+            ..SimPlan::default()
+        }
     });
     println!("votes within the lease: {found:?}");
-    assert!(found.is_some_and(|breach| breach.contains("act as leader at once")));
+    assert!(found.is_some_and(|violation| violation.contains("act as leader at once")));
 }
 
-/// Guards against schedules that do not notice a second vote from a rolled-back disk.
+/// Guards against schedules that do not detect a second vote from a rolled-back disk.
 #[test]
-fn trust_in_a_rolled_back_disk_is_noticed() {
+fn checker_detects_a_trusted_rolled_back_disk() {
     let core = CoreSettings {
         trust_disk: true,
-        ..SimPlan::small_core()
+        ..SimPlan::small_limits()
     };
-    let found = first_breach(&core, rollbacks);
+    let found = first_violation(&core, rollbacks);
     println!("trust in rolled-back disks: {found:?}");
     assert!(found.is_some());
 }
 
-/// Guards against schedules that do not notice a lease that outlives the next election.
+/// Guards against schedules that do not detect a lease that outlives the next election, because
+/// clocks drift more than the settings assume.
 #[test]
-fn drift_beyond_the_setting_is_noticed() {
-    let found = first_breach(&SimPlan::small_core(), |seed| SimPlan {
+fn checker_detects_clock_drift_beyond_the_setting() {
+    let found = first_violation(&SimPlan::small_limits(), |seed| SimPlan {
         seed,
         drift_ppm: 300_000,
-        kinds: vec![FaultKind::Cut],
+        kinds: vec![FaultKind::Partition],
         client_every_ms: 900,
         ..SimPlan::default()
     });
-    println!("drift beyond the setting: {found:?}");
-    assert!(found.is_some_and(|breach| breach.contains("act as leader at once")));
+    println!("clock drift beyond the setting: {found:?}");
+    assert!(found.is_some_and(|violation| violation.contains("act as leader at once")));
 }
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_operator.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_operator.rs
@@ -7,24 +7,25 @@
     SimWorld, //
 };
 
-/// Puts members with a new identity in the place of lost ones, and restarts failed processes.
+/// A simulated operator that replaces members with lost disks by new identities, and restarts
+/// failed processes.
 #[derive(Debug, Default)]
 pub(crate) struct SimOperator {
-    /// A node whose disk is to be lost as soon as the repair of another is done.
+    /// The node whose disk is lost as soon as the repair of another one is complete.
     next_loss: Option<usize>,
-    /// How often the operator has looked since somebody was in charge.
-    looks: u32,
+    /// Consecutive checks that found no leader.
+    checks_without_leader: u32,
 }
 
-/// The operator looks every 100 ms.
-const LOOKS_BEFORE_TRUST: u32 = 30;
+/// The operator checks every 100 ms.
+const CHECKS_BEFORE_TRUST: u32 = 30;
 
 impl SimOperator {
-    /// The members, if a leader has them committed.
+    /// The member set, if a leader has committed it.
     pub(crate) fn settled_members(&self, world: &SimWorld) -> Option<MemberSet> {
         let mut cores = world.nodes.iter().filter_map(|node| {
             let now = node.clock.reading(world.now_us);
-            node.core().filter(|core| core.takes_commands(now))
+            node.core().filter(|core| core.accepts_proposals(now))
         });
         let core = cores.find(|core| core.members_index() <= core.commit_index())?;
         Some(core.members().clone())
@@ -32,11 +33,11 @@
 }
 
 impl SimWorld {
-    pub(crate) fn operate(&mut self) {
-        self.schedule(100_000, SimEvent::Operate);
+    pub(crate) fn run_operator(&mut self) {
+        self.schedule(100_000, SimEvent::RunOperator);
         self.restart_failed();
         for node in &mut self.nodes {
-            if node.is_sound() {
+            if node.is_healthy() {
                 node.rolled_back_from = None;
             }
         }
@@ -44,7 +45,7 @@
         let Some(leader) = self.acting_node() else {
             return self.trust_disks();
         };
-        self.operator.looks = 0;
+        self.operator.checks_without_leader = 0;
         let Some(members) = self.operator.settled_members(self) else {
             return;
         };
@@ -53,11 +54,11 @@
                 let token = self.token();
                 self.input(leader, CoreInput::ChangeMember { token, change });
             }
-            None => self.lose_second(),
+            None => self.lose_next_disk(),
         }
     }
 
-    /// A process whose disk failed is started anew once the disk works again.
+    /// Restarts processes whose disk failed, with the disk working again.
     fn restart_failed(&mut self) {
         for node in 0..self.nodes.len() {
             let has_failed = self.nodes[node]
@@ -70,25 +71,25 @@
         }
     }
 
-    /// Somebody makes backups of the disks, and at times puts one back.
+    /// Takes backups of disks, and occasionally restores one.
     fn restore_backups(&mut self) {
         let node = self.rng.random_range(0..self.nodes.len());
-        if !self.is_calm && self.rng.random_range(0..100) < self.plan.rollback_percent {
+        if !self.is_fault_free && self.rng.random_range(0..100) < self.plan.rollback_percent {
             self.roll_back(node);
         }
         if self.rng.random_range(0..20) == 0 {
-            self.keep_image(node);
+            self.save_image(node);
         }
     }
 
-    /// With a disk gone for good and nobody in charge, the operator vouches for the other disks.
+    /// Declares the remaining disks trusted if a disk is lost permanently and there is no leader.
     fn trust_disks(&mut self) {
-        self.operator.looks += 1;
+        self.operator.checks_without_leader += 1;
         let is_lost = self.nodes.iter().any(|node| node.lost.is_some());
-        if self.operator.looks < LOOKS_BEFORE_TRUST || !is_lost {
+        if self.operator.checks_without_leader < CHECKS_BEFORE_TRUST || !is_lost {
             return;
         }
-        self.operator.looks = 0;
+        self.operator.checks_without_leader = 0;
         for node in 0..self.nodes.len() {
             let target = &self.nodes[node];
             let is_stuck = target.core().is_some_and(|core| !core.is_verified());
@@ -102,11 +103,11 @@
     pub(crate) fn acting_node(&self) -> Option<usize> {
         self.nodes.iter().position(|node| {
             let now = node.clock.reading(self.now_us);
-            !node.is_paused && node.core().is_some_and(|core| core.takes_commands(now))
+            !node.is_paused && node.core().is_some_and(|core| core.accepts_proposals(now))
         })
     }
 
-    /// The next step that brings the members to one identity a node: learn, promote, remove.
+    /// Returns the next change towards one identity per node: add, promote, remove.
     fn next_change(&mut self, members: &MemberSet) -> Option<MemberChange> {
         for (at, node) in self.nodes.iter().enumerate() {
             let Some(member) = node.member else {
@@ -132,10 +133,10 @@
         None
     }
 
-    /// The next disk is lost right after the repair of the last one.
-    fn lose_second(&mut self) {
+    /// Loses the next disk right after the repair of the last one.
+    fn lose_next_disk(&mut self) {
         if let Some(node) = self.operator.next_loss.take()
-            && !self.is_calm
+            && !self.is_fault_free
             && self.rng.random_range(0..2) == 0
         {
             self.lose_disk(node);
--- a/crates/ragwortroad_log/src/folder_generation.rs
+++ b/crates/ragwortroad_log/src/folder_generation.rs
@@ -1,4 +1,4 @@
-//! Snapshots: each starts a new log file and takes the place of what came before.
+//! Snapshots: each one starts a new log file and replaces the previous generation.
 
 use snafu::{
     ResultExt,
@@ -11,16 +11,16 @@
     StoredEntry,
     StoredSnapshot,
     folder_files::{
-        VERSION,
+        FORMAT_VERSION,
         log_name,
         snapshot_name,
-        write_frame,
-        write_whole, //
+        write_atomically,
+        write_frame, //
     },
     folder_replay,
     log_error::{
         DiskSnafu,
-        MisfitSnafu, //
+        InvalidChangeSnafu, //
     },
     log_record::{
         LogHeader,
@@ -34,7 +34,10 @@
     /// Starts a new log file after `snapshot` with the entries that are still needed.
     pub(crate) fn start_generation(&mut self, snapshot: &StoredSnapshot) -> Result<(), LogError> {
         let detail = "an older snapshot cannot replace a newer one";
-        ensure!(snapshot.index > self.snapshot_index, MisfitSnafu { detail });
+        ensure!(
+            snapshot.index > self.snapshot_index,
+            InvalidChangeSnafu { detail }
+        );
         let kept = self.entries_after(snapshot)?;
         let old = self.generation;
         self.generation += 1;
@@ -45,7 +48,8 @@
         self.remove_generation(old)
     }
 
-    /// The entries of the current file that stay when `snapshot` replaces those up to its index.
+    /// Returns the entries of the current log file that remain when `snapshot` replaces those up to
+    /// its index.
     fn entries_after(&self, snapshot: &StoredSnapshot) -> Result<Vec<StoredEntry>, LogError> {
         let name = log_name(self.generation);
         let action = "read";
@@ -71,13 +75,13 @@
         };
         let mut bytes = Vec::new();
         write_frame(&frame, &mut bytes)?;
-        write_whole(&mut self.port, &snapshot_name(self.generation), &bytes)
+        write_atomically(&mut self.port, &snapshot_name(self.generation), &bytes)
     }
 
     /// Writes the log file of the current generation with a header and `entries`.
     pub(crate) fn write_log(&mut self, entries: &[StoredEntry]) -> Result<(), LogError> {
         let header = LogHeader {
-            version: VERSION,
+            version: FORMAT_VERSION,
             identity: self.identity,
             generation: self.generation,
             vote: self.vote,
@@ -91,7 +95,7 @@
         self.synced_sequence = self.next_sequence;
         self.append_record(LogRecord::Durable)?;
         let bytes = std::mem::take(&mut self.buffer);
-        write_whole(&mut self.port, &log_name(self.generation), &bytes)?;
+        write_atomically(&mut self.port, &log_name(self.generation), &bytes)?;
         self.synced_sequence = self.next_sequence;
         Ok(())
     }
--- a/crates/ragwortroad_log/src/folder_open.rs
+++ b/crates/ragwortroad_log/src/folder_open.rs
@@ -1,4 +1,4 @@
-//! Reading a data folder back, and deciding whether it can be trusted.
+//! Reads a data folder back, and decides whether it can be trusted.
 
 use snafu::{
     OptionExt,
@@ -15,17 +15,17 @@
     StoredState,
     folder_files::{
         BOOT_NAME,
+        FORMAT_VERSION,
         IDENTITY_NAME,
-        LOG_START,
-        SNAPSHOT_START,
+        LOG_PREFIX,
+        SNAPSHOT_PREFIX,
         TEMP_ENDING,
-        VERSION,
         VOTE_NAME,
         generation_of,
         log_name,
+        write_atomically,
         write_frame,
-        write_vote,
-        write_whole, //
+        write_vote, //
     },
     folder_replay::{
         check_entries,
@@ -55,6 +55,11 @@
 
 impl LogFolder {
     /// Opens the folder named in `settings`, or creates it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if another process has the folder open, a file operation fails, or the content is
+    /// damaged or was rolled back.
     pub fn open(settings: &FolderSettings) -> Result<(Self, StoredState), LogError> {
         let name = settings.path.display().to_string();
         let action = "open";
@@ -67,6 +72,10 @@
     }
 
     /// Opens the folder behind `port`, or creates its content.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file operation fails, or if the content is damaged or was rolled back.
     pub fn open_on(
         port: DiskPort,
         settings: &FolderSettings,
@@ -83,11 +92,11 @@
     if names.iter().any(|name| name == IDENTITY_NAME) {
         return open_existing(port, settings, &names);
     }
-    refuse_if_used(&port, &names)?;
+    ensure_unused(&port, &names)?;
     create(port, settings)
 }
 
-/// Names of all whole files; removes what a crash left unfinished.
+/// Returns the names of all complete files, after removing those that a crash left incomplete.
 fn list_files(port: &mut DiskPort) -> Result<Vec<String>, LogError> {
     let name = "the folder";
     let action = "list";
@@ -100,17 +109,18 @@
     Ok(names)
 }
 
-/// A folder without an identity file is empty, or was left in the middle of being created.
+/// Refuses a folder that has no identity file but has been in use. Without that file, a folder must
+/// be empty or left over from an interrupted creation.
 ///
-/// If the file of a folder in use were lost and the folder taken for empty, the member would
-/// forget its vote and vote again. So anything but the files of an unused folder is refused.
-fn refuse_if_used(port: &DiskPort, names: &[String]) -> Result<(), LogError> {
+/// If the identity file of a folder in use were lost and the folder taken for empty, the member
+/// would forget its vote and vote again.
+fn ensure_unused(port: &DiskPort, names: &[String]) -> Result<(), LogError> {
     let used = names.iter().any(|name| {
-        let is_snapshot = name.starts_with(SNAPSHOT_START);
-        let is_log = name.starts_with(LOG_START);
+        let is_snapshot = name.starts_with(SNAPSHOT_PREFIX);
+        let is_log = name.starts_with(LOG_PREFIX);
         is_snapshot || is_log && !is_unused_log(port, name)
     });
-    let detail = "the identity file is missing, but there is a log";
+    let detail = "the identity file is missing although there is a log";
     ensure!(!used, RolledBackSnafu { detail });
     Ok(())
 }
@@ -128,7 +138,8 @@
     is_whole && is_unused && !bytes.is_empty()
 }
 
-/// Writes the identity last, so that a folder with one has all other files.
+/// Creates the content of a folder. The identity is written last, so that a folder with an identity
+/// has all other files.
 fn create(
     mut port: DiskPort,
     settings: &FolderSettings,
@@ -146,7 +157,7 @@
         vote: CountedVote::default(),
         vote_file_count: 0,
         starts: Vec::new(),
-        boot: settings.boot.clone(),
+        boot_id: settings.boot_id.clone(),
         confirms_boot: false,
         last_index: 0,
         snapshot_index: 0,
@@ -156,7 +167,7 @@
     let frame = identity_frame(identity);
     let mut bytes = Vec::new();
     write_frame(&frame, &mut bytes)?;
-    write_whole(&mut folder.port, IDENTITY_NAME, &bytes)?;
+    write_atomically(&mut folder.port, IDENTITY_NAME, &bytes)?;
     let state = StoredState {
         identity,
         is_new: true,
@@ -167,7 +178,7 @@
 
 fn identity_frame(identity: u64) -> RecordFrame {
     let header = LogHeader {
-        version: VERSION,
+        version: FORMAT_VERSION,
         identity,
         generation: 0,
         vote: CountedVote::default(),
@@ -188,15 +199,15 @@
 ) -> Result<(LogFolder, StoredState), LogError> {
     let identity = match read_single(&port, IDENTITY_NAME)? {
         LogRecord::Header(header) => header.identity,
-        _ => return corrupt(IDENTITY_NAME, 0, "it holds something else"),
+        _ => return corrupt(IDENTITY_NAME, 0, "it holds a record of another type"),
     };
     let vote_copy = match read_single(&port, VOTE_NAME)? {
         LogRecord::Vote(vote) => vote,
-        _ => return corrupt(VOTE_NAME, 0, "it holds something else"),
+        _ => return corrupt(VOTE_NAME, 0, "it holds a record of another type"),
     };
     let generations = names
         .iter()
-        .filter_map(|name| generation_of(name, LOG_START));
+        .filter_map(|name| generation_of(name, LOG_PREFIX));
     let detail = "the log file is missing";
     let generation = generations.max().context(RolledBackSnafu { detail })?;
 
@@ -208,13 +219,13 @@
     check_vote(vote, vote_copy)?;
     let snapshot = read_snapshot(&port, &header)?;
     let starts = replay_starts(&scan.frames, &header);
-    let boot_known = port.read(BOOT_NAME).unwrap_or_default();
+    let confirmed_boot_id = port.read(BOOT_NAME).unwrap_or_default();
     let entries = replay_entries(&scan.frames);
     check_entries(&entries, &header, &name)?;
 
-    let cut_bytes = (bytes.len() - scan.intact_bytes) as u64;
+    let truncated_bytes = (bytes.len() - scan.intact_bytes) as u64;
     let next_sequence = rewrite_log(&mut port, &name, &bytes, &scan)?;
-    remove_leftovers(&mut port, names, generation)?;
+    remove_stale_generations(&mut port, names, generation)?;
     let mut folder = LogFolder {
         port,
         identity,
@@ -226,7 +237,7 @@
         vote,
         vote_file_count: vote_copy.count,
         starts: starts.clone(),
-        boot: settings.boot.clone(),
+        boot_id: settings.boot_id.clone(),
         confirms_boot: false,
         last_index: header.snapshot_index + entries.len() as u64,
         snapshot_index: header.snapshot_index,
@@ -236,23 +247,23 @@
     let state = StoredState {
         identity,
         is_new: false,
-        is_same_boot: boot_known == settings.boot.as_bytes() && !settings.boot.is_empty(),
+        is_same_boot: confirmed_boot_id == settings.boot_id.as_bytes()
+            && !settings.boot_id.is_empty(),
         starts,
         vote: vote.vote,
         snapshot,
         entries,
-        cut_bytes,
+        truncated_bytes,
     };
     Ok((folder, state))
 }
 
-/// Writes the log file anew with what is intact, so that all of it is durable.
+/// Rewrites the log file with its intact records, so that all of them are durable, and returns the
+/// sequence number of the next record.
 ///
-/// An earlier process may have seen a sync fail, and the operating system may since count the
-/// pages as clean: they read well, a further sync reports success, and a crash loses them. Copied
-/// bytes are dirty again, so their sync says the truth. It also cuts an unfinished write.
-///
-/// Returns the sequence of the next record.
+/// A sync may have failed in an earlier process, after which the operating system may count the
+/// pages as clean: they can be read, another sync reports success, and a crash loses them. Copied
+/// bytes are dirty again, so their sync is reliable. Rewriting also cuts off an incomplete write.
 fn rewrite_log(
     port: &mut DiskPort,
     name: &str,
@@ -260,25 +271,25 @@
     scan: &RecordScan,
 ) -> Result<u64, LogError> {
     let sequence = scan.frames.last().map_or(0, |last| last.sequence + 1);
-    let mark = RecordFrame {
+    let durable_mark = RecordFrame {
         sequence,
         synced: sequence,
         record: LogRecord::Durable,
     };
     let mut intact = bytes[..scan.intact_bytes].to_vec();
-    write_frame(&mark, &mut intact)?;
-    write_whole(port, name, &intact)?;
+    write_frame(&durable_mark, &mut intact)?;
+    write_atomically(port, name, &intact)?;
     Ok(sequence + 1)
 }
 
-fn remove_leftovers(
+fn remove_stale_generations(
     port: &mut DiskPort,
     names: &[String],
     generation: u64,
 ) -> Result<(), LogError> {
     for name in names {
-        let of_log = generation_of(name, LOG_START);
-        let of_snapshot = generation_of(name, SNAPSHOT_START);
+        let of_log = generation_of(name, LOG_PREFIX);
+        let of_snapshot = generation_of(name, SNAPSHOT_PREFIX);
         if of_log.or(of_snapshot).is_some_and(|of| of != generation) {
             let action = "remove";
             port.remove(name).context(DiskSnafu { action, name })?;
--- a/crates/ragwortroad_membership/src/table/home_placement.rs
+++ b/crates/ragwortroad_membership/src/table/home_placement.rs
@@ -32,7 +32,7 @@
 
     /// Builds the answer to an announcement of `endpoint`. Call it after [`handle`](Self::handle)
     /// has processed the announcement.
-    pub fn announce_answer(&self, endpoint: EndpointId, now: ClockTime) -> AnnounceAnswer {
+    pub fn announce_answer(&self, endpoint: EndpointId, now: ClockTime) -> AnnounceResponse {
         let zone = self
             .endpoints
             .record(endpoint)
@@ -50,7 +50,7 @@
         } else {
             FAST_ANNOUNCE_INTERVAL
         };
-        AnnounceAnswer {
+        AnnounceResponse {
             announce_to,
             every_ms: interval.as_millis() as u64,
         }
--- a/crates/ragwortroad_node/src/control/address_flow.rs
+++ b/crates/ragwortroad_node/src/control/address_flow.rs
@@ -25,7 +25,7 @@
         &mut self,
         call: &AddressCall,
         now: ClockTime,
-    ) -> Result<AddressAnswer, RefusalWire> {
+    ) -> Result<AddressResponse, RefusalWire> {
         let request = RequestId(self.next_random());
         let Some((customer, _)) = self.follower.customer_of(call.key_hash) else {
             // A node that has not received its configuration yet knows no customers; other nodes
@@ -61,7 +61,7 @@
             (None, Some(_)) => "the chat's own nodes",
             (None, None) => "spread evenly; name a chat to reach its own nodes",
         };
-        Ok(AddressAnswer {
+        Ok(AddressResponse {
             addresses,
             keep_ms: ADDRESS_TTL.as_millis() as u64,
             reason: reason.to_owned(),
--- a/crates/ragwortroad_node/src/control/control_state.rs
+++ b/crates/ragwortroad_node/src/control/control_state.rs
@@ -266,7 +266,7 @@
         let actions = self.membership.handle(GossipInput::LeaveStarted, now);
         self.run_gossip_actions(actions, now);
         if let Some(replica) = &mut self.replica {
-            let actions = replica.handle(CoreInput::HandOver, now);
+            let actions = replica.handle(CoreInput::TransferLeadership, now);
             self.run_core_actions(actions, now);
         }
     }
--- a/crates/ragwortroad_node/src/control/event_flow.rs
+++ b/crates/ragwortroad_node/src/control/event_flow.rs
@@ -51,7 +51,7 @@
     }
 
     /// Records an event about this node's leadership.
-    pub(crate) fn record_leader_event(&mut self, kind: EventKind, fence: Option<FenceNumber>) {
+    pub(crate) fn record_leader_event(&mut self, kind: EventKind, fence: Option<FencingToken>) {
         let replica = self.replica.as_ref();
         let core = replica.and_then(|replica| replica.core.as_ref());
         self.events.record(FleetEvent {
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -333,7 +333,7 @@
     }
 
     /// Starts giving orders after the log granted the lease for orders to this node.
-    pub(crate) fn start_orders(&mut self, fence: FenceNumber, now: ClockTime) {
+    pub(crate) fn start_orders(&mut self, fence: FencingToken, now: ClockTime) {
         self.record_leader_event(EventKind::LeaseGranted, Some(fence));
         let timing = order_timing(&self.settings.state);
         let settings = order_settings(&self.settings.orders);
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -69,7 +69,7 @@
     }
 
     /// Handles another initial member's hello, and answers it.
-    pub(crate) fn handle_hello(&mut self, from: NodeId, hello: FoundingHello, now: ClockTime) {
+    pub(crate) fn handle_hello(&mut self, from: NodeId, hello: BootstrapHello, now: ClockTime) {
         let node = self.node;
         let Some(replica) = &mut self.replica else {
             return;
@@ -78,7 +78,7 @@
             tracing::warn!(%from, "ignored a hello: it names another node than its sender's certificate");
             return;
         }
-        replica.founding.take(hello);
+        replica.founding.record_hello(hello);
         // A member that already has a consensus core says so to one that still waits for hellos.
         if replica.core.is_some() {
             let own = replica.hello(node);
@@ -169,7 +169,7 @@
                 CoreAction::RestoreSnapshot { index, bytes } => {
                     self.restore_snapshot(index, &bytes)
                 }
-                CoreAction::WantSnapshot { index } => {
+                CoreAction::TakeSnapshot { index } => {
                     if let Some(replica) = &mut self.replica {
                         let bytes = replica.state.to_snapshot();
                         let taken = CoreInput::SnapshotTaken { index, bytes };
--- a/crates/ragwortroad_node/src/member/state_replica.rs
+++ b/crates/ragwortroad_node/src/member/state_replica.rs
@@ -32,7 +32,7 @@
     /// What the folder held at start; taken when the core is created.
     stored: Option<StoredState>,
     /// Decides how this member joins or bootstraps a group; used until there is a core.
-    pub(crate) founding: FoundingTable,
+    pub(crate) founding: BootstrapTable,
     /// The consensus core; `None` while the group is being bootstrapped and after the replica has
     /// halted.
     pub(crate) core: Option<ConsensusCore>,
@@ -81,7 +81,7 @@
         let folder = FolderSettings {
             path,
             fresh_identity: start.fresh_identity,
-            boot: current_boot(),
+            boot_id: current_boot_id(),
             quota_bytes: start.settings.state.data_quota,
             ..FolderSettings::default()
         };
@@ -89,7 +89,7 @@
         let state = restore_state(&stored)?;
         let identity = MemberId(stored.identity);
         let is_empty = stored.entries.is_empty() && stored.snapshot.is_none();
-        let hello = FoundingHello {
+        let hello = BootstrapHello {
             node: start.node,
             member: identity,
             is_empty,
@@ -100,7 +100,7 @@
         Ok(Some(Self {
             identity,
             stored: Some(stored),
-            founding: FoundingTable::new(hello, named),
+            founding: BootstrapTable::new(hello, named),
             core: None,
             state,
             disk: DiskWorker::start(folder, start.reports)?,
@@ -117,7 +117,7 @@
     }
 
     /// Returns the hello that this member sends to the other members in the settings.
-    pub(crate) fn hello(&self, node: NodeId) -> FoundingHello {
+    pub(crate) fn hello(&self, node: NodeId) -> BootstrapHello {
         let is_empty = match (&self.core, &self.stored) {
             (Some(core), _) => core.last_position().index == 0,
             (None, Some(stored)) => is_unused(stored),
@@ -125,7 +125,7 @@
             // group.
             (None, None) => false,
         };
-        FoundingHello {
+        BootstrapHello {
             node,
             member: self.identity,
             is_empty,
@@ -135,10 +135,10 @@
     /// Creates the core once it is known whether to bootstrap a group here, follow an existing one
     /// or join it.
     pub(crate) fn try_bootstrap(&mut self, now: ClockTime, seed: u64) -> Vec<CoreAction> {
-        let founders = match self.founding.step() {
-            FoundingStep::Wait { .. } => return Vec::new(),
-            FoundingStep::Found(members) => Some(members),
-            FoundingStep::Follow | FoundingStep::Join => None,
+        let founders = match self.founding.decide() {
+            BootstrapDecision::Wait { .. } => return Vec::new(),
+            BootstrapDecision::Bootstrap(members) => Some(members),
+            BootstrapDecision::Follow | BootstrapDecision::Join => None,
         };
         let Some(stored) = self.stored.take() else {
             return Vec::new();
@@ -146,7 +146,7 @@
         let start = CoreStart {
             stored,
             start: self.start,
-            founders,
+            initial_members: founders,
         };
         match ConsensusCore::new(self.settings.clone(), start, now, seed) {
             Ok((core, actions)) => {
@@ -247,7 +247,7 @@
 pub(crate) fn core_settings(settings: &StateSettings) -> CoreSettings {
     CoreSettings {
         election_timeout: settings.lease,
-        heartbeat_every: settings.lease / 4,
+        heartbeat_interval: settings.lease / 4,
         resend_after: settings.lease / 2,
         clock_drift_ppm: drift_ppm(settings),
         trust_disk: settings.trust_disk,
--- a/crates/ragwortroad_node/src/wire/follow_message.rs
+++ b/crates/ragwortroad_node/src/wire/follow_message.rs
@@ -11,7 +11,7 @@
 #[derive(Serialize, Deserialize)]
 pub(crate) enum FollowMessage {
     /// Describes a member's data folder while the group is bootstrapped.
-    Founding(FoundingHello),
+    Founding(BootstrapHello),
     /// A node asks whether its configuration is current.
     Confirm {
         /// Number of the query.
--- a/crates/ragwortroad_registry/src/registry_state.rs
+++ b/crates/ragwortroad_registry/src/registry_state.rs
@@ -262,7 +262,7 @@
         tracing::info!("stopping");
         self.is_stopping = true;
         // Without a handover, the group has no leader until an election timeout has passed.
-        let effects = self.driver.handle(CoreInput::HandOver, now);
+        let effects = self.driver.handle(CoreInput::TransferLeadership, now);
         self.apply_effects(effects, now);
     }
 }
--- a/crates/ragwortroad_types/src/lib.rs
+++ b/crates/ragwortroad_types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers, time, and the wire types every ragwortroad crate shares.
+//! Identifiers, time, and the wire types that all ragwortroad crates share.
 //!
-//! Nothing here does input or output, reads a clock, or draws randomness: these are the words in
-//! which the other crates talk to each other, to endpoints and to callers.
+//! Nothing here performs I/O, reads a clock or uses randomness. The other crates use these types
+//! to communicate with each other, with endpoints and with clients.
 //!
 //! ```
 //! use ragwortroad_types::prelude::*;
@@ -10,8 +10,8 @@
 //! assert_ne!(chat, ChatKey::from_parts("studio-south", "chat-17"));
 //! ```
 
-mod address_answer;
-mod announce_answer;
+mod address_response;
+mod announce_response;
 mod announce_wire;
 mod cache_event;
 mod chat_body;
@@ -19,7 +19,7 @@
 mod clock_time;
 mod endpoint_id;
 mod endpoint_kind;
-mod fence_number;
+mod fencing_token;
 mod load_report;
 mod model_offer;
 mod node_id;
@@ -30,11 +30,11 @@
 mod request_id;
 mod request_outcome;
 
-/// Everything a dependent crate usually needs.
+/// Common items for dependent crates.
 pub mod prelude {
     pub use crate::{
-        address_answer::AddressAnswer,
-        announce_answer::AnnounceAnswer,
+        address_response::AddressResponse,
+        announce_response::AnnounceResponse,
         announce_wire::AnnounceWire,
         cache_event::{
             CacheChange,
@@ -48,7 +48,7 @@
         clock_time::ClockTime,
         endpoint_id::EndpointId,
         endpoint_kind::EndpointKind,
-        fence_number::FenceNumber,
+        fencing_token::FencingToken,
         load_report::LoadReport,
         model_offer::ModelOffer,
         node_id::NodeId,
