--- a/crates/ragwortroad_language/src/edit/customer_edit.rs
+++ b/crates/ragwortroad_language/src/edit/customer_edit.rs
@@ -13,8 +13,8 @@
 };
 
 const CUSTOMER: &str = "a customer's NAME";
-pub(super) const HASH: &str = "a key's SHA-256";
-pub(super) const HASH_EXAMPLE: &str = "the 64 hex digits of 'printf KEY | sha256sum'";
+pub(super) const KEY_HASH: &str = "a key's SHA-256";
+pub(super) const KEY_HASH_EXAMPLE: &str = "the 64 hex digits of 'printf KEY | sha256sum'";
 
 type Parsed = Result<(), LanguageError>;
 
@@ -24,7 +24,7 @@
     edits.push(ConfigEdit::AddCustomer {
         customer: customer.clone(),
     });
-    if !cursor.at_end() {
+    if !cursor.at_statement_end() {
         let limits = limits(cursor)?;
         edits.push(ConfigEdit::SetLimits { customer, limits });
     }
@@ -68,7 +68,7 @@
 /// `CUSTOMER HASH`
 pub(super) fn add_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
     let customer = cursor.text(CUSTOMER)?;
-    let key = cursor.value(HASH, HASH_EXAMPLE, key_hash)?;
+    let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::AddKey { customer, key });
     Ok(())
 }
@@ -76,7 +76,7 @@
 /// `CUSTOMER HASH`
 pub(super) fn remove_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
     let customer = cursor.text(CUSTOMER)?;
-    let key = cursor.value(HASH, HASH_EXAMPLE, key_hash)?;
+    let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::RemoveKey { customer, key });
     Ok(())
 }
--- a/crates/ragwortroad_language/src/edit/fleet_edit.rs
+++ b/crates/ragwortroad_language/src/edit/fleet_edit.rs
@@ -3,17 +3,17 @@
 use ragwortroad_state::prelude::*;
 
 use super::customer_edit::{
-    HASH,
-    HASH_EXAMPLE, //
+    KEY_HASH,
+    KEY_HASH_EXAMPLE, //
 };
 use crate::{
     LanguageError,
     word_cursor::WordCursor,
     word_value::{
+        duration, //
         key_hash,
         multiple,
         number,
-        span, //
     }, //
 };
 
@@ -109,7 +109,7 @@
     let policy = match cursor.choice(&["refuse", "go-on"])? {
         "refuse" => QuorumLoss::Refuse,
         _ => QuorumLoss::GoOn {
-            seconds: cursor.value("a span of time", "30s", span)?,
+            seconds: cursor.value("a span of time", "30s", duration)?,
         },
     };
     edits.push(ConfigEdit::SetQuorumLoss { policy });
@@ -123,13 +123,13 @@
     let mut name = cursor.choice(&names)?;
     loop {
         match name {
-            "window" => rules.window_s = Some(cursor.value("a span of time", "24h", span)?),
+            "window" => rules.window_s = Some(cursor.value("a span of time", "24h", duration)?),
             "keys" => rules.per_customer = Some(cursor.value("a number", "20000", number)?),
             "answer" => rules.answer_bytes = Some(cursor.value("bytes", "4096", number)?),
             "budget" => rules.answer_budget = Some(cursor.value("bytes", "1048576", number)?),
             "spent" => rules.spent_per_customer = Some(cursor.value("a number", "250000", number)?),
-            "skew" => rules.skew_s = Some(cursor.value("a span of time", "60s", span)?),
-            _ => rules.run_bound_s = Some(cursor.value("a span of time", "10m", span)?),
+            "skew" => rules.skew_s = Some(cursor.value("a span of time", "60s", duration)?),
+            _ => rules.run_bound_s = Some(cursor.value("a span of time", "10m", duration)?),
         }
         match cursor.option(&names)? {
             Some(next) => name = next,
@@ -158,7 +158,7 @@
 /// `NAME HASH`
 pub(super) fn add_operator(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
     let operator = cursor.text(OPERATOR)?;
-    let key = cursor.value(HASH, HASH_EXAMPLE, key_hash)?;
+    let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::AddOperator { operator, key });
     Ok(())
 }
@@ -166,7 +166,7 @@
 /// `NAME HASH`
 pub(super) fn remove_operator(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
     let operator = cursor.text(OPERATOR)?;
-    let key = cursor.value(HASH, HASH_EXAMPLE, key_hash)?;
+    let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::RemoveOperator { operator, key });
     Ok(())
 }
--- a/crates/ragwortroad_language/src/edit/mod.rs
+++ b/crates/ragwortroad_language/src/edit/mod.rs
@@ -16,13 +16,13 @@
 pub(crate) use edit_text::permille_text;
 
 /// The words a line can begin with.
-const FIRST_WORDS: [&str; 12] = [
+const STATEMENT_KEYWORDS: [&str; 12] = [
     "show", "add", "remove", "set", "allow", "deny", "drain", "undrain", "roll", "rollback",
     "forget", "help",
 ];
 
 /// The words an edit can begin with.
-const VERBS: [&str; 10] = [
+const EDIT_KEYWORDS: [&str; 10] = [
     "add", "remove", "set", "allow", "deny", "drain", "undrain", "roll", "rollback", "forget",
 ];
 
@@ -32,9 +32,9 @@
     edits: &mut Vec<ConfigEdit>,
 ) -> Result<(), LanguageError> {
     let verbs: &[&str] = if edits.is_empty() {
-        &FIRST_WORDS
+        &STATEMENT_KEYWORDS
     } else {
-        &VERBS
+        &EDIT_KEYWORDS
     };
     match cursor.choice(verbs)? {
         "add" => parse_add(cursor, edits),
--- a/crates/ragwortroad_language/src/language_error.rs
+++ b/crates/ragwortroad_language/src/language_error.rs
@@ -33,7 +33,7 @@
     },
     /// The line ends too early.
     #[snafu(display("the line ends too early; add {wanted}"))]
-    EarlyEnd {
+    UnexpectedEnd {
         /// What must follow.
         wanted: String,
     },
--- a/crates/ragwortroad_language/src/lib.rs
+++ b/crates/ragwortroad_language/src/lib.rs
@@ -41,14 +41,14 @@
         },
         outcome_text::outcome_text,
         show_query::{
-            CellRelation,
+            CellComparison,
             RowCondition,
             ShowQuery, //
         },
         show_topic::ShowTopic,
         statement::{
             ChangeStatement,
-            LINE_BYTES,
+            MAX_LINE_BYTES,
             Statement,
             parse_line, //
         },
--- a/crates/ragwortroad_language/src/line_word.rs
+++ b/crates/ragwortroad_language/src/line_word.rs
@@ -39,7 +39,7 @@
     /// Between quotes; never a keyword.
     Quoted,
     /// One of `;`, `=`, `!=`, `<`, `>`.
-    Sign,
+    Symbol,
 }
 
 type Line<'i> = LocatingSlice<&'i str>;
@@ -50,9 +50,9 @@
         .parse_next(input)
 }
 
-fn sign(input: &mut Line<'_>) -> ModalResult<(String, WordKind)> {
+fn symbol(input: &mut Line<'_>) -> ModalResult<(String, WordKind)> {
     alt((";", "=", "!=", "<", ">"))
-        .map(|text: &str| (text.to_owned(), WordKind::Sign))
+        .map(|text: &str| (text.to_owned(), WordKind::Symbol))
         .parse_next(input)
 }
 
@@ -65,7 +65,7 @@
 }
 
 fn word(input: &mut Line<'_>) -> ModalResult<LineWord> {
-    preceded(multispace0, alt((quoted, sign, bare)).with_span())
+    preceded(multispace0, alt((quoted, symbol, bare)).with_span())
         .map(|((text, kind), bytes)| LineWord { text, kind, bytes })
         .parse_next(input)
 }
--- a/crates/ragwortroad_language/src/show_query.rs
+++ b/crates/ragwortroad_language/src/show_query.rs
@@ -19,18 +19,18 @@
     /// The column.
     pub field: String,
     /// How the cell compares to the value.
-    pub relation: CellRelation,
+    pub comparison: CellComparison,
     /// The value.
     pub value: String,
 }
 
 /// How a cell compares to a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CellRelation {
+pub enum CellComparison {
     /// They are equal.
     Equal,
     /// They differ.
-    Unequal,
+    NotEqual,
     /// The cell is less, as a number where both are numbers.
     Less,
     /// The cell is greater.
@@ -60,16 +60,16 @@
 
 fn condition(cursor: &mut WordCursor<'_>, topic: ShowTopic) -> Result<RowCondition, LanguageError> {
     let field = cursor.choice(topic.columns())?.to_owned();
-    let relation = match cursor.choice(&["=", "!=", "<", ">"])? {
-        "=" => CellRelation::Equal,
-        "!=" => CellRelation::Unequal,
-        "<" => CellRelation::Less,
-        _ => CellRelation::Greater,
+    let comparison = match cursor.choice(&["=", "!=", "<", ">"])? {
+        "=" => CellComparison::Equal,
+        "!=" => CellComparison::NotEqual,
+        "<" => CellComparison::Less,
+        _ => CellComparison::Greater,
     };
     let value = cursor.text("a VALUE")?;
     Ok(RowCondition {
         field,
-        relation,
+        comparison,
         value,
     })
 }
--- a/crates/ragwortroad_language/src/statement.rs
+++ b/crates/ragwortroad_language/src/statement.rs
@@ -11,7 +11,7 @@
 };
 
 /// Longest line in bytes.
-pub const LINE_BYTES: usize = 16 * 1024;
+pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
 /// What a line says.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,10 +47,10 @@
 
 /// Reads one line.
 pub fn parse_line(line: &str) -> Result<Statement, LanguageError> {
-    if line.len() > LINE_BYTES {
+    if line.len() > MAX_LINE_BYTES {
         let fault = LanguageFault::LongLine {
             length: line.len(),
-            most: LINE_BYTES,
+            most: MAX_LINE_BYTES,
         };
         return Err(LanguageError::at(line, 0, 0, fault));
     }
@@ -71,7 +71,7 @@
     let mut edits = Vec::new();
     loop {
         edit::parse(cursor, &mut edits)?;
-        if !cursor.skip_sign(";") {
+        if !cursor.skip_symbol(";") {
             break;
         }
         if cursor.is_done() {
@@ -80,7 +80,7 @@
     }
     let base_revision = parse_base(cursor)?;
     match base_revision {
-        None if !cursor.is_done() => return Err(cursor.unknown(&[";", "on"])),
+        None if !cursor.is_done() => return Err(cursor.unknown_word(&[";", "on"])),
         _ => cursor.finish()?,
     }
     Ok(ChangeStatement {
--- a/crates/ragwortroad_language/src/table/cell_value.rs
+++ b/crates/ragwortroad_language/src/table/cell_value.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-use crate::CellRelation;
+use crate::CellComparison;
 
 /// One cell of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -22,14 +22,14 @@
 }
 
 impl CellValue {
-    /// Whether the cell stands in `relation` to the value of a condition.
-    pub(crate) fn stands(&self, relation: CellRelation, value: &str) -> bool {
+    /// Whether the cell stands in `comparison` to the value of a condition.
+    pub(crate) fn matches(&self, comparison: CellComparison, value: &str) -> bool {
         let order = self.compare(value);
-        match relation {
-            CellRelation::Equal => order == Ordering::Equal,
-            CellRelation::Unequal => order != Ordering::Equal,
-            CellRelation::Less => order == Ordering::Less,
-            CellRelation::Greater => order == Ordering::Greater,
+        match comparison {
+            CellComparison::Equal => order == Ordering::Equal,
+            CellComparison::NotEqual => order != Ordering::Equal,
+            CellComparison::Less => order == Ordering::Less,
+            CellComparison::Greater => order == Ordering::Greater,
         }
     }
 
--- a/crates/ragwortroad_language/src/table/result_table.rs
+++ b/crates/ragwortroad_language/src/table/result_table.rs
@@ -47,7 +47,7 @@
             conditions.iter().all(|condition| {
                 let place = columns.iter().position(|column| *column == condition.field);
                 let cell = place.and_then(|place| row.get(place));
-                cell.is_some_and(|cell| cell.stands(condition.relation, &condition.value))
+                cell.is_some_and(|cell| cell.matches(condition.comparison, &condition.value))
             })
         });
         self
--- a/crates/ragwortroad_language/src/table/state_table.rs
+++ b/crates/ragwortroad_language/src/table/state_table.rs
@@ -35,7 +35,7 @@
     Some(table)
 }
 
-fn listed<T: ToString>(items: impl IntoIterator<Item = T>) -> CellValue {
+fn comma_list<T: ToString>(items: impl IntoIterator<Item = T>) -> CellValue {
     let items: Vec<String> = items.into_iter().map(|item| item.to_string()).collect();
     if items.is_empty() {
         CellValue::Empty
@@ -46,7 +46,7 @@
 
 /// The first digits of keys' hashes, enough to tell them apart.
 fn key_list<'a>(keys: impl IntoIterator<Item = &'a KeyHash>) -> CellValue {
-    listed(keys.into_iter().map(|key| key.to_string()[..12].to_owned()))
+    comma_list(keys.into_iter().map(|key| key.to_string()[..12].to_owned()))
 }
 
 fn customers(table: &mut ResultTable, config: &FleetConfig) {
@@ -59,8 +59,8 @@
         table.push([
             name.as_str().into(),
             key_list(&customer.keys),
-            listed(models),
-            listed(&customer.services),
+            comma_list(models),
+            comma_list(&customer.services),
         ]);
     }
 }
@@ -84,8 +84,8 @@
         let shares = model.versions.iter();
         table.push([
             name.as_str().into(),
-            listed(shares.map(|(version, share)| format!("{version}:{share}%"))),
-            listed(&model.adapters),
+            comma_list(shares.map(|(version, share)| format!("{version}:{share}%"))),
+            comma_list(&model.adapters),
             model.replicas.min.into(),
             model.replicas.wanted.into(),
             model.replicas.max.into(),
@@ -115,8 +115,8 @@
     for (name, service) in &config.services {
         table.push([
             name.as_str().into(),
-            listed(&service.idempotent),
-            listed(&service.once),
+            comma_list(&service.idempotent),
+            comma_list(&service.once),
         ]);
     }
 }
--- a/crates/ragwortroad_language/src/word_cursor.rs
+++ b/crates/ragwortroad_language/src/word_cursor.rs
@@ -14,13 +14,13 @@
 };
 
 /// Below this likeness no word is proposed.
-const LEAST_LIKENESS: f64 = 0.6;
+const MIN_SIMILARITY: f64 = 0.6;
 
 /// Reads a line word by word.
 pub(crate) struct WordCursor<'a> {
     line: &'a str,
     words: Vec<LineWord>,
-    place: usize,
+    position: usize,
 }
 
 impl<'a> WordCursor<'a> {
@@ -29,12 +29,12 @@
         Ok(Self {
             line,
             words: split_line(line)?,
-            place: 0,
+            position: 0,
         })
     }
 
     fn peek(&self) -> Option<&LineWord> {
-        self.words.get(self.place)
+        self.words.get(self.position)
     }
 
     /// Whether all words were read.
@@ -43,13 +43,13 @@
     }
 
     /// Whether a statement ends here: at the end of the line, at `;` or before `on revision`.
-    pub(crate) fn at_end(&self) -> bool {
-        self.is_done() || self.is_sign(";") || self.is_keyword("on")
+    pub(crate) fn at_statement_end(&self) -> bool {
+        self.is_done() || self.is_symbol(";") || self.is_keyword("on")
     }
 
-    fn is_sign(&self, sign: &str) -> bool {
+    fn is_symbol(&self, sign: &str) -> bool {
         self.peek()
-            .is_some_and(|word| word.kind == WordKind::Sign && word.text == sign)
+            .is_some_and(|word| word.kind == WordKind::Symbol && word.text == sign)
     }
 
     fn is_keyword(&self, keyword: &str) -> bool {
@@ -59,31 +59,31 @@
     }
 
     /// Reads the sign if it is next.
-    pub(crate) fn skip_sign(&mut self, sign: &str) -> bool {
-        let found = self.is_sign(sign);
-        self.place += usize::from(found);
+    pub(crate) fn skip_symbol(&mut self, sign: &str) -> bool {
+        let found = self.is_symbol(sign);
+        self.position += usize::from(found);
         found
     }
 
     /// Reads the keyword if it is next.
     pub(crate) fn skip_keyword(&mut self, keyword: &str) -> bool {
         let found = self.is_keyword(keyword);
-        self.place += usize::from(found);
+        self.position += usize::from(found);
         found
     }
 
     /// Reads one of `choices`, which may be signs too.
     pub(crate) fn choice<'c>(&mut self, choices: &[&'c str]) -> Result<&'c str, LanguageError> {
         let wanted = format!("one of: {}", choices.join(", "));
-        let word = self.peek().ok_or_else(|| self.early_end(&wanted))?;
+        let word = self.peek().ok_or_else(|| self.unexpected_end(&wanted))?;
         let fits = |choice: &&&str| {
             word.kind != WordKind::Quoted && word.text.eq_ignore_ascii_case(choice)
         };
         if let Some(found) = choices.iter().find(fits) {
-            self.place += 1;
+            self.position += 1;
             return Ok(found);
         }
-        Err(self.unknown(choices))
+        Err(self.unknown_word(choices))
     }
 
     /// Reads the keyword, which must be next.
@@ -96,7 +96,7 @@
         &mut self,
         choices: &[&'c str],
     ) -> Result<Option<&'c str>, LanguageError> {
-        if self.at_end() {
+        if self.at_statement_end() {
             return Ok(None);
         }
         self.choice(choices).map(Some)
@@ -104,13 +104,13 @@
 
     /// Reads a name or other free text; `what` says of what.
     pub(crate) fn text(&mut self, what: &str) -> Result<String, LanguageError> {
-        let word = self.peek().ok_or_else(|| self.early_end(what))?;
-        if word.kind == WordKind::Sign {
+        let word = self.peek().ok_or_else(|| self.unexpected_end(what))?;
+        if word.kind == WordKind::Symbol {
             let example = what.rsplit(' ').next().unwrap_or(what).to_uppercase();
             return Err(self.bad_value(what, &example));
         }
         let text = word.text.clone();
-        self.place += 1;
+        self.position += 1;
         Ok(text)
     }
 
@@ -121,11 +121,11 @@
         example: &str,
         mut parser: impl FnMut(&mut &str) -> ModalResult<T>,
     ) -> Result<T, LanguageError> {
-        let word = self.peek().ok_or_else(|| self.early_end(what))?;
+        let word = self.peek().ok_or_else(|| self.unexpected_end(what))?;
         let text = word.text.clone();
         let value = parser.parse(&text).ok();
         let value = value.ok_or_else(|| self.bad_value(what, example))?;
-        self.place += 1;
+        self.position += 1;
         Ok(value)
     }
 
@@ -142,9 +142,9 @@
     }
 
     /// The error that the next word is none of `choices`.
-    pub(crate) fn unknown(&self, choices: &[&str]) -> LanguageError {
+    pub(crate) fn unknown_word(&self, choices: &[&str]) -> LanguageError {
         let Some(word) = self.peek() else {
-            return self.early_end(&format!("one of: {}", choices.join(", ")));
+            return self.unexpected_end(&format!("one of: {}", choices.join(", ")));
         };
         let fault = LanguageFault::UnknownWord {
             word: word.text.clone(),
@@ -156,7 +156,7 @@
 
     fn bad_value(&self, what: &str, example: &str) -> LanguageError {
         let Some(word) = self.peek() else {
-            return self.early_end(what);
+            return self.unexpected_end(what);
         };
         let fault = LanguageFault::BadValue {
             word: word.text.clone(),
@@ -167,8 +167,8 @@
     }
 
     /// The error that something is missing; it points at the last word there is.
-    pub(crate) fn early_end(&self, wanted: &str) -> LanguageError {
-        let fault = LanguageFault::EarlyEnd {
+    pub(crate) fn unexpected_end(&self, wanted: &str) -> LanguageError {
+        let fault = LanguageFault::UnexpectedEnd {
             wanted: wanted.to_owned(),
         };
         let bytes = self.words.last().map_or(0..0, |word| word.bytes.clone());
@@ -181,6 +181,6 @@
     let word = word.to_lowercase();
     let like = |choice: &&str| (strsim::jaro_winkler(&word, choice) * 1e6) as u64;
     let best = choices.iter().copied().max_by_key(like)?;
-    let likely = strsim::jaro_winkler(&word, best) >= LEAST_LIKENESS;
+    let likely = strsim::jaro_winkler(&word, best) >= MIN_SIMILARITY;
     likely.then(|| best.to_owned())
 }
--- a/crates/ragwortroad_language/src/word_value.rs
+++ b/crates/ragwortroad_language/src/word_value.rs
@@ -46,7 +46,7 @@
 }
 
 /// `90s`, `15m`, `24h` or `7d`, in seconds.
-pub(crate) fn span(input: &mut &str) -> ModalResult<u32> {
+pub(crate) fn duration(input: &mut &str) -> ModalResult<u32> {
     let unit = alt((
         "s".value(1u64),
         "m".value(60),
--- a/crates/ragwortroad_language/tests/lines.rs
+++ b/crates/ragwortroad_language/tests/lines.rs
@@ -159,7 +159,7 @@
     let applied = state
         .apply(2, &StateCommand { stamp, action }.to_bytes())
         .unwrap();
-    let Applied::Changed(outcome) = applied else {
+    let ApplyOutcome::Changed(outcome) = applied else {
         panic!("{applied:?}");
     };
     text.push_str(&outcome_text(&outcome));
--- a/crates/ragwortroad_node/src/control/follow_flow.rs
+++ b/crates/ragwortroad_node/src/control/follow_flow.rs
@@ -27,7 +27,7 @@
 impl ControlState {
     /// Asks whether the configuration here is current, when it is time.
     pub(crate) fn tick_follow(&mut self, now: ClockTime) {
-        let every = follow_timing(&self.settings.state).ask_every();
+        let every = follow_timing(&self.settings.state).renew_interval();
         if now.since(self.follow.asked) >= every {
             self.ask_current(now);
         }
@@ -35,9 +35,9 @@
 
     /// Asks the leader, or every member where the leader is unknown or silent.
     fn ask_current(&mut self, now: ClockTime) {
-        let every = follow_timing(&self.settings.state).ask_every();
+        let every = follow_timing(&self.settings.state).renew_interval();
         self.follow.asked = now;
-        let ask = self.follow.guard.ask(now);
+        let ask = self.follow.guard.start_lease_request(now);
         let revision = match self.follow.wants_whole {
             true => 0,
             false => self.follow.config.revision,
@@ -107,7 +107,7 @@
                 let members = members.into_iter().collect();
                 self.follow
                     .guard
-                    .promised(ask, from, revision, members, lease);
+                    .record_promise(ask, from, revision, members, lease);
             }
             FollowMessage::Elsewhere { leader } => self.take_elsewhere(from, leader),
             FollowMessage::Claims { batch, steps } => self.take_claims(from, batch, steps, now),
@@ -169,7 +169,7 @@
         self.follow.confirmed = now;
         let has_news = update.is_some();
         if let Some(update) = update {
-            if let Err(error) = self.follow.config.follow(update) {
+            if let Err(error) = self.follow.config.apply_update(update) {
                 tracing::warn!(%error, "an update of the configuration was not followed");
                 self.follow.wants_whole = true;
                 return;
@@ -177,8 +177,10 @@
             self.follow.wants_whole = false;
             self.adopt_config(now);
         }
-        self.follow.guard.adopted(self.follow.config.revision);
-        self.follow.guard.confirmed(ask, revision, lease);
+        self.follow
+            .guard
+            .record_adoption(self.follow.config.revision);
+        self.follow.guard.record_grant(ask, revision, lease);
         if has_news {
             // The leader counts a change as in force here only once it has heard so.
             self.ask_current(now);
--- a/crates/ragwortroad_node/src/control/follow_seat.rs
+++ b/crates/ragwortroad_node/src/control/follow_seat.rs
@@ -12,7 +12,7 @@
     /// Whose key is whose, by that configuration.
     pub(crate) keys: KeyIndex,
     /// The leave to admit work with it.
-    pub(crate) guard: CurrencyGuard,
+    pub(crate) guard: StalenessGuard,
     /// Who answered as the leader last.
     pub(crate) leader: Option<NodeId>,
     /// Versions that chats were served by.
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -107,7 +107,7 @@
         let Some(desk) = self.member.as_mut().and_then(|seat| seat.desk.as_mut()) else {
             return;
         };
-        desk.table.forget_over(now);
+        desk.table.prune_expired(now);
         if now.since(desk.ticked) >= CLOCK_EVERY {
             desk.ticked = now;
             self.propose(StateAction::Tick, ProposalKind::Tick, now);
--- a/crates/ragwortroad_node/src/control/line_flow.rs
+++ b/crates/ragwortroad_node/src/control/line_flow.rs
@@ -210,7 +210,7 @@
         let Some(seat) = &self.member else {
             return 0;
         };
-        let first = seat.state.changes().base_of(change_id);
+        let first = seat.state.changes().base_revision_of(change_id);
         first.unwrap_or(seat.state.config().revision)
     }
 
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -261,14 +261,14 @@
             seat.applied.clear();
         }
         match (kind, applied) {
-            (ProposalKind::Claims(batches), Some(Applied::Claimed(outcomes))) => {
+            (ProposalKind::Claims(batches), Some(ApplyOutcome::Claimed(outcomes))) => {
                 self.answer_claims(batches, outcomes, now);
             }
-            (ProposalKind::Change(origin), Some(Applied::Changed(outcome))) => {
+            (ProposalKind::Change(origin), Some(ApplyOutcome::Changed(outcome))) => {
                 self.change_decided(origin, outcome, now);
             }
             (ProposalKind::Change(origin), _) => self.change_lost(origin, result),
-            (ProposalKind::TakeOrders, Some(Applied::OrdersTaken { fence, .. })) => {
+            (ProposalKind::TakeOrders, Some(ApplyOutcome::OrdersTaken { fence, .. })) => {
                 self.orders_taken(fence, now);
             }
             // Nodes send their claim steps again until they are answered.
--- a/crates/ragwortroad_node/src/control/order_flow.rs
+++ b/crates/ragwortroad_node/src/control/order_flow.rs
@@ -124,19 +124,19 @@
                 continue;
             };
             let urgency = urgencies.get(name).copied().unwrap_or(0);
-            table.plan(name, target.clone(), urgency);
-            let sight = EngineSight {
+            table.set_target(name, target.clone(), urgency);
+            let sight = EngineObservation {
                 incarnation: record.incarnation,
                 models: record.models.iter().cloned().collect(),
             };
             table.observe(name, sight);
             if !ordered.contains(name) && history.undrains(name, &record.zone) {
-                table.doubt_drain(name);
+                table.mark_drain_unknown(name);
             }
             there.insert(name.to_owned());
         }
         for name in ordered.difference(&there) {
-            table.forget(name);
+            table.remove_engine(name);
         }
         *ordered = there;
     }
@@ -179,7 +179,7 @@
             gate.may_order(now, lead_until, checks).is_ok()
         };
         let size_of = |model: &str| models.get(model).map_or(0, |entry| entry.size_mb);
-        let orders = table.due(now, may_order, size_of).into_iter();
+        let orders = table.due_orders(now, may_order, size_of).into_iter();
         let task = |order: EngineOrder| {
             let record = record(&order.engine)?;
             Some(OrderTask {
@@ -201,7 +201,7 @@
         if report.end == OrderEnd::Confirmed
             && let Some(table) = table
         {
-            table.answered(report.id);
+            table.acknowledge(report.id);
         }
         let OrderReport { id, engine, end } = report;
         metrics::counter!("ragwortroad_orders_ended_total", "end" => end.word()).increment(1);
@@ -229,11 +229,11 @@
 pub(crate) fn order_settings(keys: &EngineOrderSettings) -> OrderSettings {
     OrderSettings {
         resend_after: keys.resend,
-        load_bound: keys.load_bound,
+        load_timeout: keys.load_bound,
         rate: LoadRate {
             mb_per_s: keys.store_mb_per_s,
             burst_mb: keys.store_burst_mb,
-            at_once: keys.loads_at_once,
+            max_concurrent: keys.loads_at_once,
         },
     }
 }
--- a/crates/ragwortroad_node/src/member/member_seat.rs
+++ b/crates/ragwortroad_node/src/member/member_seat.rs
@@ -40,13 +40,13 @@
     /// The thread that owns the folder.
     pub(crate) disk: DiskWorker,
     /// What came of applied commands that were proposed here, until their results are passed on.
-    pub(crate) applied: BTreeMap<u64, Applied>,
+    pub(crate) applied: BTreeMap<u64, ApplyOutcome>,
     /// Proposals under way, by token.
     pub(crate) proposals: BTreeMap<u64, ProposalKind>,
     /// Nodes of members, as learned from their frames.
     pub(crate) nodes: BTreeMap<MemberId, NodeId>,
     /// Promises to nodes that reach no leader.
-    pub(crate) promises: PromiseBook,
+    pub(crate) promises: PromiseTracker,
     /// Present while this member leads.
     pub(crate) desk: Option<LeaderDesk>,
     /// The state could not be carried on; only a restart with a mended program or folder helps.
@@ -107,7 +107,7 @@
             applied: BTreeMap::new(),
             proposals: BTreeMap::new(),
             nodes: BTreeMap::new(),
-            promises: PromiseBook::new(timing, start.now),
+            promises: PromiseTracker::new(timing, start.now),
             desk: None,
             halted: false,
             next_token: 0,
@@ -258,7 +258,7 @@
     FollowTiming {
         bound: settings.follow_bound,
         drift_ppm: drift_ppm(settings),
-        lead_lease: core_settings(settings).lease_span(),
+        leader_lease: core_settings(settings).lease_span(),
     }
 }
 
@@ -267,7 +267,7 @@
     OrderTiming {
         lease: core_settings(settings).lease_span(),
         drift_ppm: drift_ppm(settings),
-        order_flight: ORDER_FLIGHT,
+        max_delivery_delay: ORDER_FLIGHT,
     }
 }
 
--- a/crates/ragwortroad_node/src/order/tests.rs
+++ b/crates/ragwortroad_node/src/order/tests.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    fn apply(&mut self, action: StateAction) -> Applied {
+    fn apply(&mut self, action: StateAction) -> ApplyOutcome {
         self.index += 1;
         let stamp = CommandStamp::default();
         let bytes = StateCommand { stamp, action }.to_bytes();
@@ -58,7 +58,10 @@
             operator: "ops".to_owned(),
             edits,
         }));
-        let is_accepted = matches!(applied, Applied::Changed(ChangeOutcome::Accepted { .. }));
+        let is_accepted = matches!(
+            applied,
+            ApplyOutcome::Changed(ChangeOutcome::Accepted { .. })
+        );
         assert!(is_accepted, "{applied:?}");
     }
 
--- a/crates/ragwortroad_state/examples/state_cost.rs
+++ b/crates/ragwortroad_state/examples/state_cost.rs
@@ -30,13 +30,16 @@
 /// The spans that follow from the default settings.
 fn print_spans() {
     let (orders, follow) = (OrderTiming::default(), FollowTiming::default());
-    println!("{orders:?}: a new holder waits {:?}", orders.wait());
+    println!(
+        "{orders:?}: a new holder waits {:?}",
+        orders.new_holder_wait()
+    );
     println!(
         "{follow:?}: a node admits for {:?} since it asked, a new leader settles for {:?}, a node \
          asks every {:?}\n",
         follow.node_lease(Duration::ZERO),
-        follow.settle_time(Duration::ZERO),
-        follow.ask_every()
+        follow.new_leader_wait(Duration::ZERO),
+        follow.renew_interval()
     );
 }
 
@@ -210,7 +213,7 @@
         let bytes = bytes_of(&update);
         let mut follower = past[(newest - missed - first) as usize].clone();
         let started = Instant::now();
-        let followed = follower.follow(update);
+        let followed = follower.apply_update(update);
         let took: Duration = started.elapsed();
         assert!(followed.is_ok() && follower == *state.config());
         println!("{missed:>6}  {kind:<8}  {bytes:>6}  {took:?}");
--- a/crates/ragwortroad_state/src/change/change_log.rs
+++ b/crates/ragwortroad_state/src/change/change_log.rs
@@ -18,13 +18,13 @@
 };
 
 /// Accepted changes kept for followers that missed them.
-pub const KEPT_CHANGES: usize = 1024;
+pub const MAX_KEPT_CHANGES: usize = 1024;
 
 /// Outcomes kept for resends; at 1,600 changes a day this is two and a half days.
-pub const KEPT_OUTCOMES: usize = 4096;
+pub const MAX_KEPT_OUTCOMES: usize = 4096;
 
 /// Longest name of a change in bytes.
-const CHANGE_ID_BYTES: usize = 64;
+const MAX_CHANGE_ID_BYTES: usize = 64;
 
 /// The configuration with the history of how it came about.
 ///
@@ -77,7 +77,7 @@
             config_bytes: 0,
             digest: 0,
         };
-        log.take_config(FleetConfig::default());
+        log.set_config(FleetConfig::default());
         log
     }
 }
@@ -100,7 +100,7 @@
     }
 
     /// The revision on which an earlier change of this name was issued, while that is kept.
-    pub fn base_of(&self, change_id: &str) -> Option<u64> {
+    pub fn base_revision_of(&self, change_id: &str) -> Option<u64> {
         let kept = self.outcomes.get(change_id)?;
         Some(kept.base_revision)
     }
@@ -110,7 +110,7 @@
             ChangeOutcome::Conflict { revision, .. } => ChangeOutcome::Conflict {
                 revision,
                 winner: self
-                    .change_to(kept.base_revision + 1)
+                    .change_at(kept.base_revision + 1)
                     .cloned()
                     .map(Box::new),
             },
@@ -120,7 +120,7 @@
 
     /// Decides on a change, or returns what was decided on it before.
     pub(crate) fn apply(&mut self, command: ChangeCommand, now: StateTime) -> ChangeOutcome {
-        if command.change_id.is_empty() || command.change_id.len() > CHANGE_ID_BYTES {
+        if command.change_id.is_empty() || command.change_id.len() > MAX_CHANGE_ID_BYTES {
             return ChangeOutcome::BadId;
         }
         let digest = command.digest();
@@ -139,7 +139,7 @@
             outcome: self.decide(command, now),
         };
         let outcome = self.with_winner(&kept);
-        self.keep_outcome(change_id, kept);
+        self.record_outcome(change_id, kept);
         outcome
     }
 
@@ -174,30 +174,30 @@
             accepted_at: now,
             edits: command.edits,
         }));
-        if self.history.len() > KEPT_CHANGES {
+        if self.history.len() > MAX_KEPT_CHANGES {
             self.history.pop_front();
         }
-        self.take_config(config);
+        self.set_config(config);
         ChangeOutcome::Accepted { revision }
     }
 
-    fn take_config(&mut self, config: FleetConfig) {
-        self.config_bytes = encoded_bytes(&config);
+    fn set_config(&mut self, config: FleetConfig) {
+        self.config_bytes = encoded_len(&config);
         self.digest = config.digest();
         self.config = config;
     }
 
-    fn keep_outcome(&mut self, change_id: String, kept: KeptOutcome) {
+    fn record_outcome(&mut self, change_id: String, kept: KeptOutcome) {
         self.outcomes.insert(change_id.clone(), kept);
         self.order.push_back(change_id);
-        if self.order.len() > KEPT_OUTCOMES
+        if self.order.len() > MAX_KEPT_OUTCOMES
             && let Some(oldest) = self.order.pop_front()
         {
             self.outcomes.remove(&oldest);
         }
     }
 
-    fn change_to(&self, revision: u64) -> Option<&AcceptedChange> {
+    fn change_at(&self, revision: u64) -> Option<&AcceptedChange> {
         let first = self.history.front()?.change.revision;
         let place = usize::try_from(revision.checked_sub(first)?).ok()?;
         self.history.get(place).map(|kept| &kept.change)
@@ -240,18 +240,18 @@
             outcomes: wire.outcomes.into_iter().collect(),
             ..Self::default()
         };
-        log.take_config(wire.config);
+        log.set_config(wire.config);
         log
     }
 }
 
 impl KeptChange {
     fn new(change: AcceptedChange) -> Self {
-        let bytes = encoded_bytes(&change) as u32;
+        let bytes = encoded_len(&change) as u32;
         Self { change, bytes }
     }
 }
 
-fn encoded_bytes<T: Serialize>(value: &T) -> usize {
+fn encoded_len<T: Serialize>(value: &T) -> usize {
     postcard::experimental::serialized_size(value).unwrap_or(usize::MAX)
 }
--- a/crates/ragwortroad_state/src/change/config_update.rs
+++ b/crates/ragwortroad_state/src/change/config_update.rs
@@ -28,13 +28,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum FollowError {
+pub enum UpdateError {
     /// Changes between the follower's revision and the update's first are missing.
     #[snafu(display(
         "the update begins at revision {first} and this node has {revision}; ask for the changes \
          since {revision}"
     ))]
-    Gap {
+    MissingChanges {
         /// The follower's revision.
         revision: u64,
         /// The update's first.
@@ -44,7 +44,7 @@
     #[snafu(display(
         "the update is of revision {offered} and this node has {revision}; ask another member"
     ))]
-    Older {
+    StaleUpdate {
         /// The follower's revision.
         revision: u64,
         /// The update's.
@@ -55,7 +55,7 @@
         "revision {revision} came out differently here than on the members; ask for a snapshot, \
          and run the same program version on all nodes"
     ))]
-    Astray {
+    Diverged {
         /// The revision.
         revision: u64,
     },
@@ -66,12 +66,12 @@
     ///
     /// A follower never goes back to an older revision: an answer that was long on the way, or one
     /// from a member that fell behind, would otherwise bring back what an operator took away.
-    pub fn follow(&mut self, update: ConfigUpdate) -> Result<(), FollowError> {
+    pub fn apply_update(&mut self, update: ConfigUpdate) -> Result<(), UpdateError> {
         match update {
-            ConfigUpdate::Delta { changes, digest } => self.follow_delta(&changes, digest),
+            ConfigUpdate::Delta { changes, digest } => self.apply_delta(&changes, digest),
             ConfigUpdate::Snapshot(config) => {
                 if config.revision < self.revision {
-                    return OlderSnafu {
+                    return StaleUpdateSnafu {
                         revision: self.revision,
                         offered: config.revision,
                     }
@@ -83,7 +83,7 @@
         }
     }
 
-    fn follow_delta(&mut self, changes: &[AcceptedChange], digest: u64) -> Result<(), FollowError> {
+    fn apply_delta(&mut self, changes: &[AcceptedChange], digest: u64) -> Result<(), UpdateError> {
         // Most answers bring nothing new; copying and hashing a large configuration for each would
         // take a share of the processor that grows with the customers.
         if changes.is_empty() {
@@ -96,14 +96,14 @@
                 continue;
             }
             if change.revision > config.revision + 1 {
-                return GapSnafu {
+                return MissingChangesSnafu {
                     revision: self.revision,
                     first: change.revision,
                 }
                 .fail();
             }
-            if !config.follow_edits(&change.edits) {
-                return AstraySnafu {
+            if !config.apply_accepted_edits(&change.edits) {
+                return DivergedSnafu {
                     revision: change.revision,
                 }
                 .fail();
@@ -111,14 +111,14 @@
         }
         let offered = changes.last().map_or(config.revision, |last| last.revision);
         if offered < self.revision {
-            return OlderSnafu {
+            return StaleUpdateSnafu {
                 revision: self.revision,
                 offered,
             }
             .fail();
         }
         if config.digest() != digest {
-            return AstraySnafu {
+            return DivergedSnafu {
                 revision: config.revision,
             }
             .fail();
--- a/crates/ragwortroad_state/src/claim/claim_entry.rs
+++ b/crates/ragwortroad_state/src/claim/claim_entry.rs
@@ -11,7 +11,7 @@
 };
 
 /// Released attempts remembered under one key.
-const KEPT_RELEASES: usize = 8;
+const MAX_KEPT_RELEASES: usize = 8;
 
 /// All that is remembered of one key within the window.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
     }
 
     /// The answer to another claim of the key; `stale` tells that its attempt is lost or too old.
-    pub(crate) fn answer(&self, stale: bool) -> ClaimOutcome {
+    pub(crate) fn claim_outcome(&self, stale: bool) -> ClaimOutcome {
         match &self.phase {
             ClaimPhase::Running if stale => ClaimOutcome::Unknown,
             ClaimPhase::Running => ClaimOutcome::InProgress,
@@ -63,11 +63,11 @@
     }
 
     /// Notes that `attempt` gave up.
-    pub(crate) fn note_release(&mut self, attempt: ClaimAttempt) {
+    pub(crate) fn record_release(&mut self, attempt: ClaimAttempt) {
         if self.released.contains(&attempt) {
             return;
         }
-        if self.released.len() == KEPT_RELEASES {
+        if self.released.len() == MAX_KEPT_RELEASES {
             self.released.remove(0);
         }
         self.released.push(attempt);
--- a/crates/ragwortroad_state/src/claim/claim_key.rs
+++ b/crates/ragwortroad_state/src/claim/claim_key.rs
@@ -29,8 +29,8 @@
         hash.update(key.as_bytes());
         Self {
             customer: customer.to_owned(),
-            digest: half(hash.finalize().into()),
-            issued_ms: issue_time(key),
+            digest: truncate_hash(hash.finalize().into()),
+            issued_ms: uuid_v7_time_ms(key),
         }
     }
 
@@ -48,14 +48,14 @@
 }
 
 /// Half of a SHA-256, which is enough to tell requests apart.
-pub(crate) fn half(hash: [u8; 32]) -> [u8; 16] {
+pub(crate) fn truncate_hash(hash: [u8; 32]) -> [u8; 16] {
     let mut bytes = [0; 16];
     bytes.copy_from_slice(&hash[..16]);
     bytes
 }
 
 /// The time in a UUID of version 7 in its usual spelling.
-fn issue_time(key: &str) -> Option<u64> {
+fn uuid_v7_time_ms(key: &str) -> Option<u64> {
     let bytes = key.as_bytes();
     let dashes = [8, 13, 18, 23];
     let shaped = bytes.len() == 36
--- a/crates/ragwortroad_state/src/claim/claim_step.rs
+++ b/crates/ragwortroad_state/src/claim/claim_step.rs
@@ -85,12 +85,12 @@
     /// The Content-Type header.
     pub content_type: String,
     /// The whole body.
-    #[serde(serialize_with = "as_bytes")]
+    #[serde(serialize_with = "serialize_body")]
     pub body: Vec<u8>,
 }
 
 /// Writes the body in one piece; byte by byte it would make up most of a snapshot's time.
-fn as_bytes<S: Serializer>(body: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
+fn serialize_body<S: Serializer>(body: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(body)
 }
 
--- a/crates/ragwortroad_state/src/claim/claim_table.rs
+++ b/crates/ragwortroad_state/src/claim/claim_table.rs
@@ -29,9 +29,9 @@
 };
 
 /// Customers looked through for expired keys with each batch.
-const SWEPT_CUSTOMERS: usize = 4;
+const SWEEP_CUSTOMERS: usize = 4;
 /// Keys of one customer that expire with one batch at most.
-const SWEPT_KEYS: u32 = 64;
+const MAX_EXPIRED_KEYS: u32 = 64;
 
 /// Which idempotency keys were claimed, by whom, and what came of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -101,9 +101,9 @@
         let names = later
             .map(|(name, _)| name)
             .filter(|name| **name != self.swept);
-        let mut names: Vec<String> = names.take(SWEPT_CUSTOMERS).cloned().collect();
-        if names.len() < SWEPT_CUSTOMERS {
-            let rest = SWEPT_CUSTOMERS - names.len();
+        let mut names: Vec<String> = names.take(SWEEP_CUSTOMERS).cloned().collect();
+        if names.len() < SWEEP_CUSTOMERS {
+            let rest = SWEEP_CUSTOMERS - names.len();
             names.extend(self.customers.keys().take(rest).cloned());
         }
         for name in &names {
@@ -114,7 +114,7 @@
 
     fn expire(&mut self, config: &FleetConfig, customer: &str, now: StateTime) {
         if let Some(claims) = self.customers.get_mut(customer) {
-            claims.expire(now, self.floor_ms, &config.claims, SWEPT_KEYS);
+            claims.expire(now, self.floor_ms, &config.claims, MAX_EXPIRED_KEYS);
         }
     }
 
@@ -127,16 +127,16 @@
         now: StateTime,
     ) -> ClaimOutcome {
         self.expire(config, &key.customer, now);
-        let known = self.remembered(config, &key, body, attempt, now);
-        let outcome = known.unwrap_or_else(|| self.new_key(config, &key));
+        let known = self.recorded_outcome(config, &key, body, attempt, now);
+        let outcome = known.unwrap_or_else(|| self.check_new_key(config, &key));
         if outcome == ClaimOutcome::Granted {
-            self.hold(key, body, attempt, now);
+            self.record_claim(key, body, attempt, now);
         }
         outcome
     }
 
     /// The answer for a key that is remembered in full.
-    fn remembered(
+    fn recorded_outcome(
         &self,
         config: &FleetConfig,
         key: &ClaimKey,
@@ -158,7 +158,7 @@
             // The same step again: its first answer was lost on the way.
             ClaimOutcome::Granted
         } else {
-            entry.answer(stale)
+            entry.claim_outcome(stale)
         })
     }
 
@@ -170,19 +170,19 @@
     }
 
     /// Whether a key that is not remembered in full may run.
-    fn new_key(&mut self, config: &FleetConfig, key: &ClaimKey) -> ClaimOutcome {
+    fn check_new_key(&mut self, config: &FleetConfig, key: &ClaimKey) -> ClaimOutcome {
         let rules = &config.claims;
         let Some(customer) = config.customers.get(&key.customer) else {
             return ClaimOutcome::UnknownCustomer;
         };
         let claims = self.customers.entry(key.customer.clone()).or_default();
-        claims.forget_to(customer.forgotten);
+        claims.clear_spent(customer.forgotten);
         let latest = self.wall_ms.saturating_add(u64::from(rules.skew_s) * 1000);
         match key.issued_ms {
             Some(issued) if issued < self.floor_ms => return ClaimOutcome::Expired,
             Some(issued) if issued > latest => return ClaimOutcome::Ahead,
             None if claims.is_spent(key.fingerprint()) => return ClaimOutcome::Expired,
-            None if !claims.has_room_undated(rules) => return ClaimOutcome::Full,
+            None if !claims.has_room_for_undated(rules) => return ClaimOutcome::Full,
             _ => {}
         }
         if claims.entries.len() >= rules.per_customer as usize {
@@ -192,7 +192,13 @@
     }
 
     /// Notes that `attempt` holds the key. A step that came twice leaves the first time standing.
-    fn hold(&mut self, key: ClaimKey, body: [u8; 16], attempt: ClaimAttempt, now: StateTime) {
+    fn record_claim(
+        &mut self,
+        key: ClaimKey,
+        body: [u8; 16],
+        attempt: ClaimAttempt,
+        now: StateTime,
+    ) {
         let claims = self.customers.entry(key.customer).or_default();
         let old = claims.entries.get(&key.digest);
         if old.is_some_and(|entry| entry.attempt == attempt) {
@@ -207,7 +213,7 @@
             phase: ClaimPhase::Running,
             released,
         };
-        claims.put(key.digest, entry);
+        claims.insert_entry(key.digest, entry);
     }
 
     fn finish(
@@ -249,7 +255,7 @@
             entry.phase = phase;
         }
         if let Some(bytes) = answer_bytes {
-            claims.note_answer(key.digest, bytes, rules);
+            claims.record_answer(key.digest, bytes, rules);
         }
         ClaimOutcome::Noted
     }
@@ -269,7 +275,7 @@
         }
         // The release came before its claim. It is remembered, so that the claim is refused when
         // it arrives; otherwise it would hold the key for an attempt that is over.
-        if self.new_key(config, &key) != ClaimOutcome::Granted {
+        if self.check_new_key(config, &key) != ClaimOutcome::Granted {
             return ClaimOutcome::Noted;
         }
         let claims = self.customers.entry(key.customer).or_default();
@@ -281,7 +287,7 @@
             phase: ClaimPhase::Released,
             released: vec![attempt],
         };
-        claims.put(key.digest, entry);
+        claims.insert_entry(key.digest, entry);
         ClaimOutcome::Noted
     }
 }
@@ -294,6 +300,6 @@
             _ => return ClaimOutcome::NotHeld,
         }
     }
-    entry.note_release(attempt);
+    entry.record_release(attempt);
     ClaimOutcome::Noted
 }
--- a/crates/ragwortroad_state/src/claim/customer_claims.rs
+++ b/crates/ragwortroad_state/src/claim/customer_claims.rs
@@ -52,12 +52,12 @@
     /// Whether one more undated key can be remembered for good.
     ///
     /// Keys within the window are counted too, since each needs a place later.
-    pub(crate) fn has_room_undated(&self, rules: &ClaimRules) -> bool {
+    pub(crate) fn has_room_for_undated(&self, rules: &ClaimRules) -> bool {
         self.spent.len() + (self.undated as usize) < rules.spent_per_customer as usize
     }
 
     /// Drops what the operator declared will not come again.
-    pub(crate) fn forget_to(&mut self, forgotten: u64) {
+    pub(crate) fn clear_spent(&mut self, forgotten: u64) {
         if self.forgotten < forgotten {
             self.forgotten = forgotten;
             self.spent.clear();
@@ -65,7 +65,7 @@
     }
 
     /// Remembers a key, or replaces what was remembered of it.
-    pub(crate) fn put(&mut self, digest: [u8; 16], entry: ClaimEntry) {
+    pub(crate) fn insert_entry(&mut self, digest: [u8; 16], entry: ClaimEntry) {
         self.queue.push_back((entry.claimed_at, digest));
         let undated = entry.issued_ms.is_none();
         if self.entries.insert(digest, entry).is_none() && undated {
@@ -75,18 +75,18 @@
 
     /// Notes that a recorded answer was added, and cuts the oldest ones down to their status where
     /// all together are over the budget.
-    pub(crate) fn note_answer(&mut self, digest: [u8; 16], bytes: usize, rules: &ClaimRules) {
+    pub(crate) fn record_answer(&mut self, digest: [u8; 16], bytes: usize, rules: &ClaimRules) {
         self.answers.push_back(digest);
         self.answer_bytes += bytes;
         while self.answer_bytes > rules.answer_budget as usize {
             let Some(oldest) = self.answers.pop_front() else {
                 break;
             };
-            self.cut_answer(&oldest);
+            self.discard_answer(&oldest);
         }
     }
 
-    fn cut_answer(&mut self, digest: &[u8; 16]) {
+    fn discard_answer(&mut self, digest: &[u8; 16]) {
         let entry = self.entries.get_mut(digest);
         if let Some(entry) = entry
             && let ClaimPhase::Answered(answer) = &entry.phase
@@ -120,7 +120,7 @@
     }
 
     /// Drops queued keys whose answer is gone.
-    fn trim_answers(&mut self) {
+    fn prune_answers(&mut self) {
         while let Some(digest) = self.answers.front() {
             let entry = self.entries.get(digest);
             if entry.is_some_and(|entry| matches!(entry.phase, ClaimPhase::Answered(_))) {
@@ -131,8 +131,8 @@
     }
 
     fn drop_entry(&mut self, digest: &[u8; 16]) {
-        self.cut_answer(digest);
-        self.trim_answers();
+        self.discard_answer(digest);
+        self.prune_answers();
         let Some(entry) = self.entries.remove(digest) else {
             return;
         };
--- a/crates/ragwortroad_state/src/config/change_config.rs
+++ b/crates/ragwortroad_state/src/config/change_config.rs
@@ -11,7 +11,7 @@
 };
 
 /// Edits one change may have.
-const MOST_EDITS: usize = 256;
+const MAX_EDITS: usize = 256;
 
 impl FleetConfig {
     /// Checks the configuration as a whole and names every fault.
@@ -29,7 +29,7 @@
     /// Either all edits take effect or none: they work on a copy.
     pub fn with_edits(&self, edits: &[ConfigEdit]) -> Result<Self, Vec<ConfigFault>> {
         let mut config = self.clone();
-        let mut faults = self.faults_of_shape(edits);
+        let mut faults = self.edit_list_faults(edits);
         for edit in edits {
             faults.extend(apply_edit::apply(&mut config, edit).err());
         }
@@ -49,7 +49,7 @@
     ///
     /// The members checked the change as a whole when they accepted it; a follower that checked
     /// every change it missed would stand still for a second after a long absence.
-    pub(crate) fn follow_edits(&mut self, edits: &[ConfigEdit]) -> bool {
+    pub(crate) fn apply_accepted_edits(&mut self, edits: &[ConfigEdit]) -> bool {
         let applied = edits
             .iter()
             .all(|edit| apply_edit::apply(self, edit).is_ok());
@@ -58,17 +58,20 @@
     }
 
     /// Faults of the list of edits itself.
-    fn faults_of_shape(&self, edits: &[ConfigEdit]) -> Vec<ConfigFault> {
+    fn edit_list_faults(&self, edits: &[ConfigEdit]) -> Vec<ConfigFault> {
         let mut faults = Vec::new();
-        if edits.is_empty() || edits.len() > MOST_EDITS {
+        if edits.is_empty() || edits.len() > MAX_EDITS {
             faults.push(ConfigFault::BadCount {
                 count: edits.len() as u64,
-                most: MOST_EDITS as u64,
+                most: MAX_EDITS as u64,
             });
         }
         // Two members exchanged at once can leave two quorums without a common member, each of
         // which accepts changes that the other does not know.
-        let of_members = edits.iter().filter(|edit| edit.is_of_members()).count();
+        let of_members = edits
+            .iter()
+            .filter(|edit| edit.changes_membership())
+            .count();
         if of_members > 1 && !self.members.is_empty() {
             faults.push(ConfigFault::ManyMembers);
         }
--- a/crates/ragwortroad_state/src/config/config_edit.rs
+++ b/crates/ragwortroad_state/src/config/config_edit.rs
@@ -211,7 +211,7 @@
 
 impl ConfigEdit {
     /// Whether it adds or removes a member.
-    pub fn is_of_members(&self) -> bool {
+    pub fn changes_membership(&self) -> bool {
         matches!(self, Self::AddMember { .. } | Self::RemoveMember { .. })
     }
 }
--- a/crates/ragwortroad_state/src/config/model_entry.rs
+++ b/crates/ragwortroad_state/src/config/model_entry.rs
@@ -9,7 +9,7 @@
 };
 
 /// The sum of a model's version shares.
-pub(crate) const FULL_SHARE: u32 = 100;
+pub(crate) const FULL_SHARE_PERCENT: u32 = 100;
 
 /// A model with its versions, adapters and replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     /// A model of one version that gets all chats.
     pub fn new(version: &str, replicas: ReplicaRange, size_mb: u32) -> Self {
         Self {
-            versions: BTreeMap::from([(version.to_owned(), FULL_SHARE)]),
+            versions: BTreeMap::from([(version.to_owned(), FULL_SHARE_PERCENT)]),
             replicas,
             size_mb,
             ..Self::default()
@@ -88,11 +88,11 @@
 
 /// `percent` for `version` and the rest shared out as in `stable`; rounding goes to the largest.
 fn blend(stable: &BTreeMap<String, u32>, version: &str, percent: u32) -> BTreeMap<String, u32> {
-    let percent = percent.min(FULL_SHARE);
-    let rest = FULL_SHARE - percent;
+    let percent = percent.min(FULL_SHARE_PERCENT);
+    let rest = FULL_SHARE_PERCENT - percent;
     let mut shares: BTreeMap<String, u32> = stable
         .iter()
-        .map(|(name, share)| (name.clone(), share * rest / FULL_SHARE))
+        .map(|(name, share)| (name.clone(), share * rest / FULL_SHARE_PERCENT))
         .collect();
     let given: u32 = shares.values().sum();
     let largest = stable.iter().max_by_key(|(name, share)| (**share, *name));
--- a/crates/ragwortroad_state/src/config/validate.rs
+++ b/crates/ragwortroad_state/src/config/validate.rs
@@ -16,15 +16,15 @@
     QuorumLoss,
     config::{
         edit_items::missing,
-        model_entry::FULL_SHARE, //
+        model_entry::FULL_SHARE_PERCENT, //
     }, //
 };
 
-const NAME_BYTES: usize = 64;
-const MOST_ENDPOINT_BYTES: usize = 128;
-const PATTERN_BYTES: usize = 256;
+const MAX_NAME_BYTES: usize = 64;
+const MAX_ENDPOINT_NAME_BYTES: usize = 128;
+const MAX_PATTERN_BYTES: usize = 256;
 /// A day: beyond it "in force everywhere" would mean nothing.
-const MOST_GRACE_S: u64 = 24 * 3600;
+const MAX_GRACE_S: u64 = 24 * 3600;
 
 /// Every fault of `config`.
 pub(crate) fn faults(config: &FleetConfig) -> Vec<ConfigFault> {
@@ -76,7 +76,7 @@
 fn is_name(name: &str) -> bool {
     let usable = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
     let first = name.bytes().next();
-    name.len() <= NAME_BYTES
+    name.len() <= MAX_NAME_BYTES
         && first.is_some_and(|byte| byte.is_ascii_alphanumeric())
         && name.bytes().all(usable)
 }
@@ -84,7 +84,7 @@
 /// Endpoints choose their names; any that the operators' language can write may be drained.
 fn is_endpoint_name(name: &str) -> bool {
     let usable = |byte: u8| byte == b' ' || (byte.is_ascii_graphic() && byte != b'"');
-    (1..=MOST_ENDPOINT_BYTES).contains(&name.len()) && name.bytes().all(usable)
+    (1..=MAX_ENDPOINT_NAME_BYTES).contains(&name.len()) && name.bytes().all(usable)
 }
 
 /// Two owners of one key could act for each other, and one would see the other's answers.
@@ -127,7 +127,7 @@
             "the seconds to go on without a quorum",
             grace,
             0,
-            MOST_GRACE_S,
+            MAX_GRACE_S,
         ),
         (
             "the claim window in seconds",
@@ -219,7 +219,7 @@
 
 fn check_model(name: &str, model: &ModelEntry, faults: &mut Vec<ConfigFault>) {
     let sum: u32 = model.versions.values().sum();
-    if sum != FULL_SHARE {
+    if sum != FULL_SHARE_PERCENT {
         faults.push(ConfigFault::BadShares {
             model: name.to_owned(),
             sum,
@@ -242,7 +242,7 @@
     let capitals = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
     let path = pattern.path.as_bytes();
     let printable = path.iter().all(u8::is_ascii_graphic);
-    let fits = path.starts_with(b"/") && path.len() <= PATTERN_BYTES && method.len() <= 16;
+    let fits = path.starts_with(b"/") && path.len() <= MAX_PATTERN_BYTES && method.len() <= 16;
     let last_only = pattern
         .path
         .split('/')
--- a/crates/ragwortroad_state/src/fleet_state.rs
+++ b/crates/ragwortroad_state/src/fleet_state.rs
@@ -47,7 +47,7 @@
 
 /// What a command did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// The clock moved on.
     Ticked,
     /// A change was decided on.
@@ -92,7 +92,7 @@
 
 impl FleetState {
     /// Applies the entry at `index` of the log.
-    pub fn apply(&mut self, index: u64, bytes: &[u8]) -> Result<Applied, ApplyError> {
+    pub fn apply(&mut self, index: u64, bytes: &[u8]) -> Result<ApplyOutcome, ApplyError> {
         let applied = self.applied;
         ensure!(index > applied, OutOfOrderSnafu { index, applied });
         let command = StateCommand::from_bytes(bytes).context(BadCommandSnafu { index })?;
@@ -100,7 +100,7 @@
         Ok(self.apply_command(command))
     }
 
-    fn apply_command(&mut self, command: StateCommand) -> Applied {
+    fn apply_command(&mut self, command: StateCommand) -> ApplyOutcome {
         let StateCommand { stamp, action } = command;
         // A stamp behind the state's clock comes from an entry that a former leader proposed; the
         // clock stands still rather than go back, since expired keys would be remembered again.
@@ -110,26 +110,26 @@
                 let config = self.changes.config();
                 self.claims
                     .apply(config, Vec::new(), self.now, stamp.wall_ms);
-                Applied::Ticked
+                ApplyOutcome::Ticked
             }
             StateAction::Change(change) => {
                 let before = self.changes.config().quorum_loss.grace();
                 let outcome = self.changes.apply(change, self.now);
                 let after = self.changes.config().quorum_loss.grace();
-                self.grace.note(before, after, self.now);
-                Applied::Changed(outcome)
+                self.grace.record_change(before, after, self.now);
+                ApplyOutcome::Changed(outcome)
             }
             StateAction::Claims(steps) => {
                 let config = self.changes.config();
                 let outcomes = self.claims.apply(config, steps, self.now, stamp.wall_ms);
-                Applied::Claimed(outcomes)
+                ApplyOutcome::Claimed(outcomes)
             }
             StateAction::TakeOrders { holder } => {
                 let fence = self.lease.grant(holder, self.now);
-                Applied::OrdersTaken { holder, fence }
+                ApplyOutcome::OrdersTaken { holder, fence }
             }
             StateAction::Plan { fence, targets } => {
-                Applied::Planned(self.plan.set(&self.lease, fence, targets))
+                ApplyOutcome::Planned(self.plan.set(&self.lease, fence, targets))
             }
         }
     }
@@ -177,7 +177,7 @@
     /// The longest grace of the quorum-loss policy that an admission lease may still run with.
     pub fn longest_grace(&self) -> Duration {
         let declared = self.config().quorum_loss.grace();
-        declared.max(self.grace.remembered(self.now))
+        declared.max(self.grace.longest_former(self.now))
     }
 
     /// The whole state as bytes.
--- a/crates/ragwortroad_state/src/grace_record.rs
+++ b/crates/ragwortroad_state/src/grace_record.rs
@@ -8,7 +8,7 @@
 use crate::StateTime;
 
 /// Beyond twice the grace itself: more than any follow bound and leader lease.
-const MARGIN: Duration = Duration::from_secs(60);
+const GRACE_MARGIN: Duration = Duration::from_secs(60);
 
 /// A grace of the quorum-loss policy that was declared before the present one.
 ///
@@ -24,16 +24,16 @@
 
 impl GraceRecord {
     /// Notes that the grace went from `before` to `after` at `now`.
-    pub(crate) fn note(&mut self, before: Duration, after: Duration, now: StateTime) {
+    pub(crate) fn record_change(&mut self, before: Duration, after: Duration, now: StateTime) {
         if after >= before {
             return;
         }
-        self.grace = before.max(self.remembered(now));
-        self.until = self.until.max(now.after(self.grace * 2 + MARGIN));
+        self.grace = before.max(self.longest_former(now));
+        self.until = self.until.max(now.after(self.grace * 2 + GRACE_MARGIN));
     }
 
     /// The longest grace that a lease may still run with beside the declared one.
-    pub(crate) fn remembered(&self, now: StateTime) -> Duration {
+    pub(crate) fn longest_former(&self, now: StateTime) -> Duration {
         if now < self.until {
             self.grace
         } else {
--- a/crates/ragwortroad_state/src/lib.rs
+++ b/crates/ragwortroad_state/src/lib.rs
@@ -23,7 +23,7 @@
 //! };
 //! let bytes = command.to_bytes();
 //! let applied = state.apply(1, &bytes).unwrap();
-//! assert_eq!(applied, Applied::Changed(ChangeOutcome::Accepted { revision: 1 }));
+//! assert_eq!(applied, ApplyOutcome::Changed(ChangeOutcome::Accepted { revision: 1 }));
 //! // A resend gets the first outcome.
 //! assert_eq!(state.apply(2, &bytes).unwrap(), applied);
 //! assert_eq!(state.config().revision, 1);
@@ -33,9 +33,9 @@
 mod claim;
 mod config;
 mod fleet_state;
-mod force;
 mod grace_record;
 mod order;
+mod propagation;
 mod snapshot_wire;
 mod stamp_clock;
 mod state_command;
@@ -49,13 +49,13 @@
             change_command::ChangeCommand,
             change_log::{
                 ChangeLog,
-                KEPT_CHANGES,
-                KEPT_OUTCOMES, //
+                MAX_KEPT_CHANGES,
+                MAX_KEPT_OUTCOMES, //
             },
             change_outcome::ChangeOutcome,
             config_update::{
                 ConfigUpdate,
-                FollowError, //
+                UpdateError, //
             }, //
         },
         claim::{
@@ -100,30 +100,17 @@
             service_entry::ServiceEntry, //
         },
         fleet_state::{
-            Applied,
             ApplyError,
+            ApplyOutcome,
             FleetState, //
         },
-        force::{
-            admission_table::{
-                AdmissionTable,
-                NodeRun, //
-            },
-            currency_guard::{
-                CurrencyGuard,
-                NotCurrent, //
-            },
-            follow_timing::FollowTiming,
-            in_force_wait::InForceWait,
-            promise_book::PromiseBook, //
-        },
         order::{
+            engine_observation::EngineObservation,
             engine_order::{
                 EngineOrder,
                 OrderAction,
                 OrderId, //
             },
-            engine_sight::EngineSight,
             engine_target::{
                 EngineRole,
                 EngineTarget, //
@@ -146,6 +133,19 @@
             order_table::OrderTable,
             order_timing::OrderTiming, //
         },
+        propagation::{
+            admission_table::{
+                AdmissionTable,
+                NodeRun, //
+            },
+            follow_timing::FollowTiming,
+            in_force_wait::InForceWait,
+            promise_tracker::PromiseTracker, //
+            staleness_guard::{
+                NotCurrent, //
+                StalenessGuard,
+            },
+        },
         snapshot_wire::{
             SNAPSHOT_VERSION,
             SnapshotError, //
--- a/crates/ragwortroad_state/src/order/engine_sight.rs
+++ b/crates/ragwortroad_state/src/order/engine_observation.rs
@@ -4,7 +4,7 @@
 
 /// What an engine was last seen to be.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EngineSight {
+pub struct EngineObservation {
     /// Counts up with its restarts.
     pub incarnation: u64,
     /// Models it holds.
--- a/crates/ragwortroad_state/src/order/load_queue.rs
+++ b/crates/ragwortroad_state/src/order/load_queue.rs
@@ -15,7 +15,7 @@
     /// Megabytes that may be asked for at once after a pause.
     pub burst_mb: u32,
     /// Loads running at once.
-    pub at_once: usize,
+    pub max_concurrent: usize,
 }
 
 impl Default for LoadRate {
@@ -23,7 +23,7 @@
         Self {
             mb_per_s: 500,
             burst_mb: 20_000,
-            at_once: 4,
+            max_concurrent: 4,
         }
     }
 }
@@ -35,17 +35,17 @@
 #[derive(Clone, Debug)]
 pub struct LoadQueue {
     rate: LoadRate,
-    waiting: BTreeMap<OrderKey, LoadNeed>,
+    waiting: BTreeMap<OrderKey, WaitingLoad>,
     running: BTreeSet<OrderKey>,
     /// What may be asked for now, in thousandths of a megabyte; below zero after a load larger
     /// than the burst.
-    level: i64,
-    filled_at: ClockTime,
+    available: i64,
+    refilled_at: ClockTime,
     arrivals: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct LoadNeed {
+struct WaitingLoad {
     urgency: u32,
     size_mb: u32,
     /// Among equally needed ones the first come goes first.
@@ -59,20 +59,20 @@
             rate,
             waiting: BTreeMap::new(),
             running: BTreeSet::new(),
-            level: i64::from(rate.burst_mb) * 1000,
-            filled_at: now,
+            available: i64::from(rate.burst_mb) * 1000,
+            refilled_at: now,
             arrivals: 0,
         }
     }
 
     /// Wants a load; again with another urgency where it changed. A running one stays.
-    pub fn want(&mut self, key: OrderKey, size_mb: u32, urgency: u32) {
+    pub fn enqueue(&mut self, key: OrderKey, size_mb: u32, urgency: u32) {
         if self.running.contains(&key) {
             return;
         }
         self.arrivals += 1;
         let arrival = self.arrivals;
-        let need = self.waiting.entry(key).or_insert(LoadNeed {
+        let need = self.waiting.entry(key).or_insert(WaitingLoad {
             urgency,
             size_mb,
             arrival,
@@ -81,13 +81,13 @@
     }
 
     /// Wants it no longer, or it is over.
-    pub fn drop_load(&mut self, key: &OrderKey) {
+    pub fn remove(&mut self, key: &OrderKey) {
         self.waiting.remove(key);
         self.running.remove(key);
     }
 
     /// Drops every waiting load for which `keep` is false.
-    pub fn keep_waiting(&mut self, mut keep: impl FnMut(&OrderKey) -> bool) {
+    pub fn retain_waiting(&mut self, mut keep: impl FnMut(&OrderKey) -> bool) {
         self.waiting.retain(|key, _| keep(key));
     }
 
@@ -110,29 +110,29 @@
         now: ClockTime,
         mut may_start: impl FnMut(&OrderKey) -> bool,
     ) -> Option<OrderKey> {
-        self.fill(now);
-        if self.running.len() >= self.rate.at_once {
+        self.refill(now);
+        if self.running.len() >= self.rate.max_concurrent {
             return None;
         }
         let allowed = self.waiting.iter().filter(|(key, _)| may_start(key));
-        let order = |need: &LoadNeed| (need.urgency, std::cmp::Reverse(need.arrival));
+        let order = |need: &WaitingLoad| (need.urgency, std::cmp::Reverse(need.arrival));
         let (key, need) = allowed.max_by_key(|(_, need)| order(need))?;
         let size = i64::from(need.size_mb) * 1000;
-        if self.level < size.min(self.burst()) {
+        if self.available < size.min(self.burst()) {
             return None;
         }
         let key = key.clone();
-        self.level -= size;
+        self.available -= size;
         self.waiting.remove(&key);
         self.running.insert(key.clone());
         Some(key)
     }
 
-    fn fill(&mut self, now: ClockTime) {
-        let span = now.since(self.filled_at).as_millis() as i64;
-        self.filled_at = self.filled_at.max(now);
+    fn refill(&mut self, now: ClockTime) {
+        let span = now.since(self.refilled_at).as_millis() as i64;
+        self.refilled_at = self.refilled_at.max(now);
         let filled = span.saturating_mul(i64::from(self.rate.mb_per_s));
-        self.level = self.level.saturating_add(filled).min(self.burst());
+        self.available = self.available.saturating_add(filled).min(self.burst());
     }
 
     fn burst(&self) -> i64 {
--- a/crates/ragwortroad_state/src/order/mod.rs
+++ b/crates/ragwortroad_state/src/order/mod.rs
@@ -1,11 +1,11 @@
 //! Orders to engines: who may give them, when, and which are still wanted.
 
+pub(crate) mod engine_observation;
 pub(crate) mod engine_order;
-pub(crate) mod engine_sight;
-pub(crate) mod engine_state;
 pub(crate) mod engine_target;
 pub(crate) mod lease_table;
 pub(crate) mod load_queue;
+pub(crate) mod managed_engine;
 pub(crate) mod order_gate;
 pub(crate) mod order_key;
 pub(crate) mod order_plan;
--- a/crates/ragwortroad_state/src/order/order_gate.rs
+++ b/crates/ragwortroad_state/src/order/order_gate.rs
@@ -72,7 +72,7 @@
         if now >= lead_until {
             return Err(GateRefusal::LeaseOver);
         }
-        let opens_at = self.applied_at.after(self.timing.wait());
+        let opens_at = self.applied_at.after(self.timing.new_holder_wait());
         if !checks_fencing && now < opens_at {
             return Err(GateRefusal::FormerHolder {
                 wait: opens_at.since(now),
--- a/crates/ragwortroad_state/src/order/order_table.rs
+++ b/crates/ragwortroad_state/src/order/order_table.rs
@@ -6,15 +6,15 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
+    EngineObservation,
     EngineOrder,
-    EngineSight,
     EngineTarget,
     LoadQueue,
     OrderAction,
     OrderId,
     OrderKey,
     OrderSettings,
-    order::engine_state::EngineState, //
+    order::managed_engine::ManagedEngine, //
 };
 
 /// The holder's orders under way: brings what is seen to what is planned.
@@ -27,7 +27,7 @@
     settings: OrderSettings,
     fence: FenceNumber,
     next_number: u64,
-    engines: BTreeMap<String, EngineState>,
+    engines: BTreeMap<String, ManagedEngine>,
     pending: BTreeMap<OrderId, PendingOrder>,
     queue: LoadQueue,
 }
@@ -53,33 +53,33 @@
     }
 
     /// What an engine shall be, and how urgently it is needed.
-    pub fn plan(&mut self, engine: &str, target: EngineTarget, urgency: u32) {
+    pub fn set_target(&mut self, engine: &str, target: EngineTarget, urgency: u32) {
         let state = self.engines.entry(engine.to_owned()).or_default();
         state.target = target;
         state.urgency = urgency;
     }
 
     /// What an engine was seen to be.
-    pub fn observe(&mut self, engine: &str, sight: EngineSight) {
+    pub fn observe(&mut self, engine: &str, sight: EngineObservation) {
         let state = self.engines.entry(engine.to_owned()).or_default();
-        state.see(sight);
+        state.observe(sight);
     }
 
     /// A former holder may have drained this engine, which no announcement tells: it is ordered
     /// anew, once. Without this an engine whose drain was taken back while the lead changed would
     /// take nothing new for ever.
-    pub fn doubt_drain(&mut self, engine: &str) {
+    pub fn mark_drain_unknown(&mut self, engine: &str) {
         let state = self.engines.entry(engine.to_owned()).or_default();
-        state.drain_doubted = true;
+        state.drain_unknown = true;
     }
 
     /// The engine is gone.
-    pub fn forget(&mut self, engine: &str) {
+    pub fn remove_engine(&mut self, engine: &str) {
         self.engines.remove(engine);
     }
 
     /// The engine answered that it carries the order out. False where the order is not under way.
-    pub fn answered(&mut self, id: OrderId) -> bool {
+    pub fn acknowledge(&mut self, id: OrderId) -> bool {
         let Some(pending) = self.pending.get(&id) else {
             return false;
         };
@@ -90,7 +90,7 @@
             OrderAction::SetRole { role } => state.role = role,
             OrderAction::SetDrain { drain } => {
                 state.drain = drain;
-                state.drain_doubted = false;
+                state.drain_unknown = false;
             }
             OrderAction::Load { .. } | OrderAction::Unload { .. } => {}
         }
@@ -101,15 +101,15 @@
     ///
     /// `may_order` says for an engine whether the [`OrderGate`](crate::OrderGate) is open, and
     /// `size_of` gives a model's megabytes.
-    pub fn due(
+    pub fn due_orders(
         &mut self,
         now: ClockTime,
         mut may_order: impl FnMut(&str) -> bool,
         size_of: impl Fn(&str) -> u32,
     ) -> Vec<EngineOrder> {
-        let wanted = self.wanted();
-        self.drop_unwanted(&wanted, now);
-        let under_way = self.under_way();
+        let wanted = self.required_orders();
+        self.prune_pending(&wanted, now);
+        let under_way = self.pending_keys();
         let mut starts = Vec::new();
         for key in wanted {
             if under_way.contains(&key) {
@@ -122,7 +122,7 @@
                         .get(&key.engine)
                         .map_or(0, |state| state.urgency);
                     let size = size_of(model);
-                    self.queue.want(key, size, urgency);
+                    self.queue.enqueue(key, size, urgency);
                 }
                 _ if may_order(&key.engine) => starts.push(key),
                 _ => {}
@@ -132,8 +132,10 @@
         while let Some(key) = self.queue.start_next(now, |key| may_order(&key.engine)) {
             starts.push(key);
         }
-        let mut orders: Vec<EngineOrder> =
-            starts.into_iter().map(|key| self.start(key, now)).collect();
+        let mut orders: Vec<EngineOrder> = starts
+            .into_iter()
+            .map(|key| self.start_order(key, now))
+            .collect();
         orders.extend(resent);
         orders
     }
@@ -148,7 +150,7 @@
         self.queue.waiting()
     }
 
-    fn start(&mut self, key: OrderKey, now: ClockTime) -> EngineOrder {
+    fn start_order(&mut self, key: OrderKey, now: ClockTime) -> EngineOrder {
         self.next_number += 1;
         let id = OrderId {
             fence: self.fence,
@@ -166,16 +168,16 @@
     }
 
     /// What the orders under way are about.
-    fn under_way(&self) -> BTreeSet<OrderKey> {
+    fn pending_keys(&self) -> BTreeSet<OrderKey> {
         let orders = self.pending.values().map(|pending| &pending.order);
         orders.map(OrderKey::from).collect()
     }
 
     /// Everything in which an engine differs from its target.
-    fn wanted(&self) -> BTreeSet<OrderKey> {
+    fn required_orders(&self) -> BTreeSet<OrderKey> {
         let mut wanted = BTreeSet::new();
         for (name, state) in &self.engines {
-            let actions = state.differences().into_iter();
+            let actions = state.required_actions().into_iter();
             let engine = || name.clone();
             wanted.extend(actions.map(|action| OrderKey {
                 engine: engine(),
@@ -186,8 +188,8 @@
     }
 
     /// Forgets orders whose effect is seen or no longer wanted, and loads that take too long.
-    fn drop_unwanted(&mut self, wanted: &BTreeSet<OrderKey>, now: ClockTime) {
-        let load_bound = self.settings.load_bound;
+    fn prune_pending(&mut self, wanted: &BTreeSet<OrderKey>, now: ClockTime) {
+        let load_bound = self.settings.load_timeout;
         let queue = &mut self.queue;
         self.pending.retain(|_, pending| {
             let key = OrderKey::from(&pending.order);
@@ -195,11 +197,11 @@
             let late = is_load && now.since(pending.first_sent) > load_bound;
             let keep = wanted.contains(&key) && !late;
             if !keep {
-                queue.drop_load(&key);
+                queue.remove(&key);
             }
             keep
         });
-        self.queue.keep_waiting(|key| wanted.contains(key));
+        self.queue.retain_waiting(|key| wanted.contains(key));
     }
 
     fn resend(
--- a/crates/ragwortroad_state/src/order/order_timing.rs
+++ b/crates/ragwortroad_state/src/order/order_timing.rs
@@ -20,7 +20,7 @@
     pub drift_ppm: u32,
     /// Longest time from the check of the lease to the order's effect: what the sender may take
     /// between check and write, the connection's timeout, and the endpoint's own queue.
-    pub order_flight: Duration,
+    pub max_delivery_delay: Duration,
 }
 
 impl Default for OrderTiming {
@@ -28,7 +28,7 @@
         Self {
             lease: Duration::from_millis(1500),
             drift_ppm: 1000,
-            order_flight: Duration::from_secs(10),
+            max_delivery_delay: Duration::from_secs(10),
         }
     }
 }
@@ -36,11 +36,11 @@
 impl OrderTiming {
     /// How long a new holder waits, by its own clock, before it gives orders to endpoints that
     /// ignore fencing numbers; rounded up to a millisecond.
-    pub fn wait(&self) -> Duration {
-        let drift = u128::from(self.drift_ppm.min(MOST_DRIFT_PPM));
+    pub fn new_holder_wait(&self) -> Duration {
+        let drift = u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
         let lease = self.lease.as_micros() * MILLION;
         let true_lease = lease.div_ceil(MILLION - drift);
-        let span = (true_lease + self.order_flight.as_micros()) * (MILLION + drift);
+        let span = (true_lease + self.max_delivery_delay.as_micros()) * (MILLION + drift);
         let micros = span.div_ceil(MILLION);
         Duration::from_millis(u64::try_from(micros.div_ceil(1000)).unwrap_or(u64::MAX))
     }
@@ -49,4 +49,4 @@
 pub(crate) const MILLION: u128 = 1_000_000;
 
 /// Half of true time: no clock that is of any use drifts as much.
-pub(crate) const MOST_DRIFT_PPM: u32 = 500_000;
+pub(crate) const MAX_DRIFT_PPM: u32 = 500_000;
--- a/crates/ragwortroad_state/src/force/admission_table.rs
+++ b/crates/ragwortroad_state/src/propagation/admission_table.rs
@@ -28,7 +28,7 @@
 pub struct AdmissionTable {
     timing: FollowTiming,
     /// Until then former leaders' grants may be running that this table does not know.
-    settled_at: ClockTime,
+    former_grants_end: ClockTime,
     /// Invariant: has every grant that may still be running; those below an acknowledged revision
     /// are taken out, since a node never goes back.
     grants: BTreeMap<NodeRun, Vec<AdmissionGrant>>,
@@ -48,7 +48,7 @@
     pub fn new(timing: FollowTiming, now: ClockTime, longest_grace: Duration) -> Self {
         Self {
             timing,
-            settled_at: now.after(timing.settle_time(longest_grace)),
+            former_grants_end: now.after(timing.new_leader_wait(longest_grace)),
             grants: BTreeMap::new(),
             acknowledged: BTreeMap::new(),
         }
@@ -74,7 +74,7 @@
         now: ClockTime,
         grace: Duration,
     ) -> Duration {
-        let until = now.after(self.timing.leader_count(grace));
+        let until = now.after(self.timing.leader_grant(grace));
         let grants = self.grants.entry(run).or_default();
         grants.retain(|grant| grant.until > now);
         match grants.iter_mut().find(|grant| grant.revision == revision) {
@@ -95,11 +95,14 @@
         let runs = self.grants.iter().filter(|(_, grants)| waits(grants));
         let mut nodes: Vec<NodeId> = runs.map(|(run, _)| run.node).collect();
         nodes.dedup();
-        let former_ms = self.settled_at.since(now).as_millis() as u64;
-        if nodes.is_empty() && former_ms == 0 {
+        let former_leases_ms = self.former_grants_end.since(now).as_millis() as u64;
+        if nodes.is_empty() && former_leases_ms == 0 {
             return Ok(());
         }
-        Err(InForceWait { nodes, former_ms })
+        Err(InForceWait {
+            nodes,
+            former_leases_ms,
+        })
     }
 
     /// The revision each node has acknowledged, of those that may admit work at `now`.
@@ -116,7 +119,7 @@
     }
 
     /// Forgets runs whose grants are over.
-    pub fn forget_over(&mut self, now: ClockTime) {
+    pub fn prune_expired(&mut self, now: ClockTime) {
         self.grants.retain(|_, grants| {
             grants.retain(|grant| grant.until > now);
             !grants.is_empty()
--- a/crates/ragwortroad_state/src/force/follow_timing.rs
+++ b/crates/ragwortroad_state/src/propagation/follow_timing.rs
@@ -1,8 +1,8 @@
 use std::time::Duration;
 
 use crate::order::order_timing::{
+    MAX_DRIFT_PPM, //
     MILLION,
-    MOST_DRIFT_PPM, //
 };
 
 /// Spans of the rule that a change is in force everywhere.
@@ -24,7 +24,7 @@
     /// Largest drift of a clock, in millionths.
     pub drift_ppm: u32,
     /// How long a leader may count on its lead after it last asked a quorum.
-    pub lead_lease: Duration,
+    pub leader_lease: Duration,
 }
 
 impl Default for FollowTiming {
@@ -32,7 +32,7 @@
         Self {
             bound: Duration::from_secs(3),
             drift_ppm: 1000,
-            lead_lease: Duration::from_millis(1500),
+            leader_lease: Duration::from_millis(1500),
         }
     }
 }
@@ -40,22 +40,22 @@
 impl FollowTiming {
     /// How long a node admits work by its own clock since it asked.
     pub fn node_lease(&self, grace: Duration) -> Duration {
-        let drift = u128::from(self.drift_ppm.min(MOST_DRIFT_PPM));
+        let drift = u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
         let span = (self.bound + grace).as_micros() * (MILLION - drift);
         let micros = span / (MILLION + drift);
         Duration::from_millis(u64::try_from(micros / 1000).unwrap_or(u64::MAX))
     }
 
     /// How long the leader counts the node as admitting, by its own clock since it answered.
-    pub fn leader_count(&self, grace: Duration) -> Duration {
+    pub fn leader_grant(&self, grace: Duration) -> Duration {
         self.bound + grace
     }
 
     /// How long a new leader counts unknown nodes as admitting, by its own clock since the first
     /// entry of its own term was applied.
-    pub fn settle_time(&self, longest_grace: Duration) -> Duration {
-        let drift = u128::from(self.drift_ppm.min(MOST_DRIFT_PPM));
-        let lease = self.lead_lease.as_micros() * (MILLION + drift);
+    pub fn new_leader_wait(&self, longest_grace: Duration) -> Duration {
+        let drift = u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
+        let lease = self.leader_lease.as_micros() * (MILLION + drift);
         let micros = lease.div_ceil(MILLION - drift);
         let lease = Duration::from_millis(u64::try_from(micros.div_ceil(1000)).unwrap_or(u64::MAX));
         lease + self.bound + longest_grace
@@ -63,7 +63,7 @@
 
     /// How often a node asks: four times within the bound, so that three lost messages in a row
     /// do not stop it.
-    pub fn ask_every(&self) -> Duration {
+    pub fn renew_interval(&self) -> Duration {
         self.bound / 5
     }
 }
--- a/crates/ragwortroad_state/src/force/in_force_wait.rs
+++ b/crates/ragwortroad_state/src/propagation/in_force_wait.rs
@@ -8,11 +8,11 @@
     "waits for {} nodes and {} ms for former leaders' leases; each node takes it up or stops \
      admitting work within the follow bound",
     nodes.len(),
-    former_ms
+    former_leases_ms
 ))]
 pub struct InForceWait {
     /// Nodes that may still admit work under an older revision.
     pub nodes: Vec<NodeId>,
     /// Milliseconds for which nodes unknown to this leader may still admit work.
-    pub former_ms: u64,
+    pub former_leases_ms: u64,
 }
--- a/crates/ragwortroad_state/src/force/promise_book.rs
+++ b/crates/ragwortroad_state/src/propagation/promise_tracker.rs
@@ -11,21 +11,21 @@
 /// quorum, no change can be accepted, and the node may go on. The first change after the quorum is
 /// back waits until the promises are over, at most the follow bound.
 #[derive(Clone, Copy, Debug)]
-pub struct PromiseBook {
+pub struct PromiseTracker {
     timing: FollowTiming,
     /// Until then no change of configuration or membership is written.
     ///
     /// Invariant: covers every promise given, also before a restart: promises are not kept on
     /// disk, so a restarted member counts as one that has just given one.
-    closed_until: ClockTime,
+    writes_blocked_until: ClockTime,
 }
 
-impl PromiseBook {
+impl PromiseTracker {
     /// The book of a member that started at `now`.
     pub fn new(timing: FollowTiming, now: ClockTime) -> Self {
         Self {
             timing,
-            closed_until: now.after(timing.bound),
+            writes_blocked_until: now.after(timing.bound),
         }
     }
 
@@ -44,15 +44,15 @@
             return None;
         }
         let until = now.after(self.timing.bound);
-        self.closed_until = self.closed_until.max(until);
+        self.writes_blocked_until = self.writes_blocked_until.max(until);
         Some(self.timing.node_lease(Duration::ZERO))
     }
 
     /// Whether a change of configuration or membership may be written to the log now; otherwise
     /// when.
     pub fn may_write(&self, now: ClockTime) -> Result<(), ClockTime> {
-        if now < self.closed_until {
-            return Err(self.closed_until);
+        if now < self.writes_blocked_until {
+            return Err(self.writes_blocked_until);
         }
         Ok(())
     }
--- a/crates/ragwortroad_state/src/force/currency_guard.rs
+++ b/crates/ragwortroad_state/src/propagation/staleness_guard.rs
@@ -11,7 +11,7 @@
 use snafu::Snafu;
 
 /// Questions whose answers are still taken.
-const KEPT_ASKS: usize = 32;
+const MAX_OPEN_REQUESTS: usize = 32;
 
 /// Decides on a node whether it may admit work now.
 ///
@@ -19,11 +19,11 @@
 /// All spans count from the time at which the node *asked*, so that an answer that was long on the
 /// way gives no more leave than a quick one.
 #[derive(Clone, Debug, Default)]
-pub struct CurrencyGuard {
+pub struct StalenessGuard {
     /// Invariant: never falls.
     revision: u64,
-    next_ask: u64,
-    asks: VecDeque<(u64, ClockTime)>,
+    last_request_number: u64,
+    lease_requests: VecDeque<(u64, ClockTime)>,
     admit_until: Option<ClockTime>,
     /// Members that promised to accept no change beyond `revision`.
     promises: BTreeMap<NodeId, MemberPromise>,
@@ -54,14 +54,14 @@
     },
 }
 
-impl CurrencyGuard {
+impl StalenessGuard {
     /// The revision in force here.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
     /// Notes that `revision` is in force here, on every thread that admits work.
-    pub fn adopted(&mut self, revision: u64) {
+    pub fn record_adoption(&mut self, revision: u64) {
         if revision > self.revision {
             self.revision = revision;
             self.promises.clear();
@@ -69,13 +69,14 @@
     }
 
     /// Notes that the node asks at `now`; the number goes out with the question.
-    pub fn ask(&mut self, now: ClockTime) -> u64 {
-        self.next_ask += 1;
-        self.asks.push_back((self.next_ask, now));
-        if self.asks.len() > KEPT_ASKS {
-            self.asks.pop_front();
+    pub fn start_lease_request(&mut self, now: ClockTime) -> u64 {
+        self.last_request_number += 1;
+        self.lease_requests
+            .push_back((self.last_request_number, now));
+        if self.lease_requests.len() > MAX_OPEN_REQUESTS {
+            self.lease_requests.pop_front();
         }
-        self.next_ask
+        self.last_request_number
     }
 
     /// Takes the leader's answer to question `ask`: leave for `lease` with `revision`. The update
@@ -83,8 +84,8 @@
     ///
     /// An answer with another revision than the one in force here gives no leave: an older one
     /// comes from a leader that was replaced, and a newer one was not adopted yet.
-    pub fn confirmed(&mut self, ask: u64, revision: u64, lease: Duration) -> bool {
-        let Some(asked_at) = self.asked_at(ask) else {
+    pub fn record_grant(&mut self, ask: u64, revision: u64, lease: Duration) -> bool {
+        let Some(asked_at) = self.requested_at(ask) else {
             return false;
         };
         if revision != self.revision {
@@ -96,7 +97,7 @@
 
     /// Takes a member's promise, in answer to question `ask`, to accept no change beyond
     /// `revision` for at least `lease`. `members` are those of the newest membership in its log.
-    pub fn promised(
+    pub fn record_promise(
         &mut self,
         ask: u64,
         member: NodeId,
@@ -104,7 +105,7 @@
         members: BTreeSet<NodeId>,
         lease: Duration,
     ) -> bool {
-        let Some(asked_at) = self.asked_at(ask) else {
+        let Some(asked_at) = self.requested_at(ask) else {
             return false;
         };
         if revision != self.revision || self.admit_until.is_none() {
@@ -121,7 +122,7 @@
         let Some(until) = self.admit_until else {
             return Err(NotCurrent::NeverConfirmed);
         };
-        if now < until || self.is_promised(now) {
+        if now < until || self.has_blocking_promises(now) {
             return Ok(());
         }
         Err(NotCurrent::NotConfirmed {
@@ -130,7 +131,7 @@
     }
 
     /// Whether so many members have promised that the others are too few to accept anything.
-    fn is_promised(&self, now: ClockTime) -> bool {
+    fn has_blocking_promises(&self, now: ClockTime) -> bool {
         let valid = self
             .promises
             .iter()
@@ -146,8 +147,11 @@
                 .all(|(_, promise)| blocks(&promise.members))
     }
 
-    fn asked_at(&self, ask: u64) -> Option<ClockTime> {
-        let asked = self.asks.iter().find(|(number, _)| *number == ask);
+    fn requested_at(&self, ask: u64) -> Option<ClockTime> {
+        let asked = self
+            .lease_requests
+            .iter()
+            .find(|(number, _)| *number == ask);
         asked.map(|(_, asked_at)| *asked_at)
     }
 }
--- a/crates/ragwortroad_state/tests/claim_rules.rs
+++ b/crates/ragwortroad_state/tests/claim_rules.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    fn act(&mut self, action: StateAction) -> Applied {
+    fn act(&mut self, action: StateAction) -> ApplyOutcome {
         let mut command = command(self.now_ms, action);
         command.stamp.wall_ms = self.wall_ms;
         self.state
@@ -42,7 +42,7 @@
 
     fn step(&mut self, step: ClaimStep) -> ClaimOutcome {
         match self.act(StateAction::Claims(vec![step])) {
-            Applied::Claimed(mut outcomes) => outcomes.remove(0),
+            ApplyOutcome::Claimed(mut outcomes) => outcomes.remove(0),
             other => panic!("{other:?}"),
         }
     }
@@ -68,7 +68,10 @@
         let change = change(&format!("edit-{base}"), base, vec![edit]);
         let applied = self.act(StateAction::Change(change));
         assert!(
-            matches!(applied, Applied::Changed(ChangeOutcome::Accepted { .. })),
+            matches!(
+                applied,
+                ApplyOutcome::Changed(ChangeOutcome::Accepted { .. })
+            ),
             "{applied:?}"
         );
     }
--- a/crates/ragwortroad_state/tests/claim_schedules/claim_world.rs
+++ b/crates/ragwortroad_state/tests/claim_schedules/claim_world.rs
@@ -237,7 +237,7 @@
         let index = self.state.applied() + 1;
         let bytes = command(self.now_ms, action).to_bytes();
         let applied = self.state.apply(index, &bytes).unwrap();
-        let Applied::Claimed(outcomes) = applied else {
+        let ApplyOutcome::Claimed(outcomes) = applied else {
             panic!("{applied:?}")
         };
         self.count("entries");
--- a/crates/ragwortroad_state/tests/engine_orders.rs
+++ b/crates/ragwortroad_state/tests/engine_orders.rs
@@ -58,7 +58,7 @@
         } else {
             DRIFT_PPM as u32
         },
-        order_flight: Duration::from_millis(match fault {
+        max_delivery_delay: Duration::from_millis(match fault {
             GateFault::IgnoresFlight => 0,
             _ => FLIGHT_MS,
         }),
@@ -146,7 +146,7 @@
             .apply(index, &common::command(0, action).to_bytes())
             .unwrap()
         {
-            Applied::OrdersTaken { fence, .. } => fence,
+            ApplyOutcome::OrdersTaken { fence, .. } => fence,
             other => panic!("{other:?}"),
         }
     }
@@ -190,7 +190,10 @@
         drift_ppm: 0,
         ..OrderTiming::default()
     };
-    assert_eq!(perfect.wait(), perfect.lease + perfect.order_flight);
+    assert_eq!(
+        perfect.new_holder_wait(),
+        perfect.lease + perfect.max_delivery_delay
+    );
     for drift_ppm in [1, 1000, 100_000] {
         let timing = OrderTiming {
             drift_ppm,
@@ -198,8 +201,8 @@
         };
         let drift = f64::from(drift_ppm) / 1e6;
         let lease = timing.lease.as_secs_f64() / (1.0 - drift);
-        let least = (1.0 + drift) * (lease + timing.order_flight.as_secs_f64());
-        let wait = timing.wait().as_secs_f64();
+        let least = (1.0 + drift) * (lease + timing.max_delivery_delay.as_secs_f64());
+        let wait = timing.new_holder_wait().as_secs_f64();
         assert!(
             wait >= least - 1e-9 && wait < least + 0.002,
             "{wait} {least}"
@@ -231,14 +234,14 @@
         let rate = LoadRate {
             mb_per_s: 100,
             burst_mb: 1000,
-            at_once: 2,
+            max_concurrent: 2,
         };
         let settings = OrderSettings {
             rate,
             ..OrderSettings::default()
         };
         let mut table = OrderTable::new(settings, FenceNumber(3), ClockTime(0));
-        let mut engines: BTreeMap<String, (EngineSight, EngineRole)> = BTreeMap::new();
+        let mut engines: BTreeMap<String, (EngineObservation, EngineRole)> = BTreeMap::new();
         let mut late: Vec<EngineOrder> = Vec::new();
         for number in 0..5 {
             let name = format!("engine-{number}");
@@ -248,9 +251,9 @@
             } else {
                 EngineRole::Both
             };
-            table.plan(&name, target, number);
+            table.set_target(&name, target, number);
             let models = [offer("captions", "v0")].into();
-            let sight = EngineSight {
+            let sight = EngineObservation {
                 incarnation: 1,
                 models,
             };
@@ -268,7 +271,7 @@
                 }
                 table.observe(name, sight.clone());
             }
-            let mut orders = table.due(ClockTime(now), |_| true, |_| 500);
+            let mut orders = table.due_orders(ClockTime(now), |_| true, |_| 500);
             sent += orders.len();
             if draw.chance(30) {
                 orders.extend(draw.take(&mut late));
@@ -280,7 +283,7 @@
                 let (sight, role) = engines.get_mut(&order.engine).unwrap();
                 carry_out(&order.action, sight, role);
                 if calm || draw.chance(70) {
-                    table.answered(order.id);
+                    table.acknowledge(order.id);
                 }
                 if !calm {
                     late.push(order);
@@ -297,9 +300,12 @@
             );
             assert_eq!(*role == EngineRole::Prefill, number == 3, "seed {seed}");
         }
-        assert_eq!(table.due(ClockTime(now + 60_000), |_| true, |_| 500), []);
+        assert_eq!(
+            table.due_orders(ClockTime(now + 60_000), |_| true, |_| 500),
+            []
+        );
         assert_eq!(table.pending().count(), 0);
-        assert!(!table.answered(OrderId {
+        assert!(!table.acknowledge(OrderId {
             fence: FenceNumber(2),
             number: 1
         }));
@@ -307,7 +313,7 @@
     println!("{sent} orders sent in 60 schedules of 400 rounds");
 }
 
-fn carry_out(action: &OrderAction, sight: &mut EngineSight, role: &mut EngineRole) {
+fn carry_out(action: &OrderAction, sight: &mut EngineObservation, role: &mut EngineRole) {
     match action {
         OrderAction::Load { model, version, .. } => {
             sight.models.insert(offer(model, version));
@@ -325,21 +331,21 @@
 fn a_drain_of_a_former_holder_is_ended_by_the_next() {
     let now = ClockTime::ZERO;
     let mut table = OrderTable::new(OrderSettings::default(), FenceNumber(2), now);
-    table.plan("engine", target("caption", "v1"), 0);
+    table.set_target("engine", target("caption", "v1"), 0);
     table.observe(
         "engine",
-        EngineSight {
+        EngineObservation {
             incarnation: 1,
             models: target("caption", "v1").models,
         },
     );
-    assert!(table.due(now, |_| true, |_| 0).is_empty());
-    table.doubt_drain("engine");
-    let orders = table.due(now, |_| true, |_| 0);
+    assert!(table.due_orders(now, |_| true, |_| 0).is_empty());
+    table.mark_drain_unknown("engine");
+    let orders = table.due_orders(now, |_| true, |_| 0);
     let actions: Vec<_> = orders.iter().map(|order| &order.action).collect();
     assert_eq!(actions, [&OrderAction::SetDrain { drain: false }]);
-    assert!(table.answered(orders[0].id));
-    assert!(table.due(now, |_| true, |_| 0).is_empty());
+    assert!(table.acknowledge(orders[0].id));
+    assert!(table.due_orders(now, |_| true, |_| 0).is_empty());
 }
 
 /// Guards against plans of a deposed holder that undo the new one's.
@@ -355,9 +361,9 @@
     };
     assert_eq!(
         plan(old),
-        Applied::Planned(PlanOutcome::OldFence { fence: new })
+        ApplyOutcome::Planned(PlanOutcome::OldFence { fence: new })
     );
-    assert_eq!(plan(new), Applied::Planned(PlanOutcome::Taken));
+    assert_eq!(plan(new), ApplyOutcome::Planned(PlanOutcome::Taken));
     assert!(probe.0.plan().target("engine-1").is_some());
 }
 
@@ -370,7 +376,7 @@
         let rate = LoadRate {
             mb_per_s: 50,
             burst_mb: 2000,
-            at_once: 3,
+            max_concurrent: 3,
         };
         let mut queue = LoadQueue::new(rate, ClockTime(0));
         let mut sizes = BTreeMap::new();
@@ -388,7 +394,7 @@
                 let key = OrderKey { engine, action };
                 let size = *sizes.entry(key.clone()).or_insert(draw.below(3000) as u32);
                 let urgency = draw.below(5) as u32;
-                queue.want(key.clone(), size, urgency);
+                queue.enqueue(key.clone(), size, urgency);
                 if !running.contains(&key) {
                     wanted.insert(key, urgency);
                 }
@@ -396,7 +402,7 @@
             if draw.chance(3)
                 && let Some(key) = running.pop_first()
             {
-                queue.drop_load(&key);
+                queue.remove(&key);
             }
             while let Some(key) = queue.start_next(ClockTime(now), |_| true) {
                 let urgency = wanted.remove(&key).unwrap();
@@ -406,7 +412,7 @@
                 );
                 starts.push((now, u64::from(sizes[&key])));
                 running.insert(key);
-                assert!(running.len() <= rate.at_once);
+                assert!(running.len() <= rate.max_concurrent);
             }
         }
         for (place, (from, _)) in starts.iter().enumerate() {
--- a/crates/ragwortroad_state/tests/in_force.rs
+++ b/crates/ragwortroad_state/tests/in_force.rs
@@ -61,7 +61,7 @@
 struct ForceNode {
     run: NodeRun,
     clock: DriftClock,
-    guard: CurrencyGuard,
+    guard: StalenessGuard,
 }
 
 struct ForceLeader {
@@ -113,7 +113,7 @@
         let knows_drift = fault != ForceFault::IgnoresDrift;
         let timing = FollowTiming {
             drift_ppm: if knows_drift { DRIFT_PPM as u32 } else { 0 },
-            lead_lease: Duration::from_millis(LEADER_LEASE_MS),
+            leader_lease: Duration::from_millis(LEADER_LEASE_MS),
             ..FollowTiming::default()
         };
         let nodes = (0..5).map(|number| ForceNode {
@@ -122,7 +122,7 @@
                 incarnation: number,
             },
             clock: DriftClock::new(&mut draw),
-            guard: CurrencyGuard::default(),
+            guard: StalenessGuard::default(),
         });
         let nodes = nodes.collect();
         let mut world = Self {
@@ -153,7 +153,7 @@
             let past = ClockTime(now.0.saturating_sub(bound.as_millis() as u64));
             table = AdmissionTable::new(self.timing, past, Duration::ZERO);
         }
-        let lead_until = now.after(self.timing.lead_lease);
+        let lead_until = now.after(self.timing.leader_lease);
         self.leaders.push(ForceLeader {
             clock,
             table,
@@ -178,7 +178,7 @@
 
     /// The leader in charge asks its quorum; a deposed one gets no answer.
     fn renew(&mut self) {
-        let (true_ms, lease) = (self.true_ms, self.timing.lead_lease);
+        let (true_ms, lease) = (self.true_ms, self.timing.leader_lease);
         if let Some(leader) = self.leaders.last_mut() {
             leader.lead_until = leader.clock.read(true_ms).after(lease);
         }
@@ -196,7 +196,9 @@
     fn ask(&mut self) {
         let place = self.draw.below(self.nodes.len() as u64) as usize;
         let node = &mut self.nodes[place];
-        let ask = node.guard.ask(node.clock.read(self.true_ms));
+        let ask = node
+            .guard
+            .start_lease_request(node.clock.read(self.true_ms));
         let message = ForceMessage::Ask {
             node: place,
             run: node.run,
@@ -280,14 +282,18 @@
         }
         let mut ask = ask;
         if fault == ForceFault::CountsFromAnswer {
-            ask = node.guard.ask(node.clock.read(self.true_ms));
+            ask = node
+                .guard
+                .start_lease_request(node.clock.read(self.true_ms));
         }
         if fault == ForceFault::TakesAnyRevision && revision < node.guard.revision() {
-            node.guard = CurrencyGuard::default();
-            ask = node.guard.ask(node.clock.read(self.true_ms));
+            node.guard = StalenessGuard::default();
+            ask = node
+                .guard
+                .start_lease_request(node.clock.read(self.true_ms));
         }
-        node.guard.adopted(revision);
-        node.guard.confirmed(ask, revision, lease);
+        node.guard.record_adoption(revision);
+        node.guard.record_grant(ask, revision, lease);
     }
 
     fn restart(&mut self) {
@@ -295,7 +301,7 @@
         self.incarnations += 1;
         let node = &mut self.nodes[place];
         node.run.incarnation = self.incarnations;
-        node.guard = CurrencyGuard::default();
+        node.guard = StalenessGuard::default();
     }
 
     /// The leader in charge says what is in force, as far as it may.
@@ -387,9 +393,9 @@
 fn the_wait_names_the_nodes_and_ends_at_the_bound() {
     let timing = FollowTiming::default();
     let mut table = AdmissionTable::new(timing, ClockTime(0), Duration::ZERO);
-    let settled = timing.settle_time(Duration::ZERO);
+    let settled = timing.new_leader_wait(Duration::ZERO);
     let early = table.in_force(1, ClockTime(10)).unwrap_err();
-    assert_eq!(early.former_ms, settled.as_millis() as u64 - 10);
+    assert_eq!(early.former_leases_ms, settled.as_millis() as u64 - 10);
     let now = ClockTime(0).after(settled);
     let runs = [1, 2].map(|node| NodeRun {
         node: NodeId(node),
@@ -419,21 +425,21 @@
     let timing = FollowTiming::default();
     for (members, needed) in [(3, 2), (4, 2), (5, 3), (6, 3), (7, 4)] {
         let all: BTreeSet<NodeId> = (0..members).map(NodeId).collect();
-        let mut guard = CurrencyGuard::default();
-        let first = guard.ask(ClockTime(0));
-        guard.adopted(4);
-        assert!(guard.confirmed(first, 4, Duration::from_secs(3)));
+        let mut guard = StalenessGuard::default();
+        let first = guard.start_lease_request(ClockTime(0));
+        guard.record_adoption(4);
+        assert!(guard.record_grant(first, 4, Duration::from_secs(3)));
         let later = ClockTime(5000);
         assert!(guard.may_admit(later).is_err());
-        let ask = guard.ask(later);
+        let ask = guard.start_lease_request(later);
         for member in 0..needed {
             assert!(
                 guard.may_admit(later).is_err(),
                 "{member} of {members} were enough"
             );
-            let mut book = PromiseBook::new(timing, ClockTime(0));
+            let mut book = PromiseTracker::new(timing, ClockTime(0));
             let lease = book.promise(later, 4, 4, false).unwrap();
-            assert!(guard.promised(ask, NodeId(member), 4, all.clone(), lease));
+            assert!(guard.record_promise(ask, NodeId(member), 4, all.clone(), lease));
             // While the promise runs the member writes no change; just after the node has stopped
             // it may.
             let over = later.after(lease);
@@ -441,23 +447,23 @@
             assert!(book.may_write(later.after(timing.bound)).is_ok());
         }
         assert_eq!(guard.may_admit(later), Ok(()));
-        guard.adopted(5);
+        guard.record_adoption(5);
         assert!(guard.may_admit(later).is_err());
     }
     // A member that has a newer change in its log, hears a leader, or has just started refuses
     // what would rest on it.
-    let mut book = PromiseBook::new(timing, ClockTime(0));
+    let mut book = PromiseTracker::new(timing, ClockTime(0));
     assert_eq!(book.promise(ClockTime(9000), 4, 5, false), None);
     assert_eq!(book.promise(ClockTime(9000), 4, 4, true), None);
     assert!(
-        PromiseBook::new(timing, ClockTime(9000))
+        PromiseTracker::new(timing, ClockTime(9000))
             .may_write(ClockTime(9001))
             .is_err()
     );
     // A node that restarted has nothing to go on with.
-    let mut guard = CurrencyGuard::default();
-    let ask = guard.ask(ClockTime(0));
-    assert!(!guard.promised(
+    let mut guard = StalenessGuard::default();
+    let ask = guard.start_lease_request(ClockTime(0));
+    assert!(!guard.record_promise(
         ask,
         NodeId(1),
         0,
--- a/crates/ragwortroad_state/tests/lost_quorum.rs
+++ b/crates/ragwortroad_state/tests/lost_quorum.rs
@@ -33,13 +33,13 @@
 
 struct PromiseMember {
     rate: u64,
-    book: PromiseBook,
+    book: PromiseTracker,
     log_revision: u64,
 }
 
 struct PromiseNode {
     rate: u64,
-    guard: CurrencyGuard,
+    guard: StalenessGuard,
 }
 
 fn read(rate: u64, true_ms: u64) -> ClockTime {
@@ -57,13 +57,13 @@
     let mut rate = || 1_000_000 - DRIFT_PPM + draw.below(2 * DRIFT_PPM + 1);
     let member = |rate| PromiseMember {
         rate,
-        book: PromiseBook::new(timing, ClockTime(0)),
+        book: PromiseTracker::new(timing, ClockTime(0)),
         log_revision: 1,
     };
     let mut members: Vec<PromiseMember> = (0..MEMBERS).map(|_| member(rate())).collect();
     let node = |rate| PromiseNode {
         rate,
-        guard: CurrencyGuard::default(),
+        guard: StalenessGuard::default(),
     };
     let mut nodes: Vec<PromiseNode> = (0..3).map(|_| node(rate())).collect();
     let known = if fault == PromiseFault::TooFewMembers {
@@ -76,9 +76,9 @@
     let (mut true_ms, mut accepted, mut looks, mut quiet_until) = (10_000, 1, 0, 0);
     for node in &mut nodes {
         // Each had a leader once; its lease is long over.
-        let ask = node.guard.ask(ClockTime(0));
-        node.guard.adopted(1);
-        node.guard.confirmed(ask, 1, Duration::from_millis(1));
+        let ask = node.guard.start_lease_request(ClockTime(0));
+        node.guard.record_adoption(1);
+        node.guard.record_grant(ask, 1, Duration::from_millis(1));
     }
     for _ in 0..1500 {
         true_ms += draw.below(80);
@@ -91,7 +91,7 @@
             0..=29 if true_ms >= quiet_until => {
                 let asker = draw.below(3) as usize;
                 let node = &mut nodes[asker];
-                let ask = node.guard.ask(read(node.rate, true_ms));
+                let ask = node.guard.start_lease_request(read(node.rate, true_ms));
                 let slow = draw.chance(20);
                 let arrives = true_ms + draw.below(if slow { 3000 } else { 100 });
                 let member = &mut members[place];
@@ -131,16 +131,18 @@
                     PromiseFault::ForgetsAtRestart => ClockTime(0),
                     _ => now,
                 };
-                members[place].book = PromiseBook::new(timing, started);
+                members[place].book = PromiseTracker::new(timing, started);
             }
             // A node gets the newest configuration, and no lease with it.
-            32 => nodes[draw.below(3) as usize].guard.adopted(accepted),
+            32 => nodes[draw.below(3) as usize]
+                .guard
+                .record_adoption(accepted),
             _ => answers.retain(|(at, asker, ask, member, revision, lease)| {
                 if *at > true_ms {
                     return true;
                 }
                 let guard = &mut nodes[*asker].guard;
-                guard.promised(*ask, *member, *revision, all.clone(), *lease);
+                guard.record_promise(*ask, *member, *revision, all.clone(), *lease);
                 false
             }),
         }
--- a/crates/ragwortroad_state/tests/operator_changes.rs
+++ b/crates/ragwortroad_state/tests/operator_changes.rs
@@ -29,7 +29,7 @@
         .apply(index, &command(index, action).to_bytes())
         .unwrap()
     {
-        Applied::Changed(outcome) => outcome,
+        ApplyOutcome::Changed(outcome) => outcome,
         other => panic!("{other:?}"),
     }
 }
@@ -150,7 +150,7 @@
 fn followers_catch_up_from_any_revision_and_never_go_back() {
     let mut state = FleetState::default();
     let mut past = vec![FleetConfig::default()];
-    for number in 0..KEPT_CHANGES as u64 + 40 {
+    for number in 0..MAX_KEPT_CHANGES as u64 + 40 {
         let customer = format!("customer-{}", number % 7);
         let edit = if state.config().customers.contains_key(&customer) {
             ConfigEdit::RemoveCustomer { customer }
@@ -165,7 +165,7 @@
         past.push(state.config().clone());
     }
     let newest = state.config().revision;
-    for missed in [0, 1, 2, 10, 100, 1000, KEPT_CHANGES as u64, newest] {
+    for missed in [0, 1, 2, 10, 100, 1000, MAX_KEPT_CHANGES as u64, newest] {
         let revision = newest - missed;
         let mut follower = past[revision as usize].clone();
         let update = state.config_since(revision);
@@ -173,31 +173,31 @@
             missed > 1 || matches!(update, ConfigUpdate::Delta { .. }),
             "{missed}"
         );
-        follower.follow(update.clone()).unwrap();
+        follower.apply_update(update.clone()).unwrap();
         assert_eq!(&follower, state.config());
         // The same answer again changes nothing.
-        follower.follow(update).unwrap();
+        follower.apply_update(update).unwrap();
         assert_eq!(&follower, state.config());
     }
     let older = ConfigUpdate::Snapshot(Box::new(past[5].clone()));
     let mut follower = state.config().clone();
     assert!(matches!(
-        follower.follow(older),
-        Err(FollowError::Older { .. })
+        follower.apply_update(older),
+        Err(UpdateError::StaleUpdate { .. })
     ));
     let mut behind = past[3].clone();
     let gap = state.config_since(newest - 1);
     assert!(matches!(
-        behind.follow(gap.clone()),
-        Err(FollowError::Gap { .. })
+        behind.apply_update(gap.clone()),
+        Err(UpdateError::MissingChanges { .. })
     ));
     let mut astray = past[newest as usize - 1].clone();
     astray
         .customers
         .insert("odd".to_owned(), CustomerEntry::default());
     assert!(matches!(
-        astray.follow(gap),
-        Err(FollowError::Astray { .. })
+        astray.apply_update(gap),
+        Err(UpdateError::Diverged { .. })
     ));
 }
 
