--- a/crates/ragwortroad_language/src/edit/customer_edit.rs
+++ b/crates/ragwortroad_language/src/edit/customer_edit.rs
@@ -1,4 +1,4 @@
-//! Edits of customers.
+//! Parses edits of customers.
 
 use ragwortroad_state::prelude::*;
 
@@ -16,10 +16,10 @@
 pub(super) const KEY_HASH: &str = "a key's SHA-256";
 pub(super) const KEY_HASH_EXAMPLE: &str = "the 64 hex digits of 'printf KEY | sha256sum'";
 
-type Parsed = Result<(), LanguageError>;
+type ParseResult = Result<(), LanguageError>;
 
 /// `NAME [rate 20/s] [tokens 40000/s] [concurrent 30] [weight 100] [priority 100]`
-pub(super) fn add(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn add(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     edits.push(ConfigEdit::AddCustomer {
         customer: customer.clone(),
@@ -32,14 +32,14 @@
 }
 
 /// `NAME`
-pub(super) fn remove(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn remove(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     edits.push(ConfigEdit::RemoveCustomer { customer });
     Ok(())
 }
 
 /// `NAME [rate 20/s] [tokens 40000/s] [concurrent 30] [weight 100] [priority 100]`
-pub(super) fn set(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn set(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     let limits = limits(cursor)?;
     edits.push(ConfigEdit::SetLimits { customer, limits });
@@ -66,7 +66,7 @@
 }
 
 /// `CUSTOMER HASH`
-pub(super) fn add_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn add_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::AddKey { customer, key });
@@ -74,7 +74,7 @@
 }
 
 /// `CUSTOMER HASH`
-pub(super) fn remove_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn remove_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::RemoveKey { customer, key });
@@ -82,7 +82,7 @@
 }
 
 /// `customer NAME model M [adapter A] [version V]` or `customer NAME service S`
-pub(super) fn allow(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn allow(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("customer")?;
     let customer = cursor.text(CUSTOMER)?;
     if cursor.choice(&["model", "service"])? == "service" {
@@ -108,7 +108,7 @@
 }
 
 /// `customer NAME model M [adapter A]` or `customer NAME service S`
-pub(super) fn deny(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn deny(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("customer")?;
     let customer = cursor.text(CUSTOMER)?;
     if cursor.choice(&["model", "service"])? == "service" {
@@ -130,7 +130,7 @@
 }
 
 /// `keys CUSTOMER`
-pub(super) fn forget(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn forget(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("keys")?;
     let customer = cursor.text(CUSTOMER)?;
     edits.push(ConfigEdit::ForgetKeys { customer });
--- a/crates/ragwortroad_language/src/edit/edit_text.rs
+++ b/crates/ragwortroad_language/src/edit/edit_text.rs
@@ -1,6 +1,6 @@
 use ragwortroad_state::prelude::*;
 
-/// The edit as an operator would type it; reading the text gives the edit again.
+/// Formats an edit as an operator would type it. Parsing the text returns the same edit.
 pub fn edit_text(edit: &ConfigEdit) -> String {
     match edit {
         ConfigEdit::AddCustomer { customer } => format!("add customer {}", word(customer)),
@@ -118,16 +118,16 @@
             QuorumLoss::GoOn { seconds } => format!("set quorum-loss go-on {seconds}s"),
         },
         ConfigEdit::SetClaims { rules } => format!("set claims{}", claims_text(rules)),
-        // The others are written above.
+        // The remaining variants are formatted by `edit_text` and `model_text`.
         _ => String::new(),
     }
 }
 
-/// A name as a word of a line, in quotes where it needs them.
+/// Formats a name as a word of a line, quoted if necessary.
 fn word(name: &str) -> String {
-    let bare = |sign: char| !sign.is_whitespace() && !"\";=!<>".contains(sign);
-    let keyword = name.eq_ignore_ascii_case("on");
-    if !name.is_empty() && name.chars().all(bare) && !keyword {
+    let is_bare = |character: char| !character.is_whitespace() && !"\";=!<>".contains(character);
+    let is_keyword = name.eq_ignore_ascii_case("on");
+    if !name.is_empty() && name.chars().all(is_bare) && !is_keyword {
         name.to_owned()
     } else {
         format!("\"{name}\"")
@@ -153,15 +153,15 @@
 }
 
 fn claims_text(rules: &ClaimsEdit) -> String {
-    let span = |seconds: Option<u32>| seconds.map(|seconds| format!("{seconds}s"));
+    let duration = |seconds: Option<u32>| seconds.map(|seconds| format!("{seconds}s"));
     [
-        part("window", span(rules.window_s)),
+        part("window", duration(rules.window_s)),
         part("keys", rules.per_customer),
         part("answer", rules.answer_bytes),
         part("budget", rules.answer_budget),
         part("spent", rules.spent_per_customer),
-        part("skew", span(rules.skew_s)),
-        part("run", span(rules.run_bound_s)),
+        part("skew", duration(rules.skew_s)),
+        part("run", duration(rules.run_bound_s)),
     ]
     .concat()
 }
@@ -179,7 +179,7 @@
     }
 }
 
-/// Thousandths as a decimal number.
+/// Formats thousandths as a decimal number without trailing zeros.
 pub(crate) fn permille_text(permille: u32) -> String {
     let text = format!("{}.{:03}", permille / 1000, permille % 1000);
     text.trim_end_matches('0').trim_end_matches('.').to_owned()
--- a/crates/ragwortroad_language/src/edit/fleet_edit.rs
+++ b/crates/ragwortroad_language/src/edit/fleet_edit.rs
@@ -1,4 +1,4 @@
-//! Edits of services, drains, members, operators and fleet-wide settings.
+//! Parses edits of services, drains, members, operators and fleet-wide settings.
 
 use ragwortroad_state::prelude::*;
 
@@ -22,10 +22,10 @@
 const OPERATOR: &str = "an operator's NAME";
 const REPEATS: [&str; 3] = ["idempotent", "once", "by-method"];
 
-type Parsed = Result<(), LanguageError>;
+type ParseResult = Result<(), LanguageError>;
 
 /// `S [idempotent|once METHOD PATH]...`
-pub(super) fn add_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn add_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let service = cursor.text(SERVICE)?;
     edits.push(ConfigEdit::AddService {
         service: service.clone(),
@@ -37,14 +37,17 @@
 }
 
 /// `S`
-pub(super) fn remove_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn remove_service(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let service = cursor.text(SERVICE)?;
     edits.push(ConfigEdit::RemoveService { service });
     Ok(())
 }
 
 /// `S idempotent|once|by-method METHOD PATH ...`
-pub(super) fn set_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn set_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let service = cursor.text(SERVICE)?;
     let repeat = cursor.choice(&REPEATS)?;
     edits.push(call(cursor, &service, repeat)?);
@@ -74,14 +77,14 @@
 }
 
 /// `endpoint|node|domain NAME`
-pub(super) fn drain(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn drain(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let target = drain_target(cursor)?;
     edits.push(ConfigEdit::Drain { target });
     Ok(())
 }
 
 /// `endpoint|node|domain NAME`
-pub(super) fn undrain(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn undrain(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let target = drain_target(cursor)?;
     edits.push(ConfigEdit::Undrain { target });
     Ok(())
@@ -98,14 +101,20 @@
 }
 
 /// `1.25`
-pub(super) fn set_multiple(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn set_multiple(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let permille = cursor.value("a load multiple", "1.25", multiple)?;
     edits.push(ConfigEdit::SetMultiple { permille });
     Ok(())
 }
 
 /// `refuse` or `go-on 30s`
-pub(super) fn set_quorum_loss(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn set_quorum_loss(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let policy = match cursor.choice(&["refuse", "go-on"])? {
         "refuse" => QuorumLoss::Refuse,
         _ => QuorumLoss::GoOn {
@@ -117,7 +126,7 @@
 }
 
 /// `[window 24h] [keys 20000] [answer 4096] [budget 1048576] [spent 250000] [skew 60s] [run 600s]`
-pub(super) fn set_claims(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn set_claims(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let names = ["window", "keys", "answer", "budget", "spent", "skew", "run"];
     let mut rules = ClaimsEdit::default();
     let mut name = cursor.choice(&names)?;
@@ -141,7 +150,7 @@
 }
 
 /// `NAME IP:PORT`
-pub(super) fn add_member(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn add_member(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let member = cursor.text(MEMBER)?;
     let address = cursor.text("the member's IP:PORT")?;
     edits.push(ConfigEdit::AddMember { member, address });
@@ -149,14 +158,20 @@
 }
 
 /// `NAME`
-pub(super) fn remove_member(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn remove_member(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let member = cursor.text(MEMBER)?;
     edits.push(ConfigEdit::RemoveMember { member });
     Ok(())
 }
 
 /// `NAME HASH`
-pub(super) fn add_operator(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn add_operator(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let operator = cursor.text(OPERATOR)?;
     let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::AddOperator { operator, key });
@@ -164,7 +179,10 @@
 }
 
 /// `NAME HASH`
-pub(super) fn remove_operator(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn remove_operator(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let operator = cursor.text(OPERATOR)?;
     let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::RemoveOperator { operator, key });
--- a/crates/ragwortroad_language/src/edit/mod.rs
+++ b/crates/ragwortroad_language/src/edit/mod.rs
@@ -1,4 +1,4 @@
-//! Edits of the configuration as lines of the language, and lines as edits.
+//! Converts configuration edits to lines of the language and back.
 
 mod customer_edit;
 mod edit_text;
@@ -15,28 +15,28 @@
 pub use edit_text::edit_text;
 pub(crate) use edit_text::permille_text;
 
-/// The words a line can begin with.
+/// Keywords that can begin a line.
 const STATEMENT_KEYWORDS: [&str; 12] = [
     "show", "add", "remove", "set", "allow", "deny", "drain", "undrain", "roll", "rollback",
     "forget", "help",
 ];
 
-/// The words an edit can begin with.
+/// Keywords that can begin an edit after the first.
 const EDIT_KEYWORDS: [&str; 10] = [
     "add", "remove", "set", "allow", "deny", "drain", "undrain", "roll", "rollback", "forget",
 ];
 
-/// Reads one edit, which may stand for several in the configuration.
+/// Parses one edit, which may add several entries to `edits`.
 pub(crate) fn parse(
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
 ) -> Result<(), LanguageError> {
-    let verbs: &[&str] = if edits.is_empty() {
+    let keywords: &[&str] = if edits.is_empty() {
         &STATEMENT_KEYWORDS
     } else {
         &EDIT_KEYWORDS
     };
-    match cursor.choice(verbs)? {
+    match cursor.choice(keywords)? {
         "add" => parse_add(cursor, edits),
         "remove" => parse_remove(cursor, edits),
         "set" => parse_set(cursor, edits),
@@ -46,7 +46,7 @@
         "drain" => fleet_edit::drain(cursor, edits),
         "undrain" => fleet_edit::undrain(cursor, edits),
         "roll" => model_edit::roll(cursor, edits),
-        // Questions and 'help' were read before.
+        // Queries and `help` were parsed before.
         _ => model_edit::rollback(cursor, edits),
     }
 }
@@ -55,10 +55,10 @@
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
 ) -> Result<(), LanguageError> {
-    let things = [
+    let kinds = [
         "customer", "key", "model", "adapter", "service", "member", "operator",
     ];
-    match cursor.choice(&things)? {
+    match cursor.choice(&kinds)? {
         "customer" => customer_edit::add(cursor, edits),
         "key" => customer_edit::add_key(cursor, edits),
         "model" => model_edit::add(cursor, edits),
@@ -73,10 +73,10 @@
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
 ) -> Result<(), LanguageError> {
-    let things = [
+    let kinds = [
         "customer", "key", "model", "adapter", "service", "member", "operator",
     ];
-    match cursor.choice(&things)? {
+    match cursor.choice(&kinds)? {
         "customer" => customer_edit::remove(cursor, edits),
         "key" => customer_edit::remove_key(cursor, edits),
         "model" => model_edit::remove(cursor, edits),
@@ -91,7 +91,7 @@
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
 ) -> Result<(), LanguageError> {
-    let things = [
+    let kinds = [
         "customer",
         "model",
         "service",
@@ -99,7 +99,7 @@
         "quorum-loss",
         "claims",
     ];
-    match cursor.choice(&things)? {
+    match cursor.choice(&kinds)? {
         "customer" => customer_edit::set(cursor, edits),
         "model" => model_edit::set(cursor, edits),
         "service" => fleet_edit::set_service(cursor, edits),
--- a/crates/ragwortroad_language/src/edit/model_edit.rs
+++ b/crates/ragwortroad_language/src/edit/model_edit.rs
@@ -1,4 +1,4 @@
-//! Edits of models.
+//! Parses edits of models.
 
 use ragwortroad_state::prelude::*;
 
@@ -17,10 +17,10 @@
 const VERSION: &str = "a version's NAME";
 const ADAPTER: &str = "an adapter's NAME";
 
-type Parsed = Result<(), LanguageError>;
+type ParseResult = Result<(), LanguageError>;
 
 /// `M version V [replicas 2..6] [wanted 3] [size 16gb]`
-pub(super) fn add(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn add(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let model = cursor.text(MODEL)?;
     cursor.keyword("version")?;
     let version = cursor.text(VERSION)?;
@@ -52,14 +52,14 @@
 }
 
 /// `M`
-pub(super) fn remove(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn remove(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let model = cursor.text(MODEL)?;
     edits.push(ConfigEdit::RemoveModel { model });
     Ok(())
 }
 
 /// `M replicas 2..6 [wanted 3]`
-pub(super) fn set(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn set(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let model = cursor.text(MODEL)?;
     cursor.keyword("replicas")?;
     let mut replicas = replica_range(cursor)?;
@@ -71,14 +71,17 @@
 }
 
 /// `A model M`
-pub(super) fn add_adapter(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn add_adapter(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let (adapter, model) = adapter_of_model(cursor)?;
     edits.push(ConfigEdit::AddAdapter { model, adapter });
     Ok(())
 }
 
 /// `A model M`
-pub(super) fn remove_adapter(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn remove_adapter(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let (adapter, model) = adapter_of_model(cursor)?;
     edits.push(ConfigEdit::RemoveAdapter { model, adapter });
     Ok(())
@@ -91,7 +94,7 @@
 }
 
 /// `model M to V 25%`
-pub(super) fn roll(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn roll(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("model")?;
     let model = cursor.text(MODEL)?;
     cursor.keyword("to")?;
@@ -106,7 +109,7 @@
 }
 
 /// `model M`
-pub(super) fn rollback(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+pub(super) fn rollback(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("model")?;
     let model = cursor.text(MODEL)?;
     edits.push(ConfigEdit::RollBack { model });
--- a/crates/ragwortroad_language/src/help_text.rs
+++ b/crates/ragwortroad_language/src/help_text.rs
@@ -1,4 +1,4 @@
-/// What can be said, for a person.
+/// The answer to `help`: an overview of queries and changes.
 pub const HELP_TEXT: &str = "\
 Questions:
   show TOPIC [where FIELD = VALUE [and FIELD != < > VALUE]...]
--- a/crates/ragwortroad_language/src/language_error.rs
+++ b/crates/ragwortroad_language/src/language_error.rs
@@ -2,76 +2,76 @@
 
 use snafu::Snafu;
 
-/// What is wrong with a word of a line.
+/// What is wrong with a line or one of its words.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LanguageFault {
-    /// The line has no word.
+    /// The line has no words.
     #[snafu(display("the line is empty; try 'help'"))]
     EmptyLine,
-    /// The line is too long.
+    /// The line is longer than allowed.
     #[snafu(display("the line has {length} bytes; keep it below {most}"))]
     LongLine {
-        /// Its length.
+        /// The length in bytes.
         length: usize,
-        /// The most allowed.
+        /// The maximum length in bytes.
         most: usize,
     },
-    /// A character that no word begins with.
+    /// A character that cannot begin a word.
     #[snafu(display("no word begins like this; close a quoted word with '\"'"))]
     BadCharacter,
-    /// Not one of the words that can stand here.
+    /// The word is not one of those allowed here.
     #[snafu(display("{word:?} cannot stand here; {}", choices(nearest.as_deref(), expected)))]
     UnknownWord {
-        /// The word.
+        /// The word as written.
         word: String,
-        /// What can stand here.
+        /// The words allowed here.
         expected: Vec<String>,
-        /// The one of them that is nearest to the word.
+        /// The allowed word that is most similar to the one written, if any is similar.
         nearest: Option<String>,
     },
-    /// The line ends too early.
+    /// The line ends before it is complete.
     #[snafu(display("the line ends too early; add {wanted}"))]
     UnexpectedEnd {
-        /// What must follow.
+        /// A description of what is missing.
         wanted: String,
     },
-    /// The line is complete before this word.
+    /// The line was complete before this word.
     #[snafu(display("{word:?} is one word too many; remove it and what follows"))]
     TrailingWord {
-        /// The word.
+        /// The word as written.
         word: String,
     },
-    /// A value has the wrong form.
+    /// A value is malformed or out of range.
     #[snafu(display("{word:?} is not {what}; write it like {example}"))]
     BadValue {
         /// The value as written.
         word: String,
-        /// What it should be.
+        /// A description of the expected value.
         what: String,
-        /// An example.
+        /// An example of a valid value.
         example: String,
     },
 }
 
-/// What is wrong with a line, and where.
+/// An error in a line, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LanguageError {
-    /// What is wrong.
+    /// The kind of error.
     pub fault: LanguageFault,
-    /// The first character of the word that it is about, counted from 1.
+    /// Column of the first character of the faulty word, counted from 1.
     ///
-    /// Invariant: a character of the line, or 1 where the line is empty.
+    /// Invariant: the column of a character of the line, or 1 if the line is empty.
     pub column: usize,
-    /// Characters of the word; at least 1.
+    /// Number of characters of the faulty word; at least 1.
     pub width: usize,
-    /// The line.
+    /// The line as written.
     pub line: String,
 }
 
 impl LanguageError {
-    /// A fault at the bytes `from..to` of `line`.
+    /// Creates an error for the bytes `from..to` of `line`.
     pub(crate) fn at(line: &str, from: usize, to: usize, fault: LanguageFault) -> Self {
         let count = line.chars().count();
         let before = line.get(..from).map_or(count, |text| text.chars().count());
@@ -85,12 +85,12 @@
         }
     }
 
-    /// The line below which carets mark the word.
+    /// Returns the line, and below it carets that mark the faulty word.
     pub fn caret_lines(&self) -> String {
         let marked = self.line.chars().take(self.column - 1);
-        // A tab is as wide below as it is above.
-        let space = |sign| if sign == '\t' { '\t' } else { ' ' };
-        let indent: String = marked.map(space).collect();
+        // Tabs are kept so that the carets line up.
+        let blank = |character| if character == '\t' { '\t' } else { ' ' };
+        let indent: String = marked.map(blank).collect();
         format!("{}\n{indent}{}", self.line, "^".repeat(self.width))
     }
 }
--- a/crates/ragwortroad_language/src/line_word.rs
+++ b/crates/ragwortroad_language/src/line_word.rs
@@ -27,16 +27,16 @@
 pub(crate) struct LineWord {
     pub(crate) text: String,
     pub(crate) kind: WordKind,
-    /// Its bytes in the line, with its quotes.
+    /// Byte range in the line, including quotes.
     pub(crate) bytes: Range<usize>,
 }
 
 /// How a word is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WordKind {
-    /// As it is.
+    /// Written without quotes.
     Bare,
-    /// Between quotes; never a keyword.
+    /// Written between quotes; never a keyword.
     Quoted,
     /// One of `;`, `=`, `!=`, `<`, `>`.
     Symbol,
@@ -45,7 +45,7 @@
 type Line<'i> = LocatingSlice<&'i str>;
 
 fn quoted(input: &mut Line<'_>) -> ModalResult<(String, WordKind)> {
-    delimited('"', take_while(0.., |sign| sign != '"'), '"')
+    delimited('"', take_while(0.., |character| character != '"'), '"')
         .map(|text: &str| (text.to_owned(), WordKind::Quoted))
         .parse_next(input)
 }
@@ -57,8 +57,8 @@
 }
 
 fn bare(input: &mut Line<'_>) -> ModalResult<(String, WordKind)> {
-    take_while(1.., |sign: char| {
-        !sign.is_whitespace() && !"\";=!<>".contains(sign)
+    take_while(1.., |character: char| {
+        !character.is_whitespace() && !"\";=!<>".contains(character)
     })
     .map(|text: &str| (text.to_owned(), WordKind::Bare))
     .parse_next(input)
@@ -70,7 +70,7 @@
         .parse_next(input)
 }
 
-/// The words of `line`, or the place at which no word begins.
+/// Splits `line` into words. The error points at the position at which no word begins.
 pub(crate) fn split_line(line: &str) -> Result<Vec<LineWord>, LanguageError> {
     let mut input = LocatingSlice::new(line);
     let words: ModalResult<Vec<LineWord>> = repeat(0.., word).parse_next(&mut input);
--- a/crates/ragwortroad_language/src/outcome_text.rs
+++ b/crates/ragwortroad_language/src/outcome_text.rs
@@ -2,7 +2,7 @@
 
 use crate::edit_text;
 
-/// What became of a change, for the operator who issued it.
+/// Formats the outcome of a change for the operator who issued it.
 pub fn outcome_text(outcome: &ChangeOutcome) -> String {
     match outcome {
         ChangeOutcome::Accepted { revision } => format!("accepted as revision {revision}"),
--- a/crates/ragwortroad_language/src/show_query.rs
+++ b/crates/ragwortroad_language/src/show_query.rs
@@ -4,40 +4,40 @@
     word_cursor::WordCursor, //
 };
 
-/// A question.
+/// A query of one topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShowQuery {
-    /// What it is about.
+    /// The topic whose table is queried.
     pub topic: ShowTopic,
-    /// Which rows of it; all conditions must hold.
+    /// Conditions on the rows, all of which must hold.
     pub conditions: Vec<RowCondition>,
 }
 
-/// What a row must fulfil.
+/// A condition on a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowCondition {
-    /// The column.
+    /// The name of the column.
     pub field: String,
-    /// How the cell compares to the value.
+    /// How the cell must compare to the value.
     pub comparison: CellComparison,
-    /// The value.
+    /// The value as written in the query.
     pub value: String,
 }
 
-/// How a cell compares to a value.
+/// A comparison between a cell and a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CellComparison {
-    /// They are equal.
+    /// The cell equals the value.
     Equal,
-    /// They differ.
+    /// The cell differs from the value.
     NotEqual,
-    /// The cell is less, as a number where both are numbers.
+    /// The cell is less than the value; compared as numbers if both are numbers, otherwise as text.
     Less,
-    /// The cell is greater.
+    /// The cell is greater than the value; compared like [`Self::Less`].
     Greater,
 }
 
-/// Reads what follows `show`.
+/// Parses the rest of a line after `show`.
 pub(crate) fn parse(cursor: &mut WordCursor<'_>) -> Result<ShowQuery, LanguageError> {
     let names: Vec<&str> = ShowTopic::ALL.iter().map(|topic| topic.name()).collect();
     let name = cursor.choice(&names)?;
@@ -50,7 +50,7 @@
         cursor.keyword("where")?;
         conditions.push(condition(cursor, topic)?);
         while !cursor.is_done() {
-            // Conditions may follow each other with or without 'and'.
+            // The `and` between conditions is optional.
             cursor.skip_keyword("and");
             conditions.push(condition(cursor, topic)?);
         }
--- a/crates/ragwortroad_language/src/show_topic.rs
+++ b/crates/ragwortroad_language/src/show_topic.rs
@@ -1,42 +1,42 @@
-/// What can be asked for.
+/// The topic of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ShowTopic {
-    /// Every endpoint present.
+    /// Every known endpoint.
     Endpoints,
-    /// Engines with what they hold and shall hold.
+    /// Engines with the models they have loaded and are planned to load.
     Engines,
-    /// Customers and what they may use.
+    /// Customers and the models and services they may use.
     Customers,
     /// Customers' limits.
     Limits,
-    /// Models.
+    /// Models with their versions, adapters and replica counts.
     Models,
-    /// Versions of models with their shares.
+    /// Versions of models with their shares of new chats.
     Versions,
-    /// Plain services.
+    /// Plain services and which of their calls may be repeated.
     Services,
-    /// Members of the state group.
+    /// Members of the consensus group.
     Members,
-    /// Who is in charge.
+    /// The leader of the consensus group.
     Leader,
-    /// Nodes and what each has in force.
+    /// Nodes and the revision that each has in force.
     Nodes,
     /// Fleet-wide settings.
     Config,
-    /// Orders to engines under way.
+    /// Pending orders to engines.
     Orders,
-    /// Idempotency keys of each customer.
+    /// Numbers of idempotency keys per customer.
     Claims,
-    /// Accepted changes, the latest first.
+    /// Accepted changes, latest first.
     Changes,
-    /// What is drained.
+    /// Drained endpoints, nodes and failure domains.
     Drains,
-    /// Operators.
+    /// Operators and their API keys.
     Operators,
 }
 
 impl ShowTopic {
-    /// All topics.
+    /// All topics, in the order in which errors list them.
     pub const ALL: [Self; 16] = [
         Self::Endpoints,
         Self::Engines,
@@ -56,7 +56,7 @@
         Self::Operators,
     ];
 
-    /// Its word in the language.
+    /// The topic's keyword in the language.
     pub fn name(self) -> &'static str {
         match self {
             Self::Endpoints => "endpoints",
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The columns of its table, which are also the fields that `where` takes.
+    /// The columns of the topic's table, which are also the fields that `where` accepts.
     pub fn columns(self) -> &'static [&'static str] {
         match self {
             Self::Endpoints => &[
--- a/crates/ragwortroad_language/src/statement.rs
+++ b/crates/ragwortroad_language/src/statement.rs
@@ -10,31 +10,31 @@
     word_value::number, //
 };
 
-/// Longest line in bytes.
+/// Maximum length of a line in bytes.
 pub const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// What a line says.
+/// A parsed line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
-    /// A question.
+    /// A query.
     Show(ShowQuery),
-    /// A change.
+    /// A configuration change.
     Change(ChangeStatement),
-    /// The operator wants to know what can be said.
+    /// A request for [`HELP_TEXT`](crate::HELP_TEXT).
     Help,
 }
 
 /// A change of one or more edits that takes effect as a whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeStatement {
-    /// The revision that the operator saw, where the line names it.
+    /// The revision that the operator saw; `None` if the line does not name it.
     pub base_revision: Option<u64>,
-    /// The edits.
+    /// The edits, in the order of the line.
     pub edits: Vec<ConfigEdit>,
 }
 
 impl ChangeStatement {
-    /// The command for the log.
+    /// Builds the command for the log; `base` is used if the line names no base revision.
     pub fn into_command(self, change_id: &str, operator: &str, base: u64) -> ChangeCommand {
         ChangeCommand {
             change_id: change_id.to_owned(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads one line.
+/// Parses one line.
 pub fn parse_line(line: &str) -> Result<Statement, LanguageError> {
     if line.len() > MAX_LINE_BYTES {
         let fault = LanguageFault::LongLine {
--- a/crates/ragwortroad_language/src/table/cell_value.rs
+++ b/crates/ragwortroad_language/src/table/cell_value.rs
@@ -10,19 +10,19 @@
 /// One cell of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum CellValue {
-    /// Nothing known.
+    /// No value; `-` in text and `null` in JSON.
     #[default]
     Empty,
-    /// Text.
+    /// A text.
     Text(String),
-    /// A number.
+    /// An unsigned integer.
     Number(u64),
-    /// Yes or no.
+    /// A boolean; `yes` or `no` in text.
     Flag(bool),
 }
 
 impl CellValue {
-    /// Whether the cell stands in `comparison` to the value of a condition.
+    /// Whether the cell satisfies `comparison` with the value of a condition.
     pub(crate) fn matches(&self, comparison: CellComparison, value: &str) -> bool {
         let order = self.compare(value);
         match comparison {
--- a/crates/ragwortroad_language/src/table/mod.rs
+++ b/crates/ragwortroad_language/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! Answers as tables.
+//! Answers in the form of tables.
 
 mod cell_value;
 mod result_table;
--- a/crates/ragwortroad_language/src/table/result_table.rs
+++ b/crates/ragwortroad_language/src/table/result_table.rs
@@ -10,7 +10,7 @@
     ShowTopic, //
 };
 
-/// The answer to a question.
+/// The table that answers a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResultTable {
     topic: ShowTopic,
@@ -19,7 +19,7 @@
 }
 
 impl ResultTable {
-    /// An empty table with the topic's columns.
+    /// Creates an empty table with the topic's columns.
     pub fn new(topic: ShowTopic) -> Self {
         Self {
             topic,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Adds a row; missing cells stay empty and those beyond the columns are left out.
+    /// Adds a row; missing cells are empty, and cells beyond the columns are dropped.
     pub fn push(&mut self, cells: impl IntoIterator<Item = CellValue>) {
         let width = self.topic.columns().len();
         let mut row: Vec<CellValue> = cells.into_iter().take(width).collect();
@@ -35,25 +35,25 @@
         self.rows.push(row);
     }
 
-    /// The rows.
+    /// The rows, each with one cell per column.
     pub fn rows(&self) -> &[Vec<CellValue>] {
         &self.rows
     }
 
-    /// Keeps the rows that fulfil every condition.
+    /// Keeps the rows that satisfy every condition.
     pub fn filtered(mut self, conditions: &[RowCondition]) -> Self {
         let columns = self.topic.columns();
         self.rows.retain(|row| {
             conditions.iter().all(|condition| {
-                let place = columns.iter().position(|column| *column == condition.field);
-                let cell = place.and_then(|place| row.get(place));
+                let index = columns.iter().position(|column| *column == condition.field);
+                let cell = index.and_then(|index| row.get(index));
                 cell.is_some_and(|cell| cell.matches(condition.comparison, &condition.value))
             })
         });
         self
     }
 
-    /// The table for a person, with aligned columns.
+    /// Formats the table as text with aligned columns.
     pub fn to_text(&self) -> String {
         let columns = self.topic.columns();
         let text: Vec<Vec<String>> = self
@@ -61,28 +61,28 @@
             .iter()
             .map(|row| row.iter().map(ToString::to_string).collect())
             .collect();
-        let width = |place: usize| {
-            let cells = text.iter().filter_map(|row| row.get(place));
+        let width = |index: usize| {
+            let cells = text.iter().filter_map(|row| row.get(index));
             let widest = cells.map(|cell| cell.chars().count()).max();
-            widest.unwrap_or(0).max(columns[place].len())
+            widest.unwrap_or(0).max(columns[index].len())
         };
         let widths: Vec<usize> = (0..columns.len()).map(width).collect();
         let headings: Vec<String> = columns.iter().map(|name| (*name).to_owned()).collect();
         let numeric: Vec<bool> = (0..columns.len())
-            .map(|place| self.is_numeric(place))
+            .map(|index| self.is_numeric(index))
             .collect();
         let mut lines = vec![line_text(&headings, &widths, &numeric)];
         lines.extend(text.iter().map(|row| line_text(row, &widths, &numeric)));
         lines.concat()
     }
 
-    /// Whether a column has numbers only, which stand at its right edge.
-    fn is_numeric(&self, place: usize) -> bool {
-        let mut cells = self.rows.iter().filter_map(|row| row.get(place));
+    /// Whether a column has only numbers and is therefore right-aligned.
+    fn is_numeric(&self, index: usize) -> bool {
+        let mut cells = self.rows.iter().filter_map(|row| row.get(index));
         !self.rows.is_empty() && cells.all(CellValue::is_number)
     }
 
-    /// The table for a program: `{"topic": ..., "columns": [...], "rows": [{...}]}`.
+    /// Converts the table to JSON: `{"topic": ..., "columns": [...], "rows": [{...}]}`.
     pub fn to_json(&self) -> Value {
         let columns = self.topic.columns();
         let object = |row: &Vec<CellValue>| {
--- a/crates/ragwortroad_language/src/table/state_table.rs
+++ b/crates/ragwortroad_language/src/table/state_table.rs
@@ -10,7 +10,8 @@
     }, //
 };
 
-/// The table of a topic that the replicated state alone answers; nothing for the others.
+/// Builds the table of a topic from the replicated state; `None` for topics that need other
+/// sources.
 pub fn state_table(topic: ShowTopic, state: &FleetState) -> Option<ResultTable> {
     let config = state.config();
     let mut table = ResultTable::new(topic);
@@ -44,7 +45,7 @@
     }
 }
 
-/// The first digits of keys' hashes, enough to tell them apart.
+/// Lists the first 12 digits of the key hashes, enough to distinguish them.
 fn key_list<'a>(keys: impl IntoIterator<Item = &'a KeyHash>) -> CellValue {
     comma_list(keys.into_iter().map(|key| key.to_string()[..12].to_owned()))
 }
@@ -97,9 +98,9 @@
 
 fn versions(table: &mut ResultTable, config: &FleetConfig) {
     for (name, model) in &config.models {
-        let old = model.stable.keys();
-        let gone = old.filter(|version| !model.versions.contains_key(*version));
-        for version in model.versions.keys().chain(gone) {
+        let previous = model.stable.keys();
+        let removed = previous.filter(|version| !model.versions.contains_key(*version));
+        for version in model.versions.keys().chain(removed) {
             let share = model.versions.get(version).copied().unwrap_or(0);
             table.push([
                 name.as_str().into(),
--- a/crates/ragwortroad_language/src/word_cursor.rs
+++ b/crates/ragwortroad_language/src/word_cursor.rs
@@ -13,7 +13,7 @@
     }, //
 };
 
-/// Below this likeness no word is proposed.
+/// Minimum Jaro-Winkler similarity for suggesting a word.
 const MIN_SIMILARITY: f64 = 0.6;
 
 /// Reads a line word by word.
@@ -24,7 +24,7 @@
 }
 
 impl<'a> WordCursor<'a> {
-    /// At the first word of `line`.
+    /// Splits `line` into words and starts at the first one.
     pub(crate) fn new(line: &'a str) -> Result<Self, LanguageError> {
         Ok(Self {
             line,
@@ -47,9 +47,9 @@
         self.is_done() || self.is_symbol(";") || self.is_keyword("on")
     }
 
-    fn is_symbol(&self, sign: &str) -> bool {
+    fn is_symbol(&self, symbol: &str) -> bool {
         self.peek()
-            .is_some_and(|word| word.kind == WordKind::Symbol && word.text == sign)
+            .is_some_and(|word| word.kind == WordKind::Symbol && word.text == symbol)
     }
 
     fn is_keyword(&self, keyword: &str) -> bool {
@@ -58,21 +58,21 @@
         })
     }
 
-    /// Reads the sign if it is next.
-    pub(crate) fn skip_symbol(&mut self, sign: &str) -> bool {
-        let found = self.is_symbol(sign);
+    /// Reads the symbol if it is next. Returns whether it was.
+    pub(crate) fn skip_symbol(&mut self, symbol: &str) -> bool {
+        let found = self.is_symbol(symbol);
         self.position += usize::from(found);
         found
     }
 
-    /// Reads the keyword if it is next.
+    /// Reads the keyword if it is next. Returns whether it was.
     pub(crate) fn skip_keyword(&mut self, keyword: &str) -> bool {
         let found = self.is_keyword(keyword);
         self.position += usize::from(found);
         found
     }
 
-    /// Reads one of `choices`, which may be signs too.
+    /// Reads one of `choices`, which may be keywords or symbols.
     pub(crate) fn choice<'c>(&mut self, choices: &[&'c str]) -> Result<&'c str, LanguageError> {
         let wanted = format!("one of: {}", choices.join(", "));
         let word = self.peek().ok_or_else(|| self.unexpected_end(&wanted))?;
@@ -102,7 +102,7 @@
         self.choice(choices).map(Some)
     }
 
-    /// Reads a name or other free text; `what` says of what.
+    /// Reads a name or other free text; `what` describes it in errors.
     pub(crate) fn text(&mut self, what: &str) -> Result<String, LanguageError> {
         let word = self.peek().ok_or_else(|| self.unexpected_end(what))?;
         if word.kind == WordKind::Symbol {
@@ -114,7 +114,8 @@
         Ok(text)
     }
 
-    /// Reads a value that `parser` takes whole; otherwise the error names `what` it should be.
+    /// Reads a value that `parser` must consume completely; `what` and `example` describe it in
+    /// errors.
     pub(crate) fn value<T>(
         &mut self,
         what: &str,
@@ -129,7 +130,7 @@
         Ok(value)
     }
 
-    /// The line must be over.
+    /// Returns an error unless all words were read.
     pub(crate) fn finish(&self) -> Result<(), LanguageError> {
         let Some(word) = self.peek() else {
             return Ok(());
@@ -141,7 +142,7 @@
         Err(LanguageError::at(self.line, from, to, fault))
     }
 
-    /// The error that the next word is none of `choices`.
+    /// Returns the error that the next word is none of `choices`.
     pub(crate) fn unknown_word(&self, choices: &[&str]) -> LanguageError {
         let Some(word) = self.peek() else {
             return self.unexpected_end(&format!("one of: {}", choices.join(", ")));
@@ -166,7 +167,7 @@
         LanguageError::at(self.line, word.bytes.start, word.bytes.end, fault)
     }
 
-    /// The error that something is missing; it points at the last word there is.
+    /// Returns the error that the line is incomplete; it points at the last word.
     pub(crate) fn unexpected_end(&self, wanted: &str) -> LanguageError {
         let fault = LanguageFault::UnexpectedEnd {
             wanted: wanted.to_owned(),
@@ -176,11 +177,11 @@
     }
 }
 
-/// The choice most like `word`, where one is like it at all.
+/// Returns the choice most similar to `word`, if any is similar enough.
 fn nearest(word: &str, choices: &[&str]) -> Option<String> {
     let word = word.to_lowercase();
-    let like = |choice: &&str| (strsim::jaro_winkler(&word, choice) * 1e6) as u64;
-    let best = choices.iter().copied().max_by_key(like)?;
-    let likely = strsim::jaro_winkler(&word, best) >= MIN_SIMILARITY;
-    likely.then(|| best.to_owned())
+    let similarity = |choice: &&str| (strsim::jaro_winkler(&word, choice) * 1e6) as u64;
+    let best = choices.iter().copied().max_by_key(similarity)?;
+    let is_similar = strsim::jaro_winkler(&word, best) >= MIN_SIMILARITY;
+    is_similar.then(|| best.to_owned())
 }
--- a/crates/ragwortroad_language/src/word_value.rs
+++ b/crates/ragwortroad_language/src/word_value.rs
@@ -1,4 +1,4 @@
-//! The forms of values: rates, ranges, shares, spans, sizes.
+//! Parsers for values: numbers, rates, shares, ranges, durations, sizes, multiples and key hashes.
 
 use winnow::{
     ModalResult,
@@ -19,24 +19,24 @@
 
 use ragwortroad_state::prelude::*;
 
-/// `20`
+/// An integer such as `20`.
 pub(crate) fn number<T: TryFrom<u64>>(input: &mut &str) -> ModalResult<T> {
     dec_uint::<_, u64, _>
         .verify_map(|value| T::try_from(value).ok())
         .parse_next(input)
 }
 
-/// `20/s`
+/// A rate per second: `20/s` or `20`.
 pub(crate) fn rate(input: &mut &str) -> ModalResult<u32> {
     terminated(number, opt("/s")).parse_next(input)
 }
 
-/// `25%`
+/// A percentage: `25%` or `25`.
 pub(crate) fn percent(input: &mut &str) -> ModalResult<u32> {
     terminated(number, opt("%")).parse_next(input)
 }
 
-/// `2..6`
+/// A range such as `2..6`; a single number is both ends.
 pub(crate) fn range(input: &mut &str) -> ModalResult<(u32, u32)> {
     alt((
         separated_pair(number, "..", number),
@@ -45,7 +45,7 @@
     .parse_next(input)
 }
 
-/// `90s`, `15m`, `24h` or `7d`, in seconds.
+/// A duration such as `90s`, `15m`, `24h` or `7d`, in seconds.
 pub(crate) fn duration(input: &mut &str) -> ModalResult<u32> {
     let unit = alt((
         "s".value(1u64),
@@ -58,7 +58,7 @@
         .parse_next(input)
 }
 
-/// `16000mb` or `16gb`, in megabytes.
+/// A size such as `16000mb` or `16gb`, in megabytes.
 pub(crate) fn size(input: &mut &str) -> ModalResult<u32> {
     let unit = alt(("mb".value(1u32), "gb".value(1000)));
     (number::<u32>, unit)
@@ -66,7 +66,7 @@
         .parse_next(input)
 }
 
-/// `1.25`, in thousandths.
+/// A decimal with up to three fraction digits such as `1.25`, in thousandths.
 pub(crate) fn multiple(input: &mut &str) -> ModalResult<u32> {
     let fraction = preceded('.', digit1).verify_map(|digits: &str| {
         let padded = format!("{digits:0<3}");
@@ -79,7 +79,7 @@
         .parse_next(input)
 }
 
-/// 64 hexadecimal digits.
+/// A key hash of 64 hexadecimal digits.
 pub(crate) fn key_hash(input: &mut &str) -> ModalResult<KeyHash> {
     rest.verify_map(KeyHash::from_hex).parse_next(input)
 }
--- a/crates/ragwortroad_state/src/change/accepted_change.rs
+++ b/crates/ragwortroad_state/src/change/accepted_change.rs
@@ -8,18 +8,18 @@
     StateTime, //
 };
 
-/// A change that was accepted.
+/// A configuration change that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AcceptedChange {
-    /// The revision it led to.
+    /// The revision that it created.
     pub revision: u64,
-    /// Its own name.
+    /// The identifier that the issuer chose.
     pub change_id: String,
-    /// Who issued it.
+    /// The name of the operator who issued it.
     pub operator: String,
-    /// When it was accepted.
+    /// The state time at which it was accepted.
     pub accepted_at: StateTime,
-    /// What it changed.
+    /// The edits, in the order in which they were applied.
     pub edits: Vec<ConfigEdit>,
 }
--- a/crates/ragwortroad_state/src/change/change_command.rs
+++ b/crates/ragwortroad_state/src/change/change_command.rs
@@ -9,23 +9,24 @@
 
 use crate::ConfigEdit;
 
-/// A change that an operator wants.
+/// A configuration change that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ChangeCommand {
-    /// The change's own name, drawn by who issues it, so that a resend is known as one.
+    /// Identifier that the issuer chooses, by which a change that is sent again is recognized.
     pub change_id: String,
-    /// The revision that the operator saw.
+    /// The revision that the operator saw; the change is refused if it is no longer the current
+    /// one.
     pub base_revision: u64,
-    /// The operator's name.
+    /// The name of the operator.
     pub operator: String,
-    /// What is to change, as a whole.
+    /// The edits, which take effect as a whole.
     pub edits: Vec<ConfigEdit>,
 }
 
 impl ChangeCommand {
-    /// A short hash over the whole command, which tells a resend from another change that was
-    /// given the same name.
+    /// A hash over the whole command, which distinguishes a change that is sent again from another
+    /// change with the same identifier.
     pub(crate) fn digest(&self) -> [u8; 16] {
         let bytes = postcard::to_stdvec(self).unwrap_or_default();
         let hash: [u8; 32] = Sha256::digest(bytes).into();
--- a/crates/ragwortroad_state/src/change/change_log.rs
+++ b/crates/ragwortroad_state/src/change/change_log.rs
@@ -20,23 +20,25 @@
 /// Accepted changes kept for followers that missed them.
 pub const MAX_KEPT_CHANGES: usize = 1024;
 
-/// Outcomes kept for resends; at 1,600 changes a day this is two and a half days.
+/// Outcomes kept for changes that are sent again; at 1,600 changes a day this covers two and a half
+/// days.
 pub const MAX_KEPT_OUTCOMES: usize = 4096;
 
-/// Longest name of a change in bytes.
+/// Longest identifier of a change, in bytes.
 const MAX_CHANGE_ID_BYTES: usize = 64;
 
-/// The configuration with the history of how it came about.
+/// The current configuration with the history of its changes.
 ///
-/// A resend past the kept outcomes is refused as a conflict when it was accepted, since its base
-/// is then an old revision: it can be told less, but it never takes effect twice.
+/// An accepted change that is sent again after its outcome was dropped is refused as a conflict,
+/// because its base is an old revision by then. The answer says less, but the change never takes
+/// effect twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeLog {
     config: FleetConfig,
-    /// Invariant: revisions are contiguous and end at the configuration's.
+    /// Invariant: revisions are contiguous and end at the configuration's revision.
     history: VecDeque<KeptChange>,
     outcomes: BTreeMap<String, KeptOutcome>,
-    /// Names in `outcomes`, the oldest first.
+    /// Identifiers in `outcomes`, oldest first.
     order: VecDeque<String>,
     config_bytes: usize,
     digest: u64,
@@ -54,12 +56,12 @@
 pub(crate) struct KeptOutcome {
     digest: [u8; 16],
     base_revision: u64,
-    /// Invariant: a conflict is kept without its winner, which the history has, so that many
-    /// refused changes do not keep many copies of a large one.
+    /// Invariant: a conflict is kept without the winning change, which is in the history, so that
+    /// many refused changes do not keep many copies of a large one.
     outcome: ChangeOutcome,
 }
 
-/// A change log as it stands in a snapshot.
+/// A change log as encoded in a snapshot.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct ChangeLogWire {
     config: FleetConfig,
@@ -83,23 +85,23 @@
 }
 
 impl ChangeLog {
-    /// The configuration now.
+    /// The current configuration.
     pub fn config(&self) -> &FleetConfig {
         &self.config
     }
 
-    /// The accepted changes still kept, the oldest first.
+    /// The accepted changes that are still kept, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &AcceptedChange> {
         self.history.iter().map(|kept| &kept.change)
     }
 
-    /// The outcome of an earlier change of this name, while it is kept.
+    /// The outcome of the change with this identifier, while it is kept.
     pub fn outcome_of(&self, change_id: &str) -> Option<ChangeOutcome> {
         let kept = self.outcomes.get(change_id)?;
         Some(self.with_winner(kept))
     }
 
-    /// The revision on which an earlier change of this name was issued, while that is kept.
+    /// The base revision of the change with this identifier, while it is kept.
     pub fn base_revision_of(&self, change_id: &str) -> Option<u64> {
         let kept = self.outcomes.get(change_id)?;
         Some(kept.base_revision)
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Decides on a change, or returns what was decided on it before.
+    /// Accepts or refuses a change. Returns the first outcome if the change was already decided on.
     pub(crate) fn apply(&mut self, command: ChangeCommand, now: StateTime) -> ChangeOutcome {
         if command.change_id.is_empty() || command.change_id.len() > MAX_CHANGE_ID_BYTES {
             return ChangeOutcome::BadId;
@@ -199,12 +201,12 @@
 
     fn change_at(&self, revision: u64) -> Option<&AcceptedChange> {
         let first = self.history.front()?.change.revision;
-        let place = usize::try_from(revision.checked_sub(first)?).ok()?;
-        self.history.get(place).map(|kept| &kept.change)
+        let index = usize::try_from(revision.checked_sub(first)?).ok()?;
+        self.history.get(index).map(|kept| &kept.change)
     }
 
-    /// What a follower at `revision` needs: the changes it missed, or the whole configuration
-    /// where they are no longer kept or would be longer.
+    /// Returns the update that brings a follower from `revision` to the current one: the changes it
+    /// missed, or the whole configuration if they are no longer kept or would be larger.
     pub fn config_since(&self, revision: u64) -> ConfigUpdate {
         let missed = self.config.revision.saturating_sub(revision);
         let known = revision <= self.config.revision && missed <= self.history.len() as u64;
--- a/crates/ragwortroad_state/src/change/change_outcome.rs
+++ b/crates/ragwortroad_state/src/change/change_outcome.rs
@@ -8,36 +8,36 @@
     ConfigFault, //
 };
 
-/// What became of a change. A resend gets the same.
+/// The outcome of a change. A change that is sent again gets the same one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeOutcome {
-    /// It is durable on a quorum as this revision.
+    /// The change is durable on a quorum.
     Accepted {
-        /// The revision.
+        /// The revision that it created.
         revision: u64,
     },
     /// Another change was accepted on the same base.
     Conflict {
-        /// The revision now.
+        /// The current revision.
         revision: u64,
-        /// The change that won, where the history still has it.
+        /// The accepted change, if the history still has it.
         winner: Option<Box<AcceptedChange>>,
     },
-    /// Its base is a revision that is not there yet.
+    /// The base revision does not exist yet.
     Ahead {
-        /// The revision now.
+        /// The current revision.
         revision: u64,
     },
-    /// It would not leave a whole configuration.
+    /// The resulting configuration would be invalid.
     Invalid {
-        /// Every fault.
+        /// Every fault of the change.
         faults: Vec<ConfigFault>,
     },
-    /// Another change has the same name.
+    /// Another change has the same identifier.
     IdReused,
-    /// Its name is empty or longer than 64 bytes.
+    /// The identifier is empty or longer than 64 bytes.
     BadId,
 }
 
--- a/crates/ragwortroad_state/src/change/config_update.rs
+++ b/crates/ragwortroad_state/src/change/config_update.rs
@@ -9,13 +9,13 @@
     FleetConfig, //
 };
 
-/// What a follower needs to come up to a revision.
+/// An update that brings a follower to the current revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum ConfigUpdate {
-    /// The changes it missed, in order; none where it is as current as who answers.
+    /// The changes that the follower missed; empty if it is as current as the sender.
     Delta {
-        /// The changes.
+        /// The accepted changes, in order of their revisions.
         changes: Vec<AcceptedChange>,
         /// [`FleetConfig::digest`] after the last of them.
         digest: u64,
@@ -24,48 +24,49 @@
     Snapshot(Box<FleetConfig>),
 }
 
-/// Why an update cannot be followed.
+/// Why an update cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum UpdateError {
-    /// Changes between the follower's revision and the update's first are missing.
+    /// Changes between the follower's revision and the first one in the update are missing.
     #[snafu(display(
-        "the update begins at revision {first} and this node has {revision}; ask for the changes \
-         since {revision}"
+        "the update begins at revision {first}, but this node has revision {revision}; request the \
+         changes since revision {revision}"
     ))]
     MissingChanges {
-        /// The follower's revision.
+        /// The revision that the follower has.
         revision: u64,
-        /// The update's first.
+        /// The first revision in the update.
         first: u64,
     },
-    /// The update is older than what the follower has.
+    /// The update is older than the follower's configuration.
     #[snafu(display(
-        "the update is of revision {offered} and this node has {revision}; ask another member"
+        "the update has revision {offered}, but this node has revision {revision}; request one from \
+         another member"
     ))]
     StaleUpdate {
-        /// The follower's revision.
+        /// The revision that the follower has.
         revision: u64,
-        /// The update's.
+        /// The update's revision.
         offered: u64,
     },
-    /// Following the changes gave another configuration than the members have.
+    /// Applying the changes produced another configuration than the members have.
     #[snafu(display(
-        "revision {revision} came out differently here than on the members; ask for a snapshot, \
-         and run the same program version on all nodes"
+        "revision {revision} on this node differs from the members' configuration; request a \
+         snapshot, and run the same build on all nodes"
     ))]
     Diverged {
-        /// The revision.
+        /// The revision at which the difference was detected.
         revision: u64,
     },
 }
 
 impl FleetConfig {
-    /// Comes up to the revision of `update`, or leaves everything as it was.
+    /// Applies `update`, or leaves the configuration unchanged on an error.
     ///
-    /// A follower never goes back to an older revision: an answer that was long on the way, or one
-    /// from a member that fell behind, would otherwise bring back what an operator took away.
+    /// A follower never goes back to an older revision. Otherwise a delayed answer, or one from a
+    /// member that lags behind, would restore what an operator removed.
     pub fn apply_update(&mut self, update: ConfigUpdate) -> Result<(), UpdateError> {
         match update {
             ConfigUpdate::Delta { changes, digest } => self.apply_delta(&changes, digest),
@@ -84,14 +85,14 @@
     }
 
     fn apply_delta(&mut self, changes: &[AcceptedChange], digest: u64) -> Result<(), UpdateError> {
-        // Most answers bring nothing new; copying and hashing a large configuration for each would
-        // take a share of the processor that grows with the customers.
+        // Most answers contain no changes. Cloning and hashing a large configuration for each of
+        // them would use CPU time in proportion to the number of customers.
         if changes.is_empty() {
             return Ok(());
         }
         let mut config = self.clone();
         for change in changes {
-            // A repeated delta begins with changes that are in force already.
+            // A repeated delta begins with changes that were already applied.
             if change.revision <= config.revision {
                 continue;
             }
--- a/crates/ragwortroad_state/src/change/mod.rs
+++ b/crates/ragwortroad_state/src/change/mod.rs
@@ -1,4 +1,5 @@
-//! Operators' changes: one acceptance for each revision, and the first outcome for each resend.
+//! Operators' configuration changes. Each revision has one accepted change, and a change that is
+//! sent again gets its first outcome.
 
 pub(crate) mod accepted_change;
 pub(crate) mod change_command;
--- a/crates/ragwortroad_state/src/claim/claim_count.rs
+++ b/crates/ragwortroad_state/src/claim/claim_count.rs
@@ -1,10 +1,10 @@
-/// What the table counts for one customer.
+/// Numbers of the keys remembered for one customer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClaimCount {
-    /// Keys remembered in full.
+    /// Keys with a full record.
     pub kept: usize,
-    /// Of these, the ones whose attempt may still be running.
+    /// Those among `kept` whose attempt may still be running.
     pub running: usize,
-    /// Undated keys remembered past the window.
+    /// Undated keys past the window, of which only a fingerprint is kept.
     pub spent: usize,
 }
--- a/crates/ragwortroad_state/src/claim/claim_entry.rs
+++ b/crates/ragwortroad_state/src/claim/claim_entry.rs
@@ -10,10 +10,10 @@
     StateTime, //
 };
 
-/// Released attempts remembered under one key.
+/// Released attempts remembered per key.
 const MAX_KEPT_RELEASES: usize = 8;
 
-/// All that is remembered of one key within the window.
+/// The full record of a key within the window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct ClaimEntry {
@@ -23,24 +23,24 @@
     pub(crate) claimed_at: StateTime,
     pub(crate) issued_ms: Option<u64>,
     pub(crate) phase: ClaimPhase,
-    /// Attempts that were given up. A claim step of theirs that is still on the way must not take
-    /// the key: nobody would ever finish it.
+    /// Attempts that were released. A delayed claim step of such an attempt must not take the key,
+    /// because nobody would ever finish it.
     pub(crate) released: Vec<ClaimAttempt>,
 }
 
-/// How far a claimed request is known to have come.
+/// The known progress of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum ClaimPhase {
     /// The attempt may be running.
     Running,
-    /// The attempt may have run and is over.
+    /// The attempt is over and may have run.
     Unknown,
-    /// It ran.
+    /// The attempt ran; the response was not kept.
     Ran { status: u16 },
-    /// It ran, with this answer.
+    /// The attempt ran and got this response.
     Answered(ClaimAnswer),
-    /// It did not run; the key is free for the same body.
+    /// The attempt did not run; the key is free for the same body.
     Released,
 }
 
@@ -50,7 +50,8 @@
         self.phase != ClaimPhase::Released
     }
 
-    /// The answer to another claim of the key; `stale` tells that its attempt is lost or too old.
+    /// Returns the outcome of another claim of the key; `stale` tells that the holding attempt's
+    /// node was lost or that the attempt exceeded the run bound.
     pub(crate) fn claim_outcome(&self, stale: bool) -> ClaimOutcome {
         match &self.phase {
             ClaimPhase::Running if stale => ClaimOutcome::Unknown,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Notes that `attempt` gave up.
+    /// Records that `attempt` was released.
     pub(crate) fn record_release(&mut self, attempt: ClaimAttempt) {
         if self.released.contains(&attempt) {
             return;
--- a/crates/ragwortroad_state/src/claim/claim_outcome.rs
+++ b/crates/ragwortroad_state/src/claim/claim_outcome.rs
@@ -6,44 +6,44 @@
 
 use crate::ClaimAnswer;
 
-/// The state's answer to one claim step.
+/// The outcome of one claim step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum ClaimOutcome {
     /// The attempt, and no other, may send the request.
     Granted,
-    /// Another attempt is running.
+    /// Another attempt may be running.
     InProgress,
     /// An earlier attempt may have run.
     Unknown,
-    /// An earlier attempt ran; its answer was not kept.
+    /// An earlier attempt ran; its response was not kept.
     Ran {
-        /// HTTP status.
+        /// The HTTP status of the response.
         status: u16,
     },
-    /// An earlier attempt ran, with this answer.
+    /// An earlier attempt ran and got this response.
     Recorded(ClaimAnswer),
-    /// The key came before with another body.
+    /// The key was used before with another body.
     BodyDiffers,
     /// The key is older than the window.
     Expired,
-    /// The key's date lies in the future.
+    /// The key's date is in the future by more than the allowed skew.
     Ahead,
-    /// The customer has as many keys remembered as it may.
+    /// The customer has reached its limit of remembered keys.
     Full,
-    /// No customer of this name is declared.
+    /// The customer is not declared.
     UnknownCustomer,
     /// The attempt was released before.
     Withdrawn,
-    /// A finish or release took effect, or had done so before.
+    /// A finish or release was recorded, now or earlier.
     Noted,
-    /// A finish or release of an attempt that does not hold the claim.
+    /// A finish or release was ignored because the attempt does not hold the claim.
     NotHeld,
 }
 
 impl ClaimOutcome {
-    /// What a caller whose claim was not granted is told; nothing for a grant, a recorded answer
-    /// and the answers to finishes and releases.
+    /// Returns what the caller of a refused claim is told; `None` for a grant, a recorded response
+    /// and the outcomes of finishes and releases.
     pub fn refusal(&self) -> Option<(RequestOutcome, RefusalCode)> {
         let refusal = match self {
             Self::InProgress => (RequestOutcome::Unknown, RefusalCode::KeyInProgress),
--- a/crates/ragwortroad_state/src/claim/claim_step.rs
+++ b/crates/ragwortroad_state/src/claim/claim_step.rs
@@ -9,93 +9,96 @@
 
 /// One node's attempt to run the request of a key.
 ///
-/// A node draws a new request identity for every request it takes in, so that an attempt names the
-/// one process run that may send the request.
+/// A node generates a new request identity for every request it accepts, so an attempt identifies
+/// the one process run that may send the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimAttempt {
     /// The node that sends the request.
     pub node: NodeId,
-    /// The request's identity there.
+    /// The request's identity on that node.
     pub request: RequestId,
 }
 
-/// One step on the claim of a key. Nodes send them, the leader batches them into the log.
+/// One step on the claim of a key. Nodes send steps to the leader, which batches them into the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum ClaimStep {
-    /// May this attempt run? The node sends nothing before it has seen this granted.
+    /// Requests the claim for an attempt. The node sends nothing to the service until the claim is
+    /// granted.
     Claim {
-        /// The key.
+        /// The claimed key.
         key: ClaimKey,
-        /// Half of the request's body hash.
+        /// The first 16 bytes of the hash of the request's body.
         body: [u8; 16],
-        /// Who wants to run it.
+        /// The attempt that requests the claim.
         attempt: ClaimAttempt,
     },
-    /// The attempt is over.
+    /// Reports the result of an attempt that is over.
     Finish {
-        /// The key.
+        /// The claimed key.
         key: ClaimKey,
-        /// Who ran it.
+        /// The attempt that is over.
         attempt: ClaimAttempt,
-        /// What came of it.
+        /// The result of the attempt.
         result: ClaimResult,
     },
-    /// Not one byte of the attempt was sent, and none will be: the key may run again.
+    /// Releases the key: no byte of the attempt was sent and none will be, so the key may run
+    /// again.
     ///
-    /// Also sent when the answer to a claim did not come in time. It then may overtake the claim,
-    /// which is refused when it arrives.
+    /// A node also sends this when the outcome of a claim did not arrive in time. The release may
+    /// then overtake the claim, which is refused when it arrives.
     Release {
-        /// The key.
+        /// The claimed key.
         key: ClaimKey,
-        /// Half of the request's body hash.
+        /// The first 16 bytes of the hash of the request's body.
         body: [u8; 16],
-        /// Who gave up.
+        /// The released attempt.
         attempt: ClaimAttempt,
     },
-    /// The node is gone: what it had claimed is unknown until it says otherwise.
+    /// Declares a node lost: its claims are unknown until it reports otherwise.
     NodeLost {
-        /// The node.
+        /// The lost node.
         node: NodeId,
     },
 }
 
-/// What came of an attempt whose first byte was sent.
+/// The result of an attempt whose first byte was sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum ClaimResult {
-    /// It ran, with this whole answer.
+    /// The attempt ran and got this response.
     Answered(ClaimAnswer),
-    /// It ran; the answer is too large to be kept.
+    /// The attempt ran; the response is too large to be kept.
     Ran {
-        /// HTTP status.
+        /// The HTTP status of the response.
         status: u16,
     },
-    /// It may have run.
+    /// The attempt may have run.
     Unknown,
 }
 
-/// A recorded answer.
+/// A recorded response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimAnswer {
-    /// HTTP status.
+    /// The HTTP status of the response.
     pub status: u16,
-    /// The Content-Type header.
+    /// The value of the Content-Type header.
     pub content_type: String,
-    /// The whole body.
+    /// The complete body.
     #[serde(serialize_with = "serialize_body")]
     pub body: Vec<u8>,
 }
 
-/// Writes the body in one piece; byte by byte it would make up most of a snapshot's time.
+/// Serializes the body as one byte string; element by element it would take most of the time of
+/// writing a snapshot.
 fn serialize_body<S: Serializer>(body: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(body)
 }
 
 impl ClaimAnswer {
-    /// Bytes it is counted with.
+    /// The number of bytes that count against the budget.
     pub(crate) fn length(&self) -> usize {
         self.content_type.len() + self.body.len()
     }
--- a/crates/ragwortroad_state/src/claim/claim_table.rs
+++ b/crates/ragwortroad_state/src/claim/claim_table.rs
@@ -28,23 +28,23 @@
     }, //
 };
 
-/// Customers looked through for expired keys with each batch.
+/// Customers checked for expired keys with each batch.
 const SWEEP_CUSTOMERS: usize = 4;
-/// Keys of one customer that expire with one batch at most.
+/// Maximum number of one customer's keys that expire with one batch.
 const MAX_EXPIRED_KEYS: u32 = 64;
 
-/// Which idempotency keys were claimed, by whom, and what came of them.
+/// The claimed idempotency keys of all customers, with their attempts and results.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimTable {
     customers: BTreeMap<String, CustomerClaims>,
-    /// Nodes declared gone, with the time up to which their claims are unknown.
+    /// Nodes declared lost, with the time up to which their claims are unknown.
     lost: BTreeMap<NodeId, StateTime>,
-    /// Dated keys issued before this are refused unless they are still remembered.
+    /// Dated keys issued before this time are refused unless a record of them remains.
     ///
-    /// Invariant: never falls. An entry of a dated key is dropped only below it; if it could fall,
-    /// after a wall clock was set back or the window made longer, a dropped key would pass for new
-    /// and run again.
+    /// Invariant: never decreases. The record of a dated key is dropped only when the key is older
+    /// than the floor. If the floor could decrease, after a wall clock was set back or the window
+    /// was made longer, a dropped key would be taken for a new one and run again.
     floor_ms: u64,
     wall_ms: u64,
     /// The customer after which the next sweep begins.
@@ -52,7 +52,7 @@
 }
 
 impl ClaimTable {
-    /// Carries out the steps of one batch, in order.
+    /// Applies the steps of one batch, in order.
     pub(crate) fn apply(
         &mut self,
         config: &FleetConfig,
@@ -79,18 +79,18 @@
         outcomes.collect()
     }
 
-    /// What is remembered for `customer`.
+    /// Counts the keys remembered for `customer`.
     pub fn count(&self, customer: &str) -> ClaimCount {
         let claims = self.customers.get(customer);
         claims.map_or_else(ClaimCount::default, CustomerClaims::count)
     }
 
-    /// Customers that have keys remembered.
+    /// The customers that have remembered keys.
     pub fn customers(&self) -> impl Iterator<Item = &str> {
         self.customers.keys().map(String::as_str)
     }
 
-    /// Moves the clocks on and lets keys expire: those of a few customers each time, in turn.
+    /// Advances the clocks and expires keys, for a few customers at a time in rotation.
     fn advance(&mut self, config: &FleetConfig, now: StateTime, wall_ms: u64) {
         self.wall_ms = self.wall_ms.max(wall_ms);
         let window = Duration::from_secs(config.claims.window_s.into());
@@ -135,7 +135,7 @@
         outcome
     }
 
-    /// The answer for a key that is remembered in full.
+    /// Returns the outcome for a key that has a full record.
     fn recorded_outcome(
         &self,
         config: &FleetConfig,
@@ -155,7 +155,7 @@
         } else if entry.released.contains(&attempt) {
             ClaimOutcome::Withdrawn
         } else if entry.attempt == attempt && entry.phase == ClaimPhase::Running && !stale {
-            // The same step again: its first answer was lost on the way.
+            // The same step was sent again because its first answer was lost.
             ClaimOutcome::Granted
         } else {
             entry.claim_outcome(stale)
@@ -169,7 +169,7 @@
             || entry.claimed_at.after(bound) < now
     }
 
-    /// Whether a key that is not remembered in full may run.
+    /// Decides whether a key without a full record may run.
     fn check_new_key(&mut self, config: &FleetConfig, key: &ClaimKey) -> ClaimOutcome {
         let rules = &config.claims;
         let Some(customer) = config.customers.get(&key.customer) else {
@@ -191,7 +191,7 @@
         ClaimOutcome::Granted
     }
 
-    /// Notes that `attempt` holds the key. A step that came twice leaves the first time standing.
+    /// Records that `attempt` holds the key. A repeated step keeps the time of the first one.
     fn record_claim(
         &mut self,
         key: ClaimKey,
@@ -232,7 +232,7 @@
             return ClaimOutcome::NotHeld;
         };
         if !matches!(entry.phase, ClaimPhase::Running | ClaimPhase::Unknown) {
-            // A finish that came twice; a released attempt has nothing to finish.
+            // A repeated finish is ignored; a released attempt cannot finish.
             let released = entry.phase == ClaimPhase::Released;
             return if released {
                 ClaimOutcome::NotHeld
@@ -273,8 +273,8 @@
         if let Some(entry) = entry {
             return release_entry(entry, attempt);
         }
-        // The release came before its claim. It is remembered, so that the claim is refused when
-        // it arrives; otherwise it would hold the key for an attempt that is over.
+        // The release overtook its claim. It is recorded so that the claim is refused when it
+        // arrives; otherwise the claim would hold the key for an attempt that is over.
         if self.check_new_key(config, &key) != ClaimOutcome::Granted {
             return ClaimOutcome::Noted;
         }
@@ -296,7 +296,7 @@
     if entry.attempt == attempt {
         match entry.phase {
             ClaimPhase::Running | ClaimPhase::Released => entry.phase = ClaimPhase::Released,
-            // Bytes were sent: a release now is a fault of the node and must not free the key.
+            // Bytes were sent, so this release is an error of the node and must not free the key.
             _ => return ClaimOutcome::NotHeld,
         }
     }
--- a/crates/ragwortroad_state/src/claim/customer_claims.rs
+++ b/crates/ragwortroad_state/src/claim/customer_claims.rs
@@ -22,41 +22,42 @@
     }, //
 };
 
-/// One customer's keys.
+/// The idempotency keys of one customer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct CustomerClaims {
     pub(crate) entries: BTreeMap<[u8; 16], ClaimEntry>,
     /// Keys in the order in which they were claimed.
     ///
-    /// Invariant: has every entry under its `claimed_at`; may also have times of earlier claims.
+    /// Invariant: has every entry under its `claimed_at`; may also have the times of earlier
+    /// claims.
     queue: VecDeque<(StateTime, [u8; 16])>,
-    /// Undated keys past the window.
+    /// Fingerprints of undated keys past the window.
     spent: BTreeSet<u64>,
-    /// Undated keys in `entries`.
+    /// The number of undated keys in `entries`.
     undated: u32,
-    /// Keys with a recorded answer, the oldest answer first.
+    /// Keys with a recorded response, oldest response first.
     answers: VecDeque<[u8; 16]>,
-    /// Bytes of the recorded answers.
+    /// Total bytes of the recorded responses.
     answer_bytes: usize,
-    /// The revision up to which the operator declared keys forgotten when `spent` was cleared.
+    /// The revision of the operator's declaration for which `spent` was last cleared.
     forgotten: u64,
 }
 
 impl CustomerClaims {
-    /// Whether an undated key was used before the window.
+    /// Whether an undated key with this fingerprint was used and is past the window.
     pub(crate) fn is_spent(&self, key: u64) -> bool {
         self.spent.contains(&key)
     }
 
     /// Whether one more undated key can be remembered for good.
     ///
-    /// Keys within the window are counted too, since each needs a place later.
+    /// Keys within the window count too, since each needs a fingerprint later.
     pub(crate) fn has_room_for_undated(&self, rules: &ClaimRules) -> bool {
         self.spent.len() + (self.undated as usize) < rules.spent_per_customer as usize
     }
 
-    /// Drops what the operator declared will not come again.
+    /// Clears the fingerprints if the operator has declared since that they will not be used again.
     pub(crate) fn clear_spent(&mut self, forgotten: u64) {
         if self.forgotten < forgotten {
             self.forgotten = forgotten;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Remembers a key, or replaces what was remembered of it.
+    /// Inserts or replaces the record of a key.
     pub(crate) fn insert_entry(&mut self, digest: [u8; 16], entry: ClaimEntry) {
         self.queue.push_back((entry.claimed_at, digest));
         let undated = entry.issued_ms.is_none();
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Notes that a recorded answer was added, and cuts the oldest ones down to their status where
-    /// all together are over the budget.
+    /// Records that a response was added, and reduces the oldest responses to their status while
+    /// the total exceeds the budget.
     pub(crate) fn record_answer(&mut self, digest: [u8; 16], bytes: usize, rules: &ClaimRules) {
         self.answers.push_back(digest);
         self.answer_bytes += bytes;
@@ -97,11 +98,17 @@
         }
     }
 
-    /// Takes up to `most` keys out that are past the window at `now`, and whose date, where they
-    /// have one, is before `floor_ms`.
-    pub(crate) fn expire(&mut self, now: StateTime, floor_ms: u64, rules: &ClaimRules, most: u32) {
+    /// Removes up to `max_keys` keys that are past the window at `now` and whose date, if any, is
+    /// before `floor_ms`.
+    pub(crate) fn expire(
+        &mut self,
+        now: StateTime,
+        floor_ms: u64,
+        rules: &ClaimRules,
+        max_keys: u32,
+    ) {
         let window = std::time::Duration::from_secs(rules.window_s.into());
-        for _ in 0..most {
+        for _ in 0..max_keys {
             let Some((claimed_at, digest)) = self.queue.front().copied() else {
                 break;
             };
@@ -119,7 +126,7 @@
         }
     }
 
-    /// Drops queued keys whose answer is gone.
+    /// Removes keys from the front of `answers` whose response is gone.
     fn prune_answers(&mut self) {
         while let Some(digest) = self.answers.front() {
             let entry = self.entries.get(digest);
@@ -144,7 +151,7 @@
         }
     }
 
-    /// What is remembered.
+    /// Counts the remembered keys.
     pub(crate) fn count(&self) -> ClaimCount {
         let phases = self.entries.values().map(|entry| &entry.phase);
         ClaimCount {
--- a/crates/ragwortroad_state/src/claim/mod.rs
+++ b/crates/ragwortroad_state/src/claim/mod.rs
@@ -1,4 +1,4 @@
-//! Claims of non-idempotent requests: each idempotency key runs at most once.
+//! Claims of non-idempotent requests, which ensure that each idempotency key runs at most once.
 
 pub(crate) mod claim_count;
 pub(crate) mod claim_entry;
--- a/crates/ragwortroad_state/src/config/apply_edit.rs
+++ b/crates/ragwortroad_state/src/config/apply_edit.rs
@@ -1,4 +1,4 @@
-//! One edit's effect on a configuration.
+//! Applies one edit to a configuration.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     }, //
 };
 
-/// Carries `edit` out, or tells why it cannot be.
+/// Applies `edit`, or returns why it cannot be applied.
 pub(crate) fn apply(config: &mut FleetConfig, edit: &ConfigEdit) -> Result<(), ConfigFault> {
     match edit {
         ConfigEdit::Drain { target } => {
@@ -123,7 +123,7 @@
     Ok(())
 }
 
-/// Edits of one customer.
+/// Applies an edit of a customer; other edits have no effect.
 fn edit_customer(
     customers: &mut BTreeMap<String, CustomerEntry>,
     edit: &ConfigEdit,
--- a/crates/ragwortroad_state/src/config/call_pattern.rs
+++ b/crates/ragwortroad_state/src/config/call_pattern.rs
@@ -5,24 +5,24 @@
     Serialize, //
 };
 
-/// A method and a path pattern of a plain service's calls.
+/// An HTTP method and a path pattern of a plain service's calls.
 ///
-/// In the path `*` stands for one whole segment and a last `**` for all that follows.
+/// In the path, `*` matches one whole segment and a final `**` matches the rest of the path.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct CallPattern {
-    /// The HTTP method in capitals.
+    /// The HTTP method, in upper case.
     pub method: String,
-    /// The path pattern; starts with `/`.
+    /// The path pattern, which starts with `/`.
     pub path: String,
 }
 
 impl CallPattern {
-    /// Whether a call with this method and path falls under the pattern.
+    /// Whether a call with this method and path matches the pattern. A query string is ignored.
     ///
-    /// A path with an encoded byte, an empty segment or a dot segment matches nothing: the service
-    /// may resolve it to another path than the one compared here, and a booking that passes for a
-    /// read would be sent twice.
+    /// A path with an encoded byte, an empty segment or a dot segment never matches: the service
+    /// may resolve it to another path than the one compared here, and a booking mistaken for a read
+    /// would be sent twice.
     pub fn matches(&self, method: &str, path: &str) -> bool {
         let path = path.split('?').next().unwrap_or(path);
         self.method == method && is_plain(path) && matches_path(&self.path, path)
@@ -38,18 +38,18 @@
 fn is_plain(path: &str) -> bool {
     let encoded = path.contains(['%', '\\', ';']);
     let mut segments = path.split('/').skip(1);
-    path.starts_with('/') && !encoded && segments.all(|part| !matches!(part, "" | "." | ".."))
+    path.starts_with('/') && !encoded && segments.all(|segment| !matches!(segment, "" | "." | ".."))
 }
 
 fn matches_path(pattern: &str, path: &str) -> bool {
-    let mut parts = path.split('/');
-    for wanted in pattern.split('/') {
-        match (wanted, parts.next()) {
+    let mut segments = path.split('/');
+    for expected in pattern.split('/') {
+        match (expected, segments.next()) {
             ("**", Some(_)) => return true,
-            ("*", Some(part)) if !part.is_empty() => {}
-            (_, Some(part)) if part == wanted => {}
+            ("*", Some(segment)) if !segment.is_empty() => {}
+            (_, Some(segment)) if segment == expected => {}
             _ => return false,
         }
     }
-    parts.next().is_none()
+    segments.next().is_none()
 }
--- a/crates/ragwortroad_state/src/config/change_config.rs
+++ b/crates/ragwortroad_state/src/config/change_config.rs
@@ -1,4 +1,4 @@
-//! Changes of a configuration: checked as a whole, and carried out.
+//! Validates changes of a configuration and applies them.
 
 use crate::{
     ConfigEdit,
@@ -10,11 +10,11 @@
     }, //
 };
 
-/// Edits one change may have.
+/// Largest number of edits in one change.
 const MAX_EDITS: usize = 256;
 
 impl FleetConfig {
-    /// Checks the configuration as a whole and names every fault.
+    /// Checks the whole configuration and returns every fault.
     pub fn validate(&self) -> Result<(), Vec<ConfigFault>> {
         let faults = validate::faults(self);
         if faults.is_empty() {
@@ -24,9 +24,9 @@
         }
     }
 
-    /// The configuration after `edits` as one change, or every fault that keeps it from being one.
+    /// Returns the configuration after `edits` were applied as one change, or every fault in them.
     ///
-    /// Either all edits take effect or none: they work on a copy.
+    /// The edits work on a copy, so either all of them take effect or none does.
     pub fn with_edits(&self, edits: &[ConfigEdit]) -> Result<Self, Vec<ConfigFault>> {
         let mut config = self.clone();
         let mut faults = self.edit_list_faults(edits);
@@ -45,10 +45,10 @@
         Ok(config)
     }
 
-    /// Carries the edits of an accepted change out; false where one cannot be.
+    /// Applies the edits of an accepted change. Returns false if one of them cannot be applied.
     ///
-    /// The members checked the change as a whole when they accepted it; a follower that checked
-    /// every change it missed would stand still for a second after a long absence.
+    /// The change is not validated again: the members did so when they accepted it, and a follower
+    /// that validated every change it missed would block for a second after a long absence.
     pub(crate) fn apply_accepted_edits(&mut self, edits: &[ConfigEdit]) -> bool {
         let applied = edits
             .iter()
@@ -57,7 +57,7 @@
         applied
     }
 
-    /// Faults of the list of edits itself.
+    /// Checks the number of edits and of membership changes.
     fn edit_list_faults(&self, edits: &[ConfigEdit]) -> Vec<ConfigFault> {
         let mut faults = Vec::new();
         if edits.is_empty() || edits.len() > MAX_EDITS {
@@ -66,8 +66,8 @@
                 most: MAX_EDITS as u64,
             });
         }
-        // Two members exchanged at once can leave two quorums without a common member, each of
-        // which accepts changes that the other does not know.
+        // If two members were replaced at once, two quorums without a common member could exist,
+        // and each could accept changes that the other does not know.
         let of_members = edits
             .iter()
             .filter(|edit| edit.changes_membership())
--- a/crates/ragwortroad_state/src/config/claim_rules.rs
+++ b/crates/ragwortroad_state/src/config/claim_rules.rs
@@ -5,22 +5,23 @@
 
 use crate::ClaimsEdit;
 
-/// How long and how much the fleet remembers of idempotency keys.
+/// Limits on how long and how much the fleet remembers of idempotency keys.
 ///
-/// These stand in the replicated configuration and not in a process's settings: two members that
-/// applied the same claims under different rules would disagree about which key is free.
+/// The rules belong to the replicated configuration and not to a process's settings: two members
+/// that applied the same claims under different rules would disagree about which key is free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimRules {
-    /// Seconds for which a key's outcome is remembered in full.
+    /// Seconds for which the full outcome of a key is remembered.
     pub window_s: u32,
-    /// Keys remembered in full for one customer; above it new keys are refused.
+    /// Keys per customer with a full record; beyond this, new keys are refused.
     pub per_customer: u32,
-    /// Largest answer recorded, in bytes; of larger ones only the status is kept.
+    /// Largest response that is recorded, in bytes; of larger ones only the status is kept.
     pub answer_bytes: u32,
-    /// Bytes of recorded answers of one customer; above it the oldest are cut to their status.
+    /// Total bytes of recorded responses per customer; beyond this, the oldest keep only their
+    /// status.
     pub answer_budget: u32,
-    /// Fingerprints of undated keys past the window, for one customer.
+    /// Fingerprints per customer of undated keys past the window.
     pub spent_per_customer: u32,
     /// Seconds by which a dated key may be ahead of the members' wall clocks.
     pub skew_s: u32,
@@ -43,7 +44,7 @@
 }
 
 impl ClaimRules {
-    /// The rules after an edit.
+    /// Returns the rules with the fields that `edit` sets replaced.
     pub(crate) fn with_edit(self, edit: &ClaimsEdit) -> Self {
         Self {
             window_s: edit.window_s.unwrap_or(self.window_s),
--- a/crates/ragwortroad_state/src/config/config_edit.rs
+++ b/crates/ragwortroad_state/src/config/config_edit.rs
@@ -11,256 +11,257 @@
     ReplicaRange, //
 };
 
-/// One edit of the configuration; a change is a list of them that takes effect as a whole.
+/// One edit of the configuration. A change is a list of edits that takes effect as a whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigEdit {
-    /// A new customer with the default limits.
+    /// Adds a customer with the default limits.
     AddCustomer {
-        /// Its name.
+        /// The name of the new or removed entry.
         customer: String,
     },
-    /// A customer leaves.
+    /// Removes a customer.
     RemoveCustomer {
-        /// Its name.
+        /// The name of the new or removed entry.
         customer: String,
     },
-    /// New limits; what is not given stays.
+    /// Sets limits of a customer; fields that are `None` keep their values.
     SetLimits {
-        /// The customer.
+        /// The customer's name.
         customer: String,
-        /// The limits that change.
+        /// The limits to set.
         limits: LimitsEdit,
     },
-    /// One more key.
+    /// Adds an API key to a customer.
     AddKey {
-        /// The customer.
+        /// The customer's name.
         customer: String,
-        /// The key's hash.
+        /// The hash of the API key.
         key: KeyHash,
     },
-    /// A key goes.
+    /// Removes an API key from a customer.
     RemoveKey {
-        /// The customer.
+        /// The customer's name.
         customer: String,
-        /// The key's hash.
+        /// The hash of the API key.
         key: KeyHash,
     },
-    /// The customer may use a model, and an adapter where one is named.
+    /// Allows a customer to use a model and, if given, one of its adapters.
     AllowModel {
-        /// The customer.
+        /// The customer's name.
         customer: String,
-        /// The model.
+        /// The model's name.
         model: String,
-        /// The adapter.
+        /// The adapter's name.
         adapter: Option<String>,
-        /// The version the customer always gets.
+        /// The version that all the customer's requests use; `None` leaves it as it is.
         version: Option<String>,
     },
-    /// The customer may no longer use a model, or only the adapter where one is named.
+    /// Forbids a customer to use a model or, if an adapter is given, only that adapter.
     DenyModel {
-        /// The customer.
+        /// The customer's name.
         customer: String,
-        /// The model.
+        /// The model's name.
         model: String,
-        /// The adapter.
+        /// The adapter's name.
         adapter: Option<String>,
     },
-    /// The customer may call a service.
+    /// Allows a customer to call a service.
     AllowService {
-        /// The customer.
+        /// The customer's name.
         customer: String,
-        /// The service.
+        /// The service's name.
         service: String,
     },
-    /// The customer may no longer call a service.
+    /// Forbids a customer to call a service.
     DenyService {
-        /// The customer.
+        /// The customer's name.
         customer: String,
-        /// The service.
+        /// The service's name.
         service: String,
     },
-    /// The customer's idempotency keys past the window will not come again.
+    /// Declares that a customer's idempotency keys past the window will not be used again.
     ForgetKeys {
-        /// The customer.
+        /// The customer's name.
         customer: String,
     },
-    /// A new model.
+    /// Adds a model.
     AddModel {
-        /// Its name.
+        /// The name of the new or removed entry.
         model: String,
-        /// Its first version.
+        /// The version that gets all chats at first.
         version: String,
-        /// How many engines hold it.
+        /// How many engines load the model.
         replicas: ReplicaRange,
-        /// Size of its weights.
+        /// Size of the model's weights in megabytes.
         size_mb: u32,
     },
-    /// A model goes.
+    /// Removes a model.
     RemoveModel {
-        /// Its name.
+        /// The name of the new or removed entry.
         model: String,
     },
-    /// How many engines hold a model.
+    /// Sets how many engines load a model.
     SetReplicas {
-        /// The model.
+        /// The model's name.
         model: String,
-        /// The numbers.
+        /// The new replica counts.
         replicas: ReplicaRange,
     },
-    /// A model can be used with an adapter.
+    /// Adds an adapter to a model.
     AddAdapter {
-        /// The model.
+        /// The model's name.
         model: String,
-        /// The adapter.
+        /// The adapter's name.
         adapter: String,
     },
-    /// A model can no longer be used with an adapter.
+    /// Removes an adapter from a model.
     RemoveAdapter {
-        /// The model.
+        /// The model's name.
         model: String,
-        /// The adapter.
+        /// The adapter's name.
         adapter: String,
     },
-    /// A step of a rollout: the version gets so many percent of new chats.
+    /// Sets the share of new chats that a version gets, as a step of a rollout.
     RollModel {
-        /// The model.
+        /// The model's name.
         model: String,
-        /// The version.
+        /// The version's name.
         version: String,
-        /// Its share of new chats.
+        /// The version's share of new chats, in percent.
         percent: u32,
     },
-    /// Back to the shares before the rollout.
+    /// Restores the version shares from before the rollout.
     RollBack {
-        /// The model.
+        /// The model's name.
         model: String,
     },
-    /// An endpoint or node gets no new work.
+    /// Stops new work for an endpoint, a node or a failure domain.
     Drain {
-        /// Which.
+        /// What the drain applies to.
         target: DrainTarget,
     },
-    /// An endpoint or node gets work again.
+    /// Ends a drain.
     Undrain {
-        /// Which.
+        /// What the drain applies to.
         target: DrainTarget,
     },
-    /// The load multiple in thousandths.
+    /// Sets the upper bound on an engine's load.
     SetMultiple {
-        /// Thousandths of the mean.
+        /// The bound in thousandths of the fleet's mean load.
         permille: u32,
     },
-    /// A new plain service.
+    /// Adds a plain service.
     AddService {
-        /// Its name.
+        /// The name of the new or removed entry.
         service: String,
     },
-    /// A plain service goes.
+    /// Removes a plain service.
     RemoveService {
-        /// Its name.
+        /// The name of the new or removed entry.
         service: String,
     },
-    /// Whether calls under a pattern may be repeated.
+    /// Declares whether calls that match a pattern may be sent more than once.
     SetCall {
-        /// The service.
+        /// The service's name.
         service: String,
-        /// The calls.
+        /// The calls it applies to.
         pattern: CallPattern,
-        /// Whether they may be repeated.
+        /// Whether the calls may be sent more than once.
         repeat: CallRepeat,
     },
-    /// A new member.
+    /// Adds a member to the consensus group.
     AddMember {
-        /// Its node's name.
+        /// The name of the member's node.
         member: String,
-        /// Its `IP:port` towards the other members.
+        /// The `IP:port` at which the other members reach it.
         address: String,
     },
-    /// A member leaves.
+    /// Removes a member from the consensus group.
     RemoveMember {
-        /// Its node's name.
+        /// The name of the member's node.
         member: String,
     },
-    /// One more key of an operator, who is new with the first.
+    /// Adds an API key to an operator; creates the operator with the first key.
     AddOperator {
-        /// The operator's name.
+        /// The name of the operator.
         operator: String,
-        /// The key's hash.
+        /// The hash of the API key.
         key: KeyHash,
     },
-    /// A key of an operator goes, and the operator with the last.
+    /// Removes an API key from an operator; removes the operator with the last key.
     RemoveOperator {
-        /// The operator's name.
+        /// The name of the operator.
         operator: String,
-        /// The key's hash.
+        /// The hash of the API key.
         key: KeyHash,
     },
-    /// What nodes do that cannot confirm that they are current.
+    /// Sets what a node does when it cannot confirm that its configuration is current.
     SetQuorumLoss {
-        /// The policy.
+        /// The new policy.
         policy: QuorumLoss,
     },
-    /// How idempotency keys are remembered; what is not given stays.
+    /// Sets rules for idempotency keys; fields that are `None` keep their values.
     SetClaims {
-        /// The rules that change.
+        /// The rules to set.
         rules: ClaimsEdit,
     },
 }
 
 impl ConfigEdit {
-    /// Whether it adds or removes a member.
+    /// Whether the edit adds or removes a member of the consensus group.
     pub fn changes_membership(&self) -> bool {
         matches!(self, Self::AddMember { .. } | Self::RemoveMember { .. })
     }
 }
 
-/// The limits that an edit changes.
+/// The limits that an edit sets; `None` keeps the current value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LimitsEdit {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: Option<u32>,
-    /// Tokens a second.
+    /// Generated tokens per second.
     pub tokens_per_s: Option<u32>,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrent: Option<u32>,
-    /// Share when the fleet is full.
+    /// Relative share of capacity when the fleet is saturated.
     pub weight: Option<u32>,
-    /// Scheduling priority.
+    /// Scheduling priority at engines; a lower value is served first.
     pub priority: Option<u8>,
 }
 
-/// The rules on idempotency keys that an edit changes; see [`ClaimRules`](crate::ClaimRules).
+/// The idempotency rules that an edit sets; `None` keeps the current value. See
+/// [`ClaimRules`](crate::ClaimRules).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimsEdit {
-    /// Seconds remembered in full.
+    /// Seconds for which the full outcome of a key is remembered.
     pub window_s: Option<u32>,
-    /// Keys of one customer.
+    /// Keys per customer with a full record.
     pub per_customer: Option<u32>,
-    /// Bytes of the largest recorded answer.
+    /// Bytes of the largest recorded response.
     pub answer_bytes: Option<u32>,
-    /// Bytes of one customer's recorded answers.
+    /// Total bytes of recorded responses per customer.
     pub answer_budget: Option<u32>,
-    /// Keys of one customer past the window.
+    /// Fingerprints per customer of undated keys past the window.
     pub spent_per_customer: Option<u32>,
-    /// Seconds a dated key may be ahead.
+    /// Seconds by which a dated key may be ahead of the members' wall clocks.
     pub skew_s: Option<u32>,
-    /// Seconds until a claim without an outcome is unknown.
+    /// Seconds after which a claim without an outcome is reported as unknown.
     pub run_bound_s: Option<u32>,
 }
 
-/// Whether calls may be repeated.
+/// Whether calls may be sent more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallRepeat {
-    /// They are idempotent.
+    /// The calls are idempotent and may be repeated.
     Idempotent,
-    /// They run at most once, whatever their method.
+    /// The calls run at most once, whatever their method.
     Once,
-    /// As their method says.
+    /// GET and HEAD may be repeated, other methods may not.
     ByMethod,
 }
--- a/crates/ragwortroad_state/src/config/config_fault.rs
+++ b/crates/ragwortroad_state/src/config/config_fault.rs
@@ -4,79 +4,79 @@
 };
 use snafu::Snafu;
 
-/// Why a configuration or an edit of it cannot be accepted.
+/// Why a configuration or an edit is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigFault {
-    /// The edit is about something that is not there.
+    /// The edit refers to an entry that does not exist.
     #[snafu(display("there is no {what} {name:?}; see 'show {what}s' for those there are"))]
     Missing {
-        /// The kind of thing.
+        /// The kind of entry, such as `model`.
         what: String,
-        /// Its name.
+        /// The name of the entry.
         name: String,
     },
-    /// The edit adds something that is there already.
+    /// The edit adds an entry that already exists.
     #[snafu(display("{what} {name:?} is there already; remove it first or choose another name"))]
     Present {
-        /// The kind of thing.
+        /// The kind of entry, such as `model`.
         what: String,
-        /// Its name.
+        /// The name of the entry.
         name: String,
     },
-    /// A customer uses what is not declared, or would be no more.
+    /// A customer refers to an entry that is not declared or that the edit removes.
     #[snafu(display(
         "{user} uses {what} {name:?}, which is not declared; declare it, or take it away from \
          {user} in the same line"
     ))]
     Undeclared {
-        /// The kind of thing.
+        /// The kind of entry, such as `model`.
         what: String,
-        /// Its name.
+        /// The name of the entry.
         name: String,
-        /// Who uses it.
+        /// The customer that refers to it.
         user: String,
     },
-    /// A number is outside of what is allowed.
+    /// A value is outside its allowed range.
     #[snafu(display("{what} is {value}; choose from {least} to {most}"))]
     OutOfRange {
-        /// What the number is.
+        /// The setting.
         what: String,
-        /// The number.
+        /// The rejected value.
         value: u64,
-        /// The least allowed.
+        /// The smallest allowed value.
         least: u64,
-        /// The most allowed.
+        /// The largest allowed value.
         most: u64,
     },
-    /// A name cannot be used.
+    /// A name has invalid characters or an invalid length.
     #[snafu(display(
         "{name:?} is no name; use 1 to 64 letters, digits, '.', '_', '-' and start with a letter \
          or digit"
     ))]
     BadName {
-        /// The name.
+        /// The rejected name.
         name: String,
     },
-    /// One key belongs to two.
+    /// Two owners have the same API key.
     #[snafu(display("the key of {first} is also the key of {second}; give each a key of its own"))]
     SharedKey {
-        /// One owner.
+        /// The owner that was checked first.
         first: String,
-        /// The other.
+        /// The other owner.
         second: String,
     },
-    /// The shares of a model's versions are off.
+    /// The shares of a model's versions do not add up to 100.
     #[snafu(display("the shares of model {model:?} sum up to {sum}; they must make 100"))]
     BadShares {
         /// The model.
         model: String,
-        /// The sum.
+        /// The sum of the shares, in percent.
         sum: u32,
     },
-    /// The numbers of replicas contradict each other.
+    /// The replica counts of a model contradict each other.
     #[snafu(display(
         "model {model:?} wants {wanted} replicas of {min} to {max}; keep min <= wanted <= max and \
          max at least 1"
@@ -84,44 +84,44 @@
     BadReplicas {
         /// The model.
         model: String,
-        /// Least.
+        /// The minimum.
         min: u32,
-        /// Wanted.
+        /// The initial count.
         wanted: u32,
-        /// Most.
+        /// The maximum.
         max: u32,
     },
-    /// No operator would be left.
+    /// The edit would remove the last operator.
     #[snafu(display("no operator would have a key left; add another operator's key first"))]
     NoOperator,
-    /// A member's address is no `IP:port`.
+    /// A member's address is not an `IP:port`.
     #[snafu(display("member {member:?} has the address {address:?}; give an IP:port"))]
     BadAddress {
-        /// The member.
+        /// The member's node name.
         member: String,
-        /// The address.
+        /// The rejected address.
         address: String,
     },
-    /// More than one member would join or leave at once.
+    /// One change adds or removes more than one member.
     #[snafu(display(
         "one change may add or remove one member; make the others changes of their own"
     ))]
     ManyMembers,
-    /// A pattern of calls cannot be used.
+    /// A call pattern has an invalid method or path.
     #[snafu(display(
         "{pattern:?} is no pattern of calls; write a method in capitals and a path such as \
          GET /slots/*"
     ))]
     BadPattern {
-        /// The pattern.
+        /// The rejected pattern.
         pattern: String,
     },
-    /// The change has no edits, or too many.
+    /// The change has no edits or too many.
     #[snafu(display("a change has {count} edits; give 1 to {most}"))]
     BadCount {
-        /// How many it has.
+        /// The number of edits.
         count: u64,
-        /// The most allowed.
+        /// The largest allowed value.
         most: u64,
     },
 }
--- a/crates/ragwortroad_state/src/config/customer_entry.rs
+++ b/crates/ragwortroad_state/src/config/customer_entry.rs
@@ -10,46 +10,46 @@
 
 use crate::KeyHash;
 
-/// What a customer may use and how much of it.
+/// A customer's API keys, limits and permissions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CustomerEntry {
-    /// Hashes of the keys that name the customer; several while keys are exchanged.
+    /// Hashes of the customer's API keys; several while keys are being rotated.
     ///
-    /// Invariant: no other customer or operator has one of them.
+    /// Invariant: no other customer or operator has any of them.
     pub keys: BTreeSet<KeyHash>,
-    /// How much the customer may take over the whole fleet.
+    /// The customer's limits across the whole fleet.
     pub limits: CustomerLimits,
-    /// Models the customer may use.
+    /// The models the customer may use, by name.
     pub models: BTreeMap<String, ModelAccess>,
-    /// Plain services the customer may call.
+    /// The plain services the customer may call.
     pub services: BTreeSet<String>,
-    /// The revision with which an operator last declared that the customer's idempotency keys past
-    /// the window will not come again, so that their fingerprints can be dropped.
+    /// The revision in which an operator last declared that the customer's idempotency keys past
+    /// the window will not be used again, so that their fingerprints can be dropped.
     pub forgotten: u64,
 }
 
 impl CustomerEntry {
-    /// Whether the customer may use `adapter` of `model`, or the bare model.
+    /// Whether the customer may use `adapter` of `model`, or the model without an adapter.
     pub fn may_use(&self, model: &str, adapter: Option<&str>) -> bool {
         let access = self.models.get(model);
         access.is_some_and(|access| adapter.is_none_or(|name| access.adapters.contains(name)))
     }
 }
 
-/// A customer's rates and shares over the whole fleet.
+/// A customer's limits and scheduling weights across the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CustomerLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: u32,
-    /// Tokens to generate a second.
+    /// Generated tokens per second.
     pub tokens_per_s: u32,
-    /// Requests running at once.
+    /// Concurrent requests.
     pub concurrent: u32,
-    /// Share against other customers when the fleet is full.
+    /// Relative share of capacity when the fleet is saturated.
     pub weight: u32,
-    /// Scheduling priority at engines: smaller goes first.
+    /// Scheduling priority at engines; a lower value is served first.
     pub priority: u8,
 }
 
@@ -65,12 +65,12 @@
     }
 }
 
-/// How a customer may use one model.
+/// A customer's access to one model.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ModelAccess {
-    /// Adapters the customer may name.
+    /// The adapters the customer may request.
     pub adapters: BTreeSet<String>,
-    /// The version the customer always gets, where one is declared.
+    /// The version that all the customer's requests use; `None` follows the model's version shares.
     pub version: Option<String>,
 }
--- a/crates/ragwortroad_state/src/config/drain_target.rs
+++ b/crates/ragwortroad_state/src/config/drain_target.rs
@@ -5,21 +5,21 @@
     Serialize, //
 };
 
-/// What an operator takes out of service.
+/// What an operator drains.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainTarget {
     /// An endpoint, by the name under which it announces itself.
     Endpoint(String),
-    /// A node of the fleet, by the name in its settings.
+    /// A node, by the name in its settings.
     Node(String),
-    /// All endpoints of a failure domain, those that come later among them.
+    /// All endpoints of a failure domain, including those that join later.
     Domain(String),
 }
 
 impl DrainTarget {
-    /// The name of the endpoint, node or failure domain.
+    /// Returns the name of the endpoint, node or failure domain.
     pub fn name(&self) -> &str {
         match self {
             Self::Endpoint(name) | Self::Node(name) | Self::Domain(name) => name,
--- a/crates/ragwortroad_state/src/config/edit_items.rs
+++ b/crates/ragwortroad_state/src/config/edit_items.rs
@@ -1,4 +1,4 @@
-//! What edits add to lists and sets of a configuration and take from them.
+//! Helpers that add entries to the maps and sets of a configuration and remove them.
 
 use std::collections::{
     BTreeMap,
@@ -7,7 +7,7 @@
 
 use crate::ConfigFault;
 
-/// The fault of an edit about something that is not there.
+/// Returns the fault of an edit that refers to an entry that does not exist.
 pub(crate) fn missing(what: &str, name: &str) -> ConfigFault {
     ConfigFault::Missing {
         what: what.to_owned(),
@@ -15,7 +15,7 @@
     }
 }
 
-/// The fault of an edit that adds what is there already.
+/// Returns the fault of an edit that adds an entry that already exists.
 pub(crate) fn present(what: &str, name: &str) -> ConfigFault {
     ConfigFault::Present {
         what: what.to_owned(),
@@ -23,7 +23,7 @@
     }
 }
 
-/// Puts a new entry under `name`, which must be free.
+/// Inserts an entry; `name` must not be taken.
 pub(crate) fn add_entry<T>(
     entries: &mut BTreeMap<String, T>,
     what: &str,
@@ -37,7 +37,7 @@
     Ok(())
 }
 
-/// Takes the entry under `name` away, which must be there.
+/// Removes an entry, which must exist.
 pub(crate) fn remove_entry<T>(
     entries: &mut BTreeMap<String, T>,
     what: &str,
@@ -49,7 +49,7 @@
         .ok_or_else(|| missing(what, name))
 }
 
-/// Adds to a set what must not be in it.
+/// Inserts an item, which must not be in the set.
 pub(crate) fn add_item<T: Ord>(
     items: &mut BTreeSet<T>,
     item: T,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Takes from a set what must be in it.
+/// Removes an item, which must be in the set.
 pub(crate) fn remove_item<T: Ord>(
     items: &mut BTreeSet<T>,
     item: &T,
--- a/crates/ragwortroad_state/src/config/fleet_config.rs
+++ b/crates/ragwortroad_state/src/config/fleet_config.rs
@@ -16,29 +16,29 @@
     ClaimRules, CustomerEntry, DrainTarget, KeyHash, ModelEntry, QuorumLoss, ServiceEntry,
 };
 
-/// All that operators declare, at one revision.
+/// The whole configuration at one revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FleetConfig {
-    /// Counts up by one with every accepted change.
+    /// Increases by one with every accepted change.
     pub revision: u64,
-    /// Customers by name.
+    /// The customers, by name.
     pub customers: BTreeMap<String, CustomerEntry>,
-    /// Models by name.
+    /// The models, by name.
     pub models: BTreeMap<String, ModelEntry>,
-    /// Plain services by name.
+    /// The plain services, by name.
     pub services: BTreeMap<String, ServiceEntry>,
-    /// No engine carries more than this many thousandths of the fleet's mean load.
+    /// Upper bound on an engine's load, in thousandths of the fleet's mean load.
     pub multiple_permille: u32,
-    /// What is out of service.
+    /// The endpoints, nodes and failure domains that get no new work.
     pub drains: BTreeSet<DrainTarget>,
-    /// Nodes that keep the replicated state, by name, with `IP:port`.
+    /// The members of the consensus group, by node name, with `IP:port`.
     pub members: BTreeMap<String, String>,
-    /// Operators by name, with the hashes of their keys.
+    /// The operators, by name, with the hashes of their keys.
     pub operators: BTreeMap<String, BTreeSet<KeyHash>>,
-    /// What nodes do that cannot confirm that they are current.
+    /// What a node does when it cannot confirm that its configuration is current.
     pub quorum_loss: QuorumLoss,
-    /// How idempotency keys are remembered.
+    /// How long and how many idempotency keys are remembered.
     pub claims: ClaimRules,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl FleetConfig {
-    /// The customer that a key belongs to. A [`KeyIndex`](crate::KeyIndex) finds it faster.
+    /// Returns the customer that owns `key`. A [`KeyIndex`](crate::KeyIndex) finds it faster.
     pub fn customer_of(&self, key: &KeyHash) -> Option<(&str, &CustomerEntry)> {
         self.customers
             .iter()
@@ -68,7 +68,7 @@
             .map(|(name, customer)| (name.as_str(), customer))
     }
 
-    /// The operator that a key belongs to.
+    /// Returns the operator that owns `key`.
     pub fn operator_of(&self, key: &KeyHash) -> Option<&str> {
         self.operators
             .iter()
@@ -76,27 +76,28 @@
             .map(|(name, _)| name.as_str())
     }
 
-    /// Whether an endpoint of this name in this failure domain gets no new work.
+    /// Whether the endpoint `name` in failure domain `domain` is drained and gets no new work.
     pub fn drains_endpoint(&self, name: &str, domain: &str) -> bool {
         let drains = |target| self.drains.contains(&target);
         drains(DrainTarget::Endpoint(name.to_owned()))
             || drains(DrainTarget::Domain(domain.to_owned()))
     }
 
-    /// Whether a node of this name takes no new work in.
+    /// Whether the node `name` is drained and accepts no new work.
     pub fn drains_node(&self, name: &str) -> bool {
         self.drains.contains(&DrainTarget::Node(name.to_owned()))
     }
 
-    /// The load multiple as a number.
+    /// The load bound as a factor of the mean load.
     pub fn load_multiple(&self) -> f64 {
         f64::from(self.multiple_permille) / 1000.0
     }
 
-    /// A short hash over the whole configuration, by which a follower sees that it went astray.
+    /// A 64-bit hash over the whole configuration, by which a follower detects that its own
+    /// differs.
     pub fn digest(&self) -> u64 {
-        // Encoding maps and numbers into memory has no error; an empty text would only make every
-        // follower ask for a snapshot.
+        // Encoding maps and numbers into memory cannot fail. An empty encoding would only make
+        // every follower request a snapshot.
         let bytes = postcard::to_stdvec(self).unwrap_or_default();
         let hash = Sha256::digest(bytes);
         hash.iter()
--- a/crates/ragwortroad_state/src/config/key_hash.rs
+++ b/crates/ragwortroad_state/src/config/key_hash.rs
@@ -12,17 +12,17 @@
     Sha256, //
 };
 
-/// SHA-256 of a customer's or operator's key; the key itself is never stored.
+/// SHA-256 hash of a customer's or operator's API key. The key itself is never stored.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyHash(pub [u8; 32]);
 
 impl KeyHash {
-    /// The hash of `key` as a caller sends it.
+    /// Hashes `key` as a caller sends it.
     pub fn of_key(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Reads 64 hexadecimal digits of either case.
+    /// Parses 64 hexadecimal digits in upper or lower case.
     pub fn from_hex(text: &str) -> Option<Self> {
         let bytes = data_encoding::HEXLOWER_PERMISSIVE
             .decode(text.as_bytes())
--- a/crates/ragwortroad_state/src/config/key_index.rs
+++ b/crates/ragwortroad_state/src/config/key_index.rs
@@ -5,7 +5,7 @@
     KeyHash, //
 };
 
-/// Whose key a key is.
+/// The owner of an API key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyOwner {
     /// A customer, by name.
@@ -14,14 +14,14 @@
     Operator(String),
 }
 
-/// Owners by key of one configuration; made anew when the revision changes.
+/// Maps the key hashes of one configuration to their owners; rebuilt when the revision changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyIndex {
     owners: BTreeMap<KeyHash, KeyOwner>,
 }
 
 impl KeyIndex {
-    /// The owner of a key.
+    /// Returns the owner of a key, or `None` for an unknown key.
     pub fn owner(&self, key: &KeyHash) -> Option<&KeyOwner> {
         self.owners.get(key)
     }
--- a/crates/ragwortroad_state/src/config/mod.rs
+++ b/crates/ragwortroad_state/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What operators declare: customers, models, services, drains, members.
+//! The configuration that operators declare: customers, models, services, drains and members.
 
 pub(crate) mod apply_edit;
 pub(crate) mod call_pattern;
--- a/crates/ragwortroad_state/src/config/model_edit.rs
+++ b/crates/ragwortroad_state/src/config/model_edit.rs
@@ -1,4 +1,4 @@
-//! Edits of models.
+//! Applies edits of models.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     }, //
 };
 
-/// Carries an edit of a model out, or tells why it cannot be.
+/// Applies an edit of a model, or returns why it cannot be applied; other edits have no effect.
 pub(crate) fn apply(
     models: &mut BTreeMap<String, ModelEntry>,
     edit: &ConfigEdit,
--- a/crates/ragwortroad_state/src/config/model_entry.rs
+++ b/crates/ragwortroad_state/src/config/model_entry.rs
@@ -8,38 +8,38 @@
     Serialize, //
 };
 
-/// The sum of a model's version shares.
+/// The sum of a model's version shares, in percent.
 pub(crate) const FULL_SHARE_PERCENT: u32 = 100;
 
-/// A model with its versions, adapters and replicas.
+/// A model's versions, adapters and replica counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ModelEntry {
-    /// Percent of new chats each version gets.
+    /// Percentage of new chats that each version gets.
     ///
-    /// Invariant: the shares sum up to 100 and none is zero.
+    /// Invariant: the shares add up to 100 and none is zero.
     pub versions: BTreeMap<String, u32>,
-    /// The shares before the rollout that is under way or came last; empty before the first.
+    /// The shares before the current or last rollout; empty before the first.
     pub stable: BTreeMap<String, u32>,
-    /// The version that the rollout under way or the last one leads to.
+    /// The version that the current or last rollout introduces.
     pub rolling_to: Option<String>,
-    /// Adapters that can be loaded for it.
+    /// The adapters that can be loaded for the model.
     pub adapters: BTreeSet<String>,
-    /// How many engines hold it.
+    /// The number of engines that load the model.
     pub replicas: ReplicaRange,
-    /// Size of its weights, which the rate of the weight store is counted in.
+    /// Size of the weights in megabytes, charged against the rate of the weight store.
     pub size_mb: u32,
 }
 
-/// How many engines hold a model.
+/// The number of engines that load the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ReplicaRange {
-    /// Never fewer.
+    /// Minimum number of engines.
     pub min: u32,
-    /// Never more.
+    /// Maximum number of engines.
     pub max: u32,
-    /// The number to begin with, and to go back to without demand.
+    /// Initial number of engines, and the number to return to without demand.
     pub wanted: u32,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl ModelEntry {
-    /// A model of one version that gets all chats.
+    /// Creates a model whose only version gets all chats.
     pub fn new(version: &str, replicas: ReplicaRange, size_mb: u32) -> Self {
         Self {
             versions: BTreeMap::from([(version.to_owned(), FULL_SHARE_PERCENT)]),
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Gives `version` the share `percent` and the rest to what was there before the rollout.
+    /// Gives `version` a share of `percent` and distributes the rest as before the rollout.
     ///
-    /// The shares before the rollout are kept, so that going back is one change at any step.
+    /// The shares before the rollout are kept, so that one change rolls back from any step.
     pub(crate) fn roll_to(&mut self, version: &str, percent: u32) {
         if self.rolling_to.as_deref() != Some(version) {
             self.stable = self.versions.clone();
@@ -75,7 +75,7 @@
         self.versions = blend(&self.stable, version, percent);
     }
 
-    /// Goes back to the shares before the rollout; false where there was none.
+    /// Restores the shares before the rollout. Returns false if there was no rollout.
     pub(crate) fn roll_back(&mut self) -> bool {
         if self.stable.is_empty() {
             return false;
@@ -86,7 +86,8 @@
     }
 }
 
-/// `percent` for `version` and the rest shared out as in `stable`; rounding goes to the largest.
+/// Gives `percent` to `version` and distributes the rest in proportion to `stable`; the rounding
+/// remainder goes to the largest share.
 fn blend(stable: &BTreeMap<String, u32>, version: &str, percent: u32) -> BTreeMap<String, u32> {
     let percent = percent.min(FULL_SHARE_PERCENT);
     let rest = FULL_SHARE_PERCENT - percent;
@@ -94,10 +95,10 @@
         .iter()
         .map(|(name, share)| (name.clone(), share * rest / FULL_SHARE_PERCENT))
         .collect();
-    let given: u32 = shares.values().sum();
+    let allocated: u32 = shares.values().sum();
     let largest = stable.iter().max_by_key(|(name, share)| (**share, *name));
     if let Some((name, _)) = largest {
-        *shares.entry(name.clone()).or_default() += rest - given.min(rest);
+        *shares.entry(name.clone()).or_default() += rest - allocated.min(rest);
     }
     *shares.entry(version.to_owned()).or_default() += percent;
     shares.retain(|_, share| *share > 0);
--- a/crates/ragwortroad_state/src/config/quorum_loss.rs
+++ b/crates/ragwortroad_state/src/config/quorum_loss.rs
@@ -5,24 +5,24 @@
     Serialize, //
 };
 
-/// What a node does that cannot confirm that its configuration is current.
+/// What a node does when it cannot confirm that its configuration is current.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QuorumLoss {
-    /// It stops admitting work when its admission lease is over.
+    /// Stop admitting work when the admission lease expires.
     #[default]
     Refuse,
-    /// It goes on for so many seconds more. A change then waits for that long for each node that
-    /// does not answer, since such a node may still be admitting work.
+    /// Continue for a grace period after the admission lease. A change then waits that much longer
+    /// for each node that does not answer, since such a node may still admit work.
     GoOn {
-        /// Seconds beyond the admission lease.
+        /// Grace period in seconds.
         seconds: u32,
     },
 }
 
 impl QuorumLoss {
-    /// The time that every admission lease is longer for it.
+    /// The time by which the policy extends every admission lease.
     pub fn grace(self) -> Duration {
         match self {
             Self::Refuse => Duration::ZERO,
--- a/crates/ragwortroad_state/src/config/service_entry.rs
+++ b/crates/ragwortroad_state/src/config/service_entry.rs
@@ -7,20 +7,20 @@
 
 use crate::CallPattern;
 
-/// A plain service and which of its calls may be repeated.
+/// A plain service and which of its calls may be sent more than once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceEntry {
-    /// Calls declared idempotent beside the default.
+    /// Calls declared idempotent in addition to GET and HEAD.
     pub idempotent: BTreeSet<CallPattern>,
-    /// Calls that run at most once whatever their method; these win over `idempotent`.
+    /// Calls that run at most once, whatever their method; takes precedence over `idempotent`.
     pub once: BTreeSet<CallPattern>,
 }
 
 impl ServiceEntry {
-    /// Whether running such a call twice does the same as running it once.
+    /// Whether running such a call twice has the same effect as running it once.
     ///
-    /// Without a declaration GET and HEAD are idempotent and all else is not.
+    /// Without a declaration, GET and HEAD are idempotent and all other methods are not.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         let covers = |patterns: &BTreeSet<CallPattern>| {
             patterns.iter().any(|pattern| pattern.matches(method, path))
--- a/crates/ragwortroad_state/src/config/validate.rs
+++ b/crates/ragwortroad_state/src/config/validate.rs
@@ -1,4 +1,4 @@
-//! The check of a configuration as a whole.
+//! Validation of a whole configuration.
 
 use std::{
     collections::BTreeMap,
@@ -23,10 +23,10 @@
 const MAX_NAME_BYTES: usize = 64;
 const MAX_ENDPOINT_NAME_BYTES: usize = 128;
 const MAX_PATTERN_BYTES: usize = 256;
-/// A day: beyond it "in force everywhere" would mean nothing.
+/// One day: with a longer grace period "in force everywhere" would mean nothing.
 const MAX_GRACE_S: u64 = 24 * 3600;
 
-/// Every fault of `config`.
+/// Returns every fault of `config`.
 pub(crate) fn faults(config: &FleetConfig) -> Vec<ConfigFault> {
     let mut faults = Vec::new();
     check_names(config, &mut faults);
@@ -64,30 +64,31 @@
         .chain(config.operators.keys())
         .chain(models.clone().flat_map(|model| model.versions.keys()))
         .chain(models.flat_map(|model| &model.adapters));
-    let bad = names.filter(|name| !is_name(name));
+    let invalid = names.filter(|name| !is_name(name));
     let drained = config.drains.iter().map(DrainTarget::name);
-    let bad = bad.map(String::as_str);
-    let bad = bad.chain(drained.filter(|name| !is_endpoint_name(name)));
-    faults.extend(bad.map(|name| ConfigFault::BadName {
+    let invalid = invalid.map(String::as_str);
+    let invalid = invalid.chain(drained.filter(|name| !is_endpoint_name(name)));
+    faults.extend(invalid.map(|name| ConfigFault::BadName {
         name: name.to_owned(),
     }));
 }
 
 fn is_name(name: &str) -> bool {
-    let usable = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
     let first = name.bytes().next();
     name.len() <= MAX_NAME_BYTES
         && first.is_some_and(|byte| byte.is_ascii_alphanumeric())
-        && name.bytes().all(usable)
+        && name.bytes().all(is_allowed)
 }
 
-/// Endpoints choose their names; any that the operators' language can write may be drained.
+/// Endpoints choose their own names; any name that the operators' language can express may be
+/// drained.
 fn is_endpoint_name(name: &str) -> bool {
-    let usable = |byte: u8| byte == b' ' || (byte.is_ascii_graphic() && byte != b'"');
-    (1..=MAX_ENDPOINT_NAME_BYTES).contains(&name.len()) && name.bytes().all(usable)
+    let is_allowed = |byte: u8| byte == b' ' || (byte.is_ascii_graphic() && byte != b'"');
+    (1..=MAX_ENDPOINT_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_allowed)
 }
 
-/// Two owners of one key could act for each other, and one would see the other's answers.
+/// Two owners of one key could act for each other, and one could read the other's responses.
 fn check_keys(config: &FleetConfig, faults: &mut Vec<ConfigFault>) {
     let customers = config
         .customers
@@ -198,8 +199,8 @@
         let adapters = access.adapters.difference(&entry.adapters);
         faults.extend(adapters.map(|adapter| missing("adapter", adapter)));
         let version = access.version.iter();
-        let gone = version.filter(|version| !entry.versions.contains_key(*version));
-        faults.extend(gone.map(|version| undeclared("version", version, name)));
+        let missing_versions = version.filter(|version| !entry.versions.contains_key(*version));
+        faults.extend(missing_versions.map(|version| undeclared("version", version, name)));
     }
     for service in &customer.services {
         if !config.services.contains_key(service) {
@@ -208,7 +209,7 @@
     }
 }
 
-/// The customer names what is not declared: it was just removed, or never there.
+/// The fault of a customer that refers to an entry that was just removed or never existed.
 fn undeclared(what: &str, name: &str, customer: &str) -> ConfigFault {
     ConfigFault::Undeclared {
         what: what.to_owned(),
@@ -239,17 +240,18 @@
 
 fn pattern_fault(pattern: &CallPattern) -> Option<ConfigFault> {
     let method = &pattern.method;
-    let capitals = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
+    let is_uppercase = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
     let path = pattern.path.as_bytes();
-    let printable = path.iter().all(u8::is_ascii_graphic);
-    let fits = path.starts_with(b"/") && path.len() <= MAX_PATTERN_BYTES && method.len() <= 16;
-    let last_only = pattern
+    let is_printable = path.iter().all(u8::is_ascii_graphic);
+    let is_well_formed =
+        path.starts_with(b"/") && path.len() <= MAX_PATTERN_BYTES && method.len() <= 16;
+    let wildcard_is_last = pattern
         .path
         .split('/')
         .rev()
         .skip(1)
         .all(|part| part != "**");
-    if capitals && printable && fits && last_only {
+    if is_uppercase && is_printable && is_well_formed && wildcard_is_last {
         return None;
     }
     Some(ConfigFault::BadPattern {
--- a/crates/ragwortroad_state/src/fleet_state.rs
+++ b/crates/ragwortroad_state/src/fleet_state.rs
@@ -29,14 +29,14 @@
     }, //
 };
 
-/// All that is replicated, as it stands after the commands applied so far.
+/// The replicated state after the log entries applied so far.
 ///
-/// Two members that applied the same commands in the same order have equal states, whatever
-/// snapshots they started from. It reads no clock: time comes with the commands.
+/// Two members that applied the same entries in the same order have equal states, no matter which
+/// snapshots they started from. The state reads no clock; time comes from the command stamps.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetState {
     pub(crate) applied: u64,
-    /// Invariant: never falls.
+    /// Invariant: never decreases.
     pub(crate) now: StateTime,
     pub(crate) changes: ChangeLog,
     pub(crate) claims: ClaimTable,
@@ -45,53 +45,55 @@
     pub(crate) grace: GraceRecord,
 }
 
-/// What a command did.
+/// The result of an applied command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// The clock moved on.
+    /// The state clock advanced.
     Ticked,
-    /// A change was decided on.
+    /// A configuration change was accepted or refused.
     Changed(ChangeOutcome),
-    /// Claim steps were carried out; one outcome for each, in their order.
+    /// Claim steps were applied; one outcome per step, in the same order.
     Claimed(Vec<ClaimOutcome>),
-    /// The lease for orders was granted with this number.
+    /// The order lease was granted.
     OrdersTaken {
-        /// Who has it.
+        /// The new lease holder.
         holder: NodeId,
-        /// Its number.
+        /// The fencing number of the new lease.
         fence: FenceNumber,
     },
-    /// A plan was taken in or refused.
+    /// An update of the order plan was applied or refused.
     Planned(PlanOutcome),
 }
 
-/// Why a command cannot be applied. The member must stop applying: going on without the command
-/// would make its state differ from the others' for good.
+/// Why a log entry could not be applied.
+///
+/// The member must stop applying entries: if it skipped this one, its state would differ from the
+/// other members' for good.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum ApplyError {
-    /// Its place in the log is not after the last one's.
+    /// The entry's log index is not greater than that of the last applied entry.
     #[snafu(display(
-        "entry {index} came after entry {applied}; hand entries over once and in order"
+        "entry {index} follows the applied entry {applied}; apply each entry once and in log order"
     ))]
     OutOfOrder {
-        /// Its place.
+        /// The log index of the entry.
         index: u64,
-        /// The last one's.
+        /// The log index of the last applied entry.
         applied: u64,
     },
-    /// Its bytes are no command.
+    /// The entry could not be decoded as a command.
     #[snafu(display("entry {index}: {source}"))]
     BadCommand {
-        /// Its place.
+        /// The log index of the entry.
         index: u64,
-        /// What is wrong with it.
+        /// The decoding error.
         source: CommandError,
     },
 }
 
 impl FleetState {
-    /// Applies the entry at `index` of the log.
+    /// Applies the log entry at `index`, which must be greater than that of the last applied entry.
     pub fn apply(&mut self, index: u64, bytes: &[u8]) -> Result<ApplyOutcome, ApplyError> {
         let applied = self.applied;
         ensure!(index > applied, OutOfOrderSnafu { index, applied });
@@ -102,8 +104,9 @@
 
     fn apply_command(&mut self, command: StateCommand) -> ApplyOutcome {
         let StateCommand { stamp, action } = command;
-        // A stamp behind the state's clock comes from an entry that a former leader proposed; the
-        // clock stands still rather than go back, since expired keys would be remembered again.
+        // A stamp from an entry that a former leader proposed may be older than the state clock.
+        // The clock never goes back, because expired idempotency keys would then count as
+        // remembered again.
         self.now = self.now.max(stamp.state);
         match action {
             StateAction::Tick => {
@@ -134,58 +137,58 @@
         }
     }
 
-    /// The place in the log of the last command applied.
+    /// The log index of the last applied command; 0 before the first.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// The state's clock.
+    /// The time of the state clock.
     pub fn now(&self) -> StateTime {
         self.now
     }
 
-    /// What operators declared.
+    /// The current configuration.
     pub fn config(&self) -> &FleetConfig {
         self.changes.config()
     }
 
-    /// The changes that led there.
+    /// The configuration's change history.
     pub fn changes(&self) -> &ChangeLog {
         &self.changes
     }
 
-    /// What a follower at `revision` needs.
+    /// The update that brings a follower from `revision` to the current one.
     pub fn config_since(&self, revision: u64) -> ConfigUpdate {
         self.changes.config_since(revision)
     }
 
-    /// The claims.
+    /// The idempotency claims of all customers.
     pub fn claims(&self) -> &ClaimTable {
         &self.claims
     }
 
-    /// Who may give orders.
+    /// The lease that allows its holder to send orders to engines.
     pub fn lease(&self) -> &LeaseTable {
         &self.lease
     }
 
-    /// What engines shall be.
+    /// The planned targets of the engines.
     pub fn plan(&self) -> &OrderPlan {
         &self.plan
     }
 
-    /// The longest grace of the quorum-loss policy that an admission lease may still run with.
+    /// The longest quorum-loss grace period under which an admission lease may still be running.
     pub fn longest_grace(&self) -> Duration {
         let declared = self.config().quorum_loss.grace();
         declared.max(self.grace.longest_former(self.now))
     }
 
-    /// The whole state as bytes.
+    /// Encodes the whole state as a snapshot.
     pub fn to_snapshot(&self) -> Vec<u8> {
         SnapshotView::from(self).to_bytes()
     }
 
-    /// The state from bytes of [`Self::to_snapshot`].
+    /// Decodes a snapshot written by [`Self::to_snapshot`].
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, SnapshotError> {
         SnapshotWire::from_bytes(bytes).map(Self::from)
     }
--- a/crates/ragwortroad_state/src/grace_record.rs
+++ b/crates/ragwortroad_state/src/grace_record.rs
@@ -7,14 +7,14 @@
 
 use crate::StateTime;
 
-/// Beyond twice the grace itself: more than any follow bound and leader lease.
+/// Added to twice the grace period; longer than any follow bound plus leader lease.
 const GRACE_MARGIN: Duration = Duration::from_secs(60);
 
-/// A grace of the quorum-loss policy that was declared before the present one.
+/// The longest quorum-loss grace period that was replaced by a shorter one and may still matter.
 ///
-/// Admission leases granted under it may run on after it was made shorter. A new leader that knew
-/// only the shorter one would count a change as in force while a node that was granted the longer
-/// one still admits work without it.
+/// Admission leases granted under the longer grace period may still be running after it was made
+/// shorter. A new leader that knew only the shorter one would report a change as in force while a
+/// node with a longer lease still admits work without it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct GraceRecord {
@@ -23,7 +23,7 @@
 }
 
 impl GraceRecord {
-    /// Notes that the grace went from `before` to `after` at `now`.
+    /// Records that the grace period changed from `before` to `after` at `now`.
     pub(crate) fn record_change(&mut self, before: Duration, after: Duration, now: StateTime) {
         if after >= before {
             return;
@@ -32,7 +32,7 @@
         self.until = self.until.max(now.after(self.grace * 2 + GRACE_MARGIN));
     }
 
-    /// The longest grace that a lease may still run with beside the declared one.
+    /// The former grace period that a lease may still be running with; zero if there is none.
     pub(crate) fn longest_former(&self, now: StateTime) -> Duration {
         if now < self.until {
             self.grace
--- a/crates/ragwortroad_state/src/lib.rs
+++ b/crates/ragwortroad_state/src/lib.rs
@@ -1,9 +1,10 @@
-//! The replicated state: customers, models, leases, claims, and operators' changes.
+//! The replicated state of the fleet: customers, models, leases, idempotency claims and operators'
+//! changes.
 //!
-//! [`FleetState`] is applied from the replicated log, command by command, on each member. Around it
-//! stand tables without input or output that use it: on the leader [`AdmissionTable`],
-//! [`OrderGate`], [`OrderTable`] and [`LoadQueue`], on each node [`CurrencyGuard`], on each member
-//! [`PromiseBook`].
+//! Every member of the consensus group applies the committed log entries to a [`FleetState`]. The
+//! other types perform no I/O and work with that state: [`AdmissionTable`], [`OrderGate`],
+//! [`OrderTable`] and [`LoadQueue`] on the leader, [`StalenessGuard`] on each node and
+//! [`PromiseTracker`] on each member.
 //!
 //! ```
 //! use ragwortroad_state::prelude::*;
@@ -24,7 +25,7 @@
 //! let bytes = command.to_bytes();
 //! let applied = state.apply(1, &bytes).unwrap();
 //! assert_eq!(applied, ApplyOutcome::Changed(ChangeOutcome::Accepted { revision: 1 }));
-//! // A resend gets the first outcome.
+//! // A command that is sent again gets the outcome of the first time.
 //! assert_eq!(state.apply(2, &bytes).unwrap(), applied);
 //! assert_eq!(state.config().revision, 1);
 //! ```
--- a/crates/ragwortroad_state/src/order/engine_observation.rs
+++ b/crates/ragwortroad_state/src/order/engine_observation.rs
@@ -2,11 +2,11 @@
 
 use ragwortroad_types::prelude::*;
 
-/// What an engine was last seen to be.
+/// The last observed state of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineObservation {
-    /// Counts up with its restarts.
+    /// Increases with each restart of the engine.
     pub incarnation: u64,
-    /// Models it holds.
+    /// The models that the engine has loaded.
     pub models: BTreeSet<ModelOffer>,
 }
--- a/crates/ragwortroad_state/src/order/engine_order.rs
+++ b/crates/ragwortroad_state/src/order/engine_order.rs
@@ -6,62 +6,62 @@
 
 use crate::EngineRole;
 
-/// Names one order; a resend has the same.
+/// Identifies an order; stays the same when the order is sent again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct OrderId {
-    /// The holder's fencing number.
+    /// The fencing number of the lease holder.
     pub fence: FenceNumber,
-    /// Counts up by one with each order under one fencing number.
+    /// Increases by one with each order under the same fencing number.
     pub number: u64,
 }
 
 /// An order to an engine.
 ///
-/// It says what shall be and not what to do next, so that an engine that gets it twice, or late,
-/// does nothing the second time.
+/// An order is declarative: it states the desired state and not an operation, so that an engine
+/// that gets it twice or late does nothing the second time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The order's name, with the fencing number.
+    /// The order's identifier, which includes the fencing number.
     pub id: OrderId,
-    /// The engine's name.
+    /// The name of the engine.
     pub engine: String,
-    /// What it is about.
+    /// The desired state.
     pub action: OrderAction,
 }
 
-/// What an order is about.
+/// The desired state that an order asks for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAction {
-    /// Hold a model in a version, with an adapter where one is named.
+    /// Load a version of a model, with an adapter if one is given.
     Load {
-        /// The model.
+        /// The model's name.
         model: String,
-        /// The version.
+        /// The version's name.
         version: String,
-        /// The adapter.
+        /// The adapter's name, if any.
         adapter: Option<String>,
     },
-    /// Hold it no longer.
+    /// Unload a version of a model, or one of its adapters.
     Unload {
-        /// The model.
+        /// The model's name.
         model: String,
-        /// The version.
+        /// The version's name.
         version: String,
-        /// The adapter; the whole model where none is named.
+        /// The adapter to unload; `None` unloads the whole model.
         adapter: Option<String>,
     },
-    /// Have a role.
+    /// Switch to a role.
     SetRole {
-        /// The role.
+        /// The new role.
         role: EngineRole,
     },
-    /// Take nothing new, or take work again.
+    /// Start or end a drain.
     SetDrain {
-        /// Whether to take nothing new.
+        /// Whether the engine must refuse new work.
         drain: bool,
     },
 }
--- a/crates/ragwortroad_state/src/order/engine_target.rs
+++ b/crates/ragwortroad_state/src/order/engine_target.rs
@@ -6,29 +6,29 @@
     Serialize, //
 };
 
-/// What one engine shall be.
+/// The desired state of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EngineTarget {
-    /// Models with versions and adapters it shall hold.
+    /// The models, with versions and adapters, that the engine must have loaded.
     pub models: BTreeSet<ModelOffer>,
-    /// Its role.
+    /// The role that the engine must have.
     pub role: EngineRole,
-    /// Whether it shall finish what it has and take nothing new.
+    /// Whether the engine must finish its current work and refuse new work.
     pub drain: bool,
 }
 
-/// Which part of a request an engine works on.
+/// The part of a request that an engine processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Reads prompts and generates.
+    /// Processes prompts and generates tokens.
     #[default]
     Both,
-    /// Reads prompts only.
+    /// Processes prompts only.
     Prefill,
-    /// Generates only.
+    /// Generates tokens only.
     Decode,
 }
 
--- a/crates/ragwortroad_state/src/order/lease_table.rs
+++ b/crates/ragwortroad_state/src/order/lease_table.rs
@@ -6,14 +6,14 @@
 
 use crate::StateTime;
 
-/// Who may give orders to engines.
+/// The lease that allows its holder to send orders to engines.
 ///
-/// The consensus leader asks for the lease with the first command of its term. The log decides
-/// between two who ask; the later one has the higher number.
+/// The consensus leader requests the lease with the first command of its term. If two nodes request
+/// it, the order of the log decides; the later one gets the higher fencing number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseTable {
-    /// Invariant: never falls, and grows with each grant.
+    /// Invariant: increases with each grant and never decreases.
     fence: FenceNumber,
     holder: Option<NodeId>,
     granted_at: StateTime,
@@ -25,12 +25,12 @@
         self.fence
     }
 
-    /// Who was granted the lease last.
+    /// The node that the lease was last granted to; `None` before the first grant.
     pub fn holder(&self) -> Option<NodeId> {
         self.holder
     }
 
-    /// When it was granted.
+    /// The state time of the last grant.
     pub fn granted_at(&self) -> StateTime {
         self.granted_at
     }
--- a/crates/ragwortroad_state/src/order/load_queue.rs
+++ b/crates/ragwortroad_state/src/order/load_queue.rs
@@ -7,14 +7,14 @@
 
 use crate::OrderKey;
 
-/// The rate of the weight store.
+/// Limits on loading weights from the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadRate {
-    /// Megabytes a second.
+    /// Sustained rate in megabytes per second.
     pub mb_per_s: u32,
-    /// Megabytes that may be asked for at once after a pause.
+    /// Megabytes that may be requested at once after an idle period.
     pub burst_mb: u32,
-    /// Loads running at once.
+    /// Maximum number of concurrent loads.
     pub max_concurrent: usize,
 }
 
@@ -28,17 +28,16 @@
     }
 }
 
-/// Loads that wait for the weight store, the most needed first.
+/// A priority queue of model loads, with a token bucket that limits the rate of the weight store.
 ///
-/// In any span of `t` seconds it lets at most `mb_per_s * t` megabytes start, and beyond that the
-/// burst, or one load that is larger than the burst.
+/// In any `t` seconds, the loads started add up to at most `mb_per_s * t` megabytes plus the burst,
+/// or plus one load that is larger than the burst.
 #[derive(Clone, Debug)]
 pub struct LoadQueue {
     rate: LoadRate,
     waiting: BTreeMap<OrderKey, WaitingLoad>,
     running: BTreeSet<OrderKey>,
-    /// What may be asked for now, in thousandths of a megabyte; below zero after a load larger
-    /// than the burst.
+    /// Available tokens in thousandths of a megabyte; negative after a load larger than the burst.
     available: i64,
     refilled_at: ClockTime,
     arrivals: u64,
@@ -48,12 +47,12 @@
 struct WaitingLoad {
     urgency: u32,
     size_mb: u32,
-    /// Among equally needed ones the first come goes first.
+    /// Among loads of equal urgency, the one that arrived first starts first.
     arrival: u64,
 }
 
 impl LoadQueue {
-    /// An empty queue with a full burst.
+    /// Creates an empty queue with a full bucket.
     pub fn new(rate: LoadRate, now: ClockTime) -> Self {
         Self {
             rate,
@@ -65,46 +64,46 @@
         }
     }
 
-    /// Wants a load; again with another urgency where it changed. A running one stays.
+    /// Adds a load, or updates the urgency of a waiting one. Has no effect on a running load.
     pub fn enqueue(&mut self, key: OrderKey, size_mb: u32, urgency: u32) {
         if self.running.contains(&key) {
             return;
         }
         self.arrivals += 1;
         let arrival = self.arrivals;
-        let need = self.waiting.entry(key).or_insert(WaitingLoad {
+        let load = self.waiting.entry(key).or_insert(WaitingLoad {
             urgency,
             size_mb,
             arrival,
         });
-        need.urgency = urgency;
+        load.urgency = urgency;
     }
 
-    /// Wants it no longer, or it is over.
+    /// Removes a load that is finished or no longer needed.
     pub fn remove(&mut self, key: &OrderKey) {
         self.waiting.remove(key);
         self.running.remove(key);
     }
 
-    /// Drops every waiting load for which `keep` is false.
+    /// Removes every waiting load for which `keep` returns false.
     pub fn retain_waiting(&mut self, mut keep: impl FnMut(&OrderKey) -> bool) {
         self.waiting.retain(|key, _| keep(key));
     }
 
-    /// Loads waiting.
+    /// The number of waiting loads.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Loads running.
+    /// The running loads.
     pub fn running(&self) -> &BTreeSet<OrderKey> {
         &self.running
     }
 
-    /// Starts the most needed load that `may_start` lets pass, if the rate allows one now.
+    /// Starts the most urgent load that `may_start` accepts, if the rate allows it at `now`.
     ///
-    /// Only the most needed one is weighed against the rate: letting a smaller one pass would
-    /// starve a large one for ever.
+    /// Only the most urgent load is checked against the rate: if smaller loads could overtake it, a
+    /// large load would starve.
     pub fn start_next(
         &mut self,
         now: ClockTime,
@@ -115,9 +114,9 @@
             return None;
         }
         let allowed = self.waiting.iter().filter(|(key, _)| may_start(key));
-        let order = |need: &WaitingLoad| (need.urgency, std::cmp::Reverse(need.arrival));
-        let (key, need) = allowed.max_by_key(|(_, need)| order(need))?;
-        let size = i64::from(need.size_mb) * 1000;
+        let priority = |load: &WaitingLoad| (load.urgency, std::cmp::Reverse(load.arrival));
+        let (key, load) = allowed.max_by_key(|(_, load)| priority(load))?;
+        let size = i64::from(load.size_mb) * 1000;
         if self.available < size.min(self.burst()) {
             return None;
         }
@@ -129,10 +128,10 @@
     }
 
     fn refill(&mut self, now: ClockTime) {
-        let span = now.since(self.refilled_at).as_millis() as i64;
+        let elapsed_ms = now.since(self.refilled_at).as_millis() as i64;
         self.refilled_at = self.refilled_at.max(now);
-        let filled = span.saturating_mul(i64::from(self.rate.mb_per_s));
-        self.available = self.available.saturating_add(filled).min(self.burst());
+        let refilled = elapsed_ms.saturating_mul(i64::from(self.rate.mb_per_s));
+        self.available = self.available.saturating_add(refilled).min(self.burst());
     }
 
     fn burst(&self) -> i64 {
--- a/crates/ragwortroad_state/src/order/managed_engine.rs
+++ b/crates/ragwortroad_state/src/order/managed_engine.rs
@@ -9,40 +9,41 @@
     OrderAction, //
 };
 
-/// One engine as the holder knows it.
+/// An engine as the lease holder knows it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ManagedEngine {
     pub(crate) target: EngineTarget,
     pub(crate) urgency: u32,
     pub(crate) observation: Option<EngineObservation>,
-    /// The role and drain that the present incarnation has confirmed.
+    /// The role and drain that the engine's current incarnation has confirmed.
     pub(crate) role: EngineRole,
     pub(crate) drain: bool,
-    /// A former holder may have drained it; what is known here is no more than a guess until this
-    /// holder's own order is answered.
+    /// Whether a former holder may have drained the engine. `drain` is then only a guess until this
+    /// holder's own order is acknowledged.
     pub(crate) drain_unknown: bool,
 }
 
 impl ManagedEngine {
-    /// Takes in what the engine was seen to be.
-    pub(crate) fn observe(&mut self, sight: EngineObservation) {
+    /// Records a new observation of the engine.
+    pub(crate) fn observe(&mut self, observation: EngineObservation) {
         let known = self.observation.as_ref();
-        if known.is_none_or(|old| old.incarnation != sight.incarnation) {
-            // A restarted engine has its first role again and does not know that it drains.
+        if known.is_none_or(|old| old.incarnation != observation.incarnation) {
+            // A restarted engine has its default role again and is not drained.
             self.role = EngineRole::default();
             self.drain = false;
             self.drain_unknown = false;
         }
-        self.observation = Some(sight);
+        self.observation = Some(observation);
     }
 
-    /// The orders that lead from what is seen to the target; none for an engine never seen.
+    /// Returns the actions that lead from the observed state to the target; none for an engine that
+    /// was never observed.
     pub(crate) fn required_actions(&self) -> Vec<OrderAction> {
-        let Some(sight) = &self.observation else {
+        let Some(observation) = &self.observation else {
             return Vec::new();
         };
         let wanted = model_parts(&self.target.models);
-        let seen = model_parts(&sight.models);
+        let seen = model_parts(&observation.models);
         let mut actions = Vec::new();
         if self.role != self.target.role {
             let role = self.target.role;
@@ -53,7 +54,7 @@
             actions.push(OrderAction::SetDrain { drain });
         }
         for (model, version, adapter) in wanted.difference(&seen).cloned() {
-            // An adapter is loaded when its model is there.
+            // An adapter is loaded only after its model.
             let base = (model.clone(), version.clone(), None);
             if adapter.is_none() || seen.contains(&base) {
                 actions.push(OrderAction::Load {
@@ -76,7 +77,7 @@
 
 type ModelPart = (String, String, Option<String>);
 
-/// Each model with its version, alone and with each of its adapters.
+/// Lists each model version by itself and with each of its adapters.
 fn model_parts(models: &BTreeSet<ModelOffer>) -> BTreeSet<ModelPart> {
     let mut parts = BTreeSet::new();
     for offer in models {
--- a/crates/ragwortroad_state/src/order/mod.rs
+++ b/crates/ragwortroad_state/src/order/mod.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: who may give them, when, and which are still wanted.
+//! Orders to engines: which node may send them, when, and which are still needed.
 
 pub(crate) mod engine_observation;
 pub(crate) mod engine_order;
--- a/crates/ragwortroad_state/src/order/order_gate.rs
+++ b/crates/ragwortroad_state/src/order/order_gate.rs
@@ -5,16 +5,16 @@
 
 use crate::OrderTiming;
 
-/// Decides on the holder's side whether an order may be sent now.
+/// Decides on the lease holder whether an order may be sent now.
 ///
-/// Made when the holder applied its own grant; dropped when it is no longer the leader. The check
-/// comes directly before the write to a connection that is already open: a holder that was paused
-/// then finds its lease over.
+/// The gate is created when the holder applies its own grant, and dropped when the holder loses
+/// leadership. It must be checked directly before writing to a connection that is already open, so
+/// that a holder that was paused detects that its lease has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderGate {
     timing: OrderTiming,
     fence: FenceNumber,
-    /// Invariant: read when the grant was applied, so after the election that deposed the former
+    /// Invariant: read when the grant was applied, hence after the election that deposed the former
     /// holder.
     applied_at: ClockTime,
 }
@@ -23,25 +23,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum GateRefusal {
-    /// The own lease is over.
+    /// The holder's leader lease has expired.
     #[snafu(display(
         "this node cannot prove that it is still the leader; it gives no orders until it can"
     ))]
     LeaseOver,
-    /// The former holder's orders may still be on their way to an endpoint that would obey them.
+    /// Orders of the former holder may still be in transit to an endpoint that would execute them.
     #[snafu(display(
         "orders of the former leader may still arrive; wait {} ms, or let the endpoint check \
          fencing numbers",
         wait.as_millis()
     ))]
     FormerHolder {
-        /// How long to wait.
+        /// The remaining wait.
         wait: Duration,
     },
 }
 
 impl OrderGate {
-    /// The gate of the holder with number `fence`, whose grant was applied at `applied_at`.
+    /// Creates the gate of the holder with fencing number `fence`, whose grant was applied at
+    /// `applied_at`.
     pub fn new(timing: OrderTiming, fence: FenceNumber, applied_at: ClockTime) -> Self {
         Self {
             timing,
@@ -50,19 +51,20 @@
         }
     }
 
-    /// The holder's fencing number.
+    /// The fencing number of the holder.
     pub fn fence(&self) -> FenceNumber {
         self.fence
     }
 
-    /// When the grant was applied.
+    /// The local time at which the grant was applied.
     pub fn applied_at(&self) -> ClockTime {
         self.applied_at
     }
 
-    /// Whether an order may be written now, and with which number.
+    /// Returns the fencing number to send if an order may be written at `now`.
     ///
-    /// `lead_until` is the reading up to which the node is proved to be the leader.
+    /// `lead_until` is the time until which this node is proven to be the leader; `checks_fencing`
+    /// tells whether the endpoint rejects old fencing numbers.
     pub fn may_order(
         &self,
         now: ClockTime,
--- a/crates/ragwortroad_state/src/order/order_key.rs
+++ b/crates/ragwortroad_state/src/order/order_key.rs
@@ -3,12 +3,12 @@
     OrderAction, //
 };
 
-/// What an order is about and where, without its number.
+/// The engine and desired state of an order, without its identifier.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderKey {
-    /// The engine's name.
+    /// The name of the engine.
     pub engine: String,
-    /// What it is about.
+    /// The desired state.
     pub action: OrderAction,
 }
 
--- a/crates/ragwortroad_state/src/order/order_plan.rs
+++ b/crates/ragwortroad_state/src/order/order_plan.rs
@@ -11,43 +11,43 @@
     LeaseTable, //
 };
 
-/// What each engine shall be, by the name under which it announces itself.
+/// The target of each engine, by the name under which it announces itself.
 ///
-/// Part of the replicated state, so that a new holder goes on with the old one's plan instead of
-/// moving models about.
+/// The plan is part of the replicated state, so that a new holder continues the old one's plan
+/// instead of moving models.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OrderPlan {
     targets: BTreeMap<String, EngineTarget>,
 }
 
-/// What became of a change of the plan.
+/// The outcome of an update of the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum PlanOutcome {
-    /// It is part of the plan.
+    /// The update was applied.
     Taken,
-    /// It came from a former holder.
+    /// The update came from a former lease holder.
     OldFence {
-        /// The number now.
+        /// The current fencing number.
         fence: FenceNumber,
     },
 }
 
 impl OrderPlan {
-    /// The target of an engine.
+    /// Returns the target of an engine, or `None` if it is not in the plan.
     pub fn target(&self, engine: &str) -> Option<&EngineTarget> {
         self.targets.get(engine)
     }
 
-    /// All targets by engine.
+    /// Iterates over the engine names and their targets.
     pub fn targets(&self) -> impl Iterator<Item = (&str, &EngineTarget)> {
         self.targets
             .iter()
             .map(|(name, target)| (name.as_str(), target))
     }
 
-    /// Takes new targets in; an engine without one is no longer planned for.
+    /// Updates targets; `None` removes the engine from the plan.
     pub(crate) fn set(
         &mut self,
         lease: &LeaseTable,
--- a/crates/ragwortroad_state/src/order/order_settings.rs
+++ b/crates/ragwortroad_state/src/order/order_settings.rs
@@ -2,14 +2,14 @@
 
 use crate::LoadRate;
 
-/// Settings of the holder's orders.
+/// Settings of the lease holder's orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// Time after which an order whose effect is not seen is sent again.
+    /// Time after which an order is sent again if its effect was not observed.
     pub resend_after: Duration,
-    /// Time after which a load that is not seen gives its place at the weight store up.
+    /// Time after which a load that was not observed gives up its slot at the weight store.
     pub load_timeout: Duration,
-    /// The weight store's rate.
+    /// Rate limits of the weight store.
     pub rate: LoadRate,
 }
 
--- a/crates/ragwortroad_state/src/order/order_table.rs
+++ b/crates/ragwortroad_state/src/order/order_table.rs
@@ -17,11 +17,12 @@
     order::managed_engine::ManagedEngine, //
 };
 
-/// The holder's orders under way: brings what is seen to what is planned.
+/// The lease holder's pending orders, which reconcile the engines' observed state with their
+/// targets.
 ///
-/// An order counts as done only when its effect is seen, or, for a role or a drain, which engines
-/// do not announce, when it was answered by the engine's present incarnation. An answer to an
-/// order that is no longer under way changes nothing.
+/// An order is complete only when its effect is observed. Engines do not announce their role or
+/// drain, so those orders are complete when the engine's current incarnation acknowledged them. An
+/// acknowledgement of an order that is no longer pending has no effect.
 #[derive(Clone, Debug)]
 pub struct OrderTable {
     settings: OrderSettings,
@@ -40,7 +41,7 @@
 }
 
 impl OrderTable {
-    /// The orders of the holder with number `fence`; none yet.
+    /// Creates an empty table for the holder with fencing number `fence`.
     pub fn new(settings: OrderSettings, fence: FenceNumber, now: ClockTime) -> Self {
         Self {
             settings,
@@ -52,55 +53,55 @@
         }
     }
 
-    /// What an engine shall be, and how urgently it is needed.
+    /// Sets an engine's target and urgency; a higher urgency is served first.
     pub fn set_target(&mut self, engine: &str, target: EngineTarget, urgency: u32) {
-        let state = self.engines.entry(engine.to_owned()).or_default();
-        state.target = target;
-        state.urgency = urgency;
+        let managed = self.engines.entry(engine.to_owned()).or_default();
+        managed.target = target;
+        managed.urgency = urgency;
     }
 
-    /// What an engine was seen to be.
-    pub fn observe(&mut self, engine: &str, sight: EngineObservation) {
-        let state = self.engines.entry(engine.to_owned()).or_default();
-        state.observe(sight);
+    /// Records a new observation of an engine.
+    pub fn observe(&mut self, engine: &str, observation: EngineObservation) {
+        let managed = self.engines.entry(engine.to_owned()).or_default();
+        managed.observe(observation);
     }
 
-    /// A former holder may have drained this engine, which no announcement tells: it is ordered
-    /// anew, once. Without this an engine whose drain was taken back while the lead changed would
-    /// take nothing new for ever.
+    /// Marks that a former holder may have drained the engine, which no announcement tells. The
+    /// drain state is then ordered once more. Otherwise an engine whose drain was ended during a
+    /// leader change would never accept work again.
     pub fn mark_drain_unknown(&mut self, engine: &str) {
-        let state = self.engines.entry(engine.to_owned()).or_default();
-        state.drain_unknown = true;
+        let managed = self.engines.entry(engine.to_owned()).or_default();
+        managed.drain_unknown = true;
     }
 
-    /// The engine is gone.
+    /// Removes an engine that left the fleet.
     pub fn remove_engine(&mut self, engine: &str) {
         self.engines.remove(engine);
     }
 
-    /// The engine answered that it carries the order out. False where the order is not under way.
+    /// Records that the engine acknowledged an order. Returns false if the order is not pending.
     pub fn acknowledge(&mut self, id: OrderId) -> bool {
         let Some(pending) = self.pending.get(&id) else {
             return false;
         };
-        let Some(state) = self.engines.get_mut(&pending.order.engine) else {
+        let Some(managed) = self.engines.get_mut(&pending.order.engine) else {
             return false;
         };
         match pending.order.action {
-            OrderAction::SetRole { role } => state.role = role,
+            OrderAction::SetRole { role } => managed.role = role,
             OrderAction::SetDrain { drain } => {
-                state.drain = drain;
-                state.drain_unknown = false;
+                managed.drain = drain;
+                managed.drain_unknown = false;
             }
             OrderAction::Load { .. } | OrderAction::Unload { .. } => {}
         }
         true
     }
 
-    /// Orders to send now: new ones, and those to send again.
+    /// Returns the orders to send now: new ones, and those to send again.
     ///
-    /// `may_order` says for an engine whether the [`OrderGate`](crate::OrderGate) is open, and
-    /// `size_of` gives a model's megabytes.
+    /// `may_order` tells for an engine whether the [`OrderGate`](crate::OrderGate) is open;
+    /// `size_of` returns a model's size in megabytes.
     pub fn due_orders(
         &mut self,
         now: ClockTime,
@@ -120,7 +121,7 @@
                     let urgency = self
                         .engines
                         .get(&key.engine)
-                        .map_or(0, |state| state.urgency);
+                        .map_or(0, |managed| managed.urgency);
                     let size = size_of(model);
                     self.queue.enqueue(key, size, urgency);
                 }
@@ -140,12 +141,12 @@
         orders
     }
 
-    /// Orders under way.
+    /// The pending orders.
     pub fn pending(&self) -> impl Iterator<Item = &EngineOrder> {
         self.pending.values().map(|pending| &pending.order)
     }
 
-    /// Loads waiting for the weight store.
+    /// The number of loads that wait for the weight store.
     pub fn waiting_loads(&self) -> usize {
         self.queue.waiting()
     }
@@ -167,7 +168,7 @@
         order
     }
 
-    /// What the orders under way are about.
+    /// The keys of the pending orders.
     fn pending_keys(&self) -> BTreeSet<OrderKey> {
         let orders = self.pending.values().map(|pending| &pending.order);
         orders.map(OrderKey::from).collect()
@@ -176,8 +177,8 @@
     /// Everything in which an engine differs from its target.
     fn required_orders(&self) -> BTreeSet<OrderKey> {
         let mut wanted = BTreeSet::new();
-        for (name, state) in &self.engines {
-            let actions = state.required_actions().into_iter();
+        for (name, managed) in &self.engines {
+            let actions = managed.required_actions().into_iter();
             let engine = || name.clone();
             wanted.extend(actions.map(|action| OrderKey {
                 engine: engine(),
@@ -187,7 +188,7 @@
         wanted
     }
 
-    /// Forgets orders whose effect is seen or no longer wanted, and loads that take too long.
+    /// Removes orders whose effect was observed or is no longer needed, and loads that timed out.
     fn prune_pending(&mut self, wanted: &BTreeSet<OrderKey>, now: ClockTime) {
         let load_bound = self.settings.load_timeout;
         let queue = &mut self.queue;
--- a/crates/ragwortroad_state/src/propagation/admission_table.rs
+++ b/crates/ragwortroad_state/src/propagation/admission_table.rs
@@ -13,24 +13,24 @@
 /// One run of a node's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeRun {
-    /// The node.
+    /// The node's identity.
     pub node: NodeId,
-    /// Differs between runs of its process.
+    /// Distinguishes the runs of the node's process.
     pub incarnation: u64,
 }
 
-/// The leader's account of which nodes may admit work, and under which revision.
+/// Tracks on the leader which nodes may admit work, and under which revision.
 ///
-/// A member that passes admission leases on to other nodes keeps one too: it grants no longer than
-/// what is left of its own, and acknowledges a revision to the leader only when it is in force
-/// here.
+/// A member that passes admission leases on to other nodes keeps a table too. It grants no longer
+/// than the rest of its own lease, and acknowledges a revision to the leader only after the
+/// revision is in force on these nodes.
 #[derive(Clone, Debug)]
 pub struct AdmissionTable {
     timing: FollowTiming,
-    /// Until then former leaders' grants may be running that this table does not know.
+    /// Time until which grants of former leaders, which this table does not know, may be running.
     former_grants_end: ClockTime,
-    /// Invariant: has every grant that may still be running; those below an acknowledged revision
-    /// are taken out, since a node never goes back.
+    /// Invariant: has every grant that may still be running. Grants below an acknowledged revision
+    /// are removed, since a node never returns to an older one.
     grants: BTreeMap<NodeRun, Vec<AdmissionGrant>>,
     acknowledged: BTreeMap<NodeRun, u64>,
 }
@@ -42,7 +42,7 @@
 }
 
 impl AdmissionTable {
-    /// The table of a leader that applied the first entry of its own term at `now`.
+    /// Creates the table of a leader that applied the first entry of its own term at `now`.
     ///
     /// `longest_grace` is [`FleetState::longest_grace`](crate::FleetState::longest_grace).
     pub fn new(timing: FollowTiming, now: ClockTime, longest_grace: Duration) -> Self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The node has `revision` in force and will never act on an older one in this run.
+    /// Records that the node has `revision` in force and will not use an older one in this run.
     pub fn acknowledge(&mut self, run: NodeRun, revision: u64) {
         let known = self.acknowledged.entry(run).or_default();
         *known = revision.max(*known);
@@ -63,10 +63,11 @@
         }
     }
 
-    /// Grants the node leave to admit work with `revision`, which goes out with the answer.
+    /// Grants the node an admission lease with `revision`, which is sent along with the answer.
     ///
-    /// The caller is proved to be the leader at `now`, which it read after the question came in.
-    /// Returns how long the node may admit by its own clock since it asked.
+    /// The caller must have proof that it is the leader at `now`, a time read after the node's
+    /// request arrived. Returns the lease duration on the node's clock, counted from when the node
+    /// sent the request.
     pub fn grant(
         &mut self,
         run: NodeRun,
@@ -84,15 +85,15 @@
         self.timing.node_lease(grace)
     }
 
-    /// Whether `revision` is in force on every node that may admit work at `now`; otherwise what
-    /// it waits for.
+    /// Returns `Ok` if `revision` is in force on every node that may admit work at `now`, otherwise
+    /// what it waits for.
     pub fn in_force(&self, revision: u64, now: ClockTime) -> Result<(), InForceWait> {
-        let waits = |grants: &Vec<AdmissionGrant>| {
+        let is_waiting = |grants: &Vec<AdmissionGrant>| {
             grants
                 .iter()
                 .any(|grant| grant.revision < revision && grant.until > now)
         };
-        let runs = self.grants.iter().filter(|(_, grants)| waits(grants));
+        let runs = self.grants.iter().filter(|(_, grants)| is_waiting(grants));
         let mut nodes: Vec<NodeId> = runs.map(|(run, _)| run.node).collect();
         nodes.dedup();
         let former_leases_ms = self.former_grants_end.since(now).as_millis() as u64;
@@ -105,11 +106,15 @@
         })
     }
 
-    /// The revision each node has acknowledged, of those that may admit work at `now`.
+    /// Returns the nodes that may admit work at `now`, each with the revision it acknowledged (0 if
+    /// none).
     pub fn admitting(&self, now: ClockTime) -> impl Iterator<Item = (NodeRun, u64)> {
-        let alive =
+        let is_active =
             move |grants: &Vec<AdmissionGrant>| grants.iter().any(|grant| grant.until > now);
-        let runs = self.grants.iter().filter(move |(_, grants)| alive(grants));
+        let runs = self
+            .grants
+            .iter()
+            .filter(move |(_, grants)| is_active(grants));
         runs.map(|(run, _)| {
             (
                 *run,
@@ -118,7 +123,7 @@
         })
     }
 
-    /// Forgets runs whose grants are over.
+    /// Removes runs whose grants have all expired.
     pub fn prune_expired(&mut self, now: ClockTime) {
         self.grants.retain(|_, grants| {
             grants.retain(|grant| grant.until > now);
--- a/crates/ragwortroad_state/src/propagation/follow_timing.rs
+++ b/crates/ragwortroad_state/src/propagation/follow_timing.rs
@@ -5,25 +5,25 @@
     MILLION,
 };
 
-/// Spans of the rule that a change is in force everywhere.
+/// Durations that bound how long a change takes to be in force everywhere.
 ///
-/// With bound `B`, grace `G` of the quorum-loss policy, largest drift `r` of any clock against
-/// true time and the leader's lease `L`:
+/// With follow bound `B`, quorum-loss grace period `G`, largest drift `r` of any clock against real
+/// time, and leader lease `L`:
 ///
-/// * A node admits for `A = (B + G) * (1 - r) / (1 + r)` by its own clock since it *asked*: at
-///   most `(B + G) / (1 + r)` of true time.
-/// * The leader counts the node's admission as over `B + G` by its own clock since it *answered*:
-///   at least `(B + G) / (1 + r)` of true time, and it answered after the node asked.
-/// * A new leader does not know what former leaders granted. They granted until their lease was
-///   over, at most `L / (1 - r)` of true time after the election. So it waits
-///   `(1 + r) * L / (1 - r) + B + G` by its own clock.
+/// * A node admits work for `A = (B + G) * (1 - r) / (1 + r)` on its own clock after it *sent* a
+///   request: at most `(B + G) / (1 + r)` of real time.
+/// * The leader counts the node's lease as expired `B + G` on its own clock after it *answered*: at
+///   least `(B + G) / (1 + r)` of real time, and it answered after the node sent the request.
+/// * A new leader does not know which leases former leaders granted. They granted leases until
+///   their own lease expired, at most `L / (1 - r)` of real time after the election. So it waits
+///   `(1 + r) * L / (1 - r) + B + G` on its own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowTiming {
-    /// Time within which a node that may admit work has a change in force, or has stopped.
+    /// Time within which a node that may admit work has a change in force or stops admitting work.
     pub bound: Duration,
-    /// Largest drift of a clock, in millionths.
+    /// Largest drift of a clock, in parts per million.
     pub drift_ppm: u32,
-    /// How long a leader may count on its lead after it last asked a quorum.
+    /// Time for which a leader may rely on its leadership after it last sent a request to a quorum.
     pub leader_lease: Duration,
 }
 
@@ -38,21 +38,22 @@
 }
 
 impl FollowTiming {
-    /// How long a node admits work by its own clock since it asked.
+    /// Returns the lease duration on the node's clock, counted from when it sent the request.
     pub fn node_lease(&self, grace: Duration) -> Duration {
         let drift = u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
-        let span = (self.bound + grace).as_micros() * (MILLION - drift);
-        let micros = span / (MILLION + drift);
+        let scaled = (self.bound + grace).as_micros() * (MILLION - drift);
+        let micros = scaled / (MILLION + drift);
         Duration::from_millis(u64::try_from(micros / 1000).unwrap_or(u64::MAX))
     }
 
-    /// How long the leader counts the node as admitting, by its own clock since it answered.
+    /// Returns how long the leader counts the node as admitting work, on its own clock after it
+    /// answered.
     pub fn leader_grant(&self, grace: Duration) -> Duration {
         self.bound + grace
     }
 
-    /// How long a new leader counts unknown nodes as admitting, by its own clock since the first
-    /// entry of its own term was applied.
+    /// Returns how long a new leader counts unknown nodes as admitting work, on its own clock after
+    /// it applied the first entry of its own term.
     pub fn new_leader_wait(&self, longest_grace: Duration) -> Duration {
         let drift = u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
         let lease = self.leader_lease.as_micros() * (MILLION + drift);
@@ -61,8 +62,8 @@
         lease + self.bound + longest_grace
     }
 
-    /// How often a node asks: four times within the bound, so that three lost messages in a row
-    /// do not stop it.
+    /// Returns the interval of a node's lease requests: four fit within the bound, so that three
+    /// lost messages in a row do not interrupt admission.
     pub fn renew_interval(&self) -> Duration {
         self.bound / 5
     }
--- a/crates/ragwortroad_state/src/propagation/in_force_wait.rs
+++ b/crates/ragwortroad_state/src/propagation/in_force_wait.rs
@@ -13,6 +13,6 @@
 pub struct InForceWait {
     /// Nodes that may still admit work under an older revision.
     pub nodes: Vec<NodeId>,
-    /// Milliseconds for which nodes unknown to this leader may still admit work.
+    /// Milliseconds until the leases that former leaders granted to unknown nodes have expired.
     pub former_leases_ms: u64,
 }
--- a/crates/ragwortroad_state/src/propagation/mod.rs
+++ b/crates/ragwortroad_state/src/propagation/mod.rs
@@ -1,4 +1,4 @@
-//! When a change counts as in force on every node that may still admit work.
+//! Determines when a change is in force on every node that may still admit work.
 
 pub(crate) mod admission_table;
 pub(crate) mod follow_timing;
--- a/crates/ragwortroad_state/src/propagation/promise_tracker.rs
+++ b/crates/ragwortroad_state/src/propagation/promise_tracker.rs
@@ -4,24 +4,24 @@
 
 use crate::FollowTiming;
 
-/// A member's promises to nodes that cannot reach a leader.
+/// Tracks a member's promises to nodes that cannot reach a leader.
 ///
-/// A member that hears no leader promises a node not to write any change beyond the node's
-/// revision into its log for a while. When so many members have promised that the others are no
-/// quorum, no change can be accepted, and the node may go on. The first change after the quorum is
-/// back waits until the promises are over, at most the follow bound.
+/// A member without a leader promises a node that for a while it will not write any change after
+/// the node's revision to its log. When so many members have promised that the others cannot form a
+/// quorum, no change can be accepted and the node may continue to admit work. The first change
+/// after the quorum is restored waits until the promises have expired, at most the follow bound.
 #[derive(Clone, Copy, Debug)]
 pub struct PromiseTracker {
     timing: FollowTiming,
-    /// Until then no change of configuration or membership is written.
+    /// Time until which the member writes no change of configuration or membership.
     ///
-    /// Invariant: covers every promise given, also before a restart: promises are not kept on
-    /// disk, so a restarted member counts as one that has just given one.
+    /// Invariant: covers every promise, including those given before a restart. Promises are not
+    /// stored on disk, so a restarted member behaves as if it had just given one.
     writes_blocked_until: ClockTime,
 }
 
 impl PromiseTracker {
-    /// The book of a member that started at `now`.
+    /// Creates the tracker of a member that started at `now`.
     pub fn new(timing: FollowTiming, now: ClockTime) -> Self {
         Self {
             timing,
@@ -29,10 +29,11 @@
         }
     }
 
-    /// Answers a node that has `revision` in force. `log_revision` is the highest one in the
-    /// member's log, whether accepted or not; `hears_leader` whether a leader is there to ask.
+    /// Answers a node that has `revision` in force. `log_revision` is the highest revision in the
+    /// member's log, committed or not; `hears_leader` tells whether the member knows a leader.
     ///
-    /// Returns how long the node may count on the promise by its own clock since it asked.
+    /// Returns how long the promise lasts on the node's clock, counted from when the node sent the
+    /// request, or `None` if the member cannot promise.
     pub fn promise(
         &mut self,
         now: ClockTime,
@@ -48,8 +49,8 @@
         Some(self.timing.node_lease(Duration::ZERO))
     }
 
-    /// Whether a change of configuration or membership may be written to the log now; otherwise
-    /// when.
+    /// Returns `Ok` if a change of configuration or membership may be written to the log at `now`,
+    /// otherwise the time from which it may.
     pub fn may_write(&self, now: ClockTime) -> Result<(), ClockTime> {
         if now < self.writes_blocked_until {
             return Err(self.writes_blocked_until);
--- a/crates/ragwortroad_state/src/propagation/staleness_guard.rs
+++ b/crates/ragwortroad_state/src/propagation/staleness_guard.rs
@@ -10,22 +10,22 @@
 use ragwortroad_types::prelude::*;
 use snafu::Snafu;
 
-/// Questions whose answers are still taken.
+/// Lease requests whose answers are still accepted.
 const MAX_OPEN_REQUESTS: usize = 32;
 
 /// Decides on a node whether it may admit work now.
 ///
-/// A node starts without a configuration and without leave; it has both after its first answer.
-/// All spans count from the time at which the node *asked*, so that an answer that was long on the
-/// way gives no more leave than a quick one.
+/// A node starts without a configuration and without a lease, and has both after the first answer.
+/// Leases count from the time at which the node *sent* the request, so that a delayed answer does
+/// not extend them.
 #[derive(Clone, Debug, Default)]
 pub struct StalenessGuard {
-    /// Invariant: never falls.
+    /// Invariant: never decreases.
     revision: u64,
     last_request_number: u64,
     lease_requests: VecDeque<(u64, ClockTime)>,
     admit_until: Option<ClockTime>,
-    /// Members that promised to accept no change beyond `revision`.
+    /// Members that promised not to accept any change after `revision`.
     promises: BTreeMap<NodeId, MemberPromise>,
 }
 
@@ -39,28 +39,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum NotCurrent {
-    /// It has had no answer since its start.
+    /// The node has received no lease since it started.
     #[snafu(display("this node has no configuration yet; use another of the fleet's addresses"))]
     NeverConfirmed,
-    /// Its last leave is over.
+    /// The node's last lease has expired.
     #[snafu(display(
         "this node could not confirm for {} ms that its configuration is current; use another of \
          the fleet's addresses",
         over_by.as_millis()
     ))]
     NotConfirmed {
-        /// For how long it is over.
+        /// Time since the lease expired.
         over_by: Duration,
     },
 }
 
 impl StalenessGuard {
-    /// The revision in force here.
+    /// The revision in force on this node; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Notes that `revision` is in force here, on every thread that admits work.
+    /// Records that `revision` is in force on every thread of this node that admits work.
     pub fn record_adoption(&mut self, revision: u64) {
         if revision > self.revision {
             self.revision = revision;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Notes that the node asks at `now`; the number goes out with the question.
+    /// Records a lease request sent at `now` and returns its number, which is sent along.
     pub fn start_lease_request(&mut self, now: ClockTime) -> u64 {
         self.last_request_number += 1;
         self.lease_requests
@@ -79,45 +79,47 @@
         self.last_request_number
     }
 
-    /// Takes the leader's answer to question `ask`: leave for `lease` with `revision`. The update
-    /// that came with it must have been adopted before. Returns whether it counts.
+    /// Records the leader's answer to request `request_number`: a lease of duration `lease` for `revision`. The
+    /// update that came with it must have been adopted before. Returns whether the lease was
+    /// accepted.
     ///
-    /// An answer with another revision than the one in force here gives no leave: an older one
-    /// comes from a leader that was replaced, and a newer one was not adopted yet.
-    pub fn record_grant(&mut self, ask: u64, revision: u64, lease: Duration) -> bool {
-        let Some(asked_at) = self.requested_at(ask) else {
+    /// An answer with another revision than the one in force gives no lease: an older one comes
+    /// from a leader that was replaced, and a newer one was not adopted yet.
+    pub fn record_grant(&mut self, request_number: u64, revision: u64, lease: Duration) -> bool {
+        let Some(requested_at) = self.requested_at(request_number) else {
             return false;
         };
         if revision != self.revision {
             return false;
         }
-        self.admit_until = self.admit_until.max(Some(asked_at.after(lease)));
+        self.admit_until = self.admit_until.max(Some(requested_at.after(lease)));
         true
     }
 
-    /// Takes a member's promise, in answer to question `ask`, to accept no change beyond
-    /// `revision` for at least `lease`. `members` are those of the newest membership in its log.
+    /// Records a member's promise to accept no change after `revision` for at least `lease`.
+    /// `members` is the newest membership in that member's log. Returns whether the promise was
+    /// accepted.
     pub fn record_promise(
         &mut self,
-        ask: u64,
+        request_number: u64,
         member: NodeId,
         revision: u64,
         members: BTreeSet<NodeId>,
         lease: Duration,
     ) -> bool {
-        let Some(asked_at) = self.requested_at(ask) else {
+        let Some(requested_at) = self.requested_at(request_number) else {
             return false;
         };
         if revision != self.revision || self.admit_until.is_none() {
             return false;
         }
-        let until = asked_at.after(lease);
+        let until = requested_at.after(lease);
         self.promises
             .insert(member, MemberPromise { until, members });
         true
     }
 
-    /// Whether the node may admit work at `now`.
+    /// Returns `Ok` if the node may admit work at `now`.
     pub fn may_admit(&self, now: ClockTime) -> Result<(), NotCurrent> {
         let Some(until) = self.admit_until else {
             return Err(NotCurrent::NeverConfirmed);
@@ -130,7 +132,7 @@
         })
     }
 
-    /// Whether so many members have promised that the others are too few to accept anything.
+    /// Whether so many members promised that the others cannot form a quorum.
     fn has_blocking_promises(&self, now: ClockTime) -> bool {
         let valid = self
             .promises
@@ -147,11 +149,11 @@
                 .all(|(_, promise)| blocks(&promise.members))
     }
 
-    fn requested_at(&self, ask: u64) -> Option<ClockTime> {
-        let asked = self
+    fn requested_at(&self, request_number: u64) -> Option<ClockTime> {
+        let request = self
             .lease_requests
             .iter()
-            .find(|(number, _)| *number == ask);
-        asked.map(|(_, asked_at)| *asked_at)
+            .find(|(number, _)| *number == request_number);
+        request.map(|(_, requested_at)| *requested_at)
     }
 }
--- a/crates/ragwortroad_state/src/snapshot_wire.rs
+++ b/crates/ragwortroad_state/src/snapshot_wire.rs
@@ -17,13 +17,13 @@
     grace_record::GraceRecord, //
 };
 
-/// The version of snapshots that this program writes.
+/// Format version of the snapshots this build writes, and the only one it reads.
 pub const SNAPSHOT_VERSION: u8 = 1;
 
-/// The state as it is written into a snapshot.
+/// The state as encoded in a snapshot.
 ///
-/// Invariant: has the fields of [`SnapshotWire`] in the same order, by reference, so that writing
-/// a snapshot does not copy all claims first.
+/// Invariant: has the fields of [`SnapshotWire`] in the same order. Fields are borrowed so that
+/// writing a snapshot does not copy all claims first.
 #[derive(Serialize)]
 pub(crate) struct SnapshotView<'a> {
     pub(crate) applied: u64,
@@ -35,7 +35,7 @@
     pub(crate) grace: GraceRecord,
 }
 
-/// The state as it is read from a snapshot.
+/// The state as decoded from a snapshot.
 #[derive(Deserialize)]
 pub(crate) struct SnapshotWire {
     pub(crate) applied: u64,
@@ -47,33 +47,35 @@
     pub(crate) grace: GraceRecord,
 }
 
-/// Why bytes are no snapshot.
+/// Why a snapshot could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum SnapshotError {
-    /// Another program version wrote it.
+    /// A build with another snapshot version wrote it.
     #[snafu(display(
-        "the snapshot has version {version} and this program reads {SNAPSHOT_VERSION}; install \
-         the program version that wrote it"
+        "the snapshot has version {version}, but this build reads version {SNAPSHOT_VERSION}; \
+         install the build that wrote it"
     ))]
     OtherVersion {
-        /// The version.
+        /// The version in the snapshot's first byte.
         version: u8,
     },
-    /// It cannot be read.
-    #[snafu(display("the snapshot cannot be read ({source}); fetch it again from another member"))]
+    /// The bytes after the version could not be decoded.
+    #[snafu(display(
+        "the snapshot could not be decoded ({source}); fetch it again from another member"
+    ))]
     UnreadableSnapshot {
-        /// What the codec says.
+        /// The decoder's error.
         source: postcard::Error,
     },
-    /// It has no bytes.
+    /// The snapshot has no bytes.
     #[snafu(display("the snapshot is empty; fetch it again from another member"))]
     EmptySnapshot,
 }
 
 impl SnapshotView<'_> {
     pub(crate) fn to_bytes(&self) -> Vec<u8> {
-        // Encoding into a growing buffer has no error; see `FleetConfig::digest`.
+        // Encoding into a growable buffer cannot fail; see `FleetConfig::digest`.
         postcard::to_extend(self, vec![SNAPSHOT_VERSION]).unwrap_or_default()
     }
 }
--- a/crates/ragwortroad_state/src/stamp_clock.rs
+++ b/crates/ragwortroad_state/src/stamp_clock.rs
@@ -6,21 +6,21 @@
 
 use crate::StateTime;
 
-/// The two times a leader puts into each command.
+/// The timestamps that the leader attaches to each command.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CommandStamp {
-    /// The state's clock.
+    /// Time of the state clock.
     pub state: StateTime,
-    /// Milliseconds since 1970 by the leader's wall clock; used only for dated keys.
+    /// Milliseconds since 1970 on the leader's wall clock; used only for keys that contain a date.
     pub wall_ms: u64,
 }
 
-/// Continues the state's clock on a leader's own monotonic clock.
+/// Advances the state clock with the leader's own monotonic clock.
 ///
-/// A leader starts it when it has applied the first entry of its own term. By then it has applied
-/// everything that earlier leaders got accepted, so that the clock goes on from their last stamp;
-/// started earlier, it would run behind theirs and its commands' stamps would be of no effect.
+/// A leader starts it after it has applied the first entry of its own term. By then it has applied
+/// every entry that earlier leaders committed, so the clock continues from their last stamp. If it
+/// were started earlier, it would run behind theirs and its stamps would have no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StampClock {
     base: StateTime,
@@ -28,12 +28,12 @@
 }
 
 impl StampClock {
-    /// Goes on from the state's time `base` at the own reading `now`.
+    /// Starts at state time `base` when the local clock reads `now`.
     pub fn start(base: StateTime, now: ClockTime) -> Self {
         Self { base, started: now }
     }
 
-    /// The stamp of a command proposed at the own reading `now`.
+    /// Returns the stamp of a command that is proposed at local time `now`.
     pub fn stamp(&self, now: ClockTime, wall_ms: u64) -> CommandStamp {
         CommandStamp {
             state: self.base.after(now.since(self.started)),
