--- a/crates/ragwortroad_state/src/state_command.rs
+++ b/crates/ragwortroad_state/src/state_command.rs
@@ -16,78 +16,79 @@
     EngineTarget, //
 };
 
-/// The version of commands that this program writes.
+/// Format version of the commands this build writes, and the only one it reads.
 pub const COMMAND_VERSION: u8 = 1;
 
-/// One command of the log with the leader's stamp.
+/// A log entry: an action and the time at which the leader proposed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StateCommand {
-    /// The leader's clocks when it proposed the command.
+    /// The leader's clock readings when it proposed the command.
     pub stamp: CommandStamp,
-    /// What is to be done.
+    /// The action to apply to the state.
     pub action: StateAction,
 }
 
-/// What a command does.
+/// The action of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum StateAction {
-    /// Nothing but moving the clock on.
+    /// Advances the state clock and expires idempotency keys.
     Tick,
-    /// An operator's change.
+    /// A configuration change issued by an operator.
     Change(ChangeCommand),
-    /// Steps on claims, of many nodes.
+    /// A batch of claim steps from any number of nodes.
     Claims(Vec<ClaimStep>),
-    /// The leader takes the lease for orders, with the first command of its term.
+    /// Grants the leader the order lease. A new leader proposes it as the first command of its
+    /// term.
     TakeOrders {
-        /// The leader.
+        /// The leader that requests the lease.
         holder: NodeId,
     },
-    /// The holder plans what engines shall be.
+    /// Updates the engine targets on behalf of the lease holder.
     Plan {
-        /// The holder's number.
+        /// The fencing number of the holder's lease.
         fence: FenceNumber,
-        /// Targets by engine; none where it is no longer planned for.
+        /// Targets by engine name; `None` removes the engine from the plan.
         targets: Vec<(String, Option<EngineTarget>)>,
     },
 }
 
-/// Why bytes of the log are no command.
+/// Why a log entry could not be decoded as a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Snafu)]
 pub enum CommandError {
-    /// A newer program wrote it.
+    /// A build with another command version wrote the entry.
     #[snafu(display(
-        "the command has version {version} and this program reads {COMMAND_VERSION}; install the \
-         program version of the other members here"
+        "the command has version {version}, but this build reads version {COMMAND_VERSION}; install \
+         the build that the other members run"
     ))]
     NewerVersion {
-        /// The version.
+        /// The version in the entry's first byte.
         version: u8,
     },
-    /// It cannot be read.
+    /// The bytes after the version could not be decoded.
     #[snafu(display(
-        "the command cannot be read ({source}); restore this member from the others with an empty \
-         data folder"
+        "the command could not be decoded ({source}); restore this member from the others with an \
+         empty data folder"
     ))]
     Unreadable {
-        /// What the codec says.
+        /// The decoder's error.
         source: postcard::Error,
     },
-    /// It has no bytes.
+    /// The entry has no bytes.
     #[snafu(display("the command is empty; restore this member with an empty data folder"))]
     Empty,
 }
 
 impl StateCommand {
-    /// The command as bytes for the log.
+    /// Encodes the command for the log: the version byte, then the postcard encoding.
     pub fn to_bytes(&self) -> Vec<u8> {
-        // Encoding into a growing buffer has no error; see `FleetConfig::digest`.
+        // Encoding into a growable buffer cannot fail; see `FleetConfig::digest`.
         postcard::to_extend(self, vec![COMMAND_VERSION]).unwrap_or_default()
     }
 
-    /// Reads a command from the log.
+    /// Decodes a command from a log entry.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, CommandError> {
         let (version, rest) = bytes.split_first().ok_or(CommandError::Empty)?;
         ensure!(
--- a/crates/ragwortroad_state/src/state_time.rs
+++ b/crates/ragwortroad_state/src/state_time.rs
@@ -8,22 +8,22 @@
     Serialize, //
 };
 
-/// A reading of the clock in the replicated state, in milliseconds.
+/// A time of the replicated state clock, in milliseconds.
 ///
-/// It advances only by the stamps of applied commands. It never runs ahead of true time by more
-/// than the drift of one clock, and stands still while nobody leads; spans that are measured by it
-/// can only come out longer than declared.
+/// The clock advances only by the stamps of applied commands. It never runs ahead of real time by
+/// more than the drift of one clock and stands still while there is no leader, so intervals
+/// measured with it can only be longer than configured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct StateTime(pub u64);
 
 impl StateTime {
-    /// The reading `span` after this one.
-    pub fn after(self, span: Duration) -> Self {
-        Self(self.0.saturating_add(span.as_millis() as u64))
+    /// Returns the time `duration` later, truncated to milliseconds.
+    pub fn after(self, duration: Duration) -> Self {
+        Self(self.0.saturating_add(duration.as_millis() as u64))
     }
 
-    /// The time from `earlier` to this reading, or nothing where `earlier` is the later one.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
