--- a/crates/ragwortroad_language/tests/lines.rs
+++ b/crates/ragwortroad_language/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the language: every edit as a line and back, errors that point at the word, and tables.
+//! Lines of the language: edits that round-trip, errors that point at the word, and tables.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -14,7 +14,7 @@
     }
 }
 
-/// One line of each kind, as the help text shows them.
+/// One line of each kind, as shown in the help text.
 const LINES: [&str; 38] = [
     "add customer north rate 20/s tokens 40000/s",
     "remove customer north",
@@ -57,7 +57,7 @@
 ];
 
 #[test]
-fn each_edit_can_be_written_as_a_line_again() {
+fn every_edit_round_trips_as_a_line() {
     for line in LINES {
         let edits = edits_of(line);
         let text: Vec<String> = edits.iter().map(edit_text).collect();
@@ -72,7 +72,7 @@
     assert_eq!(change.edits.len(), LINES.len() + 3);
 }
 
-/// Guards against errors that do not show the mistyped word and the remedy.
+/// An operator could get an error that does not show the mistyped word or how to correct it.
 #[test]
 fn errors_point_at_the_word_and_name_the_remedy() {
     let lines = [
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn answers_are_tables_for_people_and_programs() {
+fn answers_render_as_text_and_json() {
     let line = "add model captions version v1 replicas 2..6 size 16gb; add service desk once GET /book; \
                 add customer north rate 20/s; allow customer north model captions; \
                 allow customer north service desk; add customer south; \
@@ -127,7 +127,7 @@
         .apply(1, &StateCommand { stamp, action }.to_bytes())
         .unwrap();
     let mut text = String::new();
-    for question in [
+    for query_line in [
         "show customers",
         "show limits where rate > 10",
         "show limits where customer != north and concurrent < 33",
@@ -139,13 +139,13 @@
         "show changes",
         "show claims",
     ] {
-        let Ok(Statement::Show(query)) = parse_line(question) else {
-            panic!("{question}");
+        let Ok(Statement::Show(query)) = parse_line(query_line) else {
+            panic!("{query_line}");
         };
         let table = state_table(query.topic, &state).unwrap();
         let table = table.filtered(&query.conditions);
-        text.push_str(&format!("> {question}\n{}\n", table.to_text()));
-        if question.starts_with("show limits where rate") {
+        text.push_str(&format!("> {query_line}\n{}\n", table.to_text()));
+        if query_line.starts_with("show limits where rate") {
             text.push_str(&format!("{}\n\n", table.to_json()));
         }
     }
@@ -156,11 +156,11 @@
         edits: edits_of("set multiple 1.5"),
     };
     let action = StateAction::Change(late);
-    let applied = state
+    let apply_outcome = state
         .apply(2, &StateCommand { stamp, action }.to_bytes())
         .unwrap();
-    let ApplyOutcome::Changed(outcome) = applied else {
-        panic!("{applied:?}");
+    let ApplyOutcome::Changed(outcome) = apply_outcome else {
+        panic!("{apply_outcome:?}");
     };
     text.push_str(&outcome_text(&outcome));
     insta::assert_snapshot!("answers", text);
@@ -179,7 +179,7 @@
 
 proptest! {
     #[test]
-    fn any_line_is_read_or_refused_within_itself(words in proptest::collection::vec(word(), 0..12)) {
+    fn error_positions_lie_within_the_line(words in proptest::collection::vec(word(), 0..12)) {
         let line = words.join(" ");
         if let Err(error) = parse_line(&line) {
             let length = line.chars().count();
@@ -190,7 +190,7 @@
     }
 
     #[test]
-    fn names_of_any_kind_survive(name in "[^\"]{1,20}", permille in 0u32..20_000) {
+    fn edits_with_any_name_round_trip(name in "[^\"]{1,20}", permille in 0u32..20_000) {
         let target = DrainTarget::Endpoint(name);
         let edit = ConfigEdit::Drain { target };
         prop_assert_eq!(edits_of(&edit_text(&edit)), vec![edit]);
--- a/crates/ragwortroad_state/examples/state_cost.rs
+++ b/crates/ragwortroad_state/examples/state_cost.rs
@@ -1,5 +1,5 @@
-//! What the replicated state costs: claims applied a second and bytes for each, and the bytes that
-//! a follower needs to catch up.
+//! Measures the cost of the replicated state: claims applied per second, bytes per claim, and the
+//! bytes that a follower needs to catch up.
 //!
 //! `cargo run --release -p ragwortroad_state --example state_cost`
 
@@ -27,7 +27,7 @@
     Ok(())
 }
 
-/// The spans that follow from the default settings.
+/// Prints the durations that follow from the default settings.
 fn print_spans() {
     let (orders, follow) = (OrderTiming::default(), FollowTiming::default());
     println!(
@@ -43,7 +43,7 @@
     );
 }
 
-/// Kilobytes of memory this process has resident; 0 where the system does not tell.
+/// Returns the resident memory of this process in kilobytes; 0 if the system does not report it.
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -75,7 +75,7 @@
     format!("customer-{number:04}")
 }
 
-/// Declares customers as an operator would: with a key and limits, some in one change.
+/// Declares customers, each with a key, 50 in one change.
 fn declare_customers(state: &mut FleetState, count: u64) -> Result<(), ApplyError> {
     for first in (0..count).step_by(50) {
         let mut edits = Vec::new();
@@ -121,7 +121,7 @@
     [claim, finish]
 }
 
-/// A state in which a customer may have any number of claims.
+/// Returns a state in which a customer may have any number of claims.
 fn roomy_state() -> Result<FleetState, ApplyError> {
     let mut state = FleetState::default();
     declare_customers(&mut state, 10)?;
@@ -136,7 +136,8 @@
     Ok(state)
 }
 
-/// Runs first: later measurements reuse memory that earlier ones gave back.
+/// Measures memory per claim. Must run first: later measurements reuse memory that earlier ones
+/// freed.
 fn measure_memory() -> Result<(), ApplyError> {
     let mut state = roomy_state()?;
     let before_kb = resident_kb();
--- a/crates/ragwortroad_state/src/lib.rs
+++ b/crates/ragwortroad_state/src/lib.rs
@@ -23,10 +23,10 @@
 //!     action: StateAction::Change(change),
 //! };
 //! let bytes = command.to_bytes();
-//! let applied = state.apply(1, &bytes).unwrap();
-//! assert_eq!(applied, ApplyOutcome::Changed(ChangeOutcome::Accepted { revision: 1 }));
+//! let outcome = state.apply(1, &bytes).unwrap();
+//! assert_eq!(outcome, ApplyOutcome::Changed(ChangeOutcome::Accepted { revision: 1 }));
 //! // A command that is sent again gets the outcome of the first time.
-//! assert_eq!(state.apply(2, &bytes).unwrap(), applied);
+//! assert_eq!(state.apply(2, &bytes).unwrap(), outcome);
 //! assert_eq!(state.config().revision, 1);
 //! ```
 
--- a/crates/ragwortroad_state/tests/claim_schedules/claim_world.rs
+++ b/crates/ragwortroad_state/tests/claim_schedules/claim_simulation.rs
@@ -1,4 +1,4 @@
-//! Nodes, a log and a service as a seed drives them, with the claims of all.
+//! A seeded simulation of nodes, a log and a service, and of the claims of all nodes.
 
 use std::collections::{
     BTreeMap,
@@ -9,7 +9,7 @@
 use ragwortroad_types::prelude::*;
 
 use crate::common::{
-    SeededDraw,
+    SeededRng,
     attempt,
     change,
     command,
@@ -19,31 +19,31 @@
 pub(crate) const NODES: u64 = 4;
 pub(crate) const BODY: [u8; 16] = [9; 16];
 
-/// A fault put into nodes or surroundings, which the checks must notice.
+/// A fault injected into nodes or their environment, which the checks must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ClaimFault {
     None,
-    /// A timeout after dispatch is taken for "not sent".
+    /// A timeout after dispatch is treated as "not sent".
     ReleasesAfterSend,
     /// The request is sent before the claim is granted.
     SendsBeforeGrant,
-    /// A grant that comes after the node gave up is used.
+    /// A grant that arrives after the node abandoned the claim is used.
     UsesLateGrant,
-    /// A new leader lacks the last accepted steps.
+    /// A new leader lacks the last committed steps.
     LosesAccepted,
-    /// Undated keys past the window are forgotten without the operator's word.
+    /// Undated keys past the window are forgotten without the operator's declaration.
     ForgetsSpent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum NodePhase {
     Waiting,
-    GaveUp,
+    Abandoned,
     Sent,
-    Over,
+    Finished,
 }
 
-/// One submission of a key at one node.
+/// One submission of a key to a node.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeAttempt {
     pub(crate) key: ClaimKey,
@@ -51,15 +51,15 @@
     pub(crate) phase: NodePhase,
 }
 
-/// A claim step on its way, with the operation of the history that it belongs to.
+/// A claim step in transit, with the index of its operation in the history.
 #[derive(Clone, Debug)]
-pub(crate) struct WireStep {
+pub(crate) struct PendingStep {
     pub(crate) step: ClaimStep,
     pub(crate) operation: usize,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct ClaimOp {
+pub(crate) struct ClaimOperation {
     pub(crate) key: ClaimKey,
     pub(crate) step: ClaimStep,
     pub(crate) outcome: Option<ClaimOutcome>,
@@ -67,8 +67,8 @@
     pub(crate) answered: Option<usize>,
 }
 
-pub(crate) struct ClaimWorld {
-    pub(crate) draw: SeededDraw,
+pub(crate) struct ClaimSimulation {
+    pub(crate) rng: SeededRng,
     pub(crate) fault: ClaimFault,
     pub(crate) state: FleetState,
     pub(crate) saved: FleetState,
@@ -76,16 +76,16 @@
     pub(crate) next_request: u64,
     pub(crate) keys: Vec<ClaimKey>,
     pub(crate) attempts: Vec<NodeAttempt>,
-    pub(crate) wire: Vec<WireStep>,
-    /// Requests on their way to the service.
+    pub(crate) in_transit: Vec<PendingStep>,
+    /// Requests in transit to the service.
     pub(crate) sent: Vec<NodeAttempt>,
     pub(crate) runs: BTreeMap<ClaimKey, Vec<ClaimAttempt>>,
     pub(crate) not_run: BTreeSet<ClaimAttempt>,
     pub(crate) wrong_answer: Option<ClaimAttempt>,
-    pub(crate) history: Vec<ClaimOp>,
+    pub(crate) history: Vec<ClaimOperation>,
     pub(crate) events: usize,
     /// Whether time passes and nodes are declared lost.
-    pub(crate) eventful: bool,
+    pub(crate) has_node_losses: bool,
     pub(crate) counts: BTreeMap<&'static str, u64>,
 }
 
@@ -102,22 +102,22 @@
     key
 }
 
-impl ClaimWorld {
-    pub(crate) fn new(seed: u64, fault: ClaimFault, eventful: bool) -> Self {
+impl ClaimSimulation {
+    pub(crate) fn new(seed: u64, fault: ClaimFault, has_node_losses: bool) -> Self {
         let mut state = state_with(&["north"]);
         let rules = ClaimsEdit {
             window_s: Some(60),
             run_bound_s: Some(20),
             skew_s: Some(5),
-            // Little enough that answers are cut down to their status.
-            answer_budget: eventful.then_some(100),
+            // Small enough that responses are reduced to their status.
+            answer_budget: has_node_losses.then_some(100),
             ..ClaimsEdit::default()
         };
         let edits = vec![ConfigEdit::SetClaims { rules }];
         let action = StateAction::Change(change("rules", 1, edits));
         state.apply(2, &command(0, action).to_bytes()).unwrap();
         Self {
-            draw: SeededDraw::new(seed),
+            rng: SeededRng::new(seed),
             fault,
             saved: state.clone(),
             state,
@@ -125,14 +125,14 @@
             next_request: 0,
             keys: Vec::new(),
             attempts: Vec::new(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             sent: Vec::new(),
             runs: BTreeMap::new(),
             not_run: BTreeSet::new(),
             wrong_answer: None,
             history: Vec::new(),
             events: 0,
-            eventful,
+            has_node_losses,
             counts: BTreeMap::new(),
         }
     }
@@ -143,25 +143,25 @@
 
     pub(crate) fn step(&mut self) {
         self.events += 1;
-        match self.draw.below(20) {
+        match self.rng.below(20) {
             0..=4 => self.submit(),
             5..=9 => self.apply_batch(),
             10..=12 => self.deliver_to_service(),
-            13 => self.give_up(),
+            13 => self.abandon_claim(),
             14 => self.crash(),
             15 => self.restart_leader(),
-            16 if self.eventful => self.pass_time(),
-            17 if self.eventful => self.declare_lost(),
+            16 if self.has_node_losses => self.pass_time(),
+            17 if self.has_node_losses => self.declare_lost(),
             18 => self.repeat_step(),
             _ => self.apply_batch(),
         }
     }
 
-    /// A caller sends a new key, or an old one again through any node.
+    /// Submits a new key, or an old one again, to any node.
     pub(crate) fn submit(&mut self) {
         let number = self.keys.len() as u64;
-        if self.keys.is_empty() || self.draw.chance(25) {
-            let dated = self.draw.chance(50);
+        if self.keys.is_empty() || self.rng.chance(25) {
+            let dated = self.rng.chance(50);
             let key = if dated {
                 dated_key(self.now_ms, number)
             } else {
@@ -169,15 +169,15 @@
             };
             self.keys.push(key);
         }
-        let recent = if self.draw.chance(30) {
+        let recent = if self.rng.chance(30) {
             self.keys.len()
         } else {
             self.keys.len().min(4)
         };
-        let place = self.keys.len() - 1 - self.draw.below(recent as u64) as usize;
-        let key = self.keys[place].clone();
+        let index = self.keys.len() - 1 - self.rng.below(recent as u64) as usize;
+        let key = self.keys[index].clone();
         self.next_request += 1;
-        let attempt = attempt(self.draw.below(NODES), self.next_request);
+        let attempt = attempt(self.rng.below(NODES), self.next_request);
         let phase = NodePhase::Waiting;
         let claim = ClaimStep::Claim {
             key: key.clone(),
@@ -189,7 +189,7 @@
             attempt,
             phase,
         };
-        if self.fault == ClaimFault::SendsBeforeGrant && self.draw.chance(5) {
+        if self.fault == ClaimFault::SendsBeforeGrant && self.rng.chance(5) {
             self.sent.push(waiting.clone());
         }
         self.attempts.push(waiting);
@@ -204,110 +204,111 @@
             ClaimStep::NodeLost { .. } => opaque_key(0),
         };
         let operation = self.history.len();
-        self.history.push(ClaimOp {
+        self.history.push(ClaimOperation {
             key,
             step: step.clone(),
             outcome: None,
             called: self.events,
             answered: None,
         });
-        if self.draw.chance(90) {
-            self.wire.push(WireStep { step, operation });
+        if self.rng.chance(90) {
+            self.in_transit.push(PendingStep { step, operation });
         } else {
             self.count("steps lost");
         }
     }
 
     pub(crate) fn repeat_step(&mut self) {
-        if !self.wire.is_empty() {
-            let place = self.draw.below(self.wire.len() as u64) as usize;
-            self.wire.push(self.wire[place].clone());
+        if !self.in_transit.is_empty() {
+            let index = self.rng.below(self.in_transit.len() as u64) as usize;
+            self.in_transit.push(self.in_transit[index].clone());
             self.count("steps repeated");
         }
     }
 
-    /// The leader takes some steps, in any order, into one entry of the log.
+    /// Puts some steps, in any order, into one log entry.
     pub(crate) fn apply_batch(&mut self) {
         let mut batch = Vec::new();
-        for _ in 0..1 + self.draw.below(3) {
-            batch.extend(self.draw.take(&mut self.wire));
+        for _ in 0..1 + self.rng.below(3) {
+            batch.extend(self.rng.take_random(&mut self.in_transit));
         }
-        let steps = batch.iter().map(|wire| wire.step.clone()).collect();
+        let steps = batch.iter().map(|pending| pending.step.clone()).collect();
         let action = StateAction::Claims(steps);
         let index = self.state.applied() + 1;
         let bytes = command(self.now_ms, action).to_bytes();
-        let applied = self.state.apply(index, &bytes).unwrap();
-        let ApplyOutcome::Claimed(outcomes) = applied else {
-            panic!("{applied:?}")
+        let apply_outcome = self.state.apply(index, &bytes).unwrap();
+        let ApplyOutcome::Claimed(outcomes) = apply_outcome else {
+            panic!("{apply_outcome:?}")
         };
         self.count("entries");
-        for (wire, outcome) in batch.into_iter().zip(outcomes) {
-            if self.draw.chance(80) {
-                self.answer(wire, outcome);
+        for (pending, outcome) in batch.into_iter().zip(outcomes) {
+            if self.rng.chance(80) {
+                self.answer(pending, outcome);
             } else {
                 self.count("answers lost");
             }
         }
     }
 
-    /// The answer to a step reaches the node.
-    pub(crate) fn answer(&mut self, wire: WireStep, outcome: ClaimOutcome) {
+    /// Delivers the outcome of a step to the node.
+    pub(crate) fn answer(&mut self, pending: PendingStep, outcome: ClaimOutcome) {
         self.events += 1;
-        let operation = &mut self.history[wire.operation];
+        let operation = &mut self.history[pending.operation];
         if operation.answered.is_none() {
             operation.answered = Some(self.events);
             operation.outcome = Some(outcome.clone());
         }
-        let ClaimStep::Claim { attempt, .. } = wire.step else {
+        let ClaimStep::Claim { attempt, .. } = pending.step else {
             return;
         };
-        let place = self
+        let index = self
             .attempts
             .iter()
             .position(|known| known.attempt == attempt);
-        let Some(place) = place else { return };
-        let phase = self.attempts[place].phase;
-        let late = self.fault == ClaimFault::UsesLateGrant && phase == NodePhase::GaveUp;
-        if phase != NodePhase::Waiting && !late {
+        let Some(index) = index else { return };
+        let phase = self.attempts[index].phase;
+        let uses_late_grant =
+            self.fault == ClaimFault::UsesLateGrant && phase == NodePhase::Abandoned;
+        if phase != NodePhase::Waiting && !uses_late_grant {
             return;
         }
         match outcome {
-            ClaimOutcome::Granted => self.dispatch(place),
+            ClaimOutcome::Granted => self.dispatch(index),
             ClaimOutcome::Recorded(answer) => {
                 let runs = self
                     .runs
-                    .get(&wire_key(&wire.step))
+                    .get(&claimed_key(&pending.step))
                     .cloned()
                     .unwrap_or_default();
-                let of_run = runs.first().map(|run| run.request.0.to_le_bytes().to_vec());
-                if Some(answer.body) != of_run {
+                let run_body = runs.first().map(|run| run.request.0.to_le_bytes().to_vec());
+                if Some(answer.body) != run_body {
                     self.wrong_answer = Some(attempt);
                 }
-                self.attempts[place].phase = NodePhase::Over;
+                self.attempts[index].phase = NodePhase::Finished;
             }
             other => {
                 if matches!(other.refusal(), Some((RequestOutcome::NotRun, _))) {
                     self.not_run.insert(attempt);
                 }
-                self.attempts[place].phase = NodePhase::Over;
+                self.attempts[index].phase = NodePhase::Finished;
             }
         }
     }
 
-    pub(crate) fn dispatch(&mut self, place: usize) {
-        let known = self.attempts[place].clone();
-        if self.draw.chance(15) {
-            // The endpoint could not be reached: not one byte was sent.
-            self.attempts[place].phase = NodePhase::Over;
+    pub(crate) fn dispatch(&mut self, index: usize) {
+        let known = self.attempts[index].clone();
+        if self.rng.chance(15) {
+            // The endpoint could not be reached; no byte was sent.
+            self.attempts[index].phase = NodePhase::Finished;
             self.not_run.insert(known.attempt);
             self.count("releases");
             self.send(release(&known));
             return;
         }
-        self.attempts[place].phase = NodePhase::Sent;
+        self.attempts[index].phase = NodePhase::Sent;
         self.sent.push(known.clone());
-        if self.draw.chance(20) {
-            // No answer came in time; the request may still arrive.
+        if self.rng.chance(20) {
+            // No response arrived in time; the request may still arrive.
             self.count("timeouts");
             if self.fault == ClaimFault::ReleasesAfterSend {
                 self.send(release(&known));
@@ -326,9 +327,9 @@
         });
     }
 
-    /// A request reaches the service and runs.
+    /// Delivers a request to the service, which runs it.
     pub(crate) fn deliver_to_service(&mut self) {
-        let Some(known) = self.draw.take(&mut self.sent) else {
+        let Some(known) = self.rng.take_random(&mut self.sent) else {
             return;
         };
         self.count("runs");
@@ -340,7 +341,7 @@
             .attempts
             .iter()
             .any(|other| other.attempt == known.attempt);
-        if alive && self.draw.chance(80) {
+        if alive && self.rng.chance(80) {
             let answer = ClaimAnswer {
                 status: 201,
                 content_type: String::new(),
@@ -350,21 +351,21 @@
         }
     }
 
-    /// A node waits no longer for its claim.
-    pub(crate) fn give_up(&mut self) {
+    /// Lets a node abandon a claim it waits for.
+    pub(crate) fn abandon_claim(&mut self) {
         let waiting = |known: &NodeAttempt| known.phase == NodePhase::Waiting;
-        let Some(place) = self.attempts.iter().position(waiting) else {
+        let Some(index) = self.attempts.iter().position(waiting) else {
             return;
         };
-        self.attempts[place].phase = NodePhase::GaveUp;
-        let known = self.attempts[place].clone();
+        self.attempts[index].phase = NodePhase::Abandoned;
+        let known = self.attempts[index].clone();
         self.not_run.insert(known.attempt);
-        self.count("given up");
+        self.count("abandoned");
         self.send(release(&known));
     }
 
     pub(crate) fn crash(&mut self) {
-        let node = NodeId(self.draw.below(NODES));
+        let node = NodeId(self.rng.below(NODES));
         self.attempts.retain(|known| known.attempt.node != node);
         self.count("crashes");
     }
@@ -381,7 +382,7 @@
     }
 
     pub(crate) fn pass_time(&mut self) {
-        self.now_ms += self.draw.below(30_000);
+        self.now_ms += self.rng.below(30_000);
         if self.fault == ClaimFault::ForgetsSpent {
             let customer = "north".to_owned();
             let base = self.state.config().revision;
@@ -393,13 +394,13 @@
         }
     }
 
-    /// A node is declared lost, rightly or not.
+    /// Declares a node lost, rightly or wrongly.
     pub(crate) fn declare_lost(&mut self) {
-        let node = NodeId(self.draw.below(NODES));
+        let node = NodeId(self.rng.below(NODES));
         self.send(ClaimStep::NodeLost { node });
     }
 
-    /// What went wrong, if anything.
+    /// Returns a description of the first violated invariant.
     pub(crate) fn violation(&self) -> Option<String> {
         if let Some(attempt) = self.wrong_answer {
             return Some(format!(
@@ -426,17 +427,22 @@
     }
 }
 
-pub(crate) fn wire_key(step: &ClaimStep) -> ClaimKey {
+pub(crate) fn claimed_key(step: &ClaimStep) -> ClaimKey {
     match step {
         ClaimStep::Claim { key, .. } => key.clone(),
-        _ => panic!("a claim was answered"),
+        _ => panic!("a step other than a claim was granted or refused"),
     }
 }
 
-pub(crate) fn run_world(seed: u64, fault: ClaimFault, eventful: bool, steps: usize) -> ClaimWorld {
-    let mut world = ClaimWorld::new(seed, fault, eventful);
+pub(crate) fn run_simulation(
+    seed: u64,
+    fault: ClaimFault,
+    has_node_losses: bool,
+    steps: usize,
+) -> ClaimSimulation {
+    let mut simulation = ClaimSimulation::new(seed, fault, has_node_losses);
     for _ in 0..steps {
-        world.step();
+        simulation.step();
     }
-    world
+    simulation
 }
--- a/crates/ragwortroad_state/tests/claim_schedules/key_history.rs
+++ b/crates/ragwortroad_state/tests/claim_schedules/key_history.rs
@@ -1,4 +1,4 @@
-//! One key as a single place would keep it, and the history of a key in a run.
+//! The sequential specification of a key, and the history of a key in a simulation.
 
 use std::collections::BTreeSet;
 
@@ -8,9 +8,9 @@
     specifications::Specification, //
 };
 
-use crate::claim_world::ClaimWorld;
+use crate::claim_simulation::ClaimSimulation;
 
-/// One key as a single place would keep it.
+/// The sequential specification of a key.
 pub(crate) struct KeySpec;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -24,12 +24,12 @@
 #[derive(Clone, Debug)]
 pub(crate) struct KeyOp {
     pub(crate) step: ClaimStep,
-    /// Nothing where no answer came: any is right then.
+    /// `None` if no answer arrived; any outcome is valid then.
     pub(crate) outcome: Option<ClaimOutcome>,
 }
 
 impl Specification for KeySpec {
-    /// The phase, and the attempts that were released.
+    /// The phase and the released attempts.
     type State = (KeyPhase, BTreeSet<u64>);
     type Operation = KeyOp;
 
@@ -91,34 +91,37 @@
             }
             ClaimStep::NodeLost { .. } => ClaimOutcome::Noted,
         };
-        let fits = operation
+        let matches = operation
             .outcome
             .as_ref()
-            .is_none_or(|told| *told == outcome);
-        (fits, (phase, released))
+            .is_none_or(|observed| *observed == outcome);
+        (matches, (phase, released))
     }
 }
 
-/// The operations on one key in the order of their calls and answers; those without an answer end
-/// after all others.
-pub(crate) fn key_history(world: &ClaimWorld, key: &ClaimKey) -> Vec<(usize, Action<KeyOp>)> {
+/// Returns the calls and responses of the operations on one key in order of time; operations
+/// without an answer end last.
+pub(crate) fn key_history(
+    simulation: &ClaimSimulation,
+    key: &ClaimKey,
+) -> Vec<(usize, Action<KeyOp>)> {
     let mut actions = Vec::new();
-    let of_key = world
+    let of_key = simulation
         .history
         .iter()
         .filter(|operation| operation.key == *key);
-    for (place, operation) in of_key.enumerate() {
+    for (index, operation) in of_key.enumerate() {
         let op = KeyOp {
             step: operation.step.clone(),
             outcome: operation.outcome.clone(),
         };
-        actions.push((operation.called * 2, place, Action::Call(op.clone())));
+        actions.push((operation.called * 2, index, Action::Call(op.clone())));
         let end = operation.answered.map_or(usize::MAX, |at| at * 2 + 1);
-        actions.push((end, place, Action::Response(op)));
+        actions.push((end, index, Action::Response(op)));
     }
     actions.sort_by_key(|(at, ..)| *at);
     actions
         .into_iter()
-        .map(|(_, place, action)| (place, action))
+        .map(|(_, index, action)| (index, action))
         .collect()
 }
--- a/crates/ragwortroad_state/tests/claim_schedules/main.rs
+++ b/crates/ragwortroad_state/tests/claim_schedules/main.rs
@@ -1,9 +1,9 @@
-//! Claims under seeded schedules: nodes crash, answers are lost, steps come late and twice, time
-//! passes, leaders restart from snapshots. No key may run twice, and nothing that was refused as
-//! not run may ever run.
+//! Claims under seeded fault schedules: nodes crash, answers are lost, steps are delayed and
+//! repeated, time passes, and leaders restart from snapshots. No key may run twice, and no request
+//! that was refused as not run may ever run.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-mod claim_world;
+mod claim_simulation;
 #[path = "../common/mod.rs"]
 mod common;
 mod key_history;
@@ -15,37 +15,36 @@
     history::History, //
 };
 
-use claim_world::{
+use claim_simulation::{
     ClaimFault,
-    run_world, //
+    run_simulation, //
 };
 use key_history::{
     KeySpec,
     key_history, //
 };
 
-/// Guards against second runs, and runs of what was called not run.
+/// A key could run twice, or an attempt that was reported as not run could run, when steps and
+/// answers are lost, delayed or repeated while nodes and leaders fail.
 #[test]
 fn no_key_runs_twice_and_nothing_refused_ever_runs() {
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
     for seed in 0..200 {
-        let world = run_world(seed, ClaimFault::None, true, 3000);
-        assert_eq!(world.violation(), None, "seed {seed}");
-        for (what, count) in &world.counts {
+        let simulation = run_simulation(seed, ClaimFault::None, true, 3000);
+        assert_eq!(simulation.violation(), None, "seed {seed}");
+        for (what, count) in &simulation.counts {
             *counts.entry(what).or_default() += count;
         }
-        *counts.entry("keys").or_default() += world.keys.len() as u64;
+        *counts.entry("keys").or_default() += simulation.keys.len() as u64;
     }
     println!("200 schedules of 3000 steps: {counts:?}");
-    assert!(
-        counts["runs"] > 20_000,
-        "the schedules ran too little: {counts:?}"
-    );
+    assert!(counts["runs"] > 20_000, "too few requests ran: {counts:?}");
 }
 
-/// The check above is worth something only if it notices nodes and members that go wrong.
+/// The invariant check must detect each injected fault of nodes and members; otherwise a passing
+/// run proves nothing.
 #[test]
-fn the_check_notices_each_fault() {
+fn check_detects_each_fault() {
     for fault in [
         ClaimFault::ReleasesAfterSend,
         ClaimFault::SendsBeforeGrant,
@@ -53,25 +52,29 @@
         ClaimFault::LosesAccepted,
         ClaimFault::ForgetsSpent,
     ] {
-        let worlds = (0..20).map(|seed| run_world(seed, fault, true, 3000));
-        let noticed = worlds.filter(|world| world.violation().is_some()).count();
-        println!("{fault:?}: noticed in {noticed} of 20 schedules");
+        let simulations = (0..20).map(|seed| run_simulation(seed, fault, true, 3000));
+        let detected = simulations
+            .filter(|simulation| simulation.violation().is_some())
+            .count();
+        println!("{fault:?}: detected in {detected} of 20 schedules");
         assert!(
-            noticed >= 10,
-            "{fault:?} noticed in {noticed} of 20 schedules"
+            detected >= 10,
+            "{fault:?} detected in {detected} of 20 schedules"
         );
     }
 }
 
-/// Guards against answers on one key that cannot all be true.
+/// The outcomes of steps on one key could contradict each other when they arrive late or twice; no
+/// sequential order would then explain them.
 #[test]
 fn claim_histories_are_linearizable() {
     let (mut histories, mut operations) = (0, 0);
     for seed in 0..60 {
-        let world = run_world(seed, ClaimFault::None, false, 400);
-        for key in &world.keys {
-            let actions = key_history(&world, key);
-            // Longer ones are left out: the search grows too fast with operations left open.
+        let simulation = run_simulation(seed, ClaimFault::None, false, 400);
+        for key in &simulation.keys {
+            let actions = key_history(&simulation, key);
+            // Longer histories are skipped: the search grows too fast with the number of open
+            // operations.
             if actions.is_empty() || actions.len() > 36 {
                 continue;
             }
@@ -88,18 +91,21 @@
     assert!(operations > 5000);
 }
 
-/// A table that loses accepted steps must be noticed by the history check too.
+/// The linearizability check must detect a leader that lost committed steps.
 #[test]
-fn the_history_check_notices_lost_steps() {
-    let noticed = (0..20).filter(|seed| {
-        let world = run_world(*seed, ClaimFault::LosesAccepted, false, 400);
-        let mut histories = world.keys.iter().map(|key| key_history(&world, key));
+fn history_check_detects_lost_steps() {
+    let detected = (0..20).filter(|seed| {
+        let simulation = run_simulation(*seed, ClaimFault::LosesAccepted, false, 400);
+        let mut histories = simulation
+            .keys
+            .iter()
+            .map(|key| key_history(&simulation, key));
         histories.any(|actions| {
             let checked = !actions.is_empty() && actions.len() <= 36;
             checked && !WGLChecker::<KeySpec>::is_linearizable(History::from_actions(actions))
         })
     });
-    let noticed = noticed.count();
-    println!("lost steps noticed in {noticed} of 20 schedules");
-    assert!(noticed >= 10);
+    let detected = detected.count();
+    println!("lost steps detected in {detected} of 20 schedules");
+    assert!(detected >= 10);
 }
--- a/crates/ragwortroad_state/tests/common/mod.rs
+++ b/crates/ragwortroad_state/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Seeded draws and the commands that several tests need.
+//! Seeded random numbers and the commands that several tests need.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use rand::{
@@ -10,31 +10,31 @@
 use ragwortroad_state::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// Random draws that a seed repeats.
-pub(crate) struct SeededDraw(Pcg64Mcg);
+/// A random number generator that is reproducible from its seed.
+pub(crate) struct SeededRng(Pcg64Mcg);
 
-impl SeededDraw {
+impl SeededRng {
     pub(crate) fn new(seed: u64) -> Self {
         Self(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// A number from `0..limit`.
+    /// Returns a number in `0..limit`.
     pub(crate) fn below(&mut self, limit: u64) -> u64 {
         self.0.random_range(0..limit)
     }
 
-    /// True in `percent` of 100 draws.
+    /// Returns true with a probability of `percent`.
     pub(crate) fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
-    /// One of the items, taken out of them.
-    pub(crate) fn take<T>(&mut self, items: &mut Vec<T>) -> Option<T> {
+    /// Removes a random item and returns it.
+    pub(crate) fn take_random<T>(&mut self, items: &mut Vec<T>) -> Option<T> {
         if items.is_empty() {
             return None;
         }
-        let place = self.below(items.len() as u64) as usize;
-        Some(items.swap_remove(place))
+        let index = self.below(items.len() as u64) as usize;
+        Some(items.swap_remove(index))
     }
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// A state with `customers` declared.
+/// Returns a state in which `customers` are declared.
 pub(crate) fn state_with(customers: &[&str]) -> FleetState {
     let mut state = FleetState::default();
     let edits = customers.iter().map(|name| add_customer(name)).collect();
--- a/crates/ragwortroad_state/tests/engine_orders.rs
+++ b/crates/ragwortroad_state/tests/engine_orders.rs
@@ -1,5 +1,5 @@
-//! Orders to engines: a paused leader, engines that ignore fencing numbers, repeated and late
-//! answers, and the weight store's rate.
+//! Orders to engines: a paused leader, engines that ignore fencing numbers, repeated and delayed
+//! answers, and the rate limit of the weight store.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,7 +13,7 @@
     time::Duration, //
 };
 
-use common::SeededDraw;
+use common::SeededRng;
 use ragwortroad_state::prelude::*;
 use ragwortroad_types::prelude::*;
 
@@ -21,36 +21,36 @@
 const FLIGHT_MS: u64 = 2000;
 const LEASE_MS: u64 = 1500;
 
-/// A fault of the gate, which the check must notice.
+/// A fault injected into the gate, which the check must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum GateFault {
     None,
     NoWait,
-    /// The wait leaves out how long an order may be on the way.
+    /// The wait does not include the delivery delay of an order.
     IgnoresFlight,
     IgnoresDrift,
-    /// The holder looks at its lease before it is paused and not again.
+    /// The holder checks its lease before a pause and not again.
     ChecksEarly,
 }
 
-/// A holder whose clock runs at a rate of its own.
-struct PausedHolder {
+/// A lease holder whose clock drifts and whose process may be paused.
+struct SimulatedHolder {
     rate: u64,
     gate: OrderGate,
     lead_until: ClockTime,
     paused_until: u64,
 }
 
-impl PausedHolder {
-    fn read(&self, true_ms: u64) -> ClockTime {
-        ClockTime(true_ms * self.rate / 1_000_000)
+impl SimulatedHolder {
+    fn read(&self, real_ms: u64) -> ClockTime {
+        ClockTime(real_ms * self.rate / 1_000_000)
     }
 }
 
-/// Orders take effect at two engines, one that checks fencing numbers and one that does not. Gives
-/// how many took effect and whether an old order came after a newer holder's.
+/// Simulates orders to two engines, one that checks fencing numbers and one that does not. Returns
+/// how many took effect and whether an old order followed a newer holder's.
 fn run_holders(seed: u64, fault: GateFault) -> (u64, bool) {
-    let mut draw = SeededDraw::new(seed);
+    let mut rng = SeededRng::new(seed);
     let timing = OrderTiming {
         lease: Duration::from_millis(LEASE_MS),
         drift_ppm: if fault == GateFault::IgnoresDrift {
@@ -63,23 +63,23 @@
             _ => FLIGHT_MS,
         }),
     };
-    let mut lease = LeaseTableProbe::default();
-    let mut holders: Vec<PausedHolder> = Vec::new();
-    let mut wire: Vec<(u64, FenceNumber, bool)> = Vec::new();
+    let mut lease = LeaseHarness::default();
+    let mut holders: Vec<SimulatedHolder> = Vec::new();
+    let mut in_transit: Vec<(u64, FenceNumber, bool)> = Vec::new();
     let mut highest = [FenceNumber(0); 2];
-    let (mut true_ms, mut effects, mut broken) = (0, 0, false);
+    let (mut real_ms, mut effects, mut is_violated) = (0, 0, false);
     for _ in 0..3000 {
-        true_ms += draw.below(60);
-        if holders.is_empty() || draw.below(250) == 0 {
-            let rate = 1_000_000 - DRIFT_PPM + extreme(&mut draw, 2 * DRIFT_PPM);
-            let now = ClockTime(true_ms * rate / 1_000_000);
+        real_ms += rng.below(60);
+        if holders.is_empty() || rng.below(250) == 0 {
+            let rate = 1_000_000 - DRIFT_PPM + boundary_value(&mut rng, 2 * DRIFT_PPM);
+            let now = ClockTime(real_ms * rate / 1_000_000);
             let applied_at = match fault {
                 GateFault::NoWait => ClockTime(0),
                 _ => now,
             };
             let gate = OrderGate::new(timing, lease.grant(), applied_at);
             let lead_until = now.after(Duration::from_millis(LEASE_MS));
-            holders.push(PausedHolder {
+            holders.push(SimulatedHolder {
                 rate,
                 gate,
                 lead_until,
@@ -88,56 +88,56 @@
         }
         let newest = holders.len() - 1;
         for (place, holder) in holders.iter_mut().enumerate().rev().take(3) {
-            if true_ms < holder.paused_until {
+            if real_ms < holder.paused_until {
                 continue;
             }
-            let now = holder.read(true_ms);
-            // Only the holder in charge gets its quorum's word.
-            if place == newest && draw.chance(60) {
+            let now = holder.read(real_ms);
+            // Only the current holder can renew its leader lease.
+            if place == newest && rng.chance(60) {
                 holder.lead_until = now.after(Duration::from_millis(LEASE_MS));
             }
-            if draw.below(300) == 0 {
-                holder.paused_until = true_ms + draw.below(20_000);
+            if rng.below(300) == 0 {
+                holder.paused_until = real_ms + rng.below(20_000);
                 if fault != GateFault::ChecksEarly {
                     continue;
                 }
             }
-            let checks = draw.chance(50);
+            let checks = rng.chance(50);
             if let Ok(fence) = holder.gate.may_order(now, holder.lead_until, checks) {
-                let sent_at = true_ms.max(holder.paused_until);
-                wire.push((sent_at + extreme(&mut draw, FLIGHT_MS), fence, checks));
+                let sent_at = real_ms.max(holder.paused_until);
+                in_transit.push((sent_at + boundary_value(&mut rng, FLIGHT_MS), fence, checks));
             }
         }
-        wire.retain(|(at, fence, checks)| {
-            if *at > true_ms {
+        in_transit.retain(|(at, fence, checks)| {
+            if *at > real_ms {
                 return true;
             }
             let seen = &mut highest[usize::from(*checks)];
             let old = *fence < *seen;
-            // An engine that checks refuses the old number itself.
-            broken |= old && !*checks;
+            // An engine that checks fencing numbers refuses the old one itself.
+            is_violated |= old && !*checks;
             effects += u64::from(!(old && *checks));
             *seen = (*seen).max(*fence);
             false
         });
     }
-    (effects, broken)
+    (effects, is_violated)
 }
 
-/// A number up to `most`, often one of the ends, where errors show.
-fn extreme(draw: &mut SeededDraw, most: u64) -> u64 {
-    match draw.below(3) {
+/// Returns a number up to `most`, often one of the ends, where errors show.
+fn boundary_value(rng: &mut SeededRng, most: u64) -> u64 {
+    match rng.below(3) {
         0 => 0,
         1 => most,
-        _ => draw.below(most + 1),
+        _ => rng.below(most + 1),
     }
 }
 
-/// Fencing numbers as the replicated state gives them.
+/// Grants fencing numbers through the replicated state.
 #[derive(Default)]
-struct LeaseTableProbe(FleetState);
+struct LeaseHarness(FleetState);
 
-impl LeaseTableProbe {
+impl LeaseHarness {
     fn grant(&mut self) -> FenceNumber {
         let action = StateAction::TakeOrders { holder: NodeId(1) };
         let index = self.0.applied() + 1;
@@ -152,40 +152,42 @@
     }
 }
 
-/// Guards against orders of a deposed leader after those of the new one.
+/// An order of a deposed leader could take effect after those of the new one, at an engine that
+/// ignores fencing numbers, when a leader is paused between check and send or clocks drift.
 #[test]
-fn no_old_order_follows_a_new_one_at_an_engine_that_checks_nothing() {
+fn old_orders_never_follow_new_ones_at_an_unfenced_engine() {
     let mut effects = 0;
     for seed in 0..300 {
-        let (count, broken) = run_holders(seed, GateFault::None);
-        assert!(!broken, "seed {seed}");
+        let (count, is_violated) = run_holders(seed, GateFault::None);
+        assert!(!is_violated, "seed {seed}");
         effects += count;
     }
     println!("{effects} orders took effect in 300 schedules of 3000 steps");
     assert!(effects > 100_000);
 }
 
-/// The check above is worth something only if it notices gates that are wrong.
+/// The check must detect each injected fault of the gate; otherwise a passing run proves nothing.
 #[test]
-fn the_check_notices_each_fault() {
+fn check_detects_each_fault() {
     for fault in [
         GateFault::NoWait,
         GateFault::IgnoresFlight,
         GateFault::IgnoresDrift,
         GateFault::ChecksEarly,
     ] {
-        let noticed = (0..100).filter(|seed| run_holders(*seed, fault).1).count();
-        println!("{fault:?}: noticed in {noticed} of 100 schedules");
+        let detected = (0..100).filter(|seed| run_holders(*seed, fault).1).count();
+        println!("{fault:?}: detected in {detected} of 100 schedules");
         assert!(
-            noticed >= 10,
-            "{fault:?}: noticed in {noticed} of 100 schedules"
+            detected >= 10,
+            "{fault:?}: detected in {detected} of 100 schedules"
         );
     }
 }
 
-/// The wait covers lease, drift and flight; it is the sum of them when clocks are perfect.
+/// A wait that is shorter than lease, drift and delivery delay require would let old orders follow
+/// new ones. With perfect clocks it is the sum of lease and delivery delay.
 #[test]
-fn the_wait_follows_its_inequality() {
+fn new_holder_wait_satisfies_its_inequality() {
     let perfect = OrderTiming {
         drift_ppm: 0,
         ..OrderTiming::default()
@@ -225,12 +227,13 @@
     }
 }
 
-/// Guards against orders that never come to an end.
+/// Orders could stay pending forever, or engines miss their targets, when orders and answers are
+/// lost or repeated and engines restart.
 #[test]
-fn orders_come_to_the_plan_whatever_is_lost_or_repeated() {
+fn orders_converge_despite_lost_and_repeated_messages() {
     let mut sent = 0;
     for seed in 0..60 {
-        let mut draw = SeededDraw::new(seed);
+        let mut rng = SeededRng::new(seed);
         let rate = LoadRate {
             mb_per_s: 100,
             burst_mb: 1000,
@@ -253,49 +256,49 @@
             };
             table.set_target(&name, target, number);
             let models = [offer("captions", "v0")].into();
-            let sight = EngineObservation {
+            let observation = EngineObservation {
                 incarnation: 1,
                 models,
             };
-            engines.insert(name, (sight, EngineRole::Both));
+            engines.insert(name, (observation, EngineRole::Both));
         }
         let mut now = 0;
         for round in 0..400 {
             now += 1000;
-            let calm = round > 200;
-            for (name, (sight, role)) in &mut engines {
-                if !calm && draw.chance(2) {
-                    sight.incarnation += 1;
-                    sight.models.clear();
+            let is_fault_free = round > 200;
+            for (name, (observation, role)) in &mut engines {
+                if !is_fault_free && rng.chance(2) {
+                    observation.incarnation += 1;
+                    observation.models.clear();
                     *role = EngineRole::Both;
                 }
-                table.observe(name, sight.clone());
+                table.observe(name, observation.clone());
             }
             let mut orders = table.due_orders(ClockTime(now), |_| true, |_| 500);
             sent += orders.len();
-            if draw.chance(30) {
-                orders.extend(draw.take(&mut late));
+            if rng.chance(30) {
+                orders.extend(rng.take_random(&mut late));
             }
             for order in orders {
-                if !calm && draw.chance(30) {
+                if !is_fault_free && rng.chance(30) {
                     continue;
                 }
-                let (sight, role) = engines.get_mut(&order.engine).unwrap();
-                carry_out(&order.action, sight, role);
-                if calm || draw.chance(70) {
+                let (observation, role) = engines.get_mut(&order.engine).unwrap();
+                apply_order(&order.action, observation, role);
+                if is_fault_free || rng.chance(70) {
                     table.acknowledge(order.id);
                 }
-                if !calm {
+                if !is_fault_free {
                     late.push(order);
                 }
             }
-            if calm {
+            if is_fault_free {
                 late.clear();
             }
         }
-        for (number, (sight, role)) in engines.values().enumerate() {
+        for (number, (observation, role)) in engines.values().enumerate() {
             assert_eq!(
-                sight.models,
+                observation.models,
                 [offer("captions", &format!("v{}", number % 2))].into()
             );
             assert_eq!(*role == EngineRole::Prefill, number == 3, "seed {seed}");
@@ -313,22 +316,23 @@
     println!("{sent} orders sent in 60 schedules of 400 rounds");
 }
 
-fn carry_out(action: &OrderAction, sight: &mut EngineObservation, role: &mut EngineRole) {
+fn apply_order(action: &OrderAction, observation: &mut EngineObservation, role: &mut EngineRole) {
     match action {
         OrderAction::Load { model, version, .. } => {
-            sight.models.insert(offer(model, version));
+            observation.models.insert(offer(model, version));
         }
         OrderAction::Unload { model, version, .. } => {
-            sight.models.remove(&offer(model, version));
+            observation.models.remove(&offer(model, version));
         }
         OrderAction::SetRole { role: wanted } => *role = *wanted,
         OrderAction::SetDrain { .. } => {}
     }
 }
 
-/// Guards against engines that stay drained after their drain was ended.
+/// An engine that a former holder drained could stay drained if the drain was ended during the
+/// leader change, since no announcement tells the new holder.
 #[test]
-fn a_drain_of_a_former_holder_is_ended_by_the_next() {
+fn new_holder_ends_a_former_holders_drain() {
     let now = ClockTime::ZERO;
     let mut table = OrderTable::new(OrderSettings::default(), FenceNumber(2), now);
     table.set_target("engine", target("caption", "v1"), 0);
@@ -348,31 +352,31 @@
     assert!(table.due_orders(now, |_| true, |_| 0).is_empty());
 }
 
-/// Guards against plans of a deposed holder that undo the new one's.
+/// A deposed holder could overwrite the targets of the new one with a delayed plan.
 #[test]
 fn plans_of_a_former_holder_are_refused() {
-    let mut probe = LeaseTableProbe::default();
-    let (old, new) = (probe.grant(), probe.grant());
+    let mut harness = LeaseHarness::default();
+    let (old, new) = (harness.grant(), harness.grant());
     let mut plan = |fence| {
         let targets = vec![("engine-1".to_owned(), Some(target("captions", "v1")))];
         let command = common::command(0, StateAction::Plan { fence, targets });
-        let index = probe.0.applied() + 1;
-        probe.0.apply(index, &command.to_bytes()).unwrap()
+        let index = harness.0.applied() + 1;
+        harness.0.apply(index, &command.to_bytes()).unwrap()
     };
     assert_eq!(
         plan(old),
         ApplyOutcome::Planned(PlanOutcome::OldFence { fence: new })
     );
     assert_eq!(plan(new), ApplyOutcome::Planned(PlanOutcome::Taken));
-    assert!(probe.0.plan().target("engine-1").is_some());
+    assert!(harness.0.plan().target("engine-1").is_some());
 }
 
-/// Guards against loads beyond the store's rate, and the needed ones last.
+/// Loads could exceed the weight store's rate, or urgent ones wait behind others.
 #[test]
-fn loads_keep_the_rate_and_go_by_need() {
+fn loads_respect_the_rate_and_urgency() {
     let mut total = 0;
     for seed in 0..50 {
-        let mut draw = SeededDraw::new(seed);
+        let mut rng = SeededRng::new(seed);
         let rate = LoadRate {
             mb_per_s: 50,
             burst_mb: 2000,
@@ -384,22 +388,22 @@
         let mut starts: Vec<(u64, u64)> = Vec::new();
         let mut running = BTreeSet::new();
         for now in (0..600_000).step_by(500) {
-            if draw.chance(5) {
+            if rng.chance(5) {
                 let action = OrderAction::Load {
                     model: "captions".to_owned(),
                     version: "v1".to_owned(),
                     adapter: None,
                 };
-                let engine = format!("engine-{}", draw.below(30));
+                let engine = format!("engine-{}", rng.below(30));
                 let key = OrderKey { engine, action };
-                let size = *sizes.entry(key.clone()).or_insert(draw.below(3000) as u32);
-                let urgency = draw.below(5) as u32;
+                let size = *sizes.entry(key.clone()).or_insert(rng.below(3000) as u32);
+                let urgency = rng.below(5) as u32;
                 queue.enqueue(key.clone(), size, urgency);
                 if !running.contains(&key) {
                     wanted.insert(key, urgency);
                 }
             }
-            if draw.chance(3)
+            if rng.chance(3)
                 && let Some(key) = running.pop_first()
             {
                 queue.remove(&key);
--- a/crates/ragwortroad_state/tests/in_force.rs
+++ b/crates/ragwortroad_state/tests/in_force.rs
@@ -1,5 +1,5 @@
-//! When a change counts as in force on every node, under drifting clocks, leader changes, lost
-//! and late messages, restarts and pauses.
+//! When a change is in force on every node, with drifting clocks, leader changes, lost and delayed
+//! messages, restarts and pauses.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,70 +10,69 @@
     time::Duration, //
 };
 
-use common::SeededDraw;
+use common::SeededRng;
 use ragwortroad_state::prelude::*;
 use ragwortroad_types::prelude::*;
 
 const DRIFT_PPM: u64 = 50_000;
 const LEADER_LEASE_MS: u64 = 1000;
 
-/// A fault put into the leader, the node or the timing, which the check must notice.
+/// A fault injected into the leader, the node or the timing, which the check must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum ForceFault {
+enum PropagationFault {
     None,
-    /// Clocks drift and the timing does not know.
+    /// Clocks drift, but the timing assumes that they do not.
     IgnoresDrift,
-    /// A new leader counts on silence at once.
+    /// A new leader does not wait for the leases of former leaders.
     SkipsSettling,
-    /// The node counts its lease from the answer.
+    /// The node counts its lease from the arrival of the answer.
     CountsFromAnswer,
-    /// The node takes a leader's leave with an older revision than its own, after a restart of
-    /// its guard forgets what it had.
+    /// The node accepts a lease with an older revision than its own, after a reset of its guard.
     TakesAnyRevision,
-    /// A deposed leader goes on granting.
+    /// A deposed leader continues to grant leases.
     GrantsWithoutLease,
-    /// The leader takes the grant for an acknowledgement.
+    /// The leader treats a grant as an acknowledgement.
     CountsGrantAsAck,
 }
 
-/// A clock that runs at a rate of its own.
+/// A clock that drifts against real time.
 #[derive(Clone, Copy, Debug)]
 struct DriftClock {
     offset: u64,
-    /// Millionths of true time per millisecond.
+    /// Rate of the clock in millionths of real time.
     rate: u64,
 }
 
 impl DriftClock {
-    fn new(draw: &mut SeededDraw) -> Self {
-        let drift = draw.below(2 * DRIFT_PPM + 1);
+    fn new(rng: &mut SeededRng) -> Self {
+        let drift = rng.below(2 * DRIFT_PPM + 1);
         Self {
-            offset: draw.below(100_000),
+            offset: rng.below(100_000),
             rate: 1_000_000 - DRIFT_PPM + drift,
         }
     }
 
-    fn read(&self, true_ms: u64) -> ClockTime {
-        ClockTime(self.offset + true_ms * self.rate / 1_000_000)
+    fn read(&self, real_ms: u64) -> ClockTime {
+        ClockTime(self.offset + real_ms * self.rate / 1_000_000)
     }
 }
 
-struct ForceNode {
+struct SimulatedNode {
     run: NodeRun,
     clock: DriftClock,
     guard: StalenessGuard,
 }
 
-struct ForceLeader {
+struct SimulatedLeader {
     clock: DriftClock,
     table: AdmissionTable,
-    /// The newest revision it knows to be accepted.
+    /// The newest revision that the leader knows to be accepted.
     revision: u64,
-    /// By its own clock.
+    /// On the leader's own clock.
     lead_until: ClockTime,
 }
 
-enum ForceMessage {
+enum SimulatedMessage {
     Ask {
         node: usize,
         run: NodeRun,
@@ -89,72 +88,73 @@
     },
 }
 
-struct ForceWorld {
-    draw: SeededDraw,
-    fault: ForceFault,
+struct PropagationSimulation {
+    rng: SeededRng,
+    fault: PropagationFault,
     timing: FollowTiming,
-    true_ms: u64,
-    nodes: Vec<ForceNode>,
-    /// The last one is in charge; the others may believe so.
-    leaders: Vec<ForceLeader>,
-    wire: Vec<(u64, usize, ForceMessage)>,
+    real_ms: u64,
+    nodes: Vec<SimulatedNode>,
+    /// All leaders so far. The last one is the current leader; the others may believe that they
+    /// still are.
+    leaders: Vec<SimulatedLeader>,
+    in_transit: Vec<(u64, usize, SimulatedMessage)>,
     accepted: u64,
-    /// The highest revision ever said to be in force everywhere.
+    /// The highest revision that was ever reported to be in force everywhere.
     in_force: u64,
     incarnations: u64,
-    said: u64,
+    in_force_reports: u64,
     admitted: u64,
     refused: u64,
 }
 
-impl ForceWorld {
-    fn new(seed: u64, fault: ForceFault) -> Self {
-        let mut draw = SeededDraw::new(seed);
-        let knows_drift = fault != ForceFault::IgnoresDrift;
+impl PropagationSimulation {
+    fn new(seed: u64, fault: PropagationFault) -> Self {
+        let mut rng = SeededRng::new(seed);
+        let is_drift_known = fault != PropagationFault::IgnoresDrift;
         let timing = FollowTiming {
-            drift_ppm: if knows_drift { DRIFT_PPM as u32 } else { 0 },
+            drift_ppm: if is_drift_known { DRIFT_PPM as u32 } else { 0 },
             leader_lease: Duration::from_millis(LEADER_LEASE_MS),
             ..FollowTiming::default()
         };
-        let nodes = (0..5).map(|number| ForceNode {
+        let nodes = (0..5).map(|number| SimulatedNode {
             run: NodeRun {
                 node: NodeId(number),
                 incarnation: number,
             },
-            clock: DriftClock::new(&mut draw),
+            clock: DriftClock::new(&mut rng),
             guard: StalenessGuard::default(),
         });
         let nodes = nodes.collect();
-        let mut world = Self {
-            draw,
+        let mut simulation = Self {
+            rng,
             fault,
             timing,
-            true_ms: 0,
+            real_ms: 0,
             nodes,
             leaders: Vec::new(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             accepted: 1,
             in_force: 0,
             incarnations: 100,
-            said: 0,
+            in_force_reports: 0,
             admitted: 0,
             refused: 0,
         };
-        world.elect();
-        world
+        simulation.elect();
+        simulation
     }
 
     fn elect(&mut self) {
-        let clock = DriftClock::new(&mut self.draw);
-        let now = clock.read(self.true_ms);
+        let clock = DriftClock::new(&mut self.rng);
+        let now = clock.read(self.real_ms);
         let mut table = AdmissionTable::new(self.timing, now, Duration::ZERO);
-        if self.fault == ForceFault::SkipsSettling {
+        if self.fault == PropagationFault::SkipsSettling {
             let bound = Duration::from_secs(60);
             let past = ClockTime(now.0.saturating_sub(bound.as_millis() as u64));
             table = AdmissionTable::new(self.timing, past, Duration::ZERO);
         }
         let lead_until = now.after(self.timing.leader_lease);
-        self.leaders.push(ForceLeader {
+        self.leaders.push(SimulatedLeader {
             clock,
             table,
             revision: self.accepted,
@@ -163,24 +163,24 @@
     }
 
     fn step(&mut self) {
-        self.true_ms += self.draw.below(120);
-        match self.draw.below(24) {
+        self.real_ms += self.rng.below(120);
+        match self.rng.below(24) {
             0..=9 => self.ask(),
             10..=19 => self.deliver_due(),
             20 => self.change(),
-            21 if self.draw.chance(20) => self.elect(),
-            22 if self.draw.chance(20) => self.restart(),
-            23 if self.draw.chance(10) => self.true_ms += self.draw.below(5000),
+            21 if self.rng.chance(20) => self.elect(),
+            22 if self.rng.chance(20) => self.restart(),
+            23 if self.rng.chance(10) => self.real_ms += self.rng.below(5000),
             _ => self.renew(),
         }
         self.check_in_force();
     }
 
-    /// The leader in charge asks its quorum; a deposed one gets no answer.
+    /// The current leader renews its lease with a quorum; a deposed one cannot.
     fn renew(&mut self) {
-        let (true_ms, lease) = (self.true_ms, self.timing.leader_lease);
+        let (real_ms, lease) = (self.real_ms, self.timing.leader_lease);
         if let Some(leader) = self.leaders.last_mut() {
-            leader.lead_until = leader.clock.read(true_ms).after(lease);
+            leader.lead_until = leader.clock.read(real_ms).after(lease);
         }
     }
 
@@ -192,32 +192,33 @@
         }
     }
 
-    /// A node asks a leader, which may be one that was deposed.
+    /// A node requests a lease from a leader that may have been deposed.
     fn ask(&mut self) {
-        let place = self.draw.below(self.nodes.len() as u64) as usize;
+        let place = self.rng.below(self.nodes.len() as u64) as usize;
         let node = &mut self.nodes[place];
         let ask = node
             .guard
-            .start_lease_request(node.clock.read(self.true_ms));
-        let message = ForceMessage::Ask {
+            .start_lease_request(node.clock.read(self.real_ms));
+        let message = SimulatedMessage::Ask {
             node: place,
             run: node.run,
             ask,
             revision: node.guard.revision(),
         };
         let newest = self.leaders.len() as u64;
-        let deposed = newest > 1 && self.draw.chance(20);
+        let deposed = newest > 1 && self.rng.chance(20);
         let leader = newest - 1 - u64::from(deposed);
         self.send(leader as usize, message);
     }
 
-    fn send(&mut self, leader: usize, message: ForceMessage) {
-        if self.draw.chance(15) {
+    fn send(&mut self, leader: usize, message: SimulatedMessage) {
+        if self.rng.chance(15) {
             return;
         }
-        let slow = self.draw.chance(10);
-        let delay = self.draw.below(if slow { 4000 } else { 60 });
-        self.wire.push((self.true_ms + delay, leader, message));
+        let slow = self.rng.chance(10);
+        let delay = self.rng.below(if slow { 4000 } else { 60 });
+        self.in_transit
+            .push((self.real_ms + delay, leader, message));
     }
 
     fn deliver_due(&mut self) {
@@ -225,13 +226,13 @@
     }
 
     fn deliver(&mut self) -> bool {
-        let due = |(at, ..): &(u64, usize, ForceMessage)| *at <= self.true_ms;
-        let Some(place) = self.wire.iter().position(due) else {
+        let due = |(at, ..): &(u64, usize, SimulatedMessage)| *at <= self.real_ms;
+        let Some(place) = self.in_transit.iter().position(due) else {
             return false;
         };
-        let (_, leader, message) = self.wire.swap_remove(place);
+        let (_, leader, message) = self.in_transit.swap_remove(place);
         match message {
-            ForceMessage::Ask {
+            SimulatedMessage::Ask {
                 node,
                 run,
                 ask,
@@ -239,7 +240,7 @@
             } => {
                 self.grant(leader, node, run, ask, revision);
             }
-            ForceMessage::Answer {
+            SimulatedMessage::Answer {
                 node,
                 run,
                 ask,
@@ -254,17 +255,17 @@
 
     fn grant(&mut self, place: usize, node: usize, run: NodeRun, ask: u64, revision: u64) {
         let leader = &mut self.leaders[place];
-        let now = leader.clock.read(self.true_ms);
-        if now >= leader.lead_until && self.fault != ForceFault::GrantsWithoutLease {
+        let now = leader.clock.read(self.real_ms);
+        if now >= leader.lead_until && self.fault != PropagationFault::GrantsWithoutLease {
             return;
         }
         leader.table.acknowledge(run, revision);
         let carried = leader.revision;
         let lease = leader.table.grant(run, carried, now, Duration::ZERO);
-        if self.fault == ForceFault::CountsGrantAsAck {
+        if self.fault == PropagationFault::CountsGrantAsAck {
             leader.table.acknowledge(run, carried);
         }
-        let answer = ForceMessage::Answer {
+        let answer = SimulatedMessage::Answer {
             node,
             run,
             ask,
@@ -281,45 +282,46 @@
             return;
         }
         let mut ask = ask;
-        if fault == ForceFault::CountsFromAnswer {
+        if fault == PropagationFault::CountsFromAnswer {
             ask = node
                 .guard
-                .start_lease_request(node.clock.read(self.true_ms));
+                .start_lease_request(node.clock.read(self.real_ms));
         }
-        if fault == ForceFault::TakesAnyRevision && revision < node.guard.revision() {
+        if fault == PropagationFault::TakesAnyRevision && revision < node.guard.revision() {
             node.guard = StalenessGuard::default();
             ask = node
                 .guard
-                .start_lease_request(node.clock.read(self.true_ms));
+                .start_lease_request(node.clock.read(self.real_ms));
         }
         node.guard.record_adoption(revision);
         node.guard.record_grant(ask, revision, lease);
     }
 
     fn restart(&mut self) {
-        let place = self.draw.below(self.nodes.len() as u64) as usize;
+        let place = self.rng.below(self.nodes.len() as u64) as usize;
         self.incarnations += 1;
         let node = &mut self.nodes[place];
         node.run.incarnation = self.incarnations;
         node.guard = StalenessGuard::default();
     }
 
-    /// The leader in charge says what is in force, as far as it may.
+    /// Records the revision that the current leader may report as in force.
     fn check_in_force(&mut self) {
         let Some(leader) = self.leaders.last() else {
             return;
         };
-        let now = leader.clock.read(self.true_ms);
+        let now = leader.clock.read(self.real_ms);
         if now < leader.lead_until && leader.table.in_force(leader.revision, now).is_ok() {
-            self.said += u64::from(leader.revision > self.in_force);
+            self.in_force_reports += u64::from(leader.revision > self.in_force);
             self.in_force = self.in_force.max(leader.revision);
         }
     }
 
-    /// A node that admits work without a change that was said to be in force.
+    /// Returns a description of a node that admits work without a change that was reported as in
+    /// force.
     fn violation(&mut self) -> Option<String> {
         for node in &self.nodes {
-            let admits = node.guard.may_admit(node.clock.read(self.true_ms)).is_ok();
+            let admits = node.guard.may_admit(node.clock.read(self.real_ms)).is_ok();
             self.admitted += u64::from(admits);
             self.refused += u64::from(!admits);
             if admits && node.guard.revision() < self.in_force {
@@ -334,69 +336,72 @@
     }
 }
 
-fn run_world(seed: u64, fault: ForceFault) -> (ForceWorld, Option<String>) {
-    let mut world = ForceWorld::new(seed, fault);
+fn run_simulation(seed: u64, fault: PropagationFault) -> (PropagationSimulation, Option<String>) {
+    let mut simulation = PropagationSimulation::new(seed, fault);
     for _ in 0..4000 {
-        world.step();
-        if let Some(violation) = world.violation() {
-            return (world, Some(violation));
+        simulation.step();
+        if let Some(violation) = simulation.violation() {
+            return (simulation, Some(violation));
         }
     }
-    (world, None)
+    (simulation, None)
 }
 
-/// Guards against nodes that admit by a configuration that was replaced.
+/// A node could admit work under a replaced configuration after the change was reported as in
+/// force, when clocks drift, messages are delayed, or leaders and nodes restart.
 #[test]
 fn no_node_admits_work_without_a_change_that_is_in_force() {
-    let (mut said, mut accepted, mut admitted, mut refused, mut leaders) = (0, 0, 0, 0, 0);
+    let (mut in_force_reports, mut accepted, mut admitted, mut refused, mut leaders) =
+        (0, 0, 0, 0, 0);
     for seed in 0..400 {
-        let (world, violation) = run_world(seed, ForceFault::None);
+        let (simulation, violation) = run_simulation(seed, PropagationFault::None);
         assert_eq!(violation, None, "seed {seed}");
-        said += world.said;
-        accepted += world.accepted;
-        admitted += world.admitted;
-        refused += world.refused;
-        leaders += world.leaders.len();
+        in_force_reports += simulation.in_force_reports;
+        accepted += simulation.accepted;
+        admitted += simulation.admitted;
+        refused += simulation.refused;
+        leaders += simulation.leaders.len();
     }
     println!(
-        "400 schedules of 4000 steps: {accepted} changes, {said} times in force, {leaders} \
-         leaders, nodes admitting at {admitted} of {} looks",
+        "400 schedules of 4000 steps: {accepted} changes, {in_force_reports} reported in force, \
+         {leaders} leaders, nodes admitting at {admitted} of {} checks",
         admitted + refused
     );
-    assert!(said > 10_000 && admitted > refused / 4);
+    assert!(in_force_reports > 10_000 && admitted > refused / 4);
 }
 
-/// The check above is worth something only if it notices what goes wrong.
+/// The check must detect each injected fault; otherwise a passing run proves nothing.
 #[test]
-fn the_check_notices_each_fault() {
+fn check_detects_each_fault() {
     for fault in [
-        ForceFault::IgnoresDrift,
-        ForceFault::SkipsSettling,
-        ForceFault::CountsFromAnswer,
-        ForceFault::TakesAnyRevision,
-        ForceFault::GrantsWithoutLease,
-        ForceFault::CountsGrantAsAck,
+        PropagationFault::IgnoresDrift,
+        PropagationFault::SkipsSettling,
+        PropagationFault::CountsFromAnswer,
+        PropagationFault::TakesAnyRevision,
+        PropagationFault::GrantsWithoutLease,
+        PropagationFault::CountsGrantAsAck,
     ] {
-        let noticed = (0..40)
-            .filter(|seed| run_world(*seed, fault).1.is_some())
+        let detected = (0..40)
+            .filter(|seed| run_simulation(*seed, fault).1.is_some())
             .count();
-        println!("{fault:?}: noticed in {noticed} of 40 schedules");
+        println!("{fault:?}: detected in {detected} of 40 schedules");
         assert!(
-            noticed >= 10,
-            "{fault:?}: noticed in {noticed} of 40 schedules"
+            detected >= 10,
+            "{fault:?}: detected in {detected} of 40 schedules"
         );
     }
 }
 
-/// Guards against waits that do not name the node, or never end.
+/// An operator could wait without being told for which node, or wait forever, if a node that was
+/// granted a lease no longer answers.
 #[test]
-fn the_wait_names_the_nodes_and_ends_at_the_bound() {
+fn in_force_wait_names_nodes_and_ends_at_the_bound() {
     let timing = FollowTiming::default();
     let mut table = AdmissionTable::new(timing, ClockTime(0), Duration::ZERO);
-    let settled = timing.new_leader_wait(Duration::ZERO);
+    let wait_end = timing.new_leader_wait(Duration::ZERO);
     let early = table.in_force(1, ClockTime(10)).unwrap_err();
-    assert_eq!(early.former_leases_ms, settled.as_millis() as u64 - 10);
-    let now = ClockTime(0).after(settled);
+    assert_eq!(early.former_leases_ms, wait_end.as_millis() as u64 - 10);
+    let now = ClockTime(0).after(wait_end);
     let runs = [1, 2].map(|node| NodeRun {
         node: NodeId(node),
         incarnation: 7,
@@ -404,7 +409,7 @@
     for run in runs {
         table.grant(run, 1, now, Duration::ZERO);
     }
-    // Node 1 takes revision 2 up; node 2 got it granted and does not answer.
+    // Node 1 acknowledges revision 2; node 2 is granted a lease with it and does not answer.
     table.acknowledge(runs[0], 2);
     table.grant(
         runs[1],
@@ -419,9 +424,10 @@
     assert!(timing.node_lease(Duration::ZERO) < timing.bound);
 }
 
-/// Guards against nodes that go on with too few promises, or stop with enough.
+/// Without a leader, a node could admit work although the members that did not promise form a
+/// quorum, or stop although they do not.
 #[test]
-fn promises_of_enough_members_stand_in_for_a_leader() {
+fn promises_that_block_a_quorum_extend_admission() {
     let timing = FollowTiming::default();
     for (members, needed) in [(3, 2), (4, 2), (5, 3), (6, 3), (7, 4)] {
         let all: BTreeSet<NodeId> = (0..members).map(NodeId).collect();
@@ -435,32 +441,32 @@
         for member in 0..needed {
             assert!(
                 guard.may_admit(later).is_err(),
-                "{member} of {members} were enough"
+                "{member} promises of {members} members extended admission"
             );
-            let mut book = PromiseTracker::new(timing, ClockTime(0));
-            let lease = book.promise(later, 4, 4, false).unwrap();
+            let mut tracker = PromiseTracker::new(timing, ClockTime(0));
+            let lease = tracker.promise(later, 4, 4, false).unwrap();
             assert!(guard.record_promise(ask, NodeId(member), 4, all.clone(), lease));
-            // While the promise runs the member writes no change; just after the node has stopped
+            // While the promise lasts, the member writes no change; just after the node has stopped
             // it may.
             let over = later.after(lease);
-            assert!(book.may_write(over).is_err());
-            assert!(book.may_write(later.after(timing.bound)).is_ok());
+            assert!(tracker.may_write(over).is_err());
+            assert!(tracker.may_write(later.after(timing.bound)).is_ok());
         }
         assert_eq!(guard.may_admit(later), Ok(()));
         guard.record_adoption(5);
         assert!(guard.may_admit(later).is_err());
     }
-    // A member that has a newer change in its log, hears a leader, or has just started refuses
-    // what would rest on it.
-    let mut book = PromiseTracker::new(timing, ClockTime(0));
-    assert_eq!(book.promise(ClockTime(9000), 4, 5, false), None);
-    assert_eq!(book.promise(ClockTime(9000), 4, 4, true), None);
+    // A member with a newer change in its log, or with a leader, does not promise; one that has
+    // just started writes no change.
+    let mut tracker = PromiseTracker::new(timing, ClockTime(0));
+    assert_eq!(tracker.promise(ClockTime(9000), 4, 5, false), None);
+    assert_eq!(tracker.promise(ClockTime(9000), 4, 4, true), None);
     assert!(
         PromiseTracker::new(timing, ClockTime(9000))
             .may_write(ClockTime(9001))
             .is_err()
     );
-    // A node that restarted has nothing to go on with.
+    // A restarted node has no lease that promises could extend.
     let mut guard = StalenessGuard::default();
     let ask = guard.start_lease_request(ClockTime(0));
     assert!(!guard.record_promise(
@@ -472,9 +478,10 @@
     ));
 }
 
-/// Guards against a new leader that forgets a longer grace.
+/// A new leader that knew only a shortened grace period could report a change as in force while
+/// leases with the longer one are still running.
 #[test]
-fn a_shorter_grace_is_remembered_until_the_longer_one_is_over() {
+fn former_grace_is_kept_until_its_leases_expire() {
     let mut state = FleetState::default();
     let set = |state: &mut FleetState, index: u64, at_ms: u64, seconds: u32| {
         let policy = QuorumLoss::GoOn { seconds };
--- a/crates/ragwortroad_state/tests/operator_changes.rs
+++ b/crates/ragwortroad_state/tests/operator_changes.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: races, resends, catching up, and histories that must be linearizable.
+//! Operators' changes: races, repeated submissions, followers, and linearizable histories.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -15,7 +15,7 @@
 };
 
 use common::{
-    SeededDraw,
+    SeededRng,
     add_customer,
     change,
     command, //
@@ -34,9 +34,10 @@
     }
 }
 
-/// Guards against changes that overwrite another operator's unseen.
+/// Two operators who issue changes on the same base could overwrite each other's change unseen. The
+/// second must be refused with the first, also when both are sent again after a leader restart.
 #[test]
-fn of_two_changes_on_one_base_one_wins_and_the_other_sees_it() {
+fn second_change_on_the_same_base_is_a_conflict() {
     let mut state = FleetState::default();
     let first = change("first", 0, vec![add_customer("north")]);
     let second = change("second", 0, vec![add_customer("south")]);
@@ -55,21 +56,22 @@
     assert_eq!(winner.change_id, "first");
     assert_eq!(winner.edits, first.edits);
     assert!(!state.config().customers.contains_key("south"));
-    // Both lost their answers; the leader changed and restarted; both send again.
+    // Both operators lost their answers, the leader restarted, and both send their changes again.
     let mut state = FleetState::from_snapshot(&state.to_snapshot()).unwrap();
     assert_eq!(apply(&mut state, &second), refused);
     assert_eq!(
         apply(&mut state, &first),
         ChangeOutcome::Accepted { revision: 1 }
     );
-    // Another change under a name that was used is none of the two.
+    // Another change under a used identifier is refused.
     let other = change("first", 1, vec![add_customer("east")]);
     assert_eq!(apply(&mut state, &other), ChangeOutcome::IdReused);
 }
 
-/// Guards against changes of which only a part takes effect.
+/// A change with one invalid edit could be applied in part; it must leave the configuration as it
+/// was.
 #[test]
-fn changes_are_whole_or_refused() {
+fn changes_are_atomic() {
     let mut state = common::state_with(&["north"]);
     let before = state.config().clone();
     let hash = KeyHash::of_key("secret");
@@ -108,9 +110,9 @@
     "#);
 }
 
-/// Guards against ways back from a rollout that leave shares behind.
+/// Rolling back from any step of a rollout could leave shares of the new version behind.
 #[test]
-fn a_rollout_goes_step_by_step_and_back_in_one_change() {
+fn rollout_is_reverted_by_one_change() {
     let mut config = FleetConfig::default();
     let model = "captions".to_owned();
     let add = ConfigEdit::AddModel {
@@ -145,7 +147,8 @@
     }
 }
 
-/// Guards against followers with gaps, and late answers that take a change back.
+/// A follower could miss changes when its revision is no longer kept, or lose some when a delayed
+/// update is older than its configuration.
 #[test]
 fn followers_catch_up_from_any_revision_and_never_go_back() {
     let mut state = FleetState::default();
@@ -175,7 +178,7 @@
         );
         follower.apply_update(update.clone()).unwrap();
         assert_eq!(&follower, state.config());
-        // The same answer again changes nothing.
+        // A repeated update has no effect.
         follower.apply_update(update).unwrap();
         assert_eq!(&follower, state.config());
     }
@@ -191,17 +194,17 @@
         behind.apply_update(gap.clone()),
         Err(UpdateError::MissingChanges { .. })
     ));
-    let mut astray = past[newest as usize - 1].clone();
-    astray
+    let mut diverged = past[newest as usize - 1].clone();
+    diverged
         .customers
         .insert("odd".to_owned(), CustomerEntry::default());
     assert!(matches!(
-        astray.apply_update(gap),
+        diverged.apply_update(gap),
         Err(UpdateError::Diverged { .. })
     ));
 }
 
-/// One operator's operation, with its result where it has come.
+/// An operator's operation, with its result if one has arrived.
 #[derive(Clone, Debug)]
 enum OperatorOp {
     Change {
@@ -217,7 +220,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum ChangeResult {
     Accepted(u64),
-    /// The revision at the time, and the change that won.
+    /// The revision at that time and the identifier of the accepted change.
     Conflict(u64, String),
 }
 
@@ -238,11 +241,11 @@
     vec![add_customer(&format!("x{number}"))]
 }
 
-/// What a single place that handles one operation after the other would answer.
+/// The sequential specification of changes and reads.
 struct OperatorSpec;
 
 impl Specification for OperatorSpec {
-    /// Names of the accepted changes, in order.
+    /// Identifiers of the accepted changes, in order.
     type State = Vec<u64>;
     type Operation = OperatorOp;
 
@@ -268,59 +271,59 @@
     }
 }
 
-/// A fault put into the state's surroundings, which the check must notice.
+/// A fault injected around the state, which the check must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum OperatorFault {
     None,
-    /// Outcomes are lost with the leader: a resend is taken for a new change.
+    /// Outcomes are lost with the leader, so a repeated change is taken for a new one.
     ForgetsOutcomes,
-    /// The base is not compared.
+    /// The base revision is not compared.
     IgnoresBase,
-    /// Reads are answered by a member that lags.
+    /// Reads are answered by a member that lags behind.
     StaleReads,
 }
 
-/// Three operators at work over links that lose, repeat and reorder; leaders change.
+/// Simulates three operators whose messages are lost, repeated and reordered while leaders change.
 fn operator_history(seed: u64, fault: OperatorFault) -> Vec<(usize, Action<OperatorOp>)> {
-    let mut draw = SeededDraw::new(seed);
+    let mut rng = SeededRng::new(seed);
     let mut state = FleetState::default();
     let mut lagging = state.clone();
     let mut history = Vec::new();
     let mut open: Vec<Option<OperatorOp>> = vec![None; 3];
     let mut known = [0; 3];
     let (mut next_id, mut sends) = (0, 0);
-    let mut late: Vec<ChangeCommand> = Vec::new();
+    let mut delayed: Vec<ChangeCommand> = Vec::new();
     while history.len() < 70 {
-        let place = draw.below(3) as usize;
-        let Some(operation) = open[place].clone() else {
-            let operation = if draw.chance(40) {
+        let operator_index = rng.below(3) as usize;
+        let Some(operation) = open[operator_index].clone() else {
+            let operation = if rng.chance(40) {
                 OperatorOp::Read { revision: None }
             } else {
                 next_id += 1;
                 OperatorOp::Change {
                     id: next_id,
-                    base: known[place],
+                    base: known[operator_index],
                     result: None,
                 }
             };
-            history.push((place, Action::Call(operation.clone())));
-            open[place] = Some(operation);
+            history.push((operator_index, Action::Call(operation.clone())));
+            open[operator_index] = Some(operation);
             continue;
         };
-        if draw.chance(10) {
+        if rng.chance(10) {
             state = FleetState::from_snapshot(&state.to_snapshot()).unwrap();
         }
-        if draw.chance(30) {
+        if rng.chance(30) {
             lagging = state.clone();
         }
-        // Something sent before arrives once more.
-        if draw.chance(15)
-            && let Some(again) = draw.take(&mut late)
+        // An earlier message arrives once more.
+        if rng.chance(15)
+            && let Some(again) = rng.take_random(&mut delayed)
         {
             apply(&mut state, &again);
         }
-        // The question is lost, or it arrives and the answer is lost.
-        if draw.chance(20) {
+        // The request is lost, or it arrives and the answer is lost.
+        if rng.chance(20) {
             continue;
         }
         sends += 1;
@@ -328,7 +331,7 @@
             OperatorOp::Read { .. } => {
                 let stale = fault == OperatorFault::StaleReads;
                 let revision = if stale { &lagging } else { &state }.config().revision;
-                known[place] = revision;
+                known[operator_index] = revision;
                 OperatorOp::Read {
                     revision: Some(revision),
                 }
@@ -341,7 +344,7 @@
                 if fault == OperatorFault::IgnoresBase {
                     wanted.base_revision = state.config().revision;
                 }
-                late.push(wanted.clone());
+                delayed.push(wanted.clone());
                 let result = ChangeResult::from(apply(&mut state, &wanted));
                 OperatorOp::Change {
                     id,
@@ -350,24 +353,24 @@
                 }
             }
         };
-        if draw.chance(30) {
+        if rng.chance(30) {
             continue;
         }
-        history.push((place, Action::Response(answered)));
-        open[place] = None;
+        history.push((operator_index, Action::Response(answered)));
+        open[operator_index] = None;
     }
-    close(history, open, &mut state)
+    answer_open_operations(history, open, &mut state)
 }
 
-/// Answers what is still open, without further losses.
-fn close(
+/// Answers the operations that are still open, without further losses.
+fn answer_open_operations(
     mut history: Vec<(usize, Action<OperatorOp>)>,
     open: Vec<Option<OperatorOp>>,
     state: &mut FleetState,
 ) -> Vec<(usize, Action<OperatorOp>)> {
-    // An operation without an answer says nothing: it is taken out where it had no effect, and
-    // otherwise gets the answer that a last resend would bring.
-    for (place, operation) in open.into_iter().enumerate() {
+    // The checker needs a response for every operation, so each open one gets the answer that a
+    // last repetition would bring.
+    for (operator_index, operation) in open.into_iter().enumerate() {
         let Some(operation) = operation else { continue };
         let done = match operation {
             OperatorOp::Read { .. } => OperatorOp::Read {
@@ -383,14 +386,15 @@
                 }
             }
         };
-        history.push((place, Action::Response(done)));
+        history.push((operator_index, Action::Response(done)));
     }
     history
 }
 
-/// Guards against answers to operators that cannot all be true.
+/// Operators could get answers that contradict each other when messages are lost, repeated and
+/// reordered while leaders change.
 #[test]
-fn operators_histories_are_linearizable() {
+fn operator_histories_are_linearizable() {
     let mut operations = 0;
     for seed in 0..300 {
         let history = operator_history(seed, OperatorFault::None);
@@ -404,23 +408,24 @@
     println!("{operations} operations in 300 schedules");
 }
 
-/// The check above is worth something only if it notices a state that goes wrong.
+/// The linearizability check must detect each injected fault; otherwise a passing run proves
+/// nothing.
 #[test]
-fn the_history_check_notices_each_fault() {
+fn history_check_detects_each_fault() {
     for fault in [
         OperatorFault::ForgetsOutcomes,
         OperatorFault::IgnoresBase,
         OperatorFault::StaleReads,
     ] {
-        let noticed = (0..40).filter(|seed| {
+        let detected = (0..40).filter(|seed| {
             let history = History::from_actions(operator_history(*seed, fault));
             !WGLChecker::<OperatorSpec>::is_linearizable(history)
         });
-        let noticed = noticed.count();
-        println!("{fault:?}: noticed in {noticed} of 40 schedules");
+        let detected = detected.count();
+        println!("{fault:?}: detected in {detected} of 40 schedules");
         assert!(
-            noticed > 10,
-            "{fault:?} noticed in {noticed} of 40 schedules"
+            detected > 10,
+            "{fault:?} detected in {detected} of 40 schedules"
         );
     }
 }
