--- a/crates/ragwortroad_language/src/edit/customer_edit.rs
+++ b/crates/ragwortroad_language/src/edit/customer_edit.rs
@@ -18,7 +18,7 @@
 
 type ParseResult = Result<(), LanguageError>;
 
-/// `NAME [rate 20/s] [tokens 40000/s] [concurrent 30] [weight 100] [priority 100]`
+/// Parses `NAME [rate 20/s] [tokens 40000/s] [concurrent 30] [weight 100] [priority 100]`.
 pub(super) fn add(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     edits.push(ConfigEdit::AddCustomer {
@@ -31,14 +31,14 @@
     Ok(())
 }
 
-/// `NAME`
+/// Parses `NAME`.
 pub(super) fn remove(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     edits.push(ConfigEdit::RemoveCustomer { customer });
     Ok(())
 }
 
-/// `NAME [rate 20/s] [tokens 40000/s] [concurrent 30] [weight 100] [priority 100]`
+/// Parses `NAME [rate 20/s] [tokens 40000/s] [concurrent 30] [weight 100] [priority 100]`.
 pub(super) fn set(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     let limits = limits(cursor)?;
@@ -65,7 +65,7 @@
     }
 }
 
-/// `CUSTOMER HASH`
+/// Parses `CUSTOMER HASH`.
 pub(super) fn add_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-/// `CUSTOMER HASH`
+/// Parses `CUSTOMER HASH`.
 pub(super) fn remove_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-/// `customer NAME model M [adapter A] [version V]` or `customer NAME service S`
+/// Parses `customer NAME model M [adapter A] [version V]` or `customer NAME service S`.
 pub(super) fn allow(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("customer")?;
     let customer = cursor.text(CUSTOMER)?;
@@ -107,7 +107,7 @@
     Ok(())
 }
 
-/// `customer NAME model M [adapter A]` or `customer NAME service S`
+/// Parses `customer NAME model M [adapter A]` or `customer NAME service S`.
 pub(super) fn deny(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("customer")?;
     let customer = cursor.text(CUSTOMER)?;
@@ -129,7 +129,7 @@
     Ok(())
 }
 
-/// `keys CUSTOMER`
+/// Parses `keys CUSTOMER`.
 pub(super) fn forget(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("keys")?;
     let customer = cursor.text(CUSTOMER)?;
--- a/crates/ragwortroad_language/src/edit/fleet_edit.rs
+++ b/crates/ragwortroad_language/src/edit/fleet_edit.rs
@@ -24,7 +24,7 @@
 
 type ParseResult = Result<(), LanguageError>;
 
-/// `S [idempotent|once METHOD PATH]...`
+/// Parses `S [idempotent|once METHOD PATH]...`.
 pub(super) fn add_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let service = cursor.text(SERVICE)?;
     edits.push(ConfigEdit::AddService {
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// `S`
+/// Parses `S`.
 pub(super) fn remove_service(
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// `S idempotent|once|by-method METHOD PATH ...`
+/// Parses `S idempotent|once|by-method METHOD PATH ...`.
 pub(super) fn set_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let service = cursor.text(SERVICE)?;
     let repeat = cursor.choice(&REPEATS)?;
@@ -76,14 +76,14 @@
     })
 }
 
-/// `endpoint|node|domain NAME`
+/// Parses `endpoint|node|domain NAME`.
 pub(super) fn drain(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let target = drain_target(cursor)?;
     edits.push(ConfigEdit::Drain { target });
     Ok(())
 }
 
-/// `endpoint|node|domain NAME`
+/// Parses `endpoint|node|domain NAME`.
 pub(super) fn undrain(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let target = drain_target(cursor)?;
     edits.push(ConfigEdit::Undrain { target });
@@ -100,7 +100,7 @@
     }
 }
 
-/// `1.25`
+/// Parses `1.25`.
 pub(super) fn set_multiple(
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
@@ -110,7 +110,7 @@
     Ok(())
 }
 
-/// `refuse` or `go-on 30s`
+/// Parses `refuse` or `go-on 30s`.
 pub(super) fn set_quorum_loss(
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
@@ -125,7 +125,8 @@
     Ok(())
 }
 
-/// `[window 24h] [keys 20000] [answer 4096] [budget 1048576] [spent 250000] [skew 60s] [run 600s]`
+/// Parses
+/// `[window 24h] [keys 20000] [answer 4096] [budget 1048576] [spent 250000] [skew 60s] [run 600s]`.
 pub(super) fn set_claims(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let names = ["window", "keys", "answer", "budget", "spent", "skew", "run"];
     let mut rules = ClaimsEdit::default();
@@ -149,7 +150,7 @@
     Ok(())
 }
 
-/// `NAME IP:PORT`
+/// Parses `NAME IP:PORT`.
 pub(super) fn add_member(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let member = cursor.text(MEMBER)?;
     let address = cursor.text("the member's IP:PORT")?;
@@ -157,7 +158,7 @@
     Ok(())
 }
 
-/// `NAME`
+/// Parses `NAME`.
 pub(super) fn remove_member(
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
@@ -167,7 +168,7 @@
     Ok(())
 }
 
-/// `NAME HASH`
+/// Parses `NAME HASH`.
 pub(super) fn add_operator(
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
@@ -178,7 +179,7 @@
     Ok(())
 }
 
-/// `NAME HASH`
+/// Parses `NAME HASH`.
 pub(super) fn remove_operator(
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
--- a/crates/ragwortroad_language/src/edit/model_edit.rs
+++ b/crates/ragwortroad_language/src/edit/model_edit.rs
@@ -19,7 +19,7 @@
 
 type ParseResult = Result<(), LanguageError>;
 
-/// `M version V [replicas 2..6] [wanted 3] [size 16gb]`
+/// Parses `M version V [replicas 2..6] [wanted 3] [size 16gb]`.
 pub(super) fn add(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let model = cursor.text(MODEL)?;
     cursor.keyword("version")?;
@@ -51,14 +51,14 @@
     })
 }
 
-/// `M`
+/// Parses `M`.
 pub(super) fn remove(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let model = cursor.text(MODEL)?;
     edits.push(ConfigEdit::RemoveModel { model });
     Ok(())
 }
 
-/// `M replicas 2..6 [wanted 3]`
+/// Parses `M replicas 2..6 [wanted 3]`.
 pub(super) fn set(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let model = cursor.text(MODEL)?;
     cursor.keyword("replicas")?;
@@ -70,14 +70,14 @@
     Ok(())
 }
 
-/// `A model M`
+/// Parses `A model M`.
 pub(super) fn add_adapter(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let (adapter, model) = adapter_of_model(cursor)?;
     edits.push(ConfigEdit::AddAdapter { model, adapter });
     Ok(())
 }
 
-/// `A model M`
+/// Parses `A model M`.
 pub(super) fn remove_adapter(
     cursor: &mut WordCursor<'_>,
     edits: &mut Vec<ConfigEdit>,
@@ -93,7 +93,7 @@
     Ok((adapter, cursor.text(MODEL)?))
 }
 
-/// `model M to V 25%`
+/// Parses `model M to V 25%`.
 pub(super) fn roll(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("model")?;
     let model = cursor.text(MODEL)?;
@@ -108,7 +108,7 @@
     Ok(())
 }
 
-/// `model M`
+/// Parses `model M`.
 pub(super) fn rollback(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("model")?;
     let model = cursor.text(MODEL)?;
--- a/crates/ragwortroad_state/examples/state_cost.rs
+++ b/crates/ragwortroad_state/examples/state_cost.rs
@@ -122,7 +122,7 @@
 }
 
 /// Returns a state in which a customer may have any number of claims.
-fn roomy_state() -> Result<FleetState, ApplyError> {
+fn state_with_high_limits() -> Result<FleetState, ApplyError> {
     let mut state = FleetState::default();
     declare_customers(&mut state, 10)?;
     let rules = ClaimsEdit {
@@ -139,7 +139,7 @@
 /// Measures memory per claim. Must run first: later measurements reuse memory that earlier ones
 /// freed.
 fn measure_memory() -> Result<(), ApplyError> {
-    let mut state = roomy_state()?;
+    let mut state = state_with_high_limits()?;
     let before_kb = resident_kb();
     for number in 0..CLAIMS {
         let steps = claim_steps(number).to_vec();
@@ -154,7 +154,7 @@
 }
 
 fn measure_claims(batch: u64) -> Result<(), ApplyError> {
-    let mut state = roomy_state()?;
+    let mut state = state_with_high_limits()?;
     let mut batches = Vec::new();
     for first in (0..CLAIMS).step_by(batch as usize) {
         let numbers = first..CLAIMS.min(first + batch);
@@ -199,7 +199,7 @@
         past.push(state.config().clone());
     }
     let accept = started.elapsed() / 1000;
-    let whole = bytes_of(&state.config_since(u64::MAX));
+    let whole = encoded_len(&state.config_since(u64::MAX));
     println!(
         "\n{what}: {customers} customers; whole configuration {whole} bytes; a change takes {accept:?}"
     );
@@ -211,7 +211,7 @@
             ConfigUpdate::Delta { .. } => "delta",
             ConfigUpdate::Snapshot(_) => "snapshot",
         };
-        let bytes = bytes_of(&update);
+        let bytes = encoded_len(&update);
         let mut follower = past[(newest - missed - first) as usize].clone();
         let started = Instant::now();
         let followed = follower.apply_update(update);
@@ -222,6 +222,6 @@
     Ok(())
 }
 
-fn bytes_of(update: &ConfigUpdate) -> usize {
+fn encoded_len(update: &ConfigUpdate) -> usize {
     postcard::to_stdvec(update).map_or(0, |bytes| bytes.len())
 }
--- a/crates/ragwortroad_state/src/change/config_update.rs
+++ b/crates/ragwortroad_state/src/change/config_update.rs
@@ -42,8 +42,8 @@
     },
     /// The update is older than the follower's configuration.
     #[snafu(display(
-        "the update has revision {offered}, but this node has revision {revision}; request one from \
-         another member"
+        "the update has revision {offered}, but this node has revision {revision}; request one \
+         from another member"
     ))]
     StaleUpdate {
         /// The revision that the follower has.
--- a/crates/ragwortroad_state/src/order/order_table.rs
+++ b/crates/ragwortroad_state/src/order/order_table.rs
@@ -79,7 +79,8 @@
         self.engines.remove(engine);
     }
 
-    /// Records that the engine acknowledged an order. Returns false if the order is not pending.
+    /// Records that the engine acknowledged an order. Returns false if the order is not
+    /// pending or its engine was removed.
     pub fn acknowledge(&mut self, id: OrderId) -> bool {
         let Some(pending) = self.pending.get(&id) else {
             return false;
--- a/crates/ragwortroad_state/src/propagation/staleness_guard.rs
+++ b/crates/ragwortroad_state/src/propagation/staleness_guard.rs
@@ -79,9 +79,9 @@
         self.last_request_number
     }
 
-    /// Records the leader's answer to request `request_number`: a lease of duration `lease` for `revision`. The
-    /// update that came with it must have been adopted before. Returns whether the lease was
-    /// accepted.
+    /// Records the leader's answer to request `request_number`: a lease of duration `lease` for
+    /// `revision`. The update that came with it must have been adopted before. Returns whether the
+    /// lease was accepted.
     ///
     /// An answer with another revision than the one in force gives no lease: an older one comes
     /// from a leader that was replaced, and a newer one was not adopted yet.
@@ -96,7 +96,8 @@
         true
     }
 
-    /// Records a member's promise to accept no change after `revision` for at least `lease`.
+    /// Records a member's promise, in answer to request `request_number`, to accept no change after
+    /// `revision` for at least `lease`.
     /// `members` is the newest membership in that member's log. Returns whether the promise was
     /// accepted.
     pub fn record_promise(
--- a/crates/ragwortroad_state/src/state_command.rs
+++ b/crates/ragwortroad_state/src/state_command.rs
@@ -60,8 +60,8 @@
 pub enum CommandError {
     /// A build with another command version wrote the entry.
     #[snafu(display(
-        "the command has version {version}, but this build reads version {COMMAND_VERSION}; install \
-         the build that the other members run"
+        "the command has version {version}, but this build reads version {COMMAND_VERSION}; \
+         install the build that the other members run"
     ))]
     NewerVersion {
         /// The version in the entry's first byte.
--- a/crates/ragwortroad_state/tests/claim_schedules/claim_simulation.rs
+++ b/crates/ragwortroad_state/tests/claim_schedules/claim_simulation.rs
@@ -264,7 +264,7 @@
         let index = self
             .attempts
             .iter()
-            .position(|known| known.attempt == attempt);
+            .position(|node_attempt| node_attempt.attempt == attempt);
         let Some(index) = index else { return };
         let phase = self.attempts[index].phase;
         let uses_late_grant =
@@ -296,30 +296,30 @@
     }
 
     pub(crate) fn dispatch(&mut self, index: usize) {
-        let known = self.attempts[index].clone();
+        let node_attempt = self.attempts[index].clone();
         if self.rng.chance(15) {
             // The endpoint could not be reached; no byte was sent.
             self.attempts[index].phase = NodePhase::Finished;
-            self.not_run.insert(known.attempt);
+            self.not_run.insert(node_attempt.attempt);
             self.count("releases");
-            self.send(release(&known));
+            self.send(release(&node_attempt));
             return;
         }
         self.attempts[index].phase = NodePhase::Sent;
-        self.sent.push(known.clone());
+        self.sent.push(node_attempt.clone());
         if self.rng.chance(20) {
             // No response arrived in time; the request may still arrive.
             self.count("timeouts");
             if self.fault == ClaimFault::ReleasesAfterSend {
-                self.send(release(&known));
+                self.send(release(&node_attempt));
             } else {
-                self.finish(&known, ClaimResult::Unknown);
+                self.finish(&node_attempt, ClaimResult::Unknown);
             }
         }
     }
 
-    pub(crate) fn finish(&mut self, known: &NodeAttempt, result: ClaimResult) {
-        let (key, attempt) = (known.key.clone(), known.attempt);
+    pub(crate) fn finish(&mut self, node_attempt: &NodeAttempt, result: ClaimResult) {
+        let (key, attempt) = (node_attempt.key.clone(), node_attempt.attempt);
         self.send(ClaimStep::Finish {
             key,
             attempt,
@@ -329,44 +329,45 @@
 
     /// Delivers a request to the service, which runs it.
     pub(crate) fn deliver_to_service(&mut self) {
-        let Some(known) = self.rng.take_random(&mut self.sent) else {
+        let Some(node_attempt) = self.rng.take_random(&mut self.sent) else {
             return;
         };
         self.count("runs");
         self.runs
-            .entry(known.key.clone())
+            .entry(node_attempt.key.clone())
             .or_default()
-            .push(known.attempt);
+            .push(node_attempt.attempt);
         let alive = self
             .attempts
             .iter()
-            .any(|other| other.attempt == known.attempt);
+            .any(|other| other.attempt == node_attempt.attempt);
         if alive && self.rng.chance(80) {
             let answer = ClaimAnswer {
                 status: 201,
                 content_type: String::new(),
-                body: known.attempt.request.0.to_le_bytes().to_vec(),
+                body: node_attempt.attempt.request.0.to_le_bytes().to_vec(),
             };
-            self.finish(&known, ClaimResult::Answered(answer));
+            self.finish(&node_attempt, ClaimResult::Answered(answer));
         }
     }
 
     /// Lets a node abandon a claim it waits for.
     pub(crate) fn abandon_claim(&mut self) {
-        let waiting = |known: &NodeAttempt| known.phase == NodePhase::Waiting;
+        let waiting = |node_attempt: &NodeAttempt| node_attempt.phase == NodePhase::Waiting;
         let Some(index) = self.attempts.iter().position(waiting) else {
             return;
         };
         self.attempts[index].phase = NodePhase::Abandoned;
-        let known = self.attempts[index].clone();
-        self.not_run.insert(known.attempt);
+        let node_attempt = self.attempts[index].clone();
+        self.not_run.insert(node_attempt.attempt);
         self.count("abandoned");
-        self.send(release(&known));
+        self.send(release(&node_attempt));
     }
 
     pub(crate) fn crash(&mut self) {
         let node = NodeId(self.rng.below(NODES));
-        self.attempts.retain(|known| known.attempt.node != node);
+        self.attempts
+            .retain(|node_attempt| node_attempt.attempt.node != node);
         self.count("crashes");
     }
 
@@ -419,11 +420,11 @@
     }
 }
 
-pub(crate) fn release(known: &NodeAttempt) -> ClaimStep {
+pub(crate) fn release(node_attempt: &NodeAttempt) -> ClaimStep {
     ClaimStep::Release {
-        key: known.key.clone(),
+        key: node_attempt.key.clone(),
         body: BODY,
-        attempt: known.attempt,
+        attempt: node_attempt.attempt,
     }
 }
 
--- a/crates/ragwortroad_state/tests/engine_orders.rs
+++ b/crates/ragwortroad_state/tests/engine_orders.rs
@@ -49,7 +49,7 @@
 
 /// Simulates orders to two engines, one that checks fencing numbers and one that does not. Returns
 /// how many took effect and whether an old order followed a newer holder's.
-fn run_holders(seed: u64, fault: GateFault) -> (u64, bool) {
+fn run_simulation(seed: u64, fault: GateFault) -> (u64, bool) {
     let mut rng = SeededRng::new(seed);
     let timing = OrderTiming {
         lease: Duration::from_millis(LEASE_MS),
@@ -158,7 +158,7 @@
 fn old_orders_never_follow_new_ones_at_an_unfenced_engine() {
     let mut effects = 0;
     for seed in 0..300 {
-        let (count, is_violated) = run_holders(seed, GateFault::None);
+        let (count, is_violated) = run_simulation(seed, GateFault::None);
         assert!(!is_violated, "seed {seed}");
         effects += count;
     }
@@ -175,7 +175,9 @@
         GateFault::IgnoresDrift,
         GateFault::ChecksEarly,
     ] {
-        let detected = (0..100).filter(|seed| run_holders(*seed, fault).1).count();
+        let detected = (0..100)
+            .filter(|seed| run_simulation(*seed, fault).1)
+            .count();
         println!("{fault:?}: detected in {detected} of 100 schedules");
         assert!(
             detected >= 10,
@@ -245,7 +247,7 @@
         };
         let mut table = OrderTable::new(settings, FenceNumber(3), ClockTime(0));
         let mut engines: BTreeMap<String, (EngineObservation, EngineRole)> = BTreeMap::new();
-        let mut late: Vec<EngineOrder> = Vec::new();
+        let mut delayed: Vec<EngineOrder> = Vec::new();
         for number in 0..5 {
             let name = format!("engine-{number}");
             let mut target = target("captions", &format!("v{}", number % 2));
@@ -277,7 +279,7 @@
             let mut orders = table.due_orders(ClockTime(now), |_| true, |_| 500);
             sent += orders.len();
             if rng.chance(30) {
-                orders.extend(rng.take_random(&mut late));
+                orders.extend(rng.take_random(&mut delayed));
             }
             for order in orders {
                 if !is_fault_free && rng.chance(30) {
@@ -289,11 +291,11 @@
                     table.acknowledge(order.id);
                 }
                 if !is_fault_free {
-                    late.push(order);
+                    delayed.push(order);
                 }
             }
             if is_fault_free {
-                late.clear();
+                delayed.clear();
             }
         }
         for (number, (observation, role)) in engines.values().enumerate() {
--- a/crates/ragwortroad_state/tests/in_force.rs
+++ b/crates/ragwortroad_state/tests/in_force.rs
@@ -73,16 +73,16 @@
 }
 
 enum SimulatedMessage {
-    Ask {
+    LeaseRequest {
         node: usize,
         run: NodeRun,
-        ask: u64,
+        request_number: u64,
         revision: u64,
     },
-    Answer {
+    LeaseAnswer {
         node: usize,
         run: NodeRun,
-        ask: u64,
+        request_number: u64,
         revision: u64,
         lease: Duration,
     },
@@ -165,7 +165,7 @@
     fn step(&mut self) {
         self.real_ms += self.rng.below(120);
         match self.rng.below(24) {
-            0..=9 => self.ask(),
+            0..=9 => self.request_lease(),
             10..=19 => self.deliver_due(),
             20 => self.change(),
             21 if self.rng.chance(20) => self.elect(),
@@ -193,16 +193,16 @@
     }
 
     /// A node requests a lease from a leader that may have been deposed.
-    fn ask(&mut self) {
-        let place = self.rng.below(self.nodes.len() as u64) as usize;
-        let node = &mut self.nodes[place];
-        let ask = node
+    fn request_lease(&mut self) {
+        let node_index = self.rng.below(self.nodes.len() as u64) as usize;
+        let node = &mut self.nodes[node_index];
+        let request_number = node
             .guard
             .start_lease_request(node.clock.read(self.real_ms));
-        let message = SimulatedMessage::Ask {
-            node: place,
+        let message = SimulatedMessage::LeaseRequest {
+            node: node_index,
             run: node.run,
-            ask,
+            request_number,
             revision: node.guard.revision(),
         };
         let newest = self.leaders.len() as u64;
@@ -227,34 +227,41 @@
 
     fn deliver(&mut self) -> bool {
         let due = |(at, ..): &(u64, usize, SimulatedMessage)| *at <= self.real_ms;
-        let Some(place) = self.in_transit.iter().position(due) else {
+        let Some(message_index) = self.in_transit.iter().position(due) else {
             return false;
         };
-        let (_, leader, message) = self.in_transit.swap_remove(place);
+        let (_, leader, message) = self.in_transit.swap_remove(message_index);
         match message {
-            SimulatedMessage::Ask {
+            SimulatedMessage::LeaseRequest {
                 node,
                 run,
-                ask,
+                request_number,
                 revision,
             } => {
-                self.grant(leader, node, run, ask, revision);
+                self.grant(leader, node, run, request_number, revision);
             }
-            SimulatedMessage::Answer {
+            SimulatedMessage::LeaseAnswer {
                 node,
                 run,
-                ask,
+                request_number,
                 revision,
                 lease,
             } => {
-                self.confirm(node, run, ask, revision, lease);
+                self.deliver_answer(node, run, request_number, revision, lease);
             }
         }
         true
     }
 
-    fn grant(&mut self, place: usize, node: usize, run: NodeRun, ask: u64, revision: u64) {
-        let leader = &mut self.leaders[place];
+    fn grant(
+        &mut self,
+        leader_index: usize,
+        node: usize,
+        run: NodeRun,
+        request_number: u64,
+        revision: u64,
+    ) {
+        let leader = &mut self.leaders[leader_index];
         let now = leader.clock.read(self.real_ms);
         if now >= leader.lead_until && self.fault != PropagationFault::GrantsWithoutLease {
             return;
@@ -265,42 +272,49 @@
         if self.fault == PropagationFault::CountsGrantAsAck {
             leader.table.acknowledge(run, carried);
         }
-        let answer = SimulatedMessage::Answer {
+        let answer = SimulatedMessage::LeaseAnswer {
             node,
             run,
-            ask,
+            request_number,
             revision: carried,
             lease,
         };
-        self.send(place, answer);
+        self.send(leader_index, answer);
     }
 
-    fn confirm(&mut self, place: usize, run: NodeRun, ask: u64, revision: u64, lease: Duration) {
+    fn deliver_answer(
+        &mut self,
+        node_index: usize,
+        run: NodeRun,
+        request_number: u64,
+        revision: u64,
+        lease: Duration,
+    ) {
         let fault = self.fault;
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[node_index];
         if node.run != run {
             return;
         }
-        let mut ask = ask;
+        let mut request_number = request_number;
         if fault == PropagationFault::CountsFromAnswer {
-            ask = node
+            request_number = node
                 .guard
                 .start_lease_request(node.clock.read(self.real_ms));
         }
         if fault == PropagationFault::TakesAnyRevision && revision < node.guard.revision() {
             node.guard = StalenessGuard::default();
-            ask = node
+            request_number = node
                 .guard
                 .start_lease_request(node.clock.read(self.real_ms));
         }
         node.guard.record_adoption(revision);
-        node.guard.record_grant(ask, revision, lease);
+        node.guard.record_grant(request_number, revision, lease);
     }
 
     fn restart(&mut self) {
-        let place = self.rng.below(self.nodes.len() as u64) as usize;
+        let node_index = self.rng.below(self.nodes.len() as u64) as usize;
         self.incarnations += 1;
-        let node = &mut self.nodes[place];
+        let node = &mut self.nodes[node_index];
         node.run.incarnation = self.incarnations;
         node.guard = StalenessGuard::default();
     }
@@ -437,7 +451,7 @@
         assert!(guard.record_grant(first, 4, Duration::from_secs(3)));
         let later = ClockTime(5000);
         assert!(guard.may_admit(later).is_err());
-        let ask = guard.start_lease_request(later);
+        let request_number = guard.start_lease_request(later);
         for member in 0..needed {
             assert!(
                 guard.may_admit(later).is_err(),
@@ -445,7 +459,7 @@
             );
             let mut tracker = PromiseTracker::new(timing, ClockTime(0));
             let lease = tracker.promise(later, 4, 4, false).unwrap();
-            assert!(guard.record_promise(ask, NodeId(member), 4, all.clone(), lease));
+            assert!(guard.record_promise(request_number, NodeId(member), 4, all.clone(), lease));
             // While the promise lasts, the member writes no change; just after the node has stopped
             // it may.
             let over = later.after(lease);
@@ -468,9 +482,9 @@
     );
     // A restarted node has no lease that promises could extend.
     let mut guard = StalenessGuard::default();
-    let ask = guard.start_lease_request(ClockTime(0));
+    let request_number = guard.start_lease_request(ClockTime(0));
     assert!(!guard.record_promise(
-        ask,
+        request_number,
         NodeId(1),
         0,
         [NodeId(1)].into(),
--- a/crates/ragwortroad_state/tests/lost_quorum.rs
+++ b/crates/ragwortroad_state/tests/lost_quorum.rs
@@ -48,7 +48,7 @@
 
 /// Returns the number of checks at which a node admitted work, the accepted revision, and whether a
 /// node admitted work while a change that it does not have was accepted.
-fn run_quorum(seed: u64, fault: PromiseFault) -> (u64, u64, bool) {
+fn run_simulation(seed: u64, fault: PromiseFault) -> (u64, u64, bool) {
     let mut rng = SeededRng::new(seed);
     let timing = FollowTiming {
         drift_ppm: DRIFT_PPM as u32,
@@ -76,13 +76,14 @@
     let (mut real_ms, mut accepted, mut admissions, mut silent_until) = (10_000, 1, 0, 0);
     for node in &mut nodes {
         // Each node had a lease from a leader that expired long ago.
-        let ask = node.guard.start_lease_request(ClockTime(0));
+        let request_number = node.guard.start_lease_request(ClockTime(0));
         node.guard.record_adoption(1);
-        node.guard.record_grant(ask, 1, Duration::from_millis(1));
+        node.guard
+            .record_grant(request_number, 1, Duration::from_millis(1));
     }
     for _ in 0..1500 {
         real_ms += rng.below(80);
-        let place = rng.below(MEMBERS) as usize;
+        let member_index = rng.below(MEMBERS) as usize;
         if rng.below(200) == 0 {
             silent_until = real_ms + rng.below(20_000);
         }
@@ -91,10 +92,10 @@
             0..=29 if real_ms >= silent_until => {
                 let node_index = rng.below(3) as usize;
                 let node = &mut nodes[node_index];
-                let ask = node.guard.start_lease_request(read(node.rate, real_ms));
+                let request_number = node.guard.start_lease_request(read(node.rate, real_ms));
                 let slow = rng.chance(20);
                 let arrives = real_ms + rng.below(if slow { 3000 } else { 100 });
-                let member = &mut members[place];
+                let member = &mut members[member_index];
                 let revision = node.guard.revision();
                 let log_revision = match fault {
                     PromiseFault::IgnoresLog => revision,
@@ -108,8 +109,8 @@
                     answers.push((
                         arrives,
                         node_index,
-                        ask,
-                        NodeId(place as u64),
+                        request_number,
+                        NodeId(member_index as u64),
                         revision,
                         lease,
                     ));
@@ -120,8 +121,8 @@
                 let next = accepted + 1;
                 let reached = (0..MEMBERS as usize).filter(|_| rng.chance(60));
                 let reached: Vec<usize> = reached.collect();
-                for place in reached {
-                    let member = &mut members[place];
+                for member_index in reached {
+                    let member = &mut members[member_index];
                     let open = member.tracker.may_write(read(member.rate, real_ms)).is_ok();
                     if open || fault == PromiseFault::WritesAnyway {
                         member.log_revision = next;
@@ -133,23 +134,25 @@
                 }
             }
             31 => {
-                let now = read(members[place].rate, real_ms);
+                let now = read(members[member_index].rate, real_ms);
                 let started = match fault {
                     PromiseFault::ForgetsAtRestart => ClockTime(0),
                     _ => now,
                 };
-                members[place].tracker = PromiseTracker::new(timing, started);
+                members[member_index].tracker = PromiseTracker::new(timing, started);
             }
             // A node receives the newest configuration, without a lease.
             32 => nodes[rng.below(3) as usize].guard.record_adoption(accepted),
-            _ => answers.retain(|(at, node_index, ask, member, revision, lease)| {
-                if *at > real_ms {
-                    return true;
-                }
-                let guard = &mut nodes[*node_index].guard;
-                guard.record_promise(*ask, *member, *revision, all.clone(), *lease);
-                false
-            }),
+            _ => answers.retain(
+                |(at, node_index, request_number, member, revision, lease)| {
+                    if *at > real_ms {
+                        return true;
+                    }
+                    let guard = &mut nodes[*node_index].guard;
+                    guard.record_promise(*request_number, *member, *revision, all.clone(), *lease);
+                    false
+                },
+            ),
         }
         for node in &nodes {
             let admits = node.guard.may_admit(read(node.rate, real_ms)).is_ok();
@@ -168,14 +171,14 @@
 fn no_change_is_accepted_while_a_node_admits_by_promises() {
     let (mut admissions, mut changes) = (0, 0);
     for seed in 0..150 {
-        let (admitted, accepted, is_violated) = run_quorum(seed, PromiseFault::None);
+        let (admitted, accepted, is_violated) = run_simulation(seed, PromiseFault::None);
         assert!(!is_violated, "seed {seed}");
         admissions += admitted;
         changes += accepted;
     }
     println!(
-        "150 schedules of 3000 steps, {changes} changes accepted, nodes admitting at {admissions} of \
-         1350000 checks"
+        "150 schedules of 3000 steps, {changes} changes accepted, nodes admitting at {admissions} \
+         of 1350000 checks"
     );
     assert!(admissions > 100_000 && changes > 1000);
 }
@@ -189,7 +192,9 @@
         PromiseFault::IgnoresLog,
         PromiseFault::TooFewMembers,
     ] {
-        let detected = (0..60).filter(|seed| run_quorum(*seed, fault).2).count();
+        let detected = (0..60)
+            .filter(|seed| run_simulation(*seed, fault).2)
+            .count();
         println!("{fault:?}: detected in {detected} of 60 schedules");
         assert!(
             detected >= 10,
--- a/crates/ragwortroad_state/tests/operator_changes.rs
+++ b/crates/ragwortroad_state/tests/operator_changes.rs
@@ -290,7 +290,7 @@
     let mut lagging = state.clone();
     let mut history = Vec::new();
     let mut open: Vec<Option<OperatorOp>> = vec![None; 3];
-    let mut known = [0; 3];
+    let mut known_revisions = [0; 3];
     let (mut next_id, mut sends) = (0, 0);
     let mut delayed: Vec<ChangeCommand> = Vec::new();
     while history.len() < 70 {
@@ -302,7 +302,7 @@
                 next_id += 1;
                 OperatorOp::Change {
                     id: next_id,
-                    base: known[operator_index],
+                    base: known_revisions[operator_index],
                     result: None,
                 }
             };
@@ -331,7 +331,7 @@
             OperatorOp::Read { .. } => {
                 let stale = fault == OperatorFault::StaleReads;
                 let revision = if stale { &lagging } else { &state }.config().revision;
-                known[operator_index] = revision;
+                known_revisions[operator_index] = revision;
                 OperatorOp::Read {
                     revision: Some(revision),
                 }
