--- a/crates/ragwortroad_state/src/fleet_state.rs
+++ b/crates/ragwortroad_state/src/fleet_state.rs
@@ -74,7 +74,7 @@
 pub enum ApplyError {
     /// The entry's log index is not greater than that of the last applied entry.
     #[snafu(display(
-        "entry {index} follows the applied entry {applied}; apply each entry once and in log order"
+        "entry {index} arrived after entry {applied} was applied; apply each entry once, in order"
     ))]
     OutOfOrder {
         /// The log index of the entry.
--- a/crates/ragwortroad_state/tests/claim_rules.rs
+++ b/crates/ragwortroad_state/tests/claim_rules.rs
@@ -226,8 +226,8 @@
     assert_eq!(harness.claim(&ahead, attempt(2, 16)), ClaimOutcome::Ahead);
 }
 
-/// A customer with many keys could evict records that prevent a second run, its own or those of
-/// another customer. New keys must be refused instead.
+/// A customer with many keys could evict records that prevent a second run, or use up the limit of
+/// another customer. Its new keys must be refused instead.
 #[test]
 fn customer_limits_never_evict_records() {
     let mut harness = ClaimHarness::new();
