--- a/crates/ragwortroad_node/src/control/config_follower.rs
+++ b/crates/ragwortroad_node/src/control/config_follower.rs
@@ -11,7 +11,7 @@
     /// Owners of the API keys in `config`.
     pub(crate) keys: KeyIndex,
     /// Decides whether this node may admit requests under `config`.
-    pub(crate) guard: CurrencyGuard,
+    pub(crate) guard: StalenessGuard,
     /// The node that last answered as the leader.
     pub(crate) leader: Option<NodeId>,
     /// The model versions that recently served each chat.
--- a/crates/ragwortroad_node/src/control/follow_flow.rs
+++ b/crates/ragwortroad_node/src/control/follow_flow.rs
@@ -27,7 +27,7 @@
 impl ControlState {
     /// Asks at regular intervals whether the configuration is current.
     pub(crate) fn tick_follow(&mut self, now: ClockTime) {
-        let interval = follow_timing(&self.settings.state).ask_every();
+        let interval = follow_timing(&self.settings.state).renew_interval();
         if now.since(self.follower.last_asked) >= interval {
             self.send_confirm(now);
         }
@@ -35,9 +35,9 @@
 
     /// Asks the leader, or all members if the leader is unknown or unresponsive.
     fn send_confirm(&mut self, now: ClockTime) {
-        let interval = follow_timing(&self.settings.state).ask_every();
+        let interval = follow_timing(&self.settings.state).renew_interval();
         self.follower.last_asked = now;
-        let ask = self.follower.guard.ask(now);
+        let ask = self.follower.guard.start_lease_request(now);
         let revision = match self.follower.needs_full_config {
             true => 0,
             false => self.follower.config.revision,
@@ -107,7 +107,7 @@
                 let members = members.into_iter().collect();
                 self.follower
                     .guard
-                    .promised(ask, from, revision, members, lease);
+                    .record_promise(ask, from, revision, members, lease);
             }
             FollowMessage::Elsewhere { leader } => self.handle_elsewhere(from, leader),
             FollowMessage::Claims { batch, steps } => self.handle_claims(from, batch, steps, now),
@@ -169,7 +169,7 @@
         self.follower.last_confirmed = now;
         let has_update = update.is_some();
         if let Some(update) = update {
-            if let Err(error) = self.follower.config.follow(update) {
+            if let Err(error) = self.follower.config.apply_update(update) {
                 tracing::warn!(%error, "cannot apply a configuration update; requesting the full configuration");
                 self.follower.needs_full_config = true;
                 return;
@@ -177,8 +177,10 @@
             self.follower.needs_full_config = false;
             self.adopt_config(now);
         }
-        self.follower.guard.adopted(self.follower.config.revision);
-        self.follower.guard.confirmed(ask, revision, lease);
+        self.follower
+            .guard
+            .record_adoption(self.follower.config.revision);
+        self.follower.guard.record_grant(ask, revision, lease);
         if has_update {
             // The leader counts a change as in force at this node only after this node has reported
             // it.
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -116,7 +116,7 @@
         else {
             return;
         };
-        context.table.forget_over(now);
+        context.table.prune_expired(now);
         if now.since(context.last_tick) >= CLOCK_TICK_INTERVAL {
             context.last_tick = now;
             self.propose(StateAction::Tick, ProposalKind::Tick, now);
--- a/crates/ragwortroad_node/src/control/line_flow.rs
+++ b/crates/ragwortroad_node/src/control/line_flow.rs
@@ -225,7 +225,7 @@
         let Some(replica) = &self.replica else {
             return 0;
         };
-        let first = replica.state.changes().base_of(change_id);
+        let first = replica.state.changes().base_revision_of(change_id);
         first.unwrap_or(replica.state.config().revision)
     }
 
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -265,14 +265,14 @@
             replica.applied.clear();
         }
         match (kind, applied) {
-            (ProposalKind::Claims(batches), Some(Applied::Claimed(outcomes))) => {
+            (ProposalKind::Claims(batches), Some(ApplyOutcome::Claimed(outcomes))) => {
                 self.answer_claims(batches, outcomes, now);
             }
-            (ProposalKind::Change(origin), Some(Applied::Changed(outcome))) => {
+            (ProposalKind::Change(origin), Some(ApplyOutcome::Changed(outcome))) => {
                 self.handle_change_outcome(origin, outcome, now);
             }
             (ProposalKind::Change(origin), _) => self.handle_lost_change(origin, result),
-            (ProposalKind::TakeOrders, Some(Applied::OrdersTaken { fence, .. })) => {
+            (ProposalKind::TakeOrders, Some(ApplyOutcome::OrdersTaken { fence, .. })) => {
                 self.start_orders(fence, now);
             }
             // Nodes resend their claim steps until they are answered.
--- a/crates/ragwortroad_node/src/member/state_replica.rs
+++ b/crates/ragwortroad_node/src/member/state_replica.rs
@@ -41,13 +41,13 @@
     /// The thread that owns the data folder.
     pub(crate) disk: DiskWorker,
     /// Results of applied commands by log index, kept until their proposals are answered.
-    pub(crate) applied: BTreeMap<u64, Applied>,
+    pub(crate) applied: BTreeMap<u64, ApplyOutcome>,
     /// Proposals in flight, by token.
     pub(crate) proposals: BTreeMap<u64, ProposalKind>,
     /// Nodes of members, as learned from their frames.
     pub(crate) nodes: BTreeMap<MemberId, NodeId>,
     /// Promises to nodes that reach no leader.
-    pub(crate) promises: PromiseBook,
+    pub(crate) promises: PromiseTracker,
     /// Present while this member leads.
     pub(crate) leader_context: Option<LeaderContext>,
     /// Set when a command or snapshot could not be applied; only a restart with a corrected program
@@ -107,7 +107,7 @@
             applied: BTreeMap::new(),
             proposals: BTreeMap::new(),
             nodes: BTreeMap::new(),
-            promises: PromiseBook::new(timing, start.now),
+            promises: PromiseTracker::new(timing, start.now),
             leader_context: None,
             halted: false,
             next_token: 0,
@@ -260,7 +260,7 @@
     FollowTiming {
         bound: settings.follow_bound,
         drift_ppm: drift_ppm(settings),
-        lead_lease: core_settings(settings).lease_span(),
+        leader_lease: core_settings(settings).lease_span(),
     }
 }
 
@@ -269,7 +269,7 @@
     OrderTiming {
         lease: core_settings(settings).lease_span(),
         drift_ppm: drift_ppm(settings),
-        order_flight: MAX_ORDER_FLIGHT,
+        max_delivery_delay: MAX_ORDER_FLIGHT,
     }
 }
 
--- a/crates/ragwortroad_state/examples/state_cost.rs
+++ b/crates/ragwortroad_state/examples/state_cost.rs
@@ -1,5 +1,5 @@
-//! What the replicated state costs: claims applied a second and bytes for each, and the bytes that
-//! a follower needs to catch up.
+//! Measures the cost of the replicated state: claims applied per second, bytes per claim, and the
+//! bytes that a follower needs to catch up.
 //!
 //! `cargo run --release -p ragwortroad_state --example state_cost`
 
@@ -27,20 +27,23 @@
     Ok(())
 }
 
-/// The spans that follow from the default settings.
+/// Prints the durations that follow from the default settings.
 fn print_spans() {
     let (orders, follow) = (OrderTiming::default(), FollowTiming::default());
-    println!("{orders:?}: a new holder waits {:?}", orders.wait());
+    println!(
+        "{orders:?}: a new holder waits {:?}",
+        orders.new_holder_wait()
+    );
     println!(
         "{follow:?}: a node admits for {:?} since it asked, a new leader settles for {:?}, a node \
          asks every {:?}\n",
         follow.node_lease(Duration::ZERO),
-        follow.settle_time(Duration::ZERO),
-        follow.ask_every()
+        follow.new_leader_wait(Duration::ZERO),
+        follow.renew_interval()
     );
 }
 
-/// Kilobytes of memory this process has resident; 0 where the system does not tell.
+/// Returns the resident memory of this process in kilobytes; 0 if the system does not report it.
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -72,7 +75,7 @@
     format!("customer-{number:04}")
 }
 
-/// Declares customers as an operator would: with a key and limits, some in one change.
+/// Declares customers, each with a key, 50 in one change.
 fn declare_customers(state: &mut FleetState, count: u64) -> Result<(), ApplyError> {
     for first in (0..count).step_by(50) {
         let mut edits = Vec::new();
@@ -118,8 +121,8 @@
     [claim, finish]
 }
 
-/// A state in which a customer may have any number of claims.
-fn roomy_state() -> Result<FleetState, ApplyError> {
+/// Returns a state in which a customer may have any number of claims.
+fn state_with_high_limits() -> Result<FleetState, ApplyError> {
     let mut state = FleetState::default();
     declare_customers(&mut state, 10)?;
     let rules = ClaimsEdit {
@@ -133,9 +136,10 @@
     Ok(state)
 }
 
-/// Runs first: later measurements reuse memory that earlier ones gave back.
+/// Measures memory per claim. Must run first: later measurements reuse memory that earlier ones
+/// freed.
 fn measure_memory() -> Result<(), ApplyError> {
-    let mut state = roomy_state()?;
+    let mut state = state_with_high_limits()?;
     let before_kb = resident_kb();
     for number in 0..CLAIMS {
         let steps = claim_steps(number).to_vec();
@@ -150,7 +154,7 @@
 }
 
 fn measure_claims(batch: u64) -> Result<(), ApplyError> {
-    let mut state = roomy_state()?;
+    let mut state = state_with_high_limits()?;
     let mut batches = Vec::new();
     for first in (0..CLAIMS).step_by(batch as usize) {
         let numbers = first..CLAIMS.min(first + batch);
@@ -195,7 +199,7 @@
         past.push(state.config().clone());
     }
     let accept = started.elapsed() / 1000;
-    let whole = bytes_of(&state.config_since(u64::MAX));
+    let whole = encoded_len(&state.config_since(u64::MAX));
     println!(
         "\n{what}: {customers} customers; whole configuration {whole} bytes; a change takes {accept:?}"
     );
@@ -207,10 +211,10 @@
             ConfigUpdate::Delta { .. } => "delta",
             ConfigUpdate::Snapshot(_) => "snapshot",
         };
-        let bytes = bytes_of(&update);
+        let bytes = encoded_len(&update);
         let mut follower = past[(newest - missed - first) as usize].clone();
         let started = Instant::now();
-        let followed = follower.follow(update);
+        let followed = follower.apply_update(update);
         let took: Duration = started.elapsed();
         assert!(followed.is_ok() && follower == *state.config());
         println!("{missed:>6}  {kind:<8}  {bytes:>6}  {took:?}");
@@ -218,6 +222,6 @@
     Ok(())
 }
 
-fn bytes_of(update: &ConfigUpdate) -> usize {
+fn encoded_len(update: &ConfigUpdate) -> usize {
     postcard::to_stdvec(update).map_or(0, |bytes| bytes.len())
 }
--- a/crates/ragwortroad_state/src/claim/claim_table.rs
+++ b/crates/ragwortroad_state/src/claim/claim_table.rs
@@ -28,23 +28,23 @@
     }, //
 };
 
-/// Customers looked through for expired keys with each batch.
-const SWEPT_CUSTOMERS: usize = 4;
-/// Keys of one customer that expire with one batch at most.
-const SWEPT_KEYS: u32 = 64;
+/// Customers checked for expired keys with each batch.
+const SWEEP_CUSTOMERS: usize = 4;
+/// Maximum number of one customer's keys that expire with one batch.
+const MAX_EXPIRED_KEYS: u32 = 64;
 
-/// Which idempotency keys were claimed, by whom, and what came of them.
+/// The claimed idempotency keys of all customers, with their attempts and results.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimTable {
     customers: BTreeMap<String, CustomerClaims>,
-    /// Nodes declared gone, with the time up to which their claims are unknown.
+    /// Nodes declared lost, with the time up to which their claims are unknown.
     lost: BTreeMap<NodeId, StateTime>,
-    /// Dated keys issued before this are refused unless they are still remembered.
+    /// Dated keys issued before this time are refused unless a record of them remains.
     ///
-    /// Invariant: never falls. An entry of a dated key is dropped only below it; if it could fall,
-    /// after a wall clock was set back or the window made longer, a dropped key would pass for new
-    /// and run again.
+    /// Invariant: never decreases. The record of a dated key is dropped only when the key is older
+    /// than the floor. If the floor could decrease, after a wall clock was set back or the window
+    /// was made longer, a dropped key would be taken for a new one and run again.
     floor_ms: u64,
     wall_ms: u64,
     /// The customer after which the next sweep begins.
@@ -52,7 +52,7 @@
 }
 
 impl ClaimTable {
-    /// Carries out the steps of one batch, in order.
+    /// Applies the steps of one batch, in order.
     pub(crate) fn apply(
         &mut self,
         config: &FleetConfig,
@@ -79,18 +79,18 @@
         outcomes.collect()
     }
 
-    /// What is remembered for `customer`.
+    /// Counts the keys remembered for `customer`.
     pub fn count(&self, customer: &str) -> ClaimCount {
         let claims = self.customers.get(customer);
         claims.map_or_else(ClaimCount::default, CustomerClaims::count)
     }
 
-    /// Customers that have keys remembered.
+    /// The customers that have remembered keys.
     pub fn customers(&self) -> impl Iterator<Item = &str> {
         self.customers.keys().map(String::as_str)
     }
 
-    /// Moves the clocks on and lets keys expire: those of a few customers each time, in turn.
+    /// Advances the clocks and expires keys, for a few customers at a time in rotation.
     fn advance(&mut self, config: &FleetConfig, now: StateTime, wall_ms: u64) {
         self.wall_ms = self.wall_ms.max(wall_ms);
         let window = Duration::from_secs(config.claims.window_s.into());
@@ -101,9 +101,9 @@
         let names = later
             .map(|(name, _)| name)
             .filter(|name| **name != self.swept);
-        let mut names: Vec<String> = names.take(SWEPT_CUSTOMERS).cloned().collect();
-        if names.len() < SWEPT_CUSTOMERS {
-            let rest = SWEPT_CUSTOMERS - names.len();
+        let mut names: Vec<String> = names.take(SWEEP_CUSTOMERS).cloned().collect();
+        if names.len() < SWEEP_CUSTOMERS {
+            let rest = SWEEP_CUSTOMERS - names.len();
             names.extend(self.customers.keys().take(rest).cloned());
         }
         for name in &names {
@@ -114,7 +114,7 @@
 
     fn expire(&mut self, config: &FleetConfig, customer: &str, now: StateTime) {
         if let Some(claims) = self.customers.get_mut(customer) {
-            claims.expire(now, self.floor_ms, &config.claims, SWEPT_KEYS);
+            claims.expire(now, self.floor_ms, &config.claims, MAX_EXPIRED_KEYS);
         }
     }
 
@@ -127,16 +127,16 @@
         now: StateTime,
     ) -> ClaimOutcome {
         self.expire(config, &key.customer, now);
-        let known = self.remembered(config, &key, body, attempt, now);
-        let outcome = known.unwrap_or_else(|| self.new_key(config, &key));
+        let known = self.recorded_outcome(config, &key, body, attempt, now);
+        let outcome = known.unwrap_or_else(|| self.check_new_key(config, &key));
         if outcome == ClaimOutcome::Granted {
-            self.hold(key, body, attempt, now);
+            self.record_claim(key, body, attempt, now);
         }
         outcome
     }
 
-    /// The answer for a key that is remembered in full.
-    fn remembered(
+    /// Returns the outcome for a key that has a full record.
+    fn recorded_outcome(
         &self,
         config: &FleetConfig,
         key: &ClaimKey,
@@ -155,10 +155,10 @@
         } else if entry.released.contains(&attempt) {
             ClaimOutcome::Withdrawn
         } else if entry.attempt == attempt && entry.phase == ClaimPhase::Running && !stale {
-            // The same step again: its first answer was lost on the way.
+            // The same step was sent again because its first answer was lost.
             ClaimOutcome::Granted
         } else {
-            entry.answer(stale)
+            entry.claim_outcome(stale)
         })
     }
 
@@ -169,20 +169,20 @@
             || entry.claimed_at.after(bound) < now
     }
 
-    /// Whether a key that is not remembered in full may run.
-    fn new_key(&mut self, config: &FleetConfig, key: &ClaimKey) -> ClaimOutcome {
+    /// Decides whether a key without a full record may run.
+    fn check_new_key(&mut self, config: &FleetConfig, key: &ClaimKey) -> ClaimOutcome {
         let rules = &config.claims;
         let Some(customer) = config.customers.get(&key.customer) else {
             return ClaimOutcome::UnknownCustomer;
         };
         let claims = self.customers.entry(key.customer.clone()).or_default();
-        claims.forget_to(customer.forgotten);
+        claims.clear_spent(customer.forgotten);
         let latest = self.wall_ms.saturating_add(u64::from(rules.skew_s) * 1000);
         match key.issued_ms {
             Some(issued) if issued < self.floor_ms => return ClaimOutcome::Expired,
             Some(issued) if issued > latest => return ClaimOutcome::Ahead,
             None if claims.is_spent(key.fingerprint()) => return ClaimOutcome::Expired,
-            None if !claims.has_room_undated(rules) => return ClaimOutcome::Full,
+            None if !claims.has_room_for_undated(rules) => return ClaimOutcome::Full,
             _ => {}
         }
         if claims.entries.len() >= rules.per_customer as usize {
@@ -191,8 +191,14 @@
         ClaimOutcome::Granted
     }
 
-    /// Notes that `attempt` holds the key. A step that came twice leaves the first time standing.
-    fn hold(&mut self, key: ClaimKey, body: [u8; 16], attempt: ClaimAttempt, now: StateTime) {
+    /// Records that `attempt` holds the key. A repeated step keeps the time of the first one.
+    fn record_claim(
+        &mut self,
+        key: ClaimKey,
+        body: [u8; 16],
+        attempt: ClaimAttempt,
+        now: StateTime,
+    ) {
         let claims = self.customers.entry(key.customer).or_default();
         let old = claims.entries.get(&key.digest);
         if old.is_some_and(|entry| entry.attempt == attempt) {
@@ -207,7 +213,7 @@
             phase: ClaimPhase::Running,
             released,
         };
-        claims.put(key.digest, entry);
+        claims.insert_entry(key.digest, entry);
     }
 
     fn finish(
@@ -226,7 +232,7 @@
             return ClaimOutcome::NotHeld;
         };
         if !matches!(entry.phase, ClaimPhase::Running | ClaimPhase::Unknown) {
-            // A finish that came twice; a released attempt has nothing to finish.
+            // A repeated finish is ignored; a released attempt cannot finish.
             let released = entry.phase == ClaimPhase::Released;
             return if released {
                 ClaimOutcome::NotHeld
@@ -249,7 +255,7 @@
             entry.phase = phase;
         }
         if let Some(bytes) = answer_bytes {
-            claims.note_answer(key.digest, bytes, rules);
+            claims.record_answer(key.digest, bytes, rules);
         }
         ClaimOutcome::Noted
     }
@@ -267,9 +273,9 @@
         if let Some(entry) = entry {
             return release_entry(entry, attempt);
         }
-        // The release came before its claim. It is remembered, so that the claim is refused when
-        // it arrives; otherwise it would hold the key for an attempt that is over.
-        if self.new_key(config, &key) != ClaimOutcome::Granted {
+        // The release overtook its claim. It is recorded so that the claim is refused when it
+        // arrives; otherwise the claim would hold the key for an attempt that is over.
+        if self.check_new_key(config, &key) != ClaimOutcome::Granted {
             return ClaimOutcome::Noted;
         }
         let claims = self.customers.entry(key.customer).or_default();
@@ -281,7 +287,7 @@
             phase: ClaimPhase::Released,
             released: vec![attempt],
         };
-        claims.put(key.digest, entry);
+        claims.insert_entry(key.digest, entry);
         ClaimOutcome::Noted
     }
 }
@@ -290,10 +296,10 @@
     if entry.attempt == attempt {
         match entry.phase {
             ClaimPhase::Running | ClaimPhase::Released => entry.phase = ClaimPhase::Released,
-            // Bytes were sent: a release now is a fault of the node and must not free the key.
+            // Bytes were sent, so this release is an error of the node and must not free the key.
             _ => return ClaimOutcome::NotHeld,
         }
     }
-    entry.note_release(attempt);
+    entry.record_release(attempt);
     ClaimOutcome::Noted
 }
--- a/crates/ragwortroad_state/src/claim/customer_claims.rs
+++ b/crates/ragwortroad_state/src/claim/customer_claims.rs
@@ -22,50 +22,51 @@
     }, //
 };
 
-/// One customer's keys.
+/// The idempotency keys of one customer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct CustomerClaims {
     pub(crate) entries: BTreeMap<[u8; 16], ClaimEntry>,
     /// Keys in the order in which they were claimed.
     ///
-    /// Invariant: has every entry under its `claimed_at`; may also have times of earlier claims.
+    /// Invariant: has every entry under its `claimed_at`; may also have the times of earlier
+    /// claims.
     queue: VecDeque<(StateTime, [u8; 16])>,
-    /// Undated keys past the window.
+    /// Fingerprints of undated keys past the window.
     spent: BTreeSet<u64>,
-    /// Undated keys in `entries`.
+    /// The number of undated keys in `entries`.
     undated: u32,
-    /// Keys with a recorded answer, the oldest answer first.
+    /// Keys with a recorded response, oldest response first.
     answers: VecDeque<[u8; 16]>,
-    /// Bytes of the recorded answers.
+    /// Total bytes of the recorded responses.
     answer_bytes: usize,
-    /// The revision up to which the operator declared keys forgotten when `spent` was cleared.
+    /// The revision of the operator's declaration for which `spent` was last cleared.
     forgotten: u64,
 }
 
 impl CustomerClaims {
-    /// Whether an undated key was used before the window.
+    /// Whether an undated key with this fingerprint was used and is past the window.
     pub(crate) fn is_spent(&self, key: u64) -> bool {
         self.spent.contains(&key)
     }
 
     /// Whether one more undated key can be remembered for good.
     ///
-    /// Keys within the window are counted too, since each needs a place later.
-    pub(crate) fn has_room_undated(&self, rules: &ClaimRules) -> bool {
+    /// Keys within the window count too, since each needs a fingerprint later.
+    pub(crate) fn has_room_for_undated(&self, rules: &ClaimRules) -> bool {
         self.spent.len() + (self.undated as usize) < rules.spent_per_customer as usize
     }
 
-    /// Drops what the operator declared will not come again.
-    pub(crate) fn forget_to(&mut self, forgotten: u64) {
+    /// Clears the fingerprints if the operator has declared since that they will not be used again.
+    pub(crate) fn clear_spent(&mut self, forgotten: u64) {
         if self.forgotten < forgotten {
             self.forgotten = forgotten;
             self.spent.clear();
         }
     }
 
-    /// Remembers a key, or replaces what was remembered of it.
-    pub(crate) fn put(&mut self, digest: [u8; 16], entry: ClaimEntry) {
+    /// Inserts or replaces the record of a key.
+    pub(crate) fn insert_entry(&mut self, digest: [u8; 16], entry: ClaimEntry) {
         self.queue.push_back((entry.claimed_at, digest));
         let undated = entry.issued_ms.is_none();
         if self.entries.insert(digest, entry).is_none() && undated {
@@ -73,20 +74,20 @@
         }
     }
 
-    /// Notes that a recorded answer was added, and cuts the oldest ones down to their status where
-    /// all together are over the budget.
-    pub(crate) fn note_answer(&mut self, digest: [u8; 16], bytes: usize, rules: &ClaimRules) {
+    /// Records that a response was added, and reduces the oldest responses to their status while
+    /// the total exceeds the budget.
+    pub(crate) fn record_answer(&mut self, digest: [u8; 16], bytes: usize, rules: &ClaimRules) {
         self.answers.push_back(digest);
         self.answer_bytes += bytes;
         while self.answer_bytes > rules.answer_budget as usize {
             let Some(oldest) = self.answers.pop_front() else {
                 break;
             };
-            self.cut_answer(&oldest);
+            self.discard_answer(&oldest);
         }
     }
 
-    fn cut_answer(&mut self, digest: &[u8; 16]) {
+    fn discard_answer(&mut self, digest: &[u8; 16]) {
         let entry = self.entries.get_mut(digest);
         if let Some(entry) = entry
             && let ClaimPhase::Answered(answer) = &entry.phase
@@ -97,11 +98,17 @@
         }
     }
 
-    /// Takes up to `most` keys out that are past the window at `now`, and whose date, where they
-    /// have one, is before `floor_ms`.
-    pub(crate) fn expire(&mut self, now: StateTime, floor_ms: u64, rules: &ClaimRules, most: u32) {
+    /// Removes up to `max_keys` keys that are past the window at `now` and whose date, if any, is
+    /// before `floor_ms`.
+    pub(crate) fn expire(
+        &mut self,
+        now: StateTime,
+        floor_ms: u64,
+        rules: &ClaimRules,
+        max_keys: u32,
+    ) {
         let window = std::time::Duration::from_secs(rules.window_s.into());
-        for _ in 0..most {
+        for _ in 0..max_keys {
             let Some((claimed_at, digest)) = self.queue.front().copied() else {
                 break;
             };
@@ -119,8 +126,8 @@
         }
     }
 
-    /// Drops queued keys whose answer is gone.
-    fn trim_answers(&mut self) {
+    /// Removes keys from the front of `answers` whose response is gone.
+    fn prune_answers(&mut self) {
         while let Some(digest) = self.answers.front() {
             let entry = self.entries.get(digest);
             if entry.is_some_and(|entry| matches!(entry.phase, ClaimPhase::Answered(_))) {
@@ -131,8 +138,8 @@
     }
 
     fn drop_entry(&mut self, digest: &[u8; 16]) {
-        self.cut_answer(digest);
-        self.trim_answers();
+        self.discard_answer(digest);
+        self.prune_answers();
         let Some(entry) = self.entries.remove(digest) else {
             return;
         };
@@ -144,7 +151,7 @@
         }
     }
 
-    /// What is remembered.
+    /// Counts the remembered keys.
     pub(crate) fn count(&self) -> ClaimCount {
         let phases = self.entries.values().map(|entry| &entry.phase);
         ClaimCount {
--- a/crates/ragwortroad_state/src/lib.rs
+++ b/crates/ragwortroad_state/src/lib.rs
@@ -1,9 +1,10 @@
-//! The replicated state: customers, models, leases, claims, and operators' changes.
+//! The replicated state of the fleet: customers, models, leases, idempotency claims and operators'
+//! changes.
 //!
-//! [`FleetState`] is applied from the replicated log, command by command, on each member. Around it
-//! stand tables without input or output that use it: on the leader [`AdmissionTable`],
-//! [`OrderGate`], [`OrderTable`] and [`LoadQueue`], on each node [`CurrencyGuard`], on each member
-//! [`PromiseBook`].
+//! Every member of the consensus group applies the committed log entries to a [`FleetState`]. The
+//! other types perform no I/O and work with that state: [`AdmissionTable`], [`OrderGate`],
+//! [`OrderTable`] and [`LoadQueue`] on the leader, [`StalenessGuard`] on each node and
+//! [`PromiseTracker`] on each member.
 //!
 //! ```
 //! use ragwortroad_state::prelude::*;
@@ -22,10 +23,10 @@
 //!     action: StateAction::Change(change),
 //! };
 //! let bytes = command.to_bytes();
-//! let applied = state.apply(1, &bytes).unwrap();
-//! assert_eq!(applied, Applied::Changed(ChangeOutcome::Accepted { revision: 1 }));
-//! // A resend gets the first outcome.
-//! assert_eq!(state.apply(2, &bytes).unwrap(), applied);
+//! let outcome = state.apply(1, &bytes).unwrap();
+//! assert_eq!(outcome, ApplyOutcome::Changed(ChangeOutcome::Accepted { revision: 1 }));
+//! // A command that is sent again gets the outcome of the first time.
+//! assert_eq!(state.apply(2, &bytes).unwrap(), outcome);
 //! assert_eq!(state.config().revision, 1);
 //! ```
 
@@ -33,9 +34,9 @@
 mod claim;
 mod config;
 mod fleet_state;
-mod force;
 mod grace_record;
 mod order;
+mod propagation;
 mod snapshot_wire;
 mod stamp_clock;
 mod state_command;
@@ -49,13 +50,13 @@
             change_command::ChangeCommand,
             change_log::{
                 ChangeLog,
-                KEPT_CHANGES,
-                KEPT_OUTCOMES, //
+                MAX_KEPT_CHANGES,
+                MAX_KEPT_OUTCOMES, //
             },
             change_outcome::ChangeOutcome,
             config_update::{
                 ConfigUpdate,
-                FollowError, //
+                UpdateError, //
             }, //
         },
         claim::{
@@ -100,30 +101,17 @@
             service_entry::ServiceEntry, //
         },
         fleet_state::{
-            Applied,
             ApplyError,
+            ApplyOutcome,
             FleetState, //
         },
-        force::{
-            admission_table::{
-                AdmissionTable,
-                NodeRun, //
-            },
-            currency_guard::{
-                CurrencyGuard,
-                NotCurrent, //
-            },
-            follow_timing::FollowTiming,
-            in_force_wait::InForceWait,
-            promise_book::PromiseBook, //
-        },
         order::{
+            engine_observation::EngineObservation,
             engine_order::{
                 EngineOrder,
                 OrderAction,
                 OrderId, //
             },
-            engine_sight::EngineSight,
             engine_target::{
                 EngineRole,
                 EngineTarget, //
@@ -146,6 +134,19 @@
             order_table::OrderTable,
             order_timing::OrderTiming, //
         },
+        propagation::{
+            admission_table::{
+                AdmissionTable,
+                NodeRun, //
+            },
+            follow_timing::FollowTiming,
+            in_force_wait::InForceWait,
+            promise_tracker::PromiseTracker, //
+            staleness_guard::{
+                NotCurrent, //
+                StalenessGuard,
+            },
+        },
         snapshot_wire::{
             SNAPSHOT_VERSION,
             SnapshotError, //
