--- a/crates/ragwortroad_gateway/examples/added_latency.rs
+++ b/crates/ragwortroad_gateway/examples/added_latency.rs
@@ -89,7 +89,7 @@
                 priority: 1,
                 version: None,
                 customer: "studio-north".to_owned(),
-                record_answer: false,
+                record_response: false,
             };
             if reply.send(AdmitReply::Granted(grant)).is_err() {
                 eprintln!("a caller left before its grant");
--- a/crates/ragwortroad_gateway/src/admit_wait.rs
+++ b/crates/ragwortroad_gateway/src/admit_wait.rs
@@ -58,7 +58,7 @@
                 let finish = FinishCall {
                     ticket: grant.ticket,
                     outcome: AttemptOutcome::NotSent,
-                    took: std::time::Duration::ZERO,
+                    duration: std::time::Duration::ZERO,
                 };
                 if self.state.calls.send(ControlCall::Finish(finish)).is_err() {
                     tracing::error!("the control thread is gone");
--- a/crates/ragwortroad_gateway/src/attempt_guard.rs
+++ b/crates/ragwortroad_gateway/src/attempt_guard.rs
@@ -78,18 +78,18 @@
             return;
         }
         self.finished = true;
-        let took = self.started.elapsed();
+        let duration = self.started.elapsed();
         let abandoned = matches!(
             outcome,
             AttemptOutcome::Cancelled | AttemptOutcome::TimedOut | AttemptOutcome::Broken
         );
         metrics::counter!("ragwortroad_attempts_total", "outcome" => outcome_name(&outcome))
             .increment(1);
-        metrics::histogram!("ragwortroad_attempt_seconds").record(took.as_secs_f64());
+        metrics::histogram!("ragwortroad_attempt_seconds").record(duration.as_secs_f64());
         let finish = FinishCall {
             ticket: self.ticket,
             outcome,
-            took,
+            duration,
         };
         if self.state.calls.send(ControlCall::Finish(finish)).is_err() {
             tracing::error!(request = %self.request, "the control thread is gone");
--- a/crates/ragwortroad_gateway/src/body_reader.rs
+++ b/crates/ragwortroad_gateway/src/body_reader.rs
@@ -34,7 +34,7 @@
 ) -> Result<Bytes, RefusalWire> {
     let settings = &state.settings;
     let time = settings.body_timeout.min(context.time_left());
-    let read = take_frames(context, &mut body, settings.max_body, room);
+    let read = take_frames(context, &mut body, settings.max_body_bytes, room);
     match timeout(time, read).await {
         Ok(Err(refusal)) => {
             discard_body(body).await;
--- a/crates/ragwortroad_gateway/src/call/admit_call.rs
+++ b/crates/ragwortroad_gateway/src/call/admit_call.rs
@@ -32,7 +32,7 @@
     /// Body length in bytes.
     pub body_length: u64,
     /// Upper bound of tokens to generate, where the request names one.
-    pub token_limit: Option<u32>,
+    pub max_output_tokens: Option<u32>,
     /// Time left until the caller's deadline.
     pub time_left: Duration,
     /// The attempt before this one, where it is a retry.
--- a/crates/ragwortroad_gateway/src/call/admit_reply.rs
+++ b/crates/ragwortroad_gateway/src/call/admit_reply.rs
@@ -10,7 +10,7 @@
     /// Send it to the endpoint in the grant.
     Granted(AdmitGrant),
     /// The same idempotency key ran before; this was its answer.
-    Recorded(RecordedAnswer),
+    Recorded(RecordedResponse),
     /// Give the caller this refusal, at once.
     Refused(RefusalWire),
 }
@@ -35,12 +35,12 @@
     /// The customer's name, for the log and the endpoint.
     pub customer: String,
     /// Whether the attempt's answer must be handed back with the finish, to be recorded.
-    pub record_answer: bool,
+    pub record_response: bool,
 }
 
 /// A whole answer small enough to be kept under its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RecordedAnswer {
+pub struct RecordedResponse {
     /// HTTP status.
     pub status: u16,
     /// The Content-Type header.
--- a/crates/ragwortroad_gateway/src/call/attempt_outcome.rs
+++ b/crates/ragwortroad_gateway/src/call/attempt_outcome.rs
@@ -1,4 +1,4 @@
-use crate::RecordedAnswer;
+use crate::RecordedResponse;
 
 /// How an admitted attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -10,7 +10,7 @@
         /// HTTP status of the endpoint's answer.
         status: u16,
         /// The answer, where the grant asked for it and it is small enough.
-        answer: Option<RecordedAnswer>,
+        response: Option<RecordedResponse>,
         /// Prompt tokens the engine found in its cache, where it said so.
         cached_tokens: Option<u32>,
     },
--- a/crates/ragwortroad_gateway/src/call/control_call.rs
+++ b/crates/ragwortroad_gateway/src/call/control_call.rs
@@ -8,8 +8,8 @@
     AdmitReply,
     AnnounceCall,
     FinishCall,
-    OperatorAnswer,
     OperatorCall, //
+    OperatorResponse,
 };
 
 /// One question or notice from a traffic thread to the control thread.
@@ -28,5 +28,5 @@
     /// An endpoint announces itself.
     Announce(AnnounceCall, Sender<Result<AnnounceAnswer, RefusalWire>>),
     /// An operator asks or changes something.
-    Operator(OperatorCall, Sender<OperatorAnswer>),
+    Operator(OperatorCall, Sender<OperatorResponse>),
 }
--- a/crates/ragwortroad_gateway/src/call/finish_call.rs
+++ b/crates/ragwortroad_gateway/src/call/finish_call.rs
@@ -16,5 +16,5 @@
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// From dispatch to the end.
-    pub took: Duration,
+    pub duration: Duration,
 }
--- a/crates/ragwortroad_gateway/src/call/operator_call.rs
+++ b/crates/ragwortroad_gateway/src/call/operator_call.rs
@@ -13,7 +13,7 @@
 
 /// The answer to an [`OperatorCall`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OperatorAnswer {
+pub struct OperatorResponse {
     /// HTTP status.
     pub status: u16,
     /// A JSON object.
--- a/crates/ragwortroad_gateway/src/connection_count.rs
+++ b/crates/ragwortroad_gateway/src/connection_count.rs
@@ -21,7 +21,7 @@
     /// Counts a connection in; false, and nothing counted, where there is no room for it.
     pub(crate) fn enter(&mut self, address: IpAddr, settings: &GatewaySettings) -> bool {
         let own = self.by_address.get(&address).copied().unwrap_or(0);
-        if self.total >= settings.max_connections || own >= settings.max_per_address {
+        if self.total >= settings.max_connections || own >= settings.max_connections_per_address {
             return false;
         }
         self.by_address.insert(address, own + 1);
--- a/crates/ragwortroad_gateway/src/connection_loop.rs
+++ b/crates/ragwortroad_gateway/src/connection_loop.rs
@@ -111,7 +111,7 @@
     mut stop: watch::Receiver<bool>,
 ) {
     let settings = &state.settings;
-    let buffer = SockRef::from(&stream).set_send_buffer_size(settings.send_buffer);
+    let buffer = SockRef::from(&stream).set_send_buffer_size(settings.send_buffer_bytes);
     if let Err(error) = buffer.and_then(|()| stream.set_nodelay(true)) {
         tracing::debug!(%error, "a caller's socket is gone");
         return;
@@ -121,7 +121,7 @@
         header: settings.header_timeout,
         write: settings.write_timeout,
     };
-    let max_header = settings.max_header.max(LEAST_HEADER);
+    let max_header = settings.max_header_bytes.max(LEAST_HEADER);
     let phase = ExchangePhase::default();
     let socket = CallerSocket::new(stream, limits, phase.clone(), state.draw_request());
     let service = service_fn(|request| route_request(Arc::clone(&state), phase.clone(), request));
--- a/crates/ragwortroad_gateway/src/engine_opening.rs
+++ b/crates/ragwortroad_gateway/src/engine_opening.rs
@@ -49,7 +49,7 @@
         let make = |grant: &crate::AdmitGrant, attempt: u32| {
             engine_request(&context, grant, attempt, body.clone())
         };
-        let must_echo = flow.state.settings.engines_must_echo;
+        let must_echo = flow.state.settings.require_request_id_echo;
         let answer = flow.exchange(&mut attempt, make).await;
         let answer = answer.and_then(|answer| {
             check_owner(&answer, context.request, must_echo)?;
@@ -90,12 +90,12 @@
     answer: Response<Incoming>,
 ) -> Result<Option<Response<ReplyBody>>, FlowEnd> {
     let status = answer.status().as_u16();
-    let limit = flow.state.settings.max_answer;
+    let limit = flow.state.settings.max_response_bytes;
     match read_whole(&Method::POST, answer, limit).await {
         Ok(bytes) => {
             attempt.guard.finish(AttemptOutcome::Completed {
                 status,
-                answer: None,
+                response: None,
                 cached_tokens: None,
             });
             let text = String::from_utf8_lossy(&bytes).into_owned();
--- a/crates/ragwortroad_gateway/src/gateway_server.rs
+++ b/crates/ragwortroad_gateway/src/gateway_server.rs
@@ -135,7 +135,7 @@
 
     /// Cuts every connection at once and joins the threads, as the end of a killed process does.
     #[doc(hidden)]
-    pub fn abandon(self) {
+    pub fn abort(self) {
         drop(self.runtime);
     }
 }
--- a/crates/ragwortroad_gateway/src/gateway_state.rs
+++ b/crates/ragwortroad_gateway/src/gateway_state.rs
@@ -58,7 +58,7 @@
         cancels: UnboundedSender<CancelOrder>,
     ) -> Self {
         Self {
-            room: Arc::new(BodyRoom::new(settings.max_bodies)),
+            room: Arc::new(BodyRoom::new(settings.max_buffered_body_bytes)),
             settings,
             calls,
             pages,
--- a/crates/ragwortroad_gateway/src/lib.rs
+++ b/crates/ragwortroad_gateway/src/lib.rs
@@ -62,15 +62,15 @@
         admit_reply::{
             AdmitGrant,
             AdmitReply,
-            RecordedAnswer, //
+            RecordedResponse, //
         },
         announce_call::AnnounceCall,
         attempt_outcome::AttemptOutcome,
         control_call::ControlCall,
         finish_call::FinishCall,
         operator_call::{
-            OperatorAnswer,
             OperatorCall, //
+            OperatorResponse,
         },
         ticket_id::TicketId,
     };
--- a/crates/ragwortroad_gateway/src/model_relay.rs
+++ b/crates/ragwortroad_gateway/src/model_relay.rs
@@ -103,7 +103,7 @@
         idempotency_key: context.idempotency_key.clone(),
         body_hash: hash_request("POST", "/v1/chat/completions", body),
         body_length: body.len() as u64,
-        token_limit: chat.max_tokens,
+        max_output_tokens: chat.max_tokens,
         time_left: context.time_left(),
         retry_of: None,
         excluded: Vec::new(),
@@ -112,7 +112,7 @@
 
 /// Checks that a whole answer's own identity is the request's, where engines name it.
 fn check_id(flow: &RequestFlow, wire: &WholeWire) -> Result<(), String> {
-    let must_echo = flow.state.settings.engines_must_echo;
+    let must_echo = flow.state.settings.require_request_id_echo;
     let wanted = answer_id(flow.context.request, must_echo);
     match (wanted, &wire.id) {
         (Some(wanted), Some(id)) if wanted != *id => {
@@ -128,7 +128,7 @@
             EngineAnswer::Good(good) => *good,
             EngineAnswer::Refusal(reply) => return Ok(reply),
         };
-        let limit = flow.state.settings.max_answer;
+        let limit = flow.state.settings.max_response_bytes;
         let whole = read_whole(&Method::POST, answer, limit).await;
         let parsed = whole.and_then(|bytes| {
             let wire = serde_json::from_slice::<WholeWire>(&bytes)
@@ -148,7 +148,7 @@
         set_placement(&mut reply, &attempt.grant);
         attempt.guard.finish(AttemptOutcome::Completed {
             status: 200,
-            answer: None,
+            response: None,
             cached_tokens: wire.usage.and_then(|usage| usage.cached_tokens()),
         });
         flow.state.pool.put(attempt.link);
--- a/crates/ragwortroad_gateway/src/reply_maker.rs
+++ b/crates/ragwortroad_gateway/src/reply_maker.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     AdmitGrant,
-    RecordedAnswer,
+    RecordedResponse,
     header_names::{
         NEXT_NODE,
         PLACEMENT_HINT,
@@ -60,7 +60,7 @@
     reply
 }
 
-pub(crate) fn recorded_reply(answer: RecordedAnswer) -> Response<ReplyBody> {
+pub(crate) fn recorded_reply(answer: RecordedResponse) -> Response<ReplyBody> {
     let mut reply = Response::new(ReplyBody::whole(answer.body));
     *reply.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     set_header(&mut reply, CONTENT_TYPE.as_str(), &answer.content_type);
--- a/crates/ragwortroad_gateway/src/request_flow.rs
+++ b/crates/ragwortroad_gateway/src/request_flow.rs
@@ -15,7 +15,7 @@
     AdmitGrant,
     AdmitReply,
     AttemptOutcome,
-    RecordedAnswer,
+    RecordedResponse,
     admit_wait::AdmitWait,
     attempt_guard::AttemptGuard,
     endpoint_link::EndpointLink,
@@ -46,7 +46,7 @@
 /// Why a flow ends without an endpoint's answer.
 pub(crate) enum FlowEnd {
     /// The answer of the same idempotency key, recorded earlier.
-    Recorded(RecordedAnswer),
+    Recorded(RecordedResponse),
     /// A refusal.
     Refused(Box<RefusalWire>),
 }
--- a/crates/ragwortroad_gateway/src/service_relay.rs
+++ b/crates/ragwortroad_gateway/src/service_relay.rs
@@ -21,7 +21,7 @@
     AdmitCall,
     AdmitGrant,
     AttemptOutcome,
-    RecordedAnswer,
+    RecordedResponse,
     RequestTarget,
     answer_check::{
         check_owner,
@@ -158,7 +158,7 @@
         idempotency_key: context.idempotency_key.clone(),
         body_hash: hash_request(call.method.as_str(), &call.path, &call.body),
         body_length: call.body.len() as u64,
-        token_limit: None,
+        max_output_tokens: None,
         time_left: context.time_left(),
         retry_of: None,
         excluded: Vec::new(),
@@ -181,7 +181,7 @@
         let mut attempt = flow.open().await?;
         let context = flow.context.clone();
         let make = |grant: &AdmitGrant, _| call.request(&context, grant);
-        let limit = flow.state.settings.max_answer;
+        let limit = flow.state.settings.max_response_bytes;
         let answer = match flow.exchange(&mut attempt, make).await {
             Ok(answer) => check_owner(&answer, context.request, false).map(|()| answer),
             Err(why) => Err(why),
@@ -202,11 +202,11 @@
                 continue;
             }
         };
-        let small = bytes.len() <= flow.state.settings.max_recorded;
-        let kept = attempt.grant.record_answer && small;
+        let small = bytes.len() <= flow.state.settings.max_recorded_response_bytes;
+        let kept = attempt.grant.record_response && small;
         attempt.guard.finish(AttemptOutcome::Completed {
             status: status.as_u16(),
-            answer: kept.then(|| record(status.as_u16(), &headers, &bytes)),
+            response: kept.then(|| record(status.as_u16(), &headers, &bytes)),
             cached_tokens: None,
         });
         flow.state.pool.put(attempt.link);
@@ -217,12 +217,12 @@
     }
 }
 
-fn record(status: u16, headers: &HeaderMap, bytes: &Bytes) -> RecordedAnswer {
+fn record(status: u16, headers: &HeaderMap, bytes: &Bytes) -> RecordedResponse {
     let content_type = headers
         .get(CONTENT_TYPE)
         .and_then(|value| value.to_str().ok())
         .unwrap_or("application/octet-stream");
-    RecordedAnswer {
+    RecordedResponse {
         status,
         content_type: content_type.to_owned(),
         body: bytes.to_vec(),
--- a/crates/ragwortroad_gateway/src/stream_relay.rs
+++ b/crates/ragwortroad_gateway/src/stream_relay.rs
@@ -66,7 +66,7 @@
 ) -> Response<ReplyBody> {
     let (events, receiver) = mpsc::channel(EVENTS_AHEAD);
     let grant = good.attempt.grant.clone();
-    let must_echo = flow.state.settings.engines_must_echo;
+    let must_echo = flow.state.settings.require_request_id_echo;
     let wanted_id = answer_id(flow.context.request, must_echo);
     let relay = StreamRelay {
         flow,
@@ -108,7 +108,7 @@
                 Ok(ended) => {
                     guard.finish(AttemptOutcome::Completed {
                         status: 200,
-                        answer: None,
+                        response: None,
                         cached_tokens: self.cursor.cached_tokens,
                     });
                     if ended {
@@ -145,7 +145,7 @@
     /// Hands events to the caller up to the final marker; true if the body's end came with it.
     async fn pump(&mut self, body: &mut Incoming) -> Result<bool, String> {
         let mut splitter = SseSplitter::default();
-        let silence = self.flow.state.settings.stream_timeout;
+        let silence = self.flow.state.settings.stream_idle_timeout;
         loop {
             while let Some(event) = splitter.next_event() {
                 match self.cursor.step(&event) {
--- a/crates/ragwortroad_gateway/src/tests.rs
+++ b/crates/ragwortroad_gateway/src/tests.rs
@@ -64,7 +64,7 @@
         idempotency_key: None,
         body_hash: [0; 32],
         body_length: 0,
-        token_limit: None,
+        max_output_tokens: None,
         time_left: std::time::Duration::from_secs(1),
         retry_of: None,
         excluded: Vec::new(),
@@ -81,7 +81,7 @@
         priority: 1,
         version: None,
         customer: String::new(),
-        record_answer: false,
+        record_response: false,
     })
 }
 
--- a/crates/ragwortroad_gateway/tests/broken_answers.rs
+++ b/crates/ragwortroad_gateway/tests/broken_answers.rs
@@ -26,7 +26,7 @@
 
 fn fleet_with(faults: FaultPlan) -> TestFleet {
     let fleet = TestFleet::start(GatewaySettings {
-        stream_timeout: Duration::from_millis(1500),
+        stream_idle_timeout: Duration::from_millis(1500),
         ..GatewaySettings::default()
     });
     fleet.engines[0].set_faults(faults.clone());
@@ -248,7 +248,7 @@
     });
     let finish = fleet.control.log.lock().unwrap().finishes[0].clone();
     let AttemptOutcome::Completed {
-        answer: Some(answer),
+        response: Some(answer),
         ..
     } = finish.outcome
     else {
--- a/crates/ragwortroad_gateway/tests/caller_faults.rs
+++ b/crates/ragwortroad_gateway/tests/caller_faults.rs
@@ -47,8 +47,8 @@
     // Bad input of every kind arrives in turn. Each is refused as not run, with a code and a
     // remedy, and the node goes on serving the others.
     let fleet = TestFleet::start(GatewaySettings {
-        max_body: 2000,
-        max_header: 8192,
+        max_body_bytes: 2000,
+        max_header_bytes: 8192,
         ..GatewaySettings::default()
     });
     let chat = "/v1/chat/completions";
@@ -145,11 +145,11 @@
 fn callers_beyond_the_limit_of_connections_are_told_so() {
     // One caller opens more connections than the node has room for, in all or from one VM.
     let limits = GatewaySettings::default();
-    let (all, own) = (limits.max_connections, limits.max_per_address);
-    for (max_connections, max_per_address) in [(4, own), (all, 4)] {
+    let (all, own) = (limits.max_connections, limits.max_connections_per_address);
+    for (max_connections, max_connections_per_address) in [(4, own), (all, 4)] {
         turns_away(GatewaySettings {
             max_connections,
-            max_per_address,
+            max_connections_per_address,
             ..GatewaySettings::default()
         });
     }
@@ -184,8 +184,8 @@
     // Callers send long bodies and do not finish them. Each is within its own limit; together they
     // would take all memory, and the process with every stream in it would end.
     let fleet = TestFleet::start(GatewaySettings {
-        max_body: 100_000,
-        max_bodies: 150_000,
+        max_body_bytes: 100_000,
+        max_buffered_body_bytes: 150_000,
         ..GatewaySettings::default()
     });
     let long = post("/v1/chat/completions", "", &"x".repeat(90_000));
@@ -217,7 +217,7 @@
     // A long body is refused before it was read. Closing then resets the connection, and the caller
     // would see a broken connection and not know whether its booking ran.
     let fleet = TestFleet::start(GatewaySettings {
-        max_body: 1000,
+        max_body_bytes: 1000,
         ..GatewaySettings::default()
     });
     let body = "x".repeat(1_000_000);
@@ -279,7 +279,7 @@
     // other customers' streams must not wait.
     let fleet = TestFleet::start(GatewaySettings {
         write_timeout: Duration::from_millis(200),
-        send_buffer: 4096,
+        send_buffer_bytes: 4096,
         ..GatewaySettings::default()
     });
     let chat = ChatBody {
--- a/crates/ragwortroad_gateway/tests/common/fake_control.rs
+++ b/crates/ragwortroad_gateway/tests/common/fake_control.rs
@@ -44,7 +44,7 @@
     /// Refuses every admission that is a retry.
     pub refuse_retries: bool,
     /// Answers recorded under an idempotency key.
-    pub recorded: HashMap<String, RecordedAnswer>,
+    pub recorded: HashMap<String, RecordedResponse>,
     /// Waits before each grant.
     pub grant_delay: Duration,
 }
@@ -116,7 +116,7 @@
                     "{{\"line\":{:?},\"change\":{}}}",
                     call.line, call.may_change
                 );
-                drop(reply.send(OperatorAnswer { status: 200, body }));
+                drop(reply.send(OperatorResponse { status: 200, body }));
             }
         }
     }
@@ -160,7 +160,7 @@
         priority: 1,
         version: None,
         customer: "studio-north".to_owned(),
-        record_answer: admit.idempotency_key.is_some(),
+        record_response: admit.idempotency_key.is_some(),
     })
 }
 
--- a/crates/ragwortroad_gateway/tests/whole_path.rs
+++ b/crates/ragwortroad_gateway/tests/whole_path.rs
@@ -69,7 +69,7 @@
     // runs twice, none that is refused as not run ran, and no caller gets a part of an answer or
     // another's.
     let fleet = TestFleet::start(GatewaySettings {
-        stream_timeout: Duration::from_secs(1),
+        stream_idle_timeout: Duration::from_secs(1),
         ..GatewaySettings::default()
     });
     let stop = AtomicBool::new(false);
--- a/crates/ragwortroad_node/src/control/admit_flow.rs
+++ b/crates/ragwortroad_node/src/control/admit_flow.rs
@@ -330,7 +330,7 @@
         return 0;
     }
     let prompt = u32::try_from(call.prompt.len() / TOKEN_BYTES).unwrap_or(u32::MAX);
-    prompt.saturating_add(call.token_limit.unwrap_or(USUAL_TOKENS))
+    prompt.saturating_add(call.max_output_tokens.unwrap_or(USUAL_TOKENS))
 }
 
 /// Prefix keys of a model request's prompt.
--- a/crates/ragwortroad_node/src/control/claim_flow.rs
+++ b/crates/ragwortroad_node/src/control/claim_flow.rs
@@ -145,7 +145,7 @@
                 self.limiter.finish(plan.customer_key, plan.tokens, 0);
                 let detail = "recorded answer returned".to_owned();
                 self.note_plan(EventKind::ClaimFinished, &plan, detail);
-                let answer = RecordedAnswer {
+                let answer = RecordedResponse {
                     status: answer.status,
                     content_type: answer.content_type,
                     body: answer.body,
--- a/crates/ragwortroad_node/src/control/event_flow.rs
+++ b/crates/ragwortroad_node/src/control/event_flow.rs
@@ -111,7 +111,7 @@
             chat: record.chat,
             customer: Some(record.customer_name.clone()),
             endpoint: Some(self.endpoint_name(record.endpoint)),
-            detail: format!("{outcome} after {} ms", call.took.as_millis()),
+            detail: format!("{outcome} after {} ms", call.duration.as_millis()),
             ..FleetEvent::new(EventKind::RequestFinished)
         };
         self.events.note(event);
--- a/crates/ragwortroad_node/src/control/grant_flow.rs
+++ b/crates/ragwortroad_node/src/control/grant_flow.rs
@@ -147,7 +147,7 @@
             priority: plan.priority,
             version: plan.version,
             customer: plan.customer,
-            record_answer: plan.claim.is_some(),
+            record_response: plan.claim.is_some(),
         };
         if plan.reply.try_send(AdmitReply::Granted(grant)).is_err() {
             // The caller left while its place was being found: nothing was sent.
@@ -157,7 +157,7 @@
                 FinishCall {
                     ticket,
                     outcome,
-                    took,
+                    duration: took,
                 },
                 now,
             );
@@ -177,7 +177,7 @@
             chat = record.chat.map(|chat| chat.to_string()),
             endpoint = %record.endpoint,
             outcome = ?request_outcome(&call.outcome),
-            took_ms = call.took.as_millis() as u64,
+            took_ms = call.duration.as_millis() as u64,
             "attempt ended"
         );
         self.release_slot(
@@ -287,7 +287,7 @@
     match outcome {
         AttemptOutcome::NotSent => None,
         AttemptOutcome::Completed {
-            answer: Some(answer),
+            response: Some(answer),
             ..
         } => Some(ClaimResult::Answered(ClaimAnswer {
             status: answer.status,
--- a/crates/ragwortroad_node/src/control/line_flow.rs
+++ b/crates/ragwortroad_node/src/control/line_flow.rs
@@ -47,7 +47,7 @@
     pub(crate) fn operator(
         &mut self,
         call: OperatorCall,
-        reply: Sender<OperatorAnswer>,
+        reply: Sender<OperatorResponse>,
         now: ClockTime,
     ) {
         let line = OperatorLine {
@@ -94,7 +94,7 @@
     /// The leader answered a line of this node.
     pub(crate) fn line_done(&mut self, from: NodeId, token: u64, status: u16, body: String) {
         if let Some(open) = self.lines.take(token, from) {
-            reply_to(&open.reply, OperatorAnswer { status, body });
+            reply_to(&open.reply, OperatorResponse { status, body });
         }
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Without a leader nothing can be changed, and only what this node itself knows can be told.
-    fn serve_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorAnswer>) {
+    fn serve_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorResponse>) {
         let origin = LineOrigin::Here(reply);
         if self
             .operator_name(&line.key_hash, &self.follow.config)
@@ -235,12 +235,12 @@
 }
 
 /// An answer with a text for a person and facts for a program.
-fn line_answer(status: u16, text: &str, facts: Value) -> OperatorAnswer {
+fn line_answer(status: u16, text: &str, facts: Value) -> OperatorResponse {
     let mut body = json!({ "text": text });
     if let (Some(body), Value::Object(facts)) = (body.as_object_mut(), facts) {
         body.extend(facts);
     }
-    OperatorAnswer {
+    OperatorResponse {
         status,
         body: body.to_string(),
     }
--- a/crates/ragwortroad_node/src/control/line_table.rs
+++ b/crates/ragwortroad_node/src/control/line_table.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(crate) struct OpenLine {
     /// The operator's connection.
-    pub(crate) reply: Sender<OperatorAnswer>,
+    pub(crate) reply: Sender<OperatorResponse>,
     /// The node it was sent to.
     pub(crate) leader: NodeId,
     /// The line, to be sent again.
--- a/crates/ragwortroad_node/src/member/proposal_kind.rs
+++ b/crates/ragwortroad_node/src/member/proposal_kind.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum LineOrigin {
     /// An operator's connection at this node.
-    Here(Sender<OperatorAnswer>),
+    Here(Sender<OperatorResponse>),
     /// Another node, which passed the line on.
     Node {
         /// The node.
--- a/crates/ragwortroad_node/src/node_process.rs
+++ b/crates/ragwortroad_node/src/node_process.rs
@@ -68,7 +68,7 @@
     steering: Sender<SteeringOrder>,
     peer_address: SocketAddr,
     bytes: Arc<ByteCounts>,
-    gate: Arc<LinkGate>,
+    gate: Arc<PartitionFilter>,
 }
 
 /// Share of first attempts that may be repeated, and retries that are saved up for quiet times.
@@ -96,7 +96,7 @@
         })
         .context(PeersSnafu)?;
         let peer_address = transport.local_address();
-        let gate = transport.gate();
+        let gate = transport.partition_filter();
         let (calls, call_queue) = flume::unbounded();
         let (steering, steering_queue) = flume::unbounded();
         let (reports, disk) = flume::unbounded();
@@ -153,7 +153,7 @@
 
     /// The links to other nodes, which a test can cut.
     #[doc(hidden)]
-    pub fn gate(&self) -> &LinkGate {
+    pub fn gate(&self) -> &PartitionFilter {
         &self.gate
     }
 
@@ -178,7 +178,7 @@
         if self.control.join().is_err() {
             tracing::error!("the control thread panicked");
         }
-        self.gateway.abandon();
+        self.gateway.abort();
     }
 
     /// Drains: takes no new work, finishes every request in flight, joins every thread.
@@ -220,8 +220,8 @@
         node_name: settings.node.name.clone(),
         listen: settings.node.listen,
         traffic_threads: settings.node.traffic_threads,
-        max_body: limits.max_body as usize,
-        max_header: limits.max_header as usize,
+        max_body_bytes: limits.max_body as usize,
+        max_header_bytes: limits.max_header as usize,
         max_connections: limits.max_connections as usize,
         idle_timeout: limits.idle_timeout,
         header_timeout: limits.header_timeout,
--- a/crates/ragwortroad_transport/src/connection_reader.rs
+++ b/crates/ragwortroad_transport/src/connection_reader.rs
@@ -62,7 +62,7 @@
             connection,
             book: book.clone(),
             events: events.clone(),
-            max_frame: settings.max_message + 1,
+            max_frame: settings.max_message_bytes + 1,
             message_timeout: settings.message_timeout,
         })
     }
@@ -101,7 +101,7 @@
         async move {
             match timeout(limit, stream.read_to_end(max_frame)).await {
                 Ok(Ok(frame)) => {
-                    let event = received(peer, &frame).filter(|_| book.gate.passes(peer));
+                    let event = received(peer, &frame).filter(|_| book.gate.allows(peer));
                     if let Some(event) = event {
                         count(&book.messages_received);
                         // The owner may be gone during shutdown; then the message is void.
@@ -120,7 +120,7 @@
 
     /// Hands on a datagram; drops it where the owner is behind, as it is unreliable anyway.
     fn take_datagram(&self, frame: &[u8]) {
-        let passes = self.book.gate.passes(self.peer);
+        let passes = self.book.gate.allows(self.peer);
         let Some(event) = received(self.peer, frame).filter(|_| passes) else {
             return;
         };
--- a/crates/ragwortroad_transport/src/lib.rs
+++ b/crates/ragwortroad_transport/src/lib.rs
@@ -36,7 +36,7 @@
 
 mod connection_reader;
 mod key_files;
-mod link_gate;
+mod partition_filter;
 mod peer_book;
 mod peer_channel;
 mod peer_event;
@@ -61,7 +61,7 @@
             add_keys,
             make_keys, //
         },
-        link_gate::LinkGate,
+        partition_filter::PartitionFilter,
         peer_channel::PeerChannel,
         peer_event::{
             PeerEvent,
--- a/crates/ragwortroad_transport/src/link_gate.rs
+++ b/crates/ragwortroad_transport/src/partition_filter.rs
@@ -18,28 +18,28 @@
 /// A cut link is silent, as one is where a switch drops packets: messages vanish in both
 /// directions, those on their way included, and nobody is told.
 #[derive(Debug, Default)]
-pub struct LinkGate {
+pub struct PartitionFilter {
     /// Invariant: false only if `peers` is empty, so that an open gate costs one load a message.
     is_cut: AtomicBool,
     peers: Mutex<HashSet<NodeId>>,
 }
 
-impl LinkGate {
+impl PartitionFilter {
     /// Cuts the links to these peers.
-    pub fn cut(&self, peers: impl IntoIterator<Item = NodeId>) {
+    pub fn block(&self, peers: impl IntoIterator<Item = NodeId>) {
         self.is_cut.store(true, Ordering::Release);
         self.lock().extend(peers);
     }
 
     /// Heals every link.
-    pub fn heal(&self) {
+    pub fn unblock_all(&self) {
         let mut peers = self.lock();
         peers.clear();
         self.is_cut.store(false, Ordering::Release);
     }
 
     /// Whether messages to and from `peer` get through.
-    pub(crate) fn passes(&self, peer: NodeId) -> bool {
+    pub(crate) fn allows(&self, peer: NodeId) -> bool {
         !self.is_cut.load(Ordering::Acquire) || !self.lock().contains(&peer)
     }
 
--- a/crates/ragwortroad_transport/src/peer_book.rs
+++ b/crates/ragwortroad_transport/src/peer_book.rs
@@ -16,7 +16,7 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
-    LinkGate,
+    PartitionFilter,
     TransportStats, //
 };
 
@@ -26,7 +26,7 @@
     /// Held for a few instructions only, never across an await.
     connections: Mutex<ConnectionMap>,
     /// Links that are cut for a test.
-    pub(crate) gate: Arc<LinkGate>,
+    pub(crate) gate: Arc<PartitionFilter>,
     /// Handshakes that peers began and that are not over.
     pub(crate) handshakes: AtomicU64,
     /// See [`TransportStats::messages_queued`].
--- a/crates/ragwortroad_transport/src/peer_transport.rs
+++ b/crates/ragwortroad_transport/src/peer_transport.rs
@@ -38,7 +38,7 @@
 };
 
 use crate::{
-    LinkGate,
+    PartitionFilter,
     PeerChannel,
     PeerEvent,
     SendOutcome,
@@ -114,10 +114,10 @@
         let address = endpoint.local_addr().context(ListenSnafu {
             address: settings.listen,
         })?;
-        let (events, event_receiver) = flume::bounded(settings.event_length);
+        let (events, event_receiver) = flume::bounded(settings.event_capacity);
         let (starts, start_receiver) = flume::unbounded();
         let book = Arc::new(PeerBook::default());
-        let (max_message, queue_length) = (settings.max_message, settings.queue_length);
+        let (max_message, queue_length) = (settings.max_message_bytes, settings.queue_capacity);
         let root = TransportRoot {
             endpoint,
             book: book.clone(),
@@ -170,7 +170,7 @@
             count(&self.book.messages_too_large);
             return SendOutcome::TooLarge;
         }
-        if !self.book.gate.passes(expected) {
+        if !self.book.gate.allows(expected) {
             // The sender is not told, as it is not told of packets that a switch drops.
             count(&self.book.messages_dropped);
             return SendOutcome::Queued;
@@ -211,7 +211,7 @@
     }
 
     /// Ends the writer of a peer that left the fleet for good, so that its queue does not remain.
-    pub fn forget(&self, peer: NodeId) {
+    pub fn remove_peer(&self, peer: NodeId) {
         if let Some(map) = self.lock().as_mut() {
             map.queues.remove(&peer);
         }
@@ -219,7 +219,7 @@
 
     /// The links that can be cut for a test.
     #[doc(hidden)]
-    pub fn gate(&self) -> Arc<LinkGate> {
+    pub fn partition_filter(&self) -> Arc<PartitionFilter> {
         Arc::clone(&self.book.gate)
     }
 
--- a/crates/ragwortroad_transport/src/peer_writer.rs
+++ b/crates/ragwortroad_transport/src/peer_writer.rs
@@ -128,7 +128,7 @@
         }
         let connected = self.connect(address).await;
         if connected.is_err() {
-            self.retry_at = Instant::now() + self.settings.retry_pause;
+            self.retry_at = Instant::now() + self.settings.reconnect_delay;
         }
         connected
     }
@@ -164,7 +164,7 @@
             }
         }
         // A peer that reads slowly must not pile up writes here without bound.
-        while self.writes.len() >= self.settings.streams_per_peer as usize {
+        while self.writes.len() >= self.settings.max_streams_per_peer as usize {
             self.writes.join_next().await;
         }
         let limit = self.settings.message_timeout;
--- a/crates/ragwortroad_transport/src/tls_setup.rs
+++ b/crates/ragwortroad_transport/src/tls_setup.rs
@@ -177,10 +177,10 @@
 
 /// Limits of one connection.
 fn transport_config(settings: &TransportSettings) -> TransportConfig {
-    let window = VarInt::try_from(settings.max_message as u64 + 1).unwrap_or(VarInt::MAX);
+    let window = VarInt::try_from(settings.max_message_bytes as u64 + 1).unwrap_or(VarInt::MAX);
     let mut config = TransportConfig::default();
     config.max_concurrent_bidi_streams(VarInt::from_u32(0));
-    config.max_concurrent_uni_streams(VarInt::from_u32(settings.streams_per_peer));
+    config.max_concurrent_uni_streams(VarInt::from_u32(settings.max_streams_per_peer));
     config.stream_receive_window(window);
     config.receive_window(window);
     // Probing for larger packets costs some 10 KB a connection, more than most of them carry.
--- a/crates/ragwortroad_transport/src/transport_settings.rs
+++ b/crates/ragwortroad_transport/src/transport_settings.rs
@@ -22,19 +22,19 @@
     /// The longest one message may take to be written or read.
     pub message_timeout: Duration,
     /// The largest message in bytes.
-    pub max_message: usize,
+    pub max_message_bytes: usize,
     /// Messages that wait for one peer before further ones are dropped.
-    pub queue_length: usize,
+    pub queue_capacity: usize,
     /// Events that wait for the owner before peers are slowed down.
-    pub event_length: usize,
+    pub event_capacity: usize,
     /// Messages of one peer under way at once.
-    pub streams_per_peer: u32,
+    pub max_streams_per_peer: u32,
     /// Handshakes under way at once; a peer beyond them is refused.
     pub max_handshakes: usize,
     /// Connections open at once; a peer beyond them is refused.
     pub max_connections: usize,
     /// A peer that cannot be reached is not tried again before this time.
-    pub retry_pause: Duration,
+    pub reconnect_delay: Duration,
     /// Threads of the transport's own runtime.
     pub threads: usize,
 }
@@ -47,13 +47,13 @@
             idle_timeout: Duration::from_secs(15),
             handshake_timeout: Duration::from_secs(3),
             message_timeout: Duration::from_secs(10),
-            max_message: 4 << 20,
-            queue_length: 256,
-            event_length: 4096,
-            streams_per_peer: 32,
+            max_message_bytes: 4 << 20,
+            queue_capacity: 256,
+            event_capacity: 4096,
+            max_streams_per_peer: 32,
             max_handshakes: 64,
             max_connections: 1024,
-            retry_pause: Duration::from_millis(250),
+            reconnect_delay: Duration::from_millis(250),
             threads: 1,
         }
     }
--- a/crates/ragwortroad_transport/tests/loopback.rs
+++ b/crates/ragwortroad_transport/tests/loopback.rs
@@ -37,9 +37,9 @@
         keys: files.peer_keys(name).expect("keys of the node"),
         // Longer than any test: nothing may come about by idling.
         idle_timeout: Duration::from_secs(600),
-        max_message: 1 << 20,
-        queue_length: 16,
-        retry_pause: Duration::from_millis(20),
+        max_message_bytes: 1 << 20,
+        queue_capacity: 16,
+        reconnect_delay: Duration::from_millis(20),
         handshake_timeout: Duration::from_secs(1),
         message_timeout: Duration::from_secs(2),
         ..TransportSettings::default()
@@ -179,7 +179,7 @@
     let (a, _a_events) = start(&files, "a");
     let settings = TransportSettings {
         keys: files.peer_keys("b").unwrap(),
-        max_message: 1_000,
+        max_message_bytes: 1_000,
         ..TransportSettings::default()
     };
     let (b, b_events) = PeerTransport::start(settings).unwrap();
