--- a/crates/ragwortroad_gateway/examples/added_latency.rs
+++ b/crates/ragwortroad_gateway/examples/added_latency.rs
@@ -65,7 +65,7 @@
 /// The second process: a gateway whose control thread grants the one engine always.
 fn serve_gateway(engine: SocketAddr) -> Result<(), AnyError> {
     let (calls, control) = flume::unbounded();
-    let granting = thread::spawn(move || grant_always(&control, engine));
+    let granting = thread::spawn(move || always_grant(&control, engine));
     let settings = GatewaySettings::default();
     let gateway = GatewayServer::start(settings, calls, GatewayPages::default())?;
     println!("{}", gateway.local_address());
@@ -75,7 +75,7 @@
     Ok(())
 }
 
-fn grant_always(calls: &flume::Receiver<ControlCall>, engine: SocketAddr) {
+fn always_grant(calls: &flume::Receiver<ControlCall>, engine: SocketAddr) {
     let mut ticket = 0;
     while let Ok(call) = calls.recv() {
         if let ControlCall::Admit(_, reply) = call {
@@ -118,18 +118,18 @@
     );
     for (streams, repeats) in LEVELS {
         let mut direct = StreamTimes::new()?;
-        let mut routed = StreamTimes::new()?;
-        let before = node_usage(pid)?;
+        let mut through_node = StreamTimes::new()?;
+        let before = process_usage(pid)?;
         let mut peak = before;
         for _ in 0..ROUNDS {
             direct.add(&run_round(&runtime, engine.address(), streams, repeats)?)?;
-            let watched = watch_usage(pid);
-            routed.add(&run_round(&runtime, node, streams, repeats)?)?;
+            let watched = start_usage_sampler(pid);
+            through_node.add(&run_round(&runtime, node, streams, repeats)?)?;
             peak = peak.highest(watched.stop()?);
         }
-        print_level(streams, &direct, &routed);
-        let after = node_usage(pid)?;
-        let tokens = routed.gap.len() + routed.first.len();
+        print_level(streams, &direct, &through_node);
+        let after = process_usage(pid)?;
+        let tokens = through_node.gap.len() + through_node.first.len();
         println!(
             "         node: {} threads, {} KiB before, {} KiB at most, {:.1} us of processor a token",
             peak.threads,
@@ -177,10 +177,10 @@
     }
 }
 
-fn print_level(streams: usize, direct: &StreamTimes, routed: &StreamTimes) {
-    let columns = |direct: &Histogram<u64>, routed: &Histogram<u64>| {
-        let [d50, r50] = [direct, routed].map(|times| times.value_at_quantile(0.5) as i64);
-        let [d99, r99] = [direct, routed].map(|times| times.value_at_quantile(0.99) as i64);
+fn print_level(streams: usize, direct: &StreamTimes, through_node: &StreamTimes) {
+    let columns = |direct: &Histogram<u64>, through_node: &Histogram<u64>| {
+        let [d50, r50] = [direct, through_node].map(|times| times.value_at_quantile(0.5) as i64);
+        let [d99, r99] = [direct, through_node].map(|times| times.value_at_quantile(0.99) as i64);
         format!(
             "{d50:>6} {d99:>6} {r50:>6} {r99:>6} {:>5} {:>5}",
             r50 - d50,
@@ -189,9 +189,9 @@
     };
     println!(
         "{streams:>7} {:>7}  {}  {}",
-        routed.gap.len() + routed.first.len(),
-        columns(&direct.first, &routed.first),
-        columns(&direct.gap, &routed.gap)
+        through_node.gap.len() + through_node.first.len(),
+        columns(&direct.first, &through_node.first),
+        columns(&direct.gap, &through_node.gap)
     );
 }
 
@@ -202,9 +202,9 @@
     repeats: usize,
 ) -> Result<StreamTimes, AnyError> {
     runtime.block_on(async {
-        let mut callers = JoinSet::new();
+        let mut clients = JoinSet::new();
         for place in 0..streams {
-            callers.spawn(async move {
+            clients.spawn(async move {
                 // Callers begin spread over one stream's time: so many streams at once do not begin
                 // together outside a test.
                 tokio::time::sleep(TOKEN_GAP * TOKENS * place as u32 / streams as u32).await;
@@ -216,8 +216,8 @@
             });
         }
         let mut all = StreamTimes::new()?;
-        while let Some(caller) = callers.join_next().await {
-            all.add(&caller??)?;
+        while let Some(client) = clients.join_next().await {
+            all.add(&client??)?;
         }
         Ok(all)
     })
@@ -225,14 +225,14 @@
 
 /// Opens a connection, asks for a stream, and times its tokens.
 async fn read_stream(address: SocketAddr, times: &mut StreamTimes) -> Result<(), AnyError> {
-    let begun = Instant::now();
+    let first_part = Instant::now();
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let driver = tokio::spawn(connection);
-    let answer = sender.send_request(chat_request(address)?).await?;
-    let mut body = answer.into_body();
+    let response = sender.send_request(chat_request(address)?).await?;
+    let mut body = response.into_body();
     let mut last = None;
     let mut count = 0;
     while let Some(frame) = body.frame().await {
@@ -243,7 +243,7 @@
         for _ in 0..count_tokens(&data) {
             count += 1;
             match last.replace(now) {
-                None => times.first.record((now - begun).as_micros() as u64)?,
+                None => times.first.record((now - first_part).as_micros() as u64)?,
                 Some(last) => times.gap.record((now - last).as_micros() as u64)?,
             }
         }
@@ -299,7 +299,7 @@
     }
 }
 
-fn node_usage(pid: u32) -> Result<NodeUsage, AnyError> {
+fn process_usage(pid: u32) -> Result<NodeUsage, AnyError> {
     let status = fs::read_to_string(format!("/proc/{pid}/status"))?;
     let field = |name: &str| {
         let line = status.lines().find_map(|line| line.strip_prefix(name));
@@ -319,26 +319,26 @@
 }
 
 /// Looks at the node's usage all the time until it is stopped.
-struct UsageWatch {
+struct UsageSampler {
     stop: flume::Sender<()>,
     thread: thread::JoinHandle<Result<NodeUsage, AnyError>>,
 }
 
-fn watch_usage(pid: u32) -> UsageWatch {
+fn start_usage_sampler(pid: u32) -> UsageSampler {
     let (stop, stopped) = flume::bounded::<()>(1);
     let thread = thread::spawn(move || {
-        let mut peak = node_usage(pid)?;
+        let mut peak = process_usage(pid)?;
         while stopped.recv_timeout(Duration::from_millis(20))
             == Err(flume::RecvTimeoutError::Timeout)
         {
-            peak = peak.highest(node_usage(pid)?);
+            peak = peak.highest(process_usage(pid)?);
         }
         Ok(peak)
     });
-    UsageWatch { stop, thread }
+    UsageSampler { stop, thread }
 }
 
-impl UsageWatch {
+impl UsageSampler {
     fn stop(self) -> Result<NodeUsage, AnyError> {
         drop(self.stop);
         self.thread.join().map_err(|_| "the watch panicked")?
@@ -346,15 +346,15 @@
 }
 
 fn measure_idle(node: SocketAddr, pid: u32) -> Result<(), AnyError> {
-    let before = node_usage(pid)?;
-    let mut held = Vec::new();
+    let before = process_usage(pid)?;
+    let mut held_connections = Vec::new();
     for _ in 0..IDLE_CONNECTIONS {
         let mut stream = std::net::TcpStream::connect(node)?;
         std::io::Write::write_all(&mut stream, b"GET /healthz HTTP/1.1\r\nhost: n\r\n\r\n")?;
         stream.read_exact(&mut [0; 12])?;
-        held.push(stream);
+        held_connections.push(stream);
     }
-    let after = node_usage(pid)?;
+    let after = process_usage(pid)?;
     println!(
         "{IDLE_CONNECTIONS} idle connections: {} threads, {} KiB before, {} KiB with them",
         after.threads, before.memory, after.memory
--- a/crates/ragwortroad_gateway/src/admit_wait.rs
+++ b/crates/ragwortroad_gateway/src/admit_wait.rs
@@ -23,36 +23,36 @@
     state: &'state GatewayState,
     replies: Receiver<AdmitReply>,
     sender: WeakSender<AdmitReply>,
-    read: bool,
+    has_reply: bool,
 }
 
 /// The control thread ended before it replied.
-pub(crate) struct ControlGone;
+pub(crate) struct ControlClosed;
 
 impl<'state> AdmitWait<'state> {
-    pub(crate) async fn ask(
+    pub(crate) async fn request(
         state: &'state GatewayState,
         call: AdmitCall,
-    ) -> Result<AdmitReply, ControlGone> {
+    ) -> Result<AdmitReply, ControlClosed> {
         let (sender, replies) = flume::bounded(1);
         let mut wait = Self {
             state,
             replies,
             sender: sender.downgrade(),
-            read: false,
+            has_reply: false,
         };
         state
             .calls
             .send_async(ControlCall::Admit(call, sender))
             .await
-            .map_err(|_| ControlGone)?;
-        let reply = wait.replies.recv_async().await.map_err(|_| ControlGone)?;
-        wait.read = true;
+            .map_err(|_| ControlClosed)?;
+        let reply = wait.replies.recv_async().await.map_err(|_| ControlClosed)?;
+        wait.has_reply = true;
         Ok(reply)
     }
 
     /// Gives back a grant that nobody read; true if there was a reply.
-    fn give_back(&self) -> bool {
+    fn return_grant(&self) -> bool {
         match self.replies.try_recv() {
             Ok(AdmitReply::Granted(grant)) => {
                 let finish = FinishCall {
@@ -73,16 +73,17 @@
 
 impl Drop for AdmitWait<'_> {
     fn drop(&mut self) {
-        if self.read || self.give_back() {
+        if self.has_reply || self.return_grant() {
             return;
         }
         if let Some(sender) = self.sender.upgrade() {
             let code = RefusalCode::InternalFault;
-            let plug = RefusalWire::new(RequestOutcome::NotRun, code, "", RequestId::default());
-            if sender.try_send(AdmitReply::Refused(plug)).is_ok() {
+            let placeholder =
+                RefusalWire::new(RequestOutcome::NotRun, code, "", RequestId::default());
+            if sender.try_send(AdmitReply::Refused(placeholder)).is_ok() {
                 return;
             }
         }
-        self.give_back();
+        self.return_grant();
     }
 }
--- a/crates/ragwortroad_gateway/src/attempt_guard.rs
+++ b/crates/ragwortroad_gateway/src/attempt_guard.rs
@@ -12,7 +12,7 @@
     ControlCall,
     FinishCall,
     TicketId,
-    cancel_worker::CancelOrder,
+    cancel_worker::CancelRequest,
     gateway_state::GatewayState,
     request_context::RequestContext, //
 };
@@ -33,7 +33,7 @@
     /// Whether bytes may have been sent.
     sent: bool,
     /// Whether the endpoint knows `POST /v1/cancel`.
-    cancels: bool,
+    supports_cancel: bool,
     /// Invariant: true once the finish was sent.
     finished: bool,
 }
@@ -44,7 +44,7 @@
         grant: &AdmitGrant,
         context: &RequestContext,
         attempt: u32,
-        cancels: bool,
+        supports_cancel: bool,
     ) -> Self {
         Self {
             state,
@@ -55,7 +55,7 @@
             started: Instant::now(),
             deadline: context.deadline,
             sent: false,
-            cancels,
+            supports_cancel,
             finished: false,
         }
     }
@@ -94,18 +94,18 @@
         if self.state.calls.send(ControlCall::Finish(finish)).is_err() {
             tracing::error!(request = %self.request, "the control thread is gone");
         }
-        if abandoned && self.sent && self.cancels {
-            self.order_cancel();
+        if abandoned && self.sent && self.supports_cancel {
+            self.request_cancel();
         }
     }
 
-    fn order_cancel(&self) {
-        let order = CancelOrder {
+    fn request_cancel(&self) {
+        let request = CancelRequest {
             address: self.address,
             request: self.request,
             attempt: self.attempt,
         };
-        if self.state.cancels.send(order).is_err() {
+        if self.state.cancels.send(request).is_err() {
             tracing::debug!(request = %self.request, "no cancel after the gateway's end");
         }
     }
--- a/crates/ragwortroad_gateway/src/body_reader.rs
+++ b/crates/ragwortroad_gateway/src/body_reader.rs
@@ -10,19 +10,19 @@
 use tokio::time::timeout;
 
 use crate::{
-    body_room::HeldRoom,
+    body_budget::BodyReservation,
     gateway_state::GatewayState,
     request_context::RequestContext, //
 };
 
 /// Milliseconds after which there may be room for a body again.
-const ROOM_WAIT_MS: u64 = 500;
+const BUDGET_RETRY_AFTER_MS: u64 = 500;
 
 /// Bytes of a refused body that are read and dropped.
-const DISCARDED_BYTES: usize = 8 << 20;
+const MAX_DISCARD_BYTES: usize = 8 << 20;
 
 /// Time in which they are.
-const DISCARD_TIME: Duration = Duration::from_secs(3);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Reads a caller's whole body within the limits of size and time. `room` must be kept as long as
 /// the body is.
@@ -30,11 +30,11 @@
     state: &GatewayState,
     context: &RequestContext,
     mut body: Incoming,
-    room: &mut HeldRoom,
+    reservation: &mut BodyReservation,
 ) -> Result<Bytes, RefusalWire> {
     let settings = &state.settings;
     let time = settings.body_timeout.min(context.time_left());
-    let read = take_frames(context, &mut body, settings.max_body_bytes, room);
+    let read = read_frames(context, &mut body, settings.max_body_bytes, reservation);
     match timeout(time, read).await {
         Ok(Err(refusal)) => {
             discard_body(body).await;
@@ -54,27 +54,27 @@
 /// before the refusal does: it would see a broken connection in place of `not_run`.
 pub(crate) async fn discard_body(mut body: Incoming) {
     let discard = async {
-        let mut left = DISCARDED_BYTES;
+        let mut remaining = MAX_DISCARD_BYTES;
         while let Some(Ok(frame)) = body.frame().await {
             let length = frame.data_ref().map_or(0, Bytes::len);
-            match left.checked_sub(length) {
-                Some(rest) => left = rest,
+            match remaining.checked_sub(length) {
+                Some(rest) => remaining = rest,
                 None => return,
             }
         }
     };
-    if timeout(DISCARD_TIME, discard).await.is_err() {
+    if timeout(DISCARD_TIMEOUT, discard).await.is_err() {
         tracing::debug!("a refused body was too slow to be read");
     }
 }
 
-async fn take_frames(
+async fn read_frames(
     context: &RequestContext,
     body: &mut Incoming,
     limit: usize,
-    room: &mut HeldRoom,
+    reservation: &mut BodyReservation,
 ) -> Result<Bytes, RefusalWire> {
-    let mut whole = BytesMut::new();
+    let mut complete = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| {
             let message = format!("the body could not be read: {error}");
@@ -83,17 +83,17 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + data.len() > limit {
+        if complete.len() + data.len() > limit {
             let message = format!("the body is longer than {limit} bytes");
             return Err(context.not_run(RefusalCode::TooLarge, message));
         }
-        if !room.grow(data.len()) {
+        if !reservation.try_grow(data.len()) {
             let message = "this node holds as many bytes of requests as it may";
             let mut refusal = context.not_run(RefusalCode::Overloaded, message);
-            refusal.error.retry_after_ms = Some(ROOM_WAIT_MS);
+            refusal.error.retry_after_ms = Some(BUDGET_RETRY_AFTER_MS);
             return Err(refusal);
         }
-        whole.extend_from_slice(&data);
+        complete.extend_from_slice(&data);
     }
-    Ok(whole.freeze())
+    Ok(complete.freeze())
 }
--- a/crates/ragwortroad_gateway/src/cancel_worker.rs
+++ b/crates/ragwortroad_gateway/src/cancel_worker.rs
@@ -21,19 +21,19 @@
 
 use crate::{
     endpoint_link::EndpointLink,
-    header_names::REQUEST_ID,
-    stop_signal::until_stopped, //
+    header_names::REQUEST_ID_HEADER,
+    stop_signal::wait_for_stop, //
 };
 
 /// Time for one cancellation, after which the engine is left to notice the closed connection.
-const CANCEL_TIME: Duration = Duration::from_secs(2);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Cancellations under way at once.
-const CANCELS_AT_ONCE: usize = 64;
+const MAX_CONCURRENT_CANCELS: usize = 64;
 
 /// An engine's work that nobody waits for any more.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CancelOrder {
+pub(crate) struct CancelRequest {
     pub(crate) address: SocketAddr,
     pub(crate) request: RequestId,
     /// Which attempt of the request: a later one may run at the same engine.
@@ -42,43 +42,43 @@
 
 /// Tells engines to cancel until `stop` turns true, and then what is still waiting.
 pub(crate) async fn run_cancels(
-    mut orders: UnboundedReceiver<CancelOrder>,
+    mut cancels: UnboundedReceiver<CancelRequest>,
     mut stop: watch::Receiver<bool>,
 ) {
-    let mut running = JoinSet::new();
+    let mut tasks = JoinSet::new();
     loop {
         tokio::select! {
             biased;
-            order = orders.recv(), if running.len() < CANCELS_AT_ONCE => {
-                let Some(order) = order else { break };
-                running.spawn(timeout(CANCEL_TIME, send_cancel(order)));
+            cancel = cancels.recv(), if tasks.len() < MAX_CONCURRENT_CANCELS => {
+                let Some(cancel) = cancel else { break };
+                tasks.spawn(timeout(CANCEL_TIMEOUT, send_cancel(cancel)));
             }
-            Some(_) = running.join_next() => {}
-            () = until_stopped(&mut stop) => {
+            Some(_) = tasks.join_next() => {}
+            () = wait_for_stop(&mut stop) => {
                 break;
             }
         }
     }
-    while let Ok(order) = orders.try_recv() {
-        running.spawn(timeout(CANCEL_TIME, send_cancel(order)));
+    while let Ok(cancel) = cancels.try_recv() {
+        tasks.spawn(timeout(CANCEL_TIMEOUT, send_cancel(cancel)));
     }
-    while running.join_next().await.is_some() {}
+    while tasks.join_next().await.is_some() {}
 }
 
-async fn send_cancel(order: CancelOrder) {
-    let (request, attempt) = (order.request, order.attempt);
+async fn send_cancel(cancel: CancelRequest) {
+    let (request, attempt) = (cancel.request, cancel.attempt);
     let body = format!("{{\"request_id\":\"{request}\",\"attempt\":{attempt}}}");
     let request = Request::builder()
         .method(Method::POST)
         .uri("/v1/cancel")
-        .header("host", order.address.to_string())
+        .header("host", cancel.address.to_string())
         .header("content-type", "application/json")
-        .header(REQUEST_ID, order.request.to_string())
+        .header(REQUEST_ID_HEADER, cancel.request.to_string())
         .body(Full::new(Bytes::from(body)));
     let Ok(request) = request else { return };
-    let sent = match EndpointLink::connect(order.address, CANCEL_TIME).await {
+    let is_sent = match EndpointLink::connect(cancel.address, CANCEL_TIMEOUT).await {
         Ok(mut link) => link.send(request).await.is_ok(),
         Err(_) => false,
     };
-    tracing::debug!(request = %order.request, address = %order.address, sent, "cancel");
+    tracing::debug!(request = %cancel.request, address = %cancel.address, sent = is_sent, "cancel");
 }
--- a/crates/ragwortroad_gateway/src/caller_socket.rs
+++ b/crates/ragwortroad_gateway/src/client_socket.rs
@@ -43,7 +43,7 @@
 /// a time, or never reads its answer holds a connection for ever, and with enough of them shuts
 /// everybody else out. The reply that the HTTP library gives by itself to a head it cannot read is
 /// replaced by a typed refusal, so that every refusal looks the same to a caller.
-pub(crate) struct CallerSocket {
+pub(crate) struct ClientSocket {
     stream: TcpStream,
     limits: SocketLimits,
     phase: ExchangePhase,
@@ -51,9 +51,9 @@
     read_timer: Option<Pin<Box<Sleep>>>,
     write_timer: Option<Pin<Box<Sleep>>>,
     /// Whether bytes of the request now being read have come.
-    head_begun: bool,
+    has_partial_head: bool,
     /// When the head began, or else when bytes of an answer were last taken.
-    quiet_since: Instant,
+    last_activity: Instant,
     /// A refusal that is being written in place of the library's own reply.
     refusal: Option<RefusalWrite>,
 }
@@ -63,10 +63,10 @@
     bytes: Vec<u8>,
     written: usize,
     /// Length of what it replaces.
-    replaced: usize,
+    replaced_length: usize,
 }
 
-impl CallerSocket {
+impl ClientSocket {
     pub(crate) fn new(
         stream: TcpStream,
         limits: SocketLimits,
@@ -80,52 +80,52 @@
             request,
             read_timer: None,
             write_timer: None,
-            head_begun: false,
-            quiet_since: Instant::now(),
+            has_partial_head: false,
+            last_activity: Instant::now(),
             refusal: None,
         }
     }
 
     /// Fails once the caller has been silent for longer than the present phase allows.
     fn poll_read_limit(&mut self, context: &mut Context<'_>) -> Poll<io::Error> {
-        if self.phase.is_answering() {
+        if self.phase.is_responding() {
             self.read_timer = None;
             return Poll::Pending;
         }
-        let limit = match self.head_begun {
+        let limit = match self.has_partial_head {
             true => self.limits.header,
             false => self.limits.idle,
         };
-        let until = self.quiet_since + limit;
+        let deadline = self.last_activity + limit;
         let timer = self
             .read_timer
-            .get_or_insert_with(|| Box::pin(sleep_until(until)));
+            .get_or_insert_with(|| Box::pin(sleep_until(deadline)));
         while timer.as_mut().poll(context).is_ready() {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Poll::Ready(io::ErrorKind::TimedOut.into());
             }
             // Bytes of the last answer were taken since the timer was set.
-            timer.as_mut().reset(until);
+            timer.as_mut().reset(deadline);
         }
         Poll::Pending
     }
 
     /// Notes that bytes came: a head's time runs from its first byte, not from each one.
     fn note_read(&mut self) {
-        if self.phase.is_answering() {
-            self.head_begun = false;
-        } else if !self.head_begun {
-            self.head_begun = true;
-            self.quiet_since = Instant::now();
+        if self.phase.is_responding() {
+            self.has_partial_head = false;
+        } else if !self.has_partial_head {
+            self.has_partial_head = true;
+            self.last_activity = Instant::now();
             self.read_timer = None;
         }
     }
 
     /// Notes that bytes of an answer were taken, after which the caller may be quiet for a while.
-    fn note_written(&mut self) {
+    fn note_write(&mut self) {
         self.write_timer = None;
-        self.head_begun = false;
-        self.quiet_since = Instant::now();
+        self.has_partial_head = false;
+        self.last_activity = Instant::now();
     }
 
     fn poll_write_limit(&mut self, context: &mut Context<'_>) -> Poll<io::Error> {
@@ -142,13 +142,13 @@
     /// Writes the replacement, and then tells the library that its own bytes are written.
     fn poll_refusal(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
         while let Some(refusal) = &mut self.refusal {
-            let rest = &refusal.bytes[refusal.written..];
-            if rest.is_empty() {
-                let replaced = refusal.replaced;
+            let unwritten = &refusal.bytes[refusal.written..];
+            if unwritten.is_empty() {
+                let replaced_length = refusal.replaced_length;
                 self.refusal = None;
-                return Poll::Ready(Ok(replaced));
+                return Poll::Ready(Ok(replaced_length));
             }
-            match Pin::new(&mut self.stream).poll_write(context, rest) {
+            match Pin::new(&mut self.stream).poll_write(context, unwritten) {
                 Poll::Ready(Ok(count)) => refusal.written += count,
                 Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
                 Poll::Pending => return Poll::Pending,
@@ -159,7 +159,7 @@
 }
 
 /// The typed refusal for a reply of the library's own, if `bytes` are one.
-fn own_refusal(bytes: &[u8], request: RequestId) -> Option<Vec<u8>> {
+fn typed_refusal(bytes: &[u8], request: RequestId) -> Option<Vec<u8>> {
     let status = bytes.strip_prefix(b"HTTP/1.1 ")?.get(..3)?;
     let (code, message) = match status {
         b"431" | b"414" => (RefusalCode::TooLarge, "the request's head is too large"),
@@ -177,7 +177,7 @@
     Some((head + &body).into_bytes())
 }
 
-impl AsyncRead for CallerSocket {
+impl AsyncRead for ClientSocket {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -185,15 +185,15 @@
     ) -> Poll<io::Result<()>> {
         let socket = self.get_mut();
         match Pin::new(&mut socket.stream).poll_read(context, buffer) {
-            Poll::Ready(done) => {
+            Poll::Ready(result) => {
                 socket.note_read();
                 // A head that trickles in must not restart its own limit with every byte.
-                match socket.head_begun {
+                match socket.has_partial_head {
                     true => match socket.poll_read_limit(context) {
                         Poll::Ready(error) => Poll::Ready(Err(error)),
-                        Poll::Pending => Poll::Ready(done),
+                        Poll::Pending => Poll::Ready(result),
                     },
-                    false => Poll::Ready(done),
+                    false => Poll::Ready(result),
                 }
             }
             Poll::Pending => socket.poll_read_limit(context).map(Err),
@@ -201,7 +201,7 @@
     }
 }
 
-impl AsyncWrite for CallerSocket {
+impl AsyncWrite for ClientSocket {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -209,10 +209,10 @@
     ) -> Poll<io::Result<usize>> {
         let socket = self.get_mut();
         if socket.refusal.is_none() && socket.phase.is_reading() {
-            socket.refusal = own_refusal(bytes, socket.request).map(|refusal| RefusalWrite {
+            socket.refusal = typed_refusal(bytes, socket.request).map(|refusal| RefusalWrite {
                 bytes: refusal,
                 written: 0,
-                replaced: bytes.len(),
+                replaced_length: bytes.len(),
             });
         }
         let written = match socket.refusal.is_some() {
@@ -220,9 +220,9 @@
             false => Pin::new(&mut socket.stream).poll_write(context, bytes),
         };
         match written {
-            Poll::Ready(done) => {
-                socket.note_written();
-                Poll::Ready(done)
+            Poll::Ready(result) => {
+                socket.note_write();
+                Poll::Ready(result)
             }
             Poll::Pending => socket.poll_write_limit(context).map(Err),
         }
@@ -230,11 +230,11 @@
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let socket = self.get_mut();
-        let flushed = Pin::new(&mut socket.stream).poll_flush(context);
-        if flushed.is_ready() {
-            socket.phase.flushed();
+        let note_flush = Pin::new(&mut socket.stream).poll_flush(context);
+        if note_flush.is_ready() {
+            socket.phase.note_flush();
         }
-        flushed
+        note_flush
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/ragwortroad_gateway/src/connection_count.rs
+++ b/crates/ragwortroad_gateway/src/connection_count.rs
@@ -12,30 +12,32 @@
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionCount {
     /// Invariant: no value is zero.
-    by_address: HashMap<IpAddr, usize>,
+    count_by_address: HashMap<IpAddr, usize>,
     /// Invariant: the sum of the values.
     total: usize,
 }
 
 impl ConnectionCount {
     /// Counts a connection in; false, and nothing counted, where there is no room for it.
-    pub(crate) fn enter(&mut self, address: IpAddr, settings: &GatewaySettings) -> bool {
-        let own = self.by_address.get(&address).copied().unwrap_or(0);
-        if self.total >= settings.max_connections || own >= settings.max_connections_per_address {
+    pub(crate) fn try_add(&mut self, address: IpAddr, settings: &GatewaySettings) -> bool {
+        let address_count = self.count_by_address.get(&address).copied().unwrap_or(0);
+        if self.total >= settings.max_connections
+            || address_count >= settings.max_connections_per_address
+        {
             return false;
         }
-        self.by_address.insert(address, own + 1);
+        self.count_by_address.insert(address, address_count + 1);
         self.total += 1;
         true
     }
 
     /// Counts a connection out.
-    pub(crate) fn leave(&mut self, address: IpAddr) {
-        if let Some(own) = self.by_address.get_mut(&address) {
-            *own -= 1;
+    pub(crate) fn remove(&mut self, address: IpAddr) {
+        if let Some(address_count) = self.count_by_address.get_mut(&address) {
+            *address_count -= 1;
             self.total -= 1;
-            if *own == 0 {
-                self.by_address.remove(&address);
+            if *address_count == 0 {
+                self.count_by_address.remove(&address);
             }
         }
     }
--- a/crates/ragwortroad_gateway/src/connection_loop.rs
+++ b/crates/ragwortroad_gateway/src/connection_loop.rs
@@ -26,29 +26,29 @@
 };
 
 use crate::{
-    caller_socket::{
-        CallerSocket,
+    client_socket::{
+        ClientSocket,
         SocketLimits, //
     },
     connection_count::ConnectionCount,
     exchange_phase::ExchangePhase,
     gateway_state::GatewayState,
     request_router::route_request,
-    stop_signal::until_stopped, //
+    stop_signal::wait_for_stop, //
 };
 
 /// Pause after an accept that failed, for example for want of file descriptors: without it the
 /// loop would spin on the same error.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Time to tell a caller that there are too many connections.
-const TURN_AWAY_TIME: Duration = Duration::from_millis(200);
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Most callers turned away at once; beyond that they are closed without a word.
-const TURNED_AWAY_AT_ONCE: usize = 64;
+const MAX_CONCURRENT_REJECTIONS: usize = 64;
 
 /// The HTTP library's least buffer for a head.
-const LEAST_HEADER: usize = 8192;
+const MIN_HEADER_BUFFER_BYTES: usize = 8192;
 
 /// Accepts callers until `stop` turns true, then ends the connections that are idle and awaits
 /// the others.
@@ -58,54 +58,54 @@
     mut stop: watch::Receiver<bool>,
 ) {
     let mut connections = JoinSet::new();
-    let mut turned_away = JoinSet::new();
-    let mut count = ConnectionCount::default();
-    let mut peers = HashMap::new();
-    let watch = stop.clone();
+    let mut rejections = JoinSet::new();
+    let mut counts = ConnectionCount::default();
+    let mut client_addresses = HashMap::new();
+    let stop_receiver = stop.clone();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, peer)) if count.enter(peer.ip(), &state.settings) => {
-                    let serving = serve_caller(Arc::clone(&state), stream, watch.clone());
-                    peers.insert(connections.spawn(serving).id(), peer.ip());
+                Ok((stream, peer)) if counts.try_add(peer.ip(), &state.settings) => {
+                    let connection = serve_client(Arc::clone(&state), stream, stop_receiver.clone());
+                    client_addresses.insert(connections.spawn(connection).id(), peer.ip());
                 }
                 Ok((stream, _)) => {
                     metrics::counter!("ragwortroad_connections_refused_total").increment(1);
-                    if turned_away.len() < TURNED_AWAY_AT_ONCE {
-                        let telling = turn_away(state.draw_request(), stream);
-                        turned_away.spawn(timeout(TURN_AWAY_TIME, telling));
+                    if rejections.len() < MAX_CONCURRENT_REJECTIONS {
+                        let rejection = reject_connection(state.next_request_id(), stream);
+                        rejections.spawn(timeout(REJECTION_TIMEOUT, rejection));
                     }
                 }
                 Err(error) => {
                     tracing::warn!(%error, "a connection could not be accepted");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
-            Some(ended) = connections.join_next_with_id() => {
-                let id = match ended {
+            Some(result) = connections.join_next_with_id() => {
+                let id = match result {
                     Ok((id, ())) => id,
                     Err(error) => {
                         tracing::error!(%error, "a caller's connection failed");
                         error.id()
                     }
                 };
-                if let Some(address) = peers.remove(&id) {
-                    count.leave(address);
+                if let Some(address) = client_addresses.remove(&id) {
+                    counts.remove(address);
                 }
             },
-            Some(_) = turned_away.join_next() => {}
-            () = until_stopped(&mut stop) => {
+            Some(_) = rejections.join_next() => {}
+            () = wait_for_stop(&mut stop) => {
                 break;
             }
         }
-        metrics::gauge!("ragwortroad_connections").set(count.total() as f64);
+        metrics::gauge!("ragwortroad_connections").set(counts.total() as f64);
     }
     drop(listener);
     while connections.join_next().await.is_some() {}
-    while turned_away.join_next().await.is_some() {}
+    while rejections.join_next().await.is_some() {}
 }
 
-async fn serve_caller(
+async fn serve_client(
     state: Arc<GatewayState>,
     stream: TcpStream,
     mut stop: watch::Receiver<bool>,
@@ -121,28 +121,28 @@
         header: settings.header_timeout,
         write: settings.write_timeout,
     };
-    let max_header = settings.max_header_bytes.max(LEAST_HEADER);
+    let max_header = settings.max_header_bytes.max(MIN_HEADER_BUFFER_BYTES);
     let phase = ExchangePhase::default();
-    let socket = CallerSocket::new(stream, limits, phase.clone(), state.draw_request());
+    let socket = ClientSocket::new(stream, limits, phase.clone(), state.next_request_id());
     let service = service_fn(|request| route_request(Arc::clone(&state), phase.clone(), request));
     let connection = http1::Builder::new()
         .max_buf_size(max_header)
         .serve_connection(TokioIo::new(socket), service);
     tokio::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
-        () = until_stopped(&mut stop) => {
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
+        () = wait_for_stop(&mut stop) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         tracing::debug!(%error, "a caller's connection ended");
     }
 }
 
 /// Tells a caller beyond the limit of connections so, and closes.
-async fn turn_away(request: RequestId, mut stream: TcpStream) {
+async fn reject_connection(request: RequestId, mut stream: TcpStream) {
     let code = RefusalCode::Overloaded;
     let message = "this node has no room for another connection";
     let mut refusal = RefusalWire::new(RequestOutcome::NotRun, code, message, request);
--- a/crates/ragwortroad_gateway/src/control_ask.rs
+++ b/crates/ragwortroad_gateway/src/control_client.rs
@@ -9,17 +9,17 @@
 };
 
 /// Sends a call that takes nothing from the control thread, and awaits its reply.
-pub(crate) async fn ask_control<Reply>(
+pub(crate) async fn call_control<Reply>(
     state: &GatewayState,
     context: &RequestContext,
-    make: impl FnOnce(Sender<Reply>) -> ControlCall,
+    make_call: impl FnOnce(Sender<Reply>) -> ControlCall,
 ) -> Result<Reply, RefusalWire> {
     let (sender, replies) = flume::bounded(1);
-    let asked = async {
-        state.calls.send_async(make(sender)).await.ok()?;
+    let exchange = async {
+        state.calls.send_async(make_call(sender)).await.ok()?;
         replies.recv_async().await.ok()
     };
-    match timeout_at(context.deadline, asked).await {
+    match timeout_at(context.deadline, exchange).await {
         Ok(Some(reply)) => Ok(reply),
         Ok(None) => {
             let message = "the node's control thread has ended";
--- a/crates/ragwortroad_gateway/src/endpoint_link.rs
+++ b/crates/ragwortroad_gateway/src/endpoint_link.rs
@@ -29,7 +29,7 @@
     /// Invariant: runs as long as the link lives, and is aborted with it, which closes the socket.
     driver: JoinHandle<()>,
     /// Whether the link has carried an exchange before.
-    used: bool,
+    is_reused: bool,
 }
 
 impl EndpointLink {
@@ -49,7 +49,7 @@
             address,
             sender,
             driver,
-            used: false,
+            is_reused: false,
         })
     }
 
@@ -67,11 +67,11 @@
     }
 
     pub(crate) fn was_used(&self) -> bool {
-        self.used
+        self.is_reused
     }
 
     pub(crate) fn mark_used(&mut self) {
-        self.used = true;
+        self.is_reused = true;
     }
 
     /// Whether the link is open and has nothing under way, as far as this side has seen.
--- a/crates/ragwortroad_gateway/src/endpoint_pool.rs
+++ b/crates/ragwortroad_gateway/src/endpoint_pool.rs
@@ -14,10 +14,10 @@
 use crate::endpoint_link::EndpointLink;
 
 /// Idle links kept for one endpoint.
-const LINKS_KEPT: usize = 8;
+const MAX_IDLE_LINKS: usize = 8;
 
 /// How long an idle link is kept; below the idle limits that servers commonly have.
-const KEEP_TIME: Duration = Duration::from_secs(4);
+const IDLE_LINK_TTL: Duration = Duration::from_secs(4);
 
 /// Idle connections to endpoints, for idempotent requests only.
 ///
@@ -36,8 +36,8 @@
     pub(crate) fn take(&self, address: SocketAddr) -> Option<EndpointLink> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let links = idle.get_mut(&address)?;
-        while let Some((since, link)) = links.pop() {
-            if since.elapsed() < KEEP_TIME && link.is_ready() {
+        while let Some((idle_since, link)) = links.pop() {
+            if idle_since.elapsed() < IDLE_LINK_TTL && link.is_ready() {
                 return Some(link);
             }
         }
@@ -50,8 +50,8 @@
         link.mark_used();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let links = idle.entry(link.address()).or_default();
-        links.retain(|(since, link)| since.elapsed() < KEEP_TIME && link.is_ready());
-        if links.len() < LINKS_KEPT {
+        links.retain(|(idle_since, link)| idle_since.elapsed() < IDLE_LINK_TTL && link.is_ready());
+        if links.len() < MAX_IDLE_LINKS {
             links.push((Instant::now(), link));
         }
     }
--- a/crates/ragwortroad_gateway/src/engine_request.rs
+++ b/crates/ragwortroad_gateway/src/engine_request.rs
@@ -9,19 +9,19 @@
 
 use crate::{
     AdmitGrant,
-    header_names::REQUEST_ID,
+    header_names::REQUEST_ID_HEADER,
     request_context::{
-        DEADLINE,
+        DEADLINE_HEADER,
         RequestContext, //
     },
     stream_cursor::StreamCursor, //
 };
 
 /// The engines' path for chats.
-const ENGINE_PATH: &str = "/v1/chat/completions";
+const CHAT_COMPLETIONS_PATH: &str = "/v1/chat/completions";
 
 /// Header with the number of the request's attempt, which a cancellation names again.
-const ATTEMPT: &str = "x-attempt";
+const ATTEMPT_HEADER: &str = "x-attempt";
 
 /// A model request as the engine gets it: the caller's body, and headers from the grant.
 pub(crate) fn engine_request(
@@ -32,14 +32,14 @@
 ) -> Option<Request<Full<Bytes>>> {
     let mut request = Request::builder()
         .method(Method::POST)
-        .uri(ENGINE_PATH)
+        .uri(CHAT_COMPLETIONS_PATH)
         .header("host", grant.address.to_string())
         .header("content-type", "application/json")
-        .header(REQUEST_ID, context.request.to_string())
-        .header(ATTEMPT, attempt.to_string())
+        .header(REQUEST_ID_HEADER, context.request.to_string())
+        .header(ATTEMPT_HEADER, attempt.to_string())
         .header("x-customer", grant.customer.as_str())
         .header("x-priority", grant.priority.to_string())
-        .header(DEADLINE, context.time_left().as_millis().to_string());
+        .header(DEADLINE_HEADER, context.time_left().as_millis().to_string());
     if let Some(version) = &grant.version {
         request = request.header("x-model-version", version.as_str());
     }
--- a/crates/ragwortroad_gateway/src/exchange_phase.rs
+++ b/crates/ragwortroad_gateway/src/exchange_phase.rs
@@ -16,32 +16,32 @@
 /// No request has been read since the last answer was flushed.
 const READING: u8 = 0;
 /// A request was read and its answer is being made or written.
-const ANSWERING: u8 = 1;
+const RESPONDING: u8 = 1;
 /// The answer's last byte was handed to the connection, which may hold it still.
 const FLUSHING: u8 = 2;
 
 impl ExchangePhase {
-    pub(crate) fn begin_answer(&self) {
-        self.phase.store(ANSWERING, Ordering::Release);
+    pub(crate) fn begin_response(&self) {
+        self.phase.store(RESPONDING, Ordering::Release);
     }
 
-    pub(crate) fn end_answer(&self) {
+    pub(crate) fn end_response(&self) {
         self.phase.store(FLUSHING, Ordering::Release);
     }
 
-    pub(crate) fn flushed(&self) {
+    pub(crate) fn note_flush(&self) {
         let phase = &self.phase;
-        let order = Ordering::AcqRel;
+        let success_order = Ordering::AcqRel;
         if phase
-            .compare_exchange(FLUSHING, READING, order, Ordering::Acquire)
+            .compare_exchange(FLUSHING, READING, success_order, Ordering::Acquire)
             .is_err()
         {
             // Another phase: the flush was for something else.
         }
     }
 
-    pub(crate) fn is_answering(&self) -> bool {
-        self.phase.load(Ordering::Acquire) == ANSWERING
+    pub(crate) fn is_responding(&self) -> bool {
+        self.phase.load(Ordering::Acquire) == RESPONDING
     }
 
     pub(crate) fn is_reading(&self) -> bool {
@@ -54,6 +54,6 @@
 
 impl Drop for PhaseGuard {
     fn drop(&mut self) {
-        self.0.end_answer();
+        self.0.end_response();
     }
 }
--- a/crates/ragwortroad_gateway/src/gateway_error.rs
+++ b/crates/ragwortroad_gateway/src/gateway_error.rs
@@ -22,7 +22,7 @@
     },
     /// Threads could not be started.
     #[snafu(display("cannot start traffic threads: {source}; raise the limit of threads"))]
-    Threads {
+    StartRuntime {
         /// The system's reason.
         source: io::Error,
     },
--- a/crates/ragwortroad_gateway/src/gateway_server.rs
+++ b/crates/ragwortroad_gateway/src/gateway_server.rs
@@ -28,7 +28,7 @@
     connection_loop::run_connections,
     gateway_error::{
         ListenSnafu,
-        ThreadsSnafu, //
+        StartRuntimeSnafu, //
     },
     gateway_state::GatewayState, //
 };
@@ -37,7 +37,7 @@
 const BACKLOG: u32 = 1024;
 
 /// Time for connections to close once no request is in flight.
-const CLOSE_TIME: Duration = Duration::from_secs(5);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// HTTP towards callers, endpoints and operators, on its own traffic threads.
 pub struct GatewayServer {
@@ -62,19 +62,19 @@
             .thread_name("traffic")
             .enable_all()
             .build()
-            .context(ThreadsSnafu)?;
+            .context(StartRuntimeSnafu)?;
         let address = settings.listen;
         let listener = {
             let _entered = runtime.enter();
             listen_at(address).context(ListenSnafu { address })?
         };
         let address = listener.local_addr().context(ListenSnafu { address })?;
-        let (orders, order_queue) = mpsc::unbounded_channel();
+        let (cancel_sender, cancel_receiver) = mpsc::unbounded_channel();
         let (stop, stopped) = watch::channel(false);
-        let state = Arc::new(GatewayState::new(settings, calls, pages, orders));
-        let accept = run_connections(Arc::clone(&state), listener, stopped.clone());
-        let connections = runtime.spawn(accept);
-        let cancels = runtime.spawn(run_cancels(order_queue, stopped));
+        let state = Arc::new(GatewayState::new(settings, calls, pages, cancel_sender));
+        let accept_loop = run_connections(Arc::clone(&state), listener, stopped.clone());
+        let connections = runtime.spawn(accept_loop);
+        let cancels = runtime.spawn(run_cancels(cancel_receiver, stopped));
         Ok(Self {
             state,
             address,
@@ -115,16 +115,16 @@
             ..
         } = self;
         runtime.block_on(async {
-            state.all_landed().await;
+            state.wait_until_idle().await;
             stop.send_replace(true);
-            let closing = async {
+            let close_tasks = async {
                 for task in [connections, cancels] {
                     if let Err(error) = task.await {
                         tracing::error!(%error, "a task of the gateway failed");
                     }
                 }
             };
-            if timeout(CLOSE_TIME, closing).await.is_err() {
+            if timeout(CLOSE_TIMEOUT, close_tasks).await.is_err() {
                 tracing::warn!("connections without a request were cut");
             }
             state.pool.clear();
--- a/crates/ragwortroad_gateway/src/gateway_state.rs
+++ b/crates/ragwortroad_gateway/src/gateway_state.rs
@@ -25,11 +25,11 @@
     ControlCall,
     GatewayPages,
     GatewaySettings,
-    body_room::{
-        BodyRoom,
-        HeldRoom, //
+    body_budget::{
+        BodyBudget,
+        BodyReservation, //
     },
-    cancel_worker::CancelOrder,
+    cancel_worker::CancelRequest,
     endpoint_pool::EndpointPool, //
 };
 
@@ -38,16 +38,16 @@
     pub(crate) settings: GatewaySettings,
     pub(crate) calls: Sender<ControlCall>,
     pub(crate) pages: GatewayPages,
-    pub(crate) cancels: UnboundedSender<CancelOrder>,
+    pub(crate) cancels: UnboundedSender<CancelRequest>,
     pub(crate) pool: EndpointPool,
-    pub(crate) room: Arc<BodyRoom>,
+    pub(crate) budget: Arc<BodyBudget>,
     /// Invariant: once true, stays true.
     draining: AtomicBool,
     /// Invariant: the number of live [`FlightGuard`]s.
-    flights: AtomicUsize,
-    landed: Notify,
-    seeds: RandomState,
-    drawn: AtomicU64,
+    request_count: AtomicUsize,
+    idle_notify: Notify,
+    request_id_hasher: RandomState,
+    next_request_number: AtomicU64,
 }
 
 impl GatewayState {
@@ -55,27 +55,27 @@
         settings: GatewaySettings,
         calls: Sender<ControlCall>,
         pages: GatewayPages,
-        cancels: UnboundedSender<CancelOrder>,
+        cancels: UnboundedSender<CancelRequest>,
     ) -> Self {
         Self {
-            room: Arc::new(BodyRoom::new(settings.max_buffered_body_bytes)),
+            budget: Arc::new(BodyBudget::new(settings.max_buffered_body_bytes)),
             settings,
             calls,
             pages,
             cancels,
             pool: EndpointPool::default(),
             draining: AtomicBool::new(false),
-            flights: AtomicUsize::new(0),
-            landed: Notify::new(),
-            seeds: RandomState::new(),
-            drawn: AtomicU64::new(0),
+            request_count: AtomicUsize::new(0),
+            idle_notify: Notify::new(),
+            request_id_hasher: RandomState::new(),
+            next_request_number: AtomicU64::new(0),
         }
     }
 
     /// A new request's identity: a counter under a keyed hash whose key the system draws.
-    pub(crate) fn draw_request(&self) -> RequestId {
-        let count = self.drawn.fetch_add(1, Ordering::Relaxed);
-        RequestId(self.seeds.hash_one(count))
+    pub(crate) fn next_request_id(&self) -> RequestId {
+        let count = self.next_request_number.fetch_add(1, Ordering::Relaxed);
+        RequestId(self.request_id_hasher.hash_one(count))
     }
 
     pub(crate) fn begin_drain(&self) {
@@ -87,41 +87,41 @@
     }
 
     pub(crate) fn in_flight(&self) -> usize {
-        self.flights.load(Ordering::Acquire)
+        self.request_count.load(Ordering::Acquire)
     }
 
     /// Counts a request in until the guard drops.
-    pub(crate) fn take_off(self: &Arc<Self>) -> FlightGuard {
-        self.flights.fetch_add(1, Ordering::AcqRel);
-        FlightGuard {
+    pub(crate) fn begin_request(self: &Arc<Self>) -> InFlightGuard {
+        self.request_count.fetch_add(1, Ordering::AcqRel);
+        InFlightGuard {
             state: Arc::clone(self),
-            room: self.room.hold(),
+            reservation: self.budget.new_reservation(),
         }
     }
 
     /// Waits until no request is in flight.
-    pub(crate) async fn all_landed(&self) {
+    pub(crate) async fn wait_until_idle(&self) {
         loop {
-            let landed = self.landed.notified();
+            let idle_notify = self.idle_notify.notified();
             if self.in_flight() == 0 {
                 return;
             }
-            landed.await;
+            idle_notify.await;
         }
     }
 }
 
 /// One request in flight, from its head to the last byte of its answer.
-pub(crate) struct FlightGuard {
+pub(crate) struct InFlightGuard {
     state: Arc<GatewayState>,
     /// Room for the request's body, which is kept for attempts to come.
-    pub(crate) room: HeldRoom,
+    pub(crate) reservation: BodyReservation,
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        if self.state.flights.fetch_sub(1, Ordering::AcqRel) == 1 {
-            self.state.landed.notify_waiters();
+        if self.state.request_count.fetch_sub(1, Ordering::AcqRel) == 1 {
+            self.state.idle_notify.notify_waiters();
         }
     }
 }
--- a/crates/ragwortroad_gateway/src/model_relay.rs
+++ b/crates/ragwortroad_gateway/src/model_relay.rs
@@ -9,19 +9,13 @@
     AdmitCall,
     AttemptOutcome,
     RequestTarget,
-    answer_check::{
-        answer_id,
-        read_whole, //
-    },
     chunk_wire::UsageWire,
-    engine_opening::{
-        EngineAnswer,
-        GoodAnswer,
-        open_engine, //
+    engine_response::{
+        AcceptedResponse,
+        EngineResponse,
+        open_response, //
     },
     gateway_state::GatewayState,
-    reply_body::ReplyBody,
-    reply_maker::{recorded_reply, set_header, set_placement},
     request_context::{
         RequestContext,
         hash_request, //
@@ -30,13 +24,19 @@
         FlowEnd,
         RequestFlow, //
     },
-    stream_relay::stream_reply, //
+    response_body::ResponseBody,
+    response_builder::{recorded_response, set_header, set_placement},
+    response_check::{
+        expected_completion_id,
+        read_complete, //
+    },
+    stream_relay::stream_response, //
 };
 
 /// A whole answer's parts that the gateway reads.
 #[derive(Debug)]
 #[derive(serde::Deserialize)]
-struct WholeWire {
+struct CompletionWire {
     #[serde(default)]
     id: Option<String>,
     #[serde(default)]
@@ -48,7 +48,7 @@
     state: Arc<GatewayState>,
     context: RequestContext,
     body: Bytes,
-) -> Result<Response<ReplyBody>, RefusalWire> {
+) -> Result<Response<ResponseBody>, RefusalWire> {
     let chat: ChatBody = serde_json::from_slice(&body).map_err(|error| {
         let message = format!("the body is not a chat in the OpenAI format: {error}");
         context.not_run(RefusalCode::MalformedRequest, message)
@@ -58,26 +58,26 @@
         return Err(context.not_run(RefusalCode::MalformedRequest, message));
     }
     let call = admit_call(&context, &chat, &body)?;
-    let streamed = chat.stream;
+    let is_stream = chat.stream;
     drop(chat);
     let deadline = context.deadline;
     let mut flow = RequestFlow::new(state, context, call);
-    let served = match streamed {
-        false => timeout_at(deadline, serve_whole(&mut flow, &body)).await,
-        true => match timeout_at(deadline, open_engine(&mut flow, &body)).await {
-            Ok(Ok(EngineAnswer::Good(good))) => {
-                return Ok(stream_reply(flow, body, *good));
+    let result = match is_stream {
+        false => timeout_at(deadline, serve_complete(&mut flow, &body)).await,
+        true => match timeout_at(deadline, open_response(&mut flow, &body)).await {
+            Ok(Ok(EngineResponse::Accepted(accepted))) => {
+                return Ok(stream_response(flow, body, *accepted));
             }
-            Ok(Ok(EngineAnswer::Refusal(reply))) => Ok(Ok(reply)),
+            Ok(Ok(EngineResponse::Refusal(client_response))) => Ok(Ok(client_response)),
             Ok(Err(end)) => Ok(Err(end)),
             Err(elapsed) => Err(elapsed),
         },
     };
-    match served {
-        Ok(Ok(reply)) => Ok(reply),
-        Ok(Err(FlowEnd::Recorded(answer))) => Ok(recorded_reply(answer)),
+    match result {
+        Ok(Ok(client_response)) => Ok(client_response),
+        Ok(Err(FlowEnd::Recorded(response))) => Ok(recorded_response(response)),
         Ok(Err(FlowEnd::Refused(refusal))) => Err(*refusal),
-        Err(_) => Err(flow.overdue()),
+        Err(_) => Err(flow.deadline_refusal()),
     }
 }
 
@@ -111,47 +111,50 @@
 }
 
 /// Checks that a whole answer's own identity is the request's, where engines name it.
-fn check_id(flow: &RequestFlow, wire: &WholeWire) -> Result<(), String> {
+fn check_id(flow: &RequestFlow, wire: &CompletionWire) -> Result<(), String> {
     let must_echo = flow.state.settings.require_request_id_echo;
-    let wanted = answer_id(flow.context.request, must_echo);
-    match (wanted, &wire.id) {
-        (Some(wanted), Some(id)) if wanted != *id => {
+    let expected = expected_completion_id(flow.context.request, must_echo);
+    match (expected, &wire.id) {
+        (Some(expected), Some(id)) if expected != *id => {
             Err("the answer's identity is another request's".to_owned())
         }
         _ => Ok(()),
     }
 }
 
-async fn serve_whole(flow: &mut RequestFlow, body: &Bytes) -> Result<Response<ReplyBody>, FlowEnd> {
+async fn serve_complete(
+    flow: &mut RequestFlow,
+    body: &Bytes,
+) -> Result<Response<ResponseBody>, FlowEnd> {
     loop {
-        let GoodAnswer { attempt, answer } = match open_engine(flow, body).await? {
-            EngineAnswer::Good(good) => *good,
-            EngineAnswer::Refusal(reply) => return Ok(reply),
+        let AcceptedResponse { attempt, response } = match open_response(flow, body).await? {
+            EngineResponse::Accepted(accepted) => *accepted,
+            EngineResponse::Refusal(client_response) => return Ok(client_response),
         };
         let limit = flow.state.settings.max_response_bytes;
-        let whole = read_whole(&Method::POST, answer, limit).await;
-        let parsed = whole.and_then(|bytes| {
-            let wire = serde_json::from_slice::<WholeWire>(&bytes)
+        let complete = read_complete(&Method::POST, response, limit).await;
+        let parsed = complete.and_then(|bytes| {
+            let wire = serde_json::from_slice::<CompletionWire>(&bytes)
                 .map_err(|error| format!("the answer is not JSON: {error}"))?;
             check_id(flow, &wire)?;
             Ok((bytes, wire))
         });
         let (bytes, wire) = match parsed {
             Ok(parsed) => parsed,
-            Err(why) => {
-                flow.broken(&attempt.grant, attempt.guard, &why)?;
+            Err(reason) => {
+                flow.fail_attempt(&attempt.grant, attempt.guard, &reason)?;
                 continue;
             }
         };
-        let mut reply = Response::new(ReplyBody::whole(bytes));
-        set_header(&mut reply, "content-type", "application/json");
-        set_placement(&mut reply, &attempt.grant);
+        let mut client_response = Response::new(ResponseBody::complete(bytes));
+        set_header(&mut client_response, "content-type", "application/json");
+        set_placement(&mut client_response, &attempt.grant);
         attempt.guard.finish(AttemptOutcome::Completed {
             status: 200,
             response: None,
             cached_tokens: wire.usage.and_then(|usage| usage.cached_tokens()),
         });
         flow.state.pool.put(attempt.link);
-        return Ok(reply);
+        return Ok(client_response);
     }
 }
--- a/crates/ragwortroad_gateway/src/page_handlers.rs
+++ b/crates/ragwortroad_gateway/src/page_handlers.rs
@@ -14,17 +14,17 @@
     AnnounceCall,
     ControlCall,
     OperatorCall,
+    body_budget::BodyReservation,
     body_reader::read_body,
-    body_room::HeldRoom,
-    control_ask::ask_control,
+    control_client::call_control,
     gateway_state::GatewayState,
     query_values::query_value,
-    reply_body::ReplyBody,
-    reply_maker::{
-        json_reply,
-        text_reply, //
-    },
     request_context::RequestContext, //
+    response_body::ResponseBody,
+    response_builder::{
+        json_response,
+        text_response, //
+    },
 };
 
 /// The body of `POST /v1/operator`.
@@ -39,76 +39,80 @@
     may_change: bool,
 }
 
-pub(crate) async fn answer_addresses(
+pub(crate) async fn handle_addresses(
     state: &GatewayState,
     context: &RequestContext,
     uri: &Uri,
-) -> Result<Response<ReplyBody>, RefusalWire> {
+) -> Result<Response<ResponseBody>, RefusalWire> {
     let query = uri.query().unwrap_or_default();
     let call = AddressCall {
         key_hash: context.require_key()?,
         chat: query_value(query, "chat").or_else(|| context.chat.clone()),
         hint: query_value(query, "hint").or_else(|| context.hint.clone()),
     };
-    let asked = ask_control(state, context, |sender| {
+    let response = call_control(state, context, |sender| {
         ControlCall::Addresses(call, sender)
     });
-    Ok(json_reply(200, &asked.await??))
+    Ok(json_response(200, &response.await??))
 }
 
-pub(crate) async fn answer_announce(
+pub(crate) async fn handle_announce(
     state: &GatewayState,
     context: &RequestContext,
     request: Request<Incoming>,
-    room: &mut HeldRoom,
-) -> Result<Response<ReplyBody>, RefusalWire> {
+    reservation: &mut BodyReservation,
+) -> Result<Response<ResponseBody>, RefusalWire> {
     let secret_hash = context.require_key()?;
-    let announce: AnnounceWire = read_json(state, context, request, room).await?;
+    let announce: AnnounceWire = read_json(state, context, request, reservation).await?;
     let call = AnnounceCall {
         secret_hash,
         announce,
     };
-    let asked = ask_control(state, context, |sender| ControlCall::Announce(call, sender));
-    Ok(json_reply(200, &asked.await??))
+    let response = call_control(state, context, |sender| ControlCall::Announce(call, sender));
+    Ok(json_response(200, &response.await??))
 }
 
-pub(crate) async fn answer_operator(
+pub(crate) async fn handle_operator(
     state: &GatewayState,
     context: &RequestContext,
     request: Request<Incoming>,
-    room: &mut HeldRoom,
-) -> Result<Response<ReplyBody>, RefusalWire> {
+    reservation: &mut BodyReservation,
+) -> Result<Response<ResponseBody>, RefusalWire> {
     let key_hash = context.require_key()?;
-    let body: OperatorBody = read_json(state, context, request, room).await?;
+    let body: OperatorBody = read_json(state, context, request, reservation).await?;
     let call = OperatorCall {
         key_hash,
         line: body.line,
         may_change: body.may_change,
         change_id: body.change_id,
     };
-    let asked = ask_control(state, context, |sender| ControlCall::Operator(call, sender));
-    let answer = asked.await?;
-    Ok(text_reply(answer.status, "application/json", answer.body))
+    let response = call_control(state, context, |sender| ControlCall::Operator(call, sender));
+    let answer = response.await?;
+    Ok(text_response(
+        answer.status,
+        "application/json",
+        answer.body,
+    ))
 }
 
-pub(crate) fn answer_timeline(
+pub(crate) fn handle_timeline(
     state: &GatewayState,
     context: &RequestContext,
     uri: &Uri,
-) -> Result<Response<ReplyBody>, RefusalWire> {
+) -> Result<Response<ResponseBody>, RefusalWire> {
     let key_hash = context.require_key()?;
     let query = uri.query().unwrap_or_default();
     let page = (state.pages.timeline)(key_hash, query)?;
-    Ok(text_reply(200, "text/plain; charset=utf-8", page))
+    Ok(text_response(200, "text/plain; charset=utf-8", page))
 }
 
 async fn read_json<Wire: serde::de::DeserializeOwned>(
     state: &GatewayState,
     context: &RequestContext,
     request: Request<Incoming>,
-    room: &mut HeldRoom,
+    reservation: &mut BodyReservation,
 ) -> Result<Wire, RefusalWire> {
-    let bytes = read_body(state, context, request.into_body(), room).await?;
+    let bytes = read_body(state, context, request.into_body(), reservation).await?;
     serde_json::from_slice(&bytes).map_err(|error| {
         let message = format!("the body is not what this path takes: {error}");
         context.not_run(RefusalCode::MalformedRequest, message)
--- a/crates/ragwortroad_gateway/src/request_context.rs
+++ b/crates/ragwortroad_gateway/src/request_context.rs
@@ -14,17 +14,17 @@
 
 use crate::{
     GatewaySettings,
-    header_names::PLACEMENT_HINT, //
+    header_names::PLACEMENT_HINT_HEADER, //
 };
 
 /// Header with the milliseconds that the caller gives the request.
-pub(crate) const DEADLINE: &str = "x-deadline-ms";
+pub(crate) const DEADLINE_HEADER: &str = "x-deadline-ms";
 
 /// Header with the chat that a request continues.
-pub(crate) const CHAT_ID: &str = "x-chat-id";
+pub(crate) const CHAT_ID_HEADER: &str = "x-chat-id";
 
 /// Header with the caller's idempotency key.
-pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
+pub(crate) const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// What every request brings besides its body.
 #[derive(Clone, Debug)]
@@ -40,19 +40,19 @@
 
 impl RequestContext {
     pub(crate) fn new(request: RequestId, headers: &HeaderMap, settings: &GatewaySettings) -> Self {
-        let text = |name: &str| {
+        let header_text = |name: &str| {
             let value = headers.get(name)?.to_str().ok()?;
             Some(value.to_owned())
         };
-        let named = text(DEADLINE).and_then(|value| value.parse().ok());
-        let allowed = named.map_or(settings.default_deadline, Duration::from_millis);
+        let requested = header_text(DEADLINE_HEADER).and_then(|value| value.parse().ok());
+        let granted = requested.map_or(settings.default_deadline, Duration::from_millis);
         Self {
             request,
             key_hash: bearer_hash(headers),
-            deadline: Instant::now() + allowed.min(settings.max_deadline),
-            chat: text(CHAT_ID),
-            hint: text(PLACEMENT_HINT),
-            idempotency_key: text(IDEMPOTENCY_KEY),
+            deadline: Instant::now() + granted.min(settings.max_deadline),
+            chat: header_text(CHAT_ID_HEADER),
+            hint: header_text(PLACEMENT_HINT_HEADER),
+            idempotency_key: header_text(IDEMPOTENCY_KEY_HEADER),
         }
     }
 
--- a/crates/ragwortroad_gateway/src/request_flow.rs
+++ b/crates/ragwortroad_gateway/src/request_flow.rs
@@ -72,7 +72,7 @@
     pub(crate) async fn open(&mut self) -> Result<OpenAttempt, FlowEnd> {
         loop {
             if self.attempts >= self.state.settings.max_attempts {
-                return Err(self.exhausted());
+                return Err(self.exhausted_refusal());
             }
             let grant = self.admit().await?;
             self.attempts += 1;
@@ -87,7 +87,7 @@
                 self.attempts,
                 cancels,
             );
-            if let Some(link) = self.pooled(&grant) {
+            if let Some(link) = self.take_pooled_link(&grant) {
                 return Ok(OpenAttempt { grant, guard, link });
             }
             let limit = self.state.settings.connect_timeout;
@@ -109,14 +109,15 @@
     pub(crate) async fn exchange(
         &mut self,
         attempt: &mut OpenAttempt,
-        make: impl Fn(&AdmitGrant, u32) -> Option<Request<Full<Bytes>>>,
+        make_request: impl Fn(&AdmitGrant, u32) -> Option<Request<Full<Bytes>>>,
     ) -> Result<Response<Incoming>, String> {
-        let unfit = || "the request cannot be written as HTTP".to_owned();
-        let request = make(&attempt.grant, attempt.guard.attempt()).ok_or_else(unfit)?;
+        let unwritable = || "the request cannot be written as HTTP".to_owned();
+        let request =
+            make_request(&attempt.grant, attempt.guard.attempt()).ok_or_else(unwritable)?;
         attempt.guard.mark_sent();
         self.sent = true;
         match attempt.link.send(request).await {
-            Ok(answer) => Ok(answer),
+            Ok(response) => Ok(response),
             Err(error) if attempt.link.was_used() && self.call.idempotent => {
                 tracing::debug!(%error, "a kept connection was closed; using a fresh one");
                 let limit = self.state.settings.connect_timeout;
@@ -124,7 +125,8 @@
                 attempt.link = EndpointLink::connect(address, limit)
                     .await
                     .map_err(|error| format!("no connection: {error}"))?;
-                let request = make(&attempt.grant, attempt.guard.attempt()).ok_or_else(unfit)?;
+                let request =
+                    make_request(&attempt.grant, attempt.guard.attempt()).ok_or_else(unwritable)?;
                 let sent = attempt.link.send(request).await;
                 sent.map_err(|error| format!("no answer: {error}"))
             }
@@ -133,39 +135,42 @@
     }
 
     /// Reports a broken attempt. The flow may go on with another one only if that is harmless.
-    pub(crate) fn broken(
+    pub(crate) fn fail_attempt(
         &mut self,
         grant: &AdmitGrant,
         guard: AttemptGuard,
-        why: &str,
+        reason: &str,
     ) -> Result<(), FlowEnd> {
-        tracing::warn!(endpoint = %grant.endpoint, why, "broken answer");
+        tracing::warn!(endpoint = %grant.endpoint, why = reason, "broken answer");
         guard.finish(AttemptOutcome::Broken);
         self.exclude(grant);
         match self.call.idempotent {
             true => Ok(()),
-            false => Err(self.context.unknown(RefusalCode::BrokenAnswer, why).into()),
+            false => Err(self
+                .context
+                .unknown(RefusalCode::BrokenAnswer, reason)
+                .into()),
         }
     }
 
     /// The refusal for a request whose deadline passed.
-    pub(crate) fn overdue(&self) -> RefusalWire {
+    pub(crate) fn deadline_refusal(&self) -> RefusalWire {
         let message = "no whole answer came before the deadline";
         let refusal = self.context.not_run(RefusalCode::DeadlinePassed, message);
-        self.honest(refusal)
+        self.correct_outcome(refusal)
     }
 
     async fn admit(&mut self) -> Result<AdmitGrant, FlowEnd> {
         let mut call = self.call.clone();
         call.time_left = self.context.time_left();
-        match AdmitWait::ask(&self.state, call).await {
+        match AdmitWait::request(&self.state, call).await {
             Ok(AdmitReply::Granted(grant)) => Ok(grant),
-            Ok(AdmitReply::Recorded(answer)) => Err(FlowEnd::Recorded(answer)),
-            Ok(AdmitReply::Refused(refusal)) => Err(self.honest(refusal).into()),
+            Ok(AdmitReply::Recorded(response)) => Err(FlowEnd::Recorded(response)),
+            Ok(AdmitReply::Refused(refusal)) => Err(self.correct_outcome(refusal).into()),
             Err(_) => {
                 let message = "the node's control thread has ended";
                 let refusal = self.context.not_run(RefusalCode::InternalFault, message);
-                Err(self.honest(refusal).into())
+                Err(self.correct_outcome(refusal).into())
             }
         }
     }
@@ -174,7 +179,7 @@
     ///
     /// The control thread judges the attempt it refuses. When an earlier attempt was sent, the
     /// caller must not be told that the request did not run.
-    fn honest(&self, mut refusal: RefusalWire) -> RefusalWire {
+    fn correct_outcome(&self, mut refusal: RefusalWire) -> RefusalWire {
         if self.sent && refusal.error.outcome == RequestOutcome::NotRun {
             refusal.error.outcome = RequestOutcome::Unknown;
         }
@@ -189,16 +194,17 @@
         }
     }
 
-    fn exhausted(&self) -> FlowEnd {
+    fn exhausted_refusal(&self) -> FlowEnd {
         let message = format!("{} endpoints failed in turn", self.attempts);
         let code = match self.sent {
             true => RefusalCode::BrokenAnswer,
             false => RefusalCode::NoEndpoint,
         };
-        self.honest(self.context.not_run(code, message)).into()
+        self.correct_outcome(self.context.not_run(code, message))
+            .into()
     }
 
-    fn pooled(&self, grant: &AdmitGrant) -> Option<EndpointLink> {
+    fn take_pooled_link(&self, grant: &AdmitGrant) -> Option<EndpointLink> {
         match self.call.idempotent {
             true => self.state.pool.take(grant.address),
             false => None,
--- a/crates/ragwortroad_gateway/src/request_router.rs
+++ b/crates/ragwortroad_gateway/src/request_router.rs
@@ -19,24 +19,24 @@
         PhaseGuard, //
     },
     gateway_state::GatewayState,
-    header_names::REQUEST_ID,
+    header_names::REQUEST_ID_HEADER,
     model_relay::relay_model,
     page_handlers::{
-        answer_addresses,
-        answer_announce,
-        answer_operator,
-        answer_timeline, //
-    },
-    reply_body::ReplyBody,
-    reply_maker::{
-        refusal_reply,
-        set_header,
-        text_reply, //
+        handle_addresses,
+        handle_announce,
+        handle_operator,
+        handle_timeline, //
     },
     request_context::{
         RequestContext,
         short_hash, //
     },
+    response_body::ResponseBody,
+    response_builder::{
+        refusal_response,
+        set_header,
+        text_response, //
+    },
     service_relay::{
         ServiceCall,
         relay_service, //
@@ -44,27 +44,27 @@
 };
 
 use crate::{
+    body_budget::BodyReservation,
     body_reader::{
         discard_body,
         read_body, //
     },
-    body_room::HeldRoom,
-    control_ask::ask_control, //
+    control_client::call_control, //
 };
 
 /// Where plain services begin.
-const SERVICES: &str = "/v1/services/";
+const SERVICES_PREFIX: &str = "/v1/services/";
 
 /// Answers one request of a caller, an endpoint or an operator.
 pub(crate) async fn route_request(
     state: Arc<GatewayState>,
     phase: ExchangePhase,
     request: Request<Incoming>,
-) -> Result<Response<ReplyBody>, Infallible> {
-    phase.begin_answer();
-    let ended = PhaseGuard(phase);
-    let mut flight = state.take_off();
-    let id = state.draw_request();
+) -> Result<Response<ResponseBody>, Infallible> {
+    phase.begin_response();
+    let phase_guard = PhaseGuard(phase);
+    let mut in_flight_guard = state.begin_request();
+    let id = state.next_request_id();
     let context = RequestContext::new(id, request.headers(), &state.settings);
     let span = tracing::info_span!(
         "request",
@@ -76,24 +76,29 @@
         customer = tracing::field::Empty,
         endpoint = tracing::field::Empty,
     );
-    let answered = dispatch(Arc::clone(&state), context, request, &mut flight.room);
-    let mut reply = match answered.instrument(span).await {
-        Ok(reply) => reply,
+    let dispatched = dispatch(
+        Arc::clone(&state),
+        context,
+        request,
+        &mut in_flight_guard.reservation,
+    );
+    let mut client_response = match dispatched.instrument(span).await {
+        Ok(client_response) => client_response,
         Err(mut refusal) => {
             // The control thread names some refusals by numbers of its own. A caller who quotes the
             // body's identity to an operator must mean the same request as the header and the log.
             refusal.error.request_id = id.to_string();
             count_refusal(&refusal);
-            refusal_reply(&refusal)
+            refusal_response(&refusal)
         }
     };
-    let status = reply.status().as_str().to_owned();
+    let status = client_response.status().as_str().to_owned();
     metrics::counter!("ragwortroad_answers_total", "status" => status).increment(1);
-    set_header(&mut reply, REQUEST_ID, &id.to_string());
+    set_header(&mut client_response, REQUEST_ID_HEADER, &id.to_string());
     if state.is_draining() {
-        set_header(&mut reply, "connection", "close");
+        set_header(&mut client_response, "connection", "close");
     }
-    Ok(reply.map(|body| body.with_guards(flight, ended)))
+    Ok(client_response.map(|body| body.with_guards(in_flight_guard, phase_guard)))
 }
 
 fn count_refusal(refusal: &RefusalWire) {
@@ -109,30 +114,34 @@
     state: Arc<GatewayState>,
     context: RequestContext,
     request: Request<Incoming>,
-    room: &mut HeldRoom,
-) -> Result<Response<ReplyBody>, RefusalWire> {
+    reservation: &mut BodyReservation,
+) -> Result<Response<ResponseBody>, RefusalWire> {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     match (&method, path.as_str()) {
         (&Method::GET, "/healthz") => Ok(healthz(&state)),
         (&Method::GET, "/metrics") => {
             let page = (state.pages.metrics)();
-            Ok(text_reply(200, "text/plain; version=0.0.4", page))
+            Ok(text_response(200, "text/plain; version=0.0.4", page))
+        }
+        (&Method::GET, "/v1/timeline") => handle_timeline(&state, &context, request.uri()),
+        (&Method::GET, "/v1/addresses") => handle_addresses(&state, &context, request.uri()).await,
+        (&Method::POST, "/v1/announce") => {
+            handle_announce(&state, &context, request, reservation).await
+        }
+        (&Method::POST, "/v1/operator") => {
+            handle_operator(&state, &context, request, reservation).await
         }
-        (&Method::GET, "/v1/timeline") => answer_timeline(&state, &context, request.uri()),
-        (&Method::GET, "/v1/addresses") => answer_addresses(&state, &context, request.uri()).await,
-        (&Method::POST, "/v1/announce") => answer_announce(&state, &context, request, room).await,
-        (&Method::POST, "/v1/operator") => answer_operator(&state, &context, request, room).await,
         (&Method::POST, "/v1/chat/completions") => {
-            let body = take_body(&state, &context, request.into_body(), room).await?;
+            let body = take_body(&state, &context, request.into_body(), reservation).await?;
             refuse_when_draining(&state, &context).await?;
             relay_model(state, context, body).await
         }
-        (_, path) if path.starts_with(SERVICES) => {
+        (_, path) if path.starts_with(SERVICES_PREFIX) => {
             let (parts, body) = request.into_parts();
-            let body = take_body(&state, &context, body, room).await?;
+            let body = take_body(&state, &context, body, reservation).await?;
             refuse_when_draining(&state, &context).await?;
-            let call = ServiceCall::new(parts, &path[SERVICES.len()..], body);
+            let call = ServiceCall::new(parts, &path[SERVICES_PREFIX.len()..], body);
             relay_service(state, context, call).await
         }
         _ => {
@@ -148,20 +157,20 @@
     state: &GatewayState,
     context: &RequestContext,
     body: Incoming,
-    room: &mut HeldRoom,
+    reservation: &mut BodyReservation,
 ) -> Result<bytes::Bytes, RefusalWire> {
     // A caller without a key must not make the node hold a large body for it.
     if let Err(refusal) = context.require_key() {
         discard_body(body).await;
         return Err(refusal);
     }
-    read_body(state, context, body, room).await
+    read_body(state, context, body, reservation).await
 }
 
-fn healthz(state: &GatewayState) -> Response<ReplyBody> {
+fn healthz(state: &GatewayState) -> Response<ResponseBody> {
     match state.is_draining() {
-        true => text_reply(503, "text/plain", "draining\n".to_owned()),
-        false => text_reply(200, "text/plain", "ok\n".to_owned()),
+        true => text_response(503, "text/plain", "draining\n".to_owned()),
+        false => text_response(200, "text/plain", "ok\n".to_owned()),
     }
 }
 
@@ -178,7 +187,7 @@
         chat: context.chat.clone(),
         hint: context.hint.clone(),
     };
-    let answer = ask_control(state, context, |sender| {
+    let answer = call_control(state, context, |sender| {
         crate::ControlCall::Addresses(call, sender)
     });
     let answer = answer.await??;
--- a/crates/ragwortroad_gateway/src/reply_body.rs
+++ b/crates/ragwortroad_gateway/src/response_body.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     exchange_phase::PhaseGuard,
-    gateway_state::FlightGuard, //
+    gateway_state::InFlightGuard, //
 };
 
 /// The work that feeds a stream.
@@ -28,25 +28,25 @@
 ///
 /// A stream's relay runs inside the body: the connection that writes the answer owns the work that
 /// makes it, so a caller that goes away ends the work with no task left behind.
-pub(crate) struct ReplyBody {
+pub(crate) struct ResponseBody {
     source: BodySource,
     /// Keeps the request counted as in flight until the connection has taken the last byte.
-    guards: Option<(FlightGuard, PhaseGuard)>,
+    guards: Option<(InFlightGuard, PhaseGuard)>,
 }
 
 /// Where the bytes come from.
 enum BodySource {
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     Stream {
         events: mpsc::Receiver<Bytes>,
         relay: Option<RelayFuture>,
     },
 }
 
-impl ReplyBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
+impl ResponseBody {
+    pub(crate) fn complete(bytes: impl Into<Bytes>) -> Self {
         Self {
-            source: BodySource::Whole(Some(bytes.into())),
+            source: BodySource::Complete(Some(bytes.into())),
             guards: None,
         }
     }
@@ -65,8 +65,8 @@
         }
     }
 
-    pub(crate) fn with_guards(mut self, flight: FlightGuard, phase: PhaseGuard) -> Self {
-        self.guards = Some((flight, phase));
+    pub(crate) fn with_guards(mut self, in_flight: InFlightGuard, phase: PhaseGuard) -> Self {
+        self.guards = Some((in_flight, phase));
         self
     }
 }
@@ -89,7 +89,7 @@
     Poll::Pending
 }
 
-impl Body for ReplyBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -98,19 +98,19 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         let bytes = match &mut self.source {
-            BodySource::Whole(bytes) => Poll::Ready(bytes.take()),
+            BodySource::Complete(bytes) => Poll::Ready(bytes.take()),
             BodySource::Stream { events, relay } => poll_stream(events, relay, context),
         };
         bytes.map(|bytes| bytes.map(|bytes| Ok(Frame::data(bytes))))
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(&self.source, BodySource::Whole(None))
+        matches!(&self.source, BodySource::Complete(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            BodySource::Whole(bytes) => {
+            BodySource::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             BodySource::Stream { .. } => SizeHint::default(),
--- a/crates/ragwortroad_gateway/src/answer_check.rs
+++ b/crates/ragwortroad_gateway/src/response_check.rs
@@ -17,21 +17,21 @@
 };
 use ragwortroad_types::prelude::*;
 
-use crate::header_names::REQUEST_ID;
+use crate::header_names::REQUEST_ID_HEADER;
 
 /// Checks that the answer names this request, or, where `must_echo` allows it, none.
-pub(crate) fn check_owner(
-    answer: &Response<Incoming>,
+pub(crate) fn check_request_id(
+    response: &Response<Incoming>,
     request: RequestId,
     must_echo: bool,
 ) -> Result<(), String> {
-    let Some(echo) = answer.headers().get(REQUEST_ID) else {
+    let Some(echoed_id) = response.headers().get(REQUEST_ID_HEADER) else {
         return match must_echo {
             true => Err("the answer does not name its request".to_owned()),
             false => Ok(()),
         };
     };
-    if echo.as_bytes() == request.to_string().as_bytes() {
+    if echoed_id.as_bytes() == request.to_string().as_bytes() {
         return Ok(());
     }
     Err("the answer belongs to another request".to_owned())
@@ -41,29 +41,30 @@
 ///
 /// The header alone does not do: it is written before the answer is made, so an engine that mixes
 /// up two answers still sends the right one.
-pub(crate) fn answer_id(request: RequestId, must_echo: bool) -> Option<String> {
+pub(crate) fn expected_completion_id(request: RequestId, must_echo: bool) -> Option<String> {
     must_echo.then(|| format!("chatcmpl-{request}"))
 }
 
 /// Reads a whole body whose end the endpoint marked.
 ///
 /// A body that ends with its connection cannot be told from one cut short, so it counts as broken.
-pub(crate) async fn read_whole(
+pub(crate) async fn read_complete(
     method: &Method,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
     limit: usize,
 ) -> Result<Bytes, String> {
-    let headers = answer.headers();
-    let marked = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
-    let bodiless = method == Method::HEAD
+    let headers = response.headers();
+    let has_end_marker =
+        headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
+    let is_bodiless = method == Method::HEAD
         || matches!(
-            answer.status(),
+            response.status(),
             StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
         );
-    if !marked && !bodiless {
+    if !has_end_marker && !is_bodiless {
         return Err("the answer does not mark its end".to_owned());
     }
-    let body = Limited::new(answer.into_body(), limit);
+    let body = Limited::new(response.into_body(), limit);
     match body.collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) => Err(format!("the answer is not whole: {error}")),
--- a/crates/ragwortroad_gateway/src/service_relay.rs
+++ b/crates/ragwortroad_gateway/src/service_relay.rs
@@ -23,20 +23,14 @@
     AttemptOutcome,
     RecordedResponse,
     RequestTarget,
-    answer_check::{
-        check_owner,
-        read_whole, //
-    },
     gateway_state::GatewayState,
     header_names::{
-        PLACEMENT_HINT,
-        REQUEST_ID, //
+        PLACEMENT_HINT_HEADER,
+        REQUEST_ID_HEADER, //
     },
-    reply_body::ReplyBody,
-    reply_maker::recorded_reply,
     request_context::{
-        CHAT_ID,
-        DEADLINE,
+        CHAT_ID_HEADER,
+        DEADLINE_HEADER,
         RequestContext,
         hash_request, //
     },
@@ -44,10 +38,16 @@
         FlowEnd,
         RequestFlow, //
     }, //
+    response_body::ResponseBody,
+    response_builder::recorded_response,
+    response_check::{
+        check_request_id,
+        read_complete, //
+    },
 };
 
 /// Headers that belong to one connection or to the fleet, and are not passed on.
-const OWN_HEADERS: [&str; 15] = [
+const STRIPPED_HEADERS: [&str; 15] = [
     "authorization",
     "connection",
     "content-length",
@@ -60,9 +60,9 @@
     "trailer",
     "transfer-encoding",
     "upgrade",
-    CHAT_ID,
-    DEADLINE,
-    PLACEMENT_HINT,
+    CHAT_ID_HEADER,
+    DEADLINE_HEADER,
+    PLACEMENT_HINT_HEADER,
 ];
 
 /// A call to a plain service, as the caller made it.
@@ -77,8 +77,8 @@
 
 impl ServiceCall {
     /// Reads the service and its path from `/v1/services/{service}/{path...}`.
-    pub(crate) fn new(parts: Parts, rest: &str, body: Bytes) -> Self {
-        let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
+    pub(crate) fn new(parts: Parts, remaining: &str, body: Bytes) -> Self {
+        let (service, path) = remaining.split_once('/').unwrap_or((remaining, ""));
         let path = match parts.uri.query() {
             Some(query) => format!("/{path}?{query}"),
             None => format!("/{path}"),
@@ -87,7 +87,7 @@
             service: service.to_owned(),
             method: parts.method,
             path,
-            headers: passed_headers(&parts.headers),
+            headers: forwarded_headers(&parts.headers),
             body,
         }
     }
@@ -102,14 +102,14 @@
         *request.uri_mut() = self.path.parse().ok()?;
         let headers = request.headers_mut();
         headers.clone_from(&self.headers);
-        let left = context.time_left().as_millis().to_string();
-        let own = [
+        let time_left_ms = context.time_left().as_millis().to_string();
+        let gateway_headers = [
             ("host", grant.address.to_string()),
-            (REQUEST_ID, context.request.to_string()),
+            (REQUEST_ID_HEADER, context.request.to_string()),
             ("x-customer", grant.customer.clone()),
-            (DEADLINE, left),
+            (DEADLINE_HEADER, time_left_ms),
         ];
-        for (name, value) in own {
+        for (name, value) in gateway_headers {
             headers.insert(name, HeaderValue::from_str(&value).ok()?);
         }
         Some(request)
@@ -117,24 +117,24 @@
 }
 
 /// The headers that go through unchanged, in either direction.
-fn passed_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = headers.clone();
-    let named: Vec<HeaderName> = headers
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = headers.clone();
+    let connection_headers: Vec<HeaderName> = headers
         .get_all("connection")
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
-        passed.remove(name);
+    for name in connection_headers {
+        forwarded.remove(name);
     }
-    for name in OWN_HEADERS {
-        passed.remove(name);
+    for name in STRIPPED_HEADERS {
+        forwarded.remove(name);
     }
-    passed.remove(REQUEST_ID);
-    passed.remove("x-customer");
-    passed
+    forwarded.remove(REQUEST_ID_HEADER);
+    forwarded.remove("x-customer");
+    forwarded
 }
 
 /// Serves `/v1/services/{service}/{path...}`.
@@ -142,7 +142,7 @@
     state: Arc<GatewayState>,
     context: RequestContext,
     call: ServiceCall,
-) -> Result<Response<ReplyBody>, RefusalWire> {
+) -> Result<Response<ResponseBody>, RefusalWire> {
     let admit = AdmitCall {
         request: context.request,
         key_hash: context.require_key()?,
@@ -166,58 +166,58 @@
     let deadline = context.deadline;
     let mut flow = RequestFlow::new(state, context, admit);
     match timeout_at(deadline, serve_call(&mut flow, &call)).await {
-        Ok(Ok(reply)) => Ok(reply),
-        Ok(Err(FlowEnd::Recorded(answer))) => Ok(recorded_reply(answer)),
+        Ok(Ok(client_response)) => Ok(client_response),
+        Ok(Err(FlowEnd::Recorded(response))) => Ok(recorded_response(response)),
         Ok(Err(FlowEnd::Refused(refusal))) => Err(*refusal),
-        Err(_) => Err(flow.overdue()),
+        Err(_) => Err(flow.deadline_refusal()),
     }
 }
 
 async fn serve_call(
     flow: &mut RequestFlow,
     call: &ServiceCall,
-) -> Result<Response<ReplyBody>, FlowEnd> {
+) -> Result<Response<ResponseBody>, FlowEnd> {
     loop {
         let mut attempt = flow.open().await?;
         let context = flow.context.clone();
-        let make = |grant: &AdmitGrant, _| call.request(&context, grant);
+        let make_request = |grant: &AdmitGrant, _| call.request(&context, grant);
         let limit = flow.state.settings.max_response_bytes;
-        let answer = match flow.exchange(&mut attempt, make).await {
-            Ok(answer) => check_owner(&answer, context.request, false).map(|()| answer),
-            Err(why) => Err(why),
+        let response = match flow.exchange(&mut attempt, make_request).await {
+            Ok(response) => check_request_id(&response, context.request, false).map(|()| response),
+            Err(reason) => Err(reason),
         };
-        let whole = match answer {
-            Ok(answer) => {
-                let status = answer.status();
-                let headers = passed_headers(answer.headers());
-                let bytes = read_whole(&call.method, answer, limit).await;
+        let complete = match response {
+            Ok(response) => {
+                let status = response.status();
+                let headers = forwarded_headers(response.headers());
+                let bytes = read_complete(&call.method, response, limit).await;
                 bytes.map(|bytes| (status, headers, bytes))
             }
-            Err(why) => Err(why),
+            Err(reason) => Err(reason),
         };
-        let (status, headers, bytes) = match whole {
-            Ok(whole) => whole,
-            Err(why) => {
-                flow.broken(&attempt.grant, attempt.guard, &why)?;
+        let (status, headers, bytes) = match complete {
+            Ok(complete) => complete,
+            Err(reason) => {
+                flow.fail_attempt(&attempt.grant, attempt.guard, &reason)?;
                 continue;
             }
         };
-        let small = bytes.len() <= flow.state.settings.max_recorded_response_bytes;
-        let kept = attempt.grant.record_response && small;
+        let is_recordable = bytes.len() <= flow.state.settings.max_recorded_response_bytes;
+        let should_record = attempt.grant.record_response && is_recordable;
         attempt.guard.finish(AttemptOutcome::Completed {
             status: status.as_u16(),
-            response: kept.then(|| record(status.as_u16(), &headers, &bytes)),
+            response: should_record.then(|| record_response(status.as_u16(), &headers, &bytes)),
             cached_tokens: None,
         });
         flow.state.pool.put(attempt.link);
-        let mut reply = Response::new(ReplyBody::whole(bytes));
-        *reply.status_mut() = status;
-        *reply.headers_mut() = headers;
-        return Ok(reply);
+        let mut client_response = Response::new(ResponseBody::complete(bytes));
+        *client_response.status_mut() = status;
+        *client_response.headers_mut() = headers;
+        return Ok(client_response);
     }
 }
 
-fn record(status: u16, headers: &HeaderMap, bytes: &Bytes) -> RecordedResponse {
+fn record_response(status: u16, headers: &HeaderMap, bytes: &Bytes) -> RecordedResponse {
     let content_type = headers
         .get(CONTENT_TYPE)
         .and_then(|value| value.to_str().ok())
--- a/crates/ragwortroad_gateway/src/sse_splitter.rs
+++ b/crates/ragwortroad_gateway/src/sse_splitter.rs
@@ -12,13 +12,13 @@
 }
 
 /// Longest event taken from an engine.
-const EVENT_LIMIT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 impl SseSplitter {
     /// Adds bytes; false once an event is longer than any event should be.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
-        self.buffer.len() <= EVENT_LIMIT
+        self.buffer.len() <= MAX_EVENT_BYTES
     }
 
     /// The next whole event.
@@ -35,16 +35,16 @@
 
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
-        for at in self.searched..bytes.len() {
-            if bytes[at] != b'\n' {
+        for position in self.searched..bytes.len() {
+            if bytes[position] != b'\n' {
                 continue;
             }
-            let rest = &bytes[at + 1..];
-            if rest.starts_with(b"\n") {
-                return Some(at + 2);
+            let tail = &bytes[position + 1..];
+            if tail.starts_with(b"\n") {
+                return Some(position + 2);
             }
-            if rest.starts_with(b"\r\n") {
-                return Some(at + 3);
+            if tail.starts_with(b"\r\n") {
+                return Some(position + 3);
             }
         }
         self.searched = bytes.len().saturating_sub(2);
--- a/crates/ragwortroad_gateway/src/stream_cursor.rs
+++ b/crates/ragwortroad_gateway/src/stream_cursor.rs
@@ -19,21 +19,21 @@
     /// Prompt tokens the engine found in its cache.
     pub(crate) cached_tokens: Option<u32>,
     /// Whether an event of any kind was handed to the caller.
-    begun: bool,
+    has_forwarded: bool,
     /// Whether the event with the reason for the end was handed over.
     finished: bool,
     /// Whether the answer has parts that cannot be counted as tokens of one text.
-    uncounted: bool,
+    is_uncountable: bool,
     /// Whether the engine numbers its tokens, so that its count at the end can be compared.
-    numbered: bool,
+    has_token_indexes: bool,
     /// Identity that every chunk must have, where engines name the request in it.
-    wanted_id: Option<String>,
+    expected_id: Option<String>,
     /// Identity in the chunks of the present attempt.
     ///
     /// Invariant: the wanted one, or else set by an attempt's first chunk; equal in all that follow.
     attempt_id: Option<String>,
     /// Whether the present attempt is not the first.
-    resumed: bool,
+    is_resumed: bool,
 }
 
 /// What to do with one event.
@@ -51,23 +51,23 @@
 
 impl StreamCursor {
     /// A cursor at the begin of an answer whose chunks must have this identity, if there is one.
-    pub(crate) fn new(wanted_id: Option<String>) -> Self {
+    pub(crate) fn new(expected_id: Option<String>) -> Self {
         Self {
-            attempt_id: wanted_id.clone(),
-            wanted_id,
+            attempt_id: expected_id.clone(),
+            expected_id,
             ..Self::default()
         }
     }
 
     /// Whether another engine can go on where this stream stands.
     pub(crate) fn can_resume(&self) -> bool {
-        !self.uncounted
+        !self.is_uncountable
     }
 
     /// Readies the cursor for the next attempt.
     pub(crate) fn begin_attempt(&mut self) {
-        self.attempt_id = self.wanted_id.clone();
-        self.resumed = self.begun;
+        self.attempt_id = self.expected_id.clone();
+        self.is_resumed = self.has_forwarded;
     }
 
     /// Judges the next event, and counts it where it goes to the caller.
@@ -84,21 +84,21 @@
         if chunk.error.is_some() {
             return EventStep::Broken("the engine reported an error in the stream");
         }
-        if !self.same_answer(&chunk) {
+        if !self.is_same_completion(&chunk) {
             return EventStep::Broken("the stream went over to another answer");
         }
         if let Some(usage) = &chunk.usage {
             self.cached_tokens = self.cached_tokens.or(usage.cached_tokens());
         }
-        if self.lacks_tokens(&chunk) {
+        if self.is_missing_tokens(&chunk) {
             return EventStep::Broken("the last tokens are missing in the stream");
         }
-        let step = self.judge(&chunk);
-        self.begun |= step == EventStep::Forward;
+        let step = self.classify(&chunk);
+        self.has_forwarded |= step == EventStep::Forward;
         step
     }
 
-    fn same_answer(&mut self, chunk: &ChunkWire<'_>) -> bool {
+    fn is_same_completion(&mut self, chunk: &ChunkWire<'_>) -> bool {
         let Some(id) = chunk.id.as_deref() else {
             return true;
         };
@@ -114,34 +114,42 @@
     /// Whether the engine counts more tokens than came.
     ///
     /// A token missing in the middle shows by the next one's number; the last one has no next.
-    fn lacks_tokens(&self, chunk: &ChunkWire<'_>) -> bool {
+    fn is_missing_tokens(&self, chunk: &ChunkWire<'_>) -> bool {
         let usage = chunk.usage.as_ref();
-        let counted = usage.and_then(|usage| usage.completion_tokens);
-        let brings = chunk
+        let reported_count = usage.and_then(|usage| usage.completion_tokens);
+        let has_content = chunk
             .choices
             .iter()
             .any(|choice| choice.delta.content.is_some());
-        self.numbered && !brings && counted.is_some_and(|count| count > self.tokens)
+        self.has_token_indexes
+            && !has_content
+            && reported_count.is_some_and(|count| count > self.tokens)
     }
 
-    fn judge(&mut self, chunk: &ChunkWire<'_>) -> EventStep {
-        let odd = |choice: &ChunkChoice<'_>| choice.index > 0 || choice.delta.tool_calls.is_some();
-        if chunk.choices.iter().any(odd) {
-            self.uncounted = true;
+    fn classify(&mut self, chunk: &ChunkWire<'_>) -> EventStep {
+        let is_unsupported =
+            |choice: &ChunkChoice<'_>| choice.index > 0 || choice.delta.tool_calls.is_some();
+        if chunk.choices.iter().any(is_unsupported) {
+            self.is_uncountable = true;
         }
         let first = chunk.choices.first();
         let content = first.and_then(|choice| choice.delta.content.as_deref());
-        let ends = first.is_some_and(|choice| choice.finish_reason.is_some());
+        let is_finish = first.is_some_and(|choice| choice.finish_reason.is_some());
         match content {
-            Some(content) if !content.is_empty() => self.take_tokens(chunk, content, ends),
-            _ if ends => self.take_end(),
-            _ if self.resumed && chunk.usage.is_none() => EventStep::Skip,
+            Some(content) if !content.is_empty() => self.accept_tokens(chunk, content, is_finish),
+            _ if is_finish => self.accept_finish(),
+            _ if self.is_resumed && chunk.usage.is_none() => EventStep::Skip,
             _ => EventStep::Forward,
         }
     }
 
-    fn take_tokens(&mut self, chunk: &ChunkWire<'_>, content: &str, ends: bool) -> EventStep {
-        self.numbered |= chunk.token_index.is_some();
+    fn accept_tokens(
+        &mut self,
+        chunk: &ChunkWire<'_>,
+        content: &str,
+        is_finish: bool,
+    ) -> EventStep {
+        self.has_token_indexes |= chunk.token_index.is_some();
         match chunk.token_index {
             Some(index) if index < self.tokens => return EventStep::Skip,
             Some(index) if index > self.tokens => {
@@ -149,18 +157,18 @@
             }
             // An engine that knows nothing of resuming begins again at the first token, and only
             // its numbers could tell.
-            None if self.resumed && self.tokens > 0 => {
+            None if self.is_resumed && self.tokens > 0 => {
                 return EventStep::Broken("the engine does not say where it goes on");
             }
             _ => {}
         }
         self.tokens += chunk.token_count.unwrap_or(1);
         self.text.push_str(content);
-        self.finished |= ends;
+        self.finished |= is_finish;
         EventStep::Forward
     }
 
-    fn take_end(&mut self) -> EventStep {
+    fn accept_finish(&mut self) -> EventStep {
         if self.finished {
             return EventStep::Skip;
         }
--- a/crates/ragwortroad_gateway/src/stream_relay.rs
+++ b/crates/ragwortroad_gateway/src/stream_relay.rs
@@ -18,23 +18,23 @@
 
 use crate::{
     AttemptOutcome,
-    answer_check::answer_id,
-    engine_opening::{
-        EngineAnswer,
-        GoodAnswer,
-        open_engine, //
-    },
     engine_request::resume_body,
-    reply_body::ReplyBody,
-    reply_maker::{
-        set_header, //
-        set_placement,
+    engine_response::{
+        AcceptedResponse,
+        EngineResponse,
+        open_response, //
     },
     request_flow::{
         FlowEnd,
         OpenAttempt,
         RequestFlow, //
     },
+    response_body::ResponseBody,
+    response_builder::{
+        set_header, //
+        set_placement,
+    },
+    response_check::expected_completion_id,
     sse_splitter::SseSplitter,
     stream_cursor::{
         EventStep,
@@ -44,10 +44,10 @@
 
 /// Events between the relay and the connection. The relay runs only while the connection takes
 /// bytes, so a caller that reads slowly holds up its own stream and nothing else.
-const EVENTS_AHEAD: usize = 16;
+const EVENT_BUFFER: usize = 16;
 
 /// How long the body's end may come after the final event, for the connection to be kept.
-const END_TIME: Duration = Duration::from_millis(20);
+const BODY_END_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// A streamed answer on its way, over as many engines as it takes.
 struct StreamRelay {
@@ -59,107 +59,107 @@
 }
 
 /// The answer whose body goes on with what `answer` brings.
-pub(crate) fn stream_reply(
+pub(crate) fn stream_response(
     flow: RequestFlow,
     body: Bytes,
-    good: GoodAnswer,
-) -> Response<ReplyBody> {
-    let (events, receiver) = mpsc::channel(EVENTS_AHEAD);
-    let grant = good.attempt.grant.clone();
+    accepted: AcceptedResponse,
+) -> Response<ResponseBody> {
+    let (events, receiver) = mpsc::channel(EVENT_BUFFER);
+    let grant = accepted.attempt.grant.clone();
     let must_echo = flow.state.settings.require_request_id_echo;
-    let wanted_id = answer_id(flow.context.request, must_echo);
+    let expected_id = expected_completion_id(flow.context.request, must_echo);
     let relay = StreamRelay {
         flow,
         body,
         events,
-        cursor: StreamCursor::new(wanted_id),
+        cursor: StreamCursor::new(expected_id),
     };
-    let mut reply = Response::new(ReplyBody::stream(
+    let mut client_response = Response::new(ResponseBody::stream(
         receiver,
-        relay.run(good).in_current_span(),
+        relay.run(accepted).in_current_span(),
     ));
-    set_header(&mut reply, "content-type", "text/event-stream");
-    set_header(&mut reply, "cache-control", "no-cache");
-    set_placement(&mut reply, &grant);
-    reply
+    set_header(&mut client_response, "content-type", "text/event-stream");
+    set_header(&mut client_response, "cache-control", "no-cache");
+    set_placement(&mut client_response, &grant);
+    client_response
 }
 
 impl StreamRelay {
-    async fn run(mut self, good: GoodAnswer) {
+    async fn run(mut self, accepted: AcceptedResponse) {
         let deadline = self.flow.context.deadline;
-        let ended = timeout_at(deadline, self.carry(good)).await;
-        let refusal = match ended {
+        let body_ended = timeout_at(deadline, self.relay(accepted)).await;
+        let refusal = match body_ended {
             Ok(Ok(())) => return,
             Ok(Err(refusal)) => refusal,
-            Err(_) => self.flow.overdue(),
+            Err(_) => self.flow.deadline_refusal(),
         };
-        self.tell(&refusal).await;
+        self.send_error(&refusal).await;
     }
 
     /// Carries the answer to its final marker, going on at another engine when one breaks off.
-    async fn carry(&mut self, mut good: GoodAnswer) -> Result<(), RefusalWire> {
+    async fn relay(&mut self, mut accepted: AcceptedResponse) -> Result<(), RefusalWire> {
         loop {
-            let GoodAnswer {
+            let AcceptedResponse {
                 attempt,
-                mut answer,
-            } = good;
+                mut response,
+            } = accepted;
             let OpenAttempt { grant, guard, link } = attempt;
-            let why = match self.pump(answer.body_mut()).await {
-                Ok(ended) => {
+            let reason = match self.forward_events(response.body_mut()).await {
+                Ok(body_ended) => {
                     guard.finish(AttemptOutcome::Completed {
                         status: 200,
                         response: None,
                         cached_tokens: self.cursor.cached_tokens,
                     });
-                    if ended {
+                    if body_ended {
                         self.flow.state.pool.put(link);
                     }
                     return Ok(());
                 }
-                Err(why) => why,
+                Err(reason) => reason,
             };
             drop(link);
-            let broken = self.flow.broken(&grant, guard, &why);
+            let fail_attempt = self.flow.fail_attempt(&grant, guard, &reason);
             if !self.cursor.can_resume() {
-                return Err(self.unfinished(&why));
+                return Err(self.incomplete_refusal(&reason));
             }
-            broken.map_err(|end| self.refusal_of(end))?;
-            good = self.reopen().await?;
+            fail_attempt.map_err(|end| self.into_refusal(end))?;
+            accepted = self.reopen().await?;
         }
     }
 
     /// The next attempt, at an engine that goes on behind the last token handed over.
-    async fn reopen(&mut self) -> Result<GoodAnswer, RefusalWire> {
+    async fn reopen(&mut self) -> Result<AcceptedResponse, RefusalWire> {
         metrics::counter!("ragwortroad_stream_resumes_total").increment(1);
         self.cursor.begin_attempt();
         let body = resume_body(&self.body, &self.cursor);
-        match open_engine(&mut self.flow, &body).await {
-            Ok(EngineAnswer::Good(good)) => Ok(*good),
-            Ok(EngineAnswer::Refusal(_)) => {
-                Err(self.unfinished("the next engine refused to go on"))
+        match open_response(&mut self.flow, &body).await {
+            Ok(EngineResponse::Accepted(accepted)) => Ok(*accepted),
+            Ok(EngineResponse::Refusal(_)) => {
+                Err(self.incomplete_refusal("the next engine refused to go on"))
             }
-            Err(end) => Err(self.refusal_of(end)),
+            Err(end) => Err(self.into_refusal(end)),
         }
     }
 
     /// Hands events to the caller up to the final marker; true if the body's end came with it.
-    async fn pump(&mut self, body: &mut Incoming) -> Result<bool, String> {
+    async fn forward_events(&mut self, body: &mut Incoming) -> Result<bool, String> {
         let mut splitter = SseSplitter::default();
-        let silence = self.flow.state.settings.stream_idle_timeout;
+        let idle_timeout = self.flow.state.settings.stream_idle_timeout;
         loop {
             while let Some(event) = splitter.next_event() {
                 match self.cursor.step(&event) {
-                    EventStep::Forward => self.hand_over(event).await?,
+                    EventStep::Forward => self.send_event(event).await?,
                     EventStep::Skip => {}
-                    EventStep::Broken(why) => return Err(why.to_owned()),
+                    EventStep::Broken(reason) => return Err(reason.to_owned()),
                     EventStep::Done => {
-                        let ended = splitter.is_empty() && ends_now(body).await;
-                        self.hand_over(event).await?;
-                        return Ok(ended);
+                        let body_ended = splitter.is_empty() && is_body_at_end(body).await;
+                        self.send_event(event).await?;
+                        return Ok(body_ended);
                     }
                 }
             }
-            let frame = match timeout(silence, body.frame()).await {
+            let frame = match timeout(idle_timeout, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(error))) => return Err(format!("the stream broke off: {error}")),
                 Ok(None) => return Err("the stream ended without its final marker".to_owned()),
@@ -173,25 +173,25 @@
         }
     }
 
-    async fn hand_over(&self, event: Bytes) -> Result<(), String> {
+    async fn send_event(&self, event: Bytes) -> Result<(), String> {
         let sent = self.events.send(event).await;
         sent.map_err(|_| "the caller left".to_owned())
     }
 
     /// The refusal for a stream that nobody can go on with.
-    fn unfinished(&self, why: &str) -> RefusalWire {
-        self.flow.context.unknown(RefusalCode::BrokenAnswer, why)
+    fn incomplete_refusal(&self, reason: &str) -> RefusalWire {
+        self.flow.context.unknown(RefusalCode::BrokenAnswer, reason)
     }
 
-    fn refusal_of(&self, end: FlowEnd) -> RefusalWire {
+    fn into_refusal(&self, end: FlowEnd) -> RefusalWire {
         match end {
             FlowEnd::Refused(refusal) => *refusal,
-            FlowEnd::Recorded(_) => self.unfinished("a record exists in place of a stream"),
+            FlowEnd::Recorded(_) => self.incomplete_refusal("a record exists in place of a stream"),
         }
     }
 
     /// Ends the stream with a typed error and without the final marker.
-    async fn tell(&self, refusal: &RefusalWire) {
+    async fn send_error(&self, refusal: &RefusalWire) {
         let Ok(body) = serde_json::to_string(refusal) else {
             return;
         };
@@ -203,6 +203,6 @@
 }
 
 /// Whether the body ends right behind what was read.
-async fn ends_now(body: &mut Incoming) -> bool {
-    matches!(timeout(END_TIME, body.frame()).await, Ok(None))
+async fn is_body_at_end(body: &mut Incoming) -> bool {
+    matches!(timeout(BODY_END_TIMEOUT, body.frame()).await, Ok(None))
 }
--- a/crates/ragwortroad_gateway/src/tests.rs
+++ b/crates/ragwortroad_gateway/src/tests.rs
@@ -93,7 +93,7 @@
 }
 
 /// Tickets that were given back so far.
-fn given_back(control: &Receiver<ControlCall>) -> Vec<u64> {
+fn returned_tickets(control: &Receiver<ControlCall>) -> Vec<u64> {
     let finish = |call| match call {
         ControlCall::Finish(finish) => finish.ticket.0,
         other => panic!("not a finish: {other:?}"),
@@ -107,12 +107,12 @@
     // the grant would count as load on the endpoint for ever.
     let (state, control) = state();
     {
-        let mut asked = pin!(AdmitWait::ask(&state, admit_call()));
+        let mut asked = pin!(AdmitWait::request(&state, admit_call()));
         let mut context = Context::from_waker(Waker::noop());
         assert!(matches!(asked.as_mut().poll(&mut context), Poll::Pending));
         next_admit(&control).send(granted(7)).unwrap();
     }
-    assert_eq!(given_back(&control), [7]);
+    assert_eq!(returned_tickets(&control), [7]);
 }
 
 #[test]
@@ -120,13 +120,13 @@
     // The caller leaves first: the control thread must learn that its grant reached nobody.
     let (state, control) = state();
     let reply = {
-        let mut asked = pin!(AdmitWait::ask(&state, admit_call()));
+        let mut asked = pin!(AdmitWait::request(&state, admit_call()));
         let mut context = Context::from_waker(Waker::noop());
         assert!(matches!(asked.as_mut().poll(&mut context), Poll::Pending));
         next_admit(&control)
     };
     assert!(reply.send(granted(8)).is_err());
-    assert_eq!(given_back(&control), Vec::<u64>::new());
+    assert_eq!(returned_tickets(&control), Vec::<u64>::new());
 }
 
 #[test]
@@ -135,20 +135,24 @@
     // either sees its send fail or gets the grant back, and never both or neither.
     let (state, control) = state();
     for ticket in 0..20_000 {
-        let mut asked = Box::pin(AdmitWait::ask(&state, admit_call()));
+        let mut asked = Box::pin(AdmitWait::request(&state, admit_call()));
         let mut context = Context::from_waker(Waker::noop());
         assert!(asked.as_mut().poll(&mut context).is_pending());
         let reply = next_admit(&control);
-        let failed = thread::scope(|scope| {
-            let sending = scope.spawn(move || reply.send(granted(ticket)).is_err());
+        let send_failed = thread::scope(|scope| {
+            let sender = scope.spawn(move || reply.send(granted(ticket)).is_err());
             for _ in 0..ticket % 64 {
                 std::hint::spin_loop();
             }
             drop(asked);
-            sending.join().unwrap()
+            sender.join().unwrap()
         });
-        let back = given_back(&control).len();
-        assert_eq!(back + usize::from(failed), 1, "ticket {ticket}");
+        let returned_count = returned_tickets(&control).len();
+        assert_eq!(
+            returned_count + usize::from(send_failed),
+            1,
+            "ticket {ticket}"
+        );
     }
 }
 
--- a/crates/ragwortroad_gateway/tests/broken_answers.rs
+++ b/crates/ragwortroad_gateway/tests/broken_answers.rs
@@ -8,9 +8,9 @@
 use common::test_fleet::{
     TestFleet,
     chat_body,
-    is_own,
+    is_own_response,
     refusal_of,
-    streamed_text, //
+    stream_text, //
 };
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_load::prelude::*;
@@ -35,8 +35,8 @@
 }
 
 /// Whether a whole answer's text is the chat's own.
-fn whole_is_own(answer: &str, chat: &ChatBody) -> bool {
-    let (_, body) = answer.split_once("\r\n\r\n").unwrap();
+fn is_own_complete_response(response: &str, chat: &ChatBody) -> bool {
+    let (_, body) = response.split_once("\r\n\r\n").unwrap();
     let value: serde_json::Value = serde_json::from_str(body).unwrap();
     let text = value["choices"][0]["message"]["content"].as_str().unwrap();
     AnswerCheck::new(chat).check_text(text).is_ok()
@@ -58,9 +58,12 @@
     for plan in faults {
         let fleet = fleet_with(plan.clone());
         let chat = chat_body(false);
-        let answer = fleet.chat(&chat, "");
-        assert!(answer.starts_with("HTTP/1.1 200"), "{plan:?}: {answer}");
-        assert!(whole_is_own(&answer, &chat), "{plan:?}: {answer}");
+        let response = fleet.chat(&chat, "");
+        assert!(response.starts_with("HTTP/1.1 200"), "{plan:?}: {response}");
+        assert!(
+            is_own_complete_response(&response, &chat),
+            "{plan:?}: {response}"
+        );
         let outcomes = fleet.stop().outcomes();
         assert_eq!(outcomes[0], AttemptOutcome::Broken, "{plan:?}");
         assert!(
@@ -89,8 +92,8 @@
             };
             let fleet = fleet_with(fault.clone());
             let chat = chat_body(true);
-            let answer = fleet.chat(&chat, "");
-            assert!(is_own(&answer, &chat), "{fault:?}: {answer}");
+            let response = fleet.chat(&chat, "");
+            assert!(is_own_response(&response, &chat), "{fault:?}: {response}");
             // The next engine begins where the caller's text ends. A dying process takes tokens
             // with it that it had made and its socket had not sent, so there that may be earlier.
             let resumed = fleet.engines[1].records();
@@ -110,13 +113,13 @@
     // to stop. Without the check the caller would take the text as complete.
     let fleet = fleet_with(fault(|plan| plan.drop_marker = true));
     let chat = chat_body(true);
-    let answer = fleet.chat(&chat, "");
-    assert!(is_own(&answer, &chat), "{answer}");
+    let response = fleet.chat(&chat, "");
+    assert!(is_own_response(&response, &chat), "{response}");
     assert_eq!(fleet.engines[1].records()[0].from_token, 12);
     assert_eq!(
-        answer.matches("\"finish_reason\":\"stop\"").count(),
+        response.matches("\"finish_reason\":\"stop\"").count(),
         1,
-        "{answer}"
+        "{response}"
     );
     assert_eq!(fleet.stop().outcomes()[0], AttemptOutcome::Broken);
 }
@@ -127,10 +130,10 @@
     // whole, and must not be told that nothing ran.
     let fleet = fleet_with(fault(|plan| plan.die_after_tokens = Some(5)));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
-    let answer = fleet.chat(&chat_body(true), "");
-    let (_, ended) = streamed_text(&answer.replace("data: {\"error\"", "error: {\"error\""));
-    assert!(!ended, "{answer}");
-    let refusal = refusal_of(&answer);
+    let response = fleet.chat(&chat_body(true), "");
+    let (_, ended) = stream_text(&response.replace("data: {\"error\"", "error: {\"error\""));
+    assert!(!ended, "{response}");
+    let refusal = refusal_of(&response);
     assert_eq!(refusal.outcome, RequestOutcome::Unknown);
     assert_eq!(refusal.code, RefusalCode::NoEndpoint);
     fleet.stop();
@@ -158,13 +161,13 @@
     ];
     for fault in faults {
         let fleet = fleet_with(fault);
-        let answer = fleet.book("idempotency-key: b-1\r\n");
-        let refusal = refusal_of(&answer);
+        let response = fleet.book("idempotency-key: b-1\r\n");
+        let refusal = refusal_of(&response);
         assert_eq!(refusal.outcome, RequestOutcome::Unknown);
         assert_eq!(refusal.code, RefusalCode::BrokenAnswer);
         assert!(
-            !answer.contains("body_hash"),
-            "nothing of the answer: {answer}"
+            !response.contains("body_hash"),
+            "nothing of the answer: {response}"
         );
         assert_eq!(fleet.records().len(), 1);
         assert_eq!(fleet.stop().outcomes(), [AttemptOutcome::Broken]);
@@ -178,9 +181,9 @@
     let fleet = fleet_with(FaultPlan::default());
     let other = format!("http://{}/bookings", fleet.services[1].address());
     fleet.services[0].set_faults(fault(|plan| plan.redirect_to = Some(other.clone())));
-    let answer = fleet.book("");
-    assert!(answer.starts_with("HTTP/1.1 307"), "{answer}");
-    assert!(answer.contains(&format!("location: {other}\r\n")));
+    let response = fleet.book("");
+    assert!(response.starts_with("HTTP/1.1 307"), "{response}");
+    assert!(response.contains(&format!("location: {other}\r\n")));
     assert!(fleet.services[1].records().is_empty());
     fleet.stop();
 }
@@ -194,8 +197,8 @@
     fleet.wait_for("the port closes", |_| {
         std::net::TcpStream::connect(refused).is_err()
     });
-    let answer = fleet.book("idempotency-key: b-2\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = fleet.book("idempotency-key: b-2\r\n");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     assert!(fleet.services[0].records().is_empty());
     assert_eq!(fleet.services[1].records().len(), 1);
     let log = fleet.stop();
@@ -208,12 +211,12 @@
     // The endpoint answers when the caller has given up. Handed over late, the answer could meet
     // the caller's next request; and nobody knows whether the booking ran.
     let fleet = fleet_with(fault(|plan| plan.answer_delay = Duration::from_secs(60)));
-    let answer = fleet.book("x-deadline-ms: 500\r\n");
-    let refusal = refusal_of(&answer);
+    let response = fleet.book("x-deadline-ms: 500\r\n");
+    let refusal = refusal_of(&response);
     assert_eq!(refusal.code, RefusalCode::DeadlinePassed);
     assert_eq!(refusal.outcome, RequestOutcome::Unknown);
-    let answer = fleet.chat(&chat_body(false), "x-deadline-ms: 500\r\n");
-    assert_eq!(refusal_of(&answer).code, RefusalCode::DeadlinePassed);
+    let response = fleet.chat(&chat_body(false), "x-deadline-ms: 500\r\n");
+    assert_eq!(refusal_of(&response).code, RefusalCode::DeadlinePassed);
     fleet.wait_for("the engine's work is cancelled", |fleet| {
         fleet.engines[0].records()[0].end == RunEnd::Cancelled
     });
@@ -248,13 +251,13 @@
     });
     let finish = fleet.control.log.lock().unwrap().finishes[0].clone();
     let AttemptOutcome::Completed {
-        response: Some(answer),
+        response: Some(response),
         ..
     } = finish.outcome
     else {
         panic!("no answer to record");
     };
-    let recorded = [("b-3".to_owned(), answer)].into();
+    let recorded = [("b-3".to_owned(), response)].into();
     fleet.control.routes.lock().unwrap().recorded = recorded;
     let second = fleet.book("idempotency-key: b-3\r\n");
     assert!(second.contains("x-replayed: true\r\n"), "{second}");
--- a/crates/ragwortroad_gateway/tests/caller_faults.rs
+++ b/crates/ragwortroad_gateway/tests/client_faults.rs
@@ -23,7 +23,7 @@
     test_fleet::{
         TestFleet,
         chat_body,
-        is_own,
+        is_own_response,
         refusal_of, //
     }, //
 };
@@ -32,9 +32,9 @@
 use ragwortroad_types::prelude::*;
 
 /// A refusal as it goes into a snapshot, with what differs from run to run left out.
-fn shown(name: &str, answer: &str) -> String {
-    let status = answer.lines().next().unwrap_or_default();
-    let mut detail = refusal_of(answer);
+fn format_refusal(name: &str, response: &str) -> String {
+    let status = response.lines().next().unwrap_or_default();
+    let mut detail = refusal_of(response);
     assert_eq!(detail.request_id.len(), 16, "{name}");
     detail.request_id = "ID".to_owned();
     let wire = RefusalWire { error: detail };
@@ -85,9 +85,12 @@
     ];
     let mut all = String::new();
     for (name, bytes) in cases {
-        all += &shown(name, &exchange(fleet.address(), &bytes));
+        all += &format_refusal(name, &exchange(fleet.address(), &bytes));
         let good = chat_body(true);
-        assert!(is_own(&fleet.chat(&good, ""), &good), "after: {name}");
+        assert!(
+            is_own_response(&fleet.chat(&good, ""), &good),
+            "after: {name}"
+        );
     }
     insta::assert_snapshot!(all);
     fleet.stop();
@@ -114,7 +117,7 @@
     let head = post("/v1/chat/completions", "", &"x".repeat(100));
     stuck.write_all(&head[..head.len() - 50]).unwrap();
     let good = chat_body(true);
-    assert!(is_own(&fleet.chat(&good, ""), &good));
+    assert!(is_own_response(&fleet.chat(&good, ""), &good));
     assert_eq!(read_all(&mut silent), "");
     assert_eq!(read_all(&mut slow), "");
     assert_eq!(read_all(&mut served), "");
@@ -147,7 +150,7 @@
     let limits = GatewaySettings::default();
     let (all, own) = (limits.max_connections, limits.max_connections_per_address);
     for (max_connections, max_connections_per_address) in [(4, own), (all, 4)] {
-        turns_away(GatewaySettings {
+        check_connection_limit(GatewaySettings {
             max_connections,
             max_connections_per_address,
             ..GatewaySettings::default()
@@ -156,20 +159,20 @@
 }
 
 /// Fills a gateway that takes four connections, and then makes room.
-fn turns_away(settings: GatewaySettings) {
+fn check_connection_limit(settings: GatewaySettings) {
     let fleet = TestFleet::start(settings);
-    let mut held: Vec<_> = (0..4).map(|_| connect(fleet.address())).collect();
-    for stream in &mut held {
+    let mut held_connections: Vec<_> = (0..4).map(|_| connect(fleet.address())).collect();
+    for stream in &mut held_connections {
         stream
             .write_all(b"GET /healthz HTTP/1.1\r\nhost: n\r\n\r\n")
             .unwrap();
         read_until(stream, "ok\n");
     }
-    let mut turned_away = connect(fleet.address());
-    let refusal = refusal_of(&read_until(&mut turned_away, "}}"));
+    let mut rejected = connect(fleet.address());
+    let refusal = refusal_of(&read_until(&mut rejected, "}}"));
     assert_eq!(refusal.outcome, RequestOutcome::NotRun);
     assert_eq!(refusal.code, RefusalCode::Overloaded);
-    drop(held);
+    drop(held_connections);
     fleet.wait_for("there is room again", |fleet| {
         let mut stream = connect(fleet.address());
         let sent = stream.write_all(b"GET /healthz HTTP/1.1\r\nhost: n\r\n\r\n");
@@ -196,18 +199,18 @@
         let mut holder = connect(fleet.address());
         holder.write_all(&long[..long.len() - 10]).unwrap();
         holders.push(holder);
-        let answer = exchange(fleet.address(), &long);
-        refusal_of(&answer).code == RefusalCode::Overloaded
+        let response = exchange(fleet.address(), &long);
+        refusal_of(&response).code == RefusalCode::Overloaded
     });
     let good = chat_body(true);
     assert!(
-        is_own(&fleet.chat(&good, ""), &good),
+        is_own_response(&fleet.chat(&good, ""), &good),
         "short ones still pass"
     );
     drop(holders);
     fleet.wait_for("there is room again", |fleet| {
-        let answer = exchange(fleet.address(), &long);
-        refusal_of(&answer).code == RefusalCode::MalformedRequest
+        let response = exchange(fleet.address(), &long);
+        refusal_of(&response).code == RefusalCode::MalformedRequest
     });
     fleet.stop();
 }
@@ -227,9 +230,9 @@
     ];
     for (path, code) in cases {
         // With a small buffer the caller is still sending when the refusal is decided.
-        let mut caller = socket_with_small_buffers(fleet.address());
-        caller.write_all(&post(path, "", &body)).unwrap();
-        assert_eq!(refusal_of(&read_all(&mut caller)).code, code);
+        let mut client = socket_with_small_buffers(fleet.address());
+        client.write_all(&post(path, "", &body)).unwrap();
+        assert_eq!(refusal_of(&read_all(&mut client)).code, code);
     }
     assert!(fleet.records().is_empty());
     fleet.stop();
@@ -246,24 +249,26 @@
             ..chat_body(streamed)
         };
         let body = serde_json::to_string(&chat).unwrap();
-        let begun = fleet.engines[0].records().len();
-        let mut caller = connect(fleet.address());
-        caller
+        let first_part = fleet.engines[0].records().len();
+        let mut client = connect(fleet.address());
+        client
             .write_all(&post("/v1/chat/completions", "", &body))
             .unwrap();
         let runs = |fleet: &TestFleet| fleet.engines[0].records();
         match streamed {
-            true => drop(read_until(&mut caller, "token_index\":3")),
-            false => fleet.wait_for("the engine works", |fleet| runs(fleet).len() > begun),
+            true => drop(read_until(&mut client, "token_index\":3")),
+            false => fleet.wait_for("the engine works", |fleet| runs(fleet).len() > first_part),
         }
-        caller.shutdown(Shutdown::Both).unwrap();
+        client.shutdown(Shutdown::Both).unwrap();
         fleet.wait_for("the engine stops", |fleet| {
             runs(fleet).iter().all(|run| run.end == RunEnd::Cancelled)
         });
         // The closed connection may do it as well; an engine that does not look at it is told.
         fleet.wait_for("the engine is told", |fleet| {
-            let told = fleet.engines[0].cancels();
-            runs(fleet).iter().all(|run| told.contains(&run.request_id))
+            let cancelled_ids = fleet.engines[0].cancels();
+            runs(fleet)
+                .iter()
+                .all(|run| cancelled_ids.contains(&run.request_id))
         });
     }
     let outcomes = fleet.stop().outcomes();
@@ -288,15 +293,15 @@
     };
     let body = serde_json::to_string(&chat).unwrap();
     let small = socket_with_small_buffers(fleet.address());
-    let mut caller = small;
-    caller
+    let mut client = small;
+    client
         .write_all(&post("/v1/chat/completions", "", &body))
         .unwrap();
     fleet.wait_for("the engine works", |fleet| {
         !fleet.engines[0].records().is_empty()
     });
     let good = chat_body(true);
-    assert!(is_own(&fleet.chat(&good, ""), &good));
+    assert!(is_own_response(&fleet.chat(&good, ""), &good));
     fleet.wait_for("the engine stops", |fleet| {
         fleet.engines[0].records()[0].end == RunEnd::Cancelled
     });
--- a/crates/ragwortroad_gateway/tests/common/fake_control.rs
+++ b/crates/ragwortroad_gateway/tests/common/fake_control.rs
@@ -97,19 +97,19 @@
             }
             ControlCall::Finish(finish) => log.lock().unwrap().finishes.push(finish),
             ControlCall::Addresses(_, reply) => {
-                let answer = AddressAnswer {
+                let response = AddressAnswer {
                     addresses: routes.addresses.clone(),
                     keep_ms: 1000,
                     reason: "the fake's order".to_owned(),
                 };
-                drop(reply.send(Ok(answer)));
+                drop(reply.send(Ok(response)));
             }
             ControlCall::Announce(call, reply) => {
-                let answer = AnnounceAnswer {
+                let response = AnnounceAnswer {
                     announce_to: routes.addresses.clone(),
                     every_ms: 1000 + call.announce.sequence,
                 };
-                drop(reply.send(Ok(answer)));
+                drop(reply.send(Ok(response)));
             }
             ControlCall::Operator(call, reply) => {
                 let body = format!(
@@ -127,12 +127,12 @@
         let outcome = RequestOutcome::NotRun;
         AdmitReply::Refused(RefusalWire::new(outcome, code, message, admit.request))
     };
-    if let Some(answer) = admit
+    if let Some(response) = admit
         .idempotency_key
         .as_ref()
         .and_then(|key| routes.recorded.get(key))
     {
-        return AdmitReply::Recorded(answer.clone());
+        return AdmitReply::Recorded(response.clone());
     }
     if routes.refuse_retries && admit.retry_of.is_some() {
         return refuse(RefusalCode::NoEndpoint, "no other endpoint");
--- a/crates/ragwortroad_gateway/tests/common/raw_client.rs
+++ b/crates/ragwortroad_gateway/tests/common/raw_client.rs
@@ -11,12 +11,12 @@
 };
 
 /// Longest wait for bytes that must come.
-pub const BOUND: Duration = Duration::from_secs(20);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// Opens a connection whose reads are bounded.
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     stream.set_nodelay(true).unwrap();
     stream
 }
@@ -30,23 +30,23 @@
 
 /// Reads until the other side closes.
 pub fn read_all(stream: &mut TcpStream) -> String {
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).unwrap();
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).unwrap();
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 /// Reads until `wanted` has come, and returns all that has.
 pub fn read_until(stream: &mut TcpStream, wanted: &str) -> String {
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let mut buffer = [0; 1024];
     loop {
-        let text = String::from_utf8_lossy(&answer).into_owned();
+        let text = String::from_utf8_lossy(&response).into_owned();
         if text.contains(wanted) {
             return text;
         }
         let count = stream.read(&mut buffer).unwrap();
         assert!(count > 0, "closed after: {text}");
-        answer.extend_from_slice(&buffer[..count]);
+        response.extend_from_slice(&buffer[..count]);
     }
 }
 
--- a/crates/ragwortroad_gateway/tests/common/test_fleet.rs
+++ b/crates/ragwortroad_gateway/tests/common/test_fleet.rs
@@ -19,7 +19,7 @@
         FakeRoutes, //
     },
     raw_client::{
-        BOUND,
+        WAIT_LIMIT,
         exchange,
         post, //
     }, //
@@ -100,10 +100,10 @@
     }
 
     /// Waits for something that must come about.
-    pub fn wait_for(&self, what: &str, mut holds: impl FnMut(&Self) -> bool) {
+    pub fn wait_for(&self, what: &str, mut condition: impl FnMut(&Self) -> bool) {
         let start = Instant::now();
-        while !holds(self) {
-            assert!(start.elapsed() < BOUND, "never came about: {what}");
+        while !condition(self) {
+            assert!(start.elapsed() < WAIT_LIMIT, "never came about: {what}");
             thread::sleep(Duration::from_millis(2));
         }
     }
@@ -138,9 +138,9 @@
 }
 
 /// The text of an answer that was streamed as raw bytes, and whether its final marker came.
-pub fn streamed_text(answer: &str) -> (String, bool) {
+pub fn stream_text(response: &str) -> (String, bool) {
     let mut text = String::new();
-    for line in answer.lines() {
+    for line in response.lines() {
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
@@ -156,17 +156,17 @@
 }
 
 /// Whether a streamed answer is whole and the chat's own.
-pub fn is_own(answer: &str, chat: &ChatBody) -> bool {
-    let (text, ended) = streamed_text(answer);
+pub fn is_own_response(response: &str, chat: &ChatBody) -> bool {
+    let (text, ended) = stream_text(response);
     ended && AnswerCheck::new(chat).check_text(&text).is_ok()
 }
 
 /// The refusal in an answer that came as raw bytes.
-pub fn refusal_of(answer: &str) -> RefusalDetail {
-    let start = answer
+pub fn refusal_of(response: &str) -> RefusalDetail {
+    let start = response
         .find("{\"error\"")
-        .unwrap_or_else(|| panic!("no refusal: {answer}"));
-    let rest = &answer[start..];
+        .unwrap_or_else(|| panic!("no refusal: {response}"));
+    let rest = &response[start..];
     let end = rest.rfind('}').unwrap();
     let refusal: RefusalWire = serde_json::from_str(&rest[..=end]).unwrap();
     refusal.error
--- a/crates/ragwortroad_gateway/tests/node_drain.rs
+++ b/crates/ragwortroad_gateway/tests/node_drain.rs
@@ -18,7 +18,7 @@
     test_fleet::{
         TestFleet,
         chat_body,
-        is_own,
+        is_own_response,
         refusal_of, //
     }, //
 };
@@ -35,11 +35,11 @@
         ..chat_body(true)
     };
     let body = serde_json::to_string(&chat).unwrap();
-    let mut caller = connect(fleet.address());
-    caller
+    let mut client = connect(fleet.address());
+    client
         .write_all(&post("/v1/chat/completions", "", &body))
         .unwrap();
-    let begun = read_until(&mut caller, "token_index\":2");
+    let first_part = read_until(&mut client, "token_index\":2");
     let mut idle = connect(fleet.address());
     idle.write_all(b"GET /healthz HTTP/1.1\r\nhost: n\r\n\r\n")
         .unwrap();
@@ -47,17 +47,17 @@
 
     fleet.gateway.begin_drain();
     assert_eq!(fleet.gateway.in_flight(), 1);
-    for answer in [fleet.chat(&chat_body(true), ""), fleet.book("")] {
-        let refusal = refusal_of(&answer);
+    for response in [fleet.chat(&chat_body(true), ""), fleet.book("")] {
+        let refusal = refusal_of(&response);
         assert_eq!(refusal.outcome, RequestOutcome::NotRun);
         assert_eq!(refusal.code, RefusalCode::NodeDraining);
         assert_eq!(refusal.addresses, ["192.0.2.7:80"]);
     }
-    let reader = thread::spawn(move || begun + &read_all(&mut caller));
+    let reader = thread::spawn(move || first_part + &read_all(&mut client));
     let address = fleet.address();
     fleet.stop();
-    let answer = reader.join().unwrap();
-    assert!(is_own(&answer, &chat), "{answer}");
+    let response = reader.join().unwrap();
+    assert!(is_own_response(&response, &chat), "{response}");
     assert_eq!(read_all(&mut idle), "");
     assert!(std::net::TcpStream::connect(address).is_err());
 }
--- a/crates/ragwortroad_gateway/tests/whole_path.rs
+++ b/crates/ragwortroad_gateway/tests/whole_path.rs
@@ -15,7 +15,7 @@
 use common::test_fleet::{
     TestFleet,
     chat_body,
-    is_own, //
+    is_own_response, //
 };
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_load::prelude::*;
@@ -54,11 +54,11 @@
 fn a_stream_comes_whole_with_hint_and_request_id() {
     let fleet = TestFleet::start(GatewaySettings::default());
     let chat = chat_body(true);
-    let answer = fleet.chat(&chat, "");
-    assert!(is_own(&answer, &chat), "{answer}");
-    assert!(answer.contains("x-placement-hint: hint-1\r\n"));
+    let response = fleet.chat(&chat, "");
+    assert!(is_own_response(&response, &chat), "{response}");
+    assert!(response.contains("x-placement-hint: hint-1\r\n"));
     let id = &fleet.records()[0].request_id;
-    assert!(answer.contains(&format!("x-request-id: {id}\r\n")));
+    assert!(response.contains(&format!("x-request-id: {id}\r\n")));
     fleet.stop();
 }
 
@@ -133,7 +133,7 @@
     // process, on which the next chat would be lost.
     let fleet = TestFleet::start(GatewaySettings::default());
     let chat = chat_body(true);
-    assert!(is_own(&fleet.chat(&chat, ""), &chat));
+    assert!(is_own_response(&fleet.chat(&chat, ""), &chat));
     let address = fleet.engines[0].address();
     let refused = |refuse_connections| FaultPlan {
         refuse_connections,
@@ -147,7 +147,7 @@
     fleet.wait_for("the engine is back", |_| {
         std::net::TcpStream::connect(address).is_ok()
     });
-    assert!(is_own(&fleet.chat(&chat, ""), &chat));
+    assert!(is_own_response(&fleet.chat(&chat, ""), &chat));
     let outcomes = fleet.stop().outcomes();
     let completed = |outcome: &AttemptOutcome| matches!(outcome, AttemptOutcome::Completed { .. });
     assert!(outcomes.iter().all(completed), "{outcomes:?}");
--- a/crates/ragwortroad_transport/examples/message_cost.rs
+++ b/crates/ragwortroad_transport/examples/message_cost.rs
@@ -17,15 +17,15 @@
 use ragwortroad_transport::prelude::*;
 
 /// IPv4 and UDP headers.
-const HEADERS: u64 = 28;
+const HEADER_BYTES: u64 = 28;
 /// Messages each way in one measurement.
-const MESSAGES: u64 = 40;
+const MESSAGES_EACH_WAY: u64 = 40;
 /// Time between two messages one way.
-const PAUSE: Duration = Duration::from_millis(250);
+const MESSAGE_INTERVAL: Duration = Duration::from_millis(250);
 
 fn wire_bytes(transport: &PeerTransport) -> u64 {
     let stats = transport.stats();
-    stats.bytes_sent + HEADERS * stats.datagrams_sent
+    stats.bytes_sent + HEADER_BYTES * stats.datagrams_sent
 }
 
 fn start(files: &KeyFiles, name: &str) -> Result<PeerTransport, Box<dyn Error>> {
@@ -41,13 +41,16 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let files = make_keys("cost", &["a", "b"])?;
     let (a, b) = (start(&files, "a")?, start(&files, "b")?);
-    let both = || wire_bytes(&a) + wire_bytes(&b);
+    let total_wire_bytes = || wire_bytes(&a) + wire_bytes(&b);
     let send = |from: &PeerTransport, to: &PeerTransport, channel, length| {
         from.send(to.local_address(), to.node(), channel, vec![7; length]);
     };
     send(&a, &b, PeerChannel::Gossip, 100);
     sleep(Duration::from_secs(2));
-    println!("handshake and first message, both ways: {} bytes", both());
+    println!(
+        "handshake and first message, both ways: {} bytes",
+        total_wire_bytes()
+    );
     for (name, channel, length) in [
         ("datagram", PeerChannel::Gossip, 30),
         ("datagram", PeerChannel::Gossip, 300),
@@ -55,17 +58,19 @@
         ("stream", PeerChannel::Slots, 30),
         ("stream", PeerChannel::Slots, 300),
     ] {
-        let before = both();
-        for _ in 0..MESSAGES {
+        let before = total_wire_bytes();
+        for _ in 0..MESSAGES_EACH_WAY {
             send(&a, &b, channel, length);
-            sleep(PAUSE / 2);
+            sleep(MESSAGE_INTERVAL / 2);
             send(&b, &a, channel, length);
-            sleep(PAUSE / 2);
+            sleep(MESSAGE_INTERVAL / 2);
         }
         sleep(Duration::from_millis(200));
-        let each = (both() - before) as f64 / (2 * MESSAGES) as f64;
-        let over = each - length as f64;
-        println!("{name} of {length} bytes: {each:.1} bytes each, {over:.1} of them beside it");
+        let bytes_each = (total_wire_bytes() - before) as f64 / (2 * MESSAGES_EACH_WAY) as f64;
+        let overhead = bytes_each - length as f64;
+        println!(
+            "{name} of {length} bytes: {bytes_each:.1} bytes each, {overhead:.1} of them beside it"
+        );
     }
     a.shutdown();
     b.shutdown();
--- a/crates/ragwortroad_transport/src/connection_reader.rs
+++ b/crates/ragwortroad_transport/src/connection_reader.rs
@@ -24,9 +24,9 @@
     PeerEvent,
     PeerMessage,
     TransportSettings,
-    peer_book::{
-        PeerBook,
-        count, //
+    connection_table::{
+        ConnectionTable,
+        increment, //
     },
     peer_identity::certificate_node, //
 };
@@ -38,11 +38,11 @@
     /// The connection.
     pub(crate) connection: Connection,
     /// Where the connection is listed.
-    pub(crate) book: Arc<PeerBook>,
+    pub(crate) table: Arc<ConnectionTable>,
     /// Where messages go.
     pub(crate) events: Sender<PeerEvent>,
     /// Largest message with its tag.
-    pub(crate) max_frame: usize,
+    pub(crate) max_frame_bytes: usize,
     /// Longest time for one message.
     pub(crate) message_timeout: Duration,
 }
@@ -51,18 +51,18 @@
     /// Lists `connection` under its proved peer, ready to be read; nothing if it proves no peer.
     pub(crate) fn register(
         connection: Connection,
-        book: &Arc<PeerBook>,
+        table: &Arc<ConnectionTable>,
         events: &Sender<PeerEvent>,
         settings: &TransportSettings,
     ) -> Option<Self> {
-        let peer = proved_node(&connection)?;
-        book.insert(peer, connection.clone());
+        let peer = authenticated_node(&connection)?;
+        table.insert(peer, connection.clone());
         Some(Self {
             peer,
             connection,
-            book: book.clone(),
+            table: table.clone(),
             events: events.clone(),
-            max_frame: settings.max_message_bytes + 1,
+            max_frame_bytes: settings.max_message_bytes + 1,
             message_timeout: settings.message_timeout,
         })
     }
@@ -77,7 +77,7 @@
                     Err(error) => break error,
                 },
                 datagram = self.connection.read_datagram() => match datagram {
-                    Ok(frame) => self.take_datagram(&frame),
+                    Ok(frame) => self.deliver_datagram(&frame),
                     Err(error) => break error,
                 },
                 Some(_ended) = streams.join_next() => {}
@@ -85,7 +85,7 @@
         };
         // What arrived whole before the close is still delivered.
         while streams.join_next().await.is_some() {}
-        self.book.remove(self.peer, &self.connection);
+        self.table.remove(self.peer, &self.connection);
         if !is_orderly(&closed) {
             self.report_lost(&closed).await;
         }
@@ -96,21 +96,22 @@
     /// A stream that was reset or fell silent yields nothing: half a message handed on could be
     /// taken for a whole one.
     fn read_stream(&self, mut stream: RecvStream) -> impl Future<Output = ()> + Send + 'static {
-        let (peer, events, book) = (self.peer, self.events.clone(), self.book.clone());
-        let (max_frame, limit) = (self.max_frame, self.message_timeout);
+        let (peer, events, table) = (self.peer, self.events.clone(), self.table.clone());
+        let (max_frame_bytes, limit) = (self.max_frame_bytes, self.message_timeout);
         async move {
-            match timeout(limit, stream.read_to_end(max_frame)).await {
+            match timeout(limit, stream.read_to_end(max_frame_bytes)).await {
                 Ok(Ok(frame)) => {
-                    let event = received(peer, &frame).filter(|_| book.gate.allows(peer));
+                    let event = received_event(peer, &frame)
+                        .filter(|_| table.partition_filter.allows(peer));
                     if let Some(event) = event {
-                        count(&book.messages_received);
+                        increment(&table.messages_received);
                         // The owner may be gone during shutdown; then the message is void.
                         events.send_async(event).await.unwrap_or_default();
                     }
                 }
                 Ok(Err(ReadToEndError::TooLong)) => {
-                    tracing::warn!(%peer, max_frame, "refused a message that is too large");
-                    count(&book.messages_too_large);
+                    tracing::warn!(%peer, max_frame_bytes, "refused a message that is too large");
+                    increment(&table.messages_too_large);
                 }
                 Ok(Err(error)) => tracing::debug!(%peer, %error, "a message was cut off"),
                 Err(_elapsed) => tracing::debug!(%peer, "a message took too long"),
@@ -119,14 +120,14 @@
     }
 
     /// Hands on a datagram; drops it where the owner is behind, as it is unreliable anyway.
-    fn take_datagram(&self, frame: &[u8]) {
-        let passes = self.book.gate.allows(self.peer);
-        let Some(event) = received(self.peer, frame).filter(|_| passes) else {
+    fn deliver_datagram(&self, frame: &[u8]) {
+        let passes = self.table.partition_filter.allows(self.peer);
+        let Some(event) = received_event(self.peer, frame).filter(|_| passes) else {
             return;
         };
         match self.events.try_send(event) {
-            Ok(()) => count(&self.book.messages_received),
-            Err(_full) => count(&self.book.messages_dropped),
+            Ok(()) => increment(&self.table.messages_received),
+            Err(_full) => increment(&self.table.messages_dropped),
         }
     }
 
@@ -141,14 +142,14 @@
 }
 
 /// The node that the peer's certificate proves.
-fn proved_node(connection: &Connection) -> Option<NodeId> {
+fn authenticated_node(connection: &Connection) -> Option<NodeId> {
     let identity = connection.peer_identity()?;
     let chain = identity.downcast::<Vec<CertificateDer<'static>>>().ok()?;
     certificate_node(chain.first()?).ok()
 }
 
 /// The event for a frame, unless its tag is unknown.
-fn received(from: NodeId, frame: &[u8]) -> Option<PeerEvent> {
+fn received_event(from: NodeId, frame: &[u8]) -> Option<PeerEvent> {
     let (tag, bytes) = frame.split_first()?;
     let channel = PeerChannel::from_tag(*tag)?;
     Some(PeerEvent::Received(PeerMessage {
--- a/crates/ragwortroad_transport/src/peer_book.rs
+++ b/crates/ragwortroad_transport/src/connection_table.rs
@@ -22,11 +22,11 @@
 
 /// The open connections and the counters, shared by all tasks of one transport.
 #[derive(Default)]
-pub(crate) struct PeerBook {
+pub(crate) struct ConnectionTable {
     /// Held for a few instructions only, never across an await.
     connections: Mutex<ConnectionMap>,
     /// Links that are cut for a test.
-    pub(crate) gate: Arc<PartitionFilter>,
+    pub(crate) partition_filter: Arc<PartitionFilter>,
     /// Handshakes that peers began and that are not over.
     pub(crate) handshakes: AtomicU64,
     /// See [`TransportStats::messages_queued`].
@@ -54,7 +54,7 @@
     closed: TransportStats,
 }
 
-impl PeerBook {
+impl ConnectionTable {
     /// Makes `connection` the one to send to `peer` on.
     ///
     /// Two nodes that dial each other at once have two connections for a while; the one not used
@@ -68,11 +68,11 @@
     /// Forgets a closed connection and keeps its counters.
     pub(crate) fn remove(&self, peer: NodeId, connection: &Connection) {
         let mut map = self.lock();
-        let number = connection.stable_id();
-        if map.current.get(&peer) == Some(&number) {
+        let stable_id = connection.stable_id();
+        if map.current.get(&peer) == Some(&stable_id) {
             map.current.remove(&peer);
         }
-        if map.open.remove(&number).is_some() {
+        if map.open.remove(&stable_id).is_some() {
             add_traffic(&mut map.closed, connection);
         }
     }
@@ -117,7 +117,7 @@
 }
 
 /// Counts one event.
-pub(crate) fn count(counter: &AtomicU64) {
+pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
--- a/crates/ragwortroad_transport/src/key_files.rs
+++ b/crates/ragwortroad_transport/src/key_files.rs
@@ -92,14 +92,14 @@
     ensure!(!nodes.is_empty(), NoNodesSnafu);
     let key = KeyPair::from_pem(authority_key).context(MakeCertificateSnafu)?;
     let issuer = Issuer::new(authority_params(fleet), key);
-    let mut made: Vec<NodeKeys> = Vec::with_capacity(nodes.len());
+    let mut node_keys_list: Vec<NodeKeys> = Vec::with_capacity(nodes.len());
     for name in nodes {
         check_name(name)?;
-        let known = made.iter().any(|node| node.name == *name);
-        ensure!(!known, SameNameSnafu { name: *name });
-        made.push(node_keys(name, &issuer)?);
+        let is_duplicate = node_keys_list.iter().any(|node| node.name == *name);
+        ensure!(!is_duplicate, SameNameSnafu { name: *name });
+        node_keys_list.push(node_keys(name, &issuer)?);
     }
-    Ok(made)
+    Ok(node_keys_list)
 }
 
 impl KeyFiles {
@@ -189,10 +189,11 @@
 
 /// Refuses what cannot stand in a certificate as one label of a domain name.
 fn check_name(name: &str) -> Result<(), TransportError> {
-    let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    let edges = name.starts_with('-') || name.ends_with('-');
-    let sound = (1..=63).contains(&name.len()) && name.bytes().all(allowed) && !edges;
-    ensure!(sound, BadNameSnafu { name });
+    let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    let has_edge_hyphen = name.starts_with('-') || name.ends_with('-');
+    let is_valid =
+        (1..=63).contains(&name.len()) && name.bytes().all(is_allowed) && !has_edge_hyphen;
+    ensure!(is_valid, BadNameSnafu { name });
     Ok(())
 }
 
--- a/crates/ragwortroad_transport/src/lib.rs
+++ b/crates/ragwortroad_transport/src/lib.rs
@@ -35,9 +35,9 @@
 //! ```
 
 mod connection_reader;
+mod connection_table;
 mod key_files;
 mod partition_filter;
-mod peer_book;
 mod peer_channel;
 mod peer_event;
 mod peer_identity;
--- a/crates/ragwortroad_transport/src/partition_filter.rs
+++ b/crates/ragwortroad_transport/src/partition_filter.rs
@@ -20,14 +20,14 @@
 #[derive(Debug, Default)]
 pub struct PartitionFilter {
     /// Invariant: false only if `peers` is empty, so that an open gate costs one load a message.
-    is_cut: AtomicBool,
+    is_active: AtomicBool,
     peers: Mutex<HashSet<NodeId>>,
 }
 
 impl PartitionFilter {
     /// Cuts the links to these peers.
     pub fn block(&self, peers: impl IntoIterator<Item = NodeId>) {
-        self.is_cut.store(true, Ordering::Release);
+        self.is_active.store(true, Ordering::Release);
         self.lock().extend(peers);
     }
 
@@ -35,12 +35,12 @@
     pub fn unblock_all(&self) {
         let mut peers = self.lock();
         peers.clear();
-        self.is_cut.store(false, Ordering::Release);
+        self.is_active.store(false, Ordering::Release);
     }
 
     /// Whether messages to and from `peer` get through.
     pub(crate) fn allows(&self, peer: NodeId) -> bool {
-        !self.is_cut.load(Ordering::Acquire) || !self.lock().contains(&peer)
+        !self.is_active.load(Ordering::Acquire) || !self.lock().contains(&peer)
     }
 
     /// The peers; no thread panics while it holds the lock, so a poisoned one is sound.
--- a/crates/ragwortroad_transport/src/peer_transport.rs
+++ b/crates/ragwortroad_transport/src/peer_transport.rs
@@ -45,9 +45,9 @@
     TransportError,
     TransportSettings,
     TransportStats,
-    peer_book::{
-        PeerBook,
-        count, //
+    connection_table::{
+        ConnectionTable,
+        increment, //
     },
     peer_queue::{
         PeerQueue,
@@ -59,8 +59,8 @@
         StartRuntimeSnafu, //
     },
     transport_root::{
-        StartWriter,
         TransportRoot, //
+        WriterStart,
     }, //
 };
 
@@ -73,11 +73,11 @@
     /// The address the socket is bound to.
     address: SocketAddr,
     /// Shared with the tasks.
-    book: Arc<PeerBook>,
+    table: Arc<ConnectionTable>,
     /// Largest message.
-    max_message: usize,
+    max_message_bytes: usize,
     /// Length of each peer's queue.
-    queue_length: usize,
+    queue_capacity: usize,
     /// Queues by peer; nothing once shutdown began.
     queues: Mutex<Option<QueueMap>>,
     /// The root task, parent of all others.
@@ -89,7 +89,7 @@
 /// The queue of each peer that was sent something.
 struct QueueMap {
     /// Tells the root to start a writer; dropping it begins the shutdown.
-    starts: Sender<StartWriter>,
+    writer_starts: Sender<WriterStart>,
     /// Queues by peer.
     queues: HashMap<NodeId, PeerQueue>,
 }
@@ -115,29 +115,30 @@
             address: settings.listen,
         })?;
         let (events, event_receiver) = flume::bounded(settings.event_capacity);
-        let (starts, start_receiver) = flume::unbounded();
-        let book = Arc::new(PeerBook::default());
-        let (max_message, queue_length) = (settings.max_message_bytes, settings.queue_capacity);
+        let (writer_starts, writer_start_receiver) = flume::unbounded();
+        let table = Arc::new(ConnectionTable::default());
+        let (max_message_bytes, queue_capacity) =
+            (settings.max_message_bytes, settings.queue_capacity);
         let root = TransportRoot {
             endpoint,
-            book: book.clone(),
+            table: table.clone(),
             events,
             settings: Arc::new(settings),
-            starts: start_receiver,
+            writer_starts: writer_start_receiver,
             readers: JoinSet::new(),
             writers: JoinSet::new(),
         };
         let root = runtime.spawn(root.run());
         let queues = QueueMap {
-            starts,
+            writer_starts,
             queues: HashMap::new(),
         };
         let transport = Self {
             node,
             address,
-            book,
-            max_message,
-            queue_length,
+            table,
+            max_message_bytes,
+            queue_capacity,
             queues: Mutex::new(Some(queues)),
             root,
             runtime,
@@ -166,13 +167,13 @@
         channel: PeerChannel,
         bytes: Vec<u8>,
     ) -> SendOutcome {
-        if bytes.len() > self.max_message {
-            count(&self.book.messages_too_large);
+        if bytes.len() > self.max_message_bytes {
+            increment(&self.table.messages_too_large);
             return SendOutcome::TooLarge;
         }
-        if !self.book.gate.allows(expected) {
+        if !self.table.partition_filter.allows(expected) {
             // The sender is not told, as it is not told of packets that a switch drops.
-            count(&self.book.messages_dropped);
+            increment(&self.table.messages_dropped);
             return SendOutcome::Queued;
         }
         let mut frame = Vec::with_capacity(bytes.len() + 1);
@@ -181,8 +182,8 @@
         let message = QueuedMessage { to, channel, frame };
         let outcome = self.queue(expected, message);
         match outcome {
-            SendOutcome::Queued => count(&self.book.messages_queued),
-            _ => count(&self.book.messages_dropped),
+            SendOutcome::Queued => increment(&self.table.messages_queued),
+            _ => increment(&self.table.messages_dropped),
         }
         outcome
     }
@@ -196,8 +197,8 @@
         let queue = match map.queues.entry(peer) {
             Entry::Occupied(entry) => entry.into_mut(),
             Entry::Vacant(entry) => {
-                let (sender, queue) = flume::bounded(self.queue_length);
-                if map.starts.send(StartWriter { peer, queue }).is_err() {
+                let (sender, queue) = flume::bounded(self.queue_capacity);
+                if map.writer_starts.send(WriterStart { peer, queue }).is_err() {
                     return SendOutcome::Closed;
                 }
                 entry.insert(PeerQueue { sender })
@@ -220,12 +221,12 @@
     /// The links that can be cut for a test.
     #[doc(hidden)]
     pub fn partition_filter(&self) -> Arc<PartitionFilter> {
-        Arc::clone(&self.book.gate)
+        Arc::clone(&self.table.partition_filter)
     }
 
     /// All counters; see [`TransportStats`] for what the bytes hold.
     pub fn stats(&self) -> TransportStats {
-        self.book.stats()
+        self.table.stats()
     }
 
     /// Bytes sent in UDP payloads since the start.
--- a/crates/ragwortroad_transport/src/peer_writer.rs
+++ b/crates/ragwortroad_transport/src/peer_writer.rs
@@ -33,9 +33,9 @@
     PeerEvent,
     TransportSettings,
     connection_reader::ConnectionReader,
-    peer_book::{
-        PeerBook,
-        count, //
+    connection_table::{
+        ConnectionTable,
+        increment, //
     },
     peer_identity::subject_name,
     peer_queue::QueuedMessage, //
@@ -50,7 +50,7 @@
     /// The socket.
     pub(crate) endpoint: Endpoint,
     /// Where connections are listed.
-    pub(crate) book: Arc<PeerBook>,
+    pub(crate) table: Arc<ConnectionTable>,
     /// Where the reader of a new connection sends what it hears, and losses go.
     pub(crate) events: Sender<PeerEvent>,
     /// Limits.
@@ -69,7 +69,7 @@
 enum WriteFailure {
     /// The peer was tried a moment ago.
     #[snafu(display("the last attempt failed a moment ago"))]
-    TooSoon,
+    RetryPending,
     /// The address cannot be dialled.
     #[snafu(display("cannot dial: {source}"))]
     Dial {
@@ -84,10 +84,10 @@
     },
     /// The handshake took too long.
     #[snafu(display("no answer to the handshake"))]
-    Silent,
+    HandshakeTimeout,
     /// Somebody else answers there.
     #[snafu(display("another node answers at this address"))]
-    OtherNode,
+    WrongNode,
 }
 
 impl PeerWriter {
@@ -96,7 +96,7 @@
         while let Some(message) = self.next_message().await {
             match self.connection(message.to).await {
                 Ok(connection) => self.write(connection, message).await,
-                Err(failure) => self.drop_message(failure).await,
+                Err(failure) => self.discard_message(failure).await,
             }
         }
         // Every write ends by its time limit.
@@ -117,14 +117,14 @@
 
     /// The open connection to the peer, or a new one to `address`.
     async fn connection(&mut self, address: SocketAddr) -> Result<Connection, WriteFailure> {
-        if let Some(connection) = self.book.current(self.peer) {
+        if let Some(connection) = self.table.current(self.peer) {
             // A peer that moved to another address left the old connection behind.
             if same_address(connection.remote_address(), address) {
                 return Ok(connection);
             }
         }
         if Instant::now() < self.retry_at {
-            return TooSoonSnafu.fail();
+            return RetryPendingSnafu.fail();
         }
         let connected = self.connect(address).await;
         if connected.is_err() {
@@ -138,17 +138,17 @@
         let name = subject_name(self.peer);
         let connecting = self.endpoint.connect(address, &name).context(DialSnafu)?;
         let Ok(connected) = timeout(self.settings.handshake_timeout, connecting).await else {
-            return SilentSnafu.fail();
+            return HandshakeTimeoutSnafu.fail();
         };
         let connection = connected.context(HandshakeSnafu)?;
         let reader = ConnectionReader::register(
             connection.clone(),
-            &self.book,
+            &self.table,
             &self.events,
             &self.settings,
         );
         let Some(reader) = reader else {
-            return OtherNodeSnafu.fail();
+            return WrongNodeSnafu.fail();
         };
         self.readers.spawn(reader.run());
         Ok(connection)
@@ -168,11 +168,11 @@
             self.writes.join_next().await;
         }
         let limit = self.settings.message_timeout;
-        let book = self.book.clone();
+        let table = self.table.clone();
         let channel = message.channel;
         self.writes.spawn(async move {
             if !write_stream(connection, channel, frame, limit).await {
-                count(&book.messages_dropped);
+                increment(&table.messages_dropped);
             }
         });
     }
@@ -188,17 +188,17 @@
         match connection.send_datagram(frame.into()) {
             Ok(()) => {}
             Err(SendDatagramError::TooLarge | SendDatagramError::UnsupportedByPeer) => {
-                count(&self.book.messages_too_large);
+                increment(&self.table.messages_too_large);
             }
-            Err(_closed) => count(&self.book.messages_dropped),
+            Err(_closed) => increment(&self.table.messages_dropped),
         }
         None
     }
 
     /// Counts a message that could not be sent, and reports a failed attempt to connect.
-    async fn drop_message(&self, failure: WriteFailure) {
-        count(&self.book.messages_dropped);
-        if matches!(failure, WriteFailure::TooSoon) {
+    async fn discard_message(&self, failure: WriteFailure) {
+        increment(&self.table.messages_dropped);
+        if matches!(failure, WriteFailure::RetryPending) {
             return;
         }
         let event = PeerEvent::PeerLost {
--- a/crates/ragwortroad_transport/src/tls_setup.rs
+++ b/crates/ragwortroad_transport/src/tls_setup.rs
@@ -38,17 +38,17 @@
         KeyTextSnafu,
         KeysRefusedSnafu, //
     },
-    transport_root::WAITING_FACTOR, //
+    transport_root::PENDING_HANDSHAKES_FACTOR, //
 };
 
 /// The application protocol both sides must name.
-const PROTOCOL: &[u8] = b"ragwortroad/1";
+const ALPN_PROTOCOL: &[u8] = b"ragwortroad/1";
 /// Sets the key for stateless resets apart from other uses of the private key.
-const RESET_PURPOSE: &[u8] = b"ragwortroad stateless reset";
+const RESET_KEY_LABEL: &[u8] = b"ragwortroad stateless reset";
 /// Length of connection identifiers in bytes.
 const CONNECTION_ID_BYTES: usize = 8;
 /// Bytes of datagrams that wait to be sent on one connection; older ones make room.
-const DATAGRAM_BUFFER: usize = 64 << 10;
+const DATAGRAM_BUFFER_BYTES: usize = 64 << 10;
 
 /// Everything an endpoint is made from.
 pub(crate) struct TlsSetup {
@@ -84,7 +84,7 @@
         client.transport_config(transport.clone());
         let mut server = server_config(keys, provider)?;
         server.transport_config(transport);
-        server.max_incoming(settings.max_handshakes * WAITING_FACTOR);
+        server.max_incoming(settings.max_handshakes * PENDING_HANDSHAKES_FACTOR);
         server.migration(false);
         Ok(Self {
             node,
@@ -125,15 +125,15 @@
 ) -> Result<ServerConfig, TransportError> {
     let verifier = WebPkiClientVerifier::builder_with_provider(keys.roots, provider.clone())
         .build()
-        .map_err(|error| refused(&error))?;
+        .map_err(|error| authority_refused(&error))?;
     let mut config = rustls::ServerConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
         .context(KeysRefusedSnafu)?
         .with_client_cert_verifier(verifier)
         .with_single_cert(vec![keys.certificate], keys.private_key)
         .context(KeysRefusedSnafu)?;
-    config.alpn_protocols = vec![PROTOCOL.to_vec()];
-    let config = QuicServerConfig::try_from(config).map_err(|error| refused(&error))?;
+    config.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
+    let config = QuicServerConfig::try_from(config).map_err(|error| authority_refused(&error))?;
     Ok(ServerConfig::with_crypto(Arc::new(config)))
 }
 
@@ -148,13 +148,13 @@
         .with_root_certificates(keys.roots.clone())
         .with_client_auth_cert(vec![keys.certificate.clone()], keys.private_key.clone_key())
         .context(KeysRefusedSnafu)?;
-    config.alpn_protocols = vec![PROTOCOL.to_vec()];
-    let config = QuicClientConfig::try_from(config).map_err(|error| refused(&error))?;
+    config.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
+    let config = QuicClientConfig::try_from(config).map_err(|error| authority_refused(&error))?;
     Ok(ClientConfig::new(Arc::new(config)))
 }
 
 /// The error for an authority the TLS library does not accept.
-fn refused(error: &dyn std::error::Error) -> TransportError {
+fn authority_refused(error: &dyn std::error::Error) -> TransportError {
     TransportError::AuthorityRefused {
         reason: error.to_string(),
     }
@@ -167,7 +167,7 @@
 /// it would go on sending into nothing until its idle timeout, which shows as a node that is up
 /// and yet not heard for that long.
 fn endpoint_config(private_key: &PrivateKeyDer<'_>) -> EndpointConfig {
-    let purpose = hmac::Key::new(hmac::HMAC_SHA256, RESET_PURPOSE);
+    let purpose = hmac::Key::new(hmac::HMAC_SHA256, RESET_KEY_LABEL);
     let derived = hmac::sign(&purpose, private_key.secret_der());
     let key = hmac::Key::new(hmac::HMAC_SHA256, derived.as_ref());
     let mut config = EndpointConfig::new(Arc::new(key));
@@ -185,8 +185,8 @@
     config.receive_window(window);
     // Probing for larger packets costs some 10 KB a connection, more than most of them carry.
     config.mtu_discovery_config(None);
-    config.datagram_send_buffer_size(DATAGRAM_BUFFER);
-    config.datagram_receive_buffer_size(Some(DATAGRAM_BUFFER));
+    config.datagram_send_buffer_size(DATAGRAM_BUFFER_BYTES);
+    config.datagram_receive_buffer_size(Some(DATAGRAM_BUFFER_BYTES));
     config.max_idle_timeout(IdleTimeout::try_from(settings.idle_timeout).ok());
     config
 }
--- a/crates/ragwortroad_transport/src/transport_root.rs
+++ b/crates/ragwortroad_transport/src/transport_root.rs
@@ -31,9 +31,9 @@
     PeerEvent,
     TransportSettings,
     connection_reader::ConnectionReader,
-    peer_book::{
-        PeerBook,
-        count, //
+    connection_table::{
+        ConnectionTable,
+        increment, //
     },
     peer_queue::QueuedMessage,
     peer_writer::PeerWriter, //
@@ -42,15 +42,15 @@
 /// The QUIC error code of an orderly close.
 const CLOSE_ORDERLY: VarInt = VarInt::from_u32(0);
 /// The QUIC error code for a peer whose certificate names no node.
-const CLOSE_UNKNOWN: VarInt = VarInt::from_u32(1);
+const CLOSE_NO_NODE_NAME: VarInt = VarInt::from_u32(1);
 
 /// Longest time for telling peers that connections are closed.
-const CLOSE_TIME: Duration = Duration::from_secs(1);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Peers that wait for their handshake to begin, for each handshake allowed.
-pub(crate) const WAITING_FACTOR: usize = 4;
+pub(crate) const PENDING_HANDSHAKES_FACTOR: usize = 4;
 
 /// A new peer's queue, whose writer the root is to start.
-pub(crate) struct StartWriter {
+pub(crate) struct WriterStart {
     /// The peer.
     pub(crate) peer: NodeId,
     /// Its queue.
@@ -62,13 +62,13 @@
     /// The socket.
     pub(crate) endpoint: Endpoint,
     /// Shared connections and counters.
-    pub(crate) book: Arc<PeerBook>,
+    pub(crate) table: Arc<ConnectionTable>,
     /// Where messages and losses go.
     pub(crate) events: Sender<PeerEvent>,
     /// Limits.
     pub(crate) settings: Arc<TransportSettings>,
     /// Writers to start; shutdown begins when the sending side is dropped.
-    pub(crate) starts: Receiver<StartWriter>,
+    pub(crate) writer_starts: Receiver<WriterStart>,
     /// Connections peers made to us.
     pub(crate) readers: JoinSet<()>,
     /// Writers by peer.
@@ -80,7 +80,7 @@
     pub(crate) async fn run(mut self) {
         loop {
             tokio::select! {
-                start = self.starts.recv_async() => match start {
+                start = self.writer_starts.recv_async() => match start {
                     Ok(start) => self.start_writer(start),
                     Err(_shutdown) => break,
                 },
@@ -96,12 +96,12 @@
     }
 
     /// Starts the writer of a new peer.
-    fn start_writer(&mut self, start: StartWriter) {
+    fn start_writer(&mut self, start: WriterStart) {
         let writer = PeerWriter {
             peer: start.peer,
             queue: start.queue,
             endpoint: self.endpoint.clone(),
-            book: self.book.clone(),
+            table: self.table.clone(),
             events: self.events.clone(),
             settings: self.settings.clone(),
             readers: JoinSet::new(),
@@ -117,30 +117,30 @@
     /// under way, a peer must first show that it receives at the address it sends from, so that
     /// forged senders cannot keep sound ones out.
     fn accept(&mut self, incoming: Incoming) {
-        let open = self.readers.len().max(self.book.open_count());
-        let shaking = self.book.handshakes.load(Ordering::Relaxed) as usize;
-        let most = self.settings.max_handshakes;
-        if open >= self.settings.max_connections || shaking >= most {
-            count(&self.book.handshakes_refused);
+        let open = self.readers.len().max(self.table.open_count());
+        let handshakes_in_progress = self.table.handshakes.load(Ordering::Relaxed) as usize;
+        let max_handshakes = self.settings.max_handshakes;
+        if open >= self.settings.max_connections || handshakes_in_progress >= max_handshakes {
+            increment(&self.table.handshakes_refused);
             incoming.refuse();
             return;
         }
-        if shaking >= most / 2 && incoming.may_retry() {
+        if handshakes_in_progress >= max_handshakes / 2 && incoming.may_retry() {
             if let Err(error) = incoming.retry() {
                 tracing::debug!(%error, "could not ask a peer to prove its address");
             }
             return;
         }
-        let book = self.book.clone();
+        let table = self.table.clone();
         let events = self.events.clone();
         let settings = self.settings.clone();
-        count(&book.handshakes);
+        increment(&table.handshakes);
         self.readers.spawn(async move {
-            let reader = shake_hands(incoming, &book, &events, &settings).await;
-            book.handshakes.fetch_sub(1, Ordering::Relaxed);
+            let reader = complete_handshake(incoming, &table, &events, &settings).await;
+            table.handshakes.fetch_sub(1, Ordering::Relaxed);
             match reader {
                 Some(reader) => reader.run().await,
-                None => count(&book.handshakes_refused),
+                None => increment(&table.handshakes_refused),
             }
         });
     }
@@ -155,7 +155,7 @@
         }
         self.endpoint.close(CLOSE_ORDERLY, b"shutdown");
         self.readers.shutdown().await;
-        if timeout(CLOSE_TIME, self.endpoint.wait_idle())
+        if timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle())
             .await
             .is_err()
         {
@@ -170,9 +170,9 @@
 }
 
 /// Completes the handshake with a peer; nothing unless it proves to be a node of the fleet.
-async fn shake_hands(
+async fn complete_handshake(
     incoming: Incoming,
-    book: &Arc<PeerBook>,
+    table: &Arc<ConnectionTable>,
     events: &Sender<PeerEvent>,
     settings: &TransportSettings,
 ) -> Option<ConnectionReader> {
@@ -185,10 +185,10 @@
             return None;
         }
     };
-    let reader = ConnectionReader::register(connection.clone(), book, events, settings);
+    let reader = ConnectionReader::register(connection.clone(), table, events, settings);
     if reader.is_none() {
         tracing::warn!(%address, "refused a peer whose certificate names no node");
-        connection.close(CLOSE_UNKNOWN, b"the certificate names no node");
+        connection.close(CLOSE_NO_NODE_NAME, b"the certificate names no node");
     }
     reader
 }
--- a/crates/ragwortroad_transport/tests/loopback.rs
+++ b/crates/ragwortroad_transport/tests/loopback.rs
@@ -25,7 +25,7 @@
 use ragwortroad_types::prelude::*;
 
 /// Generous: only a hang reaches it.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 fn start_at(
     files: &KeyFiles,
@@ -53,17 +53,17 @@
 
 fn next_message(events: &Receiver<PeerEvent>) -> PeerMessage {
     loop {
-        let event = events.recv_timeout(PATIENCE).expect("an event comes");
+        let event = events.recv_timeout(WAIT_LIMIT).expect("an event comes");
         if let PeerEvent::Received(message) = event {
             return message;
         }
     }
 }
 
-fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never came: {what}");
+    while !condition() {
+        assert!(start.elapsed() < WAIT_LIMIT, "never came: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -129,7 +129,7 @@
         b"secret".to_vec(),
     );
     for events in [&a_events, &stranger_events] {
-        let event = events.recv_timeout(PATIENCE).unwrap();
+        let event = events.recv_timeout(WAIT_LIMIT).unwrap();
         assert!(matches!(event, PeerEvent::PeerLost { .. }), "{event:?}");
     }
     // The first sound message a hears is b's, so the stranger's was never taken.
@@ -160,7 +160,7 @@
         PeerChannel::Slots,
         b"for c".to_vec(),
     );
-    let event = a_events.recv_timeout(PATIENCE).unwrap();
+    let event = a_events.recv_timeout(WAIT_LIMIT).unwrap();
     assert!(matches!(event, PeerEvent::PeerLost { peer, .. } if peer == id("c")));
     a.send(
         b.local_address(),
@@ -280,12 +280,12 @@
     b.shutdown();
     let (b, b_events) = start(&files, "b");
     relay.set_target(Some(b.local_address()));
-    let began = Instant::now();
+    let started_at = Instant::now();
     wait_for("a message after the restart", || {
         send();
         b_events.recv_timeout(Duration::from_millis(50)).is_ok()
     });
-    println!("reached again after {:?}", began.elapsed());
+    println!("reached again after {:?}", started_at.elapsed());
     a.shutdown();
     b.shutdown();
     relay.join();
@@ -296,17 +296,20 @@
 fn a_silent_peer_neither_blocks_the_sender_nor_delays_others() {
     let files = make_keys("fleet", &["a", "b", "gone"]).unwrap();
     let ((a, _a_events), (b, b_events)) = (start(&files, "a"), start(&files, "b"));
-    let hole = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let gone = hole.local_addr().unwrap();
-    let mut full = 0;
+    let silent_socket = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let gone = silent_socket.local_addr().unwrap();
+    let mut queue_full_count = 0;
     for _ in 0..100 {
         match a.send(gone, id("gone"), PeerChannel::Slots, vec![0; 100]) {
-            SendOutcome::QueueFull => full += 1,
+            SendOutcome::QueueFull => queue_full_count += 1,
             outcome => assert_eq!(outcome, SendOutcome::Queued),
         }
     }
     // One may be in the writer's hands beside the sixteen in the queue.
-    assert!(full >= 100 - 17, "the queue took too much: {full} refused");
+    assert!(
+        queue_full_count >= 100 - 17,
+        "the queue took too much: {queue_full_count} refused"
+    );
     a.send(
         b.local_address(),
         id("b"),
@@ -314,7 +317,7 @@
         b"still here".to_vec(),
     );
     assert_eq!(next_message(&b_events).bytes, b"still here");
-    assert!(a.stats().messages_dropped >= full);
+    assert!(a.stats().messages_dropped >= queue_full_count);
     a.shutdown();
     b.shutdown();
 }
@@ -373,11 +376,11 @@
         ..TransportSettings::default()
     };
     let (seed, seed_events) = PeerTransport::start(settings).unwrap();
-    let callers: Vec<_> = names[1..].iter().map(|name| start(&files, name)).collect();
-    let mut heard = std::collections::BTreeSet::new();
+    let clients: Vec<_> = names[1..].iter().map(|name| start(&files, name)).collect();
+    let mut received = std::collections::BTreeSet::new();
     wait_for("all callers heard", || {
-        for (caller, _) in &callers {
-            caller.send(
+        for (client, _) in &clients {
+            client.send(
                 seed.local_address(),
                 id("n0"),
                 PeerChannel::Slots,
@@ -386,13 +389,13 @@
         }
         while let Ok(event) = seed_events.recv_timeout(Duration::from_millis(30)) {
             if let PeerEvent::Received(message) = event {
-                heard.insert(message.from);
+                received.insert(message.from);
             }
         }
-        heard.len() == callers.len()
+        received.len() == clients.len()
     });
-    for (caller, _events) in callers {
-        caller.shutdown();
+    for (client, _events) in clients {
+        client.shutdown();
     }
     seed.shutdown();
 }
