--- a/crates/ragwortroad_gateway/examples/added_latency.rs
+++ b/crates/ragwortroad_gateway/examples/added_latency.rs
@@ -49,7 +49,7 @@
 const TOKEN_GAP: Duration = Duration::from_millis(20);
 const TOKENS: u32 = 30;
 
-/// Streams at once, and how many each caller makes in a row in one round.
+/// Streams at once, and how many each client makes in a row in one round.
 const LEVELS: [(usize, usize); 3] = [(1, 12), (64, 3), (512, 2)];
 const ROUNDS: usize = 4;
 const IDLE_CONNECTIONS: usize = 512;
@@ -205,7 +205,7 @@
         let mut clients = JoinSet::new();
         for place in 0..streams {
             clients.spawn(async move {
-                // Callers begin spread over one stream's time: so many streams at once do not begin
+                // Clients begin spread over one stream's time: so many streams at once do not begin
                 // together outside a test.
                 tokio::time::sleep(TOKEN_GAP * TOKENS * place as u32 / streams as u32).await;
                 let mut times = StreamTimes::new()?;
@@ -225,7 +225,7 @@
 
 /// Opens a connection, asks for a stream, and times its tokens.
 async fn read_stream(address: SocketAddr, times: &mut StreamTimes) -> Result<(), AnyError> {
-    let first_part = Instant::now();
+    let start = Instant::now();
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (mut sender, connection) =
@@ -243,7 +243,7 @@
         for _ in 0..count_tokens(&data) {
             count += 1;
             match last.replace(now) {
-                None => times.first.record((now - first_part).as_micros() as u64)?,
+                None => times.first.record((now - start).as_micros() as u64)?,
                 Some(last) => times.gap.record((now - last).as_micros() as u64)?,
             }
         }
--- a/crates/ragwortroad_gateway/src/admit_wait.rs
+++ b/crates/ragwortroad_gateway/src/admit_wait.rs
@@ -13,12 +13,12 @@
     gateway_state::GatewayState, //
 };
 
-/// The wait for the control thread's reply to one [`AdmitCall`].
+/// Waits for the control thread's reply to one [`AdmitCall`].
 ///
-/// A caller can leave between the moment the control thread grants and the moment this side reads
-/// the grant. The grant would then never be given back and count as load for ever. So a dropped
-/// wait reads what is there, and else fills the channel's one place: a later reply fails at the
-/// control thread, which then takes its grant back itself.
+/// A client can disconnect after the control thread grants and before the gateway reads the grant.
+/// The grant would then never be returned and count as load forever. A dropped wait therefore
+/// returns an unread grant; if there is none, it fills the single slot of the channel, so that a
+/// later reply fails at the control thread, which then revokes its own grant.
 pub(crate) struct AdmitWait<'state> {
     state: &'state GatewayState,
     replies: Receiver<AdmitReply>,
@@ -51,7 +51,7 @@
         Ok(reply)
     }
 
-    /// Gives back a grant that nobody read; true if there was a reply.
+    /// Returns an unread grant to the control thread. The result is true if there was a reply.
     fn return_grant(&self) -> bool {
         match self.replies.try_recv() {
             Ok(AdmitReply::Granted(grant)) => {
@@ -61,7 +61,7 @@
                     duration: std::time::Duration::ZERO,
                 };
                 if self.state.calls.send(ControlCall::Finish(finish)).is_err() {
-                    tracing::error!("the control thread is gone");
+                    tracing::error!("control thread has ended; grant not returned");
                 }
                 true
             }
--- a/crates/ragwortroad_gateway/src/attempt_guard.rs
+++ b/crates/ragwortroad_gateway/src/attempt_guard.rs
@@ -17,24 +17,25 @@
     request_context::RequestContext, //
 };
 
-/// Gives a grant back exactly once, also when the task that holds it is dropped.
+/// Returns a grant exactly once, also when the task that holds it is dropped.
 ///
-/// A connection's task is dropped in the middle when its caller goes away. Without this guard the
-/// grant would count as load for ever, and the engine would go on with work nobody waits for.
+/// The task of a connection is dropped midway when its client disconnects. Without this guard the
+/// grant would count as load forever, and the engine would go on with work whose result nobody
+/// reads.
 pub(crate) struct AttemptGuard {
     state: Arc<GatewayState>,
     ticket: TicketId,
     address: SocketAddr,
     request: RequestId,
-    /// Counts the request's attempts from 1.
+    /// Number of the attempt within the request, starting at 1.
     attempt: u32,
     started: Instant,
     deadline: Instant,
-    /// Whether bytes may have been sent.
+    /// Whether bytes of the attempt may have been sent.
     sent: bool,
-    /// Whether the endpoint knows `POST /v1/cancel`.
+    /// Whether the endpoint supports `POST /v1/cancel`.
     supports_cancel: bool,
-    /// Invariant: true once the finish was sent.
+    /// Invariant: true once the [`FinishCall`] was sent.
     finished: bool,
 }
 
@@ -68,7 +69,7 @@
         self.sent = true;
     }
 
-    /// Reports the end of the attempt.
+    /// Reports the end of the attempt to the control thread.
     pub(crate) fn finish(mut self, outcome: AttemptOutcome) {
         self.report(outcome);
     }
@@ -92,7 +93,7 @@
             duration,
         };
         if self.state.calls.send(ControlCall::Finish(finish)).is_err() {
-            tracing::error!(request = %self.request, "the control thread is gone");
+            tracing::error!(request = %self.request, "control thread has ended; attempt outcome not reported");
         }
         if abandoned && self.sent && self.supports_cancel {
             self.request_cancel();
@@ -106,7 +107,7 @@
             attempt: self.attempt,
         };
         if self.state.cancels.send(request).is_err() {
-            tracing::debug!(request = %self.request, "no cancel after the gateway's end");
+            tracing::debug!(request = %self.request, "cancellation dropped; the cancel worker has ended");
         }
     }
 }
--- a/crates/ragwortroad_gateway/src/body_budget.rs
+++ b/crates/ragwortroad_gateway/src/body_budget.rs
@@ -6,19 +6,19 @@
     }, //
 };
 
-/// The memory that request bodies may take together.
+/// Limits the total memory of buffered request bodies.
 ///
-/// The limit of one body times the limit of connections is more than a small VM has. Without this
-/// one, a few hundred callers with long bodies end the process and every stream in it. Room is
-/// taken as bytes come and not as they are announced, so that announcing alone takes nothing from
-/// others.
+/// The limit of one body times the limit of connections is more memory than a small VM has: without
+/// a total, a few hundred clients with long bodies would end the process and every stream in it.
+/// Bytes are reserved as they arrive and not as announced, so that a `Content-Length` alone takes
+/// nothing from others.
 pub(crate) struct BodyBudget {
     limit_bytes: usize,
-    /// Invariant: the sum over all live [`HeldRoom`]s, and at most `limit`.
+    /// Invariant: the sum over all live [`BodyReservation`]s, and at most `limit_bytes`.
     used_bytes: AtomicUsize,
 }
 
-/// One body's part of the room, given back on drop.
+/// The bytes reserved for one body, released on drop.
 pub(crate) struct BodyReservation {
     budget: Arc<BodyBudget>,
     bytes: usize,
@@ -41,7 +41,7 @@
 }
 
 impl BodyReservation {
-    /// Takes room for more bytes; false if there is none.
+    /// Reserves further bytes; returns false, and reserves nothing, if the budget is exhausted.
     pub(crate) fn try_grow(&mut self, bytes: usize) -> bool {
         let limit_bytes = self.budget.limit_bytes;
         let add_within_limit = |used_bytes: usize| {
--- a/crates/ragwortroad_gateway/src/body_reader.rs
+++ b/crates/ragwortroad_gateway/src/body_reader.rs
@@ -15,17 +15,17 @@
     request_context::RequestContext, //
 };
 
-/// Milliseconds after which there may be room for a body again.
+/// Delay after which a client refused for want of body memory should retry, in milliseconds.
 const BUDGET_RETRY_AFTER_MS: u64 = 500;
 
-/// Bytes of a refused body that are read and dropped.
+/// Maximum number of bytes of a refused body that are read and discarded.
 const MAX_DISCARD_BYTES: usize = 8 << 20;
 
-/// Time in which they are.
+/// Time limit for discarding a refused body.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Reads a caller's whole body within the limits of size and time. `room` must be kept as long as
-/// the body is.
+/// Reads a client's complete request body, within the limits of size and time. The caller must keep
+/// `reservation` for as long as the body.
 pub(crate) async fn read_body(
     state: &GatewayState,
     context: &RequestContext,
@@ -48,10 +48,10 @@
     }
 }
 
-/// Reads what is left of a body that is refused, within bounds.
+/// Reads and discards the rest of a refused body, within bounds.
 ///
-/// A connection that is closed with bytes unread is reset, and the reset can reach the caller
-/// before the refusal does: it would see a broken connection in place of `not_run`.
+/// Closing a connection with unread bytes resets it, and the reset can reach the client before the
+/// refusal does: the client would see a broken connection in place of `not_run`.
 pub(crate) async fn discard_body(mut body: Incoming) {
     let discard = async {
         let mut remaining = MAX_DISCARD_BYTES;
@@ -64,7 +64,7 @@
         }
     };
     if timeout(DISCARD_TIMEOUT, discard).await.is_err() {
-        tracing::debug!("a refused body was too slow to be read");
+        tracing::debug!("refused request body was not discarded in time");
     }
 }
 
--- a/crates/ragwortroad_gateway/src/call/address_call.rs
+++ b/crates/ragwortroad_gateway/src/call/address_call.rs
@@ -1,10 +1,10 @@
-/// A caller's question which addresses to use.
+/// A client's request for the node addresses to use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressCall {
-    /// SHA-256 of the customer's key.
+    /// SHA-256 of the customer's API key.
     pub key_hash: [u8; 32],
-    /// The chat that the caller is about to continue, if it said so.
+    /// The chat that the client is about to continue; `None` if the client named none.
     pub chat: Option<String>,
-    /// The placement hint that came with the chat's previous answer, as the caller sent it.
+    /// The placement hint from the previous response of the chat, as the client sent it.
     pub hint: Option<String>,
 }
--- a/crates/ragwortroad_gateway/src/call/admit_call.rs
+++ b/crates/ragwortroad_gateway/src/call/admit_call.rs
@@ -4,50 +4,50 @@
 
 use crate::TicketId;
 
-/// A request that wants to run.
+/// Asks the control thread to admit one attempt of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmitCall {
     /// The request's identity.
     pub request: RequestId,
-    /// SHA-256 of the customer's key.
+    /// SHA-256 of the customer's API key.
     pub key_hash: [u8; 32],
     /// What the request is for.
     pub target: RequestTarget,
     /// The HTTP method.
     pub method: String,
-    /// The path as the endpoint will see it, with its query.
+    /// The path and query, as sent to the endpoint.
     pub path: String,
-    /// The chat it continues, as the caller named it.
+    /// The chat that the request continues, as the client named it.
     pub chat: Option<String>,
-    /// The placement hint as the caller sent it; not to be trusted.
+    /// The placement hint as the client sent it; untrusted input.
     pub hint: Option<String>,
-    /// The prompt's text for prefix matching; empty for plain services.
+    /// The prompt text for prefix matching; empty for plain services.
     pub prompt: Vec<u8>,
-    /// Whether running it twice does the same as running it once.
+    /// Whether running the request twice has the same effect as running it once.
     pub idempotent: bool,
-    /// The caller's idempotency key.
+    /// The client's idempotency key, if it sent one.
     pub idempotency_key: Option<String>,
-    /// SHA-256 over method, path and body, to tell a repeated request from a reused key.
+    /// SHA-256 of method, path and body; tells a repeated request from a reused idempotency key.
     pub body_hash: [u8; 32],
     /// Body length in bytes.
     pub body_length: u64,
-    /// Upper bound of tokens to generate, where the request names one.
+    /// Maximum number of tokens to generate; `None` if the request sets no limit.
     pub max_output_tokens: Option<u32>,
-    /// Time left until the caller's deadline.
+    /// Time left until the client's deadline.
     pub time_left: Duration,
-    /// The attempt before this one, where it is a retry.
+    /// The previous attempt, if this one is a retry.
     ///
-    /// Invariant: that attempt was reported by a [`FinishCall`](crate::FinishCall) sent earlier on
-    /// the same channel.
+    /// Invariant: a [`FinishCall`](crate::FinishCall) sent earlier on the same channel reported
+    /// that attempt.
     pub retry_of: Option<TicketId>,
-    /// Endpoints that failed this request before.
+    /// Endpoints that failed an earlier attempt of this request.
     pub excluded: Vec<EndpointId>,
 }
 
 /// What a request is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestTarget {
-    /// A model, and an adapter where the name is followed by `:adapter`.
+    /// A model, with an adapter if the requested name has the form `model:adapter`.
     Model {
         /// The model's name.
         model: String,
--- a/crates/ragwortroad_gateway/src/call/admit_reply.rs
+++ b/crates/ragwortroad_gateway/src/call/admit_reply.rs
@@ -4,41 +4,44 @@
 
 use crate::TicketId;
 
-/// The control thread's answer to an [`AdmitCall`](crate::AdmitCall).
+/// The control thread's reply to an [`AdmitCall`](crate::AdmitCall).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmitReply {
-    /// Send it to the endpoint in the grant.
+    /// Send the attempt to the endpoint in the grant.
     Granted(AdmitGrant),
-    /// The same idempotency key ran before; this was its answer.
+    /// An earlier request with the same idempotency key ran; this is its recorded response.
     Recorded(RecordedResponse),
-    /// Give the caller this refusal, at once.
+    /// Send this refusal to the client, without a further attempt.
     Refused(RefusalWire),
 }
 
-/// Leave to send one attempt to one endpoint.
+/// Permission to send one attempt to one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmitGrant {
-    /// To be given back by a [`FinishCall`](crate::FinishCall), whatever happens.
+    /// Identifies the attempt; a [`FinishCall`](crate::FinishCall) must return it whatever the
+    /// outcome.
     pub ticket: TicketId,
-    /// The endpoint.
+    /// The endpoint to send the attempt to.
     pub endpoint: EndpointId,
-    /// Where the endpoint takes requests.
+    /// The address at which the endpoint accepts requests.
     pub address: SocketAddr,
-    /// Placement hint to hand to the caller with the answer.
+    /// Placement hint to return to the client with the response.
     pub hint: String,
-    /// The node that admits to the endpoint, for the caller's next request of the same chat.
+    /// The node that admits requests to the endpoint; the client should send the next request of
+    /// the same chat there.
     pub next_node: Option<SocketAddr>,
-    /// The engine's scheduling priority: smaller goes first.
+    /// Scheduling priority in the engine; a smaller number runs first.
     pub priority: u8,
-    /// The model's version the engine must use, for a model request.
+    /// The model version that the engine must use; set only for a model request.
     pub version: Option<String>,
-    /// The customer's name, for the log and the endpoint.
+    /// The customer's name, for the log and for the endpoint.
     pub customer: String,
-    /// Whether the attempt's answer must be handed back with the finish, to be recorded.
+    /// Whether the [`FinishCall`](crate::FinishCall) must carry the response, so that it is
+    /// recorded.
     pub record_response: bool,
 }
 
-/// A whole answer small enough to be kept under its idempotency key.
+/// A complete response that is recorded under its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedResponse {
     /// HTTP status.
--- a/crates/ragwortroad_gateway/src/call/attempt_outcome.rs
+++ b/crates/ragwortroad_gateway/src/call/attempt_outcome.rs
@@ -3,21 +3,21 @@
 /// How an admitted attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Not one byte can have reached the endpoint.
+    /// No byte of the request can have reached the endpoint.
     NotSent,
-    /// The endpoint gave its whole answer.
+    /// The endpoint returned its complete response.
     Completed {
-        /// HTTP status of the endpoint's answer.
+        /// HTTP status of the endpoint's response.
         status: u16,
-        /// The answer, where the grant asked for it and it is small enough.
+        /// The response, if the grant asked for it and it is within the size limit for recording.
         response: Option<RecordedResponse>,
-        /// Prompt tokens the engine found in its cache, where it said so.
+        /// Prompt tokens that the engine found in its prefix cache; `None` if it reported no count.
         cached_tokens: Option<u32>,
     },
-    /// Bytes were sent, and no whole answer came back.
+    /// Bytes were sent, and no valid, complete response came back.
     Broken,
-    /// The caller left; the attempt was cancelled.
+    /// The client disconnected, and the attempt was cancelled.
     Cancelled,
-    /// The deadline passed with the attempt under way.
+    /// The deadline passed while the attempt was in flight.
     TimedOut,
 }
--- a/crates/ragwortroad_gateway/src/call/control_call.rs
+++ b/crates/ragwortroad_gateway/src/call/control_call.rs
@@ -12,21 +12,21 @@
     OperatorResponse,
 };
 
-/// One question or notice from a traffic thread to the control thread.
+/// A call or notification from a traffic thread to the control thread.
 ///
-/// Replies come over a channel made for the one call. A reply channel that closes without a reply
-/// means that the control thread is gone: the traffic thread then refuses with
+/// Each reply comes over a channel created for that one call. If the reply channel closes without a
+/// reply, the control thread has ended, and the traffic thread refuses the request with
 /// [`RefusalCode::InternalFault`].
 #[derive(Debug)]
 pub enum ControlCall {
-    /// May this attempt run, and where?
+    /// Asks whether an attempt may run, and at which endpoint.
     Admit(AdmitCall, Sender<AdmitReply>),
-    /// The attempt of an earlier grant is over.
+    /// Reports the end of a granted attempt.
     Finish(FinishCall),
-    /// Which addresses should this caller use?
+    /// Asks which node addresses the client should use.
     Addresses(AddressCall, Sender<Result<AddressAnswer, RefusalWire>>),
-    /// An endpoint announces itself.
+    /// Forwards the announcement of an endpoint.
     Announce(AnnounceCall, Sender<Result<AnnounceAnswer, RefusalWire>>),
-    /// An operator asks or changes something.
+    /// Forwards an operator's query or change.
     Operator(OperatorCall, Sender<OperatorResponse>),
 }
--- a/crates/ragwortroad_gateway/src/call/finish_call.rs
+++ b/crates/ragwortroad_gateway/src/call/finish_call.rs
@@ -5,16 +5,16 @@
     TicketId, //
 };
 
-/// The end of an admitted attempt.
+/// Reports the end of an admitted attempt.
 ///
-/// Exactly one follows every grant, also when the traffic task is dropped in the middle: a grant
-/// that is never given back would count as load for ever.
+/// The gateway sends exactly one for every grant, also when the traffic task is dropped midway: a
+/// grant that is never returned would count as load on its endpoint forever.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinishCall {
     /// The grant's ticket.
     pub ticket: TicketId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// From dispatch to the end.
+    /// Time from dispatch to the end of the attempt.
     pub duration: Duration,
 }
--- a/crates/ragwortroad_gateway/src/call/mod.rs
+++ b/crates/ragwortroad_gateway/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! What traffic threads ask of the control thread.
+//! Calls from the traffic threads to the control thread.
 
 pub(crate) mod address_call;
 pub(crate) mod admit_call;
--- a/crates/ragwortroad_gateway/src/call/operator_call.rs
+++ b/crates/ragwortroad_gateway/src/call/operator_call.rs
@@ -1,21 +1,21 @@
-/// A line of the operators' language.
+/// A command in the operators' language.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorCall {
     /// SHA-256 of the operator's key.
     pub key_hash: [u8; 32],
-    /// The line as typed.
+    /// The command line as typed.
     pub line: String,
-    /// Whether the caller wants a question answered only (`ask`) or a change made (`change`).
+    /// Whether the command may change state (`change`) or only query it (`ask`).
     pub may_change: bool,
-    /// Identity of the change, so that a resend returns the first outcome.
+    /// Identifies the change, so that a resent command returns the outcome of the first.
     pub change_id: Option<String>,
 }
 
-/// The answer to an [`OperatorCall`].
+/// The response to an [`OperatorCall`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorResponse {
     /// HTTP status.
     pub status: u16,
-    /// A JSON object.
+    /// The response body, a JSON object.
     pub body: String,
 }
--- a/crates/ragwortroad_gateway/src/cancel_worker.rs
+++ b/crates/ragwortroad_gateway/src/cancel_worker.rs
@@ -25,22 +25,23 @@
     stop_signal::wait_for_stop, //
 };
 
-/// Time for one cancellation, after which the engine is left to notice the closed connection.
+/// Time limit of one cancellation; after that the engine must notice the closed connection by
+/// itself.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Cancellations under way at once.
+/// Maximum number of concurrent cancellations.
 const MAX_CONCURRENT_CANCELS: usize = 64;
 
-/// An engine's work that nobody waits for any more.
+/// An attempt whose result is no longer needed, to be cancelled at its engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CancelRequest {
     pub(crate) address: SocketAddr,
     pub(crate) request: RequestId,
-    /// Which attempt of the request: a later one may run at the same engine.
+    /// Number of the attempt to cancel: a later attempt of the request may run at the same engine.
     pub(crate) attempt: u32,
 }
 
-/// Tells engines to cancel until `stop` turns true, and then what is still waiting.
+/// Sends cancellations to engines until `stop` becomes true, and then those still queued.
 pub(crate) async fn run_cancels(
     mut cancels: UnboundedReceiver<CancelRequest>,
     mut stop: watch::Receiver<bool>,
@@ -80,5 +81,5 @@
         Ok(mut link) => link.send(request).await.is_ok(),
         Err(_) => false,
     };
-    tracing::debug!(request = %cancel.request, address = %cancel.address, sent = is_sent, "cancel");
+    tracing::debug!(request = %cancel.request, address = %cancel.address, sent = is_sent, "cancellation finished");
 }
--- a/crates/ragwortroad_gateway/src/chunk_wire.rs
+++ b/crates/ragwortroad_gateway/src/chunk_wire.rs
@@ -2,7 +2,8 @@
 
 use serde::Deserialize;
 
-/// One chunk of a streamed answer in the OpenAI chat format, as far as the gateway reads it.
+/// One chunk of a streamed response in the OpenAI chat format, limited to the fields that the
+/// gateway reads.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub(crate) struct ChunkWire<'text> {
@@ -12,18 +13,18 @@
     pub(crate) choices: Vec<ChunkChoice<'text>>,
     #[serde(default)]
     pub(crate) usage: Option<UsageWire>,
-    /// Position of the chunk's first token in the answer, where the engine numbers them.
+    /// Position of the first token of the chunk in the response, if the engine numbers its tokens.
     #[serde(default)]
     pub(crate) token_index: Option<u32>,
-    /// Tokens in the chunk, where the engine says so; else one.
+    /// Number of tokens in the chunk; 1 if the engine reports none.
     #[serde(default)]
     pub(crate) token_count: Option<u32>,
-    /// An error of the engine's in place of an answer.
+    /// An error that the engine reports in place of a response.
     #[serde(default)]
     pub(crate) error: Option<serde_json::Value>,
 }
 
-/// One choice of a chunk.
+/// One of the alternative completions in a chunk.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub(crate) struct ChunkChoice<'text> {
@@ -35,7 +36,7 @@
     pub(crate) finish_reason: Option<Cow<'text, str>>,
 }
 
-/// What a chunk adds.
+/// The text or tool calls that a chunk adds.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 pub(crate) struct ChunkDelta<'text> {
@@ -45,18 +46,18 @@
     pub(crate) tool_calls: Option<serde_json::Value>,
 }
 
-/// What a request cost, as the engine counts.
+/// Token usage of a request, as counted by the engine.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 pub(crate) struct UsageWire {
-    /// Tokens of the whole answer, for a resumed stream as well.
+    /// Tokens of the complete response, including those before a resume.
     #[serde(default)]
     pub(crate) completion_tokens: Option<u32>,
     #[serde(default)]
     pub(crate) prompt_tokens_details: Option<TokenDetails>,
 }
 
-/// How the prompt's tokens were got.
+/// Breakdown of the prompt tokens.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 pub(crate) struct TokenDetails {
--- a/crates/ragwortroad_gateway/src/client_socket.rs
+++ b/crates/ragwortroad_gateway/src/client_socket.rs
@@ -26,23 +26,23 @@
 
 use crate::exchange_phase::ExchangePhase;
 
-/// Time limits of a caller's connection.
+/// Time limits of a client connection.
 #[derive(Clone, Copy)]
 pub(crate) struct SocketLimits {
-    /// Without any byte of a request.
+    /// Maximum time without any byte of a request.
     pub(crate) idle: Duration,
-    /// From a request's first byte to the end of its head.
+    /// Maximum time from the first byte of a request to the end of its head.
     pub(crate) header: Duration,
-    /// With bytes that the caller does not take.
+    /// Maximum time for which the client may leave written bytes unread.
     pub(crate) write: Duration,
 }
 
-/// A caller's connection that ends itself when the caller is silent or slow for too long.
+/// A client connection that fails when the client is silent or slow for too long.
 ///
-/// Without the limits a caller that opens connections and sends nothing, sends a head one byte at
-/// a time, or never reads its answer holds a connection for ever, and with enough of them shuts
-/// everybody else out. The reply that the HTTP library gives by itself to a head it cannot read is
-/// replaced by a typed refusal, so that every refusal looks the same to a caller.
+/// Without these limits, a client that opens connections and sends nothing, sends a head one byte
+/// at a time, or never reads its response would hold a connection forever, and enough of them would
+/// lock out all others. The socket also replaces the reply that hyper itself sends to an unreadable
+/// head with a typed refusal, so that every refusal has the same form.
 pub(crate) struct ClientSocket {
     stream: TcpStream,
     limits: SocketLimits,
@@ -50,19 +50,19 @@
     request: RequestId,
     read_timer: Option<Pin<Box<Sleep>>>,
     write_timer: Option<Pin<Box<Sleep>>>,
-    /// Whether bytes of the request now being read have come.
+    /// Whether bytes of the request head being read have arrived.
     has_partial_head: bool,
-    /// When the head began, or else when bytes of an answer were last taken.
+    /// When the head began, or else when bytes of a response were last written.
     last_activity: Instant,
-    /// A refusal that is being written in place of the library's own reply.
+    /// The refusal being written in place of a reply by hyper.
     refusal: Option<RefusalWrite>,
 }
 
-/// A replacement on its way out.
+/// A refusal that is partly written.
 struct RefusalWrite {
     bytes: Vec<u8>,
     written: usize,
-    /// Length of what it replaces.
+    /// Length of the reply that the refusal replaces.
     replaced_length: usize,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Fails once the caller has been silent for longer than the present phase allows.
+    /// Fails once the client has been silent for longer than the current phase allows.
     fn poll_read_limit(&mut self, context: &mut Context<'_>) -> Poll<io::Error> {
         if self.phase.is_responding() {
             self.read_timer = None;
@@ -104,13 +104,14 @@
             if Instant::now() >= deadline {
                 return Poll::Ready(io::ErrorKind::TimedOut.into());
             }
-            // Bytes of the last answer were taken since the timer was set.
+            // Bytes of the last response were written after the timer was set.
             timer.as_mut().reset(deadline);
         }
         Poll::Pending
     }
 
-    /// Notes that bytes came: a head's time runs from its first byte, not from each one.
+    /// Records that bytes arrived. The time limit of a head runs from its first byte and does not
+    /// restart with each one.
     fn note_read(&mut self) {
         if self.phase.is_responding() {
             self.has_partial_head = false;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Notes that bytes of an answer were taken, after which the caller may be quiet for a while.
+    /// Records that response bytes were written, which restarts the idle time of the client.
     fn note_write(&mut self) {
         self.write_timer = None;
         self.has_partial_head = false;
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Writes the replacement, and then tells the library that its own bytes are written.
+    /// Writes the refusal, and then reports to hyper that its own bytes are written.
     fn poll_refusal(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
         while let Some(refusal) = &mut self.refusal {
             let unwritten = &refusal.bytes[refusal.written..];
@@ -158,7 +159,7 @@
     }
 }
 
-/// The typed refusal for a reply of the library's own, if `bytes` are one.
+/// Returns the typed refusal that replaces a reply by hyper itself, if `bytes` are one.
 fn typed_refusal(bytes: &[u8], request: RequestId) -> Option<Vec<u8>> {
     let status = bytes.strip_prefix(b"HTTP/1.1 ")?.get(..3)?;
     let (code, message) = match status {
@@ -187,7 +188,7 @@
         match Pin::new(&mut socket.stream).poll_read(context, buffer) {
             Poll::Ready(result) => {
                 socket.note_read();
-                // A head that trickles in must not restart its own limit with every byte.
+                // A head that arrives slowly must not restart its own limit with every byte.
                 match socket.has_partial_head {
                     true => match socket.poll_read_limit(context) {
                         Poll::Ready(error) => Poll::Ready(Err(error)),
--- a/crates/ragwortroad_gateway/src/connection_count.rs
+++ b/crates/ragwortroad_gateway/src/connection_count.rs
@@ -5,20 +5,20 @@
 
 use crate::GatewaySettings;
 
-/// How many connections callers have open, in all and from each IP number.
+/// Counts the open client connections, in total and per IP address.
 ///
-/// With the limit over all alone, one caller that opens connections and leaves them idle shuts
-/// everybody else out.
+/// With a total limit alone, one client that opens connections and leaves them idle would lock out
+/// all others.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionCount {
     /// Invariant: no value is zero.
     count_by_address: HashMap<IpAddr, usize>,
-    /// Invariant: the sum of the values.
+    /// Invariant: the sum of the values of `count_by_address`.
     total: usize,
 }
 
 impl ConnectionCount {
-    /// Counts a connection in; false, and nothing counted, where there is no room for it.
+    /// Adds a connection; returns false, and counts nothing, if a limit is reached.
     pub(crate) fn try_add(&mut self, address: IpAddr, settings: &GatewaySettings) -> bool {
         let address_count = self.count_by_address.get(&address).copied().unwrap_or(0);
         if self.total >= settings.max_connections
@@ -31,7 +31,7 @@
         true
     }
 
-    /// Counts a connection out.
+    /// Removes a closed connection.
     pub(crate) fn remove(&mut self, address: IpAddr) {
         if let Some(address_count) = self.count_by_address.get_mut(&address) {
             *address_count -= 1;
--- a/crates/ragwortroad_gateway/src/connection_loop.rs
+++ b/crates/ragwortroad_gateway/src/connection_loop.rs
@@ -37,21 +37,21 @@
     stop_signal::wait_for_stop, //
 };
 
-/// Pause after an accept that failed, for example for want of file descriptors: without it the
-/// loop would spin on the same error.
+/// Delay after a failed accept, for example when file descriptors run out; without it the loop
+/// would spin on the same error.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Time to tell a caller that there are too many connections.
+/// Time limit for sending a refusal to a client beyond the connection limit.
 const REJECTION_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Most callers turned away at once; beyond that they are closed without a word.
+/// Refusals sent concurrently; further clients beyond the limit are closed without a response.
 const MAX_CONCURRENT_REJECTIONS: usize = 64;
 
-/// The HTTP library's least buffer for a head.
+/// Minimum buffer size that hyper accepts for a request head.
 const MIN_HEADER_BUFFER_BYTES: usize = 8192;
 
-/// Accepts callers until `stop` turns true, then ends the connections that are idle and awaits
-/// the others.
+/// Accepts client connections until `stop` becomes true, then closes the idle connections and waits
+/// for the others.
 pub(crate) async fn run_connections(
     state: Arc<GatewayState>,
     listener: TcpListener,
@@ -77,7 +77,7 @@
                     }
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "a connection could not be accepted");
+                    tracing::warn!(%error, "failed to accept a connection");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
@@ -85,7 +85,7 @@
                 let id = match result {
                     Ok((id, ())) => id,
                     Err(error) => {
-                        tracing::error!(%error, "a caller's connection failed");
+                        tracing::error!(%error, "client connection task failed");
                         error.id()
                     }
                 };
@@ -113,7 +113,7 @@
     let settings = &state.settings;
     let buffer = SockRef::from(&stream).set_send_buffer_size(settings.send_buffer_bytes);
     if let Err(error) = buffer.and_then(|()| stream.set_nodelay(true)) {
-        tracing::debug!(%error, "a caller's socket is gone");
+        tracing::debug!(%error, "failed to configure a client socket");
         return;
     }
     let limits = SocketLimits {
@@ -137,11 +137,11 @@
         }
     };
     if let Err(error) = result {
-        tracing::debug!(%error, "a caller's connection ended");
+        tracing::debug!(%error, "client connection closed with an error");
     }
 }
 
-/// Tells a caller beyond the limit of connections so, and closes.
+/// Sends a refusal to a client beyond the connection limit, and closes its connection.
 async fn reject_connection(request: RequestId, mut stream: TcpStream) {
     let code = RefusalCode::Overloaded;
     let message = "this node has no room for another connection";
@@ -157,6 +157,6 @@
          content-length: {length}\r\nconnection: close\r\n\r\n"
     );
     if let Err(error) = stream.write_all((head + &body).as_bytes()).await {
-        tracing::debug!(%error, "a caller turned away was gone");
+        tracing::debug!(%error, "failed to send a refusal to a client beyond the connection limit");
     }
 }
--- a/crates/ragwortroad_gateway/src/control_client.rs
+++ b/crates/ragwortroad_gateway/src/control_client.rs
@@ -8,7 +8,8 @@
     request_context::RequestContext, //
 };
 
-/// Sends a call that takes nothing from the control thread, and awaits its reply.
+/// Sends a call that reserves no resources at the control thread, and awaits its reply. Returns a
+/// refusal if the control thread has ended or the deadline passes.
 pub(crate) async fn call_control<Reply>(
     state: &GatewayState,
     context: &RequestContext,
--- a/crates/ragwortroad_gateway/src/endpoint_link.rs
+++ b/crates/ragwortroad_gateway/src/endpoint_link.rs
@@ -22,18 +22,18 @@
     time::timeout, //
 };
 
-/// One connection to an endpoint, with the task that moves its bytes.
+/// A connection to an endpoint, with the task that drives it.
 pub(crate) struct EndpointLink {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
-    /// Invariant: runs as long as the link lives, and is aborted with it, which closes the socket.
+    /// Invariant: runs for the lifetime of the link; aborting it on drop closes the socket.
     driver: JoinHandle<()>,
-    /// Whether the link has carried an exchange before.
+    /// Whether the link has carried an earlier exchange.
     is_reused: bool,
 }
 
 impl EndpointLink {
-    /// Opens a connection. After an error not one byte of a request can have been sent.
+    /// Opens a connection. On an error, no byte of a request has been sent.
     pub(crate) async fn connect(address: SocketAddr, limit: Duration) -> io::Result<Self> {
         let stream = timeout(limit, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
@@ -42,7 +42,7 @@
             .map_err(io::Error::other)?;
         let driver = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                tracing::debug!(%error, "a connection to an endpoint ended");
+                tracing::debug!(%error, "endpoint connection closed with an error");
             }
         });
         Ok(Self {
@@ -53,8 +53,8 @@
         })
     }
 
-    /// Sends a request and awaits the answer's head. After this call begins, bytes may have been
-    /// sent, whatever it returns.
+    /// Sends a request and awaits the head of the response. Once called, bytes may have been sent,
+    /// whatever the result.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -74,7 +74,7 @@
         self.is_reused = true;
     }
 
-    /// Whether the link is open and has nothing under way, as far as this side has seen.
+    /// Whether the link is open and idle, as far as this side can tell.
     pub(crate) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
--- a/crates/ragwortroad_gateway/src/endpoint_pool.rs
+++ b/crates/ragwortroad_gateway/src/endpoint_pool.rs
@@ -13,26 +13,26 @@
 
 use crate::endpoint_link::EndpointLink;
 
-/// Idle links kept for one endpoint.
+/// Maximum number of idle links per endpoint.
 const MAX_IDLE_LINKS: usize = 8;
 
-/// How long an idle link is kept; below the idle limits that servers commonly have.
+/// Lifetime of an idle link; shorter than the idle timeouts that servers commonly have.
 const IDLE_LINK_TTL: Duration = Duration::from_secs(4);
 
 /// Idle connections to endpoints, for idempotent requests only.
 ///
-/// An endpoint may close an idle connection just as a request is written to it, and then nobody
-/// can tell whether the request ran. For an idempotent request that costs a second attempt. A
+/// An endpoint may close an idle connection just as a request is written to it, and then the
+/// gateway cannot tell whether the request ran. An idempotent request is simply retried. A
 /// non-idempotent one would end as unknown without need, so it always gets a fresh connection,
-/// whose failure to open is proof that nothing was sent.
+/// where a failure to open proves that nothing was sent.
 #[derive(Default)]
 pub(crate) struct EndpointPool {
-    /// Invariant: the youngest link of an endpoint stands last.
+    /// Invariant: the most recently used link of an endpoint is last.
     idle: Mutex<HashMap<SocketAddr, Vec<(Instant, EndpointLink)>>>,
 }
 
 impl EndpointPool {
-    /// The youngest idle link to `address` that is still open.
+    /// Takes the most recently used idle link to `address` that is still open.
     pub(crate) fn take(&self, address: SocketAddr) -> Option<EndpointLink> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let links = idle.get_mut(&address)?;
@@ -45,7 +45,8 @@
         None
     }
 
-    /// Keeps a link whose exchange is over.
+    /// Returns a link to the pool after its exchange; drops it if the endpoint has enough idle
+    /// links.
     pub(crate) fn put(&self, mut link: EndpointLink) {
         link.mark_used();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/ragwortroad_gateway/src/engine_request.rs
+++ b/crates/ragwortroad_gateway/src/engine_request.rs
@@ -17,13 +17,13 @@
     stream_cursor::StreamCursor, //
 };
 
-/// The engines' path for chats.
+/// Path for chat requests on the engines.
 const CHAT_COMPLETIONS_PATH: &str = "/v1/chat/completions";
 
-/// Header with the number of the request's attempt, which a cancellation names again.
+/// Carries the attempt number of the request, which a cancellation repeats.
 const ATTEMPT_HEADER: &str = "x-attempt";
 
-/// A model request as the engine gets it: the caller's body, and headers from the grant.
+/// Builds a model request for an engine: the body from the client, and headers from the grant.
 pub(crate) fn engine_request(
     context: &RequestContext,
     grant: &AdmitGrant,
@@ -46,7 +46,7 @@
     request.body(Full::new(body)).ok()
 }
 
-/// The body for an engine that is to go on behind the tokens the caller has.
+/// Builds the body for an engine that resumes after the tokens that the client already has.
 pub(crate) fn resume_body(body: &Bytes, cursor: &StreamCursor) -> Bytes {
     if cursor.tokens == 0 {
         return body.clone();
@@ -56,7 +56,7 @@
     };
     chat.resume_from = Some(cursor.tokens);
     chat.resume_text = Some(cursor.text.clone());
-    // The serialised form of a body that was parsed from JSON is JSON again.
+    // A body that was parsed from JSON serializes to JSON again.
     let value = serde_json::to_value(&chat).unwrap_or(Value::Null);
     Bytes::from(value.to_string())
 }
--- a/crates/ragwortroad_gateway/src/engine_response.rs
+++ b/crates/ragwortroad_gateway/src/engine_response.rs
@@ -1,4 +1,4 @@
-//! Attempts at engines until an answer begins well.
+//! Opens attempts at engines until one responds with a valid head.
 
 use bytes::Bytes;
 use hyper::{
@@ -24,21 +24,21 @@
     },
 };
 
-/// What an engine said in its answer's head.
+/// Result of the response head of an engine.
 pub(crate) enum EngineResponse {
-    /// The answer follows.
+    /// The engine accepted the request; the body of the response follows.
     Accepted(Box<AcceptedResponse>),
     /// The engine refused the request itself, for example as malformed.
     Refusal(Response<ResponseBody>),
 }
 
-/// An answer that began well, with the attempt that it belongs to.
+/// An open response with a valid head, and its attempt.
 pub(crate) struct AcceptedResponse {
     pub(crate) attempt: OpenAttempt,
     pub(crate) response: Response<Incoming>,
 }
 
-/// Opens attempts until an engine's answer begins well.
+/// Opens attempts until an engine responds with a valid head.
 pub(crate) async fn open_response(
     flow: &mut RequestFlow,
     body: &Bytes,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Whether another engine would refuse the request as well.
+/// Whether the request itself is at fault, so that every other engine would refuse it as well.
 fn is_client_fault(status: StatusCode) -> bool {
     let retryable_statuses = [
         StatusCode::NOT_FOUND,
@@ -86,7 +86,8 @@
     status.is_client_error() && !retryable_statuses.contains(&status)
 }
 
-/// Hands an engine's own refusal to the caller, or nothing where the refusal broke off.
+/// Forwards an engine's refusal to the client. Returns `None` if the refusal was incomplete and the
+/// request may be retried.
 async fn forward_refusal(
     flow: &mut RequestFlow,
     attempt: OpenAttempt,
--- a/crates/ragwortroad_gateway/src/exchange_phase.rs
+++ b/crates/ragwortroad_gateway/src/exchange_phase.rs
@@ -6,18 +6,18 @@
     }, //
 };
 
-/// How far a connection is with its present request, shared by its socket and its service.
+/// Phase of the current exchange on a connection, shared by its socket and its service.
 #[derive(Clone, Default)]
 pub(crate) struct ExchangePhase {
-    /// Invariant: one of the phase constants.
+    /// Invariant: one of the constants below.
     phase: Arc<AtomicU8>,
 }
 
-/// No request has been read since the last answer was flushed.
+/// No request has been read since the last response was flushed.
 const READING: u8 = 0;
-/// A request was read and its answer is being made or written.
+/// A request was read, and its response is being produced or written.
 const RESPONDING: u8 = 1;
-/// The answer's last byte was handed to the connection, which may hold it still.
+/// The last byte of the response was passed to the connection, which may still buffer it.
 const FLUSHING: u8 = 2;
 
 impl ExchangePhase {
@@ -36,7 +36,7 @@
             .compare_exchange(FLUSHING, READING, success_order, Ordering::Acquire)
             .is_err()
         {
-            // Another phase: the flush was for something else.
+            // In another phase the flush does not end a response.
         }
     }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Ends the answer's phase when the answer's body is dropped.
+/// Ends the response phase when the body of the response is dropped.
 pub(crate) struct PhaseGuard(pub(crate) ExchangePhase);
 
 impl Drop for PhaseGuard {
--- a/crates/ragwortroad_gateway/src/gateway_error.rs
+++ b/crates/ragwortroad_gateway/src/gateway_error.rs
@@ -5,25 +5,25 @@
 
 use snafu::Snafu;
 
-/// Why a gateway could not start.
+/// An error that prevents a gateway from starting.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum GatewayError {
-    /// The address is taken or not this VM's.
+    /// The listening address is in use or does not belong to this VM.
     #[snafu(display(
         "cannot listen on {address}: {source}; free the port or name another one in the settings"
     ))]
     Listen {
-        /// The address asked for.
+        /// The configured address.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// Threads could not be started.
+    /// The runtime with the traffic threads could not be started.
     #[snafu(display("cannot start traffic threads: {source}; raise the limit of threads"))]
     StartRuntime {
-        /// The system's reason.
+        /// The error from the operating system.
         source: io::Error,
     },
 }
--- a/crates/ragwortroad_gateway/src/gateway_pages.rs
+++ b/crates/ragwortroad_gateway/src/gateway_pages.rs
@@ -5,20 +5,20 @@
 
 use ragwortroad_types::prelude::*;
 
-/// A page made on demand.
+/// Renders a page on demand.
 type PageMaker = Arc<dyn Fn() -> String + Send + Sync>;
 
-/// A page made from the SHA-256 of an operator's key and a query string.
+/// Renders a page from the SHA-256 of an operator key and a query string.
 type QueryMaker = Arc<dyn Fn([u8; 32], &str) -> Result<String, RefusalWire> + Send + Sync>;
 
-/// Pages that others make and the gateway only serves.
+/// Pages that other components render and the gateway serves.
 ///
 /// The closures run on traffic threads, so they must not block for long.
 #[derive(Clone)]
 pub struct GatewayPages {
-    /// The Prometheus text page.
+    /// Renders the metrics in the Prometheus text format.
     pub metrics: PageMaker,
-    /// The time line, one JSON object a line; checks the operator's key itself.
+    /// Renders the timeline, one JSON object per line; checks the operator key itself.
     pub timeline: QueryMaker,
 }
 
--- a/crates/ragwortroad_gateway/src/gateway_server.rs
+++ b/crates/ragwortroad_gateway/src/gateway_server.rs
@@ -33,13 +33,13 @@
     gateway_state::GatewayState, //
 };
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// Time for connections to close once no request is in flight.
+/// Time limit for closing the connections once no request is in flight.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// HTTP towards callers, endpoints and operators, on its own traffic threads.
+/// HTTP server for clients, endpoints and operators, on its own traffic threads.
 pub struct GatewayServer {
     state: Arc<GatewayState>,
     address: SocketAddr,
@@ -50,8 +50,14 @@
 }
 
 impl GatewayServer {
-    /// Listens and serves. Every decision is asked for over `calls`, which should be unbounded:
-    /// a traffic thread that ends an attempt sends without waiting.
+    /// Binds the listener and starts to serve.
+    ///
+    /// The gateway sends all decisions to the control thread over `calls`. The channel should be
+    /// unbounded, because a traffic thread that ends an attempt sends without waiting.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address cannot be bound or the threads cannot be started.
     pub fn start(
         settings: GatewaySettings,
         calls: Sender<ControlCall>,
@@ -85,25 +91,25 @@
         })
     }
 
-    /// The address it listens on.
+    /// The bound address, with the actual port if the settings named port 0.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// From now on refuses new requests with other nodes' addresses; those in flight go on.
+    /// Starts refusing new requests, naming other nodes to the client; requests in flight continue.
     pub fn begin_drain(&self) {
         self.state.begin_drain();
     }
 
-    /// Requests between their head and the last byte of their answer.
+    /// Number of requests between their head and the last byte of their response.
     pub fn in_flight(&self) -> usize {
         self.state.in_flight()
     }
 
     /// Drains, waits for every request in flight, and joins all tasks and threads.
     ///
-    /// The control thread must answer until this returns. No request waits longer than its
-    /// deadline, so neither does this.
+    /// The control thread must reply until this returns. The wait is bounded, because no request
+    /// waits longer than its deadline.
     pub fn join(self) {
         self.begin_drain();
         let Self {
@@ -120,27 +126,29 @@
             let close_tasks = async {
                 for task in [connections, cancels] {
                     if let Err(error) = task.await {
-                        tracing::error!(%error, "a task of the gateway failed");
+                        tracing::error!(%error, "gateway task failed");
                     }
                 }
             };
             if timeout(CLOSE_TIMEOUT, close_tasks).await.is_err() {
-                tracing::warn!("connections without a request were cut");
+                tracing::warn!("closed connections that did not shut down in time");
             }
             state.pool.clear();
         });
-        // Dropping the runtime joins its threads; tasks that are left are dropped at once.
+        // Dropping the runtime joins its threads and drops the remaining tasks immediately.
         drop(runtime);
     }
 
-    /// Cuts every connection at once and joins the threads, as the end of a killed process does.
+    /// Closes every connection immediately and joins the threads, as if the process had been
+    /// killed.
     #[doc(hidden)]
     pub fn abort(self) {
         drop(self.runtime);
     }
 }
 
-/// A listener that can take the address of a process that ended a moment ago. Needs a runtime.
+/// Binds a listener with address reuse, so that it can take over the address of a process that has
+/// just ended. Must be called within a runtime.
 fn listen_at(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
--- a/crates/ragwortroad_gateway/src/gateway_settings.rs
+++ b/crates/ragwortroad_gateway/src/gateway_settings.rs
@@ -6,54 +6,55 @@
     time::Duration, //
 };
 
-/// How a [`GatewayServer`](crate::GatewayServer) listens and what it allows.
+/// Addresses, limits and timeouts of a [`GatewayServer`](crate::GatewayServer).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewaySettings {
-    /// The node's name, for the log.
+    /// The node's name, written to the log.
     pub node_name: String,
-    /// Where to listen; port 0 takes a free one.
+    /// The TCP address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
     /// Number of traffic threads.
     pub traffic_threads: usize,
-    /// Longest request body in bytes.
+    /// Maximum length of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Bytes of request bodies held at once, over all callers.
+    /// Maximum total of buffered request bodies over all clients, in bytes.
     pub max_buffered_body_bytes: usize,
-    /// Longest request head in bytes; at least 8192.
+    /// Maximum length of a request head, in bytes; at least 8192.
     pub max_header_bytes: usize,
-    /// Longest answer of an endpoint, in bytes, that is not a stream.
+    /// Maximum length of an endpoint response that is not a stream, in bytes.
     pub max_response_bytes: usize,
-    /// Longest answer that is handed to the control thread to be kept under its key.
+    /// Maximum length of a response that is sent to the control thread to be recorded under its
+    /// idempotency key, in bytes.
     pub max_recorded_response_bytes: usize,
-    /// Connections of callers at once.
+    /// Maximum number of client connections.
     pub max_connections: usize,
-    /// Connections from one IP number at once.
+    /// Maximum number of client connections from one IP address.
     pub max_connections_per_address: usize,
-    /// How long a connection may stay without a request.
+    /// Maximum time for which a connection may stay open without a request.
     pub idle_timeout: Duration,
-    /// How long a caller may take over a request's head.
+    /// Maximum time from the first byte of a request head to its end.
     pub header_timeout: Duration,
-    /// How long a caller may take over a request's body.
+    /// Maximum time for receiving a request body.
     pub body_timeout: Duration,
-    /// How long a caller may leave bytes of its answer unread.
+    /// Maximum time for which a client may leave response bytes unread.
     pub write_timeout: Duration,
-    /// Bytes of an answer that the system may hold for a caller that does not read them.
+    /// Size of the socket send buffer of a client connection, in bytes.
     ///
-    /// Without a bound a caller that reads nothing takes megabytes of the system's memory, and its
-    /// silence is noticed only once they are full.
+    /// Without a limit, a client that reads nothing takes megabytes of kernel memory, and the
+    /// gateway notices the stall only once they are full.
     pub send_buffer_bytes: usize,
-    /// How long a connection to an endpoint may take to open.
+    /// Maximum time for opening a connection to an endpoint.
     pub connect_timeout: Duration,
-    /// How long a stream may stay without a byte before it counts as broken.
+    /// Maximum time without a byte of a stream before the stream counts as broken.
     pub stream_idle_timeout: Duration,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that sets none.
     pub default_deadline: Duration,
-    /// Longest deadline a request may name.
+    /// Maximum deadline that a request may set.
     pub max_deadline: Duration,
-    /// Attempts for one request, whatever the control thread would grant.
+    /// Maximum number of attempts per request, even if the control thread would grant more.
     pub max_attempts: u32,
-    /// Whether engines name the request in each answer: in `X-Request-Id`, and in the answer's `id`
-    /// as `chatcmpl-REQUEST`. An answer that then does not counts as broken.
+    /// Whether engines must name the request in each response: in `X-Request-Id`, and in the `id`
+    /// of the response as `chatcmpl-REQUEST`. A response without them counts as broken.
     pub require_request_id_echo: bool,
 }
 
--- a/crates/ragwortroad_gateway/src/gateway_state.rs
+++ b/crates/ragwortroad_gateway/src/gateway_state.rs
@@ -33,7 +33,7 @@
     endpoint_pool::EndpointPool, //
 };
 
-/// What all connections of one gateway share.
+/// State shared by all connections of one gateway.
 pub(crate) struct GatewayState {
     pub(crate) settings: GatewaySettings,
     pub(crate) calls: Sender<ControlCall>,
@@ -41,9 +41,9 @@
     pub(crate) cancels: UnboundedSender<CancelRequest>,
     pub(crate) pool: EndpointPool,
     pub(crate) budget: Arc<BodyBudget>,
-    /// Invariant: once true, stays true.
+    /// Invariant: never reset once true.
     draining: AtomicBool,
-    /// Invariant: the number of live [`FlightGuard`]s.
+    /// Invariant: the number of live [`InFlightGuard`]s.
     request_count: AtomicUsize,
     idle_notify: Notify,
     request_id_hasher: RandomState,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A new request's identity: a counter under a keyed hash whose key the system draws.
+    /// Returns a new request identity: a counter, hashed with a key that the system draws.
     pub(crate) fn next_request_id(&self) -> RequestId {
         let count = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         RequestId(self.request_id_hasher.hash_one(count))
@@ -90,7 +90,7 @@
         self.request_count.load(Ordering::Acquire)
     }
 
-    /// Counts a request in until the guard drops.
+    /// Counts a request as in flight until the guard is dropped.
     pub(crate) fn begin_request(self: &Arc<Self>) -> InFlightGuard {
         self.request_count.fetch_add(1, Ordering::AcqRel);
         InFlightGuard {
@@ -111,10 +111,10 @@
     }
 }
 
-/// One request in flight, from its head to the last byte of its answer.
+/// A request in flight, from its head to the last byte of its response.
 pub(crate) struct InFlightGuard {
     state: Arc<GatewayState>,
-    /// Room for the request's body, which is kept for attempts to come.
+    /// Memory reserved for the request body, which is kept for further attempts.
     pub(crate) reservation: BodyReservation,
 }
 
--- a/crates/ragwortroad_gateway/src/header_names.rs
+++ b/crates/ragwortroad_gateway/src/header_names.rs
@@ -1,13 +1,13 @@
-//! Names of headers of our own.
+//! Names of the non-standard headers.
 
-/// The header with the request's identity, in requests to endpoints and in every answer.
+/// Carries the identity of the request, in requests to endpoints and in every response.
 pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// The header with the chat's placement hint.
+/// Carries the placement hint of the chat.
 pub(crate) const PLACEMENT_HINT_HEADER: &str = "x-placement-hint";
 
-/// Names the node that a chat's next request is best sent to.
+/// Names the node to which the client should send the next request of the chat.
 pub(crate) const NEXT_NODE_HEADER: &str = "x-next-node";
 
-/// Set on an answer that is given again from the record of its idempotency key.
+/// Marks a response that is replayed from the record of its idempotency key.
 pub(crate) const REPLAYED_HEADER: &str = "x-replayed";
--- a/crates/ragwortroad_gateway/src/lib.rs
+++ b/crates/ragwortroad_gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP towards callers, endpoints and operators.
+//! HTTP server for clients, endpoints and operators.
 //!
-//! The gateway moves bytes on traffic threads and decides nothing: for every decision it sends a
-//! [`ControlCall`] to the node's one control thread and awaits the reply. So the state that
-//! decisions rest on needs no lock.
+//! The gateway moves bytes on its traffic threads and makes no decisions: for each decision it
+//! sends a [`ControlCall`] to the node's single control thread and awaits the reply. The state
+//! behind those decisions therefore needs no lock.
 //!
 //! ```
 //! use ragwortroad_gateway::prelude::*;
@@ -51,7 +51,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Everything a dependent crate usually needs.
+/// Re-exports of the items that a dependent crate usually needs.
 pub mod prelude {
     pub use crate::call::{
         address_call::AddressCall,
--- a/crates/ragwortroad_gateway/src/model_relay.rs
+++ b/crates/ragwortroad_gateway/src/model_relay.rs
@@ -33,7 +33,7 @@
     stream_relay::stream_response, //
 };
 
-/// A whole answer's parts that the gateway reads.
+/// The fields of a complete, unstreamed response that the gateway reads.
 #[derive(Debug)]
 #[derive(serde::Deserialize)]
 struct CompletionWire {
@@ -110,7 +110,8 @@
     })
 }
 
-/// Checks that a whole answer's own identity is the request's, where engines name it.
+/// Checks that the completion identity of a complete response is that of the request, if engines
+/// name it.
 fn check_id(flow: &RequestFlow, wire: &CompletionWire) -> Result<(), String> {
     let must_echo = flow.state.settings.require_request_id_echo;
     let expected = expected_completion_id(flow.context.request, must_echo);
--- a/crates/ragwortroad_gateway/src/page_handlers.rs
+++ b/crates/ragwortroad_gateway/src/page_handlers.rs
@@ -1,4 +1,4 @@
-//! Requests that the control thread or a page answers at once.
+//! Handlers for requests that the control thread or a rendered page answers directly.
 
 use hyper::{
     Request,
--- a/crates/ragwortroad_gateway/src/query_values.rs
+++ b/crates/ragwortroad_gateway/src/query_values.rs
@@ -1,8 +1,8 @@
-//! Values in a URI's query.
+//! Access to the query of a URI.
 
-/// The first value of `name` in `query`, with percent escapes resolved.
+/// The first value of `name` in `query`, percent-decoded.
 ///
-/// A value whose escapes are not UTF-8 counts as absent.
+/// A value that is not UTF-8 after decoding counts as absent.
 pub(crate) fn query_value(query: &str, name: &str) -> Option<String> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(key, _)| *key == name)?;
--- a/crates/ragwortroad_gateway/src/request_context.rs
+++ b/crates/ragwortroad_gateway/src/request_context.rs
@@ -17,20 +17,20 @@
     header_names::PLACEMENT_HINT_HEADER, //
 };
 
-/// Header with the milliseconds that the caller gives the request.
+/// Carries the time that the client allows for the request, in milliseconds.
 pub(crate) const DEADLINE_HEADER: &str = "x-deadline-ms";
 
-/// Header with the chat that a request continues.
+/// Carries the chat that a request continues.
 pub(crate) const CHAT_ID_HEADER: &str = "x-chat-id";
 
-/// Header with the caller's idempotency key.
+/// Carries the idempotency key of the client.
 pub(crate) const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// What every request brings besides its body.
+/// The identity, credentials, deadline and headers of a request, without its body.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestContext {
     pub(crate) request: RequestId,
-    /// SHA-256 of the bearer key, if one was sent.
+    /// SHA-256 of the bearer key; `None` if the request carries none.
     pub(crate) key_hash: Option<[u8; 32]>,
     pub(crate) deadline: Instant,
     pub(crate) chat: Option<String>,
@@ -60,24 +60,24 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The key's hash, or the refusal for a request without a key.
+    /// Returns the hash of the key, or the refusal for a request without one.
     pub(crate) fn require_key(&self) -> Result<[u8; 32], RefusalWire> {
         self.key_hash
             .ok_or_else(|| self.not_run(RefusalCode::WrongKey, "no key was sent"))
     }
 
-    /// A refusal for a request of which nothing can have reached an endpoint.
+    /// Builds a refusal for a request of which no byte can have reached an endpoint.
     pub(crate) fn not_run(&self, code: RefusalCode, message: impl Into<String>) -> RefusalWire {
         RefusalWire::new(RequestOutcome::NotRun, code, message, self.request)
     }
 
-    /// A refusal for a request that may have run.
+    /// Builds a refusal for a request that may have run.
     pub(crate) fn unknown(&self, code: RefusalCode, message: impl Into<String>) -> RefusalWire {
         RefusalWire::new(RequestOutcome::Unknown, code, message, self.request)
     }
 }
 
-/// SHA-256 of the key in `Authorization: Bearer KEY`; the key itself is never kept.
+/// SHA-256 of the key in `Authorization: Bearer KEY`; the key itself is not stored.
 fn bearer_hash(headers: &HeaderMap) -> Option<[u8; 32]> {
     let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
     let (scheme, key) = value.split_once(' ')?;
@@ -87,7 +87,7 @@
     Some(Sha256::digest(key.trim().as_bytes()).into())
 }
 
-/// SHA-256 over method, path and body, by which a repeated request is told from a reused key.
+/// SHA-256 of method, path and body; tells a repeated request from a reused idempotency key.
 pub(crate) fn hash_request(method: &str, path: &str, body: &[u8]) -> [u8; 32] {
     let mut hasher = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes()] {
@@ -98,7 +98,8 @@
     hasher.finalize().into()
 }
 
-/// A short form of a key's hash for the log, which must not help anyone to guess the key.
+/// The first four bytes of a key's hash in hexadecimal, for the log; too short to help in guessing
+/// the key.
 pub(crate) fn short_hash(hash: &[u8; 32]) -> String {
     HEXLOWER.encode(&hash[..4])
 }
--- a/crates/ragwortroad_gateway/src/request_flow.rs
+++ b/crates/ragwortroad_gateway/src/request_flow.rs
@@ -23,11 +23,11 @@
     request_context::RequestContext, //
 };
 
-/// One request's way over as many attempts as the control thread grants.
+/// Processes one request over as many attempts as the control thread grants.
 pub(crate) struct RequestFlow {
     pub(crate) state: Arc<GatewayState>,
     pub(crate) context: RequestContext,
-    /// The next admission's call; grows by what earlier attempts taught.
+    /// The call for the next admission; each failed attempt adds its endpoint and ticket.
     call: AdmitCall,
     attempts: u32,
     /// Whether bytes of an earlier attempt may have reached an endpoint.
@@ -36,18 +36,18 @@
     sent: bool,
 }
 
-/// An attempt with an open connection, before its first byte is sent.
+/// An attempt with an open connection, before any byte is sent.
 pub(crate) struct OpenAttempt {
     pub(crate) grant: AdmitGrant,
     pub(crate) guard: AttemptGuard,
     pub(crate) link: EndpointLink,
 }
 
-/// Why a flow ends without an endpoint's answer.
+/// Why a request ends without a response from an endpoint.
 pub(crate) enum FlowEnd {
-    /// The answer of the same idempotency key, recorded earlier.
+    /// The response recorded earlier under the same idempotency key.
     Recorded(RecordedResponse),
-    /// A refusal.
+    /// A refusal, from the control thread or from the gateway itself.
     Refused(Box<RefusalWire>),
 }
 
@@ -94,7 +94,7 @@
             match EndpointLink::connect(grant.address, limit).await {
                 Ok(link) => return Ok(OpenAttempt { grant, guard, link }),
                 Err(error) => {
-                    tracing::info!(endpoint = %grant.endpoint, %error, "connection refused");
+                    tracing::info!(endpoint = %grant.endpoint, %error, "failed to connect to the endpoint");
                     guard.finish(AttemptOutcome::NotSent);
                     self.exclude(&grant);
                 }
@@ -102,10 +102,11 @@
         }
     }
 
-    /// Sends the attempt's request and awaits the head of the answer.
+    /// Sends the attempt's request and awaits the head of the response.
     ///
-    /// A pooled connection that its endpoint closed meanwhile fails here, and gets one more try
-    /// over a fresh one: only idempotent requests use pooled connections.
+    /// A pooled connection that its endpoint has closed in the meantime fails here. The request is
+    /// then sent once more over a fresh connection, because only idempotent requests use pooled
+    /// ones.
     pub(crate) async fn exchange(
         &mut self,
         attempt: &mut OpenAttempt,
@@ -119,7 +120,7 @@
         match attempt.link.send(request).await {
             Ok(response) => Ok(response),
             Err(error) if attempt.link.was_used() && self.call.idempotent => {
-                tracing::debug!(%error, "a kept connection was closed; using a fresh one");
+                tracing::debug!(%error, "pooled connection was closed; retrying on a new one");
                 let limit = self.state.settings.connect_timeout;
                 let address = attempt.grant.address;
                 attempt.link = EndpointLink::connect(address, limit)
@@ -134,14 +135,15 @@
         }
     }
 
-    /// Reports a broken attempt. The flow may go on with another one only if that is harmless.
+    /// Reports a broken attempt. Returns an error unless the request is idempotent and may be
+    /// retried.
     pub(crate) fn fail_attempt(
         &mut self,
         grant: &AdmitGrant,
         guard: AttemptGuard,
         reason: &str,
     ) -> Result<(), FlowEnd> {
-        tracing::warn!(endpoint = %grant.endpoint, why = reason, "broken answer");
+        tracing::warn!(endpoint = %grant.endpoint, why = reason, "attempt failed with an invalid or incomplete response");
         guard.finish(AttemptOutcome::Broken);
         self.exclude(grant);
         match self.call.idempotent {
@@ -175,10 +177,10 @@
         }
     }
 
-    /// Takes back a `not_run` that is true of the last attempt only.
+    /// Changes a `not_run` that holds only for the last attempt into `unknown`.
     ///
-    /// The control thread judges the attempt it refuses. When an earlier attempt was sent, the
-    /// caller must not be told that the request did not run.
+    /// The control thread judges only the attempt that it refuses. If an earlier attempt was sent,
+    /// the client must not be told that the request did not run.
     fn correct_outcome(&self, mut refusal: RefusalWire) -> RefusalWire {
         if self.sent && refusal.error.outcome == RequestOutcome::NotRun {
             refusal.error.outcome = RequestOutcome::Unknown;
--- a/crates/ragwortroad_gateway/src/request_router.rs
+++ b/crates/ragwortroad_gateway/src/request_router.rs
@@ -52,10 +52,10 @@
     control_client::call_control, //
 };
 
-/// Where plain services begin.
+/// Path prefix of the plain services.
 const SERVICES_PREFIX: &str = "/v1/services/";
 
-/// Answers one request of a caller, an endpoint or an operator.
+/// Routes and serves one request of a client, an endpoint or an operator.
 pub(crate) async fn route_request(
     state: Arc<GatewayState>,
     phase: ExchangePhase,
@@ -85,8 +85,8 @@
     let mut client_response = match dispatched.instrument(span).await {
         Ok(client_response) => client_response,
         Err(mut refusal) => {
-            // The control thread names some refusals by numbers of its own. A caller who quotes the
-            // body's identity to an operator must mean the same request as the header and the log.
+            // The control thread assigns its own identities to some refusals. The identity in the
+            // body that a client quotes to an operator must match the header and the log.
             refusal.error.request_id = id.to_string();
             count_refusal(&refusal);
             refusal_response(&refusal)
@@ -107,7 +107,7 @@
     let outcome = format!("{:?}", detail.outcome);
     metrics::counter!("ragwortroad_refusals_total", "code" => code, "outcome" => outcome)
         .increment(1);
-    tracing::info!(code = ?detail.code, outcome = ?detail.outcome, "refused");
+    tracing::info!(code = ?detail.code, outcome = ?detail.outcome, "request refused");
 }
 
 async fn dispatch(
@@ -152,14 +152,14 @@
     }
 }
 
-/// The body of a request that has a key.
+/// Reads the body of a request that carries a key.
 async fn take_body(
     state: &GatewayState,
     context: &RequestContext,
     body: Incoming,
     reservation: &mut BodyReservation,
 ) -> Result<bytes::Bytes, RefusalWire> {
-    // A caller without a key must not make the node hold a large body for it.
+    // A client without a key must not make the node buffer a large body.
     if let Err(refusal) = context.require_key() {
         discard_body(body).await;
         return Err(refusal);
@@ -174,7 +174,7 @@
     }
 }
 
-/// Refuses a request that came after the drain began, with other nodes to ask.
+/// Refuses a request that arrived after the drain began, and names other nodes to the client.
 async fn refuse_when_draining(
     state: &GatewayState,
     context: &RequestContext,
--- a/crates/ragwortroad_gateway/src/response_body.rs
+++ b/crates/ragwortroad_gateway/src/response_body.rs
@@ -21,20 +21,20 @@
     gateway_state::InFlightGuard, //
 };
 
-/// The work that feeds a stream.
+/// The future that produces the events of a stream.
 type RelayFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// The body of an answer to a caller.
+/// The body of a response to a client.
 ///
-/// A stream's relay runs inside the body: the connection that writes the answer owns the work that
-/// makes it, so a caller that goes away ends the work with no task left behind.
+/// The relay of a stream runs inside the body: the connection that writes the response owns the
+/// work that produces it, so a client that disconnects ends the work without leaving a task behind.
 pub(crate) struct ResponseBody {
     source: BodySource,
-    /// Keeps the request counted as in flight until the connection has taken the last byte.
+    /// Keep the request counted as in flight until the connection has taken the last byte.
     guards: Option<(InFlightGuard, PhaseGuard)>,
 }
 
-/// Where the bytes come from.
+/// Source of the bytes of a response body.
 enum BodySource {
     Complete(Option<Bytes>),
     Stream {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A body that `relay` feeds through the channel's other end.
+    /// Creates a body that `relay` feeds through the other end of the channel.
     pub(crate) fn stream(
         events: mpsc::Receiver<Bytes>,
         relay: impl Future<Output = ()> + Send + 'static,
@@ -71,7 +71,8 @@
     }
 }
 
-/// The next piece of a stream: what is in the channel first, else what the relay makes now.
+/// Polls for the next part of a stream: a queued event first, otherwise one that the relay produces
+/// now.
 fn poll_stream(
     events: &mut mpsc::Receiver<Bytes>,
     relay: &mut Option<RelayFuture>,
--- a/crates/ragwortroad_gateway/src/response_builder.rs
+++ b/crates/ragwortroad_gateway/src/response_builder.rs
@@ -1,4 +1,4 @@
-//! Answers that the gateway makes itself.
+//! Responses that the gateway creates itself.
 
 use hyper::{
     Response,
@@ -23,7 +23,7 @@
     response_body::ResponseBody, //
 };
 
-/// Hands the caller where its chat was placed, and which node admits to that place.
+/// Adds the placement hint of the chat, and the node that admits requests to its endpoint.
 pub(crate) fn set_placement(response: &mut Response<ResponseBody>, grant: &AdmitGrant) {
     set_header(response, PLACEMENT_HINT_HEADER, &grant.hint);
     if let Some(node) = grant.next_node {
@@ -49,7 +49,7 @@
     match serde_json::to_string(value) {
         Ok(body) => text_response(status, JSON_CONTENT_TYPE, body),
         Err(error) => {
-            tracing::error!(%error, "an answer could not be written as JSON");
+            tracing::error!(%error, "failed to serialize a response as JSON");
             text_response(500, JSON_CONTENT_TYPE, "{}".to_owned())
         }
     }
@@ -73,7 +73,7 @@
     response
 }
 
-/// Sets a header, or leaves it out where the value cannot stand in one.
+/// Sets a header, or omits it if the value is not valid in a header.
 pub(crate) fn set_header(response: &mut Response<ResponseBody>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
--- a/crates/ragwortroad_gateway/src/response_check.rs
+++ b/crates/ragwortroad_gateway/src/response_check.rs
@@ -1,4 +1,4 @@
-//! Checks that an endpoint's answer is whole and belongs to the request.
+//! Checks that the response of an endpoint is complete and belongs to the request.
 
 use bytes::Bytes;
 use http_body_util::{
@@ -19,7 +19,8 @@
 
 use crate::header_names::REQUEST_ID_HEADER;
 
-/// Checks that the answer names this request, or, where `must_echo` allows it, none.
+/// Checks that the response carries the identity of this request. A response without an identity is
+/// accepted unless `must_echo` is set.
 pub(crate) fn check_request_id(
     response: &Response<Incoming>,
     request: RequestId,
@@ -37,17 +38,18 @@
     Err("the answer belongs to another request".to_owned())
 }
 
-/// The identity that an engine must give its answer, where it must name the request.
+/// Completion identity that an engine must put into its response, if engines name the request.
 ///
-/// The header alone does not do: it is written before the answer is made, so an engine that mixes
-/// up two answers still sends the right one.
+/// The header alone is not sufficient: the engine writes it before it generates the response, so an
+/// engine that swaps two responses still sends the right header.
 pub(crate) fn expected_completion_id(request: RequestId, must_echo: bool) -> Option<String> {
     must_echo.then(|| format!("chatcmpl-{request}"))
 }
 
-/// Reads a whole body whose end the endpoint marked.
+/// Reads a complete body whose end the endpoint marked.
 ///
-/// A body that ends with its connection cannot be told from one cut short, so it counts as broken.
+/// A body delimited by the end of its connection cannot be told from a truncated one, so it counts
+/// as broken.
 pub(crate) async fn read_complete(
     method: &Method,
     response: Response<Incoming>,
--- a/crates/ragwortroad_gateway/src/service_relay.rs
+++ b/crates/ragwortroad_gateway/src/service_relay.rs
@@ -46,7 +46,7 @@
     },
 };
 
-/// Headers that belong to one connection or to the fleet, and are not passed on.
+/// Headers that are specific to one connection or to the fleet and are not forwarded.
 const STRIPPED_HEADERS: [&str; 15] = [
     "authorization",
     "connection",
@@ -65,18 +65,18 @@
     PLACEMENT_HINT_HEADER,
 ];
 
-/// A call to a plain service, as the caller made it.
+/// A request to a plain service, as received from the client.
 pub(crate) struct ServiceCall {
     service: String,
     method: Method,
-    /// The path behind the service's name, with the query.
+    /// The path after the name of the service, with the query.
     path: String,
     headers: HeaderMap,
     body: Bytes,
 }
 
 impl ServiceCall {
-    /// Reads the service and its path from `/v1/services/{service}/{path...}`.
+    /// Parses the service and its path from `/v1/services/{service}/{path...}`.
     pub(crate) fn new(parts: Parts, remaining: &str, body: Bytes) -> Self {
         let (service, path) = remaining.split_once('/').unwrap_or((remaining, ""));
         let path = match parts.uri.query() {
@@ -116,7 +116,7 @@
     }
 }
 
-/// The headers that go through unchanged, in either direction.
+/// The headers that are forwarded unchanged, in either direction.
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = headers.clone();
     let connection_headers: Vec<HeaderName> = headers
--- a/crates/ragwortroad_gateway/src/sse_splitter.rs
+++ b/crates/ragwortroad_gateway/src/sse_splitter.rs
@@ -3,7 +3,7 @@
     BytesMut, //
 };
 
-/// Cuts a byte stream into server-sent events, each with its closing empty line.
+/// Splits a byte stream into server-sent events, each with its terminating empty line.
 #[derive(Debug, Default)]
 pub(crate) struct SseSplitter {
     buffer: BytesMut,
@@ -11,24 +11,24 @@
     searched: usize,
 }
 
-/// Longest event taken from an engine.
+/// Maximum size of an event from an engine.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 impl SseSplitter {
-    /// Adds bytes; false once an event is longer than any event should be.
+    /// Appends bytes; returns false once the buffer exceeds the maximum event size.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
         self.buffer.len() <= MAX_EVENT_BYTES
     }
 
-    /// The next whole event.
+    /// Returns the next complete event, if the buffer holds one.
     pub(crate) fn next_event(&mut self) -> Option<Bytes> {
         let end = self.find_end()?;
         self.searched = 0;
         Some(self.buffer.split_to(end).freeze())
     }
 
-    /// Whether bytes of an unfinished event are left.
+    /// Whether no bytes of an unfinished event remain.
     pub(crate) fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
@@ -52,7 +52,7 @@
     }
 }
 
-/// The text after `data:` of an event, or nothing for a comment.
+/// The text after `data:` in an event; `None` for a comment.
 pub(crate) fn event_data(event: &[u8]) -> Option<&[u8]> {
     let line = event
         .split(|byte| *byte == b'\n')
--- a/crates/ragwortroad_gateway/src/stream_cursor.rs
+++ b/crates/ragwortroad_gateway/src/stream_cursor.rs
@@ -6,51 +6,54 @@
     sse_splitter::event_data, //
 };
 
-/// The caller's place in a streamed answer, kept over all attempts.
+/// Tracks how much of a streamed response the client has received, across all attempts.
 ///
-/// A stream that breaks goes on at another engine. Whether a token was handed over is known here
-/// and nowhere else, so here it is decided which events of which attempt the caller gets.
+/// After a broken stream another engine resumes the response. Only the cursor knows which tokens
+/// were forwarded, so it decides which events of which attempt the client gets.
 #[derive(Debug, Default)]
 pub(crate) struct StreamCursor {
-    /// Tokens handed to the caller.
+    /// Number of tokens forwarded to the client.
     pub(crate) tokens: u32,
-    /// Their text.
+    /// Text of the forwarded tokens.
     pub(crate) text: String,
-    /// Prompt tokens the engine found in its cache.
+    /// Prompt tokens that the engine found in its prefix cache, if it reported them.
     pub(crate) cached_tokens: Option<u32>,
-    /// Whether an event of any kind was handed to the caller.
+    /// Whether an event of any kind was forwarded to the client.
     has_forwarded: bool,
-    /// Whether the event with the reason for the end was handed over.
+    /// Whether the event with the finish reason was forwarded.
     finished: bool,
-    /// Whether the answer has parts that cannot be counted as tokens of one text.
+    /// Whether the response has parts other than the tokens of a single text, such as tool calls or
+    /// several choices; such a stream cannot be resumed.
     is_uncountable: bool,
-    /// Whether the engine numbers its tokens, so that its count at the end can be compared.
+    /// Whether the engine numbers its tokens, so that its final token count can be checked.
     has_token_indexes: bool,
-    /// Identity that every chunk must have, where engines name the request in it.
+    /// Completion identity that every chunk must carry, if engines name the request in it.
     expected_id: Option<String>,
-    /// Identity in the chunks of the present attempt.
+    /// Completion identity in the chunks of the current attempt.
     ///
-    /// Invariant: the wanted one, or else set by an attempt's first chunk; equal in all that follow.
+    /// Invariant: the expected identity, or else the one in the first chunk of the attempt; all
+    /// later chunks carry the same one.
     attempt_id: Option<String>,
-    /// Whether the present attempt is not the first.
+    /// Whether the current attempt continues a response that was partly forwarded.
     is_resumed: bool,
 }
 
-/// What to do with one event.
+/// How the relay must handle one event.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum EventStep {
-    /// Hand it to the caller.
+    /// Forward the event to the client.
     Forward,
-    /// The caller has it already, or needs it once only.
+    /// Drop the event, because the client already has it or needs it only once.
     Skip,
-    /// The answer's final marker.
+    /// The final marker of the response.
     Done,
-    /// The stream is not what it should be.
+    /// The stream is invalid, for the given reason.
     Broken(&'static str),
 }
 
 impl StreamCursor {
-    /// A cursor at the begin of an answer whose chunks must have this identity, if there is one.
+    /// Creates a cursor at the start of a response. If `expected_id` is set, every chunk must carry
+    /// that identity.
     pub(crate) fn new(expected_id: Option<String>) -> Self {
         Self {
             attempt_id: expected_id.clone(),
@@ -59,18 +62,18 @@
         }
     }
 
-    /// Whether another engine can go on where this stream stands.
+    /// Whether another engine can resume the response.
     pub(crate) fn can_resume(&self) -> bool {
         !self.is_uncountable
     }
 
-    /// Readies the cursor for the next attempt.
+    /// Prepares the cursor for the next attempt.
     pub(crate) fn begin_attempt(&mut self) {
         self.attempt_id = self.expected_id.clone();
         self.is_resumed = self.has_forwarded;
     }
 
-    /// Judges the next event, and counts it where it goes to the caller.
+    /// Validates the next event, and counts its tokens if it is to be forwarded.
     pub(crate) fn step(&mut self, event: &[u8]) -> EventStep {
         let Some(data) = event_data(event) else {
             return EventStep::Forward;
@@ -111,9 +114,10 @@
         }
     }
 
-    /// Whether the engine counts more tokens than came.
+    /// Whether the engine reports more tokens than arrived.
     ///
-    /// A token missing in the middle shows by the next one's number; the last one has no next.
+    /// A missing token in the middle shows in the number of the next one; only the total shows a
+    /// missing last token.
     fn is_missing_tokens(&self, chunk: &ChunkWire<'_>) -> bool {
         let usage = chunk.usage.as_ref();
         let reported_count = usage.and_then(|usage| usage.completion_tokens);
@@ -155,8 +159,8 @@
             Some(index) if index > self.tokens => {
                 return EventStep::Broken("a token is missing in the stream");
             }
-            // An engine that knows nothing of resuming begins again at the first token, and only
-            // its numbers could tell.
+            // An engine that ignores the resume fields starts again at the first token, which only
+            // token numbers would reveal.
             None if self.is_resumed && self.tokens > 0 => {
                 return EventStep::Broken("the engine does not say where it goes on");
             }
--- a/crates/ragwortroad_gateway/src/stream_relay.rs
+++ b/crates/ragwortroad_gateway/src/stream_relay.rs
@@ -42,23 +42,23 @@
     }, //
 };
 
-/// Events between the relay and the connection. The relay runs only while the connection takes
-/// bytes, so a caller that reads slowly holds up its own stream and nothing else.
+/// Capacity of the channel between the relay and the connection, in events. The relay runs only
+/// while the connection accepts bytes, so a client that reads slowly delays only its own stream.
 const EVENT_BUFFER: usize = 16;
 
-/// How long the body's end may come after the final event, for the connection to be kept.
+/// Time after the final event within which the body must end for the connection to be reused.
 const BODY_END_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A streamed answer on its way, over as many engines as it takes.
+/// Relays one streamed response, over as many engines as it takes.
 struct StreamRelay {
     flow: RequestFlow,
-    /// The caller's body.
+    /// The client's request body.
     body: Bytes,
     events: mpsc::Sender<Bytes>,
     cursor: StreamCursor,
 }
 
-/// The answer whose body goes on with what `answer` brings.
+/// Builds the response whose body starts with the stream in `accepted`.
 pub(crate) fn stream_response(
     flow: RequestFlow,
     body: Bytes,
@@ -96,7 +96,8 @@
         self.send_error(&refusal).await;
     }
 
-    /// Carries the answer to its final marker, going on at another engine when one breaks off.
+    /// Relays the response up to its final marker, resuming at another engine after a broken
+    /// stream.
     async fn relay(&mut self, mut accepted: AcceptedResponse) -> Result<(), RefusalWire> {
         loop {
             let AcceptedResponse {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// The next attempt, at an engine that goes on behind the last token handed over.
+    /// Opens the next attempt, at an engine that continues after the last forwarded token.
     async fn reopen(&mut self) -> Result<AcceptedResponse, RefusalWire> {
         metrics::counter!("ragwortroad_stream_resumes_total").increment(1);
         self.cursor.begin_attempt();
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Hands events to the caller up to the final marker; true if the body's end came with it.
+    /// Forwards events to the client up to the final marker. Returns whether the body ended right
+    /// after it.
     async fn forward_events(&mut self, body: &mut Incoming) -> Result<bool, String> {
         let mut splitter = SseSplitter::default();
         let idle_timeout = self.flow.state.settings.stream_idle_timeout;
@@ -178,7 +180,7 @@
         sent.map_err(|_| "the caller left".to_owned())
     }
 
-    /// The refusal for a stream that nobody can go on with.
+    /// The refusal for a stream that cannot be resumed.
     fn incomplete_refusal(&self, reason: &str) -> RefusalWire {
         self.flow.context.unknown(RefusalCode::BrokenAnswer, reason)
     }
@@ -190,19 +192,19 @@
         }
     }
 
-    /// Ends the stream with a typed error and without the final marker.
+    /// Ends the stream with a typed error event in place of the final marker.
     async fn send_error(&self, refusal: &RefusalWire) {
         let Ok(body) = serde_json::to_string(refusal) else {
             return;
         };
         let event = Bytes::from(format!("event: error\ndata: {body}\n\n"));
         if self.events.send(event).await.is_err() {
-            tracing::debug!("the caller left before the stream's error");
+            tracing::debug!("client disconnected before the stream error was sent");
         }
     }
 }
 
-/// Whether the body ends right behind what was read.
+/// Whether the body ends after the bytes read so far.
 async fn is_body_at_end(body: &mut Incoming) -> bool {
     matches!(timeout(BODY_END_TIMEOUT, body.frame()).await, Ok(None))
 }
--- a/crates/ragwortroad_gateway/src/tests.rs
+++ b/crates/ragwortroad_gateway/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of parts that cannot be reached over HTTP at a chosen moment.
+//! Tests of code paths that HTTP requests cannot trigger at a chosen moment.
 
 use std::{
     future::Future,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Tickets that were given back so far.
+/// Tickets returned so far.
 fn returned_tickets(control: &Receiver<ControlCall>) -> Vec<u64> {
     let finish = |call| match call {
         ControlCall::Finish(finish) => finish.ticket.0,
@@ -101,10 +101,10 @@
     control.try_iter().map(finish).collect()
 }
 
+/// Guards against a leaked grant, which would count as load on the endpoint forever: the client
+/// leaves after the control thread granted and before the gateway read the grant.
 #[test]
-fn a_grant_that_nobody_reads_comes_back() {
-    // A caller leaves after the control thread granted and before the grant was read. Lost there,
-    // the grant would count as load on the endpoint for ever.
+fn an_unread_grant_is_returned() {
     let (state, control) = state();
     {
         let mut asked = pin!(AdmitWait::request(&state, admit_call()));
@@ -115,9 +115,10 @@
     assert_eq!(returned_tickets(&control), [7]);
 }
 
+/// Guards against a grant that is sent to no one unnoticed: the client leaves first, and the send
+/// must fail at the control thread.
 #[test]
-fn a_grant_after_the_caller_left_fails_at_the_control_thread() {
-    // The caller leaves first: the control thread must learn that its grant reached nobody.
+fn a_grant_after_the_client_left_fails_at_the_control_thread() {
     let (state, control) = state();
     let reply = {
         let mut asked = pin!(AdmitWait::request(&state, admit_call()));
@@ -129,10 +130,10 @@
     assert_eq!(returned_tickets(&control), Vec::<u64>::new());
 }
 
+/// Guards against a race between the grant and a client that leaves at the same moment: either the
+/// send fails at the control thread or the grant is returned, never both or neither.
 #[test]
-fn a_grant_is_never_lost_between_the_two() {
-    // Callers leave at the very moment of the grant. In each of many runs the control thread
-    // either sees its send fail or gets the grant back, and never both or neither.
+fn a_grant_racing_with_a_disconnect_is_never_lost() {
     let (state, control) = state();
     for ticket in 0..20_000 {
         let mut asked = Box::pin(AdmitWait::request(&state, admit_call()));
@@ -161,10 +162,10 @@
     format!("data: {{{number}\"choices\":[{{\"delta\":{{\"content\":\"{content}\"}}}}]}}\n\n")
 }
 
+/// Guards against duplicate tokens from an engine that ignores the resume fields: it starts again
+/// at the first token, without numbers, so its tokens look like the missing ones.
 #[test]
-fn a_resumed_stream_must_say_where_it_goes_on() {
-    // The second engine knows nothing of resuming and begins again at the first token, without
-    // numbers. Its tokens look like those that are still to come.
+fn a_resumed_stream_must_number_its_tokens() {
     let mut cursor = StreamCursor::new(None);
     for text in ["a ", "b "] {
         assert_eq!(
@@ -176,7 +177,7 @@
     let step = cursor.step(chunk(None, "a ").as_bytes());
     assert!(matches!(step, EventStep::Broken(_)), "{step:?}");
 
-    // Numbered, the tokens that the caller has are left out and the others go through.
+    // With numbers, the cursor skips the tokens that the client has and forwards the others.
     cursor.begin_attempt();
     let steps = (0..4).map(|index| cursor.step(chunk(Some(index), "x ").as_bytes()));
     let (skip, forward) = (EventStep::Skip, EventStep::Forward);
--- a/crates/ragwortroad_gateway/tests/broken_answers.rs
+++ b/crates/ragwortroad_gateway/tests/broken_answers.rs
@@ -1,4 +1,4 @@
-//! Endpoints that answer badly: a caller gets a whole answer of its own, or a typed refusal.
+//! Endpoints that answer badly: a client gets a whole response of its own, or a typed refusal.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -34,7 +34,7 @@
     fleet
 }
 
-/// Whether a whole answer's text is the chat's own.
+/// Whether a whole response's text is the chat's own.
 fn is_own_complete_response(response: &str, chat: &ChatBody) -> bool {
     let (_, body) = response.split_once("\r\n\r\n").unwrap();
     let value: serde_json::Value = serde_json::from_str(body).unwrap();
@@ -44,8 +44,8 @@
 
 #[test]
 fn a_bad_whole_answer_is_asked_for_elsewhere() {
-    // An engine's answer stops before its announced length, names another request, is a redirect,
-    // or never comes. A library that takes such an answer would hand a photographer half a
+    // An engine's response stops before its announced length, names another request, is a redirect,
+    // or never comes. A library that takes such a response would hand a photographer half a
     // caption, or another studio's.
     let faults = [
         fault(|plan| plan.short_body = true),
@@ -75,8 +75,8 @@
 
 #[test]
 fn a_stream_that_breaks_at_any_token_goes_on_at_the_right_one() {
-    // An engine's process restarts, falls silent or goes over to another's answer in the middle of
-    // a stream. The caller must see one answer without a seam: a token twice or left out would
+    // An engine's process restarts, falls silent or goes over to another's response in the middle of
+    // a stream. The client must see one response without a seam: a token twice or left out would
     // stand in the printed lookbook.
     let count = 12;
     for token in 0..count {
@@ -94,7 +94,7 @@
             let chat = chat_body(true);
             let response = fleet.chat(&chat, "");
             assert!(is_own_response(&response, &chat), "{fault:?}: {response}");
-            // The next engine begins where the caller's text ends. A dying process takes tokens
+            // The next engine begins where the client's text ends. A dying process takes tokens
             // with it that it had made and its socket had not sent, so there that may be earlier.
             let resumed = fleet.engines[1].records();
             match kind {
@@ -110,7 +110,7 @@
 #[test]
 fn a_stream_without_its_final_marker_is_not_taken_as_whole() {
     // The engine ends the body in good order but leaves out the marker, as one does that was told
-    // to stop. Without the check the caller would take the text as complete.
+    // to stop. Without the check the client would take the text as complete.
     let fleet = fleet_with(fault(|plan| plan.drop_marker = true));
     let chat = chat_body(true);
     let response = fleet.chat(&chat, "");
@@ -126,7 +126,7 @@
 
 #[test]
 fn a_stream_that_nobody_goes_on_with_ends_in_a_typed_error() {
-    // The only engine dies in mid-stream. The caller must be able to tell that the text is not
+    // The only engine dies in mid-stream. The client must be able to tell that the text is not
     // whole, and must not be told that nothing ran.
     let fleet = fleet_with(fault(|plan| plan.die_after_tokens = Some(5)));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
@@ -142,7 +142,7 @@
 #[test]
 fn a_request_that_was_sent_is_never_refused_as_not_run() {
     // The first engine breaks off, and the control thread refuses the retry as not run, which is
-    // true of the retry alone. A caller that believed it would run the request again.
+    // true of the retry alone. A client that believed it would run the request again.
     let fleet = fleet_with(fault(|plan| plan.close_unanswered = true));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
     let refusal = refusal_of(&fleet.chat(&chat_body(false), ""));
@@ -152,7 +152,7 @@
 
 #[test]
 fn a_booking_with_a_broken_answer_is_not_sent_again() {
-    // The desk books, and its answer is lost, cut short or another's. Sent again elsewhere, the
+    // The desk books, and its response is lost, cut short or another's. Sent again elsewhere, the
     // booking would put two crews on one set.
     let faults = [
         fault(|plan| plan.close_unanswered = true),
@@ -177,7 +177,7 @@
 #[test]
 fn a_redirect_of_a_service_is_not_followed() {
     // A desk answers with a redirect to the other desk. Following it would book there as well; it
-    // is the caller's to decide.
+    // is the client's to decide.
     let fleet = fleet_with(FaultPlan::default());
     let other = format!("http://{}/bookings", fleet.services[1].address());
     fleet.services[0].set_faults(fault(|plan| plan.redirect_to = Some(other.clone())));
@@ -208,8 +208,8 @@
 
 #[test]
 fn an_answer_after_the_deadline_is_not_handed_over() {
-    // The endpoint answers when the caller has given up. Handed over late, the answer could meet
-    // the caller's next request; and nobody knows whether the booking ran.
+    // The endpoint responses when the client has given up. Handed over late, the response could meet
+    // the client's next request; and nobody knows whether the booking ran.
     let fleet = fleet_with(fault(|plan| plan.answer_delay = Duration::from_secs(60)));
     let response = fleet.book("x-deadline-ms: 500\r\n");
     let refusal = refusal_of(&response);
@@ -229,8 +229,8 @@
 
 #[test]
 fn a_deadline_that_passes_before_the_grant_is_not_run() {
-    // The control thread is busy for longer than the caller waits, and grants when nobody listens
-    // any more. The grant must come back, or it would count as load for ever.
+    // The control thread is busy for longer than the client waits, and grants when nobody listens
+    // any more. The grant must come back, or it would count as load forever.
     let fleet = fleet_with(FaultPlan::default());
     fleet.control.routes.lock().unwrap().grant_delay = Duration::from_millis(300);
     let refusal = refusal_of(&fleet.book("x-deadline-ms: 50\r\n"));
@@ -242,7 +242,7 @@
 
 #[test]
 fn a_recorded_answer_is_given_again_without_running() {
-    // A caller lost the answer to its booking and sends it again under the same key.
+    // A client lost the response to its booking and sends it again under the same key.
     let fleet = fleet_with(FaultPlan::default());
     let first = fleet.book("idempotency-key: b-3\r\n");
     let (_, body) = first.split_once("\r\n\r\n").unwrap();
--- a/crates/ragwortroad_gateway/tests/client_faults.rs
+++ b/crates/ragwortroad_gateway/tests/client_faults.rs
@@ -1,4 +1,4 @@
-//! Callers that send badly, slowly, or go away.
+//! Clients that send badly, slowly, or go away.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -98,8 +98,8 @@
 
 #[test]
 fn silent_and_slow_callers_are_closed_and_hold_up_nobody() {
-    // Callers open connections and send nothing, leave a head or a body unfinished, or stay after
-    // their answer. Each would hold a connection for ever.
+    // Clients open connections and send nothing, leave a head or a body unfinished, or stay after
+    // their response. Each would hold a connection forever.
     let fleet = TestFleet::start(GatewaySettings {
         idle_timeout: Duration::from_millis(700),
         header_timeout: Duration::from_millis(700),
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_head_that_trickles_in_does_not_extend_its_own_time() {
-    // A caller sends one byte of its head again and again, each well within the limit.
+    // A client sends one byte of its head again and again, each well within the limit.
     let fleet = TestFleet::start(GatewaySettings {
         header_timeout: Duration::from_millis(200),
         ..GatewaySettings::default()
@@ -146,7 +146,7 @@
 
 #[test]
 fn callers_beyond_the_limit_of_connections_are_told_so() {
-    // One caller opens more connections than the node has room for, in all or from one VM.
+    // One client opens more connections than the node has room for, in all or from one VM.
     let limits = GatewaySettings::default();
     let (all, own) = (limits.max_connections, limits.max_connections_per_address);
     for (max_connections, max_connections_per_address) in [(4, own), (all, 4)] {
@@ -184,7 +184,7 @@
 
 #[test]
 fn bodies_beyond_the_nodes_memory_are_refused_as_not_run() {
-    // Callers send long bodies and do not finish them. Each is within its own limit; together they
+    // Clients send long bodies and do not finish them. Each is within its own limit; together they
     // would take all memory, and the process with every stream in it would end.
     let fleet = TestFleet::start(GatewaySettings {
         max_body_bytes: 100_000,
@@ -217,7 +217,7 @@
 
 #[test]
 fn a_refusal_reaches_a_caller_that_is_still_sending() {
-    // A long body is refused before it was read. Closing then resets the connection, and the caller
+    // A long body is refused before it was read. Closing then resets the connection, and the client
     // would see a broken connection and not know whether its booking ran.
     let fleet = TestFleet::start(GatewaySettings {
         max_body_bytes: 1000,
@@ -229,7 +229,7 @@
         ("/v2/unknown", RefusalCode::UnknownPath),
     ];
     for (path, code) in cases {
-        // With a small buffer the caller is still sending when the refusal is decided.
+        // With a small buffer the client is still sending when the refusal is decided.
         let mut client = socket_with_small_buffers(fleet.address());
         client.write_all(&post(path, "", &body)).unwrap();
         assert_eq!(refusal_of(&read_all(&mut client)).code, code);
@@ -249,7 +249,7 @@
             ..chat_body(streamed)
         };
         let body = serde_json::to_string(&chat).unwrap();
-        let first_part = fleet.engines[0].records().len();
+        let previous_runs = fleet.engines[0].records().len();
         let mut client = connect(fleet.address());
         client
             .write_all(&post("/v1/chat/completions", "", &body))
@@ -257,7 +257,9 @@
         let runs = |fleet: &TestFleet| fleet.engines[0].records();
         match streamed {
             true => drop(read_until(&mut client, "token_index\":3")),
-            false => fleet.wait_for("the engine works", |fleet| runs(fleet).len() > first_part),
+            false => fleet.wait_for("the engine works", |fleet| {
+                runs(fleet).len() > previous_runs
+            }),
         }
         client.shutdown(Shutdown::Both).unwrap();
         fleet.wait_for("the engine stops", |fleet| {
@@ -280,7 +282,7 @@
 
 #[test]
 fn a_caller_that_reads_nothing_is_closed_and_holds_up_nobody() {
-    // A caller asks for a long stream and never reads it. The engine's work for it must end, and
+    // A client asks for a long stream and never reads it. The engine's work for it must end, and
     // other customers' streams must not wait.
     let fleet = TestFleet::start(GatewaySettings {
         write_timeout: Duration::from_millis(200),
--- a/crates/ragwortroad_gateway/tests/common/test_fleet.rs
+++ b/crates/ragwortroad_gateway/tests/common/test_fleet.rs
@@ -77,7 +77,7 @@
         self.gateway.local_address()
     }
 
-    /// Sends a chat with raw bytes and returns the whole answer, head and all.
+    /// Sends a chat with raw bytes and returns the whole response, head and all.
     pub fn chat(&self, chat: &ChatBody, headers: &str) -> String {
         let body = serde_json::to_string(chat).unwrap();
         exchange(
@@ -137,7 +137,7 @@
     }
 }
 
-/// The text of an answer that was streamed as raw bytes, and whether its final marker came.
+/// The text of a response that was streamed as raw bytes, and whether its final marker came.
 pub fn stream_text(response: &str) -> (String, bool) {
     let mut text = String::new();
     for line in response.lines() {
@@ -155,13 +155,13 @@
     (text, false)
 }
 
-/// Whether a streamed answer is whole and the chat's own.
+/// Whether a streamed response is whole and the chat's own.
 pub fn is_own_response(response: &str, chat: &ChatBody) -> bool {
     let (text, ended) = stream_text(response);
     ended && AnswerCheck::new(chat).check_text(&text).is_ok()
 }
 
-/// The refusal in an answer that came as raw bytes.
+/// The refusal in a response that came as raw bytes.
 pub fn refusal_of(response: &str) -> RefusalDetail {
     let start = response
         .find("{\"error\"")
--- a/crates/ragwortroad_gateway/tests/library_evidence.rs
+++ b/crates/ragwortroad_gateway/tests/library_evidence.rs
@@ -52,7 +52,7 @@
     (server, address)
 }
 
-/// A connection that gives up reading after [`LOOK`].
+/// A connection that gives up reading after [`OBSERVATION_TIME`].
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(OBSERVATION_TIME)).unwrap();
@@ -84,7 +84,7 @@
 
 #[test]
 fn minreq_takes_a_short_body_as_whole() {
-    // A booking's answer breaks off. The caller is told 200 and gets a part of the body, with no
+    // A booking's response breaks off. The client is told 200 and gets a part of the body, with no
     // error.
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n";
     let (address, thread) = respond_once(format!("{head}0123456789"));
@@ -114,7 +114,7 @@
 
 #[test]
 fn tiny_http_waits_for_ever_for_a_head() {
-    // A caller sends half a head and falls silent: the connection and its thread stay.
+    // A client sends half a head and falls silent: the connection and its thread stay.
     let (server, address) = tiny_server();
     let mut client = connect(address);
     client.write_all(b"GET / HT").unwrap();
@@ -124,7 +124,7 @@
 
 #[test]
 fn tiny_http_takes_heads_of_any_size() {
-    // A caller sends a head of a mebibyte; it is taken into memory as it comes.
+    // A client sends a head of a mebibyte; it is taken into memory as it comes.
     let (server, address) = tiny_server();
     let writer = thread::spawn(move || {
         let mut client = connect(address);
@@ -145,7 +145,7 @@
 
 #[test]
 fn tiny_http_starts_a_thread_for_each_connection() {
-    // Callers are answered and keep their connections open, as browsers do: each holds a thread
+    // Clients are answered and keep their connections open, as browsers do: each holds a thread
     // and its stack, with nothing to do.
     let (server, address) = tiny_server();
     let before = thread_count();
@@ -167,7 +167,7 @@
 
 #[test]
 fn tiny_http_serves_open_connections_after_its_end() {
-    // A node stops. A connection that is open then is neither closed nor answered, so its caller
+    // A node stops. A connection that is open then is neither closed nor answered, so its client
     // waits; and a stand-in built on it could not show a VM that is lost.
     let (server, address) = tiny_server();
     let mut client = connect(address);
@@ -206,7 +206,7 @@
 #[test]
 fn tiny_http_holds_tokens_back() {
     // An engine makes a token and goes on thinking. With the library's own chunked bodies the
-    // caller sees the token only with the later ones, or at the end.
+    // client sees the token only with the later ones, or at the end.
     let (server, address) = tiny_server();
     let (release, held_connections) = flume::bounded(1);
     let sender = thread::spawn(move || {
--- a/crates/ragwortroad_gateway/tests/node_drain.rs
+++ b/crates/ragwortroad_gateway/tests/node_drain.rs
@@ -28,7 +28,7 @@
 #[test]
 fn a_drain_cuts_no_request_and_sends_new_ones_elsewhere() {
     // A VM is to be replaced while a stream is under way. The stream must come to its end, and a
-    // caller that still has the old address must learn another one.
+    // client that still has the old address must learn another one.
     let fleet = TestFleet::start(GatewaySettings::default());
     let chat = ChatBody {
         max_tokens: Some(150),
--- a/crates/ragwortroad_gateway/tests/whole_path.rs
+++ b/crates/ragwortroad_gateway/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Callers, endpoints and operators through one gateway, with nothing amiss.
+//! Clients, endpoints and operators through one gateway, with nothing amiss.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -64,9 +64,9 @@
 
 #[test]
 fn no_answer_is_wrong_while_endpoints_fail_in_every_way() {
-    // Endpoints die, stall, cut, cross and delay answers, and refuse connections, each for a few
+    // Endpoints die, stall, cut, cross and delay responses, and refuse connections, each for a few
     // requests at a time, while chats and bookings go on. Some bookings end as unknown; but none
-    // runs twice, none that is refused as not run ran, and no caller gets a part of an answer or
+    // runs twice, none that is refused as not run ran, and no client gets a part of a response or
     // another's.
     let fleet = TestFleet::start(GatewaySettings {
         stream_idle_timeout: Duration::from_secs(1),
--- a/crates/ragwortroad_transport/src/connection_reader.rs
+++ b/crates/ragwortroad_transport/src/connection_reader.rs
@@ -31,24 +31,24 @@
     peer_identity::certificate_node, //
 };
 
-/// Reads what one proved peer sends.
+/// Reads the messages that one authenticated peer sends on a connection.
 pub(crate) struct ConnectionReader {
-    /// The peer, proved by its certificate.
+    /// The peer, authenticated by its certificate.
     pub(crate) peer: NodeId,
-    /// The connection.
     pub(crate) connection: Connection,
-    /// Where the connection is listed.
+    /// The shared connection table.
     pub(crate) table: Arc<ConnectionTable>,
-    /// Where messages go.
+    /// Receives messages, and the peer if it is lost.
     pub(crate) events: Sender<PeerEvent>,
-    /// Largest message with its tag.
+    /// Maximum size of a message with its tag.
     pub(crate) max_frame_bytes: usize,
-    /// Longest time for one message.
+    /// Time limit for reading one message.
     pub(crate) message_timeout: Duration,
 }
 
 impl ConnectionReader {
-    /// Lists `connection` under its proved peer, ready to be read; nothing if it proves no peer.
+    /// Adds `connection` to the table under its authenticated peer and returns its reader; `None`
+    /// if the certificate names no node.
     pub(crate) fn register(
         connection: Connection,
         table: &Arc<ConnectionTable>,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Reads until the connection closes; reports the peer lost unless the close was orderly.
+    /// Reads until the connection closes; reports the peer as lost unless the close was orderly.
     pub(crate) async fn run(self) {
         let mut streams = JoinSet::new();
         let closed = loop {
@@ -83,7 +83,7 @@
                 Some(_ended) = streams.join_next() => {}
             }
         };
-        // What arrived whole before the close is still delivered.
+        // Messages that arrived completely before the close are still delivered.
         while streams.join_next().await.is_some() {}
         self.table.remove(self.peer, &self.connection);
         if !is_orderly(&closed) {
@@ -93,8 +93,8 @@
 
     /// Reads one message from its stream.
     ///
-    /// A stream that was reset or fell silent yields nothing: half a message handed on could be
-    /// taken for a whole one.
+    /// A stream that was reset or stalled yields nothing: its owner could mistake a partial message
+    /// for a complete one.
     fn read_stream(&self, mut stream: RecvStream) -> impl Future<Output = ()> + Send + 'static {
         let (peer, events, table) = (self.peer, self.events.clone(), self.table.clone());
         let (max_frame_bytes, limit) = (self.max_frame_bytes, self.message_timeout);
@@ -105,21 +105,25 @@
                         .filter(|_| table.partition_filter.allows(peer));
                     if let Some(event) = event {
                         increment(&table.messages_received);
-                        // The owner may be gone during shutdown; then the message is void.
+                        // The owner may have dropped the receiver during a shutdown; the message is
+                        // then discarded.
                         events.send_async(event).await.unwrap_or_default();
                     }
                 }
                 Ok(Err(ReadToEndError::TooLong)) => {
-                    tracing::warn!(%peer, max_frame_bytes, "refused a message that is too large");
+                    tracing::warn!(%peer, max_frame = max_frame_bytes, "rejected a message above the size limit");
                     increment(&table.messages_too_large);
                 }
-                Ok(Err(error)) => tracing::debug!(%peer, %error, "a message was cut off"),
-                Err(_elapsed) => tracing::debug!(%peer, "a message took too long"),
+                Ok(Err(error)) => tracing::debug!(%peer, %error, "message stream ended early"),
+                Err(_elapsed) => {
+                    tracing::debug!(%peer, "message was not received within the time limit")
+                }
             }
         }
     }
 
-    /// Hands on a datagram; drops it where the owner is behind, as it is unreliable anyway.
+    /// Delivers a datagram; drops it if the event queue is full, because datagrams are unreliable
+    /// anyway.
     fn deliver_datagram(&self, frame: &[u8]) {
         let passes = self.table.partition_filter.allows(self.peer);
         let Some(event) = received_event(self.peer, frame).filter(|_| passes) else {
@@ -131,7 +135,6 @@
         }
     }
 
-    /// Tells the owner that the peer was lost.
     async fn report_lost(&self, reason: &ConnectionError) {
         let event = PeerEvent::PeerLost {
             peer: self.peer,
@@ -141,14 +144,14 @@
     }
 }
 
-/// The node that the peer's certificate proves.
+/// The node that the certificate of the peer names.
 fn authenticated_node(connection: &Connection) -> Option<NodeId> {
     let identity = connection.peer_identity()?;
     let chain = identity.downcast::<Vec<CertificateDer<'static>>>().ok()?;
     certificate_node(chain.first()?).ok()
 }
 
-/// The event for a frame, unless its tag is unknown.
+/// Decodes a frame into an event; `None` if its tag is unknown.
 fn received_event(from: NodeId, frame: &[u8]) -> Option<PeerEvent> {
     let (tag, bytes) = frame.split_first()?;
     let channel = PeerChannel::from_tag(*tag)?;
@@ -159,7 +162,7 @@
     }))
 }
 
-/// Whether a close says nothing about the peer's health.
+/// Whether a close is no sign of a failed peer.
 fn is_orderly(error: &ConnectionError) -> bool {
     matches!(
         error,
--- a/crates/ragwortroad_transport/src/connection_table.rs
+++ b/crates/ragwortroad_transport/src/connection_table.rs
@@ -20,14 +20,14 @@
     TransportStats, //
 };
 
-/// The open connections and the counters, shared by all tasks of one transport.
+/// Open connections and counters, shared by all tasks of one transport.
 #[derive(Default)]
 pub(crate) struct ConnectionTable {
-    /// Held for a few instructions only, never across an await.
+    /// Locked for a few instructions only, never across an await.
     connections: Mutex<ConnectionMap>,
-    /// Links that are cut for a test.
+    /// Peers whose messages are dropped for a test.
     pub(crate) partition_filter: Arc<PartitionFilter>,
-    /// Handshakes that peers began and that are not over.
+    /// Incoming handshakes in progress.
     pub(crate) handshakes: AtomicU64,
     /// See [`TransportStats::messages_queued`].
     pub(crate) messages_queued: AtomicU64,
@@ -41,31 +41,31 @@
     pub(crate) handshakes_refused: AtomicU64,
 }
 
-/// Connections whose peer is proved.
+/// Connections whose peer is authenticated.
 #[derive(Default)]
 struct ConnectionMap {
-    /// All open connections by the library's stable number.
+    /// All open connections by quinn's stable identifier.
     open: HashMap<usize, Connection>,
-    /// The connection to send on.
+    /// The connection to send on, for each peer.
     ///
     /// Invariant: each value is a key of `open`.
     current: HashMap<NodeId, usize>,
-    /// Traffic of connections closed already.
+    /// Traffic of closed connections.
     closed: TransportStats,
 }
 
 impl ConnectionTable {
-    /// Makes `connection` the one to send to `peer` on.
+    /// Makes `connection` the one on which messages to `peer` are sent.
     ///
-    /// Two nodes that dial each other at once have two connections for a while; the one not used
-    /// falls idle and closes.
+    /// Two nodes that dial each other at the same time have two connections for a while; the unused
+    /// one becomes idle and closes.
     pub(crate) fn insert(&self, peer: NodeId, connection: Connection) {
         let mut map = self.lock();
         map.current.insert(peer, connection.stable_id());
         map.open.insert(connection.stable_id(), connection);
     }
 
-    /// Forgets a closed connection and keeps its counters.
+    /// Removes a closed connection and keeps its traffic counters.
     pub(crate) fn remove(&self, peer: NodeId, connection: &Connection) {
         let mut map = self.lock();
         let stable_id = connection.stable_id();
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The connection to send to `peer` on, where one is open.
+    /// The connection on which to send to `peer`, if one is open.
     pub(crate) fn current(&self, peer: NodeId) -> Option<Connection> {
         let map = self.lock();
         let connection = map.open.get(map.current.get(&peer)?)?;
@@ -87,12 +87,10 @@
             .then(|| connection.clone())
     }
 
-    /// Number of open connections.
     pub(crate) fn open_count(&self) -> usize {
         self.lock().open.len()
     }
 
-    /// All counters.
     pub(crate) fn stats(&self) -> TransportStats {
         let map = self.lock();
         let mut stats = map.closed;
@@ -108,7 +106,8 @@
         stats
     }
 
-    /// The map; no task panics while it holds the lock, so a poisoned one is sound.
+    /// Locks the map. No task panics while it holds the lock, so a poisoned map is still
+    /// consistent.
     fn lock(&self) -> MutexGuard<'_, ConnectionMap> {
         self.connections
             .lock()
@@ -116,12 +115,10 @@
     }
 }
 
-/// Counts one event.
 pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Adds the traffic of `connection` to `stats`.
 fn add_traffic(stats: &mut TransportStats, connection: &Connection) {
     let traffic = connection.stats();
     stats.bytes_sent += traffic.udp_tx.bytes;
--- a/crates/ragwortroad_transport/src/key_files.rs
+++ b/crates/ragwortroad_transport/src/key_files.rs
@@ -42,29 +42,33 @@
 /// File name of the authority's private key.
 const AUTHORITY_KEY_FILE: &str = "authority.key";
 
-/// All keys of one fleet as PEM text.
+/// All keys of a fleet, as PEM text.
 #[derive(Clone)]
 pub struct KeyFiles {
-    /// The authority's certificate; every node has it.
+    /// The authority's certificate, which every node holds.
     pub authority: String,
-    /// The authority's private key; it stays with the operators and is on no node.
+    /// The authority's private key, which stays with the operators and is on no node.
     pub authority_key: String,
-    /// Certificate and key of each node.
+    /// Certificate and private key of each node.
     pub nodes: Vec<NodeKeys>,
 }
 
-/// Certificate and key of one node as PEM text.
+/// Certificate and private key of one node, as PEM text.
 #[derive(Clone)]
 pub struct NodeKeys {
     /// The node's name.
     pub name: String,
-    /// Its certificate.
+    /// The certificate.
     pub certificate: String,
-    /// Its private key.
+    /// The private key.
     pub private_key: String,
 }
 
-/// Makes an authority for `fleet`, and certificate and key for each of `nodes`.
+/// Creates a certificate authority for `fleet`, and a certificate and key for each of `nodes`.
+///
+/// # Errors
+///
+/// Fails if a name is invalid or repeated, `nodes` is empty, or a certificate cannot be created.
 pub fn make_keys(fleet: &str, nodes: &[&str]) -> Result<KeyFiles, TransportError> {
     check_name(fleet)?;
     let key = KeyPair::generate().context(MakeCertificateSnafu)?;
@@ -80,9 +84,9 @@
     })
 }
 
-/// Makes certificate and key for further nodes of a fleet whose authority exists already.
+/// Creates certificates and keys for further nodes of a fleet whose authority already exists.
 ///
-/// A VM that replaces a lost one gets a name, and so an identity, of its own.
+/// A VM that replaces a lost one gets a new name, and therefore a new identity.
 pub fn add_keys(
     fleet: &str,
     authority_key: &str,
@@ -103,7 +107,7 @@
 }
 
 impl KeyFiles {
-    /// What the node called `name` needs.
+    /// The keys that the node `name` needs; an error if `name` is not in the fleet.
     pub fn peer_keys(&self, name: &str) -> Result<PeerKeys, TransportError> {
         let Some(node) = self.nodes.iter().find(|node| node.name == name) else {
             return NoSuchNodeSnafu { name }.fail();
@@ -117,8 +121,8 @@
 
     /// Writes all files into `folder`; private keys are readable by their owner alone.
     ///
-    /// Refuses to replace a file: a second authority under the first one's name would cut the
-    /// nodes off from each other one by one as they restart.
+    /// Existing files are not replaced: a second authority under the name of the first would cut
+    /// the nodes off from each other one by one as they restart.
     pub fn write_to(&self, folder: &Path) -> Result<(), TransportError> {
         fs::create_dir_all(folder).context(KeyFileSnafu { path: folder })?;
         write_file(&folder.join(AUTHORITY_FILE), &self.authority, 0o644)?;
@@ -147,7 +151,7 @@
     }
 }
 
-/// Certificate and key of one node.
+/// Creates the certificate and key of one node.
 fn node_keys(name: &str, issuer: &Issuer<'_, KeyPair>) -> Result<NodeKeys, TransportError> {
     let key = KeyPair::generate().context(MakeCertificateSnafu)?;
     let identity = subject_name(NodeId::from_name(name));
@@ -170,8 +174,8 @@
     })
 }
 
-/// What the authority's certificate says; the same for the same fleet, so that its key suffices
-/// to issue further certificates.
+/// Parameters of the authority's certificate. They depend only on the fleet's name, so that the
+/// authority's key suffices to issue further certificates.
 fn authority_params(fleet: &str) -> CertificateParams {
     let mut params = CertificateParams::default();
     params.distinguished_name = common_name(fleet);
@@ -180,14 +184,14 @@
     params
 }
 
-/// A distinguished name that consists of a common name.
+/// A distinguished name with only a common name.
 fn common_name(name: &str) -> DistinguishedName {
     let mut distinguished = DistinguishedName::new();
     distinguished.push(DnType::CommonName, name);
     distinguished
 }
 
-/// Refuses what cannot stand in a certificate as one label of a domain name.
+/// Rejects a name that is not valid as one label of a domain name in a certificate.
 fn check_name(name: &str) -> Result<(), TransportError> {
     let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
     let has_edge_hyphen = name.starts_with('-') || name.ends_with('-');
@@ -197,7 +201,7 @@
     Ok(())
 }
 
-/// Writes a new file that has `mode` from its first moment.
+/// Writes a new file, created with the permissions `mode`.
 fn write_file(path: &Path, text: &str, mode: u32) -> Result<(), TransportError> {
     let mut file = OpenOptions::new()
         .write(true)
--- a/crates/ragwortroad_transport/src/lib.rs
+++ b/crates/ragwortroad_transport/src/lib.rs
@@ -1,9 +1,10 @@
 //! QUIC with mutual TLS between the processes of one fleet.
 //!
-//! Every node holds a certificate from the fleet's own authority; the certificate proves which
-//! [`NodeId`](ragwortroad_types::NodeId) a message comes from, and a peer without one gets
-//! nothing. Sending never blocks: each peer has a bounded queue, and what does not fit is dropped
-//! and counted. A message arrives whole or not at all; messages may overtake each other.
+//! Every node holds a certificate from the fleet's own certificate authority. The certificate
+//! proves which [`NodeId`](ragwortroad_types::NodeId) a message comes from, and a peer without one
+//! can neither send nor receive. Sending never blocks: each peer has a bounded queue, and messages
+//! that do not fit are dropped and counted. A message arrives complete or not at all; messages may
+//! arrive out of order.
 //!
 //! ```
 //! use ragwortroad_transport::prelude::*;
@@ -52,7 +53,7 @@
 mod transport_settings;
 mod transport_stats;
 
-/// Everything a dependent crate usually needs.
+/// Re-exports of the items that a dependent crate usually needs.
 pub mod prelude {
     pub use crate::{
         key_files::{
--- a/crates/ragwortroad_transport/src/partition_filter.rs
+++ b/crates/ragwortroad_transport/src/partition_filter.rs
@@ -13,37 +13,39 @@
 
 use ragwortroad_types::prelude::*;
 
-/// Peers with which nothing is exchanged for now, so that tests can cut links.
+/// Drops all messages to and from chosen peers, so that tests can simulate network partitions.
 ///
-/// A cut link is silent, as one is where a switch drops packets: messages vanish in both
-/// directions, those on their way included, and nobody is told.
+/// A cut link is silent, like one behind a switch that drops packets: messages in both directions
+/// are lost, including those in transit, and neither side is informed.
 #[derive(Debug, Default)]
 pub struct PartitionFilter {
-    /// Invariant: false only if `peers` is empty, so that an open gate costs one load a message.
+    /// Invariant: false only if `peers` is empty, so that an inactive filter costs one atomic load
+    /// per message.
     is_active: AtomicBool,
     peers: Mutex<HashSet<NodeId>>,
 }
 
 impl PartitionFilter {
-    /// Cuts the links to these peers.
+    /// Drops all messages to and from these peers, in addition to those already blocked.
     pub fn block(&self, peers: impl IntoIterator<Item = NodeId>) {
         self.is_active.store(true, Ordering::Release);
         self.lock().extend(peers);
     }
 
-    /// Heals every link.
+    /// Lets the messages of all peers pass again.
     pub fn unblock_all(&self) {
         let mut peers = self.lock();
         peers.clear();
         self.is_active.store(false, Ordering::Release);
     }
 
-    /// Whether messages to and from `peer` get through.
+    /// Whether messages to and from `peer` pass.
     pub(crate) fn allows(&self, peer: NodeId) -> bool {
         !self.is_active.load(Ordering::Acquire) || !self.lock().contains(&peer)
     }
 
-    /// The peers; no thread panics while it holds the lock, so a poisoned one is sound.
+    /// Locks the set. No thread panics while it holds the lock, so a poisoned set is still
+    /// consistent.
     fn lock(&self) -> MutexGuard<'_, HashSet<NodeId>> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/ragwortroad_transport/src/peer_channel.rs
+++ b/crates/ragwortroad_transport/src/peer_channel.rs
@@ -1,20 +1,21 @@
-/// What a message between nodes is about; decides how it travels and how large it may be.
+/// The subject of a message between nodes; determines its priority and whether it may travel as a
+/// datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PeerChannel {
-    /// Membership news: an unreliable datagram, or a stream where it does not fit one.
+    /// Membership updates: sent as an unreliable datagram, or on a stream if they do not fit one.
     Gossip,
-    /// Votes and log records among state members.
+    /// Votes and log records between state members.
     Consensus,
-    /// Load slots between nodes and an endpoint's home.
+    /// Load slots, between nodes and the home of an endpoint.
     Slots,
-    /// Configuration for nodes that follow the log.
+    /// Configuration, for nodes that follow the log.
     Follow,
-    /// Events for the time line.
+    /// Events for the timeline.
     Timeline,
 }
 
 impl PeerChannel {
-    /// The byte that opens a message of this channel.
+    /// The first byte of a message on this channel.
     pub(crate) fn tag(self) -> u8 {
         match self {
             Self::Gossip => 0,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// The channel whose messages open with `tag`.
+    /// The channel whose messages start with `tag`; `None` if no channel has it.
     pub(crate) fn from_tag(tag: u8) -> Option<Self> {
         match tag {
             0 => Some(Self::Gossip),
@@ -37,9 +38,10 @@
         }
     }
 
-    /// Priority among streams of one connection: larger goes first.
+    /// Stream priority within a connection; larger values are sent first.
     ///
-    /// A snapshot for a follower must not delay a heartbeat, which would depose a sound leader.
+    /// A snapshot for a follower must not delay a heartbeat, because a late heartbeat would depose
+    /// a healthy leader.
     pub(crate) fn priority(self) -> i32 {
         match self {
             Self::Consensus => 4,
--- a/crates/ragwortroad_transport/src/peer_event.rs
+++ b/crates/ragwortroad_transport/src/peer_event.rs
@@ -2,29 +2,29 @@
 
 use crate::PeerChannel;
 
-/// What the transport tells its owner.
+/// An event that the transport reports to its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerEvent {
-    /// A whole message.
+    /// A complete message from a peer.
     Received(PeerMessage),
-    /// The connection to a peer broke or could not be made; messages under way may be lost.
+    /// The connection to a peer broke or could not be established; messages in transit may be lost.
     ///
-    /// A connection closed because it was idle is not reported.
+    /// Connections closed for idleness are not reported.
     PeerLost {
         /// The peer.
         peer: NodeId,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: String,
     },
 }
 
-/// A message whose sender is proved by its certificate.
+/// A message whose sender is authenticated by its certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerMessage {
     /// The sender.
     pub from: NodeId,
-    /// What it is about.
+    /// The channel the message was sent on.
     pub channel: PeerChannel,
-    /// The message.
+    /// The payload, without the channel tag.
     pub bytes: Vec<u8>,
 }
--- a/crates/ragwortroad_transport/src/peer_identity.rs
+++ b/crates/ragwortroad_transport/src/peer_identity.rs
@@ -1,4 +1,4 @@
-//! How a certificate says which node it belongs to.
+//! Mapping between certificates and node identities.
 
 use ragwortroad_types::prelude::*;
 use rustls_pki_types::CertificateDer;
@@ -8,18 +8,18 @@
     transport_error::NamelessCertificateSnafu, //
 };
 
-/// The domain under which node identities stand as subject names.
+/// Domain of the subject names that hold node identities.
 const NODE_DOMAIN: &str = "node.ragwortroad.internal";
 
-/// The subject name that stands for `node` in its certificate.
+/// The subject name of `node` in its certificate.
 ///
-/// The identity stands there beside the plain name, because whoever connects knows the identity
-/// only, and the TLS library checks the subject names.
+/// The certificate holds this name beside the plain node name, because a connecting peer knows only
+/// the identity and the TLS library verifies the subject names.
 pub(crate) fn subject_name(node: NodeId) -> String {
     format!("{node}.{NODE_DOMAIN}")
 }
 
-/// The node that `certificate` belongs to.
+/// The node to which `certificate` belongs.
 pub(crate) fn certificate_node(certificate: &CertificateDer<'_>) -> Result<NodeId, TransportError> {
     let Ok(parsed) = webpki::EndEntityCert::try_from(certificate) else {
         return NamelessCertificateSnafu.fail();
--- a/crates/ragwortroad_transport/src/peer_keys.rs
+++ b/crates/ragwortroad_transport/src/peer_keys.rs
@@ -14,10 +14,10 @@
 /// File name of the authority's certificate.
 pub(crate) const AUTHORITY_FILE: &str = "authority.pem";
 
-/// What one node needs to prove itself and to check its peers, as PEM text.
+/// The keys with which a node authenticates itself and verifies its peers, as PEM text.
 #[derive(Clone, Default)]
 pub struct PeerKeys {
-    /// The fleet's authority.
+    /// Certificate of the fleet's certificate authority.
     pub authority: String,
     /// This node's certificate.
     pub certificate: String,
@@ -26,7 +26,8 @@
 }
 
 impl PeerKeys {
-    /// Reads what [`KeyFiles::write_to`](crate::KeyFiles::write_to) wrote for the node `name`.
+    /// Reads the keys that [`KeyFiles::write_to`](crate::KeyFiles::write_to) wrote for the node
+    /// `name`.
     pub fn read_folder(folder: &Path, name: &str) -> Result<Self, TransportError> {
         Self::read(
             &folder.join(AUTHORITY_FILE),
@@ -35,7 +36,11 @@
         )
     }
 
-    /// Reads the three files named in the settings.
+    /// Reads the three PEM files.
+    ///
+    /// # Errors
+    ///
+    /// Fails if one of them cannot be read.
     pub fn read(
         authority: &Path,
         certificate: &Path,
@@ -50,7 +55,7 @@
     }
 }
 
-/// The private key must not reach a log by way of the settings' debug output.
+/// Omits the keys: the private key must not reach a log through the debug output of the settings.
 impl fmt::Debug for PeerKeys {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.debug_struct("PeerKeys").finish_non_exhaustive()
--- a/crates/ragwortroad_transport/src/peer_queue.rs
+++ b/crates/ragwortroad_transport/src/peer_queue.rs
@@ -4,11 +4,10 @@
 
 use crate::PeerChannel;
 
-/// A message that waits to be sent to one peer.
+/// A message waiting to be sent to one peer.
 pub(crate) struct QueuedMessage {
-    /// Where the peer listens.
+    /// The address on which the peer listens.
     pub(crate) to: SocketAddr,
-    /// What the message is about.
     pub(crate) channel: PeerChannel,
     /// The channel's tag, followed by the message.
     pub(crate) frame: Vec<u8>,
--- a/crates/ragwortroad_transport/src/peer_transport.rs
+++ b/crates/ragwortroad_transport/src/peer_transport.rs
@@ -68,37 +68,39 @@
 ///
 /// All methods may be called from a synchronous thread; only [`Self::shutdown`] blocks.
 pub struct PeerTransport {
-    /// The node that our certificate names.
+    /// The node that the local certificate names.
     node: NodeId,
     /// The address the socket is bound to.
     address: SocketAddr,
-    /// Shared with the tasks.
+    /// Connections and counters, shared with the tasks.
     table: Arc<ConnectionTable>,
-    /// Largest message.
     max_message_bytes: usize,
-    /// Length of each peer's queue.
+    /// Capacity of each peer's queue.
     queue_capacity: usize,
-    /// Queues by peer; nothing once shutdown began.
+    /// Queues by peer; `None` once the shutdown began.
     queues: Mutex<Option<QueueMap>>,
-    /// The root task, parent of all others.
+    /// The root task, which starts and joins all other tasks.
     root: JoinHandle<()>,
-    /// The threads.
+    /// The runtime that owns the threads of the transport.
     runtime: Runtime,
 }
 
-/// The queue of each peer that was sent something.
+/// The queues of all peers to which messages have been sent.
 struct QueueMap {
-    /// Tells the root to start a writer; dropping it begins the shutdown.
+    /// Requests a new writer from the root task; dropping the sender begins the shutdown.
     writer_starts: Sender<WriterStart>,
-    /// Queues by peer.
     queues: HashMap<NodeId, PeerQueue>,
 }
 
 impl PeerTransport {
-    /// Binds the socket and starts the transport's threads.
+    /// Binds the socket and starts the threads of the transport.
     ///
-    /// Events come over the returned receiver. An owner that falls behind slows its peers down;
-    /// it never grows a queue without bound.
+    /// Events arrive on the returned receiver. Its queue is bounded: an owner that does not keep up
+    /// slows its peers down.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the keys are invalid, the address cannot be bound or the threads cannot be started.
     pub fn start(
         settings: TransportSettings,
     ) -> Result<(Self, Receiver<PeerEvent>), TransportError> {
@@ -146,20 +148,20 @@
         Ok((transport, event_receiver))
     }
 
-    /// The node that our certificate names.
+    /// The node that the local certificate names.
     pub fn node(&self) -> NodeId {
         self.node
     }
 
-    /// The address the socket is bound to.
+    /// The bound address, with the actual port if the settings named port 0.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Queues `bytes` for the node `expected` at `to`, and returns at once.
+    /// Queues `bytes` for the node `expected` at `to`, and returns immediately.
     ///
-    /// Nothing is sent unless the process at `to` proves to be `expected`. Messages to one peer
-    /// may overtake each other.
+    /// Nothing is sent unless the process at `to` authenticates as `expected`. Messages to one peer
+    /// may arrive out of order.
     pub fn send(
         &self,
         to: SocketAddr,
@@ -172,7 +174,7 @@
             return SendOutcome::TooLarge;
         }
         if !self.table.partition_filter.allows(expected) {
-            // The sender is not told, as it is not told of packets that a switch drops.
+            // The sender is not informed, as with packets that a switch drops.
             increment(&self.table.messages_dropped);
             return SendOutcome::Queued;
         }
@@ -188,7 +190,7 @@
         outcome
     }
 
-    /// Puts `message` into the queue of `peer`, with a new writer where it has none.
+    /// Adds `message` to the queue of `peer`, starting a writer if there is none.
     fn queue(&self, peer: NodeId, message: QueuedMessage) -> SendOutcome {
         let mut guard = self.lock();
         let Some(map) = guard.as_mut() else {
@@ -211,50 +213,51 @@
         }
     }
 
-    /// Ends the writer of a peer that left the fleet for good, so that its queue does not remain.
+    /// Removes the queue and ends the writer of a peer that has left the fleet for good.
     pub fn remove_peer(&self, peer: NodeId) {
         if let Some(map) = self.lock().as_mut() {
             map.queues.remove(&peer);
         }
     }
 
-    /// The links that can be cut for a test.
+    /// The filter with which tests cut the links to peers.
     #[doc(hidden)]
     pub fn partition_filter(&self) -> Arc<PartitionFilter> {
         Arc::clone(&self.table.partition_filter)
     }
 
-    /// All counters; see [`TransportStats`] for what the bytes hold.
+    /// Returns all counters; [`TransportStats`] says what the byte counts include.
     pub fn stats(&self) -> TransportStats {
         self.table.stats()
     }
 
-    /// Bytes sent in UDP payloads since the start.
+    /// Total bytes sent in UDP payloads since the start.
     pub fn bytes_sent(&self) -> u64 {
         self.stats().bytes_sent
     }
 
-    /// Bytes received in UDP payloads since the start.
+    /// Total bytes received in UDP payloads since the start.
     pub fn bytes_received(&self) -> u64 {
         self.stats().bytes_received
     }
 
-    /// Sends what is queued, closes every connection, and joins every task and thread.
+    /// Sends the queued messages, closes every connection, and joins every task and thread.
     pub fn shutdown(self) {
         let queues = self.lock().take();
         drop(queues);
         if let Err(error) = self.runtime.block_on(self.root) {
-            tracing::error!(%error, "the transport's root task failed");
+            tracing::error!(%error, "transport root task failed");
         }
     }
 
-    /// The queues; no thread panics while it holds the lock, so a poisoned one is sound.
+    /// Locks the queues. No thread panics while it holds the lock, so a poisoned map is still
+    /// consistent.
     fn lock(&self) -> MutexGuard<'_, Option<QueueMap>> {
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Binds the socket within the runtime.
+/// Binds the socket within the context of the runtime.
 fn bind(
     runtime: &Runtime,
     setup: TlsSetup,
--- a/crates/ragwortroad_transport/src/peer_writer.rs
+++ b/crates/ragwortroad_transport/src/peer_writer.rs
@@ -41,57 +41,54 @@
     peer_queue::QueuedMessage, //
 };
 
-/// Takes messages from one peer's queue, connects on demand, and writes them.
+/// Takes messages from the queue of one peer, connects on demand, and sends them.
 pub(crate) struct PeerWriter {
-    /// The peer.
     pub(crate) peer: NodeId,
-    /// The queue.
     pub(crate) queue: Receiver<QueuedMessage>,
-    /// The socket.
+    /// The local QUIC endpoint.
     pub(crate) endpoint: Endpoint,
-    /// Where connections are listed.
+    /// The shared connection table.
     pub(crate) table: Arc<ConnectionTable>,
-    /// Where the reader of a new connection sends what it hears, and losses go.
+    /// Receives the messages read from new connections, and lost peers.
     pub(crate) events: Sender<PeerEvent>,
-    /// Limits.
     pub(crate) settings: Arc<TransportSettings>,
-    /// Readers of connections made here.
+    /// Readers of the connections that this writer opened.
     pub(crate) readers: JoinSet<()>,
-    /// Messages handed to a connection and not acknowledged yet.
+    /// Messages that were passed to a connection and are not yet acknowledged.
     pub(crate) writes: JoinSet<()>,
-    /// No new connection is tried before this moment.
+    /// Earliest time of the next attempt to connect.
     pub(crate) retry_at: Instant,
 }
 
-/// Why a message did not get out.
+/// The reason why a message could not be sent.
 #[derive(Debug)]
 #[derive(Snafu)]
 enum WriteFailure {
-    /// The peer was tried a moment ago.
+    /// An attempt to connect failed less than the reconnect delay ago.
     #[snafu(display("the last attempt failed a moment ago"))]
     RetryPending,
     /// The address cannot be dialled.
     #[snafu(display("cannot dial: {source}"))]
     Dial {
-        /// The library's reason.
+        /// The error from quinn.
         source: quinn::ConnectError,
     },
     /// The handshake failed.
     #[snafu(display("handshake failed: {source}"))]
     Handshake {
-        /// The library's reason.
+        /// The error from quinn.
         source: quinn::ConnectionError,
     },
-    /// The handshake took too long.
+    /// The handshake did not complete in time.
     #[snafu(display("no answer to the handshake"))]
     HandshakeTimeout,
-    /// Somebody else answers there.
+    /// The process at the address does not authenticate as the expected node.
     #[snafu(display("another node answers at this address"))]
     WrongNode,
 }
 
 impl PeerWriter {
-    /// Sends until the queue's sending side is dropped.
+    /// Sends messages until the sending side of the queue is dropped.
     pub(crate) async fn run(mut self) {
         while let Some(message) = self.next_message().await {
             match self.connection(message.to).await {
@@ -99,12 +96,12 @@
                 Err(failure) => self.discard_message(failure).await,
             }
         }
-        // Every write ends by its time limit.
+        // The time limit of each write bounds this wait.
         while self.writes.join_next().await.is_some() {}
         self.readers.shutdown().await;
     }
 
-    /// The next message; ended tasks are collected while waiting for it.
+    /// Waits for the next message and collects finished tasks meanwhile.
     async fn next_message(&mut self) -> Option<QueuedMessage> {
         loop {
             tokio::select! {
@@ -115,10 +112,10 @@
         }
     }
 
-    /// The open connection to the peer, or a new one to `address`.
+    /// Returns the open connection to the peer, or a new one to `address`.
     async fn connection(&mut self, address: SocketAddr) -> Result<Connection, WriteFailure> {
         if let Some(connection) = self.table.current(self.peer) {
-            // A peer that moved to another address left the old connection behind.
+            // A peer that moved to another address left a stale connection behind.
             if same_address(connection.remote_address(), address) {
                 return Ok(connection);
             }
@@ -133,7 +130,7 @@
         connected
     }
 
-    /// Dials `address` and checks that the expected node answers there.
+    /// Connects to `address` and verifies that the expected node answers there.
     async fn connect(&mut self, address: SocketAddr) -> Result<Connection, WriteFailure> {
         let name = subject_name(self.peer);
         let connecting = self.endpoint.connect(address, &name).context(DialSnafu)?;
@@ -154,7 +151,7 @@
         Ok(connection)
     }
 
-    /// Writes one message, as a datagram where that is meant and possible.
+    /// Sends one message: a gossip message as a datagram if it fits, any other on a stream.
     async fn write(&mut self, connection: Connection, message: QueuedMessage) {
         let mut frame = message.frame;
         if message.channel == PeerChannel::Gossip {
@@ -163,7 +160,7 @@
                 Some(returned) => frame = returned,
             }
         }
-        // A peer that reads slowly must not pile up writes here without bound.
+        // Limits the writes in flight, so that a slow peer cannot make them pile up.
         while self.writes.len() >= self.settings.max_streams_per_peer as usize {
             self.writes.join_next().await;
         }
@@ -177,7 +174,7 @@
         });
     }
 
-    /// Sends `frame` as a datagram; gives it back where it does not fit one.
+    /// Sends `frame` as a datagram; returns it if it does not fit.
     fn try_datagram(&self, connection: &Connection, frame: Vec<u8>) -> Option<Vec<u8>> {
         if connection
             .max_datagram_size()
@@ -195,7 +192,7 @@
         None
     }
 
-    /// Counts a message that could not be sent, and reports a failed attempt to connect.
+    /// Counts a message that could not be sent, and reports the peer as lost if connecting failed.
     async fn discard_message(&self, failure: WriteFailure) {
         increment(&self.table.messages_dropped);
         if matches!(failure, WriteFailure::RetryPending) {
@@ -209,12 +206,13 @@
     }
 }
 
-/// Whether both are one address, also where a socket for both families shows it as IPv6.
+/// Compares two addresses, treating an IPv4-mapped IPv6 address as its IPv4 form: a dual-stack
+/// socket reports IPv4 peers that way.
 fn same_address(left: SocketAddr, right: SocketAddr) -> bool {
     left.port() == right.port() && left.ip().to_canonical() == right.ip().to_canonical()
 }
 
-/// Writes `frame` on a stream of its own; whether the peer acknowledged all of it.
+/// Writes `frame` on a new stream; returns whether the peer acknowledged all of it.
 async fn write_stream(
     connection: Connection,
     channel: PeerChannel,
--- a/crates/ragwortroad_transport/src/send_outcome.rs
+++ b/crates/ragwortroad_transport/src/send_outcome.rs
@@ -1,11 +1,11 @@
-/// What became of a message handed to [`PeerTransport::send`](crate::PeerTransport::send).
+/// The result of [`PeerTransport::send`](crate::PeerTransport::send).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// It waits for its turn; it may still be lost on the way.
+    /// The message is queued; it may still be lost in transit.
     Queued,
-    /// The peer's queue is full; the message was dropped and counted.
+    /// The queue of the peer is full; the message was dropped and counted.
     QueueFull,
-    /// It is larger than the settings allow; dropped and counted.
+    /// The message exceeds the maximum size; it was dropped and counted.
     TooLarge,
     /// The transport is shutting down.
     Closed,
--- a/crates/ragwortroad_transport/src/tls_setup.rs
+++ b/crates/ragwortroad_transport/src/tls_setup.rs
@@ -1,4 +1,4 @@
-//! TLS and QUIC configuration from a node's keys.
+//! TLS and QUIC configuration, derived from the keys of a node.
 
 use std::sync::Arc;
 
@@ -41,39 +41,38 @@
     transport_root::PENDING_HANDSHAKES_FACTOR, //
 };
 
-/// The application protocol both sides must name.
+/// ALPN protocol identifier, which both sides must present.
 const ALPN_PROTOCOL: &[u8] = b"ragwortroad/1";
-/// Sets the key for stateless resets apart from other uses of the private key.
+/// Label that separates the key for stateless resets from other uses of the private key.
 const RESET_KEY_LABEL: &[u8] = b"ragwortroad stateless reset";
 /// Length of connection identifiers in bytes.
 const CONNECTION_ID_BYTES: usize = 8;
-/// Bytes of datagrams that wait to be sent on one connection; older ones make room.
+/// Size of the datagram buffers of a connection in bytes; a full send buffer drops the oldest
+/// datagrams.
 const DATAGRAM_BUFFER_BYTES: usize = 64 << 10;
 
-/// Everything an endpoint is made from.
+/// The configuration of a QUIC endpoint.
 pub(crate) struct TlsSetup {
-    /// The node the keys belong to.
+    /// The node to which the keys belong.
     pub(crate) node: NodeId,
-    /// For connections peers make to us.
+    /// Configuration for incoming connections.
     pub(crate) server: ServerConfig,
-    /// For connections we make.
+    /// Configuration for outgoing connections.
     pub(crate) client: ClientConfig,
-    /// For the socket.
+    /// Configuration of the socket.
     pub(crate) endpoint: EndpointConfig,
 }
 
-/// A node's keys, decoded.
+/// The decoded keys of a node.
 struct DecodedKeys {
-    /// The fleet's authority.
+    /// Trust root: the certificate authority of the fleet.
     roots: Arc<RootCertStore>,
-    /// The node's certificate.
     certificate: CertificateDer<'static>,
-    /// The node's private key.
     private_key: PrivateKeyDer<'static>,
 }
 
 impl TlsSetup {
-    /// Decodes and checks the keys, and applies the settings' limits.
+    /// Decodes and checks the keys, and applies the limits from the settings.
     pub(crate) fn new(settings: &TransportSettings) -> Result<Self, TransportError> {
         let keys = DecodedKeys::new(&settings.keys)?;
         let node = certificate_node(&keys.certificate)?;
@@ -96,7 +95,6 @@
 }
 
 impl DecodedKeys {
-    /// Decodes the PEM texts.
     fn new(keys: &PeerKeys) -> Result<Self, TransportError> {
         let authority = certificate("authority's certificate", &keys.authority)?;
         let mut roots = RootCertStore::empty();
@@ -113,12 +111,12 @@
     }
 }
 
-/// Decodes one certificate.
 fn certificate(what: &'static str, text: &str) -> Result<CertificateDer<'static>, TransportError> {
     CertificateDer::from_pem_slice(text.as_bytes()).context(KeyTextSnafu { what })
 }
 
-/// TLS for connections peers make to us: they must show a certificate of our authority.
+/// TLS configuration for incoming connections: a peer must present a certificate from the fleet's
+/// authority.
 fn server_config(
     keys: DecodedKeys,
     provider: Arc<CryptoProvider>,
@@ -137,7 +135,7 @@
     Ok(ServerConfig::with_crypto(Arc::new(config)))
 }
 
-/// TLS for connections we make.
+/// TLS configuration for outgoing connections.
 fn client_config(
     keys: &DecodedKeys,
     provider: Arc<CryptoProvider>,
@@ -153,19 +151,19 @@
     Ok(ClientConfig::new(Arc::new(config)))
 }
 
-/// The error for an authority the TLS library does not accept.
+/// The error for an authority that the TLS library rejects.
 fn authority_refused(error: &dyn std::error::Error) -> TransportError {
     TransportError::AuthorityRefused {
         reason: error.to_string(),
     }
 }
 
-/// The socket's configuration.
+/// Builds the configuration of the socket.
 ///
-/// The key for stateless resets follows from the private key, so that it outlives a restart: a
-/// peer that still sends on a connection of the process before is told at once. With a random key
-/// it would go on sending into nothing until its idle timeout, which shows as a node that is up
-/// and yet not heard for that long.
+/// The key for stateless resets is derived from the private key, so that it survives a restart: a
+/// peer that still sends on a connection of the previous process is reset immediately. With a
+/// random key the peer would keep sending without effect until its idle timeout, and would not hear
+/// the node for that long although the node is up.
 fn endpoint_config(private_key: &PrivateKeyDer<'_>) -> EndpointConfig {
     let purpose = hmac::Key::new(hmac::HMAC_SHA256, RESET_KEY_LABEL);
     let derived = hmac::sign(&purpose, private_key.secret_der());
@@ -175,7 +173,7 @@
     config
 }
 
-/// Limits of one connection.
+/// Limits of a connection.
 fn transport_config(settings: &TransportSettings) -> TransportConfig {
     let window = VarInt::try_from(settings.max_message_bytes as u64 + 1).unwrap_or(VarInt::MAX);
     let mut config = TransportConfig::default();
@@ -183,7 +181,7 @@
     config.max_concurrent_uni_streams(VarInt::from_u32(settings.max_streams_per_peer));
     config.stream_receive_window(window);
     config.receive_window(window);
-    // Probing for larger packets costs some 10 KB a connection, more than most of them carry.
+    // Path MTU discovery costs about 10 KB per connection, more than most connections carry.
     config.mtu_discovery_config(None);
     config.datagram_send_buffer_size(DATAGRAM_BUFFER_BYTES);
     config.datagram_receive_buffer_size(Some(DATAGRAM_BUFFER_BYTES));
--- a/crates/ragwortroad_transport/src/transport_error.rs
+++ b/crates/ragwortroad_transport/src/transport_error.rs
@@ -6,7 +6,7 @@
 
 use snafu::Snafu;
 
-/// Why keys could not be made or read, or the transport not started.
+/// An error in creating or reading keys or in starting the transport.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
@@ -14,7 +14,7 @@
     /// No node was named.
     #[snafu(display("no node is named; name at least one node to make keys for"))]
     NoNodes,
-    /// A name that cannot stand in a certificate.
+    /// A name that is not valid as a label in a certificate.
     #[snafu(display(
         "'{name}' cannot stand in a certificate; use 1 to 63 of the letters a-z, digits and '-'"
     ))]
@@ -22,7 +22,7 @@
         /// The name.
         name: String,
     },
-    /// One name given twice.
+    /// A node name was given more than once.
     #[snafu(display("the node '{name}' is named twice; give every node a name of its own"))]
     SameName {
         /// The name.
@@ -39,7 +39,7 @@
         "cannot make a certificate: {source}; check that the authority's key is whole"
     ))]
     MakeCertificate {
-        /// The library's reason.
+        /// The error from the library.
         source: rcgen::Error,
     },
     /// A key file could not be read or written.
@@ -47,30 +47,30 @@
     KeyFile {
         /// The file.
         path: PathBuf,
-        /// The system's reason.
+        /// The error from the operating system.
         source: io::Error,
     },
     /// A key file does not hold what it should.
     #[snafu(display("the {what} is not usable PEM: {source}; make it with `ragwortroad keys`"))]
     KeyText {
-        /// Which of the three.
+        /// Names the faulty key or certificate.
         what: &'static str,
-        /// The library's reason.
+        /// The error from the library.
         source: rustls_pki_types::pem::Error,
     },
-    /// Certificate and key do not fit together, or the library refused them.
+    /// The certificate and the key do not match, or the TLS library rejects them.
     #[snafu(display("the keys are refused: {source}; make them anew with `ragwortroad keys`"))]
     KeysRefused {
-        /// The library's reason.
+        /// The error from the library.
         source: rustls::Error,
     },
-    /// The verifier of peers could not be built.
+    /// The certificate verifier could not be built.
     #[snafu(display("the authority is refused: {reason}; make keys anew with `ragwortroad keys`"))]
     AuthorityRefused {
-        /// The library's reason.
+        /// The error from the library.
         reason: String,
     },
-    /// The certificate does not say whose it is.
+    /// The certificate names no node.
     #[snafu(display("a certificate names no node; make it with `ragwortroad keys`"))]
     NamelessCertificate,
     /// The listening address could not be used.
@@ -78,13 +78,13 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error from the operating system.
         source: io::Error,
     },
     /// The runtime could not be started.
     #[snafu(display("cannot start the transport's threads: {source}; check the process limits"))]
     StartRuntime {
-        /// The system's reason.
+        /// The error from the operating system.
         source: io::Error,
     },
 }
--- a/crates/ragwortroad_transport/src/transport_root.rs
+++ b/crates/ragwortroad_transport/src/transport_root.rs
@@ -1,4 +1,4 @@
-//! The transport's root task, parent of all others.
+//! The root task of the transport, which starts and joins all other tasks.
 
 use std::{
     sync::{
@@ -39,39 +39,37 @@
     peer_writer::PeerWriter, //
 };
 
-/// The QUIC error code of an orderly close.
+/// QUIC error code of an orderly close.
 const CLOSE_ORDERLY: VarInt = VarInt::from_u32(0);
-/// The QUIC error code for a peer whose certificate names no node.
+/// QUIC error code for a peer whose certificate names no node.
 const CLOSE_NO_NODE_NAME: VarInt = VarInt::from_u32(1);
 
-/// Longest time for telling peers that connections are closed.
+/// Time limit for notifying peers of closed connections.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Peers that wait for their handshake to begin, for each handshake allowed.
+/// Connections that may queue for a handshake, as a multiple of the handshakes allowed at once.
 pub(crate) const PENDING_HANDSHAKES_FACTOR: usize = 4;
 
-/// A new peer's queue, whose writer the root is to start.
+/// Requests the root task to start the writer for a new peer.
 pub(crate) struct WriterStart {
-    /// The peer.
     pub(crate) peer: NodeId,
-    /// Its queue.
+    /// Receiving side of the peer's queue.
     pub(crate) queue: Receiver<QueuedMessage>,
 }
 
 /// Accepts connections, starts writers, and joins both.
 pub(crate) struct TransportRoot {
-    /// The socket.
+    /// The local QUIC endpoint.
     pub(crate) endpoint: Endpoint,
-    /// Shared connections and counters.
+    /// The shared connection table.
     pub(crate) table: Arc<ConnectionTable>,
-    /// Where messages and losses go.
+    /// Receives messages and lost peers.
     pub(crate) events: Sender<PeerEvent>,
-    /// Limits.
     pub(crate) settings: Arc<TransportSettings>,
-    /// Writers to start; shutdown begins when the sending side is dropped.
+    /// Writers to start; the shutdown begins when the sending side is dropped.
     pub(crate) writer_starts: Receiver<WriterStart>,
-    /// Connections peers made to us.
+    /// Readers of incoming connections.
     pub(crate) readers: JoinSet<()>,
-    /// Writers by peer.
+    /// Writers, one per peer.
     pub(crate) writers: JoinSet<()>,
 }
 
@@ -95,7 +93,6 @@
         self.stop().await;
     }
 
-    /// Starts the writer of a new peer.
     fn start_writer(&mut self, start: WriterStart) {
         let writer = PeerWriter {
             peer: start.peer,
@@ -111,11 +108,11 @@
         self.writers.spawn(writer.run());
     }
 
-    /// Starts the handshake with a peer, unless too much is under way.
+    /// Starts the handshake with a peer, unless a limit is reached.
     ///
-    /// Handshakes cost processor time before anybody is proved. When half of those allowed are
-    /// under way, a peer must first show that it receives at the address it sends from, so that
-    /// forged senders cannot keep sound ones out.
+    /// A handshake costs CPU time before the peer is authenticated. Once half of the allowed
+    /// handshakes are in progress, a peer must first prove that it receives packets at its source
+    /// address, so that forged source addresses cannot keep out legitimate peers.
     fn accept(&mut self, incoming: Incoming) {
         let open = self.readers.len().max(self.table.open_count());
         let handshakes_in_progress = self.table.handshakes.load(Ordering::Relaxed) as usize;
@@ -127,7 +124,7 @@
         }
         if handshakes_in_progress >= max_handshakes / 2 && incoming.may_retry() {
             if let Err(error) = incoming.retry() {
-                tracing::debug!(%error, "could not ask a peer to prove its address");
+                tracing::debug!(%error, "failed to request address validation from a peer");
             }
             return;
         }
@@ -147,8 +144,8 @@
 
     /// Closes every connection and joins every task.
     async fn stop(mut self) {
-        // Writers end by themselves once their queues' sending sides are gone; what they took
-        // from the queue already is written out first.
+        // Writers end once the sending sides of their queues are dropped, after sending the
+        // messages they already took.
         let limit = self.settings.message_timeout;
         if timeout(limit, join_all(&mut self.writers)).await.is_err() {
             self.writers.shutdown().await;
@@ -159,17 +156,17 @@
             .await
             .is_err()
         {
-            tracing::debug!("connections did not close in time");
+            tracing::debug!("connections did not close within the time limit");
         }
     }
 }
 
-/// Joins all tasks of `tasks`.
 async fn join_all(tasks: &mut JoinSet<()>) {
     while tasks.join_next().await.is_some() {}
 }
 
-/// Completes the handshake with a peer; nothing unless it proves to be a node of the fleet.
+/// Completes the handshake with a peer; returns `None` unless the peer authenticates as a node of
+/// the fleet.
 async fn complete_handshake(
     incoming: Incoming,
     table: &Arc<ConnectionTable>,
@@ -181,13 +178,13 @@
     let connection = match connected {
         Ok(connection) => connection,
         Err(error) => {
-            tracing::warn!(%address, %error, "refused a peer in the handshake");
+            tracing::warn!(%address, %error, "handshake with a peer failed");
             return None;
         }
     };
     let reader = ConnectionReader::register(connection.clone(), table, events, settings);
     if reader.is_none() {
-        tracing::warn!(%address, "refused a peer whose certificate names no node");
+        tracing::warn!(%address, "rejected a peer whose certificate names no node");
         connection.close(CLOSE_NO_NODE_NAME, b"the certificate names no node");
     }
     reader
--- a/crates/ragwortroad_transport/src/transport_settings.rs
+++ b/crates/ragwortroad_transport/src/transport_settings.rs
@@ -8,34 +8,34 @@
 
 use crate::PeerKeys;
 
-/// How the transport listens, and its limits.
+/// Address, keys and limits of a [`PeerTransport`](crate::PeerTransport).
 #[derive(Clone, Debug)]
 pub struct TransportSettings {
     /// The UDP address to listen on and to send from.
     pub listen: SocketAddr,
-    /// This node's certificate and key, and the fleet's authority.
+    /// The node's certificate and private key, and the certificate of the fleet's authority.
     pub keys: PeerKeys,
-    /// A connection without traffic is closed after this time; a silent peer counts as lost.
+    /// A connection without traffic closes after this time, and a silent peer counts as lost.
     pub idle_timeout: Duration,
-    /// The longest a handshake may take.
+    /// Time limit of a handshake.
     pub handshake_timeout: Duration,
-    /// The longest one message may take to be written or read.
+    /// Time limit for sending or receiving one message.
     pub message_timeout: Duration,
-    /// The largest message in bytes.
+    /// Maximum size of a message, in bytes.
     pub max_message_bytes: usize,
-    /// Messages that wait for one peer before further ones are dropped.
+    /// Messages queued for one peer before further ones are dropped.
     pub queue_capacity: usize,
-    /// Events that wait for the owner before peers are slowed down.
+    /// Events queued for the owner before peers are slowed down.
     pub event_capacity: usize,
-    /// Messages of one peer under way at once.
+    /// Messages of one peer in flight at once.
     pub max_streams_per_peer: u32,
-    /// Handshakes under way at once; a peer beyond them is refused.
+    /// Incoming handshakes in progress at once; further peers are refused.
     pub max_handshakes: usize,
-    /// Connections open at once; a peer beyond them is refused.
+    /// Open connections; further peers are refused.
     pub max_connections: usize,
-    /// A peer that cannot be reached is not tried again before this time.
+    /// Minimum delay before another attempt to connect to an unreachable peer.
     pub reconnect_delay: Duration,
-    /// Threads of the transport's own runtime.
+    /// Number of threads of the transport runtime; at least one is started.
     pub threads: usize,
 }
 
--- a/crates/ragwortroad_transport/src/transport_stats.rs
+++ b/crates/ragwortroad_transport/src/transport_stats.rs
@@ -1,7 +1,7 @@
-/// Counters since the transport started.
+/// Counters since the start of the transport.
 ///
-/// Bytes are those of UDP payloads, so they hold QUIC's own headers, acknowledgements,
-/// retransmissions and handshakes; an IPv4 and UDP header adds 28 bytes to each datagram.
+/// Byte counts cover UDP payloads, including QUIC headers, acknowledgements, retransmissions and
+/// handshakes. IPv4 and UDP headers add 28 bytes per datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransportStats {
     /// Bytes sent in UDP payloads.
@@ -12,16 +12,16 @@
     pub datagrams_sent: u64,
     /// UDP datagrams received.
     pub datagrams_received: u64,
-    /// Messages handed over for sending.
+    /// Messages accepted for sending.
     pub messages_queued: u64,
     /// Messages dropped because a peer's queue was full or the peer could not be reached.
     pub messages_dropped: u64,
-    /// Messages refused because they were too large, either way.
+    /// Messages rejected as too large, when sending or receiving.
     pub messages_too_large: u64,
-    /// Messages received whole.
+    /// Complete messages received.
     pub messages_received: u64,
-    /// Peers refused in the handshake: unknown, too many at once, or too slow.
+    /// Peers refused in the handshake: not authenticated, beyond a limit, or too slow.
     pub handshakes_refused: u64,
-    /// Connections open now.
+    /// Connections currently open.
     pub connections: u64,
 }
