--- a/crates/ragwortroad_gateway/examples/added_latency.rs
+++ b/crates/ragwortroad_gateway/examples/added_latency.rs
@@ -1,10 +1,12 @@
-//! Measures what a node adds to a stream: time to the first token and between tokens, against the
-//! stand-in engine directly, in one run; and the node's threads and memory.
+//! Measures the latency that a node adds to a stream: time to the first token and between tokens,
+//! compared with direct requests to the stand-in engine in the same run, as well as the threads and
+//! memory of the node.
 //!
 //! `cargo run --release -p ragwortroad_gateway --example added_latency`
 //!
-//! The gateway runs in a second process, so that its threads, memory and processor time are its
-//! own. Direct and routed rounds take turns, so that a busy machine burdens both alike.
+//! The gateway runs in a second process, so that its threads, memory and CPU time are counted
+//! separately. Direct and routed rounds alternate, so that other load on the machine affects both
+//! equally.
 
 use std::{
     error::Error,
@@ -49,7 +51,7 @@
 const TOKEN_GAP: Duration = Duration::from_millis(20);
 const TOKENS: u32 = 30;
 
-/// Streams at once, and how many each client makes in a row in one round.
+/// Concurrent streams, and the number of consecutive streams per client in one round.
 const LEVELS: [(usize, usize); 3] = [(1, 12), (64, 3), (512, 2)];
 const ROUNDS: usize = 4;
 const IDLE_CONNECTIONS: usize = 512;
@@ -62,7 +64,7 @@
     }
 }
 
-/// The second process: a gateway whose control thread grants the one engine always.
+/// Runs the second process: a gateway whose control thread always grants the one engine.
 fn serve_gateway(engine: SocketAddr) -> Result<(), AnyError> {
     let (calls, control) = flume::unbounded();
     let granting = thread::spawn(move || always_grant(&control, engine));
@@ -92,7 +94,7 @@
                 record_response: false,
             };
             if reply.send(AdmitReply::Granted(grant)).is_err() {
-                eprintln!("a caller left before its grant");
+                eprintln!("client disconnected before its grant");
             }
         }
     }
@@ -156,7 +158,7 @@
     Ok((child, line.trim().parse()?))
 }
 
-/// Times of many streams, in microseconds.
+/// Latencies of many streams, in microseconds.
 struct StreamTimes {
     first: Histogram<u64>,
     gap: Histogram<u64>,
@@ -205,8 +207,8 @@
         let mut clients = JoinSet::new();
         for place in 0..streams {
             clients.spawn(async move {
-                // Clients begin spread over one stream's time: so many streams at once do not begin
-                // together outside a test.
+                // Client starts are spread over the duration of one stream, because in production
+                // that many streams do not start together.
                 tokio::time::sleep(TOKEN_GAP * TOKENS * place as u32 / streams as u32).await;
                 let mut times = StreamTimes::new()?;
                 for _ in 0..repeats {
@@ -223,7 +225,7 @@
     })
 }
 
-/// Opens a connection, asks for a stream, and times its tokens.
+/// Opens a connection, requests a stream, and times its tokens.
 async fn read_stream(address: SocketAddr, times: &mut StreamTimes) -> Result<(), AnyError> {
     let start = Instant::now();
     let stream = TcpStream::connect(address).await?;
@@ -279,13 +281,13 @@
     Ok(request)
 }
 
-/// What the node's process uses.
+/// Resource usage of the node process.
 #[derive(Clone, Copy)]
 struct NodeUsage {
     threads: u64,
     /// Resident memory in KiB.
     memory: u64,
-    /// Seconds of processor time.
+    /// CPU time in seconds.
     processor: f64,
 }
 
@@ -313,12 +315,12 @@
     Ok(NodeUsage {
         threads: field("Threads:"),
         memory: field("VmRSS:"),
-        // Linux gives these times in hundredths of a second.
+        // Linux reports these times in hundredths of a second.
         processor: processor / 100.0,
     })
 }
 
-/// Looks at the node's usage all the time until it is stopped.
+/// Samples the resource usage of the node until stopped, and keeps the peak.
 struct UsageSampler {
     stop: flume::Sender<()>,
     thread: thread::JoinHandle<Result<NodeUsage, AnyError>>,
@@ -341,7 +343,7 @@
 impl UsageSampler {
     fn stop(self) -> Result<NodeUsage, AnyError> {
         drop(self.stop);
-        self.thread.join().map_err(|_| "the watch panicked")?
+        self.thread.join().map_err(|_| "the sampler panicked")?
     }
 }
 
--- a/crates/ragwortroad_gateway/tests/broken_answers.rs
+++ b/crates/ragwortroad_gateway/tests/broken_answers.rs
@@ -1,4 +1,5 @@
-//! Endpoints that answer badly: a client gets a whole response of its own, or a typed refusal.
+//! Endpoints with faulty responses: a client gets a complete response of its own or a typed
+//! refusal.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -17,7 +18,7 @@
 use ragwortroad_standin::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// A plan with one fault in it.
+/// A fault plan with one change.
 fn fault(change: impl FnOnce(&mut FaultPlan)) -> FaultPlan {
     let mut plan = FaultPlan::default();
     change(&mut plan);
@@ -34,7 +35,7 @@
     fleet
 }
 
-/// Whether a whole response's text is the chat's own.
+/// Whether the text of a complete response is the expected one for the chat.
 fn is_own_complete_response(response: &str, chat: &ChatBody) -> bool {
     let (_, body) = response.split_once("\r\n\r\n").unwrap();
     let value: serde_json::Value = serde_json::from_str(body).unwrap();
@@ -42,11 +43,10 @@
     AnswerCheck::new(chat).check_text(text).is_ok()
 }
 
+/// Guards against half a caption, or another studio's, reaching a client: an engine's response is
+/// truncated, names another request, is a redirect or an error, or never comes.
 #[test]
-fn a_bad_whole_answer_is_asked_for_elsewhere() {
-    // An engine's response stops before its announced length, names another request, is a redirect,
-    // or never comes. A library that takes such a response would hand a photographer half a
-    // caption, or another studio's.
+fn a_faulty_complete_response_is_retried_elsewhere() {
     let faults = [
         fault(|plan| plan.short_body = true),
         fault(|plan| plan.echo_id = Some("00000000000000aa".to_owned())),
@@ -73,11 +73,10 @@
     }
 }
 
+/// Guards against a duplicate or missing token in the text: an engine restarts, stalls or switches
+/// to another's response at any point of a stream, and another engine resumes it.
 #[test]
-fn a_stream_that_breaks_at_any_token_goes_on_at_the_right_one() {
-    // An engine's process restarts, falls silent or goes over to another's response in the middle of
-    // a stream. The client must see one response without a seam: a token twice or left out would
-    // stand in the printed lookbook.
+fn a_stream_broken_at_any_token_resumes_at_the_right_one() {
     let count = 12;
     for token in 0..count {
         for kind in 0..5 {
@@ -94,8 +93,9 @@
             let chat = chat_body(true);
             let response = fleet.chat(&chat, "");
             assert!(is_own_response(&response, &chat), "{fault:?}: {response}");
-            // The next engine begins where the client's text ends. A dying process takes tokens
-            // with it that it had made and its socket had not sent, so there that may be earlier.
+            // The next engine resumes where the client's text ends. A process that dies loses
+            // tokens that it generated but its socket had not sent, so there the position may be
+            // earlier.
             let resumed = fleet.engines[1].records();
             match kind {
                 0 => assert!(resumed[0].from_token <= token, "{fault:?}"),
@@ -107,10 +107,10 @@
     }
 }
 
+/// Guards against a truncated text that counts as complete: an engine that was told to stop ends
+/// the body cleanly but without the final marker.
 #[test]
-fn a_stream_without_its_final_marker_is_not_taken_as_whole() {
-    // The engine ends the body in good order but leaves out the marker, as one does that was told
-    // to stop. Without the check the client would take the text as complete.
+fn a_stream_without_its_final_marker_is_incomplete() {
     let fleet = fleet_with(fault(|plan| plan.drop_marker = true));
     let chat = chat_body(true);
     let response = fleet.chat(&chat, "");
@@ -124,10 +124,10 @@
     assert_eq!(fleet.stop().outcomes()[0], AttemptOutcome::Broken);
 }
 
+/// Guards against a client that takes a partial text as complete, or is told that nothing ran: the
+/// only engine dies in the middle of the stream.
 #[test]
-fn a_stream_that_nobody_goes_on_with_ends_in_a_typed_error() {
-    // The only engine dies in mid-stream. The client must be able to tell that the text is not
-    // whole, and must not be told that nothing ran.
+fn a_stream_that_cannot_resume_ends_in_a_typed_error() {
     let fleet = fleet_with(fault(|plan| plan.die_after_tokens = Some(5)));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
     let response = fleet.chat(&chat_body(true), "");
@@ -139,10 +139,10 @@
     fleet.stop();
 }
 
+/// Guards against a client that runs a request again: the first engine closes the connection, and
+/// the control thread refuses the retry as not run, which holds for the retry alone.
 #[test]
 fn a_request_that_was_sent_is_never_refused_as_not_run() {
-    // The first engine breaks off, and the control thread refuses the retry as not run, which is
-    // true of the retry alone. A client that believed it would run the request again.
     let fleet = fleet_with(fault(|plan| plan.close_unanswered = true));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
     let refusal = refusal_of(&fleet.chat(&chat_body(false), ""));
@@ -150,10 +150,10 @@
     fleet.stop();
 }
 
+/// Guards against a double booking, two crews on one set: the service books, and its response is
+/// lost, truncated or another request's.
 #[test]
-fn a_booking_with_a_broken_answer_is_not_sent_again() {
-    // The desk books, and its response is lost, cut short or another's. Sent again elsewhere, the
-    // booking would put two crews on one set.
+fn a_booking_with_a_broken_response_is_not_retried() {
     let faults = [
         fault(|plan| plan.close_unanswered = true),
         fault(|plan| plan.short_body = true),
@@ -167,17 +167,17 @@
         assert_eq!(refusal.code, RefusalCode::BrokenAnswer);
         assert!(
             !response.contains("body_hash"),
-            "nothing of the answer: {response}"
+            "the refusal contains a part of the response: {response}"
         );
         assert_eq!(fleet.records().len(), 1);
         assert_eq!(fleet.stop().outcomes(), [AttemptOutcome::Broken]);
     }
 }
 
+/// Guards against a second booking at the target of a redirect: a service redirects to another one,
+/// and only the client may decide whether to follow.
 #[test]
-fn a_redirect_of_a_service_is_not_followed() {
-    // A desk answers with a redirect to the other desk. Following it would book there as well; it
-    // is the client's to decide.
+fn a_service_redirect_is_not_followed() {
     let fleet = fleet_with(FaultPlan::default());
     let other = format!("http://{}/bookings", fleet.services[1].address());
     fleet.services[0].set_faults(fault(|plan| plan.redirect_to = Some(other.clone())));
@@ -188,10 +188,10 @@
     fleet.stop();
 }
 
+/// Guards against a booking that fails or runs twice because one endpoint is down: its address
+/// refuses connections, nothing was sent, so the next endpoint may run the booking.
 #[test]
-fn an_endpoint_that_takes_no_connection_costs_nothing() {
-    // An endpoint's process is gone and its address refuses. Nothing was sent, so even a booking
-    // may go to the next endpoint, and runs there once.
+fn an_endpoint_that_refuses_connections_fails_no_request() {
     let fleet = fleet_with(fault(|plan| plan.refuse_connections = true));
     let refused = fleet.services[0].address();
     fleet.wait_for("the port closes", |_| {
@@ -206,10 +206,10 @@
     assert_eq!(log.admits[1].retry_of, Some(TicketId(1)));
 }
 
+/// Guards against a late response that reaches the client's next request: the endpoint responds
+/// after the client gave up, and whether the booking ran is unknown.
 #[test]
-fn an_answer_after_the_deadline_is_not_handed_over() {
-    // The endpoint responses when the client has given up. Handed over late, the response could meet
-    // the client's next request; and nobody knows whether the booking ran.
+fn a_response_after_the_deadline_is_not_forwarded() {
     let fleet = fleet_with(fault(|plan| plan.answer_delay = Duration::from_secs(60)));
     let response = fleet.book("x-deadline-ms: 500\r\n");
     let refusal = refusal_of(&response);
@@ -227,10 +227,10 @@
     );
 }
 
+/// Guards against a leaked grant, which would count as load forever: the control thread is busy for
+/// longer than the client waits, and grants after the deadline.
 #[test]
-fn a_deadline_that_passes_before_the_grant_is_not_run() {
-    // The control thread is busy for longer than the client waits, and grants when nobody listens
-    // any more. The grant must come back, or it would count as load forever.
+fn a_deadline_passing_before_the_grant_is_not_run() {
     let fleet = fleet_with(FaultPlan::default());
     fleet.control.routes.lock().unwrap().grant_delay = Duration::from_millis(300);
     let refusal = refusal_of(&fleet.book("x-deadline-ms: 50\r\n"));
@@ -240,13 +240,14 @@
     fleet.stop();
 }
 
+/// Guards against a booking that runs twice: a client loses the response to its booking and sends
+/// the booking again under the same idempotency key.
 #[test]
-fn a_recorded_answer_is_given_again_without_running() {
-    // A client lost the response to its booking and sends it again under the same key.
+fn a_recorded_response_is_replayed_without_running() {
     let fleet = fleet_with(FaultPlan::default());
     let first = fleet.book("idempotency-key: b-3\r\n");
     let (_, body) = first.split_once("\r\n\r\n").unwrap();
-    fleet.wait_for("the answer is recorded", |fleet| {
+    fleet.wait_for("the attempt is reported with its response", |fleet| {
         !fleet.control.log.lock().unwrap().finishes.is_empty()
     });
     let finish = fleet.control.log.lock().unwrap().finishes[0].clone();
@@ -255,7 +256,7 @@
         ..
     } = finish.outcome
     else {
-        panic!("no answer to record");
+        panic!("no response to record");
     };
     let recorded = [("b-3".to_owned(), response)].into();
     fleet.control.routes.lock().unwrap().recorded = recorded;
--- a/crates/ragwortroad_gateway/tests/client_faults.rs
+++ b/crates/ragwortroad_gateway/tests/client_faults.rs
@@ -1,4 +1,4 @@
-//! Clients that send badly, slowly, or go away.
+//! Clients that send invalid requests, are slow, or disconnect.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -31,7 +31,7 @@
 use ragwortroad_standin::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// A refusal as it goes into a snapshot, with what differs from run to run left out.
+/// Formats a refusal for the snapshot, without the parts that differ between runs.
 fn format_refusal(name: &str, response: &str) -> String {
     let status = response.lines().next().unwrap_or_default();
     let mut detail = refusal_of(response);
@@ -42,10 +42,10 @@
     format!("== {name}\n{status}\n{json}\n\n")
 }
 
+/// Guards against invalid input that is not refused as not run with a code and a remedy, or that
+/// stops the node from serving others: each kind of bad input arrives in turn.
 #[test]
 fn every_bad_request_gets_a_typed_refusal() {
-    // Bad input of every kind arrives in turn. Each is refused as not run, with a code and a
-    // remedy, and the node goes on serving the others.
     let fleet = TestFleet::start(GatewaySettings {
         max_body_bytes: 2000,
         max_header_bytes: 8192,
@@ -96,10 +96,10 @@
     fleet.stop();
 }
 
+/// Guards against clients that hold a connection forever: they send nothing, leave a head or a body
+/// unfinished, or stay connected after their response.
 #[test]
-fn silent_and_slow_callers_are_closed_and_hold_up_nobody() {
-    // Clients open connections and send nothing, leave a head or a body unfinished, or stay after
-    // their response. Each would hold a connection forever.
+fn silent_and_slow_clients_are_closed_and_delay_no_one() {
     let fleet = TestFleet::start(GatewaySettings {
         idle_timeout: Duration::from_millis(700),
         header_timeout: Duration::from_millis(700),
@@ -127,9 +127,10 @@
     fleet.stop();
 }
 
+/// Guards against a head timeout that restarts with each byte: a client sends its head one byte at
+/// a time, each well within the limit.
 #[test]
-fn a_head_that_trickles_in_does_not_extend_its_own_time() {
-    // A client sends one byte of its head again and again, each well within the limit.
+fn a_slow_head_does_not_extend_its_own_timeout() {
     let fleet = TestFleet::start(GatewaySettings {
         header_timeout: Duration::from_millis(200),
         ..GatewaySettings::default()
@@ -144,9 +145,10 @@
     fleet.stop();
 }
 
+/// Guards against connections beyond the limit that are accepted or closed without a refusal: one
+/// client opens too many, in total or from one VM.
 #[test]
-fn callers_beyond_the_limit_of_connections_are_told_so() {
-    // One client opens more connections than the node has room for, in all or from one VM.
+fn clients_beyond_the_connection_limit_are_refused() {
     let limits = GatewaySettings::default();
     let (all, own) = (limits.max_connections, limits.max_connections_per_address);
     for (max_connections, max_connections_per_address) in [(4, own), (all, 4)] {
@@ -158,7 +160,7 @@
     }
 }
 
-/// Fills a gateway that takes four connections, and then makes room.
+/// Fills a gateway that accepts four connections, checks the refusal, and then closes them.
 fn check_connection_limit(settings: GatewaySettings) {
     let fleet = TestFleet::start(settings);
     let mut held_connections: Vec<_> = (0..4).map(|_| connect(fleet.address())).collect();
@@ -182,10 +184,10 @@
     fleet.stop();
 }
 
+/// Guards against exhausted memory, which would end the process with every stream in it: clients
+/// send long, unfinished bodies, each within its own limit.
 #[test]
-fn bodies_beyond_the_nodes_memory_are_refused_as_not_run() {
-    // Clients send long bodies and do not finish them. Each is within its own limit; together they
-    // would take all memory, and the process with every stream in it would end.
+fn bodies_beyond_the_memory_budget_are_refused_as_not_run() {
     let fleet = TestFleet::start(GatewaySettings {
         max_body_bytes: 100_000,
         max_buffered_body_bytes: 150_000,
@@ -193,9 +195,9 @@
     });
     let long = post("/v1/chat/completions", "", &"x".repeat(90_000));
     let mut holders = Vec::new();
-    fleet.wait_for("there is no room", |fleet| {
-        // One holder may itself find no room beside the whole request below, so each time there is
-        // one more.
+    fleet.wait_for("the memory budget is exhausted", |fleet| {
+        // A held body may itself be refused beside the complete request below, so each round adds
+        // another.
         let mut holder = connect(fleet.address());
         holder.write_all(&long[..long.len() - 10]).unwrap();
         holders.push(holder);
@@ -205,7 +207,7 @@
     let good = chat_body(true);
     assert!(
         is_own_response(&fleet.chat(&good, ""), &good),
-        "short ones still pass"
+        "short requests are still served"
     );
     drop(holders);
     fleet.wait_for("there is room again", |fleet| {
@@ -215,10 +217,10 @@
     fleet.stop();
 }
 
+/// Guards against a lost refusal: a long body is refused before it was read, and closing the
+/// connection resets it, so the client could not tell whether its booking ran.
 #[test]
-fn a_refusal_reaches_a_caller_that_is_still_sending() {
-    // A long body is refused before it was read. Closing then resets the connection, and the client
-    // would see a broken connection and not know whether its booking ran.
+fn a_refusal_reaches_a_client_that_is_still_sending() {
     let fleet = TestFleet::start(GatewaySettings {
         max_body_bytes: 1000,
         ..GatewaySettings::default()
@@ -229,7 +231,7 @@
         ("/v2/unknown", RefusalCode::UnknownPath),
     ];
     for (path, code) in cases {
-        // With a small buffer the client is still sending when the refusal is decided.
+        // With small buffers the client is still sending when the request is refused.
         let mut client = socket_with_small_buffers(fleet.address());
         client.write_all(&post(path, "", &body)).unwrap();
         assert_eq!(refusal_of(&read_all(&mut client)).code, code);
@@ -238,10 +240,10 @@
     fleet.stop();
 }
 
+/// Guards against an engine that keeps generating tokens nobody reads while others queue: the
+/// client disconnects in the middle of a long response.
 #[test]
-fn a_caller_that_leaves_ends_the_engines_work() {
-    // An instructor closes the application in the middle of a long note. The engine would go on
-    // with tokens that nobody reads, while others queue.
+fn a_disconnected_client_ends_the_work_of_the_engine() {
     let fleet = TestFleet::start(GatewaySettings::default());
     for streamed in [true, false] {
         let chat = ChatBody {
@@ -257,16 +259,17 @@
         let runs = |fleet: &TestFleet| fleet.engines[0].records();
         match streamed {
             true => drop(read_until(&mut client, "token_index\":3")),
-            false => fleet.wait_for("the engine works", |fleet| {
+            false => fleet.wait_for("the engine starts the request", |fleet| {
                 runs(fleet).len() > previous_runs
             }),
         }
         client.shutdown(Shutdown::Both).unwrap();
-        fleet.wait_for("the engine stops", |fleet| {
+        fleet.wait_for("the engine cancels the request", |fleet| {
             runs(fleet).iter().all(|run| run.end == RunEnd::Cancelled)
         });
-        // The closed connection may do it as well; an engine that does not look at it is told.
-        fleet.wait_for("the engine is told", |fleet| {
+        // The closed connection alone may end the work; an engine that does not watch it gets a
+        // cancellation.
+        fleet.wait_for("the engine gets a cancellation", |fleet| {
             let cancelled_ids = fleet.engines[0].cancels();
             runs(fleet)
                 .iter()
@@ -280,10 +283,10 @@
     );
 }
 
+/// Guards against a client that requests a long stream and never reads it: the engine's work for it
+/// must end, and other customers' streams must not wait.
 #[test]
-fn a_caller_that_reads_nothing_is_closed_and_holds_up_nobody() {
-    // A client asks for a long stream and never reads it. The engine's work for it must end, and
-    // other customers' streams must not wait.
+fn a_client_that_reads_nothing_is_closed_and_delays_no_one() {
     let fleet = TestFleet::start(GatewaySettings {
         write_timeout: Duration::from_millis(200),
         send_buffer_bytes: 4096,
@@ -299,18 +302,18 @@
     client
         .write_all(&post("/v1/chat/completions", "", &body))
         .unwrap();
-    fleet.wait_for("the engine works", |fleet| {
+    fleet.wait_for("the engine starts the request", |fleet| {
         !fleet.engines[0].records().is_empty()
     });
     let good = chat_body(true);
     assert!(is_own_response(&fleet.chat(&good, ""), &good));
-    fleet.wait_for("the engine stops", |fleet| {
+    fleet.wait_for("the engine cancels the request", |fleet| {
         fleet.engines[0].records()[0].end == RunEnd::Cancelled
     });
     fleet.stop();
 }
 
-/// A connection that holds little that one side has written and the other has not read.
+/// Opens a connection with small socket buffers, so that little unread data is in transit.
 fn socket_with_small_buffers(address: std::net::SocketAddr) -> std::net::TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(1024).unwrap();
--- a/crates/ragwortroad_gateway/tests/common/fake_control.rs
+++ b/crates/ragwortroad_gateway/tests/common/fake_control.rs
@@ -19,7 +19,7 @@
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// What the fake saw.
+/// The calls that the fake control thread received, and its grants.
 #[derive(Clone, Debug, Default)]
 pub struct ControlLog {
     pub admits: Vec<AdmitCall>,
@@ -28,28 +28,28 @@
 }
 
 impl ControlLog {
-    /// Outcomes of finished attempts, in order.
+    /// Outcomes of the finished attempts, in order.
     pub fn outcomes(&self) -> Vec<AttemptOutcome> {
         let finishes = self.finishes.iter();
         finishes.map(|finish| finish.outcome.clone()).collect()
     }
 }
 
-/// Endpoints that the fake grants, by what they serve.
+/// Endpoints that the fake control thread grants, by the model or service they provide.
 #[derive(Clone, Debug, Default)]
 pub struct FakeRoutes {
     pub models: Vec<(String, SocketAddr)>,
     pub services: Vec<(String, SocketAddr)>,
     pub addresses: Vec<String>,
-    /// Refuses every admission that is a retry.
+    /// Whether to refuse every admission that is a retry.
     pub refuse_retries: bool,
-    /// Answers recorded under an idempotency key.
+    /// Responses recorded under idempotency keys.
     pub recorded: HashMap<String, RecordedResponse>,
-    /// Waits before each grant.
+    /// Delay before each grant.
     pub grant_delay: Duration,
 }
 
-/// A control thread in a few lines: the first endpoint that did not fail this request.
+/// A minimal control thread, which grants the first endpoint that did not fail the request.
 pub struct FakeControl {
     pub log: Arc<Mutex<ControlLog>>,
     pub routes: Arc<Mutex<FakeRoutes>>,
@@ -73,7 +73,7 @@
         )
     }
 
-    /// Waits for the thread, which ends with the last sender.
+    /// Waits for the thread, which ends once the last sender is dropped.
     pub fn join(self) -> ControlLog {
         self.thread.join().unwrap();
         Arc::try_unwrap(self.log).unwrap().into_inner().unwrap()
--- a/crates/ragwortroad_gateway/tests/common/raw_client.rs
+++ b/crates/ragwortroad_gateway/tests/common/raw_client.rs
@@ -10,10 +10,10 @@
     time::Duration, //
 };
 
-/// Longest wait for bytes that must come.
+/// Time limit for bytes that are expected to arrive.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Opens a connection whose reads are bounded.
+/// Opens a connection with a read timeout.
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
@@ -21,21 +21,21 @@
     stream
 }
 
-/// Sends bytes and reads until the other side closes.
+/// Sends bytes and reads until the peer closes the connection.
 pub fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = connect(address);
     stream.write_all(bytes).unwrap();
     read_all(&mut stream)
 }
 
-/// Reads until the other side closes.
+/// Reads until the peer closes the connection.
 pub fn read_all(stream: &mut TcpStream) -> String {
     let mut response = Vec::new();
     stream.read_to_end(&mut response).unwrap();
     String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Reads until `wanted` has come, and returns all that has.
+/// Reads until `wanted` has arrived, and returns everything read so far.
 pub fn read_until(stream: &mut TcpStream, wanted: &str) -> String {
     let mut response = Vec::new();
     let mut buffer = [0; 1024];
@@ -50,7 +50,7 @@
     }
 }
 
-/// A POST as raw bytes.
+/// A POST request as raw bytes.
 pub fn post(path: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!(
--- a/crates/ragwortroad_gateway/tests/common/test_fleet.rs
+++ b/crates/ragwortroad_gateway/tests/common/test_fleet.rs
@@ -25,7 +25,7 @@
     }, //
 };
 
-/// A gateway before two engines and two services, with a fake control thread.
+/// A gateway with two engines, two services and a fake control thread.
 pub struct TestFleet {
     pub gateway: GatewayServer,
     pub control: FakeControl,
@@ -77,7 +77,7 @@
         self.gateway.local_address()
     }
 
-    /// Sends a chat with raw bytes and returns the whole response, head and all.
+    /// Sends a chat as raw bytes and returns the complete response with its head.
     pub fn chat(&self, chat: &ChatBody, headers: &str) -> String {
         let body = serde_json::to_string(chat).unwrap();
         exchange(
@@ -86,29 +86,32 @@
         )
     }
 
-    /// Sends a booking with raw bytes.
+    /// Sends a booking as raw bytes and returns the complete response with its head.
     pub fn book(&self, headers: &str) -> String {
         let path = "/v1/services/studio-desk/bookings?day=3";
         exchange(self.address(), &post(path, headers, "{\"slot\":1}"))
     }
 
-    /// Everything that endpoints ran.
+    /// Records of all requests that the endpoints ran.
     pub fn records(&self) -> Vec<RunRecord> {
         let engines = self.engines.iter().flat_map(StandinEngine::records);
         let services = self.services.iter().flat_map(StandinService::records);
         engines.chain(services).collect()
     }
 
-    /// Waits for something that must come about.
+    /// Waits for a condition; panics after the time limit.
     pub fn wait_for(&self, what: &str, mut condition: impl FnMut(&Self) -> bool) {
         let start = Instant::now();
         while !condition(self) {
-            assert!(start.elapsed() < WAIT_LIMIT, "never came about: {what}");
+            assert!(
+                start.elapsed() < WAIT_LIMIT,
+                "timed out waiting until {what}"
+            );
             thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Joins everything, and checks that each grant was given back exactly once.
+    /// Joins all threads, and checks that each grant was returned exactly once.
     pub fn stop(self) -> ControlLog {
         self.gateway.join();
         let log = self.control.join();
@@ -116,7 +119,7 @@
         given.sort();
         let mut granted = log.granted.clone();
         granted.sort();
-        assert_eq!(given, granted, "each grant is given back exactly once");
+        assert_eq!(given, granted, "each grant is returned exactly once");
         for engine in self.engines {
             engine.stop();
         }
@@ -137,7 +140,7 @@
     }
 }
 
-/// The text of a response that was streamed as raw bytes, and whether its final marker came.
+/// The text of a streamed response in raw bytes, and whether its final marker arrived.
 pub fn stream_text(response: &str) -> (String, bool) {
     let mut text = String::new();
     for line in response.lines() {
@@ -155,13 +158,13 @@
     (text, false)
 }
 
-/// Whether a streamed response is whole and the chat's own.
+/// Whether a streamed response is complete and has the expected text for the chat.
 pub fn is_own_response(response: &str, chat: &ChatBody) -> bool {
     let (text, ended) = stream_text(response);
     ended && AnswerCheck::new(chat).check_text(&text).is_ok()
 }
 
-/// The refusal in a response that came as raw bytes.
+/// The refusal in a response in raw bytes.
 pub fn refusal_of(response: &str) -> RefusalDetail {
     let start = response
         .find("{\"error\"")
--- a/crates/ragwortroad_gateway/tests/library_evidence.rs
+++ b/crates/ragwortroad_gateway/tests/library_evidence.rs
@@ -1,5 +1,5 @@
-//! Why the traffic path is built on `hyper` and neither on `tiny_http` nor on `minreq`: each trap
-//! shown on loopback. Where a trap is a wait without end, the test looks for a bounded time.
+//! Shows on loopback why the traffic path uses `hyper` and neither `tiny_http` nor `minreq`: one
+//! test per defect. Where the defect is an endless wait, the test observes it for a bounded time.
 #![allow(clippy::unwrap_used)]
 
 use std::{
@@ -28,10 +28,10 @@
     StatusCode, //
 };
 
-/// How long a test looks for something that should not come.
+/// Time for which a test observes that something does not happen.
 const OBSERVATION_TIME: Duration = Duration::from_millis(400);
 
-/// Answers one connection with fixed bytes, closes, and returns what was asked.
+/// Accepts one connection, sends a fixed response, closes, and returns the request.
 fn respond_once(response: String) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -52,14 +52,14 @@
     (server, address)
 }
 
-/// A connection that gives up reading after [`OBSERVATION_TIME`].
+/// Opens a connection with a read timeout of [`OBSERVATION_TIME`].
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(OBSERVATION_TIME)).unwrap();
     stream
 }
 
-/// Whether the other side says nothing and does not close while the test looks.
+/// Whether the peer neither sends nor closes during the observation.
 fn stays_open(stream: &mut TcpStream) -> bool {
     let error = match stream.read(&mut [0; 64]) {
         Ok(_) => return false,
@@ -82,10 +82,10 @@
         .unwrap()
 }
 
+/// Shows a truncated response that counts as complete: a booking response breaks off, and the
+/// client gets status 200 and a partial body without an error.
 #[test]
-fn minreq_takes_a_short_body_as_whole() {
-    // A booking's response breaks off. The client is told 200 and gets a part of the body, with no
-    // error.
+fn minreq_accepts_a_truncated_body() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n";
     let (address, thread) = respond_once(format!("{head}0123456789"));
     let response = minreq::get(format!("http://{address}/")).send().unwrap();
@@ -94,9 +94,10 @@
     thread.join().unwrap();
 }
 
+/// Shows a repeated booking: a service responds with a redirect, and the library sends the booking
+/// again to its target.
 #[test]
-fn minreq_repeats_a_post_where_a_redirect_points() {
-    // A desk answers a booking with a redirect. The library books again at the other place.
+fn minreq_repeats_a_post_at_a_redirect_target() {
     let (second, second_thread) =
         respond_once("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_owned());
     let redirect = format!(
@@ -112,9 +113,10 @@
     assert!(repeated.starts_with("POST "), "{repeated}");
 }
 
+/// Shows a missing head timeout: a client sends half a head and then nothing, and its connection
+/// and thread stay.
 #[test]
-fn tiny_http_waits_for_ever_for_a_head() {
-    // A client sends half a head and falls silent: the connection and its thread stay.
+fn tiny_http_has_no_head_timeout() {
     let (server, address) = tiny_server();
     let mut client = connect(address);
     client.write_all(b"GET / HT").unwrap();
@@ -122,9 +124,10 @@
     drop(server);
 }
 
+/// Shows a missing head size limit: a client sends a head of one mebibyte, which is read into
+/// memory as it arrives.
 #[test]
-fn tiny_http_takes_heads_of_any_size() {
-    // A client sends a head of a mebibyte; it is taken into memory as it comes.
+fn tiny_http_has_no_head_size_limit() {
     let (server, address) = tiny_server();
     let writer = thread::spawn(move || {
         let mut client = connect(address);
@@ -143,10 +146,10 @@
     drop(writer.join().unwrap());
 }
 
+/// Shows one thread and its stack per idle connection: clients get their responses and keep their
+/// connections open, as browsers do.
 #[test]
 fn tiny_http_starts_a_thread_for_each_connection() {
-    // Clients are answered and keep their connections open, as browsers do: each holds a thread
-    // and its stack, with nothing to do.
     let (server, address) = tiny_server();
     let before = thread_count();
     let mut clients = Vec::new();
@@ -165,10 +168,10 @@
     drop(server);
 }
 
+/// Shows that dropping the server neither closes nor serves open connections: clients of a stopped
+/// node wait, and a stand-in built on it could not simulate a lost VM.
 #[test]
-fn tiny_http_serves_open_connections_after_its_end() {
-    // A node stops. A connection that is open then is neither closed nor answered, so its client
-    // waits; and a stand-in built on it could not show a VM that is lost.
+fn tiny_http_leaves_connections_open_after_shutdown() {
     let (server, address) = tiny_server();
     let mut client = connect(address);
     client
@@ -187,7 +190,7 @@
     assert!(stays_open(&mut client));
 }
 
-/// A body of one token that ends only when the test says so.
+/// A body of one token that ends when the test releases it.
 struct HeldToken {
     token: &'static [u8],
     release: flume::Receiver<()>,
@@ -203,10 +206,10 @@
     }
 }
 
+/// Shows delayed tokens: an engine sends a token and continues to compute, and chunked bodies of
+/// the library deliver the token only with later ones or at the end.
 #[test]
-fn tiny_http_holds_tokens_back() {
-    // An engine makes a token and goes on thinking. With the library's own chunked bodies the
-    // client sees the token only with the later ones, or at the end.
+fn tiny_http_delays_tokens() {
     let (server, address) = tiny_server();
     let (release, held_connections) = flume::bounded(1);
     let sender = thread::spawn(move || {
--- a/crates/ragwortroad_gateway/tests/node_drain.rs
+++ b/crates/ragwortroad_gateway/tests/node_drain.rs
@@ -1,4 +1,4 @@
-//! A node that shuts down.
+//! A node that drains and shuts down.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -25,10 +25,10 @@
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_types::prelude::*;
 
+/// Guards against a stream cut off when its VM is replaced, and against a client with the old
+/// address that is not told another one.
 #[test]
-fn a_drain_cuts_no_request_and_sends_new_ones_elsewhere() {
-    // A VM is to be replaced while a stream is under way. The stream must come to its end, and a
-    // client that still has the old address must learn another one.
+fn a_drain_completes_requests_and_redirects_new_ones() {
     let fleet = TestFleet::start(GatewaySettings::default());
     let chat = ChatBody {
         max_tokens: Some(150),
--- a/crates/ragwortroad_gateway/tests/whole_path.rs
+++ b/crates/ragwortroad_gateway/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Clients, endpoints and operators through one gateway, with nothing amiss.
+//! Clients, endpoints and operators through one gateway, with and without endpoint faults.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -21,7 +21,7 @@
 use ragwortroad_load::prelude::*;
 use ragwortroad_standin::prelude::*;
 
-/// Load on one gateway, whose bookings are never sent again.
+/// Load on one gateway, without resent bookings.
 fn load_on(fleet: &TestFleet) -> LoadSettings {
     let address = fleet.address().to_string();
     fleet.control.routes.lock().unwrap().addresses = vec![address.clone()];
@@ -39,8 +39,9 @@
     }
 }
 
+/// Guards against lost, swapped or uncached responses under mixed load without faults.
 #[test]
-fn chats_bookings_and_reads_get_their_own_answers() {
+fn chats_bookings_and_reads_get_their_own_responses() {
     let fleet = TestFleet::start(GatewaySettings::default());
     let mut report = run_load(load_on(&fleet)).unwrap();
     assert!(report.verify(&fleet.records()), "{report}");
@@ -50,8 +51,9 @@
     fleet.stop();
 }
 
+/// Guards against a stream that is incomplete or lacks its placement hint or request identity.
 #[test]
-fn a_stream_comes_whole_with_hint_and_request_id() {
+fn a_stream_is_complete_with_hint_and_request_id() {
     let fleet = TestFleet::start(GatewaySettings::default());
     let chat = chat_body(true);
     let response = fleet.chat(&chat, "");
@@ -62,12 +64,11 @@
     fleet.stop();
 }
 
+/// Guards against wrong responses under load while endpoints die, stall, truncate, swap and delay
+/// responses and refuse connections, each for a few requests. Bookings may end as unknown, but none
+/// runs twice or runs though refused as not run, and no client gets a partial or foreign response.
 #[test]
-fn no_answer_is_wrong_while_endpoints_fail_in_every_way() {
-    // Endpoints die, stall, cut, cross and delay responses, and refuse connections, each for a few
-    // requests at a time, while chats and bookings go on. Some bookings end as unknown; but none
-    // runs twice, none that is refused as not run ran, and no client gets a part of a response or
-    // another's.
+fn no_response_is_wrong_while_endpoints_fail_in_every_way() {
     let fleet = TestFleet::start(GatewaySettings {
         stream_idle_timeout: Duration::from_secs(1),
         ..GatewaySettings::default()
@@ -106,7 +107,7 @@
     );
 }
 
-/// A fault for a few requests; another one each time.
+/// Returns a fault for three requests; each round selects the next kind.
 fn nth_fault(round: usize) -> FaultPlan {
     let place = Some(round as u32 % 24);
     let mut plan = FaultPlan {
@@ -127,10 +128,10 @@
     plan
 }
 
+/// Guards against a chat lost on a pooled connection: the process of an engine restarts between two
+/// chats, and the node still holds a connection to the old process.
 #[test]
-fn a_kept_connection_that_its_engine_closed_costs_nothing() {
-    // An engine's process restarts between two chats. The node still holds a connection to the old
-    // process, on which the next chat would be lost.
+fn a_pooled_connection_closed_by_its_engine_fails_no_request() {
     let fleet = TestFleet::start(GatewaySettings::default());
     let chat = chat_body(true);
     assert!(is_own_response(&fleet.chat(&chat, ""), &chat));
--- a/crates/ragwortroad_transport/examples/message_cost.rs
+++ b/crates/ragwortroad_transport/examples/message_cost.rs
@@ -1,8 +1,8 @@
-//! What a small message costs below itself: QUIC's headers, acknowledgements and handshake.
+//! Measures the overhead of a small message: QUIC headers, acknowledgements and handshake.
 //!
-//! Two transports on loopback send each other messages one a second and less often, as gossip
-//! does. Prints bytes on the wire for each message, with 28 bytes of IPv4 and UDP headers a
-//! datagram, beside the message's own.
+//! Two transports on loopback send each other messages at a low rate, one per second or less, as
+//! gossip does. Prints the bytes on the wire per message beyond its payload, counting 28 bytes of
+//! IPv4 and UDP headers per datagram.
 //!
 //! ```text
 //! cargo run --release -p ragwortroad_transport --example message_cost
@@ -16,11 +16,11 @@
 
 use ragwortroad_transport::prelude::*;
 
-/// IPv4 and UDP headers.
+/// Bytes of the IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: u64 = 28;
-/// Messages each way in one measurement.
+/// Messages sent in each direction per measurement.
 const MESSAGES_EACH_WAY: u64 = 40;
-/// Time between two messages one way.
+/// Time between two messages in one direction.
 const MESSAGE_INTERVAL: Duration = Duration::from_millis(250);
 
 fn wire_bytes(transport: &PeerTransport) -> u64 {
--- a/crates/ragwortroad_transport/tests/loopback.rs
+++ b/crates/ragwortroad_transport/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Transports of several nodes talk over loopback.
+//! Transports of several nodes exchange messages over loopback.
 
 use std::{
     net::{
@@ -24,7 +24,7 @@
 use ragwortroad_transport::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// Generous: only a hang reaches it.
+/// Time limit of a wait; only a hang reaches it.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 fn start_at(
@@ -35,7 +35,7 @@
     let settings = TransportSettings {
         listen,
         keys: files.peer_keys(name).expect("keys of the node"),
-        // Longer than any test: nothing may come about by idling.
+        // Longer than any test, so that no result depends on an idle timeout.
         idle_timeout: Duration::from_secs(600),
         max_message_bytes: 1 << 20,
         queue_capacity: 16,
@@ -63,7 +63,10 @@
 fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < WAIT_LIMIT, "never came: {what}");
+        assert!(
+            start.elapsed() < WAIT_LIMIT,
+            "timed out waiting until {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -72,8 +75,10 @@
     NodeId::from_name(name)
 }
 
+/// Guards against messages that are truncated, changed, sent on the wrong channel or sent over a
+/// second connection.
 #[test]
-fn messages_arrive_whole_on_every_channel_over_one_connection() {
+fn messages_arrive_complete_on_every_channel_over_one_connection() {
     let files = make_keys("fleet", &["a", "b"]).unwrap();
     let ((a, a_events), (b, b_events)) = (start(&files, "a"), start(&files, "b"));
     assert_eq!(a.node(), id("a"));
@@ -97,7 +102,7 @@
                 message.bytes == bytes,
                 "{channel:?} of {length} bytes was changed"
             );
-            // The answer goes back over the connection the other side made.
+            // The reply uses the connection that the other side opened.
             b.send(a.local_address(), id("a"), channel, bytes.clone());
             assert!(next_message(&a_events).bytes == bytes);
         }
@@ -108,9 +113,9 @@
     b.shutdown();
 }
 
-/// Guards against messages to or from peers with other keys.
+/// Guards against messages to or from peers whose certificate is from another authority.
 #[test]
-fn a_peer_of_another_authority_gets_nothing() {
+fn a_peer_of_another_authority_is_rejected() {
     let files = make_keys("fleet", &["a", "b"]).unwrap();
     let foreign = make_keys("fleet", &["a", "b"]).unwrap();
     let (a, a_events) = start(&files, "a");
@@ -132,7 +137,8 @@
         let event = events.recv_timeout(WAIT_LIMIT).unwrap();
         assert!(matches!(event, PeerEvent::PeerLost { .. }), "{event:?}");
     }
-    // The first sound message a hears is b's, so the stranger's was never taken.
+    // The first message that node a receives is from node b, so the one from the foreign peer was
+    // rejected.
     b.send(
         a.local_address(),
         id("a"),
@@ -149,9 +155,10 @@
     }
 }
 
-/// Guards against messages that reach the next holder of an address.
+/// Guards against delivery to the wrong node after an address changed hands: the process at the
+/// address belongs to a node other than the expected one.
 #[test]
-fn a_message_for_one_node_is_not_given_to_another() {
+fn a_message_for_one_node_is_not_delivered_to_another() {
     let files = make_keys("fleet", &["a", "b"]).unwrap();
     let ((a, a_events), (b, b_events)) = (start(&files, "a"), start(&files, "b"));
     a.send(
@@ -173,6 +180,7 @@
     b.shutdown();
 }
 
+/// Guards against messages above the size limit of the sender, or of a receiver with a lower limit.
 #[test]
 fn an_oversized_message_is_refused_by_sender_and_receiver() {
     let files = make_keys("fleet", &["a", "b"]).unwrap();
@@ -195,11 +203,11 @@
     b.shutdown();
 }
 
-/// Stands between two transports and passes datagrams on, so that a process behind it can be
-/// replaced without a word of goodbye reaching its peer.
+/// Forwards datagrams between two transports, so that the process behind it can be replaced without
+/// its peer being notified of the close.
 struct DatagramRelay {
     address: SocketAddr,
-    /// Where datagrams from the peer go; nowhere while the process is gone.
+    /// Target for datagrams from the peer; `None` while the process is down.
     target: Arc<Mutex<Option<SocketAddr>>>,
     stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
@@ -258,9 +266,10 @@
     }
 }
 
-/// Guards against a peer that stays unreachable until an idle timeout.
+/// Guards against a peer that stays unreachable until an idle timeout: its process is replaced
+/// without closing its connections.
 #[test]
-fn a_killed_peer_is_reached_again_without_an_idle_timeout() {
+fn a_restarted_peer_is_reachable_before_an_idle_timeout() {
     let files = make_keys("fleet", &["a", "b"]).unwrap();
     let (a, _a_events) = start(&files, "a");
     let (b, b_events) = start(&files, "b");
@@ -281,7 +290,7 @@
     let (b, b_events) = start(&files, "b");
     relay.set_target(Some(b.local_address()));
     let started_at = Instant::now();
-    wait_for("a message after the restart", || {
+    wait_for("a message arrives after the restart", || {
         send();
         b_events.recv_timeout(Duration::from_millis(50)).is_ok()
     });
@@ -291,7 +300,7 @@
     relay.join();
 }
 
-/// Guards against a silent peer that blocks its sender.
+/// Guards against an unresponsive peer that blocks its sender or delays messages to others.
 #[test]
 fn a_silent_peer_neither_blocks_the_sender_nor_delays_others() {
     let files = make_keys("fleet", &["a", "b", "gone"]).unwrap();
@@ -305,10 +314,10 @@
             outcome => assert_eq!(outcome, SendOutcome::Queued),
         }
     }
-    // One may be in the writer's hands beside the sixteen in the queue.
+    // The writer may hold one message besides the sixteen in the queue.
     assert!(
         queue_full_count >= 100 - 17,
-        "the queue took too much: {queue_full_count} refused"
+        "the queue accepted too many messages: {queue_full_count} refused"
     );
     a.send(
         b.local_address(),
@@ -322,6 +331,8 @@
     b.shutdown();
 }
 
+/// Guards against replaced key files, readable private keys, invalid node names, and later nodes
+/// that cannot join the fleet.
 #[test]
 fn keys_are_written_once_and_later_nodes_join_the_same_fleet() {
     use std::os::unix::fs::PermissionsExt;
@@ -364,9 +375,10 @@
     }
 }
 
-/// Guards against peers that never get through a rush of handshakes.
+/// Guards against peers that never connect while more peers dial at once than handshakes are
+/// allowed.
 #[test]
-fn more_callers_than_handshakes_allowed_all_get_through() {
+fn more_peers_than_allowed_handshakes_all_connect() {
     let names: Vec<String> = (0..12).map(|index| format!("n{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let files = make_keys("fleet", &names).unwrap();
@@ -376,11 +388,11 @@
         ..TransportSettings::default()
     };
     let (seed, seed_events) = PeerTransport::start(settings).unwrap();
-    let clients: Vec<_> = names[1..].iter().map(|name| start(&files, name)).collect();
+    let peers: Vec<_> = names[1..].iter().map(|name| start(&files, name)).collect();
     let mut received = std::collections::BTreeSet::new();
-    wait_for("all callers heard", || {
-        for (client, _) in &clients {
-            client.send(
+    wait_for("the messages of all peers arrived", || {
+        for (peer, _) in &peers {
+            peer.send(
                 seed.local_address(),
                 id("n0"),
                 PeerChannel::Slots,
@@ -392,10 +404,10 @@
                 received.insert(message.from);
             }
         }
-        received.len() == clients.len()
+        received.len() == peers.len()
     });
-    for (client, _events) in clients {
-        client.shutdown();
+    for (peer, _events) in peers {
+        peer.shutdown();
     }
     seed.shutdown();
 }
