--- a/crates/ragwortroad_gateway/examples/added_latency.rs
+++ b/crates/ragwortroad_gateway/examples/added_latency.rs
@@ -349,12 +349,12 @@
 
 fn measure_idle(node: SocketAddr, pid: u32) -> Result<(), AnyError> {
     let before = process_usage(pid)?;
-    let mut held_connections = Vec::new();
+    let mut idle_connections = Vec::new();
     for _ in 0..IDLE_CONNECTIONS {
         let mut stream = std::net::TcpStream::connect(node)?;
         std::io::Write::write_all(&mut stream, b"GET /healthz HTTP/1.1\r\nhost: n\r\n\r\n")?;
         stream.read_exact(&mut [0; 12])?;
-        held_connections.push(stream);
+        idle_connections.push(stream);
     }
     let after = process_usage(pid)?;
     println!(
--- a/crates/ragwortroad_gateway/src/attempt_guard.rs
+++ b/crates/ragwortroad_gateway/src/attempt_guard.rs
@@ -93,7 +93,10 @@
             duration,
         };
         if self.state.calls.send(ControlCall::Finish(finish)).is_err() {
-            tracing::error!(request = %self.request, "control thread has ended; attempt outcome not reported");
+            tracing::error!(
+                request = %self.request,
+                "control thread has ended; attempt outcome not reported"
+            );
         }
         if abandoned && self.sent && self.supports_cancel {
             self.request_cancel();
@@ -107,7 +110,10 @@
             attempt: self.attempt,
         };
         if self.state.cancels.send(request).is_err() {
-            tracing::debug!(request = %self.request, "cancellation dropped; the cancel worker has ended");
+            tracing::debug!(
+                request = %self.request,
+                "cancellation dropped; the cancel worker has ended"
+            );
         }
     }
 }
--- a/crates/ragwortroad_gateway/src/body_reader.rs
+++ b/crates/ragwortroad_gateway/src/body_reader.rs
@@ -33,16 +33,16 @@
     reservation: &mut BodyReservation,
 ) -> Result<Bytes, RefusalWire> {
     let settings = &state.settings;
-    let time = settings.body_timeout.min(context.time_left());
+    let time_limit = settings.body_timeout.min(context.time_left());
     let read = read_frames(context, &mut body, settings.max_body_bytes, reservation);
-    match timeout(time, read).await {
+    match timeout(time_limit, read).await {
         Ok(Err(refusal)) => {
             discard_body(body).await;
             Err(refusal)
         }
         Ok(read) => read,
         Err(_) => {
-            let message = format!("the body did not come within {} ms", time.as_millis());
+            let message = format!("the body did not come within {} ms", time_limit.as_millis());
             Err(context.not_run(RefusalCode::DeadlinePassed, message))
         }
     }
@@ -74,7 +74,7 @@
     limit: usize,
     reservation: &mut BodyReservation,
 ) -> Result<Bytes, RefusalWire> {
-    let mut complete = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| {
             let message = format!("the body could not be read: {error}");
@@ -83,7 +83,7 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if complete.len() + data.len() > limit {
+        if buffer.len() + data.len() > limit {
             let message = format!("the body is longer than {limit} bytes");
             return Err(context.not_run(RefusalCode::TooLarge, message));
         }
@@ -93,7 +93,7 @@
             refusal.error.retry_after_ms = Some(BUDGET_RETRY_AFTER_MS);
             return Err(refusal);
         }
-        complete.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    Ok(complete.freeze())
+    Ok(buffer.freeze())
 }
--- a/crates/ragwortroad_gateway/src/cancel_worker.rs
+++ b/crates/ragwortroad_gateway/src/cancel_worker.rs
@@ -81,5 +81,10 @@
         Ok(mut link) => link.send(request).await.is_ok(),
         Err(_) => false,
     };
-    tracing::debug!(request = %cancel.request, address = %cancel.address, sent = is_sent, "cancellation finished");
+    tracing::debug!(
+        request = %cancel.request,
+        address = %cancel.address,
+        sent = is_sent,
+        "cancellation finished"
+    );
 }
--- a/crates/ragwortroad_gateway/src/client_socket.rs
+++ b/crates/ragwortroad_gateway/src/client_socket.rs
@@ -231,11 +231,11 @@
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let socket = self.get_mut();
-        let note_flush = Pin::new(&mut socket.stream).poll_flush(context);
-        if note_flush.is_ready() {
+        let flushed = Pin::new(&mut socket.stream).poll_flush(context);
+        if flushed.is_ready() {
             socket.phase.note_flush();
         }
-        note_flush
+        flushed
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/ragwortroad_gateway/src/connection_loop.rs
+++ b/crates/ragwortroad_gateway/src/connection_loop.rs
@@ -66,8 +66,8 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, peer)) if counts.try_add(peer.ip(), &state.settings) => {
-                    let connection = serve_client(Arc::clone(&state), stream, stop_receiver.clone());
-                    client_addresses.insert(connections.spawn(connection).id(), peer.ip());
+                    let task = serve_client(Arc::clone(&state), stream, stop_receiver.clone());
+                    client_addresses.insert(connections.spawn(task).id(), peer.ip());
                 }
                 Ok((stream, _)) => {
                     metrics::counter!("ragwortroad_connections_refused_total").increment(1);
--- a/crates/ragwortroad_gateway/src/gateway_state.rs
+++ b/crates/ragwortroad_gateway/src/gateway_state.rs
@@ -102,11 +102,11 @@
     /// Waits until no request is in flight.
     pub(crate) async fn wait_until_idle(&self) {
         loop {
-            let idle_notify = self.idle_notify.notified();
+            let notified = self.idle_notify.notified();
             if self.in_flight() == 0 {
                 return;
             }
-            idle_notify.await;
+            notified.await;
         }
     }
 }
--- a/crates/ragwortroad_gateway/src/page_handlers.rs
+++ b/crates/ragwortroad_gateway/src/page_handlers.rs
@@ -50,10 +50,10 @@
         chat: query_value(query, "chat").or_else(|| context.chat.clone()),
         hint: query_value(query, "hint").or_else(|| context.hint.clone()),
     };
-    let response = call_control(state, context, |sender| {
+    let pending_reply = call_control(state, context, |sender| {
         ControlCall::Addresses(call, sender)
     });
-    Ok(json_response(200, &response.await??))
+    Ok(json_response(200, &pending_reply.await??))
 }
 
 pub(crate) async fn handle_announce(
@@ -68,8 +68,8 @@
         secret_hash,
         announce,
     };
-    let response = call_control(state, context, |sender| ControlCall::Announce(call, sender));
-    Ok(json_response(200, &response.await??))
+    let pending_reply = call_control(state, context, |sender| ControlCall::Announce(call, sender));
+    Ok(json_response(200, &pending_reply.await??))
 }
 
 pub(crate) async fn handle_operator(
@@ -86,13 +86,9 @@
         may_change: body.may_change,
         change_id: body.change_id,
     };
-    let response = call_control(state, context, |sender| ControlCall::Operator(call, sender));
-    let answer = response.await?;
-    Ok(text_response(
-        answer.status,
-        "application/json",
-        answer.body,
-    ))
+    let pending_reply = call_control(state, context, |sender| ControlCall::Operator(call, sender));
+    let reply = pending_reply.await?;
+    Ok(text_response(reply.status, "application/json", reply.body))
 }
 
 pub(crate) fn handle_timeline(
--- a/crates/ragwortroad_gateway/src/request_flow.rs
+++ b/crates/ragwortroad_gateway/src/request_flow.rs
@@ -79,13 +79,13 @@
             let span = tracing::Span::current();
             span.record("customer", grant.customer.as_str());
             span.record("endpoint", tracing::field::display(grant.endpoint));
-            let cancels = matches!(self.call.target, crate::RequestTarget::Model { .. });
+            let supports_cancel = matches!(self.call.target, crate::RequestTarget::Model { .. });
             let guard = AttemptGuard::new(
                 Arc::clone(&self.state),
                 &grant,
                 &self.context,
                 self.attempts,
-                cancels,
+                supports_cancel,
             );
             if let Some(link) = self.take_pooled_link(&grant) {
                 return Ok(OpenAttempt { grant, guard, link });
@@ -94,7 +94,11 @@
             match EndpointLink::connect(grant.address, limit).await {
                 Ok(link) => return Ok(OpenAttempt { grant, guard, link }),
                 Err(error) => {
-                    tracing::info!(endpoint = %grant.endpoint, %error, "failed to connect to the endpoint");
+                    tracing::info!(
+                        endpoint = %grant.endpoint,
+                        %error,
+                        "failed to connect to the endpoint"
+                    );
                     guard.finish(AttemptOutcome::NotSent);
                     self.exclude(&grant);
                 }
@@ -143,7 +147,11 @@
         guard: AttemptGuard,
         reason: &str,
     ) -> Result<(), FlowEnd> {
-        tracing::warn!(endpoint = %grant.endpoint, why = reason, "attempt failed with an invalid or incomplete response");
+        tracing::warn!(
+            endpoint = %grant.endpoint,
+            why = reason,
+            "attempt failed with an invalid or incomplete response"
+        );
         guard.finish(AttemptOutcome::Broken);
         self.exclude(grant);
         match self.call.idempotent {
--- a/crates/ragwortroad_gateway/src/request_router.rs
+++ b/crates/ragwortroad_gateway/src/request_router.rs
@@ -187,11 +187,11 @@
         chat: context.chat.clone(),
         hint: context.hint.clone(),
     };
-    let answer = call_control(state, context, |sender| {
+    let reply = call_control(state, context, |sender| {
         crate::ControlCall::Addresses(call, sender)
     });
-    let answer = answer.await??;
+    let reply = reply.await??;
     let mut refusal = context.not_run(RefusalCode::NodeDraining, "this node is shutting down");
-    refusal.error.addresses = answer.addresses;
+    refusal.error.addresses = reply.addresses;
     Err(refusal)
 }
--- a/crates/ragwortroad_gateway/src/service_relay.rs
+++ b/crates/ragwortroad_gateway/src/service_relay.rs
@@ -77,8 +77,8 @@
 
 impl ServiceCall {
     /// Parses the service and its path from `/v1/services/{service}/{path...}`.
-    pub(crate) fn new(parts: Parts, remaining: &str, body: Bytes) -> Self {
-        let (service, path) = remaining.split_once('/').unwrap_or((remaining, ""));
+    pub(crate) fn new(parts: Parts, service_path: &str, body: Bytes) -> Self {
+        let (service, path) = service_path.split_once('/').unwrap_or((service_path, ""));
         let path = match parts.uri.query() {
             Some(query) => format!("/{path}?{query}"),
             None => format!("/{path}"),
--- a/crates/ragwortroad_gateway/src/stream_relay.rs
+++ b/crates/ragwortroad_gateway/src/stream_relay.rs
@@ -44,7 +44,7 @@
 
 /// Capacity of the channel between the relay and the connection, in events. The relay runs only
 /// while the connection accepts bytes, so a client that reads slowly delays only its own stream.
-const EVENT_BUFFER: usize = 16;
+const EVENT_QUEUE_CAPACITY: usize = 16;
 
 /// Time after the final event within which the body must end for the connection to be reused.
 const BODY_END_TIMEOUT: Duration = Duration::from_millis(20);
@@ -64,7 +64,7 @@
     body: Bytes,
     accepted: AcceptedResponse,
 ) -> Response<ResponseBody> {
-    let (events, receiver) = mpsc::channel(EVENT_BUFFER);
+    let (events, receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let grant = accepted.attempt.grant.clone();
     let must_echo = flow.state.settings.require_request_id_echo;
     let expected_id = expected_completion_id(flow.context.request, must_echo);
@@ -87,8 +87,8 @@
 impl StreamRelay {
     async fn run(mut self, accepted: AcceptedResponse) {
         let deadline = self.flow.context.deadline;
-        let body_ended = timeout_at(deadline, self.relay(accepted)).await;
-        let refusal = match body_ended {
+        let result = timeout_at(deadline, self.relay(accepted)).await;
+        let refusal = match result {
             Ok(Ok(())) => return,
             Ok(Err(refusal)) => refusal,
             Err(_) => self.flow.deadline_refusal(),
@@ -120,11 +120,11 @@
                 Err(reason) => reason,
             };
             drop(link);
-            let fail_attempt = self.flow.fail_attempt(&grant, guard, &reason);
+            let retry_result = self.flow.fail_attempt(&grant, guard, &reason);
             if !self.cursor.can_resume() {
                 return Err(self.incomplete_refusal(&reason));
             }
-            fail_attempt.map_err(|end| self.into_refusal(end))?;
+            retry_result.map_err(|end| self.refusal_for(end))?;
             accepted = self.reopen().await?;
         }
     }
@@ -139,7 +139,7 @@
             Ok(EngineResponse::Refusal(_)) => {
                 Err(self.incomplete_refusal("the next engine refused to go on"))
             }
-            Err(end) => Err(self.into_refusal(end)),
+            Err(end) => Err(self.refusal_for(end)),
         }
     }
 
@@ -185,7 +185,7 @@
         self.flow.context.unknown(RefusalCode::BrokenAnswer, reason)
     }
 
-    fn into_refusal(&self, end: FlowEnd) -> RefusalWire {
+    fn refusal_for(&self, end: FlowEnd) -> RefusalWire {
         match end {
             FlowEnd::Refused(refusal) => *refusal,
             FlowEnd::Recorded(_) => self.incomplete_refusal("a record exists in place of a stream"),
--- a/crates/ragwortroad_gateway/tests/library_evidence.rs
+++ b/crates/ragwortroad_gateway/tests/library_evidence.rs
@@ -211,12 +211,12 @@
 #[test]
 fn tiny_http_delays_tokens() {
     let (server, address) = tiny_server();
-    let (release, held_connections) = flume::bounded(1);
+    let (release, release_receiver) = flume::bounded(1);
     let sender = thread::spawn(move || {
         let request = server.recv().unwrap();
         let body = HeldToken {
             token: b"token-0",
-            release: held_connections,
+            release: release_receiver,
         };
         let response = Response::new(StatusCode(200), Vec::new(), body, None, None);
         request.respond(response).unwrap();
--- a/crates/ragwortroad_transport/examples/message_cost.rs
+++ b/crates/ragwortroad_transport/examples/message_cost.rs
@@ -1,8 +1,8 @@
 //! Measures the overhead of a small message: QUIC headers, acknowledgements and handshake.
 //!
 //! Two transports on loopback send each other messages at a low rate, one per second or less, as
-//! gossip does. Prints the bytes on the wire per message beyond its payload, counting 28 bytes of
-//! IPv4 and UDP headers per datagram.
+//! gossip does. Prints the bytes on the wire per message, counting 28 bytes of IPv4 and UDP
+//! headers per datagram, and how many of them are overhead.
 //!
 //! ```text
 //! cargo run --release -p ragwortroad_transport --example message_cost
@@ -69,7 +69,7 @@
         let bytes_each = (total_wire_bytes() - before) as f64 / (2 * MESSAGES_EACH_WAY) as f64;
         let overhead = bytes_each - length as f64;
         println!(
-            "{name} of {length} bytes: {bytes_each:.1} bytes each, {overhead:.1} of them beside it"
+            "{name} of {length} bytes: {bytes_each:.1} bytes each, {overhead:.1} of them overhead"
         );
     }
     a.shutdown();
--- a/crates/ragwortroad_transport/src/connection_reader.rs
+++ b/crates/ragwortroad_transport/src/connection_reader.rs
@@ -93,8 +93,8 @@
 
     /// Reads one message from its stream.
     ///
-    /// A stream that was reset or stalled yields nothing: its owner could mistake a partial message
-    /// for a complete one.
+    /// A stream that was reset or stalled yields nothing, because the receiver could mistake a
+    /// partial message for a complete one.
     fn read_stream(&self, mut stream: RecvStream) -> impl Future<Output = ()> + Send + 'static {
         let (peer, events, table) = (self.peer, self.events.clone(), self.table.clone());
         let (max_frame_bytes, limit) = (self.max_frame_bytes, self.message_timeout);
@@ -111,7 +111,11 @@
                     }
                 }
                 Ok(Err(ReadToEndError::TooLong)) => {
-                    tracing::warn!(%peer, max_frame = max_frame_bytes, "rejected a message above the size limit");
+                    tracing::warn!(
+                        %peer,
+                        max_frame = max_frame_bytes,
+                        "rejected a message above the size limit"
+                    );
                     increment(&table.messages_too_large);
                 }
                 Ok(Err(error)) => tracing::debug!(%peer, %error, "message stream ended early"),
