--- a/crates/ragwortroad_gateway/src/call/admit_reply.rs
+++ b/crates/ragwortroad_gateway/src/call/admit_reply.rs
@@ -48,6 +48,6 @@
     pub status: u16,
     /// The Content-Type header.
     pub content_type: String,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
--- a/crates/ragwortroad_gateway/src/gateway_state.rs
+++ b/crates/ragwortroad_gateway/src/gateway_state.rs
@@ -43,7 +43,7 @@
     pub(crate) budget: Arc<BodyBudget>,
     /// Invariant: never reset once true.
     draining: AtomicBool,
-    /// Invariant: the number of live [`InFlightGuard`]s.
+    /// Invariant: the number of live [`FlightGuard`]s.
     request_count: AtomicUsize,
     idle_notify: Notify,
     request_id_hasher: RandomState,
@@ -91,9 +91,9 @@
     }
 
     /// Counts a request as in flight until the guard is dropped.
-    pub(crate) fn begin_request(self: &Arc<Self>) -> InFlightGuard {
+    pub(crate) fn begin_request(self: &Arc<Self>) -> FlightGuard {
         self.request_count.fetch_add(1, Ordering::AcqRel);
-        InFlightGuard {
+        FlightGuard {
             state: Arc::clone(self),
             reservation: self.budget.new_reservation(),
         }
@@ -112,13 +112,13 @@
 }
 
 /// A request in flight, from its head to the last byte of its response.
-pub(crate) struct InFlightGuard {
+pub(crate) struct FlightGuard {
     state: Arc<GatewayState>,
     /// Memory reserved for the request body, which is kept for further attempts.
     pub(crate) reservation: BodyReservation,
 }
 
-impl Drop for InFlightGuard {
+impl Drop for FlightGuard {
     fn drop(&mut self) {
         if self.state.request_count.fetch_sub(1, Ordering::AcqRel) == 1 {
             self.state.idle_notify.notify_waiters();
--- a/crates/ragwortroad_gateway/src/request_router.rs
+++ b/crates/ragwortroad_gateway/src/request_router.rs
@@ -63,7 +63,7 @@
 ) -> Result<Response<ResponseBody>, Infallible> {
     phase.begin_response();
     let phase_guard = PhaseGuard(phase);
-    let mut in_flight_guard = state.begin_request();
+    let mut flight_guard = state.begin_request();
     let id = state.next_request_id();
     let context = RequestContext::new(id, request.headers(), &state.settings);
     let span = tracing::info_span!(
@@ -80,7 +80,7 @@
         Arc::clone(&state),
         context,
         request,
-        &mut in_flight_guard.reservation,
+        &mut flight_guard.reservation,
     );
     let mut client_response = match dispatched.instrument(span).await {
         Ok(client_response) => client_response,
@@ -98,7 +98,7 @@
     if state.is_draining() {
         set_header(&mut client_response, "connection", "close");
     }
-    Ok(client_response.map(|body| body.with_guards(in_flight_guard, phase_guard)))
+    Ok(client_response.map(|body| body.with_guards(flight_guard, phase_guard)))
 }
 
 fn count_refusal(refusal: &RefusalWire) {
--- a/crates/ragwortroad_gateway/src/response_body.rs
+++ b/crates/ragwortroad_gateway/src/response_body.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     exchange_phase::PhaseGuard,
-    gateway_state::InFlightGuard, //
+    gateway_state::FlightGuard, //
 };
 
 /// The future that produces the events of a stream.
@@ -31,7 +31,7 @@
 pub(crate) struct ResponseBody {
     source: BodySource,
     /// Keep the request counted as in flight until the connection has taken the last byte.
-    guards: Option<(InFlightGuard, PhaseGuard)>,
+    guards: Option<(FlightGuard, PhaseGuard)>,
 }
 
 /// Source of the bytes of a response body.
@@ -65,7 +65,7 @@
         }
     }
 
-    pub(crate) fn with_guards(mut self, in_flight: InFlightGuard, phase: PhaseGuard) -> Self {
+    pub(crate) fn with_guards(mut self, in_flight: FlightGuard, phase: PhaseGuard) -> Self {
         self.guards = Some((in_flight, phase));
         self
     }
