--- a/crates/ragwortroad_gateway/examples/added_latency.rs
+++ b/crates/ragwortroad_gateway/examples/added_latency.rs
@@ -1,10 +1,12 @@
-//! Measures what a node adds to a stream: time to the first token and between tokens, against the
-//! stand-in engine directly, in one run; and the node's threads and memory.
+//! Measures the latency that a node adds to a stream: time to the first token and between tokens,
+//! compared with direct requests to the stand-in engine in the same run, as well as the threads and
+//! memory of the node.
 //!
 //! `cargo run --release -p ragwortroad_gateway --example added_latency`
 //!
-//! The gateway runs in a second process, so that its threads, memory and processor time are its
-//! own. Direct and routed rounds take turns, so that a busy machine burdens both alike.
+//! The gateway runs in a second process, so that its threads, memory and CPU time are counted
+//! separately. Direct and routed rounds alternate, so that other load on the machine affects both
+//! equally.
 
 use std::{
     error::Error,
@@ -49,7 +51,7 @@
 const TOKEN_GAP: Duration = Duration::from_millis(20);
 const TOKENS: u32 = 30;
 
-/// Streams at once, and how many each caller makes in a row in one round.
+/// Concurrent streams, and the number of consecutive streams per client in one round.
 const LEVELS: [(usize, usize); 3] = [(1, 12), (64, 3), (512, 2)];
 const ROUNDS: usize = 4;
 const IDLE_CONNECTIONS: usize = 512;
@@ -62,10 +64,10 @@
     }
 }
 
-/// The second process: a gateway whose control thread grants the one engine always.
+/// Runs the second process: a gateway whose control thread always grants the one engine.
 fn serve_gateway(engine: SocketAddr) -> Result<(), AnyError> {
     let (calls, control) = flume::unbounded();
-    let granting = thread::spawn(move || grant_always(&control, engine));
+    let granting = thread::spawn(move || always_grant(&control, engine));
     let settings = GatewaySettings::default();
     let gateway = GatewayServer::start(settings, calls, GatewayPages::default())?;
     println!("{}", gateway.local_address());
@@ -75,7 +77,7 @@
     Ok(())
 }
 
-fn grant_always(calls: &flume::Receiver<ControlCall>, engine: SocketAddr) {
+fn always_grant(calls: &flume::Receiver<ControlCall>, engine: SocketAddr) {
     let mut ticket = 0;
     while let Ok(call) = calls.recv() {
         if let ControlCall::Admit(_, reply) = call {
@@ -89,10 +91,10 @@
                 priority: 1,
                 version: None,
                 customer: "studio-north".to_owned(),
-                record_answer: false,
+                record_response: false,
             };
             if reply.send(AdmitReply::Granted(grant)).is_err() {
-                eprintln!("a caller left before its grant");
+                eprintln!("client disconnected before its grant");
             }
         }
     }
@@ -118,18 +120,18 @@
     );
     for (streams, repeats) in LEVELS {
         let mut direct = StreamTimes::new()?;
-        let mut routed = StreamTimes::new()?;
-        let before = node_usage(pid)?;
+        let mut through_node = StreamTimes::new()?;
+        let before = process_usage(pid)?;
         let mut peak = before;
         for _ in 0..ROUNDS {
             direct.add(&run_round(&runtime, engine.address(), streams, repeats)?)?;
-            let watched = watch_usage(pid);
-            routed.add(&run_round(&runtime, node, streams, repeats)?)?;
+            let watched = start_usage_sampler(pid);
+            through_node.add(&run_round(&runtime, node, streams, repeats)?)?;
             peak = peak.highest(watched.stop()?);
         }
-        print_level(streams, &direct, &routed);
-        let after = node_usage(pid)?;
-        let tokens = routed.gap.len() + routed.first.len();
+        print_level(streams, &direct, &through_node);
+        let after = process_usage(pid)?;
+        let tokens = through_node.gap.len() + through_node.first.len();
         println!(
             "         node: {} threads, {} KiB before, {} KiB at most, {:.1} us of processor a token",
             peak.threads,
@@ -156,7 +158,7 @@
     Ok((child, line.trim().parse()?))
 }
 
-/// Times of many streams, in microseconds.
+/// Latencies of many streams, in microseconds.
 struct StreamTimes {
     first: Histogram<u64>,
     gap: Histogram<u64>,
@@ -177,10 +179,10 @@
     }
 }
 
-fn print_level(streams: usize, direct: &StreamTimes, routed: &StreamTimes) {
-    let columns = |direct: &Histogram<u64>, routed: &Histogram<u64>| {
-        let [d50, r50] = [direct, routed].map(|times| times.value_at_quantile(0.5) as i64);
-        let [d99, r99] = [direct, routed].map(|times| times.value_at_quantile(0.99) as i64);
+fn print_level(streams: usize, direct: &StreamTimes, through_node: &StreamTimes) {
+    let columns = |direct: &Histogram<u64>, through_node: &Histogram<u64>| {
+        let [d50, r50] = [direct, through_node].map(|times| times.value_at_quantile(0.5) as i64);
+        let [d99, r99] = [direct, through_node].map(|times| times.value_at_quantile(0.99) as i64);
         format!(
             "{d50:>6} {d99:>6} {r50:>6} {r99:>6} {:>5} {:>5}",
             r50 - d50,
@@ -189,9 +191,9 @@
     };
     println!(
         "{streams:>7} {:>7}  {}  {}",
-        routed.gap.len() + routed.first.len(),
-        columns(&direct.first, &routed.first),
-        columns(&direct.gap, &routed.gap)
+        through_node.gap.len() + through_node.first.len(),
+        columns(&direct.first, &through_node.first),
+        columns(&direct.gap, &through_node.gap)
     );
 }
 
@@ -202,11 +204,11 @@
     repeats: usize,
 ) -> Result<StreamTimes, AnyError> {
     runtime.block_on(async {
-        let mut callers = JoinSet::new();
+        let mut clients = JoinSet::new();
         for place in 0..streams {
-            callers.spawn(async move {
-                // Callers begin spread over one stream's time: so many streams at once do not begin
-                // together outside a test.
+            clients.spawn(async move {
+                // Client starts are spread over the duration of one stream, because in production
+                // that many streams do not start together.
                 tokio::time::sleep(TOKEN_GAP * TOKENS * place as u32 / streams as u32).await;
                 let mut times = StreamTimes::new()?;
                 for _ in 0..repeats {
@@ -216,23 +218,23 @@
             });
         }
         let mut all = StreamTimes::new()?;
-        while let Some(caller) = callers.join_next().await {
-            all.add(&caller??)?;
+        while let Some(client) = clients.join_next().await {
+            all.add(&client??)?;
         }
         Ok(all)
     })
 }
 
-/// Opens a connection, asks for a stream, and times its tokens.
+/// Opens a connection, requests a stream, and times its tokens.
 async fn read_stream(address: SocketAddr, times: &mut StreamTimes) -> Result<(), AnyError> {
-    let begun = Instant::now();
+    let start = Instant::now();
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let driver = tokio::spawn(connection);
-    let answer = sender.send_request(chat_request(address)?).await?;
-    let mut body = answer.into_body();
+    let response = sender.send_request(chat_request(address)?).await?;
+    let mut body = response.into_body();
     let mut last = None;
     let mut count = 0;
     while let Some(frame) = body.frame().await {
@@ -243,7 +245,7 @@
         for _ in 0..count_tokens(&data) {
             count += 1;
             match last.replace(now) {
-                None => times.first.record((now - begun).as_micros() as u64)?,
+                None => times.first.record((now - start).as_micros() as u64)?,
                 Some(last) => times.gap.record((now - last).as_micros() as u64)?,
             }
         }
@@ -279,13 +281,13 @@
     Ok(request)
 }
 
-/// What the node's process uses.
+/// Resource usage of the node process.
 #[derive(Clone, Copy)]
 struct NodeUsage {
     threads: u64,
     /// Resident memory in KiB.
     memory: u64,
-    /// Seconds of processor time.
+    /// CPU time in seconds.
     processor: f64,
 }
 
@@ -299,7 +301,7 @@
     }
 }
 
-fn node_usage(pid: u32) -> Result<NodeUsage, AnyError> {
+fn process_usage(pid: u32) -> Result<NodeUsage, AnyError> {
     let status = fs::read_to_string(format!("/proc/{pid}/status"))?;
     let field = |name: &str| {
         let line = status.lines().find_map(|line| line.strip_prefix(name));
@@ -313,48 +315,48 @@
     Ok(NodeUsage {
         threads: field("Threads:"),
         memory: field("VmRSS:"),
-        // Linux gives these times in hundredths of a second.
+        // Linux reports these times in hundredths of a second.
         processor: processor / 100.0,
     })
 }
 
-/// Looks at the node's usage all the time until it is stopped.
-struct UsageWatch {
+/// Samples the resource usage of the node until stopped, and keeps the peak.
+struct UsageSampler {
     stop: flume::Sender<()>,
     thread: thread::JoinHandle<Result<NodeUsage, AnyError>>,
 }
 
-fn watch_usage(pid: u32) -> UsageWatch {
+fn start_usage_sampler(pid: u32) -> UsageSampler {
     let (stop, stopped) = flume::bounded::<()>(1);
     let thread = thread::spawn(move || {
-        let mut peak = node_usage(pid)?;
+        let mut peak = process_usage(pid)?;
         while stopped.recv_timeout(Duration::from_millis(20))
             == Err(flume::RecvTimeoutError::Timeout)
         {
-            peak = peak.highest(node_usage(pid)?);
+            peak = peak.highest(process_usage(pid)?);
         }
         Ok(peak)
     });
-    UsageWatch { stop, thread }
+    UsageSampler { stop, thread }
 }
 
-impl UsageWatch {
+impl UsageSampler {
     fn stop(self) -> Result<NodeUsage, AnyError> {
         drop(self.stop);
-        self.thread.join().map_err(|_| "the watch panicked")?
+        self.thread.join().map_err(|_| "the sampler panicked")?
     }
 }
 
 fn measure_idle(node: SocketAddr, pid: u32) -> Result<(), AnyError> {
-    let before = node_usage(pid)?;
-    let mut held = Vec::new();
+    let before = process_usage(pid)?;
+    let mut idle_connections = Vec::new();
     for _ in 0..IDLE_CONNECTIONS {
         let mut stream = std::net::TcpStream::connect(node)?;
         std::io::Write::write_all(&mut stream, b"GET /healthz HTTP/1.1\r\nhost: n\r\n\r\n")?;
         stream.read_exact(&mut [0; 12])?;
-        held.push(stream);
+        idle_connections.push(stream);
     }
-    let after = node_usage(pid)?;
+    let after = process_usage(pid)?;
     println!(
         "{IDLE_CONNECTIONS} idle connections: {} threads, {} KiB before, {} KiB with them",
         after.threads, before.memory, after.memory
--- a/crates/ragwortroad_gateway/src/connection_count.rs
+++ b/crates/ragwortroad_gateway/src/connection_count.rs
@@ -5,37 +5,39 @@
 
 use crate::GatewaySettings;
 
-/// How many connections callers have open, in all and from each IP number.
+/// Counts the open client connections, in total and per IP address.
 ///
-/// With the limit over all alone, one caller that opens connections and leaves them idle shuts
-/// everybody else out.
+/// With a total limit alone, one client that opens connections and leaves them idle would lock out
+/// all others.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionCount {
     /// Invariant: no value is zero.
-    by_address: HashMap<IpAddr, usize>,
-    /// Invariant: the sum of the values.
+    count_by_address: HashMap<IpAddr, usize>,
+    /// Invariant: the sum of the values of `count_by_address`.
     total: usize,
 }
 
 impl ConnectionCount {
-    /// Counts a connection in; false, and nothing counted, where there is no room for it.
-    pub(crate) fn enter(&mut self, address: IpAddr, settings: &GatewaySettings) -> bool {
-        let own = self.by_address.get(&address).copied().unwrap_or(0);
-        if self.total >= settings.max_connections || own >= settings.max_per_address {
+    /// Adds a connection; returns false, and counts nothing, if a limit is reached.
+    pub(crate) fn try_add(&mut self, address: IpAddr, settings: &GatewaySettings) -> bool {
+        let address_count = self.count_by_address.get(&address).copied().unwrap_or(0);
+        if self.total >= settings.max_connections
+            || address_count >= settings.max_connections_per_address
+        {
             return false;
         }
-        self.by_address.insert(address, own + 1);
+        self.count_by_address.insert(address, address_count + 1);
         self.total += 1;
         true
     }
 
-    /// Counts a connection out.
-    pub(crate) fn leave(&mut self, address: IpAddr) {
-        if let Some(own) = self.by_address.get_mut(&address) {
-            *own -= 1;
+    /// Removes a closed connection.
+    pub(crate) fn remove(&mut self, address: IpAddr) {
+        if let Some(address_count) = self.count_by_address.get_mut(&address) {
+            *address_count -= 1;
             self.total -= 1;
-            if *own == 0 {
-                self.by_address.remove(&address);
+            if *address_count == 0 {
+                self.count_by_address.remove(&address);
             }
         }
     }
--- a/crates/ragwortroad_gateway/src/control_ask.rs
+++ b/crates/ragwortroad_gateway/src/control_client.rs
@@ -8,18 +8,19 @@
     request_context::RequestContext, //
 };
 
-/// Sends a call that takes nothing from the control thread, and awaits its reply.
-pub(crate) async fn ask_control<Reply>(
+/// Sends a call that reserves no resources at the control thread, and awaits its reply. Returns a
+/// refusal if the control thread has ended or the deadline passes.
+pub(crate) async fn call_control<Reply>(
     state: &GatewayState,
     context: &RequestContext,
-    make: impl FnOnce(Sender<Reply>) -> ControlCall,
+    make_call: impl FnOnce(Sender<Reply>) -> ControlCall,
 ) -> Result<Reply, RefusalWire> {
     let (sender, replies) = flume::bounded(1);
-    let asked = async {
-        state.calls.send_async(make(sender)).await.ok()?;
+    let exchange = async {
+        state.calls.send_async(make_call(sender)).await.ok()?;
         replies.recv_async().await.ok()
     };
-    match timeout_at(context.deadline, asked).await {
+    match timeout_at(context.deadline, exchange).await {
         Ok(Some(reply)) => Ok(reply),
         Ok(None) => {
             let message = "the node's control thread has ended";
--- a/crates/ragwortroad_gateway/src/engine_request.rs
+++ b/crates/ragwortroad_gateway/src/engine_request.rs
@@ -9,21 +9,21 @@
 
 use crate::{
     AdmitGrant,
-    header_names::REQUEST_ID,
+    header_names::REQUEST_ID_HEADER,
     request_context::{
-        DEADLINE,
+        DEADLINE_HEADER,
         RequestContext, //
     },
     stream_cursor::StreamCursor, //
 };
 
-/// The engines' path for chats.
-const ENGINE_PATH: &str = "/v1/chat/completions";
+/// Path for chat requests on the engines.
+const CHAT_COMPLETIONS_PATH: &str = "/v1/chat/completions";
 
-/// Header with the number of the request's attempt, which a cancellation names again.
-const ATTEMPT: &str = "x-attempt";
+/// Carries the attempt number of the request, which a cancellation repeats.
+const ATTEMPT_HEADER: &str = "x-attempt";
 
-/// A model request as the engine gets it: the caller's body, and headers from the grant.
+/// Builds a model request for an engine: the body from the client, and headers from the grant.
 pub(crate) fn engine_request(
     context: &RequestContext,
     grant: &AdmitGrant,
@@ -32,21 +32,21 @@
 ) -> Option<Request<Full<Bytes>>> {
     let mut request = Request::builder()
         .method(Method::POST)
-        .uri(ENGINE_PATH)
+        .uri(CHAT_COMPLETIONS_PATH)
         .header("host", grant.address.to_string())
         .header("content-type", "application/json")
-        .header(REQUEST_ID, context.request.to_string())
-        .header(ATTEMPT, attempt.to_string())
+        .header(REQUEST_ID_HEADER, context.request.to_string())
+        .header(ATTEMPT_HEADER, attempt.to_string())
         .header("x-customer", grant.customer.as_str())
         .header("x-priority", grant.priority.to_string())
-        .header(DEADLINE, context.time_left().as_millis().to_string());
+        .header(DEADLINE_HEADER, context.time_left().as_millis().to_string());
     if let Some(version) = &grant.version {
         request = request.header("x-model-version", version.as_str());
     }
     request.body(Full::new(body)).ok()
 }
 
-/// The body for an engine that is to go on behind the tokens the caller has.
+/// Builds the body for an engine that resumes after the tokens that the client already has.
 pub(crate) fn resume_body(body: &Bytes, cursor: &StreamCursor) -> Bytes {
     if cursor.tokens == 0 {
         return body.clone();
@@ -56,7 +56,7 @@
     };
     chat.resume_from = Some(cursor.tokens);
     chat.resume_text = Some(cursor.text.clone());
-    // The serialised form of a body that was parsed from JSON is JSON again.
+    // A body that was parsed from JSON serializes to JSON again.
     let value = serde_json::to_value(&chat).unwrap_or(Value::Null);
     Bytes::from(value.to_string())
 }
--- a/crates/ragwortroad_gateway/src/gateway_server.rs
+++ b/crates/ragwortroad_gateway/src/gateway_server.rs
@@ -28,18 +28,18 @@
     connection_loop::run_connections,
     gateway_error::{
         ListenSnafu,
-        ThreadsSnafu, //
+        StartRuntimeSnafu, //
     },
     gateway_state::GatewayState, //
 };
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// Time for connections to close once no request is in flight.
-const CLOSE_TIME: Duration = Duration::from_secs(5);
+/// Time limit for closing the connections once no request is in flight.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// HTTP towards callers, endpoints and operators, on its own traffic threads.
+/// HTTP server for clients, endpoints and operators, on its own traffic threads.
 pub struct GatewayServer {
     state: Arc<GatewayState>,
     address: SocketAddr,
@@ -50,8 +50,14 @@
 }
 
 impl GatewayServer {
-    /// Listens and serves. Every decision is asked for over `calls`, which should be unbounded:
-    /// a traffic thread that ends an attempt sends without waiting.
+    /// Binds the listener and starts to serve.
+    ///
+    /// The gateway sends all decisions to the control thread over `calls`. The channel should be
+    /// unbounded, because a traffic thread that ends an attempt sends without waiting.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address cannot be bound or the threads cannot be started.
     pub fn start(
         settings: GatewaySettings,
         calls: Sender<ControlCall>,
@@ -62,19 +68,19 @@
             .thread_name("traffic")
             .enable_all()
             .build()
-            .context(ThreadsSnafu)?;
+            .context(StartRuntimeSnafu)?;
         let address = settings.listen;
         let listener = {
             let _entered = runtime.enter();
             listen_at(address).context(ListenSnafu { address })?
         };
         let address = listener.local_addr().context(ListenSnafu { address })?;
-        let (orders, order_queue) = mpsc::unbounded_channel();
+        let (cancel_sender, cancel_receiver) = mpsc::unbounded_channel();
         let (stop, stopped) = watch::channel(false);
-        let state = Arc::new(GatewayState::new(settings, calls, pages, orders));
-        let accept = run_connections(Arc::clone(&state), listener, stopped.clone());
-        let connections = runtime.spawn(accept);
-        let cancels = runtime.spawn(run_cancels(order_queue, stopped));
+        let state = Arc::new(GatewayState::new(settings, calls, pages, cancel_sender));
+        let accept_loop = run_connections(Arc::clone(&state), listener, stopped.clone());
+        let connections = runtime.spawn(accept_loop);
+        let cancels = runtime.spawn(run_cancels(cancel_receiver, stopped));
         Ok(Self {
             state,
             address,
@@ -85,25 +91,25 @@
         })
     }
 
-    /// The address it listens on.
+    /// The bound address, with the actual port if the settings named port 0.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// From now on refuses new requests with other nodes' addresses; those in flight go on.
+    /// Starts refusing new requests, naming other nodes to the client; requests in flight continue.
     pub fn begin_drain(&self) {
         self.state.begin_drain();
     }
 
-    /// Requests between their head and the last byte of their answer.
+    /// Number of requests between their head and the last byte of their response.
     pub fn in_flight(&self) -> usize {
         self.state.in_flight()
     }
 
     /// Drains, waits for every request in flight, and joins all tasks and threads.
     ///
-    /// The control thread must answer until this returns. No request waits longer than its
-    /// deadline, so neither does this.
+    /// The control thread must reply until this returns. The wait is bounded, because no request
+    /// waits longer than its deadline.
     pub fn join(self) {
         self.begin_drain();
         let Self {
@@ -115,32 +121,34 @@
             ..
         } = self;
         runtime.block_on(async {
-            state.all_landed().await;
+            state.wait_until_idle().await;
             stop.send_replace(true);
-            let closing = async {
+            let close_tasks = async {
                 for task in [connections, cancels] {
                     if let Err(error) = task.await {
-                        tracing::error!(%error, "a task of the gateway failed");
+                        tracing::error!(%error, "gateway task failed");
                     }
                 }
             };
-            if timeout(CLOSE_TIME, closing).await.is_err() {
-                tracing::warn!("connections without a request were cut");
+            if timeout(CLOSE_TIMEOUT, close_tasks).await.is_err() {
+                tracing::warn!("closed connections that did not shut down in time");
             }
             state.pool.clear();
         });
-        // Dropping the runtime joins its threads; tasks that are left are dropped at once.
+        // Dropping the runtime joins its threads and drops the remaining tasks immediately.
         drop(runtime);
     }
 
-    /// Cuts every connection at once and joins the threads, as the end of a killed process does.
+    /// Closes every connection immediately and joins the threads, as if the process had been
+    /// killed.
     #[doc(hidden)]
-    pub fn abandon(self) {
+    pub fn abort(self) {
         drop(self.runtime);
     }
 }
 
-/// A listener that can take the address of a process that ended a moment ago. Needs a runtime.
+/// Binds a listener with address reuse, so that it can take over the address of a process that has
+/// just ended. Must be called within a runtime.
 fn listen_at(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
--- a/crates/ragwortroad_gateway/src/request_context.rs
+++ b/crates/ragwortroad_gateway/src/request_context.rs
@@ -14,23 +14,23 @@
 
 use crate::{
     GatewaySettings,
-    header_names::PLACEMENT_HINT, //
+    header_names::PLACEMENT_HINT_HEADER, //
 };
 
-/// Header with the milliseconds that the caller gives the request.
-pub(crate) const DEADLINE: &str = "x-deadline-ms";
+/// Carries the time that the client allows for the request, in milliseconds.
+pub(crate) const DEADLINE_HEADER: &str = "x-deadline-ms";
 
-/// Header with the chat that a request continues.
-pub(crate) const CHAT_ID: &str = "x-chat-id";
+/// Carries the chat that a request continues.
+pub(crate) const CHAT_ID_HEADER: &str = "x-chat-id";
 
-/// Header with the caller's idempotency key.
-pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// Carries the idempotency key of the client.
+pub(crate) const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// What every request brings besides its body.
+/// The identity, credentials, deadline and headers of a request, without its body.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestContext {
     pub(crate) request: RequestId,
-    /// SHA-256 of the bearer key, if one was sent.
+    /// SHA-256 of the bearer key; `None` if the request carries none.
     pub(crate) key_hash: Option<[u8; 32]>,
     pub(crate) deadline: Instant,
     pub(crate) chat: Option<String>,
@@ -40,19 +40,19 @@
 
 impl RequestContext {
     pub(crate) fn new(request: RequestId, headers: &HeaderMap, settings: &GatewaySettings) -> Self {
-        let text = |name: &str| {
+        let header_text = |name: &str| {
             let value = headers.get(name)?.to_str().ok()?;
             Some(value.to_owned())
         };
-        let named = text(DEADLINE).and_then(|value| value.parse().ok());
-        let allowed = named.map_or(settings.default_deadline, Duration::from_millis);
+        let requested = header_text(DEADLINE_HEADER).and_then(|value| value.parse().ok());
+        let granted = requested.map_or(settings.default_deadline, Duration::from_millis);
         Self {
             request,
             key_hash: bearer_hash(headers),
-            deadline: Instant::now() + allowed.min(settings.max_deadline),
-            chat: text(CHAT_ID),
-            hint: text(PLACEMENT_HINT),
-            idempotency_key: text(IDEMPOTENCY_KEY),
+            deadline: Instant::now() + granted.min(settings.max_deadline),
+            chat: header_text(CHAT_ID_HEADER),
+            hint: header_text(PLACEMENT_HINT_HEADER),
+            idempotency_key: header_text(IDEMPOTENCY_KEY_HEADER),
         }
     }
 
@@ -60,24 +60,24 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The key's hash, or the refusal for a request without a key.
+    /// Returns the hash of the key, or the refusal for a request without one.
     pub(crate) fn require_key(&self) -> Result<[u8; 32], RefusalWire> {
         self.key_hash
             .ok_or_else(|| self.not_run(RefusalCode::WrongKey, "no key was sent"))
     }
 
-    /// A refusal for a request of which nothing can have reached an endpoint.
+    /// Builds a refusal for a request of which no byte can have reached an endpoint.
     pub(crate) fn not_run(&self, code: RefusalCode, message: impl Into<String>) -> RefusalWire {
         RefusalWire::new(RequestOutcome::NotRun, code, message, self.request)
     }
 
-    /// A refusal for a request that may have run.
+    /// Builds a refusal for a request that may have run.
     pub(crate) fn unknown(&self, code: RefusalCode, message: impl Into<String>) -> RefusalWire {
         RefusalWire::new(RequestOutcome::Unknown, code, message, self.request)
     }
 }
 
-/// SHA-256 of the key in `Authorization: Bearer KEY`; the key itself is never kept.
+/// SHA-256 of the key in `Authorization: Bearer KEY`; the key itself is not stored.
 fn bearer_hash(headers: &HeaderMap) -> Option<[u8; 32]> {
     let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
     let (scheme, key) = value.split_once(' ')?;
@@ -87,7 +87,7 @@
     Some(Sha256::digest(key.trim().as_bytes()).into())
 }
 
-/// SHA-256 over method, path and body, by which a repeated request is told from a reused key.
+/// SHA-256 of method, path and body; tells a repeated request from a reused idempotency key.
 pub(crate) fn hash_request(method: &str, path: &str, body: &[u8]) -> [u8; 32] {
     let mut hasher = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes()] {
@@ -98,7 +98,8 @@
     hasher.finalize().into()
 }
 
-/// A short form of a key's hash for the log, which must not help anyone to guess the key.
+/// The first four bytes of a key's hash in hexadecimal, for the log; too short to help in guessing
+/// the key.
 pub(crate) fn short_hash(hash: &[u8; 32]) -> String {
     HEXLOWER.encode(&hash[..4])
 }
--- a/crates/ragwortroad_gateway/src/request_flow.rs
+++ b/crates/ragwortroad_gateway/src/request_flow.rs
@@ -15,7 +15,7 @@
     AdmitGrant,
     AdmitReply,
     AttemptOutcome,
-    RecordedAnswer,
+    RecordedResponse,
     admit_wait::AdmitWait,
     attempt_guard::AttemptGuard,
     endpoint_link::EndpointLink,
@@ -23,11 +23,11 @@
     request_context::RequestContext, //
 };
 
-/// One request's way over as many attempts as the control thread grants.
+/// Processes one request over as many attempts as the control thread grants.
 pub(crate) struct RequestFlow {
     pub(crate) state: Arc<GatewayState>,
     pub(crate) context: RequestContext,
-    /// The next admission's call; grows by what earlier attempts taught.
+    /// The call for the next admission; each failed attempt adds its endpoint and ticket.
     call: AdmitCall,
     attempts: u32,
     /// Whether bytes of an earlier attempt may have reached an endpoint.
@@ -36,18 +36,18 @@
     sent: bool,
 }
 
-/// An attempt with an open connection, before its first byte is sent.
+/// An attempt with an open connection, before any byte is sent.
 pub(crate) struct OpenAttempt {
     pub(crate) grant: AdmitGrant,
     pub(crate) guard: AttemptGuard,
     pub(crate) link: EndpointLink,
 }
 
-/// Why a flow ends without an endpoint's answer.
+/// Why a request ends without a response from an endpoint.
 pub(crate) enum FlowEnd {
-    /// The answer of the same idempotency key, recorded earlier.
-    Recorded(RecordedAnswer),
-    /// A refusal.
+    /// The response recorded earlier under the same idempotency key.
+    Recorded(RecordedResponse),
+    /// A refusal, from the control thread or from the gateway itself.
     Refused(Box<RefusalWire>),
 }
 
@@ -72,29 +72,33 @@
     pub(crate) async fn open(&mut self) -> Result<OpenAttempt, FlowEnd> {
         loop {
             if self.attempts >= self.state.settings.max_attempts {
-                return Err(self.exhausted());
+                return Err(self.exhausted_refusal());
             }
             let grant = self.admit().await?;
             self.attempts += 1;
             let span = tracing::Span::current();
             span.record("customer", grant.customer.as_str());
             span.record("endpoint", tracing::field::display(grant.endpoint));
-            let cancels = matches!(self.call.target, crate::RequestTarget::Model { .. });
+            let supports_cancel = matches!(self.call.target, crate::RequestTarget::Model { .. });
             let guard = AttemptGuard::new(
                 Arc::clone(&self.state),
                 &grant,
                 &self.context,
                 self.attempts,
-                cancels,
+                supports_cancel,
             );
-            if let Some(link) = self.pooled(&grant) {
+            if let Some(link) = self.take_pooled_link(&grant) {
                 return Ok(OpenAttempt { grant, guard, link });
             }
             let limit = self.state.settings.connect_timeout;
             match EndpointLink::connect(grant.address, limit).await {
                 Ok(link) => return Ok(OpenAttempt { grant, guard, link }),
                 Err(error) => {
-                    tracing::info!(endpoint = %grant.endpoint, %error, "connection refused");
+                    tracing::info!(
+                        endpoint = %grant.endpoint,
+                        %error,
+                        "failed to connect to the endpoint"
+                    );
                     guard.finish(AttemptOutcome::NotSent);
                     self.exclude(&grant);
                 }
@@ -102,29 +106,32 @@
         }
     }
 
-    /// Sends the attempt's request and awaits the head of the answer.
+    /// Sends the attempt's request and awaits the head of the response.
     ///
-    /// A pooled connection that its endpoint closed meanwhile fails here, and gets one more try
-    /// over a fresh one: only idempotent requests use pooled connections.
+    /// A pooled connection that its endpoint has closed in the meantime fails here. The request is
+    /// then sent once more over a fresh connection, because only idempotent requests use pooled
+    /// ones.
     pub(crate) async fn exchange(
         &mut self,
         attempt: &mut OpenAttempt,
-        make: impl Fn(&AdmitGrant, u32) -> Option<Request<Full<Bytes>>>,
+        make_request: impl Fn(&AdmitGrant, u32) -> Option<Request<Full<Bytes>>>,
     ) -> Result<Response<Incoming>, String> {
-        let unfit = || "the request cannot be written as HTTP".to_owned();
-        let request = make(&attempt.grant, attempt.guard.attempt()).ok_or_else(unfit)?;
+        let unwritable = || "the request cannot be written as HTTP".to_owned();
+        let request =
+            make_request(&attempt.grant, attempt.guard.attempt()).ok_or_else(unwritable)?;
         attempt.guard.mark_sent();
         self.sent = true;
         match attempt.link.send(request).await {
-            Ok(answer) => Ok(answer),
+            Ok(response) => Ok(response),
             Err(error) if attempt.link.was_used() && self.call.idempotent => {
-                tracing::debug!(%error, "a kept connection was closed; using a fresh one");
+                tracing::debug!(%error, "pooled connection was closed; retrying on a new one");
                 let limit = self.state.settings.connect_timeout;
                 let address = attempt.grant.address;
                 attempt.link = EndpointLink::connect(address, limit)
                     .await
                     .map_err(|error| format!("no connection: {error}"))?;
-                let request = make(&attempt.grant, attempt.guard.attempt()).ok_or_else(unfit)?;
+                let request =
+                    make_request(&attempt.grant, attempt.guard.attempt()).ok_or_else(unwritable)?;
                 let sent = attempt.link.send(request).await;
                 sent.map_err(|error| format!("no answer: {error}"))
             }
@@ -132,49 +139,57 @@
         }
     }
 
-    /// Reports a broken attempt. The flow may go on with another one only if that is harmless.
-    pub(crate) fn broken(
+    /// Reports a broken attempt. Returns an error unless the request is idempotent and may be
+    /// retried.
+    pub(crate) fn fail_attempt(
         &mut self,
         grant: &AdmitGrant,
         guard: AttemptGuard,
-        why: &str,
+        reason: &str,
     ) -> Result<(), FlowEnd> {
-        tracing::warn!(endpoint = %grant.endpoint, why, "broken answer");
+        tracing::warn!(
+            endpoint = %grant.endpoint,
+            why = reason,
+            "attempt failed with an invalid or incomplete response"
+        );
         guard.finish(AttemptOutcome::Broken);
         self.exclude(grant);
         match self.call.idempotent {
             true => Ok(()),
-            false => Err(self.context.unknown(RefusalCode::BrokenAnswer, why).into()),
+            false => Err(self
+                .context
+                .unknown(RefusalCode::BrokenAnswer, reason)
+                .into()),
         }
     }
 
     /// The refusal for a request whose deadline passed.
-    pub(crate) fn overdue(&self) -> RefusalWire {
+    pub(crate) fn deadline_refusal(&self) -> RefusalWire {
         let message = "no whole answer came before the deadline";
         let refusal = self.context.not_run(RefusalCode::DeadlinePassed, message);
-        self.honest(refusal)
+        self.correct_outcome(refusal)
     }
 
     async fn admit(&mut self) -> Result<AdmitGrant, FlowEnd> {
         let mut call = self.call.clone();
         call.time_left = self.context.time_left();
-        match AdmitWait::ask(&self.state, call).await {
+        match AdmitWait::request(&self.state, call).await {
             Ok(AdmitReply::Granted(grant)) => Ok(grant),
-            Ok(AdmitReply::Recorded(answer)) => Err(FlowEnd::Recorded(answer)),
-            Ok(AdmitReply::Refused(refusal)) => Err(self.honest(refusal).into()),
+            Ok(AdmitReply::Recorded(response)) => Err(FlowEnd::Recorded(response)),
+            Ok(AdmitReply::Refused(refusal)) => Err(self.correct_outcome(refusal).into()),
             Err(_) => {
                 let message = "the node's control thread has ended";
                 let refusal = self.context.not_run(RefusalCode::InternalFault, message);
-                Err(self.honest(refusal).into())
+                Err(self.correct_outcome(refusal).into())
             }
         }
     }
 
-    /// Takes back a `not_run` that is true of the last attempt only.
+    /// Changes a `not_run` that holds only for the last attempt into `unknown`.
     ///
-    /// The control thread judges the attempt it refuses. When an earlier attempt was sent, the
-    /// caller must not be told that the request did not run.
-    fn honest(&self, mut refusal: RefusalWire) -> RefusalWire {
+    /// The control thread judges only the attempt that it refuses. If an earlier attempt was sent,
+    /// the client must not be told that the request did not run.
+    fn correct_outcome(&self, mut refusal: RefusalWire) -> RefusalWire {
         if self.sent && refusal.error.outcome == RequestOutcome::NotRun {
             refusal.error.outcome = RequestOutcome::Unknown;
         }
@@ -189,16 +204,17 @@
         }
     }
 
-    fn exhausted(&self) -> FlowEnd {
+    fn exhausted_refusal(&self) -> FlowEnd {
         let message = format!("{} endpoints failed in turn", self.attempts);
         let code = match self.sent {
             true => RefusalCode::BrokenAnswer,
             false => RefusalCode::NoEndpoint,
         };
-        self.honest(self.context.not_run(code, message)).into()
+        self.correct_outcome(self.context.not_run(code, message))
+            .into()
     }
 
-    fn pooled(&self, grant: &AdmitGrant) -> Option<EndpointLink> {
+    fn take_pooled_link(&self, grant: &AdmitGrant) -> Option<EndpointLink> {
         match self.call.idempotent {
             true => self.state.pool.take(grant.address),
             false => None,
--- a/crates/ragwortroad_gateway/src/sse_splitter.rs
+++ b/crates/ragwortroad_gateway/src/sse_splitter.rs
@@ -3,7 +3,7 @@
     BytesMut, //
 };
 
-/// Cuts a byte stream into server-sent events, each with its closing empty line.
+/// Splits a byte stream into server-sent events, each with its terminating empty line.
 #[derive(Debug, Default)]
 pub(crate) struct SseSplitter {
     buffer: BytesMut,
@@ -11,40 +11,40 @@
     searched: usize,
 }
 
-/// Longest event taken from an engine.
-const EVENT_LIMIT: usize = 1 << 20;
+/// Maximum size of an event from an engine.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 impl SseSplitter {
-    /// Adds bytes; false once an event is longer than any event should be.
+    /// Appends bytes; returns false once the buffer exceeds the maximum event size.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
-        self.buffer.len() <= EVENT_LIMIT
+        self.buffer.len() <= MAX_EVENT_BYTES
     }
 
-    /// The next whole event.
+    /// Returns the next complete event, if the buffer holds one.
     pub(crate) fn next_event(&mut self) -> Option<Bytes> {
         let end = self.find_end()?;
         self.searched = 0;
         Some(self.buffer.split_to(end).freeze())
     }
 
-    /// Whether bytes of an unfinished event are left.
+    /// Whether no bytes of an unfinished event remain.
     pub(crate) fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
     fn find_end(&mut self) -> Option<usize> {
         let bytes = &self.buffer[..];
-        for at in self.searched..bytes.len() {
-            if bytes[at] != b'\n' {
+        for position in self.searched..bytes.len() {
+            if bytes[position] != b'\n' {
                 continue;
             }
-            let rest = &bytes[at + 1..];
-            if rest.starts_with(b"\n") {
-                return Some(at + 2);
+            let tail = &bytes[position + 1..];
+            if tail.starts_with(b"\n") {
+                return Some(position + 2);
             }
-            if rest.starts_with(b"\r\n") {
-                return Some(at + 3);
+            if tail.starts_with(b"\r\n") {
+                return Some(position + 3);
             }
         }
         self.searched = bytes.len().saturating_sub(2);
@@ -52,7 +52,7 @@
     }
 }
 
-/// The text after `data:` of an event, or nothing for a comment.
+/// The text after `data:` in an event; `None` for a comment.
 pub(crate) fn event_data(event: &[u8]) -> Option<&[u8]> {
     let line = event
         .split(|byte| *byte == b'\n')
--- a/crates/ragwortroad_gateway/src/tests.rs
+++ b/crates/ragwortroad_gateway/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of parts that cannot be reached over HTTP at a chosen moment.
+//! Tests of code paths that HTTP requests cannot trigger at a chosen moment.
 
 use std::{
     future::Future,
@@ -64,7 +64,7 @@
         idempotency_key: None,
         body_hash: [0; 32],
         body_length: 0,
-        token_limit: None,
+        max_output_tokens: None,
         time_left: std::time::Duration::from_secs(1),
         retry_of: None,
         excluded: Vec::new(),
@@ -81,7 +81,7 @@
         priority: 1,
         version: None,
         customer: String::new(),
-        record_answer: false,
+        record_response: false,
     })
 }
 
@@ -92,8 +92,8 @@
     }
 }
 
-/// Tickets that were given back so far.
-fn given_back(control: &Receiver<ControlCall>) -> Vec<u64> {
+/// Tickets returned so far.
+fn returned_tickets(control: &Receiver<ControlCall>) -> Vec<u64> {
     let finish = |call| match call {
         ControlCall::Finish(finish) => finish.ticket.0,
         other => panic!("not a finish: {other:?}"),
@@ -101,54 +101,59 @@
     control.try_iter().map(finish).collect()
 }
 
+/// Guards against a leaked grant, which would count as load on the endpoint forever: the client
+/// leaves after the control thread granted and before the gateway read the grant.
 #[test]
-fn a_grant_that_nobody_reads_comes_back() {
-    // A caller leaves after the control thread granted and before the grant was read. Lost there,
-    // the grant would count as load on the endpoint for ever.
+fn an_unread_grant_is_returned() {
     let (state, control) = state();
     {
-        let mut asked = pin!(AdmitWait::ask(&state, admit_call()));
+        let mut asked = pin!(AdmitWait::request(&state, admit_call()));
         let mut context = Context::from_waker(Waker::noop());
         assert!(matches!(asked.as_mut().poll(&mut context), Poll::Pending));
         next_admit(&control).send(granted(7)).unwrap();
     }
-    assert_eq!(given_back(&control), [7]);
+    assert_eq!(returned_tickets(&control), [7]);
 }
 
+/// Guards against a grant that is sent to no one unnoticed: the client leaves first, and the send
+/// must fail at the control thread.
 #[test]
-fn a_grant_after_the_caller_left_fails_at_the_control_thread() {
-    // The caller leaves first: the control thread must learn that its grant reached nobody.
+fn a_grant_after_the_client_left_fails_at_the_control_thread() {
     let (state, control) = state();
     let reply = {
-        let mut asked = pin!(AdmitWait::ask(&state, admit_call()));
+        let mut asked = pin!(AdmitWait::request(&state, admit_call()));
         let mut context = Context::from_waker(Waker::noop());
         assert!(matches!(asked.as_mut().poll(&mut context), Poll::Pending));
         next_admit(&control)
     };
     assert!(reply.send(granted(8)).is_err());
-    assert_eq!(given_back(&control), Vec::<u64>::new());
+    assert_eq!(returned_tickets(&control), Vec::<u64>::new());
 }
 
+/// Guards against a race between the grant and a client that leaves at the same moment: either the
+/// send fails at the control thread or the grant is returned, never both or neither.
 #[test]
-fn a_grant_is_never_lost_between_the_two() {
-    // Callers leave at the very moment of the grant. In each of many runs the control thread
-    // either sees its send fail or gets the grant back, and never both or neither.
+fn a_grant_racing_with_a_disconnect_is_never_lost() {
     let (state, control) = state();
     for ticket in 0..20_000 {
-        let mut asked = Box::pin(AdmitWait::ask(&state, admit_call()));
+        let mut asked = Box::pin(AdmitWait::request(&state, admit_call()));
         let mut context = Context::from_waker(Waker::noop());
         assert!(asked.as_mut().poll(&mut context).is_pending());
         let reply = next_admit(&control);
-        let failed = thread::scope(|scope| {
-            let sending = scope.spawn(move || reply.send(granted(ticket)).is_err());
+        let send_failed = thread::scope(|scope| {
+            let sender = scope.spawn(move || reply.send(granted(ticket)).is_err());
             for _ in 0..ticket % 64 {
                 std::hint::spin_loop();
             }
             drop(asked);
-            sending.join().unwrap()
+            sender.join().unwrap()
         });
-        let back = given_back(&control).len();
-        assert_eq!(back + usize::from(failed), 1, "ticket {ticket}");
+        let returned_count = returned_tickets(&control).len();
+        assert_eq!(
+            returned_count + usize::from(send_failed),
+            1,
+            "ticket {ticket}"
+        );
     }
 }
 
@@ -157,10 +162,10 @@
     format!("data: {{{number}\"choices\":[{{\"delta\":{{\"content\":\"{content}\"}}}}]}}\n\n")
 }
 
+/// Guards against duplicate tokens from an engine that ignores the resume fields: it starts again
+/// at the first token, without numbers, so its tokens look like the missing ones.
 #[test]
-fn a_resumed_stream_must_say_where_it_goes_on() {
-    // The second engine knows nothing of resuming and begins again at the first token, without
-    // numbers. Its tokens look like those that are still to come.
+fn a_resumed_stream_must_number_its_tokens() {
     let mut cursor = StreamCursor::new(None);
     for text in ["a ", "b "] {
         assert_eq!(
@@ -172,7 +177,7 @@
     let step = cursor.step(chunk(None, "a ").as_bytes());
     assert!(matches!(step, EventStep::Broken(_)), "{step:?}");
 
-    // Numbered, the tokens that the caller has are left out and the others go through.
+    // With numbers, the cursor skips the tokens that the client has and forwards the others.
     cursor.begin_attempt();
     let steps = (0..4).map(|index| cursor.step(chunk(Some(index), "x ").as_bytes()));
     let (skip, forward) = (EventStep::Skip, EventStep::Forward);
--- a/crates/ragwortroad_gateway/tests/broken_answers.rs
+++ b/crates/ragwortroad_gateway/tests/broken_responses.rs
@@ -1,4 +1,5 @@
-//! Endpoints that answer badly: a caller gets a whole answer of its own, or a typed refusal.
+//! Endpoints with faulty responses: a client gets a complete response of its own or a typed
+//! refusal.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -8,16 +9,16 @@
 use common::test_fleet::{
     TestFleet,
     chat_body,
-    is_own,
+    is_own_response,
     refusal_of,
-    streamed_text, //
+    stream_text, //
 };
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_load::prelude::*;
 use ragwortroad_standin::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// A plan with one fault in it.
+/// A fault plan with one change.
 fn fault(change: impl FnOnce(&mut FaultPlan)) -> FaultPlan {
     let mut plan = FaultPlan::default();
     change(&mut plan);
@@ -26,7 +27,7 @@
 
 fn fleet_with(faults: FaultPlan) -> TestFleet {
     let fleet = TestFleet::start(GatewaySettings {
-        stream_timeout: Duration::from_millis(1500),
+        stream_idle_timeout: Duration::from_millis(1500),
         ..GatewaySettings::default()
     });
     fleet.engines[0].set_faults(faults.clone());
@@ -34,19 +35,18 @@
     fleet
 }
 
-/// Whether a whole answer's text is the chat's own.
-fn whole_is_own(answer: &str, chat: &ChatBody) -> bool {
-    let (_, body) = answer.split_once("\r\n\r\n").unwrap();
+/// Whether the text of a complete response is the expected one for the chat.
+fn is_own_complete_response(response: &str, chat: &ChatBody) -> bool {
+    let (_, body) = response.split_once("\r\n\r\n").unwrap();
     let value: serde_json::Value = serde_json::from_str(body).unwrap();
     let text = value["choices"][0]["message"]["content"].as_str().unwrap();
     AnswerCheck::new(chat).check_text(text).is_ok()
 }
 
+/// Guards against half a caption, or another studio's, reaching a client: an engine's response is
+/// truncated, names another request, is a redirect or an error, or never comes.
 #[test]
-fn a_bad_whole_answer_is_asked_for_elsewhere() {
-    // An engine's answer stops before its announced length, names another request, is a redirect,
-    // or never comes. A library that takes such an answer would hand a photographer half a
-    // caption, or another studio's.
+fn a_faulty_complete_response_is_retried_elsewhere() {
     let faults = [
         fault(|plan| plan.short_body = true),
         fault(|plan| plan.echo_id = Some("00000000000000aa".to_owned())),
@@ -58,9 +58,12 @@
     for plan in faults {
         let fleet = fleet_with(plan.clone());
         let chat = chat_body(false);
-        let answer = fleet.chat(&chat, "");
-        assert!(answer.starts_with("HTTP/1.1 200"), "{plan:?}: {answer}");
-        assert!(whole_is_own(&answer, &chat), "{plan:?}: {answer}");
+        let response = fleet.chat(&chat, "");
+        assert!(response.starts_with("HTTP/1.1 200"), "{plan:?}: {response}");
+        assert!(
+            is_own_complete_response(&response, &chat),
+            "{plan:?}: {response}"
+        );
         let outcomes = fleet.stop().outcomes();
         assert_eq!(outcomes[0], AttemptOutcome::Broken, "{plan:?}");
         assert!(
@@ -70,11 +73,10 @@
     }
 }
 
+/// Guards against a duplicate or missing token in the text: an engine restarts, stalls or switches
+/// to another's response at any point of a stream, and another engine resumes it.
 #[test]
-fn a_stream_that_breaks_at_any_token_goes_on_at_the_right_one() {
-    // An engine's process restarts, falls silent or goes over to another's answer in the middle of
-    // a stream. The caller must see one answer without a seam: a token twice or left out would
-    // stand in the printed lookbook.
+fn a_stream_broken_at_any_token_resumes_at_the_right_one() {
     let count = 12;
     for token in 0..count {
         for kind in 0..5 {
@@ -89,10 +91,11 @@
             };
             let fleet = fleet_with(fault.clone());
             let chat = chat_body(true);
-            let answer = fleet.chat(&chat, "");
-            assert!(is_own(&answer, &chat), "{fault:?}: {answer}");
-            // The next engine begins where the caller's text ends. A dying process takes tokens
-            // with it that it had made and its socket had not sent, so there that may be earlier.
+            let response = fleet.chat(&chat, "");
+            assert!(is_own_response(&response, &chat), "{fault:?}: {response}");
+            // The next engine resumes where the client's text ends. A process that dies loses
+            // tokens that it generated but its socket had not sent, so there the position may be
+            // earlier.
             let resumed = fleet.engines[1].records();
             match kind {
                 0 => assert!(resumed[0].from_token <= token, "{fault:?}"),
@@ -104,42 +107,42 @@
     }
 }
 
+/// Guards against a truncated text that counts as complete: an engine that was told to stop ends
+/// the body cleanly but without the final marker.
 #[test]
-fn a_stream_without_its_final_marker_is_not_taken_as_whole() {
-    // The engine ends the body in good order but leaves out the marker, as one does that was told
-    // to stop. Without the check the caller would take the text as complete.
+fn a_stream_without_its_final_marker_is_incomplete() {
     let fleet = fleet_with(fault(|plan| plan.drop_marker = true));
     let chat = chat_body(true);
-    let answer = fleet.chat(&chat, "");
-    assert!(is_own(&answer, &chat), "{answer}");
+    let response = fleet.chat(&chat, "");
+    assert!(is_own_response(&response, &chat), "{response}");
     assert_eq!(fleet.engines[1].records()[0].from_token, 12);
     assert_eq!(
-        answer.matches("\"finish_reason\":\"stop\"").count(),
+        response.matches("\"finish_reason\":\"stop\"").count(),
         1,
-        "{answer}"
+        "{response}"
     );
     assert_eq!(fleet.stop().outcomes()[0], AttemptOutcome::Broken);
 }
 
+/// Guards against a client that takes a partial text as complete, or is told that nothing ran: the
+/// only engine dies in the middle of the stream.
 #[test]
-fn a_stream_that_nobody_goes_on_with_ends_in_a_typed_error() {
-    // The only engine dies in mid-stream. The caller must be able to tell that the text is not
-    // whole, and must not be told that nothing ran.
+fn a_stream_that_cannot_resume_ends_in_a_typed_error() {
     let fleet = fleet_with(fault(|plan| plan.die_after_tokens = Some(5)));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
-    let answer = fleet.chat(&chat_body(true), "");
-    let (_, ended) = streamed_text(&answer.replace("data: {\"error\"", "error: {\"error\""));
-    assert!(!ended, "{answer}");
-    let refusal = refusal_of(&answer);
+    let response = fleet.chat(&chat_body(true), "");
+    let (_, ended) = stream_text(&response.replace("data: {\"error\"", "error: {\"error\""));
+    assert!(!ended, "{response}");
+    let refusal = refusal_of(&response);
     assert_eq!(refusal.outcome, RequestOutcome::Unknown);
     assert_eq!(refusal.code, RefusalCode::NoEndpoint);
     fleet.stop();
 }
 
+/// Guards against a client that runs a request again: the first engine closes the connection, and
+/// the control thread refuses the retry as not run, which holds for the retry alone.
 #[test]
 fn a_request_that_was_sent_is_never_refused_as_not_run() {
-    // The first engine breaks off, and the control thread refuses the retry as not run, which is
-    // true of the retry alone. A caller that believed it would run the request again.
     let fleet = fleet_with(fault(|plan| plan.close_unanswered = true));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
     let refusal = refusal_of(&fleet.chat(&chat_body(false), ""));
@@ -147,10 +150,10 @@
     fleet.stop();
 }
 
+/// Guards against a double booking, two crews on one set: the service books, and its response is
+/// lost, truncated or another request's.
 #[test]
-fn a_booking_with_a_broken_answer_is_not_sent_again() {
-    // The desk books, and its answer is lost, cut short or another's. Sent again elsewhere, the
-    // booking would put two crews on one set.
+fn a_booking_with_a_broken_response_is_not_retried() {
     let faults = [
         fault(|plan| plan.close_unanswered = true),
         fault(|plan| plan.short_body = true),
@@ -158,44 +161,44 @@
     ];
     for fault in faults {
         let fleet = fleet_with(fault);
-        let answer = fleet.book("idempotency-key: b-1\r\n");
-        let refusal = refusal_of(&answer);
+        let response = fleet.book("idempotency-key: b-1\r\n");
+        let refusal = refusal_of(&response);
         assert_eq!(refusal.outcome, RequestOutcome::Unknown);
         assert_eq!(refusal.code, RefusalCode::BrokenAnswer);
         assert!(
-            !answer.contains("body_hash"),
-            "nothing of the answer: {answer}"
+            !response.contains("body_hash"),
+            "the refusal contains a part of the response: {response}"
         );
         assert_eq!(fleet.records().len(), 1);
         assert_eq!(fleet.stop().outcomes(), [AttemptOutcome::Broken]);
     }
 }
 
+/// Guards against a second booking at the target of a redirect: a service redirects to another one,
+/// and only the client may decide whether to follow.
 #[test]
-fn a_redirect_of_a_service_is_not_followed() {
-    // A desk answers with a redirect to the other desk. Following it would book there as well; it
-    // is the caller's to decide.
+fn a_service_redirect_is_not_followed() {
     let fleet = fleet_with(FaultPlan::default());
     let other = format!("http://{}/bookings", fleet.services[1].address());
     fleet.services[0].set_faults(fault(|plan| plan.redirect_to = Some(other.clone())));
-    let answer = fleet.book("");
-    assert!(answer.starts_with("HTTP/1.1 307"), "{answer}");
-    assert!(answer.contains(&format!("location: {other}\r\n")));
+    let response = fleet.book("");
+    assert!(response.starts_with("HTTP/1.1 307"), "{response}");
+    assert!(response.contains(&format!("location: {other}\r\n")));
     assert!(fleet.services[1].records().is_empty());
     fleet.stop();
 }
 
+/// Guards against a booking that fails or runs twice because one endpoint is down: its address
+/// refuses connections, nothing was sent, so the next endpoint may run the booking.
 #[test]
-fn an_endpoint_that_takes_no_connection_costs_nothing() {
-    // An endpoint's process is gone and its address refuses. Nothing was sent, so even a booking
-    // may go to the next endpoint, and runs there once.
+fn an_endpoint_that_refuses_connections_fails_no_request() {
     let fleet = fleet_with(fault(|plan| plan.refuse_connections = true));
     let refused = fleet.services[0].address();
     fleet.wait_for("the port closes", |_| {
         std::net::TcpStream::connect(refused).is_err()
     });
-    let answer = fleet.book("idempotency-key: b-2\r\n");
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = fleet.book("idempotency-key: b-2\r\n");
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     assert!(fleet.services[0].records().is_empty());
     assert_eq!(fleet.services[1].records().len(), 1);
     let log = fleet.stop();
@@ -203,17 +206,17 @@
     assert_eq!(log.admits[1].retry_of, Some(TicketId(1)));
 }
 
+/// Guards against a late response that reaches the client's next request: the endpoint responds
+/// after the client gave up, and whether the booking ran is unknown.
 #[test]
-fn an_answer_after_the_deadline_is_not_handed_over() {
-    // The endpoint answers when the caller has given up. Handed over late, the answer could meet
-    // the caller's next request; and nobody knows whether the booking ran.
+fn a_response_after_the_deadline_is_not_forwarded() {
     let fleet = fleet_with(fault(|plan| plan.answer_delay = Duration::from_secs(60)));
-    let answer = fleet.book("x-deadline-ms: 500\r\n");
-    let refusal = refusal_of(&answer);
+    let response = fleet.book("x-deadline-ms: 500\r\n");
+    let refusal = refusal_of(&response);
     assert_eq!(refusal.code, RefusalCode::DeadlinePassed);
     assert_eq!(refusal.outcome, RequestOutcome::Unknown);
-    let answer = fleet.chat(&chat_body(false), "x-deadline-ms: 500\r\n");
-    assert_eq!(refusal_of(&answer).code, RefusalCode::DeadlinePassed);
+    let response = fleet.chat(&chat_body(false), "x-deadline-ms: 500\r\n");
+    assert_eq!(refusal_of(&response).code, RefusalCode::DeadlinePassed);
     fleet.wait_for("the engine's work is cancelled", |fleet| {
         fleet.engines[0].records()[0].end == RunEnd::Cancelled
     });
@@ -224,10 +227,10 @@
     );
 }
 
+/// Guards against a leaked grant, which would count as load forever: the control thread is busy for
+/// longer than the client waits, and grants after the deadline.
 #[test]
-fn a_deadline_that_passes_before_the_grant_is_not_run() {
-    // The control thread is busy for longer than the caller waits, and grants when nobody listens
-    // any more. The grant must come back, or it would count as load for ever.
+fn a_deadline_passing_before_the_grant_is_not_run() {
     let fleet = fleet_with(FaultPlan::default());
     fleet.control.routes.lock().unwrap().grant_delay = Duration::from_millis(300);
     let refusal = refusal_of(&fleet.book("x-deadline-ms: 50\r\n"));
@@ -237,24 +240,25 @@
     fleet.stop();
 }
 
+/// Guards against a booking that runs twice: a client loses the response to its booking and sends
+/// the booking again under the same idempotency key.
 #[test]
-fn a_recorded_answer_is_given_again_without_running() {
-    // A caller lost the answer to its booking and sends it again under the same key.
+fn a_recorded_response_is_replayed_without_running() {
     let fleet = fleet_with(FaultPlan::default());
     let first = fleet.book("idempotency-key: b-3\r\n");
     let (_, body) = first.split_once("\r\n\r\n").unwrap();
-    fleet.wait_for("the answer is recorded", |fleet| {
+    fleet.wait_for("the attempt is reported with its response", |fleet| {
         !fleet.control.log.lock().unwrap().finishes.is_empty()
     });
     let finish = fleet.control.log.lock().unwrap().finishes[0].clone();
     let AttemptOutcome::Completed {
-        answer: Some(answer),
+        response: Some(response),
         ..
     } = finish.outcome
     else {
-        panic!("no answer to record");
+        panic!("no response to record");
     };
-    let recorded = [("b-3".to_owned(), answer)].into();
+    let recorded = [("b-3".to_owned(), response)].into();
     fleet.control.routes.lock().unwrap().recorded = recorded;
     let second = fleet.book("idempotency-key: b-3\r\n");
     assert!(second.contains("x-replayed: true\r\n"), "{second}");
--- a/crates/ragwortroad_gateway/tests/whole_path.rs
+++ b/crates/ragwortroad_gateway/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Callers, endpoints and operators through one gateway, with nothing amiss.
+//! Clients, endpoints and operators through one gateway, with and without endpoint faults.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -15,13 +15,13 @@
 use common::test_fleet::{
     TestFleet,
     chat_body,
-    is_own, //
+    is_own_response, //
 };
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_load::prelude::*;
 use ragwortroad_standin::prelude::*;
 
-/// Load on one gateway, whose bookings are never sent again.
+/// Load on one gateway, without resent bookings.
 fn load_on(fleet: &TestFleet) -> LoadSettings {
     let address = fleet.address().to_string();
     fleet.control.routes.lock().unwrap().addresses = vec![address.clone()];
@@ -39,8 +39,9 @@
     }
 }
 
+/// Guards against lost, swapped or uncached responses under mixed load without faults.
 #[test]
-fn chats_bookings_and_reads_get_their_own_answers() {
+fn chats_bookings_and_reads_get_their_own_responses() {
     let fleet = TestFleet::start(GatewaySettings::default());
     let mut report = run_load(load_on(&fleet)).unwrap();
     assert!(report.verify(&fleet.records()), "{report}");
@@ -50,26 +51,26 @@
     fleet.stop();
 }
 
+/// Guards against a stream that is incomplete or lacks its placement hint or request identity.
 #[test]
-fn a_stream_comes_whole_with_hint_and_request_id() {
+fn a_stream_is_complete_with_hint_and_request_id() {
     let fleet = TestFleet::start(GatewaySettings::default());
     let chat = chat_body(true);
-    let answer = fleet.chat(&chat, "");
-    assert!(is_own(&answer, &chat), "{answer}");
-    assert!(answer.contains("x-placement-hint: hint-1\r\n"));
+    let response = fleet.chat(&chat, "");
+    assert!(is_own_response(&response, &chat), "{response}");
+    assert!(response.contains("x-placement-hint: hint-1\r\n"));
     let id = &fleet.records()[0].request_id;
-    assert!(answer.contains(&format!("x-request-id: {id}\r\n")));
+    assert!(response.contains(&format!("x-request-id: {id}\r\n")));
     fleet.stop();
 }
 
+/// Guards against wrong responses under load while endpoints die, stall, truncate, swap and delay
+/// responses and refuse connections, each for a few requests. Bookings may end as unknown, but none
+/// runs twice or runs though refused as not run, and no client gets a partial or foreign response.
 #[test]
-fn no_answer_is_wrong_while_endpoints_fail_in_every_way() {
-    // Endpoints die, stall, cut, cross and delay answers, and refuse connections, each for a few
-    // requests at a time, while chats and bookings go on. Some bookings end as unknown; but none
-    // runs twice, none that is refused as not run ran, and no caller gets a part of an answer or
-    // another's.
+fn no_response_is_wrong_while_endpoints_fail_in_every_way() {
     let fleet = TestFleet::start(GatewaySettings {
-        stream_timeout: Duration::from_secs(1),
+        stream_idle_timeout: Duration::from_secs(1),
         ..GatewaySettings::default()
     });
     let stop = AtomicBool::new(false);
@@ -106,7 +107,7 @@
     );
 }
 
-/// A fault for a few requests; another one each time.
+/// Returns a fault for three requests; each round selects the next kind.
 fn nth_fault(round: usize) -> FaultPlan {
     let place = Some(round as u32 % 24);
     let mut plan = FaultPlan {
@@ -127,13 +128,13 @@
     plan
 }
 
+/// Guards against a chat lost on a pooled connection: the process of an engine restarts between two
+/// chats, and the node still holds a connection to the old process.
 #[test]
-fn a_kept_connection_that_its_engine_closed_costs_nothing() {
-    // An engine's process restarts between two chats. The node still holds a connection to the old
-    // process, on which the next chat would be lost.
+fn a_pooled_connection_closed_by_its_engine_fails_no_request() {
     let fleet = TestFleet::start(GatewaySettings::default());
     let chat = chat_body(true);
-    assert!(is_own(&fleet.chat(&chat, ""), &chat));
+    assert!(is_own_response(&fleet.chat(&chat, ""), &chat));
     let address = fleet.engines[0].address();
     let refused = |refuse_connections| FaultPlan {
         refuse_connections,
@@ -147,7 +148,7 @@
     fleet.wait_for("the engine is back", |_| {
         std::net::TcpStream::connect(address).is_ok()
     });
-    assert!(is_own(&fleet.chat(&chat, ""), &chat));
+    assert!(is_own_response(&fleet.chat(&chat, ""), &chat));
     let outcomes = fleet.stop().outcomes();
     let completed = |outcome: &AttemptOutcome| matches!(outcome, AttemptOutcome::Completed { .. });
     assert!(outcomes.iter().all(completed), "{outcomes:?}");
--- a/crates/ragwortroad_node/src/control/admit_flow.rs
+++ b/crates/ragwortroad_node/src/control/admit_flow.rs
@@ -334,7 +334,7 @@
         return 0;
     }
     let prompt = u32::try_from(call.prompt.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
-    prompt.saturating_add(call.token_limit.unwrap_or(DEFAULT_OUTPUT_TOKENS))
+    prompt.saturating_add(call.max_output_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS))
 }
 
 /// Returns the prefix keys of a model request's prompt; none for a service request.
--- a/crates/ragwortroad_node/src/control/claim_flow.rs
+++ b/crates/ragwortroad_node/src/control/claim_flow.rs
@@ -170,7 +170,7 @@
                 self.limiter.finish(attempt.customer_key, attempt.tokens, 0);
                 let detail = "recorded answer returned".to_owned();
                 self.record_attempt_event(EventKind::ClaimFinished, &attempt, detail);
-                let answer = RecordedAnswer {
+                let answer = RecordedResponse {
                     status: answer.status,
                     content_type: answer.content_type,
                     body: answer.body,
--- a/crates/ragwortroad_node/src/control/grant_flow.rs
+++ b/crates/ragwortroad_node/src/control/grant_flow.rs
@@ -149,7 +149,7 @@
             priority: attempt.priority,
             version: attempt.version,
             customer: attempt.customer,
-            record_answer: attempt.claim.is_some(),
+            record_response: attempt.claim.is_some(),
         };
         if attempt.reply.try_send(AdmitReply::Granted(grant)).is_err() {
             // The caller disconnected while the attempt was being placed; nothing was sent.
@@ -159,7 +159,7 @@
                 FinishCall {
                     ticket,
                     outcome,
-                    took,
+                    duration: took,
                 },
                 now,
             );
@@ -179,7 +179,7 @@
             chat = record.chat.map(|chat| chat.to_string()),
             endpoint = %record.endpoint,
             outcome = ?request_outcome(&call.outcome),
-            took_ms = call.took.as_millis() as u64,
+            took_ms = call.duration.as_millis() as u64,
             "attempt ended"
         );
         self.release_slot(
@@ -289,7 +289,7 @@
     match outcome {
         AttemptOutcome::NotSent => None,
         AttemptOutcome::Completed {
-            answer: Some(answer),
+            response: Some(answer),
             ..
         } => Some(ClaimResult::Answered(ClaimAnswer {
             status: answer.status,
--- a/crates/ragwortroad_node/src/control/line_flow.rs
+++ b/crates/ragwortroad_node/src/control/line_flow.rs
@@ -47,7 +47,7 @@
     pub(crate) fn handle_operator(
         &mut self,
         call: OperatorCall,
-        reply: Sender<OperatorAnswer>,
+        reply: Sender<OperatorResponse>,
         now: ClockTime,
     ) {
         let line = OperatorLine {
@@ -107,7 +107,7 @@
         body: String,
     ) {
         if let Some(pending) = self.lines.take(token, from) {
-            send_reply(&pending.reply, OperatorAnswer { status, body });
+            send_reply(&pending.reply, OperatorResponse { status, body });
         }
     }
 
@@ -155,7 +155,7 @@
 
     /// Serves a line while no leader is known: no change is possible, and answers hold only what
     /// this node knows.
-    fn answer_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorAnswer>) {
+    fn answer_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorResponse>) {
         let origin = LineOrigin::Local(reply);
         if self
             .operator_name(&line.key_hash, &self.follower.config)
@@ -250,12 +250,12 @@
 }
 
 /// Builds an answer with a text for people and fields for programs.
-fn line_answer(status: u16, text: &str, facts: Value) -> OperatorAnswer {
+fn line_answer(status: u16, text: &str, facts: Value) -> OperatorResponse {
     let mut body = json!({ "text": text });
     if let (Some(body), Value::Object(facts)) = (body.as_object_mut(), facts) {
         body.extend(facts);
     }
-    OperatorAnswer {
+    OperatorResponse {
         status,
         body: body.to_string(),
     }
--- a/crates/ragwortroad_node/src/control/line_table.rs
+++ b/crates/ragwortroad_node/src/control/line_table.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(crate) struct PendingLine {
     /// The operator's connection.
-    pub(crate) reply: Sender<OperatorAnswer>,
+    pub(crate) reply: Sender<OperatorResponse>,
     /// The node that the line was last sent to.
     pub(crate) leader: NodeId,
     /// The line, kept for resending.
--- a/crates/ragwortroad_node/src/member/proposal_kind.rs
+++ b/crates/ragwortroad_node/src/member/proposal_kind.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum LineOrigin {
     /// An operator connected to this node.
-    Local(Sender<OperatorAnswer>),
+    Local(Sender<OperatorResponse>),
     /// Another node, which forwarded the line.
     Node {
         node: NodeId,
--- a/crates/ragwortroad_node/src/node_process.rs
+++ b/crates/ragwortroad_node/src/node_process.rs
@@ -68,7 +68,7 @@
     commands: Sender<SupervisorCommand>,
     peer_address: SocketAddr,
     bytes: Arc<ByteCounts>,
-    gate: Arc<LinkGate>,
+    gate: Arc<PartitionFilter>,
 }
 
 /// Retries earned with each first attempt.
@@ -101,7 +101,7 @@
         })
         .context(PeersSnafu)?;
         let peer_address = transport.local_address();
-        let gate = transport.gate();
+        let gate = transport.partition_filter();
         let (calls, call_queue) = flume::unbounded();
         let (commands, command_queue) = flume::unbounded();
         let (reports, disk) = flume::unbounded();
@@ -160,7 +160,7 @@
 
     /// Returns the gate that lets a test cut the links to other nodes.
     #[doc(hidden)]
-    pub fn gate(&self) -> &LinkGate {
+    pub fn gate(&self) -> &PartitionFilter {
         &self.gate
     }
 
@@ -189,7 +189,7 @@
         if self.control.join().is_err() {
             tracing::error!("the control thread panicked");
         }
-        self.gateway.abandon();
+        self.gateway.abort();
     }
 
     /// Shuts down gracefully: admits no new requests, completes those in flight, and joins every
@@ -232,8 +232,8 @@
         node_name: settings.node.name.clone(),
         listen: settings.node.listen,
         traffic_threads: settings.node.traffic_threads,
-        max_body: limits.max_body as usize,
-        max_header: limits.max_header as usize,
+        max_body_bytes: limits.max_body as usize,
+        max_header_bytes: limits.max_header as usize,
         max_connections: limits.max_connections as usize,
         idle_timeout: limits.idle_timeout,
         header_timeout: limits.header_timeout,
--- a/crates/ragwortroad_transport/src/peer_transport.rs
+++ b/crates/ragwortroad_transport/src/peer_transport.rs
@@ -38,16 +38,16 @@
 };
 
 use crate::{
-    LinkGate,
+    PartitionFilter,
     PeerChannel,
     PeerEvent,
     SendOutcome,
     TransportError,
     TransportSettings,
     TransportStats,
-    peer_book::{
-        PeerBook,
-        count, //
+    connection_table::{
+        ConnectionTable,
+        increment, //
     },
     peer_queue::{
         PeerQueue,
@@ -59,8 +59,8 @@
         StartRuntimeSnafu, //
     },
     transport_root::{
-        StartWriter,
         TransportRoot, //
+        WriterStart,
     }, //
 };
 
@@ -68,37 +68,39 @@
 ///
 /// All methods may be called from a synchronous thread; only [`Self::shutdown`] blocks.
 pub struct PeerTransport {
-    /// The node that our certificate names.
+    /// The node that the local certificate names.
     node: NodeId,
     /// The address the socket is bound to.
     address: SocketAddr,
-    /// Shared with the tasks.
-    book: Arc<PeerBook>,
-    /// Largest message.
-    max_message: usize,
-    /// Length of each peer's queue.
-    queue_length: usize,
-    /// Queues by peer; nothing once shutdown began.
+    /// Connections and counters, shared with the tasks.
+    table: Arc<ConnectionTable>,
+    max_message_bytes: usize,
+    /// Capacity of each peer's queue.
+    queue_capacity: usize,
+    /// Queues by peer; `None` once the shutdown began.
     queues: Mutex<Option<QueueMap>>,
-    /// The root task, parent of all others.
+    /// The root task, which starts and joins all other tasks.
     root: JoinHandle<()>,
-    /// The threads.
+    /// The runtime that owns the threads of the transport.
     runtime: Runtime,
 }
 
-/// The queue of each peer that was sent something.
+/// The queues of all peers to which messages have been sent.
 struct QueueMap {
-    /// Tells the root to start a writer; dropping it begins the shutdown.
-    starts: Sender<StartWriter>,
-    /// Queues by peer.
+    /// Requests a new writer from the root task; dropping the sender begins the shutdown.
+    writer_starts: Sender<WriterStart>,
     queues: HashMap<NodeId, PeerQueue>,
 }
 
 impl PeerTransport {
-    /// Binds the socket and starts the transport's threads.
+    /// Binds the socket and starts the threads of the transport.
     ///
-    /// Events come over the returned receiver. An owner that falls behind slows its peers down;
-    /// it never grows a queue without bound.
+    /// Events arrive on the returned receiver. Its queue is bounded: an owner that does not keep up
+    /// slows its peers down.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the keys are invalid, the address cannot be bound or the threads cannot be started.
     pub fn start(
         settings: TransportSettings,
     ) -> Result<(Self, Receiver<PeerEvent>), TransportError> {
@@ -114,30 +116,31 @@
         let address = endpoint.local_addr().context(ListenSnafu {
             address: settings.listen,
         })?;
-        let (events, event_receiver) = flume::bounded(settings.event_length);
-        let (starts, start_receiver) = flume::unbounded();
-        let book = Arc::new(PeerBook::default());
-        let (max_message, queue_length) = (settings.max_message, settings.queue_length);
+        let (events, event_receiver) = flume::bounded(settings.event_capacity);
+        let (writer_starts, writer_start_receiver) = flume::unbounded();
+        let table = Arc::new(ConnectionTable::default());
+        let (max_message_bytes, queue_capacity) =
+            (settings.max_message_bytes, settings.queue_capacity);
         let root = TransportRoot {
             endpoint,
-            book: book.clone(),
+            table: table.clone(),
             events,
             settings: Arc::new(settings),
-            starts: start_receiver,
+            writer_starts: writer_start_receiver,
             readers: JoinSet::new(),
             writers: JoinSet::new(),
         };
         let root = runtime.spawn(root.run());
         let queues = QueueMap {
-            starts,
+            writer_starts,
             queues: HashMap::new(),
         };
         let transport = Self {
             node,
             address,
-            book,
-            max_message,
-            queue_length,
+            table,
+            max_message_bytes,
+            queue_capacity,
             queues: Mutex::new(Some(queues)),
             root,
             runtime,
@@ -145,20 +148,20 @@
         Ok((transport, event_receiver))
     }
 
-    /// The node that our certificate names.
+    /// The node that the local certificate names.
     pub fn node(&self) -> NodeId {
         self.node
     }
 
-    /// The address the socket is bound to.
+    /// The bound address, with the actual port if the settings named port 0.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Queues `bytes` for the node `expected` at `to`, and returns at once.
+    /// Queues `bytes` for the node `expected` at `to`, and returns immediately.
     ///
-    /// Nothing is sent unless the process at `to` proves to be `expected`. Messages to one peer
-    /// may overtake each other.
+    /// Nothing is sent unless the process at `to` authenticates as `expected`. Messages to one peer
+    /// may arrive out of order.
     pub fn send(
         &self,
         to: SocketAddr,
@@ -166,13 +169,13 @@
         channel: PeerChannel,
         bytes: Vec<u8>,
     ) -> SendOutcome {
-        if bytes.len() > self.max_message {
-            count(&self.book.messages_too_large);
+        if bytes.len() > self.max_message_bytes {
+            increment(&self.table.messages_too_large);
             return SendOutcome::TooLarge;
         }
-        if !self.book.gate.passes(expected) {
-            // The sender is not told, as it is not told of packets that a switch drops.
-            count(&self.book.messages_dropped);
+        if !self.table.partition_filter.allows(expected) {
+            // The sender is not informed, as with packets that a switch drops.
+            increment(&self.table.messages_dropped);
             return SendOutcome::Queued;
         }
         let mut frame = Vec::with_capacity(bytes.len() + 1);
@@ -181,13 +184,13 @@
         let message = QueuedMessage { to, channel, frame };
         let outcome = self.queue(expected, message);
         match outcome {
-            SendOutcome::Queued => count(&self.book.messages_queued),
-            _ => count(&self.book.messages_dropped),
+            SendOutcome::Queued => increment(&self.table.messages_queued),
+            _ => increment(&self.table.messages_dropped),
         }
         outcome
     }
 
-    /// Puts `message` into the queue of `peer`, with a new writer where it has none.
+    /// Adds `message` to the queue of `peer`, starting a writer if there is none.
     fn queue(&self, peer: NodeId, message: QueuedMessage) -> SendOutcome {
         let mut guard = self.lock();
         let Some(map) = guard.as_mut() else {
@@ -196,8 +199,8 @@
         let queue = match map.queues.entry(peer) {
             Entry::Occupied(entry) => entry.into_mut(),
             Entry::Vacant(entry) => {
-                let (sender, queue) = flume::bounded(self.queue_length);
-                if map.starts.send(StartWriter { peer, queue }).is_err() {
+                let (sender, queue) = flume::bounded(self.queue_capacity);
+                if map.writer_starts.send(WriterStart { peer, queue }).is_err() {
                     return SendOutcome::Closed;
                 }
                 entry.insert(PeerQueue { sender })
@@ -210,50 +213,51 @@
         }
     }
 
-    /// Ends the writer of a peer that left the fleet for good, so that its queue does not remain.
-    pub fn forget(&self, peer: NodeId) {
+    /// Removes the queue and ends the writer of a peer that has left the fleet for good.
+    pub fn remove_peer(&self, peer: NodeId) {
         if let Some(map) = self.lock().as_mut() {
             map.queues.remove(&peer);
         }
     }
 
-    /// The links that can be cut for a test.
+    /// The filter with which tests cut the links to peers.
     #[doc(hidden)]
-    pub fn gate(&self) -> Arc<LinkGate> {
-        Arc::clone(&self.book.gate)
+    pub fn partition_filter(&self) -> Arc<PartitionFilter> {
+        Arc::clone(&self.table.partition_filter)
     }
 
-    /// All counters; see [`TransportStats`] for what the bytes hold.
+    /// Returns all counters; [`TransportStats`] says what the byte counts include.
     pub fn stats(&self) -> TransportStats {
-        self.book.stats()
+        self.table.stats()
     }
 
-    /// Bytes sent in UDP payloads since the start.
+    /// Total bytes sent in UDP payloads since the start.
     pub fn bytes_sent(&self) -> u64 {
         self.stats().bytes_sent
     }
 
-    /// Bytes received in UDP payloads since the start.
+    /// Total bytes received in UDP payloads since the start.
     pub fn bytes_received(&self) -> u64 {
         self.stats().bytes_received
     }
 
-    /// Sends what is queued, closes every connection, and joins every task and thread.
+    /// Sends the queued messages, closes every connection, and joins every task and thread.
     pub fn shutdown(self) {
         let queues = self.lock().take();
         drop(queues);
         if let Err(error) = self.runtime.block_on(self.root) {
-            tracing::error!(%error, "the transport's root task failed");
+            tracing::error!(%error, "transport root task failed");
         }
     }
 
-    /// The queues; no thread panics while it holds the lock, so a poisoned one is sound.
+    /// Locks the queues. No thread panics while it holds the lock, so a poisoned map is still
+    /// consistent.
     fn lock(&self) -> MutexGuard<'_, Option<QueueMap>> {
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Binds the socket within the runtime.
+/// Binds the socket within the context of the runtime.
 fn bind(
     runtime: &Runtime,
     setup: TlsSetup,
--- a/crates/ragwortroad_transport/src/transport_root.rs
+++ b/crates/ragwortroad_transport/src/transport_root.rs
@@ -1,4 +1,4 @@
-//! The transport's root task, parent of all others.
+//! The root task of the transport, which starts and joins all other tasks.
 
 use std::{
     sync::{
@@ -31,47 +31,45 @@
     PeerEvent,
     TransportSettings,
     connection_reader::ConnectionReader,
-    peer_book::{
-        PeerBook,
-        count, //
+    connection_table::{
+        ConnectionTable,
+        increment, //
     },
     peer_queue::QueuedMessage,
     peer_writer::PeerWriter, //
 };
 
-/// The QUIC error code of an orderly close.
+/// QUIC error code of an orderly close.
 const CLOSE_ORDERLY: VarInt = VarInt::from_u32(0);
-/// The QUIC error code for a peer whose certificate names no node.
-const CLOSE_UNKNOWN: VarInt = VarInt::from_u32(1);
+/// QUIC error code for a peer whose certificate names no node.
+const CLOSE_NO_NODE_NAME: VarInt = VarInt::from_u32(1);
 
-/// Longest time for telling peers that connections are closed.
-const CLOSE_TIME: Duration = Duration::from_secs(1);
-/// Peers that wait for their handshake to begin, for each handshake allowed.
-pub(crate) const WAITING_FACTOR: usize = 4;
+/// Time limit for notifying peers of closed connections.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Connections that may queue for a handshake, as a multiple of the handshakes allowed at once.
+pub(crate) const PENDING_HANDSHAKES_FACTOR: usize = 4;
 
-/// A new peer's queue, whose writer the root is to start.
-pub(crate) struct StartWriter {
-    /// The peer.
+/// Requests the root task to start the writer for a new peer.
+pub(crate) struct WriterStart {
     pub(crate) peer: NodeId,
-    /// Its queue.
+    /// Receiving side of the peer's queue.
     pub(crate) queue: Receiver<QueuedMessage>,
 }
 
 /// Accepts connections, starts writers, and joins both.
 pub(crate) struct TransportRoot {
-    /// The socket.
+    /// The local QUIC endpoint.
     pub(crate) endpoint: Endpoint,
-    /// Shared connections and counters.
-    pub(crate) book: Arc<PeerBook>,
-    /// Where messages and losses go.
+    /// The shared connection table.
+    pub(crate) table: Arc<ConnectionTable>,
+    /// Receives messages and lost peers.
     pub(crate) events: Sender<PeerEvent>,
-    /// Limits.
     pub(crate) settings: Arc<TransportSettings>,
-    /// Writers to start; shutdown begins when the sending side is dropped.
-    pub(crate) starts: Receiver<StartWriter>,
-    /// Connections peers made to us.
+    /// Writers to start; the shutdown begins when the sending side is dropped.
+    pub(crate) writer_starts: Receiver<WriterStart>,
+    /// Readers of incoming connections.
     pub(crate) readers: JoinSet<()>,
-    /// Writers by peer.
+    /// Writers, one per peer.
     pub(crate) writers: JoinSet<()>,
 }
 
@@ -80,7 +78,7 @@
     pub(crate) async fn run(mut self) {
         loop {
             tokio::select! {
-                start = self.starts.recv_async() => match start {
+                start = self.writer_starts.recv_async() => match start {
                     Ok(start) => self.start_writer(start),
                     Err(_shutdown) => break,
                 },
@@ -95,13 +93,12 @@
         self.stop().await;
     }
 
-    /// Starts the writer of a new peer.
-    fn start_writer(&mut self, start: StartWriter) {
+    fn start_writer(&mut self, start: WriterStart) {
         let writer = PeerWriter {
             peer: start.peer,
             queue: start.queue,
             endpoint: self.endpoint.clone(),
-            book: self.book.clone(),
+            table: self.table.clone(),
             events: self.events.clone(),
             settings: self.settings.clone(),
             readers: JoinSet::new(),
@@ -111,68 +108,68 @@
         self.writers.spawn(writer.run());
     }
 
-    /// Starts the handshake with a peer, unless too much is under way.
+    /// Starts the handshake with a peer, unless a limit is reached.
     ///
-    /// Handshakes cost processor time before anybody is proved. When half of those allowed are
-    /// under way, a peer must first show that it receives at the address it sends from, so that
-    /// forged senders cannot keep sound ones out.
+    /// A handshake costs CPU time before the peer is authenticated. Once half of the allowed
+    /// handshakes are in progress, a peer must first prove that it receives packets at its source
+    /// address, so that forged source addresses cannot keep out legitimate peers.
     fn accept(&mut self, incoming: Incoming) {
-        let open = self.readers.len().max(self.book.open_count());
-        let shaking = self.book.handshakes.load(Ordering::Relaxed) as usize;
-        let most = self.settings.max_handshakes;
-        if open >= self.settings.max_connections || shaking >= most {
-            count(&self.book.handshakes_refused);
+        let open = self.readers.len().max(self.table.open_count());
+        let handshakes_in_progress = self.table.handshakes.load(Ordering::Relaxed) as usize;
+        let max_handshakes = self.settings.max_handshakes;
+        if open >= self.settings.max_connections || handshakes_in_progress >= max_handshakes {
+            increment(&self.table.handshakes_refused);
             incoming.refuse();
             return;
         }
-        if shaking >= most / 2 && incoming.may_retry() {
+        if handshakes_in_progress >= max_handshakes / 2 && incoming.may_retry() {
             if let Err(error) = incoming.retry() {
-                tracing::debug!(%error, "could not ask a peer to prove its address");
+                tracing::debug!(%error, "failed to request address validation from a peer");
             }
             return;
         }
-        let book = self.book.clone();
+        let table = self.table.clone();
         let events = self.events.clone();
         let settings = self.settings.clone();
-        count(&book.handshakes);
+        increment(&table.handshakes);
         self.readers.spawn(async move {
-            let reader = shake_hands(incoming, &book, &events, &settings).await;
-            book.handshakes.fetch_sub(1, Ordering::Relaxed);
+            let reader = complete_handshake(incoming, &table, &events, &settings).await;
+            table.handshakes.fetch_sub(1, Ordering::Relaxed);
             match reader {
                 Some(reader) => reader.run().await,
-                None => count(&book.handshakes_refused),
+                None => increment(&table.handshakes_refused),
             }
         });
     }
 
     /// Closes every connection and joins every task.
     async fn stop(mut self) {
-        // Writers end by themselves once their queues' sending sides are gone; what they took
-        // from the queue already is written out first.
+        // Writers end once the sending sides of their queues are dropped, after sending the
+        // messages they already took.
         let limit = self.settings.message_timeout;
         if timeout(limit, join_all(&mut self.writers)).await.is_err() {
             self.writers.shutdown().await;
         }
         self.endpoint.close(CLOSE_ORDERLY, b"shutdown");
         self.readers.shutdown().await;
-        if timeout(CLOSE_TIME, self.endpoint.wait_idle())
+        if timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle())
             .await
             .is_err()
         {
-            tracing::debug!("connections did not close in time");
+            tracing::debug!("connections did not close within the time limit");
         }
     }
 }
 
-/// Joins all tasks of `tasks`.
 async fn join_all(tasks: &mut JoinSet<()>) {
     while tasks.join_next().await.is_some() {}
 }
 
-/// Completes the handshake with a peer; nothing unless it proves to be a node of the fleet.
-async fn shake_hands(
+/// Completes the handshake with a peer; returns `None` unless the peer authenticates as a node of
+/// the fleet.
+async fn complete_handshake(
     incoming: Incoming,
-    book: &Arc<PeerBook>,
+    table: &Arc<ConnectionTable>,
     events: &Sender<PeerEvent>,
     settings: &TransportSettings,
 ) -> Option<ConnectionReader> {
@@ -181,14 +178,14 @@
     let connection = match connected {
         Ok(connection) => connection,
         Err(error) => {
-            tracing::warn!(%address, %error, "refused a peer in the handshake");
+            tracing::warn!(%address, %error, "handshake with a peer failed");
             return None;
         }
     };
-    let reader = ConnectionReader::register(connection.clone(), book, events, settings);
+    let reader = ConnectionReader::register(connection.clone(), table, events, settings);
     if reader.is_none() {
-        tracing::warn!(%address, "refused a peer whose certificate names no node");
-        connection.close(CLOSE_UNKNOWN, b"the certificate names no node");
+        tracing::warn!(%address, "rejected a peer whose certificate names no node");
+        connection.close(CLOSE_NO_NODE_NAME, b"the certificate names no node");
     }
     reader
 }
