--- a/crates/ragwortroad_bench/examples/decisions.rs
+++ b/crates/ragwortroad_bench/examples/decisions.rs
@@ -49,7 +49,7 @@
     let policies = if args.short {
         vec![PolicyKind::Planner, PolicyKind::Homes(IdeaSet::ALL)]
     } else {
-        PolicyKind::ladder()
+        PolicyKind::comparison_series()
     };
     let report = run_bench(&BenchSettings {
         seed: args.seed,
--- a/crates/ragwortroad_bench/src/policy/policy_kind.rs
+++ b/crates/ragwortroad_bench/src/policy/policy_kind.rs
@@ -58,7 +58,7 @@
 
 impl PolicyKind {
     /// The planner, the baselines, then ours with each idea added to those before it.
-    pub fn ladder() -> Vec<Self> {
+    pub fn comparison_series() -> Vec<Self> {
         vec![
             Self::Planner,
             Self::RoundRobin,
--- a/crates/ragwortroad_bench/src/run/bench_settings.rs
+++ b/crates/ragwortroad_bench/src/run/bench_settings.rs
@@ -33,7 +33,7 @@
             disturbances: DisturbanceSet::CHURN,
             warm_seconds: 120,
             seconds: 240,
-            policies: PolicyKind::ladder(),
+            policies: PolicyKind::comparison_series(),
             load_factor: 1.0,
             mean_margin: None,
         }
--- a/crates/ragwortroad_node/src/event_log.rs
+++ b/crates/ragwortroad_node/src/event_log.rs
@@ -55,7 +55,7 @@
 
     /// The events that pass `filter`, as this node's part of a time line.
     pub(crate) fn gather(&self, node: &str, zone: &str, filter: &EventFilter) -> NodeTimeline {
-        self.ring.gather(node, zone, filter, MOST_EVENTS)
+        self.ring.query(node, zone, filter, MOST_EVENTS)
     }
 
     fn stamp(&self) -> HybridTime {
--- a/crates/ragwortroad_timeline/src/event_ring.rs
+++ b/crates/ragwortroad_timeline/src/event_ring.rs
@@ -10,16 +10,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RingSettings {
     /// Events of requests, chats and claims.
-    pub traffic: usize,
+    pub max_traffic_events: usize,
     /// All other events.
-    pub control: usize,
+    pub max_control_events: usize,
 }
 
 impl Default for RingSettings {
     fn default() -> Self {
         Self {
-            traffic: 16_384,
-            control: 4_096,
+            max_traffic_events: 16_384,
+            max_control_events: 4_096,
         }
     }
 }
@@ -65,10 +65,10 @@
             ..event
         };
         let (queue, most, lost) = if event.kind.is_traffic() {
-            let most = self.settings.traffic;
+            let most = self.settings.max_traffic_events;
             (&mut self.traffic, most, &mut self.lost_traffic)
         } else {
-            let most = self.settings.control;
+            let most = self.settings.max_control_events;
             (&mut self.control, most, &mut self.lost_control)
         };
         if most == 0 {
@@ -98,13 +98,7 @@
     }
 
     /// The newest `most` events that pass `filter`, as this node's part of a time line.
-    pub fn gather(
-        &self,
-        node: &str,
-        zone: &str,
-        filter: &EventFilter,
-        most: usize,
-    ) -> NodeTimeline {
+    pub fn query(&self, node: &str, zone: &str, filter: &EventFilter, most: usize) -> NodeTimeline {
         let mut events: Vec<FleetEvent> = self
             .traffic
             .iter()
--- a/crates/ragwortroad_timeline/src/lib.rs
+++ b/crates/ragwortroad_timeline/src/lib.rs
@@ -15,7 +15,7 @@
 //!     term: Some(3),
 //!     ..FleetEvent::new(EventKind::LeaderElected)
 //! });
-//! let gathered = ring.gather("north-1", "zone-a", &EventFilter::default(), 100);
+//! let gathered = ring.query("north-1", "zone-a", &EventFilter::default(), 100);
 //! let timeline = FleetTimeline::merge(vec![gathered], Vec::new());
 //! assert!(timeline.to_text().contains("leader_elected"));
 //! ```
--- a/crates/ragwortroad_timeline/tests/forms.rs
+++ b/crates/ragwortroad_timeline/tests/forms.rs
@@ -32,13 +32,13 @@
 
 fn part(node: &str, zone: &str, events: Vec<FleetEvent>, most: usize) -> NodeTimeline {
     let mut ring = EventRing::new(RingSettings {
-        traffic: 3,
-        control: 10,
+        max_traffic_events: 3,
+        max_control_events: 10,
     });
     for event in events {
         ring.record(event);
     }
-    ring.gather(node, zone, &EventFilter::default(), most)
+    ring.query(node, zone, &EventFilter::default(), most)
 }
 
 fn history() -> FleetTimeline {
@@ -129,8 +129,8 @@
 #[test]
 fn busy_traffic_does_not_push_out_a_failover() {
     let settings = RingSettings {
-        traffic: 100,
-        control: 10,
+        max_traffic_events: 100,
+        max_control_events: 10,
     };
     let mut ring = EventRing::new(settings);
     ring.record(at(0, EventKind::LeaderElected));
@@ -142,7 +142,7 @@
         kinds: vec![EventKind::LeaderElected],
         ..EventFilter::default()
     };
-    let part = ring.gather("a", "zone", &filter, 10);
+    let part = ring.query("a", "zone", &filter, 10);
     assert_eq!(
         (part.events.len(), part.lost_traffic, part.lost_control),
         (1, 900, 0)
@@ -155,7 +155,7 @@
     ring.record(at(0, EventKind::LeaderElected));
     ring.record(of_request(5, EventKind::RequestAdmitted));
     ring.record(of_request(9, EventKind::RequestFinished));
-    let count = |filter: EventFilter| ring.gather("a", "zone", &filter, 10).events.len();
+    let count = |filter: EventFilter| ring.query("a", "zone", &filter, 10).events.len();
     let all = EventFilter::default();
     assert_eq!(count(all.clone()), 3);
     assert_eq!(
--- a/src/commands/bench.rs
+++ b/src/commands/bench.rs
@@ -21,7 +21,7 @@
         disturbances,
         warm_seconds: options.warm_seconds,
         seconds: options.seconds,
-        policies: PolicyKind::ladder(),
+        policies: PolicyKind::comparison_series(),
         mean_margin: None,
         load_factor: options.load_factor,
     });
