--- a/crates/ragwortroad_bench/examples/decisions.rs
+++ b/crates/ragwortroad_bench/examples/decisions.rs
@@ -47,7 +47,7 @@
         return std::process::ExitCode::FAILURE;
     };
     let policies = if args.short {
-        vec![PolicyKind::Planner, PolicyKind::Homes(IdeaSet::ALL)]
+        vec![PolicyKind::Planner, PolicyKind::Homes(FeatureSet::ALL)]
     } else {
         PolicyKind::comparison_series()
     };
--- a/crates/ragwortroad_bench/src/fake/block_cache.rs
+++ b/crates/ragwortroad_bench/src/fake/block_cache.rs
@@ -21,8 +21,8 @@
     capacity: usize,
     /// Last use and depth of every block held. It is never iterated, so that its order is of no
     /// consequence.
-    held: HashMap<PrefixKey, (u64, u32), BuildHasherDefault<Xxh3>>,
-    order: BTreeSet<(u64, Reverse<u32>, PrefixKey)>,
+    blocks: HashMap<PrefixKey, (u64, u32), BuildHasherDefault<Xxh3>>,
+    lru_order: BTreeSet<(u64, Reverse<u32>, PrefixKey)>,
     /// Changes not yet published.
     events: Vec<CacheEvent>,
     next_event: u64,
@@ -33,36 +33,36 @@
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             capacity,
-            held: HashMap::default(),
-            order: BTreeSet::new(),
+            blocks: HashMap::default(),
+            lru_order: BTreeSet::new(),
             events: Vec::new(),
             next_event: 0,
         }
     }
 
     /// Blocks of `chain` held, from its start.
-    pub(crate) fn match_length(&self, chain: &[PrefixKey]) -> usize {
+    pub(crate) fn cached_prefix_blocks(&self, chain: &[PrefixKey]) -> usize {
         // What is held of a chain is a prefix of it.
-        chain.partition_point(|key| self.held.contains_key(key))
+        chain.partition_point(|key| self.blocks.contains_key(key))
     }
 
     /// Notes a use of all blocks of `chain`, which are held afterwards.
     pub(crate) fn touch(&mut self, chain: &[PrefixKey], tick: u64) {
         for (depth, key) in chain.iter().enumerate() {
             let depth = depth as u32;
-            match self.held.insert(*key, (tick, depth)) {
+            match self.blocks.insert(*key, (tick, depth)) {
                 Some((used, depth)) => {
-                    self.order.remove(&(used, Reverse(depth), *key));
+                    self.lru_order.remove(&(used, Reverse(depth), *key));
                 }
                 None => self.publish(CacheChange::Stored, *key),
             }
-            self.order.insert((tick, Reverse(depth), *key));
+            self.lru_order.insert((tick, Reverse(depth), *key));
         }
-        while self.held.len() > self.capacity {
-            let Some((_, _, key)) = self.order.pop_first() else {
+        while self.blocks.len() > self.capacity {
+            let Some((_, _, key)) = self.lru_order.pop_first() else {
                 break;
             };
-            self.held.remove(&key);
+            self.blocks.remove(&key);
             self.publish(CacheChange::Evicted, key);
         }
     }
--- a/crates/ragwortroad_bench/src/fake/fake_engine.rs
+++ b/crates/ragwortroad_bench/src/fake/fake_engine.rs
@@ -10,14 +10,14 @@
 pub(crate) struct FakeEngine {
     pub(crate) cache: BlockCache,
     capacity: usize,
-    running: Vec<EngineWork>,
-    waiting: VecDeque<EngineWork>,
+    running: Vec<EngineRequest>,
+    waiting: VecDeque<EngineRequest>,
     /// Prompt tokens that the step under way works off.
-    chunk: u32,
+    prefill_budget: u32,
     /// Steps so far, as the cache's clock.
-    steps: u64,
+    step_count: u64,
     /// A step is under way.
-    pub(crate) busy: bool,
+    pub(crate) step_running: bool,
     /// Counts restarts; a step of an earlier process is void.
     pub(crate) incarnation: u32,
     /// It takes requests.
@@ -28,39 +28,39 @@
 
 /// One request at an engine.
 #[derive(Clone, Debug)]
-pub(crate) struct EngineWork {
+pub(crate) struct EngineRequest {
     /// Number of the request in the run.
     pub(crate) request: u32,
     /// Its prompt.
-    pub(crate) chain: Vec<PrefixKey>,
+    pub(crate) prompt: Vec<PrefixKey>,
     /// Prompt and answer, as the next turn will begin with.
-    pub(crate) after: Vec<PrefixKey>,
+    pub(crate) prompt_and_answer: Vec<PrefixKey>,
     /// Tokens still to generate.
-    pub(crate) answer: u32,
+    pub(crate) remaining_tokens: u32,
     /// Prompt tokens still to work off; set when it starts.
-    pub(crate) prefill: u32,
+    pub(crate) prefill_tokens: u32,
     /// Blocks found in the cache; set when it starts.
-    pub(crate) cached: u32,
+    pub(crate) cached_blocks: u32,
 }
 
 /// What a step did to one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum EngineNews {
+pub(crate) enum StepOutput {
     /// Its first token is out; so many of its blocks were cached.
-    First(u32, u32),
+    FirstToken(u32, u32),
     /// Its answer is whole.
-    Done(u32),
+    Finished(u32),
 }
 
 /// Tokens of a block.
 pub(crate) const BLOCK_TOKENS: u32 = 128;
 /// Prompt tokens one step works off at most.
-const CHUNK_TOKENS: u32 = 2_048;
+const MAX_STEP_PREFILL_TOKENS: u32 = 2_048;
 /// Prompt tokens worked off in a millisecond.
-const PREFILL_PER_MS: u32 = 10;
+const PREFILL_TOKENS_PER_MS: u32 = 10;
 /// Microseconds of a step whatever it does, and for each request in it.
 const STEP_BASE_US: u64 = 30_000;
-const STEP_EACH_US: u64 = 250;
+const STEP_PER_REQUEST_US: u64 = 250;
 
 impl FakeEngine {
     /// An idle engine with an empty cache.
@@ -70,9 +70,9 @@
             capacity: capacity as usize,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            chunk: 0,
-            steps: 0,
-            busy: false,
+            prefill_budget: 0,
+            step_count: 0,
+            step_running: false,
             incarnation: 0,
             alive: true,
             leaving: false,
@@ -85,7 +85,7 @@
     }
 
     /// Takes a request in.
-    pub(crate) fn push(&mut self, work: EngineWork) {
+    pub(crate) fn enqueue(&mut self, work: EngineRequest) {
         self.waiting.push_back(work);
     }
 
@@ -108,51 +108,51 @@
 
     /// Begins a step; returns how many milliseconds it takes, or nothing if there is no work.
     pub(crate) fn begin_step(&mut self) -> Option<u64> {
-        self.steps += 1;
+        self.step_count += 1;
         while self.running.len() < self.capacity {
             let Some(mut work) = self.waiting.pop_front() else {
                 break;
             };
-            let cached = self.cache.match_length(&work.chain);
+            let cached = self.cache.cached_prefix_blocks(&work.prompt);
             // The last token of a prompt is always computed.
-            work.prefill = ((work.chain.len() - cached) as u32 * BLOCK_TOKENS).max(1);
-            work.cached = cached as u32;
-            self.cache.touch(&work.chain, self.steps);
+            work.prefill_tokens = ((work.prompt.len() - cached) as u32 * BLOCK_TOKENS).max(1);
+            work.cached_blocks = cached as u32;
+            self.cache.touch(&work.prompt, self.step_count);
             self.running.push(work);
         }
-        self.busy = !self.running.is_empty();
-        if !self.busy {
+        self.step_running = !self.running.is_empty();
+        if !self.step_running {
             return None;
         }
-        let prompt: u32 = self.running.iter().map(|work| work.prefill).sum();
-        self.chunk = prompt.min(CHUNK_TOKENS);
-        let batch = STEP_BASE_US + STEP_EACH_US * self.running.len() as u64;
-        Some(batch.div_ceil(1000) + u64::from(self.chunk / PREFILL_PER_MS))
+        let prompt: u32 = self.running.iter().map(|work| work.prefill_tokens).sum();
+        self.prefill_budget = prompt.min(MAX_STEP_PREFILL_TOKENS);
+        let batch = STEP_BASE_US + STEP_PER_REQUEST_US * self.running.len() as u64;
+        Some(batch.div_ceil(1000) + u64::from(self.prefill_budget / PREFILL_TOKENS_PER_MS))
     }
 
     /// Ends the step under way.
-    pub(crate) fn end_step(&mut self) -> Vec<EngineNews> {
+    pub(crate) fn end_step(&mut self) -> Vec<StepOutput> {
         let mut news = Vec::new();
         let mut ended = Vec::new();
         for (index, work) in self.running.iter_mut().enumerate() {
-            if work.prefill > 0 {
-                let part = work.prefill.min(self.chunk);
-                work.prefill -= part;
-                self.chunk -= part;
-                if work.prefill == 0 {
-                    news.push(EngineNews::First(work.request, work.cached));
+            if work.prefill_tokens > 0 {
+                let part = work.prefill_tokens.min(self.prefill_budget);
+                work.prefill_tokens -= part;
+                self.prefill_budget -= part;
+                if work.prefill_tokens == 0 {
+                    news.push(StepOutput::FirstToken(work.request, work.cached_blocks));
                 }
                 continue;
             }
-            work.answer = work.answer.saturating_sub(1);
-            if work.answer == 0 {
-                news.push(EngineNews::Done(work.request));
+            work.remaining_tokens = work.remaining_tokens.saturating_sub(1);
+            if work.remaining_tokens == 0 {
+                news.push(StepOutput::Finished(work.request));
                 ended.push(index);
             }
         }
         for index in ended.into_iter().rev() {
             let work = self.running.remove(index);
-            self.cache.touch(&work.after, self.steps);
+            self.cache.touch(&work.prompt_and_answer, self.step_count);
         }
         news
     }
--- a/crates/ragwortroad_bench/src/lib.rs
+++ b/crates/ragwortroad_bench/src/lib.rs
@@ -12,7 +12,7 @@
 //!     workload: WorkloadKind::Ljosmynd,
 //!     seconds: 5,
 //!     warm_seconds: 1,
-//!     policies: vec![PolicyKind::Planner, PolicyKind::Homes(IdeaSet::ALL)],
+//!     policies: vec![PolicyKind::Planner, PolicyKind::Homes(FeatureSet::ALL)],
 //!     ..BenchSettings::default()
 //! };
 //! let report = run_bench(&settings);
@@ -29,7 +29,7 @@
 pub mod prelude {
     pub use crate::{
         policy::policy_kind::{
-            IdeaSet,
+            FeatureSet,
             PolicyKind, //
         },
         report::{
--- a/crates/ragwortroad_bench/src/policy/policy_kind.rs
+++ b/crates/ragwortroad_bench/src/policy/policy_kind.rs
@@ -22,13 +22,13 @@
     /// The highest hash among engines that seem below the bound, by reports and own sends.
     BoundedLoad,
     /// Ours: every engine has a home node that admits its work, with these ideas on top.
-    Homes(IdeaSet),
+    Homes(FeatureSet),
 }
 
 /// What is added to plain admission by home nodes and rendezvous hashing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct IdeaSet {
+pub struct FeatureSet {
     /// Chats go back to where they were, by the caller's hint or the node's memory.
     pub hints: bool,
     /// Chats with a shared text stay together.
@@ -39,7 +39,7 @@
     pub holds: bool,
 }
 
-impl IdeaSet {
+impl FeatureSet {
     /// Home nodes and rendezvous hashing alone.
     pub const NONE: Self = Self {
         hints: false,
@@ -66,21 +66,21 @@
             Self::TwoChoices,
             Self::Rendezvous,
             Self::BoundedLoad,
-            Self::Homes(IdeaSet::NONE),
-            Self::Homes(IdeaSet {
+            Self::Homes(FeatureSet::NONE),
+            Self::Homes(FeatureSet {
                 hints: true,
-                ..IdeaSet::NONE
+                ..FeatureSet::NONE
             }),
-            Self::Homes(IdeaSet {
+            Self::Homes(FeatureSet {
                 hints: true,
                 plans: true,
-                ..IdeaSet::NONE
+                ..FeatureSet::NONE
             }),
-            Self::Homes(IdeaSet {
+            Self::Homes(FeatureSet {
                 holds: false,
-                ..IdeaSet::ALL
+                ..FeatureSet::ALL
             }),
-            Self::Homes(IdeaSet::ALL),
+            Self::Homes(FeatureSet::ALL),
         ]
     }
 
--- a/crates/ragwortroad_bench/src/report/bench_report.rs
+++ b/crates/ragwortroad_bench/src/report/bench_report.rs
@@ -42,7 +42,7 @@
             .find(|report| report.policy == planner)
             .map_or(0.0, |report| report.reuse);
         for report in &mut policies {
-            report.compare(planned);
+            report.set_planner_reuse(planned);
         }
         Self {
             seed: settings.seed,
--- a/crates/ragwortroad_bench/src/report/policy_report.rs
+++ b/crates/ragwortroad_bench/src/report/policy_report.rs
@@ -94,9 +94,9 @@
             above_share: ratio(skew.above_ms, skew.measured_ms),
             above_longest_ms: skew.longest_ms,
             above_most: skew.most_above,
-            slot_bytes: rounded(tally.bytes.slots as f64 / seconds),
-            limit_bytes: rounded(tally.bytes.limits as f64 / seconds),
-            digest_bytes: rounded(tally.bytes.digests as f64 / seconds),
+            slot_bytes: rounded(tally.control_bytes.slots as f64 / seconds),
+            limit_bytes: rounded(tally.control_bytes.limits as f64 / seconds),
+            digest_bytes: rounded(tally.control_bytes.digests as f64 / seconds),
             held_mean_ms: ratio(tally.held_ms, tally.arrived),
             asked_per_1000: rounded(1000.0 * ratio(tally.asked, tally.arrived)),
             first_token_p50_ms: quantile(&tally.first_token, 0.5),
@@ -111,7 +111,7 @@
     }
 
     /// Notes the planner's reuse beside this policy's.
-    pub(crate) fn compare(&mut self, planner: f64) {
+    pub(crate) fn set_planner_reuse(&mut self, planner: f64) {
         if planner > 0.0 {
             self.reuse_of_planner = rounded(self.reuse / planner);
         }
@@ -132,16 +132,16 @@
 impl SkewSummary {
     fn of_run(run: &BenchRun<'_>) -> Self {
         let mut ratios: BTreeMap<u32, u64> = BTreeMap::new();
-        for tracker in &run.trackers {
-            for (ratio, span) in &tracker.ratios {
+        for tracker in &run.skew_trackers {
+            for (ratio, span) in &tracker.ratio_ms {
                 *ratios.entry(*ratio).or_insert(0) += span;
             }
         }
-        let trackers = || run.trackers.iter();
+        let trackers = || run.skew_trackers.iter();
         Self {
-            p50: weighted_quantile(&ratios, 0.5),
-            p99: weighted_quantile(&ratios, 0.99),
-            max: weighted_quantile(&ratios, 1.0),
+            p50: time_weighted_quantile(&ratios, 0.5),
+            p99: time_weighted_quantile(&ratios, 0.99),
+            max: time_weighted_quantile(&ratios, 1.0),
             above_ms: trackers().map(|tracker| tracker.above_ms).sum(),
             longest_ms: trackers()
                 .map(|tracker| tracker.longest_above_ms)
@@ -157,7 +157,7 @@
 }
 
 /// The ratio below which `share` of the time was spent.
-fn weighted_quantile(ratios: &BTreeMap<u32, u64>, share: f64) -> f64 {
+fn time_weighted_quantile(ratios: &BTreeMap<u32, u64>, share: f64) -> f64 {
     let total: u64 = ratios.values().sum();
     let wanted = (share * total as f64).ceil() as u64;
     let mut seen = 0;
--- a/crates/ragwortroad_bench/src/run/bench_node.rs
+++ b/crates/ragwortroad_bench/src/run/bench_node.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     BenchSettings,
-    IdeaSet,
+    FeatureSet,
     PolicyKind,
     WorkloadSpec,
     policy::baseline_view::BaselineView, //
@@ -32,18 +32,18 @@
     pub(crate) table: RouteTable,
     pub(crate) limiter: CustomerLimiter,
     /// Customers whose limit the limiter knows.
-    known: BTreeSet<usize>,
-    pub(crate) budget: RetryBudget,
-    pub(crate) view: BaselineView,
+    declared_customers: BTreeSet<usize>,
+    pub(crate) retry_budget: RetryBudget,
+    pub(crate) baseline_view: BaselineView,
     /// Nodes it believes alive.
-    pub(crate) nodes: BTreeSet<NodeId>,
+    pub(crate) members: BTreeSet<NodeId>,
 }
 
 /// Retries a node may make for each first attempt.
-const RETRY_SHARE: f64 = 0.1;
+const RETRY_RATIO: f64 = 0.1;
 /// Engines whose whole work a node may retry at once. An engine's callers are mostly at its home, so
 /// that a crash fails them all at one node.
-const RETRY_ENGINES: u32 = 2;
+const RETRY_BURST_ENGINES: u32 = 2;
 
 impl BenchNode {
     /// A node that has just started.
@@ -63,25 +63,25 @@
             alive: true,
             table: RouteTable::new(route_settings(id, settings, spec, policy)),
             limiter: CustomerLimiter::new(limits),
-            known: BTreeSet::new(),
-            budget: RetryBudget::new(RETRY_SHARE, RETRY_ENGINES * spec.capacity),
-            view: BaselineView::new(spec.engines, settings.seed, index),
-            nodes: ids.iter().copied().collect(),
+            declared_customers: BTreeSet::new(),
+            retry_budget: RetryBudget::new(RETRY_RATIO, RETRY_BURST_ENGINES * spec.engine_capacity),
+            baseline_view: BaselineView::new(spec.engines, settings.seed, index),
+            members: ids.iter().copied().collect(),
         };
-        node.apply_nodes(ClockTime::ZERO);
+        node.apply_members(ClockTime::ZERO);
         node
     }
 
     /// Hands the nodes believed alive to those who need them.
-    pub(crate) fn apply_nodes(&mut self, now: ClockTime) {
-        let nodes: Vec<NodeId> = self.nodes.iter().copied().collect();
+    pub(crate) fn apply_members(&mut self, now: ClockTime) {
+        let nodes: Vec<NodeId> = self.members.iter().copied().collect();
         self.table.set_nodes(&nodes);
         self.limiter.set_nodes(&nodes, now);
     }
 
     /// Declares a customer's limit when it first turns up; on a real node the configuration does.
-    pub(crate) fn declare(&mut self, customer: usize, rate: f64, now: ClockTime) {
-        if self.known.insert(customer) {
+    pub(crate) fn declare_limit(&mut self, customer: usize, rate: f64, now: ClockTime) {
+        if self.declared_customers.insert(customer) {
             let limit = CustomerLimit {
                 requests_per_s: rate,
                 tokens_per_s: 1e9,
@@ -107,7 +107,7 @@
 ) -> RouteSettings {
     let ideas = match policy {
         PolicyKind::Homes(ideas) => ideas,
-        _ => IdeaSet::NONE,
+        _ => FeatureSet::NONE,
     };
     let defaults = RouteSettings::default();
     RouteSettings {
--- a/crates/ragwortroad_bench/src/run/bench_run.rs
+++ b/crates/ragwortroad_bench/src/run/bench_run.rs
@@ -40,7 +40,7 @@
             ArrivalPlan,
             customer_weights, //
         },
-        bench_draw::BenchDraw,
+        bench_rng::BenchRng,
         disturbance_plan::DisturbancePlan, //
     }, //
 };
@@ -50,33 +50,33 @@
     pub(crate) settings: &'plan BenchSettings,
     pub(crate) spec: WorkloadSpec,
     pub(crate) policy: PolicyKind,
-    pub(crate) plan: &'plan ArrivalPlan,
-    pub(crate) changes: &'plan DisturbancePlan,
+    pub(crate) arrival_plan: &'plan ArrivalPlan,
+    pub(crate) disturbance_plan: &'plan DisturbancePlan,
     pub(crate) now: u64,
     pub(crate) queue: EventQueue,
-    pub(crate) draw: BenchDraw,
+    pub(crate) rng: BenchRng,
     pub(crate) nodes: Vec<BenchNode>,
     pub(crate) node_ids: Vec<NodeId>,
     pub(crate) engines: Vec<FakeEngine>,
     pub(crate) engine_ids: Vec<EndpointId>,
     /// The model each engine serves, and the engines of each model.
     pub(crate) engine_models: Vec<usize>,
-    pub(crate) pools: Vec<Vec<usize>>,
+    pub(crate) model_engines: Vec<Vec<usize>>,
     /// The node each engine announces itself to.
     pub(crate) homes: Vec<usize>,
     /// Requests at each engine, and on their way to it.
-    pub(crate) loads: Vec<u32>,
-    pub(crate) on_way: Vec<u32>,
+    pub(crate) engine_loads: Vec<u32>,
+    pub(crate) in_transit: Vec<u32>,
     /// The load each engine reported last.
-    pub(crate) reported: Vec<u32>,
-    pub(crate) trackers: Vec<SkewTracker>,
+    pub(crate) reported_loads: Vec<u32>,
+    pub(crate) skew_trackers: Vec<SkewTracker>,
     pub(crate) next_arrival: usize,
     pub(crate) requests: Vec<LiveRequest>,
     /// Where each chat was last, as its caller and as the bench knows it.
-    pub(crate) hints: Vec<Option<usize>>,
-    pub(crate) places: Vec<Option<usize>>,
-    pub(crate) limits: Vec<f64>,
-    pub(crate) customers: BTreeMap<CustomerKey, usize>,
+    pub(crate) chat_hints: Vec<Option<usize>>,
+    pub(crate) chat_engines: Vec<Option<usize>>,
+    pub(crate) customer_limits: Vec<f64>,
+    pub(crate) customer_indexes: BTreeMap<CustomerKey, usize>,
     pub(crate) tally: RunTally,
 }
 
@@ -86,8 +86,8 @@
         settings: &'plan BenchSettings,
         spec: WorkloadSpec,
         policy: PolicyKind,
-        plan: &'plan ArrivalPlan,
-        changes: &'plan DisturbancePlan,
+        arrival_plan: &'plan ArrivalPlan,
+        disturbance_plan: &'plan DisturbancePlan,
     ) -> Self {
         let node_ids: Vec<NodeId> = (0..spec.nodes)
             .map(|index| NodeId::from_name(&format!("node-{index}")))
@@ -96,48 +96,48 @@
             .map(|index| BenchNode::new(index, &node_ids, settings, &spec, policy))
             .collect();
         let weights = customer_weights(&spec);
-        let engine_models = models_of_engines(&spec, plan, &weights);
-        let mut pools = vec![Vec::new(); spec.models];
+        let engine_models = assign_models(&spec, arrival_plan, &weights);
+        let mut model_engines = vec![Vec::new(); spec.models];
         for (engine, model) in engine_models.iter().enumerate() {
-            pools[*model].push(engine);
+            model_engines[*model].push(engine);
         }
         let sum: f64 = weights.iter().sum();
         // A customer may use three times its usual rate.
-        let limits = weights
+        let customer_limits = weights
             .iter()
-            .map(|weight| 3.0 * spec.rate * weight / sum + 2.0)
+            .map(|weight| 3.0 * spec.requests_per_s * weight / sum + 2.0)
             .collect();
         let warm_ms = settings.warm_seconds * 1000;
         Self {
             settings,
             spec,
             policy,
-            plan,
-            changes,
+            arrival_plan,
+            disturbance_plan,
             now: 0,
             queue: EventQueue::default(),
-            draw: BenchDraw::new(settings.seed, 0xde1a),
+            rng: BenchRng::new(settings.seed, 0xde1a),
             nodes,
             node_ids,
-            engines: vec![FakeEngine::new(spec.capacity, spec.cache_blocks); spec.engines],
+            engines: vec![FakeEngine::new(spec.engine_capacity, spec.cache_blocks); spec.engines],
             engine_ids: (0..spec.engines)
                 .map(|index| EndpointId::from_name(&format!("engine-{index}")))
                 .collect(),
             engine_models,
-            pools,
+            model_engines,
             homes: (0..spec.engines)
                 .map(|engine| engine % spec.nodes)
                 .collect(),
-            loads: vec![0; spec.engines],
-            on_way: vec![0; spec.engines],
-            reported: vec![0; spec.engines],
-            trackers: vec![SkewTracker::new(warm_ms); spec.models],
+            engine_loads: vec![0; spec.engines],
+            in_transit: vec![0; spec.engines],
+            reported_loads: vec![0; spec.engines],
+            skew_trackers: vec![SkewTracker::new(warm_ms); spec.models],
             next_arrival: 0,
             requests: Vec::new(),
-            hints: vec![None; plan.chats],
-            places: vec![None; plan.chats],
-            limits,
-            customers: (0..spec.customers)
+            chat_hints: vec![None; arrival_plan.chat_count],
+            chat_engines: vec![None; arrival_plan.chat_count],
+            customer_limits,
+            customer_indexes: (0..spec.customers)
                 .map(|customer| (customer_key(customer), customer))
                 .collect(),
             tally: RunTally::new(),
@@ -146,7 +146,7 @@
 
     /// Runs to the end of the plan.
     pub(crate) fn run(mut self) -> Self {
-        self.begin();
+        self.schedule_initial_events();
         let warm_ms = self.settings.warm_seconds * 1000;
         let end_ms = warm_ms + self.settings.seconds * 1000;
         let mut warm = true;
@@ -159,69 +159,79 @@
                 self.tally = RunTally::new();
             }
             self.now = at;
-            self.handle(event);
+            self.handle_event(event);
         }
-        for tracker in &mut self.trackers {
+        for tracker in &mut self.skew_trackers {
             tracker.advance(end_ms);
         }
         self
     }
 
-    fn begin(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for engine in 0..self.spec.engines {
             let model = self.engine_models[engine];
-            self.trackers[model].join(engine, 0, 0);
-            let facts = self.facts_of(engine, self.homes[engine], false);
+            self.skew_trackers[model].join(engine, 0, 0);
+            let facts = self.endpoint_facts(engine, self.homes[engine], false);
             for node in &mut self.nodes {
                 node.table.upsert_endpoint(facts.clone(), ClockTime::ZERO);
             }
             let offset = hash_pair(engine as u64, 1) % 1000;
             let engine = engine as u32;
-            self.queue.push(offset, BenchEvent::Announce { engine });
+            self.queue
+                .push(offset, BenchEvent::AnnouncementDue { engine });
         }
-        for (index, (at, _)) in self.changes.changes.iter().enumerate() {
-            self.queue.push(*at, BenchEvent::Change(index));
+        for (index, (at, _)) in self.disturbance_plan.events.iter().enumerate() {
+            self.queue.push(*at, BenchEvent::Disturbance(index));
         }
-        self.queue.push(self.spec.digest_ms, BenchEvent::Digest);
-        self.queue.push(1000, BenchEvent::Second);
-        self.push_arrival();
+        self.queue
+            .push(self.spec.digest_interval_ms, BenchEvent::DigestsDue);
+        self.queue.push(1000, BenchEvent::UpkeepDue);
+        self.schedule_next_arrival();
     }
 
-    fn handle(&mut self, event: BenchEvent) {
+    fn handle_event(&mut self, event: BenchEvent) {
         match event {
-            BenchEvent::Arrive => self.arrive(),
-            BenchEvent::Look { request } => self.place(request),
-            BenchEvent::Ask { request, home } => self.ask_reached(request, home as usize),
-            BenchEvent::Answer { request, answer } => self.answer_reached(request, answer),
-            BenchEvent::Reach { request, engine } => self.engine_reached(request, engine as usize),
-            BenchEvent::Step {
+            BenchEvent::RequestArrived => self.handle_arrival(),
+            BenchEvent::PlacementRetry { request } => self.place_request(request),
+            BenchEvent::SlotRequested { request, home } => {
+                self.handle_slot_request(request, home as usize)
+            }
+            BenchEvent::SlotAnswered { request, answer } => {
+                self.handle_slot_answer(request, answer)
+            }
+            BenchEvent::EngineReached { request, engine } => {
+                self.handle_engine_arrival(request, engine as usize)
+            }
+            BenchEvent::StepEnded {
                 engine,
                 incarnation,
-            } => self.step_ended(engine as usize, incarnation),
-            BenchEvent::Ended { request, whole } => self.attempt_ended(request, whole),
-            BenchEvent::Release {
+            } => self.handle_step_end(engine as usize, incarnation),
+            BenchEvent::AttemptEnded { request, whole } => self.handle_attempt_end(request, whole),
+            BenchEvent::SlotReleased {
                 home,
                 engine,
                 slot,
                 outcome,
-            } => self.release_reached(home as usize, engine as usize, slot, outcome),
-            BenchEvent::Announce { engine } => self.announce(engine as usize),
-            BenchEvent::Announced {
+            } => self.handle_release(home as usize, engine as usize, slot, outcome),
+            BenchEvent::AnnouncementDue { engine } => self.send_announcement(engine as usize),
+            BenchEvent::AnnouncementArrived {
                 engine,
                 report,
                 events,
-            } => self.announced(engine as usize, report, &events),
-            BenchEvent::Digest => self.make_digests(),
-            BenchEvent::Digested { digests } => self.take_digests(&digests),
-            BenchEvent::Second => self.each_second(),
-            BenchEvent::Demand {
+            } => self.handle_announcement(engine as usize, report, &events),
+            BenchEvent::DigestsDue => self.send_digests(),
+            BenchEvent::DigestsArrived { digests } => self.handle_digests(&digests),
+            BenchEvent::UpkeepDue => self.run_upkeep(),
+            BenchEvent::DemandArrived {
                 node,
                 keeper,
                 digest,
-            } => self.demand_reached(node as usize, keeper as usize, &digest),
-            BenchEvent::Share { node, digest } => self.share_reached(node as usize, &digest),
-            BenchEvent::Learn { node, news } => self.learn(node as usize, news),
-            BenchEvent::Change(index) => self.change(self.changes.changes[index].1),
+            } => self.handle_demand(node as usize, keeper as usize, &digest),
+            BenchEvent::ShareArrived { node, digest } => self.handle_share(node as usize, &digest),
+            BenchEvent::UpdateArrived { node, news } => self.handle_update(node as usize, news),
+            BenchEvent::Disturbance(index) => {
+                self.apply_disturbance(self.disturbance_plan.events[index].1)
+            }
         }
     }
 
@@ -231,25 +241,25 @@
     }
 
     /// Queues the next request of the plan.
-    pub(crate) fn push_arrival(&mut self) {
-        if let Some(arrival) = self.plan.arrivals.get(self.next_arrival) {
-            self.queue.push(arrival.at_ms, BenchEvent::Arrive);
+    pub(crate) fn schedule_next_arrival(&mut self) {
+        if let Some(arrival) = self.arrival_plan.arrivals.get(self.next_arrival) {
+            self.queue.push(arrival.at_ms, BenchEvent::RequestArrived);
         }
     }
 
     /// The prompt of an arrival: shared text, the chat so far, and a new block.
-    pub(crate) fn chain_of(&self, arrival: usize) -> Vec<PrefixKey> {
-        self.chain_to(arrival, 1)
+    pub(crate) fn prompt_chain(&self, arrival: usize) -> Vec<PrefixKey> {
+        self.extended_chain(arrival, 1)
     }
 
     /// The shared text, the chat so far, and `more` blocks.
-    pub(crate) fn chain_to(&self, arrival: usize, more: u32) -> Vec<PrefixKey> {
+    pub(crate) fn extended_chain(&self, arrival: usize, more: u32) -> Vec<PrefixKey> {
         const PLAN_SEED: u64 = 1 << 40;
         const CHAT_SEED: u64 = 1 << 41;
-        let arrival = &self.plan.arrivals[arrival];
-        let plan = PLAN_SEED + u64::from(arrival.plan);
+        let arrival = &self.arrival_plan.arrivals[arrival];
+        let plan = PLAN_SEED + u64::from(arrival.shared_prefix);
         let chat = CHAT_SEED + u64::from(arrival.chat);
-        let shared = (0..self.spec.plan_blocks).map(|block| (plan, block));
+        let shared = (0..self.spec.shared_prefix_blocks).map(|block| (plan, block));
         let own = (0..arrival.context_blocks + more).map(|block| (chat, block));
         shared
             .chain(own)
@@ -258,12 +268,17 @@
     }
 
     /// The model an arrival is for.
-    pub(crate) fn model_of(&self, arrival: usize) -> usize {
-        self.plan.models[self.plan.arrivals[arrival].customer as usize]
+    pub(crate) fn arrival_model(&self, arrival: usize) -> usize {
+        self.arrival_plan.customer_models[self.arrival_plan.arrivals[arrival].customer as usize]
     }
 
     /// What membership says of an engine.
-    pub(crate) fn facts_of(&self, engine: usize, home: usize, leaving: bool) -> EndpointFacts {
+    pub(crate) fn endpoint_facts(
+        &self,
+        engine: usize,
+        home: usize,
+        leaving: bool,
+    ) -> EndpointFacts {
         let model = self.engine_models[engine];
         let name = format!("model-{model}");
         EndpointFacts {
@@ -271,8 +286,8 @@
             kind: EndpointKind::Engine,
             fleet: FleetKey::from_name(&name),
             zone: ZoneKey((engine % self.spec.zones) as u64),
-            capacity: self.spec.capacity,
-            offers: vec![offer_of(model)],
+            capacity: self.spec.engine_capacity,
+            offers: vec![model_offer(model)],
             home: self.node_ids[home],
             leaving,
             drained: false,
@@ -280,11 +295,11 @@
     }
 
     /// Milliseconds of a message between two zones, drawn.
-    pub(crate) fn delay(&mut self, from: usize, to: usize) -> u64 {
+    pub(crate) fn draw_delay(&mut self, from: usize, to: usize) -> u64 {
         if from % self.spec.zones == to % self.spec.zones {
             return 1;
         }
-        2 + self.draw.below(4)
+        2 + self.rng.below(4)
     }
 
     /// Nodes that are alive.
@@ -301,15 +316,15 @@
 }
 
 /// The key of a model by its number.
-pub(crate) fn offer_of(model: usize) -> OfferKey {
+pub(crate) fn model_offer(model: usize) -> OfferKey {
     OfferKey::model(&format!("model-{model}"), "v1", None)
 }
 
 /// Gives each model engines in proportion to its customers' sizes.
-fn models_of_engines(spec: &WorkloadSpec, plan: &ArrivalPlan, weights: &[f64]) -> Vec<usize> {
+fn assign_models(spec: &WorkloadSpec, plan: &ArrivalPlan, weights: &[f64]) -> Vec<usize> {
     let mut demand = vec![0.0; spec.models];
     for (customer, weight) in weights.iter().enumerate() {
-        demand[plan.models[customer]] += weight;
+        demand[plan.customer_models[customer]] += weight;
     }
     let sum: f64 = demand.iter().sum();
     let mut given = vec![0.0; spec.models];
--- a/crates/ragwortroad_bench/src/run/control_bytes.rs
+++ b/crates/ragwortroad_bench/src/run/control_bytes.rs
@@ -12,50 +12,50 @@
 }
 
 /// IP and UDP headers, a short QUIC header and its authentication tag, and a frame's head.
-const PACKET_BYTES: u64 = 60;
+const PACKET_OVERHEAD_BYTES: u64 = 60;
 /// Endpoint, request and customer in a question for a slot.
-const ASK_BYTES: u64 = PACKET_BYTES + 24;
+const SLOT_REQUEST_BYTES: u64 = PACKET_OVERHEAD_BYTES + 24;
 /// Request, slot or wait in its answer.
-const ANSWER_BYTES: u64 = PACKET_BYTES + 14;
+const SLOT_ANSWER_BYTES: u64 = PACKET_OVERHEAD_BYTES + 14;
 /// Endpoint, slot and outcome in a release.
-const RELEASE_BYTES: u64 = PACKET_BYTES + 17;
+const RELEASE_BYTES: u64 = PACKET_OVERHEAD_BYTES + 17;
 /// One customer in a demand or share digest.
-const CUSTOMER_BYTES: u64 = 12;
+const CUSTOMER_ENTRY_BYTES: u64 = 12;
 /// One engine in a load digest.
-const ENGINE_BYTES: u64 = 4;
+const ENGINE_ENTRY_BYTES: u64 = 4;
 /// Up to so many nodes each tells every other; beyond, digests are passed on.
-const FULL_MESH: u64 = 16;
+const MAX_FULL_MESH_NODES: u64 = 16;
 /// Nodes to which a digest is passed on.
-const FAN_OUT: u64 = 3;
+const GOSSIP_FANOUT: u64 = 3;
 
 impl ControlBytes {
     /// A question.
-    pub(crate) fn ask(&mut self) {
-        self.slots += ASK_BYTES;
+    pub(crate) fn add_slot_request(&mut self) {
+        self.slots += SLOT_REQUEST_BYTES;
     }
 
     /// An answer.
-    pub(crate) fn answer(&mut self) {
-        self.slots += ANSWER_BYTES;
+    pub(crate) fn add_slot_answer(&mut self) {
+        self.slots += SLOT_ANSWER_BYTES;
     }
 
     /// A release.
-    pub(crate) fn release(&mut self) {
+    pub(crate) fn add_release(&mut self) {
         self.slots += RELEASE_BYTES;
     }
 
     /// A demand or share digest.
-    pub(crate) fn limit(&mut self, entries: usize) {
-        self.limits += PACKET_BYTES + CUSTOMER_BYTES * entries as u64;
+    pub(crate) fn add_limit_digest(&mut self, entries: usize) {
+        self.limits += PACKET_OVERHEAD_BYTES + CUSTOMER_ENTRY_BYTES * entries as u64;
     }
 
     /// One round of load digests among all nodes.
-    pub(crate) fn round(&mut self, spec: &WorkloadSpec) {
+    pub(crate) fn add_digest_round(&mut self, spec: &WorkloadSpec) {
         let (nodes, engines) = (spec.nodes as u64, spec.engines as u64);
-        self.digests += if nodes <= FULL_MESH {
-            (nodes - 1) * (nodes * PACKET_BYTES + engines * ENGINE_BYTES)
+        self.digests += if nodes <= MAX_FULL_MESH_NODES {
+            (nodes - 1) * (nodes * PACKET_OVERHEAD_BYTES + engines * ENGINE_ENTRY_BYTES)
         } else {
-            nodes * (FAN_OUT * PACKET_BYTES + engines * ENGINE_BYTES)
+            nodes * (GOSSIP_FANOUT * PACKET_OVERHEAD_BYTES + engines * ENGINE_ENTRY_BYTES)
         };
     }
 }
--- a/crates/ragwortroad_bench/src/run/event_queue.rs
+++ b/crates/ragwortroad_bench/src/run/event_queue.rs
@@ -6,14 +6,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
     events: BTreeMap<(u64, u64), BenchEvent>,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl EventQueue {
     /// Adds an event at `at_ms`.
     pub(crate) fn push(&mut self, at_ms: u64, event: BenchEvent) {
-        self.events.insert((at_ms, self.next), event);
-        self.next += 1;
+        self.events.insert((at_ms, self.next_sequence), event);
+        self.next_sequence += 1;
     }
 
     /// Takes the next event and its time.
--- a/crates/ragwortroad_bench/src/run/fleet_flow.rs
+++ b/crates/ragwortroad_bench/src/run/fleet_flow.rs
@@ -19,55 +19,59 @@
         bench_event::BenchEvent,
         bench_node::BenchNode,
         bench_run::BenchRun,
-        node_news::NodeNews, //
+        membership_update::MembershipUpdate, //
     },
-    workload::disturbance_plan::BenchChange, //
+    workload::disturbance_plan::DisturbanceEvent, //
 };
 
 /// Milliseconds without an announcement after which an endpoint or node counts as gone.
-const SILENT_MS: u64 = 3_000;
+const FAILURE_TIMEOUT_MS: u64 = 3_000;
 /// Milliseconds after which an engine whose home is gone announces itself to the next.
-const NEXT_HOME_MS: u64 = 1_200;
+const HOME_FAILOVER_MS: u64 = 1_200;
 /// Milliseconds for which an earlier home may still admit work after a change of home.
-const OVERLAP_MS: u64 = 3_000;
+const HOME_OVERLAP_MS: u64 = 3_000;
 /// Milliseconds between an engine's announcements.
-const ANNOUNCE_MS: u64 = 1_000;
+const ANNOUNCE_INTERVAL_MS: u64 = 1_000;
 /// Age of what an engine reports, usually and under the disturbance.
-const USUAL_LAG_MS: u64 = 100;
-const LATE_LAG_MS: u64 = 2_000;
+const REPORT_LAG_MS: u64 = 100;
+const LATE_REPORT_LAG_MS: u64 = 2_000;
 /// Cache events lost, usually and under the disturbance.
-const USUAL_LOSS: f64 = 0.01;
-const GAP_LOSS: f64 = 0.2;
+const CACHE_EVENT_LOSS: f64 = 0.01;
+const DISTURBED_CACHE_EVENT_LOSS: f64 = 0.2;
 /// How late half of the nodes learn under the disturbance.
-const DIFFERING_MS: u64 = 5_000;
+const LATE_UPDATE_MS: u64 = 5_000;
 
 /// What engines and nodes tell each other, and what goes wrong.
 impl BenchRun<'_> {
     /// An engine announces itself.
-    pub(crate) fn announce(&mut self, engine: usize) {
+    pub(crate) fn send_announcement(&mut self, engine: usize) {
         let disturbances = self.settings.disturbances;
         let number = engine as u32;
-        let again = BenchEvent::Announce { engine: number };
-        self.queue.push(self.now + ANNOUNCE_MS, again);
+        let again = BenchEvent::AnnouncementDue { engine: number };
+        self.queue.push(self.now + ANNOUNCE_INTERVAL_MS, again);
         if !self.engines[engine].alive {
             return;
         }
         let late = disturbances.late_reports;
-        let lag = if late { LATE_LAG_MS } else { USUAL_LAG_MS };
+        let lag = if late {
+            LATE_REPORT_LAG_MS
+        } else {
+            REPORT_LAG_MS
+        };
         let loss = if disturbances.event_gaps {
-            GAP_LOSS
+            DISTURBED_CACHE_EVENT_LOSS
         } else {
-            USUAL_LOSS
+            CACHE_EVENT_LOSS
         };
         let (running, queued) = self.engines[engine].load();
         let mut events = self.engines[engine].cache.take_events();
-        events.retain(|_| self.draw.unit() >= loss);
+        events.retain(|_| self.rng.unit() >= loss);
         let report = LoadReport {
             running,
             queued,
             age_ms: lag as u32,
         };
-        let announced = BenchEvent::Announced {
+        let announced = BenchEvent::AnnouncementArrived {
             engine: number,
             report,
             events,
@@ -76,9 +80,14 @@
     }
 
     /// An announcement reaches the engine's home.
-    pub(crate) fn announced(&mut self, engine: usize, report: LoadReport, events: &[CacheEvent]) {
+    pub(crate) fn handle_announcement(
+        &mut self,
+        engine: usize,
+        report: LoadReport,
+        events: &[CacheEvent],
+    ) {
         let clock = self.clock();
-        self.reported[engine] = report.running + report.queued;
+        self.reported_loads[engine] = report.running + report.queued;
         let home = self.homes[engine];
         if self.nodes[home].alive && self.engines[engine].alive {
             let id = self.engine_ids[engine];
@@ -89,9 +98,9 @@
     }
 
     /// Every home tells of its engines.
-    pub(crate) fn make_digests(&mut self) {
-        let next = self.now + self.spec.digest_ms;
-        self.queue.push(next, BenchEvent::Digest);
+    pub(crate) fn send_digests(&mut self) {
+        let next = self.now + self.spec.digest_interval_ms;
+        self.queue.push(next, BenchEvent::DigestsDue);
         let clock = self.clock();
         let homes = matches!(self.policy, PolicyKind::Homes(_));
         let digests = (0..self.spec.engines)
@@ -102,22 +111,22 @@
                 }
                 if homes {
                     let digest = node.table.digest_of(self.engine_ids[engine], clock)?;
-                    return Some(quantised(digest));
+                    return Some(quantize_load(digest));
                 }
-                Some(quantised(LoadDigest {
-                    load: self.reported[engine],
+                Some(quantize_load(LoadDigest {
+                    load: self.reported_loads[engine],
                     ejected: false,
                 }))
             })
             .collect();
-        self.tally.bytes.round(&self.spec);
+        self.tally.control_bytes.add_digest_round(&self.spec);
         let digests = Rc::new(digests);
-        let at = self.now + self.spec.spread_ms;
-        self.queue.push(at, BenchEvent::Digested { digests });
+        let at = self.now + self.spec.propagation_ms;
+        self.queue.push(at, BenchEvent::DigestsArrived { digests });
     }
 
     /// Digests reach all nodes.
-    pub(crate) fn take_digests(&mut self, digests: &[Option<LoadDigest>]) {
+    pub(crate) fn handle_digests(&mut self, digests: &[Option<LoadDigest>]) {
         let homes = matches!(self.policy, PolicyKind::Homes(_));
         for node in self.nodes.iter_mut().filter(|node| node.alive) {
             for (engine, digest) in digests.iter().enumerate() {
@@ -127,16 +136,16 @@
                 if homes {
                     node.table.observe_digest(self.engine_ids[engine], digest);
                 } else {
-                    node.view.engines[engine].load = digest.load;
-                    node.view.engines[engine].sent = 0;
+                    node.baseline_view.engines[engine].reported_load = digest.load;
+                    node.baseline_view.engines[engine].sent_since_report = 0;
                 }
             }
         }
     }
 
     /// Nodes sweep their slots and tell keepers what was wanted.
-    pub(crate) fn each_second(&mut self) {
-        self.queue.push(self.now + 1000, BenchEvent::Second);
+    pub(crate) fn run_upkeep(&mut self) {
+        self.queue.push(self.now + 1000, BenchEvent::UpkeepDue);
         if !matches!(self.policy, PolicyKind::Homes(_)) {
             return;
         }
@@ -147,12 +156,14 @@
             }
             self.nodes[node].table.tick(clock);
             for (keeper, digest) in self.nodes[node].limiter.demands(clock) {
-                self.tally.bytes.limit(digest.entries.len());
+                self.tally
+                    .control_bytes
+                    .add_limit_digest(digest.entries.len());
                 let Some(keeper) = self.node_index(keeper) else {
                     continue;
                 };
-                let at = self.now + self.delay(node, keeper);
-                let demand = BenchEvent::Demand {
+                let at = self.now + self.draw_delay(node, keeper);
+                let demand = BenchEvent::DemandArrived {
                     node: node as u32,
                     keeper: keeper as u32,
                     digest,
@@ -160,25 +171,28 @@
                 self.queue.push(at, demand);
             }
             for (other, digest) in self.nodes[node].limiter.shares(clock) {
-                self.tally.bytes.limit(digest.entries.len());
+                self.tally
+                    .control_bytes
+                    .add_limit_digest(digest.entries.len());
                 let Some(other) = self.node_index(other) else {
                     continue;
                 };
-                let at = self.now + self.delay(node, other);
+                let at = self.now + self.draw_delay(node, other);
                 let node = other as u32;
-                self.queue.push(at, BenchEvent::Share { node, digest });
+                self.queue
+                    .push(at, BenchEvent::ShareArrived { node, digest });
             }
         }
     }
 
     /// Demand reaches a keeper.
-    pub(crate) fn demand_reached(&mut self, node: usize, keeper: usize, digest: &DemandDigest) {
+    pub(crate) fn handle_demand(&mut self, node: usize, keeper: usize, digest: &DemandDigest) {
         let (clock, from) = (self.clock(), self.node_ids[node]);
         for entry in &digest.entries {
-            let number = self.customers.get(&entry.customer).copied();
+            let number = self.customer_indexes.get(&entry.customer).copied();
             if let Some(customer) = number {
-                let rate = self.limits[customer];
-                self.nodes[keeper].declare(customer, rate, clock);
+                let rate = self.customer_limits[customer];
+                self.nodes[keeper].declare_limit(customer, rate, clock);
             }
         }
         let limiter = &mut self.nodes[keeper].limiter;
@@ -186,50 +200,50 @@
     }
 
     /// Shares reach a node.
-    pub(crate) fn share_reached(&mut self, node: usize, digest: &ShareDigest) {
+    pub(crate) fn handle_share(&mut self, node: usize, digest: &ShareDigest) {
         let clock = self.clock();
         self.nodes[node].limiter.merge_share(digest, clock);
     }
 
     /// Something goes wrong, or right again.
-    pub(crate) fn change(&mut self, change: BenchChange) {
+    pub(crate) fn apply_disturbance(&mut self, change: DisturbanceEvent) {
         match change {
-            BenchChange::EngineLeaves(engine) => {
+            DisturbanceEvent::EngineLeaves(engine) => {
                 if self.engines[engine].alive {
                     self.engines[engine].leaving = true;
                     let model = self.engine_models[engine];
-                    self.trackers[model].leave(engine, self.now);
-                    self.tell_of_engine(engine, ClockTime::ZERO);
+                    self.skew_trackers[model].leave(engine, self.now);
+                    self.broadcast_engine(engine, ClockTime::ZERO);
                 }
             }
-            BenchChange::EngineStarts(engine) => {
+            DisturbanceEvent::EngineStarts(engine) => {
                 self.restart_engine(engine, true);
                 let model = self.engine_models[engine];
-                self.trackers[model].join(engine, 0, self.now);
+                self.skew_trackers[model].join(engine, 0, self.now);
                 if !self.nodes[self.homes[engine]].alive {
                     self.homes[engine] = self.next_home(engine);
                 }
-                self.tell_of_engine(engine, ClockTime::ZERO);
+                self.broadcast_engine(engine, ClockTime::ZERO);
             }
-            BenchChange::EngineCrashes(engine) => {
+            DisturbanceEvent::EngineCrashes(engine) => {
                 self.restart_engine(engine, false);
                 let model = self.engine_models[engine];
-                self.trackers[model].leave(engine, self.now);
-                let news = NodeNews::Absent {
+                self.skew_trackers[model].leave(engine, self.now);
+                let news = MembershipUpdate::EngineDown {
                     engine: engine as u32,
                 };
-                self.spread(news, SILENT_MS);
+                self.broadcast_update(news, FAILURE_TIMEOUT_MS);
             }
-            BenchChange::NodeStops(node) => self.stop_node(node),
-            BenchChange::NodeStarts(node) => self.start_node(node),
+            DisturbanceEvent::NodeStops(node) => self.stop_node(node),
+            DisturbanceEvent::NodeStarts(node) => self.start_node(node),
         }
     }
 
     fn restart_engine(&mut self, engine: usize, alive: bool) {
         let lost = self.engines[engine].restart(self.spec.cache_blocks, alive);
-        self.loads[engine] = 0;
+        self.engine_loads[engine] = 0;
         for request in lost {
-            self.push_ended(request, engine, false);
+            self.schedule_attempt_end(request, engine, false);
         }
     }
 
@@ -237,21 +251,21 @@
         self.nodes[node].alive = false;
         let now = self.now;
         for live in &mut self.requests {
-            if live.node == node && !live.over {
-                live.over = true;
+            if live.node == node && !live.finished {
+                live.finished = true;
                 self.tally.cut += 1;
             }
         }
         let gone = node as u32;
-        self.spread(NodeNews::NodeGone { gone }, SILENT_MS);
+        self.broadcast_update(MembershipUpdate::NodeDown { gone }, FAILURE_TIMEOUT_MS);
         for engine in 0..self.spec.engines {
             if self.homes[engine] != node || !self.engines[engine].alive {
                 continue;
             }
             self.homes[engine] = self.next_home(engine);
-            let exclusive_from = ClockTime(now + NEXT_HOME_MS + OVERLAP_MS);
-            let news = self.presence(engine, exclusive_from);
-            self.spread(news, NEXT_HOME_MS);
+            let exclusive_from = ClockTime(now + HOME_FAILOVER_MS + HOME_OVERLAP_MS);
+            let news = self.engine_update(engine, exclusive_from);
+            self.broadcast_update(news, HOME_FAILOVER_MS);
         }
     }
 
@@ -259,21 +273,21 @@
         let mut fresh =
             BenchNode::new(node, &self.node_ids, self.settings, &self.spec, self.policy);
         let alive = self.alive_nodes();
-        fresh.nodes = alive.iter().map(|node| self.node_ids[*node]).collect();
-        fresh.nodes.insert(self.node_ids[node]);
-        fresh.apply_nodes(self.clock());
+        fresh.members = alive.iter().map(|node| self.node_ids[*node]).collect();
+        fresh.members.insert(self.node_ids[node]);
+        fresh.apply_members(self.clock());
         for engine in 0..self.spec.engines {
             let fake = &self.engines[engine];
-            fresh.view.engines[engine].open = fake.alive && !fake.leaving;
+            fresh.baseline_view.engines[engine].available = fake.alive && !fake.leaving;
             if fake.alive {
-                let facts = self.facts_of(engine, self.homes[engine], fake.leaving);
-                let wait = ClockTime(self.now + OVERLAP_MS);
+                let facts = self.endpoint_facts(engine, self.homes[engine], fake.leaving);
+                let wait = ClockTime(self.now + HOME_OVERLAP_MS);
                 fresh.table.upsert_endpoint(facts, wait);
             }
         }
         self.nodes[node] = fresh;
         let back = node as u32;
-        self.spread(NodeNews::NodeBack { back }, 0);
+        self.broadcast_update(MembershipUpdate::NodeUp { back }, 0);
     }
 
     /// The living node that comes next for an engine whose home is gone.
@@ -285,13 +299,13 @@
         best.copied().unwrap_or(0)
     }
 
-    fn tell_of_engine(&mut self, engine: usize, exclusive_from: ClockTime) {
-        let news = self.presence(engine, exclusive_from);
-        self.spread(news, 0);
+    fn broadcast_engine(&mut self, engine: usize, exclusive_from: ClockTime) {
+        let news = self.engine_update(engine, exclusive_from);
+        self.broadcast_update(news, 0);
     }
 
-    fn presence(&self, engine: usize, exclusive_from: ClockTime) -> NodeNews {
-        NodeNews::Present {
+    fn engine_update(&self, engine: usize, exclusive_from: ClockTime) -> MembershipUpdate {
+        MembershipUpdate::EngineUp {
             engine: engine as u32,
             home: self.homes[engine] as u32,
             leaving: self.engines[engine].leaving,
@@ -301,81 +315,82 @@
 
     /// Lets every node learn of something after `wait` and the time gossip takes; the home of an
     /// engine hears from it directly.
-    fn spread(&mut self, news: NodeNews, wait: u64) {
+    fn broadcast_update(&mut self, news: MembershipUpdate, wait: u64) {
         let heard_by = match news {
-            NodeNews::Present { home, .. } => Some(home as usize),
+            MembershipUpdate::EngineUp { home, .. } => Some(home as usize),
             _ => None,
         };
         for node in 0..self.nodes.len() {
-            let mut takes = 1 + self.draw.below(2 * self.spec.spread_ms + 200);
+            let mut takes = 1 + self.rng.below(2 * self.spec.propagation_ms + 200);
             if self.settings.disturbances.differing_views && node % 2 == 1 {
-                takes = DIFFERING_MS;
+                takes = LATE_UPDATE_MS;
             }
             if heard_by == Some(node) {
                 takes = 1;
             }
             let at = self.now + wait + takes;
             let node = node as u32;
-            self.queue.push(at, BenchEvent::Learn { node, news });
+            self.queue
+                .push(at, BenchEvent::UpdateArrived { node, news });
         }
     }
 
     /// A node learns of a change.
-    pub(crate) fn learn(&mut self, node: usize, news: NodeNews) {
+    pub(crate) fn handle_update(&mut self, node: usize, news: MembershipUpdate) {
         let clock = self.clock();
         match news {
-            NodeNews::Present {
+            MembershipUpdate::EngineUp {
                 engine,
                 home,
                 leaving,
                 exclusive_from,
             } => {
                 let engine = engine as usize;
-                let facts = self.facts_of(engine, home as usize, leaving);
+                let facts = self.endpoint_facts(engine, home as usize, leaving);
                 let node = &mut self.nodes[node];
-                node.view.engines[engine].open = !leaving;
+                node.baseline_view.engines[engine].available = !leaving;
                 // A process that starts anew has no slots of the old one.
                 if !leaving && exclusive_from == ClockTime::ZERO {
                     node.table.remove_endpoint(facts.id);
                 }
                 node.table.upsert_endpoint(facts, exclusive_from);
             }
-            NodeNews::Absent { engine } => {
+            MembershipUpdate::EngineDown { engine } => {
                 // A process that is back is told of by its own announcement.
                 let engine = engine as usize;
                 if !self.engines[engine].alive {
                     let node = &mut self.nodes[node];
-                    node.view.engines[engine].open = false;
+                    node.baseline_view.engines[engine].available = false;
                     node.table.remove_endpoint(self.engine_ids[engine]);
                 }
             }
-            NodeNews::NodeGone { gone } => {
+            MembershipUpdate::NodeDown { gone } => {
                 let id = self.node_ids[gone as usize];
                 if !self.nodes[gone as usize].alive {
-                    self.forget_node(node, id);
+                    self.remove_node(node, id);
                 }
             }
-            NodeNews::NodeBack { back } => {
+            MembershipUpdate::NodeUp { back } => {
                 let id = self.node_ids[back as usize];
                 // It restarted: what it held before is gone with it.
                 self.nodes[node].table.expire_node_slots(id, clock);
-                self.nodes[node].nodes.insert(id);
-                self.nodes[node].apply_nodes(clock);
+                self.nodes[node].members.insert(id);
+                self.nodes[node].apply_members(clock);
             }
         }
     }
 
-    fn forget_node(&mut self, node: usize, gone: NodeId) {
+    fn remove_node(&mut self, node: usize, gone: NodeId) {
         let clock = self.clock();
         let node = &mut self.nodes[node];
-        node.nodes.remove(&gone);
-        node.apply_nodes(clock);
+        node.members.remove(&gone);
+        node.apply_members(clock);
         node.table.expire_node_slots(gone, clock);
     }
 }
 
 /// A load as a digest carries it: exact when small, else rounded down to one part in 32.
-fn quantised(digest: LoadDigest) -> LoadDigest {
+fn quantize_load(digest: LoadDigest) -> LoadDigest {
     const EXACT_BITS: u32 = 5;
     let spare = (u32::BITS - digest.load.leading_zeros()).saturating_sub(EXACT_BITS);
     let load = digest.load >> spare << spare;
--- a/crates/ragwortroad_bench/src/run/live_request.rs
+++ b/crates/ragwortroad_bench/src/run/live_request.rs
@@ -22,13 +22,13 @@
     /// Homes that answered "full".
     pub(crate) refusals: u32,
     /// What it claims of the home it asked last.
-    pub(crate) claim: AdmissionClass,
+    pub(crate) class: AdmissionClass,
     /// Questions asked for it.
-    pub(crate) asked: u32,
+    pub(crate) slot_requests: u32,
     /// Attempts sent.
     pub(crate) attempts: u32,
     /// When it arrived.
     pub(crate) arrived_ms: u64,
     /// It has ended for its caller.
-    pub(crate) over: bool,
+    pub(crate) finished: bool,
 }
--- a/crates/ragwortroad_bench/src/run/node_news.rs
+++ b/crates/ragwortroad_bench/src/run/membership_update.rs
@@ -2,18 +2,18 @@
 
 /// What membership tells a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NodeNews {
+pub(crate) enum MembershipUpdate {
     /// An engine is there.
-    Present {
+    EngineUp {
         engine: u32,
         home: u32,
         leaving: bool,
         exclusive_from: ClockTime,
     },
     /// An engine is gone.
-    Absent { engine: u32 },
+    EngineDown { engine: u32 },
     /// A node is gone.
-    NodeGone { gone: u32 },
+    NodeDown { gone: u32 },
     /// A node is there again.
-    NodeBack { back: u32 },
+    NodeUp { back: u32 },
 }
--- a/crates/ragwortroad_bench/src/run/mod.rs
+++ b/crates/ragwortroad_bench/src/run/mod.rs
@@ -8,7 +8,7 @@
 pub(crate) mod event_queue;
 pub(crate) mod fleet_flow;
 pub(crate) mod live_request;
-pub(crate) mod node_news;
+pub(crate) mod membership_update;
 pub(crate) mod planner_choice;
 pub(crate) mod request_flow;
 pub(crate) mod run_tally;
@@ -28,11 +28,11 @@
 
 /// Runs every policy of `settings` over the same arrivals and disturbances.
 pub fn run_bench(settings: &BenchSettings) -> BenchReport {
-    let mut spec = WorkloadSpec::of_kind(settings.workload);
-    spec.rate *= settings.load_factor;
+    let mut spec = WorkloadSpec::for_kind(settings.workload);
+    spec.requests_per_s *= settings.load_factor;
     let seconds = settings.warm_seconds + settings.seconds;
-    let arrivals = ArrivalPlan::draw(&spec, settings.disturbances, settings.seed, seconds);
-    let changes = DisturbancePlan::draw(&spec, settings.disturbances, settings.seed, seconds);
+    let arrivals = ArrivalPlan::generate(&spec, settings.disturbances, settings.seed, seconds);
+    let changes = DisturbancePlan::generate(&spec, settings.disturbances, settings.seed, seconds);
     let policies: Vec<PolicyReport> = settings
         .policies
         .iter()
--- a/crates/ragwortroad_bench/src/run/planner_choice.rs
+++ b/crates/ragwortroad_bench/src/run/planner_choice.rs
@@ -4,21 +4,21 @@
 impl BenchRun<'_> {
     /// The engine within the bound whose cache holds most of the prompt now; the least loaded of
     /// equals. Where all are at the bound, the least loaded.
-    pub(crate) fn plan_engine(&self, request: u32) -> Option<usize> {
+    pub(crate) fn choose_by_planner(&self, request: u32) -> Option<usize> {
         let live = &self.requests[request as usize];
-        let chain = self.chain_of(live.arrival);
-        let model = self.model_of(live.arrival);
-        let limit = self.trackers[model].limit();
+        let chain = self.prompt_chain(live.arrival);
+        let model = self.arrival_model(live.arrival);
+        let limit = self.skew_trackers[model].load_limit();
         let mut best = None;
-        for engine in &self.pools[model] {
+        for engine in &self.model_engines[model] {
             let fake = &self.engines[*engine];
             if !fake.alive || fake.leaving || live.excluded.contains(engine) {
                 continue;
             }
-            let load = self.loads[*engine] + self.on_way[*engine];
+            let load = self.engine_loads[*engine] + self.in_transit[*engine];
             let within = load < limit;
             let cached = if within {
-                fake.cache.match_length(&chain)
+                fake.cache.cached_prefix_blocks(&chain)
             } else {
                 0
             };
--- a/crates/ragwortroad_bench/src/run/request_flow.rs
+++ b/crates/ragwortroad_bench/src/run/request_flow.rs
@@ -14,11 +14,11 @@
 };
 
 use crate::{
-    IdeaSet,
+    FeatureSet,
     PolicyKind,
     fake::fake_engine::{
-        EngineNews,
-        EngineWork, //
+        EngineRequest, //
+        StepOutput,
     },
     policy::baseline_view::hash_pair,
     run::{
@@ -26,28 +26,28 @@
         bench_node::customer_key,
         bench_run::{
             BenchRun,
-            offer_of, //
+            model_offer, //
         },
         live_request::LiveRequest, //
     },
-    workload::arrival_plan::SURGING, //
+    workload::arrival_plan::SURGING_CUSTOMERS, //
 };
 
 /// Questions asked of homes for one request before it is refused.
-const MOST_ASKED: u32 = 8;
+const MAX_SLOT_REQUESTS: u32 = 8;
 /// Attempts sent for one request.
-const MOST_ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// A request's way from its caller to an engine and back.
 impl BenchRun<'_> {
     /// A request arrives at the node that its caller was told to use.
-    pub(crate) fn arrive(&mut self) {
+    pub(crate) fn handle_arrival(&mut self) {
         let arrival = self.next_arrival;
         self.next_arrival += 1;
-        self.push_arrival();
-        let planned = self.plan.arrivals[arrival];
+        self.schedule_next_arrival();
+        let planned = self.arrival_plan.arrivals[arrival];
         self.tally.arrived += 1;
-        self.tally.arrived_small += u64::from(planned.customer as usize >= SURGING);
+        self.tally.arrived_small += u64::from(planned.customer as usize >= SURGING_CUSTOMERS);
         let Some(node) = self.entry_node(arrival) else {
             self.tally.refused += 1;
             return;
@@ -62,30 +62,30 @@
         let clock = self.clock();
         if let PolicyKind::Homes(_) = self.policy {
             let customer = planned.customer as usize;
-            let rate = self.limits[customer];
+            let rate = self.customer_limits[customer];
             let node = &mut self.nodes[node];
-            node.declare(customer, rate, clock);
+            node.declare_limit(customer, rate, clock);
             let answer = node.limiter.admit(customer_key(customer), 0, clock);
             if matches!(answer, LimitAnswer::Refused { .. }) {
-                self.requests[request as usize].over = true;
+                self.requests[request as usize].finished = true;
                 self.tally.limited += 1;
                 return;
             }
         }
-        self.nodes[node].budget.record_first_attempt();
-        self.place(request);
+        self.nodes[node].retry_budget.record_first_attempt();
+        self.place_request(request);
     }
 
     /// The first of the addresses told to the caller that answers.
     fn entry_node(&self, arrival: usize) -> Option<usize> {
-        let planned = &self.plan.arrivals[arrival];
+        let planned = &self.arrival_plan.arrivals[arrival];
         let alive = self.alive_nodes();
         let turn = hash_pair(arrival as u64, 2) as usize % alive.len().max(1);
         let told_by = *alive.iter().nth(turn)?;
         let chat = chat_key(planned.chat);
         let told = self.nodes[told_by].table.addresses_for(
             Some(chat),
-            self.hint_of(arrival),
+            self.returned_hint(arrival),
             0,
             self.spec.nodes,
         );
@@ -94,52 +94,55 @@
     }
 
     /// The hint a caller hands back.
-    fn hint_of(&self, arrival: usize) -> Option<EndpointId> {
-        let planned = &self.plan.arrivals[arrival];
-        let uses = matches!(self.policy, PolicyKind::Homes(IdeaSet { hints: true, .. }));
-        if !uses || !planned.keeps_hints {
+    fn returned_hint(&self, arrival: usize) -> Option<EndpointId> {
+        let planned = &self.arrival_plan.arrivals[arrival];
+        let uses = matches!(
+            self.policy,
+            PolicyKind::Homes(FeatureSet { hints: true, .. })
+        );
+        if !uses || !planned.returns_hints {
             return None;
         }
-        self.hints[planned.chat as usize].map(|engine| self.engine_ids[engine])
+        self.chat_hints[planned.chat as usize].map(|engine| self.engine_ids[engine])
     }
 
     /// Finds the next place for a request.
-    pub(crate) fn place(&mut self, request: u32) {
-        if self.requests[request as usize].over {
+    pub(crate) fn place_request(&mut self, request: u32) {
+        if self.requests[request as usize].finished {
             return;
         }
         match self.policy {
-            PolicyKind::Homes(_) => self.place_by_table(request),
-            PolicyKind::Planner => match self.plan_engine(request) {
-                Some(engine) => self.send(request, engine),
-                None => self.refuse(request),
+            PolicyKind::Homes(_) => self.place_with_table(request),
+            PolicyKind::Planner => match self.choose_by_planner(request) {
+                Some(engine) => self.send_request(request, engine),
+                None => self.refuse_request(request),
             },
             policy => {
                 let live = &self.requests[request as usize];
-                let planned = &self.plan.arrivals[live.arrival];
+                let planned = &self.arrival_plan.arrivals[live.arrival];
                 let key = chat_key(planned.chat).0;
-                let model = self.model_of(live.arrival);
-                let view = &mut self.nodes[live.node].view;
-                match view.choose(policy, &self.pools[model], key, &live.excluded) {
-                    Some(engine) => self.send(request, engine),
-                    None => self.refuse(request),
+                let model = self.arrival_model(live.arrival);
+                let view = &mut self.nodes[live.node].baseline_view;
+                match view.choose(policy, &self.model_engines[model], key, &live.excluded) {
+                    Some(engine) => self.send_request(request, engine),
+                    None => self.refuse_request(request),
                 }
             }
         }
     }
 
-    fn place_by_table(&mut self, request: u32) {
+    fn place_with_table(&mut self, request: u32) {
         let clock = self.clock();
         let live = &self.requests[request as usize];
         let (arrival, node) = (live.arrival, live.node);
-        let planned = self.plan.arrivals[arrival];
-        let prefixes = self.chain_of(arrival);
+        let planned = self.arrival_plan.arrivals[arrival];
+        let prefixes = self.prompt_chain(arrival);
         let query = RouteQuery {
-            offer: offer_of(self.model_of(arrival)),
+            offer: model_offer(self.arrival_model(arrival)),
             customer: customer_key(planned.customer as usize),
             chat: Some(chat_key(planned.chat)),
             prefixes: &prefixes,
-            hint: self.hint_of(arrival),
+            hint: self.returned_hint(arrival),
             excluded: &live.excluded_ids,
             salt: u64::from(request),
             refusals: live.refusals,
@@ -149,7 +152,7 @@
             RouteDecision::Admit { endpoint, slot, .. } => {
                 let engine = self.engine_index(endpoint);
                 self.requests[request as usize].slot = Some((node, slot));
-                self.send(request, engine);
+                self.send_request(request, engine);
             }
             RouteDecision::AskHome {
                 endpoint,
@@ -160,41 +163,43 @@
                 let engine = self.engine_index(endpoint);
                 let live = &mut self.requests[request as usize];
                 live.engine = engine;
-                live.asked += 1;
-                live.claim = claim;
-                if live.asked > MOST_ASKED {
-                    return self.refuse(request);
+                live.slot_requests += 1;
+                live.class = claim;
+                if live.slot_requests > MAX_SLOT_REQUESTS {
+                    return self.refuse_request(request);
                 }
                 let Some(home) = self.node_index(home) else {
-                    return self.refuse(request);
+                    return self.refuse_request(request);
                 };
                 self.tally.asked += 1;
-                self.tally.bytes.ask();
-                let at = self.now + self.delay(node, home);
+                self.tally.control_bytes.add_slot_request();
+                let at = self.now + self.draw_delay(node, home);
                 let home = home as u32;
-                self.queue.push(at, BenchEvent::Ask { request, home });
+                self.queue
+                    .push(at, BenchEvent::SlotRequested { request, home });
             }
             RouteDecision::Hold { retry_after } => {
                 self.tally.held_ms += retry_after.as_millis() as u64;
                 let at = self.now + (retry_after.as_millis() as u64).max(1);
-                self.queue.push(at, BenchEvent::Look { request });
+                self.queue.push(at, BenchEvent::PlacementRetry { request });
             }
-            RouteDecision::Refuse { .. } => self.refuse(request),
+            RouteDecision::Refuse { .. } => self.refuse_request(request),
         }
     }
 
     /// A question reaches the home, which answers at once; a dead one never does, and the asker
     /// goes on after a short time.
-    pub(crate) fn ask_reached(&mut self, request: u32, home: usize) {
-        const SILENCE_MS: u64 = 50;
+    pub(crate) fn handle_slot_request(&mut self, request: u32, home: usize) {
+        const SLOT_REQUEST_TIMEOUT_MS: u64 = 50;
         let clock = self.clock();
         let live = &self.requests[request as usize];
-        let (node, engine, claim) = (live.node, live.engine, live.claim);
-        let customer = self.plan.arrivals[live.arrival].customer as usize;
+        let (node, engine, claim) = (live.node, live.engine, live.class);
+        let customer = self.arrival_plan.arrivals[live.arrival].customer as usize;
         if !self.nodes[home].alive {
             let answer = SlotAnswer::NotHome { home: None };
-            let at = self.now + SILENCE_MS;
-            self.queue.push(at, BenchEvent::Answer { request, answer });
+            let at = self.now + SLOT_REQUEST_TIMEOUT_MS;
+            self.queue
+                .push(at, BenchEvent::SlotAnswered { request, answer });
             return;
         }
         let answer = self.nodes[home].table.grant_slot(
@@ -207,82 +212,86 @@
         if let SlotAnswer::Granted { slot } = answer {
             self.requests[request as usize].slot = Some((home, slot));
         }
-        self.tally.bytes.answer();
-        let at = self.now + self.delay(home, node);
-        self.queue.push(at, BenchEvent::Answer { request, answer });
+        self.tally.control_bytes.add_slot_answer();
+        let at = self.now + self.draw_delay(home, node);
+        self.queue
+            .push(at, BenchEvent::SlotAnswered { request, answer });
     }
 
     /// The home's answer reaches the asker.
-    pub(crate) fn answer_reached(&mut self, request: u32, answer: SlotAnswer) {
+    pub(crate) fn handle_slot_answer(&mut self, request: u32, answer: SlotAnswer) {
         let clock = self.clock();
         let live = &self.requests[request as usize];
-        if live.over {
+        if live.finished {
             return;
         }
         let (node, engine) = (live.node, live.engine);
-        let chat = chat_key(self.plan.arrivals[live.arrival].chat);
+        let chat = chat_key(self.arrival_plan.arrivals[live.arrival].chat);
         let id = self.engine_ids[engine];
         self.nodes[node]
             .table
             .record_answer(id, answer, Some(chat), clock);
         if let SlotAnswer::Granted { .. } = answer {
-            return self.send(request, engine);
+            return self.send_request(request, engine);
         }
         self.requests[request as usize].refusals += 1;
-        self.place(request);
+        self.place_request(request);
     }
 
     /// Sends a request to an engine.
-    fn send(&mut self, request: u32, engine: usize) {
+    fn send_request(&mut self, request: u32, engine: usize) {
         let live = &mut self.requests[request as usize];
         live.engine = engine;
         live.attempts += 1;
         let (node, arrival) = (live.node, live.arrival);
-        let customer = self.plan.arrivals[arrival].customer as usize;
+        let customer = self.arrival_plan.arrivals[arrival].customer as usize;
         self.nodes[node]
             .table
             .record_placement(customer_key(customer));
         let node = live.node;
-        self.on_way[engine] += 1;
-        self.nodes[node].view.engines[engine].sent += 1;
-        let at = self.now + self.delay(node, engine);
+        self.in_transit[engine] += 1;
+        self.nodes[node].baseline_view.engines[engine].sent_since_report += 1;
+        let at = self.now + self.draw_delay(node, engine);
         let engine = engine as u32;
-        self.queue.push(at, BenchEvent::Reach { request, engine });
+        self.queue
+            .push(at, BenchEvent::EngineReached { request, engine });
     }
 
     /// A request reaches its engine.
-    pub(crate) fn engine_reached(&mut self, request: u32, engine: usize) {
-        self.on_way[engine] -= 1;
+    pub(crate) fn handle_engine_arrival(&mut self, request: u32, engine: usize) {
+        self.in_transit[engine] -= 1;
         if !self.engines[engine].alive {
-            return self.push_ended(request, engine, false);
+            return self.schedule_attempt_end(request, engine, false);
         }
         let arrival = self.requests[request as usize].arrival;
-        let work = EngineWork {
+        let work = EngineRequest {
             request,
-            chain: self.chain_of(arrival),
-            after: self.chain_to(arrival, self.spec.turn_blocks),
-            answer: self.plan.arrivals[arrival].answer,
-            prefill: 0,
-            cached: 0,
+            prompt: self.prompt_chain(arrival),
+            prompt_and_answer: self.extended_chain(arrival, self.spec.turn_blocks),
+            remaining_tokens: self.arrival_plan.arrivals[arrival].answer_tokens,
+            prefill_tokens: 0,
+            cached_blocks: 0,
         };
-        self.engines[engine].push(work);
-        self.change_load(engine, 1);
-        if !self.engines[engine].busy {
+        self.engines[engine].enqueue(work);
+        self.adjust_load(engine, 1);
+        if !self.engines[engine].step_running {
             self.begin_step(engine);
         }
     }
 
     /// An engine's step ends.
-    pub(crate) fn step_ended(&mut self, engine: usize, incarnation: u32) {
+    pub(crate) fn handle_step_end(&mut self, engine: usize, incarnation: u32) {
         if self.engines[engine].incarnation != incarnation {
             return;
         }
         for news in self.engines[engine].end_step() {
             match news {
-                EngineNews::First(request, cached) => self.note_first(request, engine, cached),
-                EngineNews::Done(request) => {
-                    self.change_load(engine, -1);
-                    self.push_ended(request, engine, true);
+                StepOutput::FirstToken(request, cached) => {
+                    self.record_first_token(request, engine, cached)
+                }
+                StepOutput::Finished(request) => {
+                    self.adjust_load(engine, -1);
+                    self.schedule_attempt_end(request, engine, true);
                 }
             }
         }
@@ -294,7 +303,7 @@
         let incarnation = fake.incarnation;
         if let Some(takes) = fake.begin_step() {
             let engine = engine as u32;
-            let step = BenchEvent::Step {
+            let step = BenchEvent::StepEnded {
                 engine,
                 incarnation,
             };
@@ -302,54 +311,55 @@
         }
     }
 
-    fn note_first(&mut self, request: u32, engine: usize, cached: u32) {
+    fn record_first_token(&mut self, request: u32, engine: usize, cached: u32) {
         let live = &self.requests[request as usize];
-        let planned = &self.plan.arrivals[live.arrival];
-        let reusable = self.spec.plan_blocks + planned.context_blocks;
+        let planned = &self.arrival_plan.arrivals[live.arrival];
+        let reusable = self.spec.shared_prefix_blocks + planned.context_blocks;
         self.tally.reusable += u64::from(reusable);
         self.tally.reused += u64::from(cached.min(reusable));
         let took = self.now - live.arrived_ms;
         self.tally.first_token.saturating_record(took.max(1));
-        if planned.customer as usize >= SURGING {
+        if planned.customer as usize >= SURGING_CUSTOMERS {
             self.tally.first_token_small.saturating_record(took.max(1));
         }
-        let place = &mut self.places[planned.chat as usize];
+        let place = &mut self.chat_engines[planned.chat as usize];
         self.tally.moves += u64::from(place.is_some_and(|place| place != engine));
         *place = Some(engine);
     }
 
-    pub(crate) fn push_ended(&mut self, request: u32, engine: usize, whole: bool) {
+    pub(crate) fn schedule_attempt_end(&mut self, request: u32, engine: usize, whole: bool) {
         let node = self.requests[request as usize].node;
-        let at = self.now + self.delay(engine, node);
-        self.queue.push(at, BenchEvent::Ended { request, whole });
+        let at = self.now + self.draw_delay(engine, node);
+        self.queue
+            .push(at, BenchEvent::AttemptEnded { request, whole });
     }
 
     /// The end of an attempt reaches the node.
-    pub(crate) fn attempt_ended(&mut self, request: u32, whole: bool) {
+    pub(crate) fn handle_attempt_end(&mut self, request: u32, whole: bool) {
         let live = &self.requests[request as usize];
-        if live.over {
+        if live.finished {
             return;
         }
         let (node, engine, attempts) = (live.node, live.engine, live.attempts);
-        let chat = self.plan.arrivals[live.arrival].chat as usize;
-        self.give_back(request, whole);
+        let chat = self.arrival_plan.arrivals[live.arrival].chat as usize;
+        self.release_slot(request, whole);
         if whole {
             self.tally.completed += 1;
-            self.hints[chat] = Some(engine);
-            return self.end(request);
+            self.chat_hints[chat] = Some(engine);
+            return self.finish_request(request);
         }
         self.tally.failed += 1;
-        self.exclude(request, engine);
-        if attempts < MOST_ATTEMPTS && self.nodes[node].budget.try_retry() {
+        self.exclude_engine(request, engine);
+        if attempts < MAX_ATTEMPTS && self.nodes[node].retry_budget.try_retry() {
             self.tally.retried += 1;
-            return self.place(request);
+            return self.place_request(request);
         }
         self.tally.lost += 1;
-        self.end(request);
+        self.finish_request(request);
     }
 
     /// Gives a request's slot back to the home that granted it.
-    fn give_back(&mut self, request: u32, whole: bool) {
+    fn release_slot(&mut self, request: u32, whole: bool) {
         let outcome = if whole {
             SlotOutcome::Succeeded
         } else {
@@ -366,9 +376,9 @@
             return self.nodes[node].table.release(id, slot, outcome, clock);
         }
         self.nodes[node].table.observe_outcome(id, outcome, clock);
-        self.tally.bytes.release();
-        let at = self.now + self.delay(node, home);
-        let release = BenchEvent::Release {
+        self.tally.control_bytes.add_release();
+        let at = self.now + self.draw_delay(node, home);
+        let release = BenchEvent::SlotReleased {
             home: home as u32,
             engine: engine as u32,
             slot,
@@ -378,7 +388,7 @@
     }
 
     /// A slot given back reaches the home.
-    pub(crate) fn release_reached(
+    pub(crate) fn handle_release(
         &mut self,
         home: usize,
         engine: usize,
@@ -392,35 +402,35 @@
         }
     }
 
-    fn refuse(&mut self, request: u32) {
+    fn refuse_request(&mut self, request: u32) {
         let live = &self.requests[request as usize];
-        let customer = self.plan.arrivals[live.arrival].customer as usize;
+        let customer = self.arrival_plan.arrivals[live.arrival].customer as usize;
         self.tally.refused += 1;
-        self.tally.refused_small += u64::from(customer >= SURGING);
-        self.end(request);
+        self.tally.refused_small += u64::from(customer >= SURGING_CUSTOMERS);
+        self.finish_request(request);
     }
 
-    fn end(&mut self, request: u32) {
+    fn finish_request(&mut self, request: u32) {
         let live = &mut self.requests[request as usize];
-        live.over = true;
-        let customer = self.plan.arrivals[live.arrival].customer as usize;
+        live.finished = true;
+        let customer = self.arrival_plan.arrivals[live.arrival].customer as usize;
         if let PolicyKind::Homes(_) = self.policy {
             let node = &mut self.nodes[live.node];
             node.limiter.finish(customer_key(customer), 0, 0);
         }
     }
 
-    fn exclude(&mut self, request: u32, engine: usize) {
+    fn exclude_engine(&mut self, request: u32, engine: usize) {
         let live = &mut self.requests[request as usize];
         live.excluded.push(engine);
         live.excluded_ids.push(self.engine_ids[engine]);
     }
 
     /// Changes the true load of an engine.
-    pub(crate) fn change_load(&mut self, engine: usize, by: i32) {
-        self.loads[engine] = self.loads[engine].saturating_add_signed(by);
+    pub(crate) fn adjust_load(&mut self, engine: usize, by: i32) {
+        self.engine_loads[engine] = self.engine_loads[engine].saturating_add_signed(by);
         let model = self.engine_models[engine];
-        self.trackers[model].set(engine, self.loads[engine], self.now);
+        self.skew_trackers[model].update_load(engine, self.engine_loads[engine], self.now);
     }
 
     fn engine_index(&self, id: EndpointId) -> usize {
--- a/crates/ragwortroad_bench/src/run/run_tally.rs
+++ b/crates/ragwortroad_bench/src/run/run_tally.rs
@@ -34,7 +34,7 @@
     pub(crate) first_token: Histogram<u64>,
     /// The same for customers that never surge.
     pub(crate) first_token_small: Histogram<u64>,
-    pub(crate) bytes: ControlBytes,
+    pub(crate) control_bytes: ControlBytes,
 }
 
 impl RunTally {
@@ -61,7 +61,7 @@
             asked: 0,
             first_token: histogram.clone(),
             first_token_small: histogram,
-            bytes: ControlBytes::default(),
+            control_bytes: ControlBytes::default(),
         }
     }
 }
--- a/crates/ragwortroad_bench/src/run/skew_tracker.rs
+++ b/crates/ragwortroad_bench/src/run/skew_tracker.rs
@@ -9,11 +9,11 @@
     /// Load of every member. Invariant: `total` is their sum.
     loads: BTreeMap<usize, u32>,
     /// Members at each load.
-    at_load: Vec<u32>,
+    members_by_load: Vec<u32>,
     total: u64,
     last_ms: u64,
     /// Milliseconds spent at each ratio, in hundredths.
-    pub(crate) ratios: BTreeMap<u32, u64>,
+    pub(crate) ratio_ms: BTreeMap<u32, u64>,
     /// Milliseconds in which some member was above the bound, and the longest stretch of them.
     pub(crate) above_ms: u64,
     pub(crate) longest_above_ms: u64,
@@ -30,10 +30,10 @@
         Self {
             bound: LoadBound::default(),
             loads: BTreeMap::new(),
-            at_load: Vec::new(),
+            members_by_load: Vec::new(),
             total: 0,
             last_ms: from_ms,
-            ratios: BTreeMap::new(),
+            ratio_ms: BTreeMap::new(),
             above_ms: 0,
             longest_above_ms: 0,
             above_since: None,
@@ -48,7 +48,7 @@
         self.leave(engine, now);
         self.loads.insert(engine, load);
         self.total += u64::from(load);
-        *self.count_at(load) += 1;
+        *self.members_at(load) += 1;
     }
 
     /// Counts a member out.
@@ -56,19 +56,19 @@
         self.advance(now);
         if let Some(load) = self.loads.remove(&engine) {
             self.total -= u64::from(load);
-            *self.count_at(load) -= 1;
+            *self.members_at(load) -= 1;
         }
     }
 
     /// Sets a member's load; one that is no member is left out.
-    pub(crate) fn set(&mut self, engine: usize, load: u32, now: u64) {
+    pub(crate) fn update_load(&mut self, engine: usize, load: u32, now: u64) {
         if self.loads.contains_key(&engine) {
             self.join(engine, load, now);
         }
     }
 
     /// The most a member may carry now.
-    pub(crate) fn limit(&self) -> u32 {
+    pub(crate) fn load_limit(&self) -> u32 {
         self.bound.of_mean(self.mean())
     }
 
@@ -78,7 +78,7 @@
             return;
         };
         let peak = self.peak();
-        let limit = self.limit();
+        let limit = self.load_limit();
         if peak > limit {
             let since = *self.above_since.get_or_insert(self.last_ms);
             self.above_ms += span;
@@ -90,7 +90,7 @@
         if self.total > 0 {
             let ratio = f64::from(peak) / self.mean();
             *self
-                .ratios
+                .ratio_ms
                 .entry((ratio * 100.0).round() as u32)
                 .or_insert(0) += span;
         }
@@ -103,15 +103,15 @@
     }
 
     fn peak(&self) -> u32 {
-        let highest = self.at_load.iter().rposition(|count| *count > 0);
+        let highest = self.members_by_load.iter().rposition(|count| *count > 0);
         highest.unwrap_or(0) as u32
     }
 
-    fn count_at(&mut self, load: u32) -> &mut u32 {
+    fn members_at(&mut self, load: u32) -> &mut u32 {
         let index = load as usize;
-        if self.at_load.len() <= index {
-            self.at_load.resize(index + 1, 0);
+        if self.members_by_load.len() <= index {
+            self.members_by_load.resize(index + 1, 0);
         }
-        &mut self.at_load[index]
+        &mut self.members_by_load[index]
     }
 }
--- a/crates/ragwortroad_bench/src/workload/bench_draw.rs
+++ b/crates/ragwortroad_bench/src/workload/bench_rng.rs
@@ -6,11 +6,11 @@
 
 /// Seeded draws of the few distributions the workloads need.
 #[derive(Clone, Debug)]
-pub(crate) struct BenchDraw {
+pub(crate) struct BenchRng {
     rng: Pcg64Mcg,
 }
 
-impl BenchDraw {
+impl BenchRng {
     /// Draws from `seed`, apart from those of every other `stream`.
     pub(crate) fn new(seed: u64, stream: u64) -> Self {
         let mixed = seed ^ stream.wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/crates/ragwortroad_bench/src/workload/workload_spec.rs
+++ b/crates/ragwortroad_bench/src/workload/workload_spec.rs
@@ -45,34 +45,34 @@
     /// Customers, their sizes falling as 1/rank.
     pub customers: usize,
     /// Requests a second of all customers together.
-    pub rate: f64,
+    pub requests_per_s: f64,
     /// Shared texts of each customer.
-    pub plans: usize,
+    pub prefixes_per_customer: usize,
     /// Blocks of a shared text; a block is 128 tokens.
-    pub plan_blocks: u32,
+    pub shared_prefix_blocks: u32,
     /// Blocks that one turn adds to a chat, its answer included.
     pub turn_blocks: u32,
     /// Turns of a chat, on average.
-    pub turns: f64,
+    pub mean_turns: f64,
     /// Seconds between the turns of a chat, on average.
-    pub pause_s: f64,
+    pub mean_pause_s: f64,
     /// Tokens of an answer, on average.
-    pub answer_tokens: f64,
+    pub mean_answer_tokens: f64,
     /// Requests an engine works on at once.
-    pub capacity: u32,
+    pub engine_capacity: u32,
     /// Blocks an engine's cache holds.
     pub cache_blocks: usize,
     /// Milliseconds between a change and the last digest that tells of it.
-    pub digest_ms: u64,
+    pub digest_interval_ms: u64,
     /// Milliseconds a digest is on its way.
-    pub spread_ms: u64,
+    pub propagation_ms: u64,
     /// Chats a node remembers.
     pub chat_entries: usize,
 }
 
 impl WorkloadSpec {
     /// The sizes of `kind`.
-    pub fn of_kind(kind: WorkloadKind) -> Self {
+    pub fn for_kind(kind: WorkloadKind) -> Self {
         match kind {
             WorkloadKind::Ljosmynd => Self {
                 nodes: 9,
@@ -80,27 +80,27 @@
                 engines: 12,
                 models: 1,
                 customers: 10,
-                rate: 34.0,
-                plans: 4,
-                plan_blocks: 10,
+                requests_per_s: 34.0,
+                prefixes_per_customer: 4,
+                shared_prefix_blocks: 10,
                 turn_blocks: 2,
-                turns: 6.0,
-                pause_s: 30.0,
-                answer_tokens: 80.0,
-                capacity: 16,
+                mean_turns: 6.0,
+                mean_pause_s: 30.0,
+                mean_answer_tokens: 80.0,
+                engine_capacity: 16,
                 cache_blocks: 1_600,
-                digest_ms: 500,
-                spread_ms: 10,
+                digest_interval_ms: 500,
+                propagation_ms: 10,
                 chat_entries: 16 * 1024,
             },
             WorkloadKind::Splashmark => Self {
                 engines: 20,
-                rate: 48.0,
-                plans: 3,
-                plan_blocks: 40,
-                answer_tokens: 90.0,
+                requests_per_s: 48.0,
+                prefixes_per_customer: 3,
+                shared_prefix_blocks: 40,
+                mean_answer_tokens: 90.0,
                 cache_blocks: 2_000,
-                ..Self::of_kind(WorkloadKind::Ljosmynd)
+                ..Self::for_kind(WorkloadKind::Ljosmynd)
             },
             WorkloadKind::Target => Self {
                 nodes: 340,
@@ -108,18 +108,18 @@
                 engines: 750,
                 models: 16,
                 customers: 2_900,
-                rate: 3_300.0,
-                plans: 2,
-                plan_blocks: 24,
-                turns: 4.0,
-                pause_s: 40.0,
-                answer_tokens: 364.0,
-                capacity: 160,
+                requests_per_s: 3_300.0,
+                prefixes_per_customer: 2,
+                shared_prefix_blocks: 24,
+                mean_turns: 4.0,
+                mean_pause_s: 40.0,
+                mean_answer_tokens: 364.0,
+                engine_capacity: 160,
                 cache_blocks: 12_000,
-                digest_ms: 1_000,
-                spread_ms: 1_000,
+                digest_interval_ms: 1_000,
+                propagation_ms: 1_000,
                 chat_entries: 4 * 1024,
-                ..Self::of_kind(WorkloadKind::Ljosmynd)
+                ..Self::for_kind(WorkloadKind::Ljosmynd)
             },
         }
     }
--- a/crates/ragwortroad_bench/tests/regression.rs
+++ b/crates/ragwortroad_bench/tests/regression.rs
@@ -17,7 +17,7 @@
         disturbances,
         warm_seconds: 60,
         seconds: 90,
-        policies: vec![PolicyKind::Planner, PolicyKind::Homes(IdeaSet::ALL)],
+        policies: vec![PolicyKind::Planner, PolicyKind::Homes(FeatureSet::ALL)],
         ..BenchSettings::default()
     };
     let mut policies = run_bench(&settings).policies.into_iter();
@@ -78,7 +78,7 @@
             disturbances: DisturbanceSet::CALM,
             warm_seconds: 40,
             seconds: 40,
-            policies: vec![PolicyKind::Homes(IdeaSet::ALL)],
+            policies: vec![PolicyKind::Homes(FeatureSet::ALL)],
             ..BenchSettings::default()
         };
         run_bench(&settings).policies.remove(0)
@@ -98,7 +98,7 @@
         disturbances: DisturbanceSet::ALL,
         warm_seconds: 5,
         seconds: 25,
-        policies: vec![PolicyKind::TwoChoices, PolicyKind::Homes(IdeaSet::ALL)],
+        policies: vec![PolicyKind::TwoChoices, PolicyKind::Homes(FeatureSet::ALL)],
         ..BenchSettings::default()
     };
     let report = run_bench(&settings);
--- a/crates/ragwortroad_report/src/measurement.rs
+++ b/crates/ragwortroad_report/src/measurement.rs
@@ -11,8 +11,8 @@
     ReportError,
     report_error::{
         IncompleteSnafu,
-        NoReportSnafu,
         NotJsonSnafu, //
+        UnknownReportSnafu,
     }, //
 };
 
@@ -60,17 +60,17 @@
         let value: Value = serde_json::from_str(text).context(NotJsonSnafu { name })?;
         let has = |key: &str| value.get(key).is_some();
         let kind = match (has("policies"), has("load"), has("outcomes")) {
-            (true, _, _) => MeasurementKind::Bench(read(name, "bench", value)?),
-            (_, true, _) => MeasurementKind::Demo(read(name, "demo", value)?),
-            (_, _, true) => MeasurementKind::Load(read(name, "load", value)?),
-            _ => return NoReportSnafu { name }.fail(),
+            (true, _, _) => MeasurementKind::Bench(decode_report(name, "bench", value)?),
+            (_, true, _) => MeasurementKind::Demo(decode_report(name, "demo", value)?),
+            (_, _, true) => MeasurementKind::Load(decode_report(name, "load", value)?),
+            _ => return UnknownReportSnafu { name }.fail(),
         };
         let name = name.to_owned();
         Ok(Self { name, kind })
     }
 }
 
-fn read<T: DeserializeOwned>(
+fn decode_report<T: DeserializeOwned>(
     name: &str,
     command: &'static str,
     value: Value,
--- a/crates/ragwortroad_report/src/report_error.rs
+++ b/crates/ragwortroad_report/src/report_error.rs
@@ -21,7 +21,7 @@
         "{name} is no report of 'load', 'demo' or 'bench': it has neither 'policies' nor 'load' \
          nor 'outcomes'; write one with --json"
     ))]
-    NoReport {
+    UnknownReport {
         /// The file.
         name: String,
     },
@@ -40,7 +40,7 @@
     },
     /// A plot could not be drawn.
     #[snafu(display("the plot '{title}' could not be drawn: {reason}; report it as a fault"))]
-    Undrawn {
+    PlotFailed {
         /// The plot.
         title: String,
         /// The library's word.
--- a/crates/ragwortroad_report/src/report_page.rs
+++ b/crates/ragwortroad_report/src/report_page.rs
@@ -12,7 +12,7 @@
     }, //
 };
 
-const HEAD: &str = "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
+const PAGE_HEADER: &str = "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
     <title>ragwortroad measurements</title><style>body{font-family:sans-serif;max-width:60em;\
     margin:2em auto}svg{display:block;margin:1em 0}</style></head><body>\n\
     <h1>ragwortroad measurements</h1>\n";
@@ -21,11 +21,11 @@
 ///
 /// # Errors
 ///
-/// [`ReportError::Undrawn`] where a plot could not be drawn.
+/// [`ReportError::PlotFailed`] where a plot could not be drawn.
 pub fn report_page(measurements: &[Measurement]) -> Result<String, ReportError> {
-    let mut page = HEAD.to_owned();
+    let mut page = PAGE_HEADER.to_owned();
     for measurement in measurements {
-        page.push_str(&format!("<h2>{}</h2>\n", escaped(&measurement.name)));
+        page.push_str(&format!("<h2>{}</h2>\n", escape_html(&measurement.name)));
         match &measurement.kind {
             MeasurementKind::Load(load) => add_load(&mut page, load)?,
             MeasurementKind::Demo(demo) => {
@@ -122,7 +122,7 @@
     Ok(())
 }
 
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     let text = text.replace('&', "&amp;").replace('<', "&lt;");
     text.replace('>', "&gt;")
 }
--- a/crates/ragwortroad_timeline/src/event_filter.rs
+++ b/crates/ragwortroad_timeline/src/event_filter.rs
@@ -31,12 +31,12 @@
 
 impl EventFilter {
     /// Whether `event` is wanted.
-    pub fn lets_pass(&self, event: &FleetEvent) -> bool {
+    pub fn matches(&self, event: &FleetEvent) -> bool {
         let wall = event.stamp.wall_ms();
-        wants(&self.request, &event.request)
-            && wants(&self.chat, &event.chat)
-            && wants(&self.customer, &event.customer)
-            && wants(&self.endpoint, &event.endpoint)
+        field_matches(&self.request, &event.request)
+            && field_matches(&self.chat, &event.chat)
+            && field_matches(&self.customer, &event.customer)
+            && field_matches(&self.endpoint, &event.endpoint)
             && (self.kinds.is_empty() || self.kinds.contains(&event.kind))
             && self.from_ms.is_none_or(|from| wall >= from)
             && self.until_ms.is_none_or(|until| wall < until)
@@ -44,6 +44,6 @@
 }
 
 /// Whether a field has the wanted value, or none is wanted.
-fn wants<T: PartialEq>(wanted: &Option<T>, found: &Option<T>) -> bool {
+fn field_matches<T: PartialEq>(wanted: &Option<T>, found: &Option<T>) -> bool {
     wanted.is_none() || wanted == found
 }
--- a/crates/ragwortroad_timeline/src/event_ring.rs
+++ b/crates/ragwortroad_timeline/src/event_ring.rs
@@ -103,7 +103,7 @@
             .traffic
             .iter()
             .chain(&self.control)
-            .filter(|event| filter.lets_pass(event))
+            .filter(|event| filter.matches(event))
             .cloned()
             .collect();
         events.sort_unstable_by_key(|event| event.sequence);
--- a/crates/ragwortroad_timeline/src/fleet_event.rs
+++ b/crates/ragwortroad_timeline/src/fleet_event.rs
@@ -76,14 +76,14 @@
 impl fmt::Display for FleetEvent {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.kind)?;
-        field(formatter, "who", self.who.as_ref())?;
-        field(formatter, "revision", self.revision)?;
-        field(formatter, "term", self.term)?;
-        field(formatter, "fence", self.fence)?;
-        field(formatter, "request", self.request)?;
-        field(formatter, "chat", self.chat)?;
-        field(formatter, "customer", self.customer.as_ref())?;
-        field(formatter, "endpoint", self.endpoint.as_ref())?;
+        write_field(formatter, "who", self.who.as_ref())?;
+        write_field(formatter, "revision", self.revision)?;
+        write_field(formatter, "term", self.term)?;
+        write_field(formatter, "fence", self.fence)?;
+        write_field(formatter, "request", self.request)?;
+        write_field(formatter, "chat", self.chat)?;
+        write_field(formatter, "customer", self.customer.as_ref())?;
+        write_field(formatter, "endpoint", self.endpoint.as_ref())?;
         if !self.detail.is_empty() {
             write!(formatter, " ({})", self.detail)?;
         }
@@ -92,7 +92,7 @@
 }
 
 /// Writes one field, if it is there.
-fn field(
+fn write_field(
     formatter: &mut fmt::Formatter<'_>,
     name: &str,
     value: Option<impl fmt::Display>,
--- a/crates/ragwortroad_timeline/src/hybrid_clock.rs
+++ b/crates/ragwortroad_timeline/src/hybrid_clock.rs
@@ -9,16 +9,16 @@
     /// The highest stamp given or seen.
     ///
     /// Invariant: never falls, also when the wall clock is set back.
-    last: HybridTime,
+    latest: HybridTime,
     /// The furthest that a stamp seen lay ahead of the wall clock, in milliseconds.
-    furthest_ahead: u64,
+    max_drift_ms: u64,
 }
 
 impl HybridClock {
     /// A stamp for something that happens now.
     pub fn now(&mut self, wall_ms: u64) -> HybridTime {
-        self.last = HybridTime::at_wall(wall_ms).max(self.last.next());
-        self.last
+        self.latest = HybridTime::from_wall_ms(wall_ms).max(self.latest.next());
+        self.latest
     }
 
     /// Takes the stamp of a message from elsewhere into account.
@@ -26,13 +26,13 @@
     /// A stamp far ahead of our wall clock is followed all the same, since order matters more
     /// than nearness; [`Self::furthest_ahead`] shows that some node's clock is wrong.
     pub fn observe(&mut self, remote: HybridTime, wall_ms: u64) {
-        self.last = self.last.max(remote);
+        self.latest = self.latest.max(remote);
         let ahead = remote.wall_ms().saturating_sub(wall_ms);
-        self.furthest_ahead = self.furthest_ahead.max(ahead);
+        self.max_drift_ms = self.max_drift_ms.max(ahead);
     }
 
     /// The furthest that a stamp seen lay ahead of our wall clock, in milliseconds.
-    pub fn furthest_ahead(&self) -> u64 {
-        self.furthest_ahead
+    pub fn max_drift_ms(&self) -> u64 {
+        self.max_drift_ms
     }
 }
--- a/crates/ragwortroad_timeline/src/hybrid_time.rs
+++ b/crates/ragwortroad_timeline/src/hybrid_time.rs
@@ -21,7 +21,7 @@
 
 impl HybridTime {
     /// The first stamp of a millisecond.
-    pub fn at_wall(wall_ms: u64) -> Self {
+    pub fn from_wall_ms(wall_ms: u64) -> Self {
         Self(wall_ms << COUNTER_BITS)
     }
 
--- a/crates/ragwortroad_timeline/src/node_timeline.rs
+++ b/crates/ragwortroad_timeline/src/node_timeline.rs
@@ -7,7 +7,7 @@
 use crate::{
     FleetEvent,
     TimelineError,
-    timeline_error::MalformedPartSnafu, //
+    timeline_error::MalformedTimelineSnafu, //
 };
 
 /// One node's part of a time line, as it travels between nodes.
@@ -36,11 +36,11 @@
 
     /// Reads the form in which it travels.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, TimelineError> {
-        serde_json::from_slice(bytes).context(MalformedPartSnafu)
+        serde_json::from_slice(bytes).context(MalformedTimelineSnafu)
     }
 
     /// The same without customers' names and chats, for readers who may not know them.
-    pub fn without_customers(mut self) -> Self {
+    pub fn redact_customers(mut self) -> Self {
         for event in &mut self.events {
             event.customer = None;
             event.chat = None;
--- a/crates/ragwortroad_timeline/src/page/event_rows.rs
+++ b/crates/ragwortroad_timeline/src/page/event_rows.rs
@@ -3,7 +3,7 @@
 use crate::{
     FleetTimeline,
     PlacedEvent,
-    page::text_escape::escaped,
+    page::text_escape::escape_html,
     utc_time::clock_text, //
 };
 
@@ -23,8 +23,8 @@
 
 /// One event.
 fn row(timeline: &FleetTimeline, placed: &PlacedEvent, start: u64) -> String {
-    let node = escaped(&timeline.lanes[placed.lane].node);
-    let event = escaped(&placed.event.to_string());
+    let node = escape_html(&timeline.lanes[placed.lane].node);
+    let event = escape_html(&placed.event.to_string());
     let wall = placed.event.stamp.wall_ms();
     let class = if placed.event.kind.is_alarming() {
         "alarm"
--- a/crates/ragwortroad_timeline/src/page/lane_picture.rs
+++ b/crates/ragwortroad_timeline/src/page/lane_picture.rs
@@ -10,25 +10,25 @@
     FleetTimeline,
     page::{
         picture_scale::PictureScale,
-        text_escape::escaped, //
+        text_escape::escape_html, //
     }, //
 };
 
 /// Space for names left of the lanes.
-const LEFT: f64 = 170.0;
+const LABEL_WIDTH: f64 = 170.0;
 /// Space for the axis above the lanes.
-const TOP: f64 = 34.0;
+const AXIS_HEIGHT: f64 = 34.0;
 /// Height of a lane.
-const LANE: f64 = 30.0;
+const LANE_HEIGHT: f64 = 30.0;
 /// Requests whose paths are drawn; more would hide each other.
-const MOST_PATHS: usize = 40;
+const MAX_PATHS: usize = 40;
 /// Least distance between two labels of the axis.
-const AXIS_STEP: f64 = 110.0;
+const MIN_AXIS_STEP: f64 = 110.0;
 
 /// The picture of `timeline`.
 pub(crate) fn picture(timeline: &FleetTimeline) -> String {
-    let scale = PictureScale::new(timeline, LEFT + 12.0);
-    let height = TOP + LANE * timeline.lanes.len() as f64 + 8.0;
+    let scale = PictureScale::new(timeline, LABEL_WIDTH + 12.0);
+    let height = AXIS_HEIGHT + LANE_HEIGHT * timeline.lanes.len() as f64 + 8.0;
     let mut parts = Vec::new();
     parts.extend(bars(timeline, &scale));
     parts.extend(lanes(timeline, &scale));
@@ -43,24 +43,24 @@
 }
 
 /// The height of a lane's middle.
-fn middle(lane: usize) -> f64 {
-    TOP + LANE * (lane as f64 + 0.5)
+fn lane_center(lane: usize) -> f64 {
+    AXIS_HEIGHT + LANE_HEIGHT * (lane as f64 + 0.5)
 }
 
 /// Names and lines of the lanes.
 fn lanes(timeline: &FleetTimeline, scale: &PictureScale) -> Vec<String> {
     let mut parts = Vec::new();
     for (index, lane) in timeline.lanes.iter().enumerate() {
-        let height = middle(index);
+        let height = lane_center(index);
         parts.push(format!(
-            "<line class=\"lane\" x1=\"{LEFT}\" x2=\"{:.0}\" y1=\"{height}\" y2=\"{height}\"/>",
+            "<line class=\"lane\" x1=\"{LABEL_WIDTH}\" x2=\"{:.0}\" y1=\"{height}\" y2=\"{height}\"/>",
             scale.width
         ));
         parts.push(format!(
             "<text x=\"6\" y=\"{:.0}\">{} ({})</text>",
             height + 4.0,
-            escaped(&lane.node),
-            escaped(&lane.zone)
+            escape_html(&lane.node),
+            escape_html(&lane.zone)
         ));
     }
     parts
@@ -69,11 +69,11 @@
 /// Times along the top, and the quiet times that were cut.
 fn axis(timeline: &FleetTimeline, scale: &PictureScale) -> Vec<String> {
     let start = timeline.start().wall_ms();
-    let bottom = TOP + LANE * timeline.lanes.len() as f64;
+    let bottom = AXIS_HEIGHT + LANE_HEIGHT * timeline.lanes.len() as f64;
     let mut parts = Vec::new();
     let mut last = f64::MIN;
-    for (placed, place) in timeline.events.iter().zip(&scale.places) {
-        if place - last < AXIS_STEP {
+    for (placed, place) in timeline.events.iter().zip(&scale.positions) {
+        if place - last < MIN_AXIS_STEP {
             continue;
         }
         last = *place;
@@ -84,7 +84,7 @@
     }
     for (place, span) in &scale.cuts {
         parts.push(format!(
-            "<line class=\"cut\" x1=\"{place:.0}\" x2=\"{place:.0}\" y1=\"{TOP}\" y2=\"{bottom}\"/>\
+            "<line class=\"cut\" x1=\"{place:.0}\" x2=\"{place:.0}\" y1=\"{AXIS_HEIGHT}\" y2=\"{bottom}\"/>\
              <text class=\"axis\" x=\"{:.0}\" y=\"29\">cut {span} ms</text>",
             place - 30.0
         ));
@@ -97,7 +97,7 @@
     let mut leads: BTreeMap<usize, f64> = BTreeMap::new();
     let mut downs: BTreeMap<usize, f64> = BTreeMap::new();
     let mut parts = Vec::new();
-    for (placed, place) in timeline.events.iter().zip(&scale.places) {
+    for (placed, place) in timeline.events.iter().zip(&scale.positions) {
         let about = placed.event.who.as_ref();
         let about = about.and_then(|who| timeline.lanes.iter().position(|lane| lane.node == *who));
         match (placed.event.kind, about) {
@@ -132,32 +132,32 @@
 fn bar(class: &str, lane: usize, start: f64, end: f64) -> String {
     format!(
         "<rect class=\"{class}\" x=\"{start:.0}\" y=\"{:.0}\" width=\"{:.0}\" height=\"{:.0}\"/>",
-        TOP + LANE * lane as f64 + 4.0,
+        AXIS_HEIGHT + LANE_HEIGHT * lane as f64 + 4.0,
         (end - start).max(4.0),
-        LANE - 8.0
+        LANE_HEIGHT - 8.0
     )
 }
 
 /// A line along the path of each request that was on several nodes.
 fn paths(timeline: &FleetTimeline, scale: &PictureScale) -> Vec<String> {
     let mut requests: BTreeMap<RequestId, Vec<(f64, usize)>> = BTreeMap::new();
-    for (placed, place) in timeline.events.iter().zip(&scale.places) {
+    for (placed, place) in timeline.events.iter().zip(&scale.positions) {
         if let Some(request) = placed.event.request {
             let path = requests.entry(request).or_default();
             path.push((*place, placed.lane));
         }
     }
     requests.retain(|_, path| path.len() > 1);
-    if requests.len() > MOST_PATHS {
+    if requests.len() > MAX_PATHS {
         requests.retain(|_, path| path.iter().any(|step| step.1 != path[0].1));
     }
     requests
         .into_iter()
-        .take(MOST_PATHS)
+        .take(MAX_PATHS)
         .map(|(request, path)| {
             let steps: Vec<String> = path
                 .iter()
-                .map(|(place, lane)| format!("{place:.0},{:.0}", middle(*lane)))
+                .map(|(place, lane)| format!("{place:.0},{:.0}", lane_center(*lane)))
                 .collect();
             format!(
                 "<polyline class=\"path\" data-text=\"request={request}\" points=\"{}\"/>",
@@ -172,15 +172,15 @@
     timeline
         .events
         .iter()
-        .zip(&scale.places)
+        .zip(&scale.positions)
         .map(|(placed, place)| {
-            let node = escaped(&timeline.lanes[placed.lane].node);
-            let text = escaped(&placed.event.to_string());
+            let node = escape_html(&timeline.lanes[placed.lane].node);
+            let text = escape_html(&placed.event.to_string());
             format!(
                 "<circle class=\"{}\" data-text=\"{node} {text}\" cx=\"{place:.0}\" \
                  cy=\"{:.0}\" r=\"5\"><title>{} {node}: {text}</title></circle>",
-                colour(placed.event.kind),
-                middle(placed.lane),
+                color_class(placed.event.kind),
+                lane_center(placed.lane),
                 placed.event.stamp
             )
         })
@@ -188,7 +188,7 @@
 }
 
 /// The class that gives an event its colour.
-fn colour(kind: EventKind) -> &'static str {
+fn color_class(kind: EventKind) -> &'static str {
     if kind.is_alarming() {
         return "alarm";
     }
--- a/crates/ragwortroad_timeline/src/page/mod.rs
+++ b/crates/ragwortroad_timeline/src/page/mod.rs
@@ -10,10 +10,10 @@
     utc_time::utc_text, //
 };
 
-use text_escape::escaped;
+use text_escape::escape_html;
 
 /// The look of the page.
-const STYLE: &str = include_str!("page.css");
+const STYLE_SHEET: &str = include_str!("page.css");
 /// Filters rows and points as the reader types.
 const SCRIPT: &str = include_str!("page.js");
 
@@ -24,7 +24,7 @@
     let summary = format!("{events} events of {nodes} nodes from {start}");
     format!(
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\n\
-         <title>Time line</title>\n<style>\n{STYLE}</style></head>\n<body>\n\
+         <title>Time line</title>\n<style>\n{STYLE_SHEET}</style></head>\n<body>\n\
          <h1>Time line</h1>\n<p>{summary}</p>\n{}{}{}\
          <p><label>Show only <input id=\"only\" size=\"40\" placeholder=\"request, endpoint, \
          kind, node\"></label></p>\n{}<script>\n{SCRIPT}</script>\n</body></html>\n",
@@ -43,7 +43,7 @@
     }
     let items: Vec<String> = gaps
         .iter()
-        .map(|gap| format!("<li>{}</li>", escaped(gap)))
+        .map(|gap| format!("<li>{}</li>", escape_html(gap)))
         .collect();
     format!("<ul class=\"gaps\">{}</ul>\n", items.join(""))
 }
--- a/crates/ragwortroad_timeline/src/page/text_escape.rs
+++ b/crates/ragwortroad_timeline/src/page/text_escape.rs
@@ -2,7 +2,7 @@
 ///
 /// Names of customers and endpoints come from outside; as they are, one could put a script into
 /// the page that an operator opens.
-pub(crate) fn escaped(text: &str) -> String {
+pub(crate) fn escape_html(text: &str) -> String {
     let mut safe = String::with_capacity(text.len());
     for letter in text.chars() {
         match letter {
--- a/crates/ragwortroad_timeline/src/timeline_error.rs
+++ b/crates/ragwortroad_timeline/src/timeline_error.rs
@@ -15,7 +15,7 @@
     },
     /// A node's part could not be decoded.
     #[snafu(display("a node's events cannot be read: {source}; run the same version everywhere"))]
-    MalformedPart {
+    MalformedTimeline {
         /// The codec's reason.
         source: serde_json::Error,
     },
--- a/crates/ragwortroad_timeline/src/trace_form.rs
+++ b/crates/ragwortroad_timeline/src/trace_form.rs
@@ -15,7 +15,7 @@
 };
 
 /// Microseconds in a millisecond; the format counts in microseconds.
-const MICROS: u64 = 1000;
+const MICROS_PER_MS: u64 = 1000;
 /// Lane within a node for control events.
 const CONTROL_THREAD: u32 = 1;
 /// Lane within a node for events of requests.
@@ -35,10 +35,10 @@
             );
         }
     }
-    entries.extend(timeline.events.iter().map(instant));
-    for events in by_request(timeline).values() {
-        entries.extend(spans(events));
-        entries.extend(arrows(events));
+    entries.extend(timeline.events.iter().map(instant_event));
+    for events in group_by_request(timeline).values() {
+        entries.extend(request_spans(events));
+        entries.extend(flow_arrows(events));
     }
     let gaps = timeline.gaps();
     let trace = json!({"traceEvents": entries, "otherData": {"missing": gaps}});
@@ -46,7 +46,7 @@
 }
 
 /// The events of each request.
-fn by_request(timeline: &FleetTimeline) -> BTreeMap<RequestId, Vec<&PlacedEvent>> {
+fn group_by_request(timeline: &FleetTimeline) -> BTreeMap<RequestId, Vec<&PlacedEvent>> {
     let mut requests: BTreeMap<RequestId, Vec<&PlacedEvent>> = BTreeMap::new();
     for placed in &timeline.events {
         if let Some(request) = placed.event.request {
@@ -57,14 +57,14 @@
 }
 
 /// One event as a point in time.
-fn instant(placed: &PlacedEvent) -> Value {
+fn instant_event(placed: &PlacedEvent) -> Value {
     json!({"ph": "i", "s": "t", "name": placed.event.kind.name(), "cat": "event",
-        "ts": micros(placed), "pid": placed.lane, "tid": thread(placed.event.kind),
+        "ts": timestamp_us(placed), "pid": placed.lane, "tid": thread_id(placed.event.kind),
         "args": &placed.event})
 }
 
 /// For each node that saw a request, a span from its first to its last event there.
-fn spans(events: &[&PlacedEvent]) -> Vec<Value> {
+fn request_spans(events: &[&PlacedEvent]) -> Vec<Value> {
     let mut lanes: BTreeMap<usize, (&PlacedEvent, &PlacedEvent)> = BTreeMap::new();
     for placed in events {
         lanes
@@ -74,11 +74,11 @@
     }
     let mut spans = Vec::new();
     for (lane, (first, last)) in lanes {
-        let id = request_text(first);
+        let id = request_id_text(first);
         for (phase, placed) in [("b", first), ("e", last)] {
             spans.push(
                 json!({"ph": phase, "name": format!("request {id}"), "cat": "request",
-                "id": format!("{id}-{lane}"), "ts": micros(placed), "pid": lane,
+                "id": format!("{id}-{lane}"), "ts": timestamp_us(placed), "pid": lane,
                 "tid": TRAFFIC_THREAD}),
             );
         }
@@ -87,17 +87,17 @@
 }
 
 /// An arrow wherever a request goes from one node to another.
-fn arrows(events: &[&PlacedEvent]) -> Vec<Value> {
+fn flow_arrows(events: &[&PlacedEvent]) -> Vec<Value> {
     let mut arrows = Vec::new();
     for (step, pair) in events.windows(2).enumerate() {
         if pair[0].lane == pair[1].lane {
             continue;
         }
-        let id = format!("{}-{step}", request_text(pair[0]));
+        let id = format!("{}-{step}", request_id_text(pair[0]));
         for (phase, placed) in [("s", pair[0]), ("f", pair[1])] {
             arrows.push(
                 json!({"ph": phase, "bp": "e", "name": "path", "cat": "path", "id": id,
-                "ts": micros(placed), "pid": placed.lane, "tid": thread(placed.event.kind)}),
+                "ts": timestamp_us(placed), "pid": placed.lane, "tid": thread_id(placed.event.kind)}),
             );
         }
     }
@@ -105,7 +105,7 @@
 }
 
 /// The request's identity as text.
-fn request_text(placed: &PlacedEvent) -> String {
+fn request_id_text(placed: &PlacedEvent) -> String {
     placed
         .event
         .request
@@ -114,13 +114,13 @@
 }
 
 /// The event's time in microseconds; the counter keeps the order within a millisecond.
-fn micros(placed: &PlacedEvent) -> u64 {
+fn timestamp_us(placed: &PlacedEvent) -> u64 {
     let stamp = placed.event.stamp;
-    stamp.wall_ms() * MICROS + u64::from(stamp.counter()).min(MICROS - 1)
+    stamp.wall_ms() * MICROS_PER_MS + u64::from(stamp.counter()).min(MICROS_PER_MS - 1)
 }
 
 /// The thread that events of `kind` are shown on.
-fn thread(kind: EventKind) -> u32 {
+fn thread_id(kind: EventKind) -> u32 {
     if kind.is_traffic() {
         TRAFFIC_THREAD
     } else {
--- a/crates/ragwortroad_timeline/src/utc_time.rs
+++ b/crates/ragwortroad_timeline/src/utc_time.rs
@@ -1,13 +1,13 @@
 /// Milliseconds in a day.
 const DAY_MS: u64 = 86_400_000;
 /// Days in four hundred years.
-const ERA_DAYS: u64 = 146_097;
+const DAYS_PER_ERA: u64 = 146_097;
 /// Days from the start of the era, on 1 March of the year 0, to 1 January 1970.
-const EPOCH_DAYS: u64 = 719_468;
+const UNIX_EPOCH_DAYS: u64 = 719_468;
 
 /// `wall_ms` since 1970 as `YYYY-MM-DDThh:mm:ss.mmmZ`.
 pub(crate) fn utc_text(wall_ms: u64) -> String {
-    let (year, month, day) = date(wall_ms / DAY_MS);
+    let (year, month, day) = civil_date(wall_ms / DAY_MS);
     let clock = clock_text(wall_ms);
     format!("{year:04}-{month:02}-{day:02}T{clock}Z")
 }
@@ -24,9 +24,9 @@
 ///
 /// Years are counted from March, so that the leap day is the last of its year and months have
 /// lengths that one linear formula gives.
-fn date(days: u64) -> (u64, u64, u64) {
-    let shifted = days + EPOCH_DAYS;
-    let (era, of_era) = (shifted / ERA_DAYS, shifted % ERA_DAYS);
+fn civil_date(days: u64) -> (u64, u64, u64) {
+    let shifted = days + UNIX_EPOCH_DAYS;
+    let (era, of_era) = (shifted / DAYS_PER_ERA, shifted % DAYS_PER_ERA);
     let year_of_era = (of_era - of_era / 1460 + of_era / 36_524 - of_era / 146_096) / 365;
     let of_year = of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
     let month_from_march = (5 * of_year + 2) / 153;
--- a/crates/ragwortroad_timeline/tests/clock.rs
+++ b/crates/ragwortroad_timeline/tests/clock.rs
@@ -87,7 +87,7 @@
     let last = (0..70_000).map(|_| clock.now(5)).last().unwrap();
     assert!(last > first);
     assert_eq!(last.wall_ms(), 6);
-    clock.observe(HybridTime::at_wall(90_000), 5);
-    assert_eq!(clock.furthest_ahead(), 89_995);
-    assert!(clock.now(5) > HybridTime::at_wall(90_000));
+    clock.observe(HybridTime::from_wall_ms(90_000), 5);
+    assert_eq!(clock.max_drift_ms(), 89_995);
+    assert!(clock.now(5) > HybridTime::from_wall_ms(90_000));
 }
--- a/crates/ragwortroad_timeline/tests/forms.rs
+++ b/crates/ragwortroad_timeline/tests/forms.rs
@@ -8,7 +8,7 @@
 
 fn at(ms: u64, kind: EventKind) -> FleetEvent {
     FleetEvent {
-        stamp: HybridTime::at_wall(START + ms),
+        stamp: HybridTime::from_wall_ms(START + ms),
         ..FleetEvent::new(kind)
     }
 }
@@ -214,7 +214,7 @@
     let read = NodeTimeline::from_bytes(&part.to_bytes()).unwrap();
     assert_eq!(read, part);
     assert!(
-        !String::from_utf8(read.without_customers().to_bytes())
+        !String::from_utf8(read.redact_customers().to_bytes())
             .unwrap()
             .contains("studio-north")
     );
