--- a/crates/ragwortroad_timeline/src/event_filter.rs
+++ b/crates/ragwortroad_timeline/src/event_filter.rs
@@ -9,7 +9,7 @@
     FleetEvent, //
 };
 
-/// Which events are wanted; what is empty lets everything pass.
+/// Selects events; an empty field matches every event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EventFilter {
@@ -30,7 +30,7 @@
 }
 
 impl EventFilter {
-    /// Whether `event` is wanted.
+    /// Returns whether `event` matches all fields.
     pub fn matches(&self, event: &FleetEvent) -> bool {
         let wall = event.stamp.wall_ms();
         field_matches(&self.request, &event.request)
@@ -43,7 +43,7 @@
     }
 }
 
-/// Whether a field has the wanted value, or none is wanted.
+/// Returns whether the filter is empty or equal to the event's value.
 fn field_matches<T: PartialEq>(wanted: &Option<T>, found: &Option<T>) -> bool {
     wanted.is_none() || wanted == found
 }
--- a/crates/ragwortroad_timeline/src/event_kind.rs
+++ b/crates/ragwortroad_timeline/src/event_kind.rs
@@ -13,83 +13,83 @@
     timeline_error::UnknownKindSnafu, //
 };
 
-/// What happened.
+/// The kind of a [`FleetEvent`](crate::FleetEvent).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EventKind {
-    /// This process started.
+    /// The node's process started.
     ProcessStarted,
-    /// This process is shutting down.
+    /// The node's process is shutting down.
     ProcessStopping,
-    /// A node appeared or came back.
+    /// A node joined or came back.
     NodeUp,
-    /// A node is silent.
+    /// A node stopped responding and is suspected to have failed.
     NodeSuspected,
-    /// A node is taken for gone.
+    /// A node is considered failed.
     NodeDown,
-    /// A node said that it is shutting down.
+    /// A node announced that it is shutting down.
     NodeLeaving,
-    /// This state member stands for election.
+    /// The node, a state member, started an election.
     ElectionStarted,
-    /// This state member was elected leader.
+    /// The node was elected leader of the state members.
     LeaderElected,
-    /// This state member is no longer leader.
+    /// The node is no longer leader.
     LeaderDeposed,
-    /// The right to give orders to engines was granted.
+    /// The node was granted the lease under which it may send orders to engines.
     LeaseGranted,
-    /// The right to give orders to engines ended.
+    /// The node's lease for sending orders to engines ended.
     LeaseEnded,
-    /// A change of the configuration is durable on a quorum.
+    /// A configuration change is durable on a quorum.
     ChangeAccepted,
-    /// A change of the configuration was refused.
+    /// A configuration change was rejected.
     ChangeRefused,
-    /// This node acts upon a revision of the configuration.
+    /// The node started to apply a revision of the configuration.
     ChangeInForce,
-    /// This node cannot confirm that its configuration is current, and admits no work.
+    /// The node cannot confirm that its configuration is current, and admits no requests.
     CurrencyLost,
-    /// This node confirmed that its configuration is current.
+    /// The node confirmed again that its configuration is current.
     CurrencyRegained,
     /// The set of state members changed.
     MembersChanged,
-    /// An endpoint announced itself for the first time, or again after it was gone.
+    /// An endpoint announced itself for the first time, or again after it had left.
     EndpointJoined,
-    /// An endpoint said that it will stop.
+    /// An endpoint announced that it will stop.
     EndpointLeaving,
-    /// An endpoint is gone.
+    /// An endpoint stopped or failed.
     EndpointLeft,
-    /// An endpoint flaps and gets no new work for a while.
+    /// An endpoint is flapping and temporarily receives no new requests.
     EndpointDamped,
-    /// Another node is home to an endpoint.
+    /// An endpoint's home moved to another node.
     HomeChanged,
     /// An order was sent to an endpoint.
     OrderSent,
     /// An endpoint answered an order.
     OrderAnswered,
-    /// An operator wants an endpoint or node to get no new work.
+    /// An operator started to drain an endpoint or node, which receives no new requests.
     DrainStarted,
-    /// Nothing is running any more on what was to be drained.
+    /// The last request on a draining endpoint or node ended.
     DrainFinished,
-    /// A request may run.
+    /// A request was admitted.
     RequestAdmitted,
-    /// A request was refused.
+    /// A request was rejected before it ran.
     RequestRefused,
-    /// A request's first byte is about to be sent to an endpoint.
+    /// The first byte of a request is about to be sent to an endpoint.
     RequestDispatched,
-    /// An attempt failed and is made again elsewhere.
+    /// An attempt failed and the request is retried on another endpoint.
     RequestRetried,
     /// A request ended.
     RequestFinished,
-    /// A chat goes to another endpoint than before.
+    /// A chat was routed to another endpoint than its previous request.
     ChatMoved,
-    /// A non-idempotent request was claimed durably.
+    /// The claim of a non-idempotent request was stored durably.
     ClaimMade,
-    /// The outcome of a claimed request was recorded.
+    /// The outcome of a claimed request was stored.
     ClaimFinished,
 }
 
 impl EventKind {
-    /// All kinds, in the order of their declaration.
+    /// All kinds, in order of declaration.
     pub const ALL: [Self; 34] = [
         Self::ProcessStarted,
         Self::ProcessStopping,
@@ -127,12 +127,12 @@
         Self::ClaimFinished,
     ];
 
-    /// Whether events of this kind come with every request, and so in large numbers.
+    /// Returns whether events of this kind occur with every request, and so in large numbers.
     pub fn is_traffic(self) -> bool {
         self >= Self::RequestAdmitted
     }
 
-    /// Whether a person looking for trouble should see it first.
+    /// Returns whether events of this kind point to a problem and are highlighted for operators.
     pub fn is_alarming(self) -> bool {
         matches!(
             self,
@@ -148,7 +148,7 @@
         )
     }
 
-    /// The name used in every printed form.
+    /// Returns the name used in every output form.
     pub fn name(self) -> &'static str {
         match self {
             Self::ProcessStarted => "process_started",
--- a/crates/ragwortroad_timeline/src/event_ring.rs
+++ b/crates/ragwortroad_timeline/src/event_ring.rs
@@ -6,12 +6,12 @@
     NodeTimeline, //
 };
 
-/// How many events a node keeps.
+/// Capacity of an [`EventRing`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RingSettings {
-    /// Events of requests, chats and claims.
+    /// Maximum number of stored events of requests, chats and claims.
     pub max_traffic_events: usize,
-    /// All other events.
+    /// Maximum number of stored events of all other kinds.
     pub max_control_events: usize,
 }
 
@@ -24,28 +24,27 @@
     }
 }
 
-/// The last events of one node.
+/// The most recent events of one node.
 ///
-/// Events that come with every request are kept apart from all others: otherwise a busy minute
-/// would push out the failover that it followed.
+/// Events that occur with every request are stored apart from all others: otherwise a minute of
+/// heavy traffic would evict the events of the failover that preceded it.
 #[derive(Debug)]
 pub struct EventRing {
-    /// Limits.
     settings: RingSettings,
-    /// Events of requests, oldest first.
+    /// Events of requests, chats and claims, oldest first.
     traffic: VecDeque<FleetEvent>,
-    /// All others, oldest first.
+    /// All other events, oldest first.
     control: VecDeque<FleetEvent>,
-    /// Number of the last event.
+    /// Number of the last recorded event; 0 before the first.
     sequence: u64,
-    /// Events of requests pushed out.
+    /// Number of evicted events of requests, chats and claims.
     lost_traffic: u64,
-    /// Others pushed out.
+    /// Number of other events evicted.
     lost_control: u64,
 }
 
 impl EventRing {
-    /// An empty ring.
+    /// Creates an empty ring.
     pub fn new(settings: RingSettings) -> Self {
         Self {
             settings,
@@ -57,48 +56,54 @@
         }
     }
 
-    /// Keeps `event`, numbered; the oldest one makes room and is counted.
+    /// Numbers and stores `event`; a full ring evicts and counts the oldest event.
     pub fn record(&mut self, event: FleetEvent) {
         self.sequence += 1;
         let event = FleetEvent {
             sequence: self.sequence,
             ..event
         };
-        let (queue, most, lost) = if event.kind.is_traffic() {
-            let most = self.settings.max_traffic_events;
-            (&mut self.traffic, most, &mut self.lost_traffic)
+        let (queue, capacity, lost) = if event.kind.is_traffic() {
+            let capacity = self.settings.max_traffic_events;
+            (&mut self.traffic, capacity, &mut self.lost_traffic)
         } else {
-            let most = self.settings.max_control_events;
-            (&mut self.control, most, &mut self.lost_control)
+            let capacity = self.settings.max_control_events;
+            (&mut self.control, capacity, &mut self.lost_control)
         };
-        if most == 0 {
+        if capacity == 0 {
             *lost += 1;
             return;
         }
-        if queue.len() >= most {
+        if queue.len() >= capacity {
             queue.pop_front();
             *lost += 1;
         }
         queue.push_back(event);
     }
 
-    /// Events pushed out so far.
+    /// Returns the number of events evicted so far.
     pub fn lost(&self) -> u64 {
         self.lost_traffic + self.lost_control
     }
 
-    /// Events kept now.
+    /// Returns the number of stored events.
     pub fn len(&self) -> usize {
         self.traffic.len() + self.control.len()
     }
 
-    /// Whether nothing is kept.
+    /// Returns whether no event is stored.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The newest `most` events that pass `filter`, as this node's part of a time line.
-    pub fn query(&self, node: &str, zone: &str, filter: &EventFilter, most: usize) -> NodeTimeline {
+    /// Returns the newest `limit` events that match `filter`, as this node's part of a time line.
+    pub fn query(
+        &self,
+        node: &str,
+        zone: &str,
+        filter: &EventFilter,
+        limit: usize,
+    ) -> NodeTimeline {
         let mut events: Vec<FleetEvent> = self
             .traffic
             .iter()
@@ -107,7 +112,7 @@
             .cloned()
             .collect();
         events.sort_unstable_by_key(|event| event.sequence);
-        let left_out = events.len().saturating_sub(most);
+        let left_out = events.len().saturating_sub(limit);
         events.drain(..left_out);
         NodeTimeline {
             node: node.to_owned(),
--- a/crates/ragwortroad_timeline/src/fleet_event.rs
+++ b/crates/ragwortroad_timeline/src/fleet_event.rs
@@ -11,49 +11,49 @@
     HybridTime, //
 };
 
-/// Something that happened on a node.
+/// An event on a node.
 ///
-/// Made by update syntax from [`FleetEvent::new`]; what does not apply stays empty.
+/// Built from [`FleetEvent::new`] with struct update syntax; fields that do not apply stay empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FleetEvent {
-    /// When, by the node's hybrid clock.
+    /// Time of the event by the node's hybrid clock.
     pub stamp: HybridTime,
-    /// Counts up by one with every event the node kept; the ring sets it.
+    /// Number of the event on its node, starting at 1; set by the [`EventRing`](crate::EventRing).
     pub sequence: u64,
     /// What happened.
     pub kind: EventKind,
-    /// Who it happened to or who did it: a node's or operator's name.
+    /// Name of the node or operator that caused the event or that it concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub who: Option<String>,
-    /// Revision of the configuration.
+    /// Revision of the configuration that the event concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// Term of the leader.
+    /// Term of the leader or candidate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub term: Option<u64>,
-    /// Fencing number of an order or lease.
+    /// Fencing token of an order or lease.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fence: Option<FenceNumber>,
-    /// The request.
+    /// The request that the event belongs to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
-    /// The chat.
+    /// The chat that the event belongs to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub chat: Option<ChatKey>,
-    /// The customer's name.
+    /// Name of the customer whose request it is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<String>,
-    /// The endpoint's name.
+    /// Name of the endpoint that the event concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<String>,
-    /// Anything else, for a person.
+    /// Further details as free text for operators; may be empty.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub detail: String,
 }
 
 impl FleetEvent {
-    /// An event of `kind` without anything else.
+    /// Creates an event of `kind` with all other fields empty.
     pub fn new(kind: EventKind) -> Self {
         Self {
             stamp: HybridTime::default(),
@@ -72,7 +72,7 @@
     }
 }
 
-/// The event without its stamp, as `kind name=value ...`.
+/// Formats the event without its timestamp, as `kind name=value ...`.
 impl fmt::Display for FleetEvent {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.kind)?;
@@ -91,7 +91,7 @@
     }
 }
 
-/// Writes one field, if it is there.
+/// Writes ` name=value` if there is a value.
 fn write_field(
     formatter: &mut fmt::Formatter<'_>,
     name: &str,
--- a/crates/ragwortroad_timeline/src/fleet_timeline.rs
+++ b/crates/ragwortroad_timeline/src/fleet_timeline.rs
@@ -8,58 +8,58 @@
     NodeTimeline, //
 };
 
-/// A node whose events are missing.
+/// A node that did not deliver its events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct UnreachableNode {
-    /// Its name.
+    /// Name of the node.
     pub node: String,
-    /// Why, for a person.
+    /// Reason for operators, such as a timeout.
     pub reason: String,
 }
 
-/// A node whose events are there.
+/// A node that delivered its events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct TimelineLane {
-    /// Its name.
+    /// Name of the node.
     pub node: String,
-    /// Its failure domain (zone).
+    /// Failure domain (zone) of the node.
     pub zone: String,
-    /// Events that its ring pushed out since it started.
+    /// Events that the node's ring evicted since the node started.
     pub lost: u64,
-    /// Older events that were left out because too many passed the filter.
+    /// Older events that were left out because more events matched the filter than the limit allows.
     pub left_out: u64,
 }
 
-/// An event and the lane it stands in.
+/// An event together with the lane of its node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct PlacedEvent {
     /// Index into [`FleetTimeline::lanes`].
     pub lane: usize,
-    /// The event.
+    /// The event as its node recorded it.
     #[serde(flatten)]
     pub event: FleetEvent,
 }
 
-/// The events of many nodes in one order.
+/// The events of many nodes, merged in causal order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct FleetTimeline {
-    /// The nodes, by zone and name.
+    /// The nodes that delivered events, sorted by zone and name.
     pub lanes: Vec<TimelineLane>,
-    /// Nodes whose events are missing, by name.
+    /// The nodes whose events are missing, sorted by name.
     pub unreachable: Vec<UnreachableNode>,
-    /// All events.
+    /// The events of all lanes.
     ///
-    /// Invariant: ordered by stamp, so that causes come before effects; where stamps are equal
-    /// neither event can have caused the other, and lane and sequence decide.
+    /// Invariant: sorted by timestamp, so that causes come before effects. Of two events with equal
+    /// timestamps neither can have caused the other; they are sorted by lane and sequence.
     pub events: Vec<PlacedEvent>,
 }
 
 impl FleetTimeline {
-    /// Merges the parts of the nodes that answered; a node that answered twice counts once.
+    /// Merges the parts of the nodes that responded; of several parts of one node the last is used.
     pub fn merge(parts: Vec<NodeTimeline>, mut unreachable: Vec<UnreachableNode>) -> Self {
         let parts: BTreeMap<(String, String), NodeTimeline> = parts
             .into_iter()
@@ -86,14 +86,14 @@
         }
     }
 
-    /// The stamp of the first event.
+    /// Returns the timestamp of the first event, or zero if there are no events.
     pub(crate) fn start(&self) -> HybridTime {
         self.events
             .first()
             .map_or(HybridTime::default(), |placed| placed.event.stamp)
     }
 
-    /// What is known to be missing, one sentence each.
+    /// Describes which events are known to be missing, one message for each gap.
     pub fn gaps(&self) -> Vec<String> {
         let mut gaps = Vec::new();
         for node in &self.unreachable {
--- a/crates/ragwortroad_timeline/src/hybrid_time.rs
+++ b/crates/ragwortroad_timeline/src/hybrid_time.rs
@@ -7,35 +7,35 @@
 
 use crate::utc_time::utc_text;
 
-/// Bits of the counter below the milliseconds.
+/// Width of the counter, which occupies the bits below the milliseconds.
 const COUNTER_BITS: u32 = 16;
 
-/// A stamp of a [`HybridClock`](crate::HybridClock): near the wall clock, and never against cause
-/// and effect.
+/// A timestamp of a [`HybridClock`](crate::HybridClock): close to the wall clock and consistent
+/// with causality.
 ///
-/// Invariant: the upper 48 bits are milliseconds since 1970, the lower 16 a counter, so stamps
-/// compare as numbers.
+/// Invariant: the upper 48 bits are milliseconds since 1970 and the lower 16 bits a counter, so
+/// timestamps compare as integers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct HybridTime(pub u64);
 
 impl HybridTime {
-    /// The first stamp of a millisecond.
+    /// Returns the first timestamp of the millisecond `wall_ms`, with the counter at 0.
     pub fn from_wall_ms(wall_ms: u64) -> Self {
         Self(wall_ms << COUNTER_BITS)
     }
 
-    /// The milliseconds since 1970.
+    /// Returns the milliseconds since 1970.
     pub fn wall_ms(self) -> u64 {
         self.0 >> COUNTER_BITS
     }
 
-    /// The counter within the millisecond.
+    /// Returns the counter that orders timestamps within one millisecond.
     pub fn counter(self) -> u16 {
         self.0 as u16
     }
 
-    /// The next stamp; a counter that is used up runs into the next millisecond.
+    /// Returns the next timestamp; a counter overflow carries into the milliseconds.
     pub(crate) fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
--- a/crates/ragwortroad_timeline/src/lib.rs
+++ b/crates/ragwortroad_timeline/src/lib.rs
@@ -1,9 +1,9 @@
-//! Typed events, hybrid logical clock, and the time line over all processes.
+//! Typed events, a hybrid logical clock, and the merged time line of all processes.
 //!
-//! Each node stamps what happens with a [`HybridClock`] and keeps it in a bounded [`EventRing`].
-//! A [`FleetTimeline`] merges what several nodes kept, in an order in which every cause comes
-//! before its effects even if clocks are skewed, and prints it as text, JSON, a trace that common
-//! viewers open, or one self-contained page.
+//! Each node stamps its events with a [`HybridClock`] and stores them in a bounded [`EventRing`].
+//! A [`FleetTimeline`] merges the events of several nodes in causal order, even if their clocks are
+//! skewed, and formats them as text, JSON, a trace in the trace-event format, or a self-contained
+//! HTML page.
 //!
 //! ```
 //! use ragwortroad_timeline::prelude::*;
@@ -15,8 +15,8 @@
 //!     term: Some(3),
 //!     ..FleetEvent::new(EventKind::LeaderElected)
 //! });
-//! let gathered = ring.query("north-1", "zone-a", &EventFilter::default(), 100);
-//! let timeline = FleetTimeline::merge(vec![gathered], Vec::new());
+//! let part = ring.query("north-1", "zone-a", &EventFilter::default(), 100);
+//! let timeline = FleetTimeline::merge(vec![part], Vec::new());
 //! assert!(timeline.to_text().contains("leader_elected"));
 //! ```
 
@@ -35,7 +35,7 @@
 mod trace_form;
 mod utc_time;
 
-/// Everything a dependent crate usually needs.
+/// The items that dependent crates usually import.
 pub mod prelude {
     pub use crate::{
         event_filter::EventFilter,
--- a/crates/ragwortroad_timeline/src/node_timeline.rs
+++ b/crates/ragwortroad_timeline/src/node_timeline.rs
@@ -10,36 +10,40 @@
     timeline_error::MalformedTimelineSnafu, //
 };
 
-/// One node's part of a time line, as it travels between nodes.
+/// One node's part of a time line, as nodes send it to each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NodeTimeline {
-    /// The node's name.
+    /// Name of the node.
     pub node: String,
-    /// Its failure domain (zone).
+    /// Failure domain (zone) of the node.
     pub zone: String,
-    /// Its events, oldest first.
+    /// The matching events, oldest first.
     pub events: Vec<FleetEvent>,
-    /// Events of requests that its ring pushed out since it started.
+    /// Events of requests, chats and claims that the node's ring evicted since the node started.
     pub lost_traffic: u64,
-    /// Other events that its ring pushed out since it started.
+    /// Other events that the node's ring evicted since the node started.
     pub lost_control: u64,
-    /// Older events that were left out because too many passed the filter.
+    /// Older events that were left out because more events matched the filter than the limit allows.
     pub left_out: u64,
 }
 
 impl NodeTimeline {
-    /// The form in which it travels.
+    /// Encodes the events for sending to another node.
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads the form in which it travels.
+    /// Decodes the output of [`Self::to_bytes`].
+    ///
+    /// # Errors
+    ///
+    /// [`TimelineError::MalformedTimeline`] if `bytes` do not decode.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, TimelineError> {
         serde_json::from_slice(bytes).context(MalformedTimelineSnafu)
     }
 
-    /// The same without customers' names and chats, for readers who may not know them.
+    /// Removes customer names and chats, for readers without permission to see them.
     pub fn redact_customers(mut self) -> Self {
         for event in &mut self.events {
             event.customer = None;
--- a/crates/ragwortroad_timeline/src/page/event_rows.rs
+++ b/crates/ragwortroad_timeline/src/page/event_rows.rs
@@ -1,4 +1,4 @@
-//! The table below the picture.
+//! The event table below the diagram.
 
 use crate::{
     FleetTimeline,
@@ -7,7 +7,7 @@
     utc_time::clock_text, //
 };
 
-/// All events, one a row.
+/// Formats all events as a table, one row per event.
 pub(crate) fn table(timeline: &FleetTimeline) -> String {
     let start = timeline.start().wall_ms();
     let rows: Vec<String> = timeline
@@ -21,7 +21,7 @@
     )
 }
 
-/// One event.
+/// Formats one row; `start` is the wall-clock time of the first event, in milliseconds since 1970.
 fn row(timeline: &FleetTimeline, placed: &PlacedEvent, start: u64) -> String {
     let node = escape_html(&timeline.lanes[placed.lane].node);
     let event = escape_html(&placed.event.to_string());
--- a/crates/ragwortroad_timeline/src/page/lane_picture.rs
+++ b/crates/ragwortroad_timeline/src/page/lane_picture.rs
@@ -1,5 +1,5 @@
-//! The picture: a lane a node, a point an event, bars for who leads and who is down, and a line
-//! along each request's path.
+//! The diagram: a lane for each node, a point for each event, bars for leadership and downtime, and
+//! a line along the path of each request.
 
 use std::collections::BTreeMap;
 
@@ -14,18 +14,18 @@
     }, //
 };
 
-/// Space for names left of the lanes.
+/// Width of the node names to the left of the lanes, in pixels.
 const LABEL_WIDTH: f64 = 170.0;
-/// Space for the axis above the lanes.
+/// Height of the time axis above the lanes, in pixels.
 const AXIS_HEIGHT: f64 = 34.0;
-/// Height of a lane.
+/// Height of a lane, in pixels.
 const LANE_HEIGHT: f64 = 30.0;
-/// Requests whose paths are drawn; more would hide each other.
+/// Maximum number of request paths drawn; more would hide each other.
 const MAX_PATHS: usize = 40;
-/// Least distance between two labels of the axis.
+/// Minimum distance between two labels of the time axis, in pixels.
 const MIN_AXIS_STEP: f64 = 110.0;
 
-/// The picture of `timeline`.
+/// Draws `timeline` as an SVG diagram.
 pub(crate) fn picture(timeline: &FleetTimeline) -> String {
     let scale = PictureScale::new(timeline, LABEL_WIDTH + 12.0);
     let height = AXIS_HEIGHT + LANE_HEIGHT * timeline.lanes.len() as f64 + 8.0;
@@ -42,12 +42,12 @@
     )
 }
 
-/// The height of a lane's middle.
+/// Returns the vertical position of a lane's center line.
 fn lane_center(lane: usize) -> f64 {
     AXIS_HEIGHT + LANE_HEIGHT * (lane as f64 + 0.5)
 }
 
-/// Names and lines of the lanes.
+/// Draws the center lines and the node names.
 fn lanes(timeline: &FleetTimeline, scale: &PictureScale) -> Vec<String> {
     let mut parts = Vec::new();
     for (index, lane) in timeline.lanes.iter().enumerate() {
@@ -66,7 +66,7 @@
     parts
 }
 
-/// Times along the top, and the quiet times that were cut.
+/// Draws the time labels and marks where long intervals without events are shortened.
 fn axis(timeline: &FleetTimeline, scale: &PictureScale) -> Vec<String> {
     let start = timeline.start().wall_ms();
     let bottom = AXIS_HEIGHT + LANE_HEIGHT * timeline.lanes.len() as f64;
@@ -92,15 +92,16 @@
     parts
 }
 
-/// Bars: who believes itself the leader, and who is taken for down.
+/// Draws bars for the times in which a node considers itself leader or is considered failed.
 fn bars(timeline: &FleetTimeline, scale: &PictureScale) -> Vec<String> {
     let mut leads: BTreeMap<usize, f64> = BTreeMap::new();
     let mut downs: BTreeMap<usize, f64> = BTreeMap::new();
     let mut parts = Vec::new();
     for (placed, place) in timeline.events.iter().zip(&scale.positions) {
-        let about = placed.event.who.as_ref();
-        let about = about.and_then(|who| timeline.lanes.iter().position(|lane| lane.node == *who));
-        match (placed.event.kind, about) {
+        let subject_lane = placed.event.who.as_ref();
+        let subject_lane =
+            subject_lane.and_then(|who| timeline.lanes.iter().position(|lane| lane.node == *who));
+        match (placed.event.kind, subject_lane) {
             (EventKind::LeaderElected, _) => {
                 leads.entry(placed.lane).or_insert(*place);
             }
@@ -128,7 +129,6 @@
     parts
 }
 
-/// One bar.
 fn bar(class: &str, lane: usize, start: f64, end: f64) -> String {
     format!(
         "<rect class=\"{class}\" x=\"{start:.0}\" y=\"{:.0}\" width=\"{:.0}\" height=\"{:.0}\"/>",
@@ -138,7 +138,8 @@
     )
 }
 
-/// A line along the path of each request that was on several nodes.
+/// Draws a line through the events of each request that has several events. Above [`MAX_PATHS`]
+/// requests, only those that were on several nodes are drawn.
 fn paths(timeline: &FleetTimeline, scale: &PictureScale) -> Vec<String> {
     let mut requests: BTreeMap<RequestId, Vec<(f64, usize)>> = BTreeMap::new();
     for (placed, place) in timeline.events.iter().zip(&scale.positions) {
@@ -167,7 +168,7 @@
         .collect()
 }
 
-/// A point an event, with its text on hovering.
+/// Draws a point for each event, with the event's text as tooltip.
 fn points(timeline: &FleetTimeline, scale: &PictureScale) -> Vec<String> {
     timeline
         .events
@@ -187,7 +188,7 @@
         .collect()
 }
 
-/// The class that gives an event its colour.
+/// Returns the CSS class that sets the color of an event.
 fn color_class(kind: EventKind) -> &'static str {
     if kind.is_alarming() {
         return "alarm";
--- a/crates/ragwortroad_timeline/src/page/mod.rs
+++ b/crates/ragwortroad_timeline/src/page/mod.rs
@@ -1,4 +1,4 @@
-//! The time line as one page that loads nothing from elsewhere.
+//! The HTML form: a self-contained page that loads no other resource.
 
 mod event_rows;
 mod lane_picture;
@@ -12,12 +12,11 @@
 
 use text_escape::escape_html;
 
-/// The look of the page.
 const STYLE_SHEET: &str = include_str!("page.css");
-/// Filters rows and points as the reader types.
+/// Filters rows and points by the text in the search field.
 const SCRIPT: &str = include_str!("page.js");
 
-/// The page.
+/// Formats the time line as an HTML page.
 pub(crate) fn html(timeline: &FleetTimeline) -> String {
     let start = utc_text(timeline.start().wall_ms());
     let (events, nodes) = (timeline.events.len(), timeline.lanes.len());
@@ -35,7 +34,7 @@
     )
 }
 
-/// What is missing, where everybody sees it.
+/// Formats the list of missing events, which stands at the top of the page.
 fn gaps(timeline: &FleetTimeline) -> String {
     let gaps = timeline.gaps();
     if gaps.is_empty() {
@@ -48,7 +47,7 @@
     format!("<ul class=\"gaps\">{}</ul>\n", items.join(""))
 }
 
-/// What the colours mean.
+/// Formats the legend of the diagram's colors.
 fn legend() -> String {
     let entries = [
         ("alarm", "trouble"),
--- a/crates/ragwortroad_timeline/src/text_form.rs
+++ b/crates/ragwortroad_timeline/src/text_form.rs
@@ -1,4 +1,4 @@
-//! One line an event.
+//! The text form: one line per event.
 
 use crate::{
     FleetTimeline,
@@ -8,7 +8,7 @@
     }, //
 };
 
-/// The time line for a terminal.
+/// Formats the time line for a terminal.
 pub(crate) fn text(timeline: &FleetTimeline) -> String {
     let mut lines = Vec::with_capacity(timeline.events.len() + 4);
     let start = timeline.start().wall_ms();
@@ -19,19 +19,19 @@
         utc_text(start)
     ));
     lines.extend(timeline.gaps().into_iter().map(|gap| format!("! {gap}")));
-    let names = timeline.lanes.iter().map(|lane| lane.node.len());
-    let width = names.max().unwrap_or(0);
+    let name_lengths = timeline.lanes.iter().map(|lane| lane.node.len());
+    let width = name_lengths.max().unwrap_or(0);
     for placed in &timeline.events {
         let wall = placed.event.stamp.wall_ms();
         let since = wall - start;
         let node = &timeline.lanes[placed.lane].node;
-        let mark = if placed.event.kind.is_alarming() {
+        let marker = if placed.event.kind.is_alarming() {
             '!'
         } else {
             ' '
         };
         lines.push(format!(
-            "{} {since:>8} ms {mark} {node:<width$}  {}",
+            "{} {since:>8} ms {marker} {node:<width$}  {}",
             clock_text(wall),
             placed.event
         ));
--- a/crates/ragwortroad_timeline/src/timeline_error.rs
+++ b/crates/ragwortroad_timeline/src/timeline_error.rs
@@ -1,22 +1,22 @@
 use snafu::Snafu;
 
-/// Why something for the time line could not be read.
+/// An error while parsing input for the time line.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum TimelineError {
-    /// No kind of event has this name.
+    /// No event kind has this name.
     #[snafu(display("no kind of event is called '{name}'; use one of: {known}"))]
     UnknownKind {
-        /// The name.
+        /// The name as given.
         name: String,
-        /// All names.
+        /// All valid names, separated by commas.
         known: String,
     },
-    /// A node's part could not be decoded.
+    /// A node's time line could not be decoded, for example because the node runs another version.
     #[snafu(display("a node's events cannot be read: {source}; run the same version everywhere"))]
     MalformedTimeline {
-        /// The codec's reason.
+        /// The JSON decoder's error.
         source: serde_json::Error,
     },
 }
--- a/crates/ragwortroad_timeline/src/timeline_forms.rs
+++ b/crates/ragwortroad_timeline/src/timeline_forms.rs
@@ -1,4 +1,4 @@
-//! The forms in which a time line is printed.
+//! The output forms of a time line.
 
 use crate::{
     FleetTimeline,
@@ -8,22 +8,22 @@
 };
 
 impl FleetTimeline {
-    /// One line an event, for a terminal.
+    /// Formats the time line as text for a terminal, one line per event.
     pub fn to_text(&self) -> String {
         text_form::text(self)
     }
 
-    /// One JSON object, for programs.
+    /// Formats the time line as one JSON object.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 
-    /// A trace in the trace-event format, for trace viewers.
+    /// Formats the time line in the trace-event format of common trace viewers.
     pub fn to_trace(&self) -> String {
         trace_form::trace(self)
     }
 
-    /// One page without anything to load, for a browser.
+    /// Formats the time line as a self-contained HTML page that loads no other resource.
     pub fn to_html(&self) -> String {
         page::html(self)
     }
--- a/crates/ragwortroad_timeline/src/trace_form.rs
+++ b/crates/ragwortroad_timeline/src/trace_form.rs
@@ -1,4 +1,4 @@
-//! The trace-event format that common trace viewers open.
+//! The trace form, in the trace-event format that common trace viewers read.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
     PlacedEvent, //
 };
 
-/// Microseconds in a millisecond; the format counts in microseconds.
+/// Microseconds per millisecond; the format counts in microseconds.
 const MICROS_PER_MS: u64 = 1000;
-/// Lane within a node for control events.
+/// Thread id under which control events of a node appear.
 const CONTROL_THREAD: u32 = 1;
-/// Lane within a node for events of requests.
+/// Thread id under which events of requests appear.
 const TRAFFIC_THREAD: u32 = 2;
 
-/// The time line as a trace: a process a node, a thread each for control and traffic, a span for
-/// each request on each node, and arrows between nodes along a request's path.
+/// Formats the time line as a trace: one process per node with a thread each for control events and
+/// requests, a span for each request on each node, and flow arrows between the nodes of a request.
 pub(crate) fn trace(timeline: &FleetTimeline) -> String {
     let mut entries = Vec::new();
     for (lane, node) in timeline.lanes.iter().enumerate() {
@@ -45,7 +45,7 @@
     serde_json::to_string_pretty(&trace).unwrap_or_default()
 }
 
-/// The events of each request.
+/// Groups events by request; events without a request are left out.
 fn group_by_request(timeline: &FleetTimeline) -> BTreeMap<RequestId, Vec<&PlacedEvent>> {
     let mut requests: BTreeMap<RequestId, Vec<&PlacedEvent>> = BTreeMap::new();
     for placed in &timeline.events {
@@ -56,14 +56,14 @@
     requests
 }
 
-/// One event as a point in time.
+/// Formats an event as an instant event.
 fn instant_event(placed: &PlacedEvent) -> Value {
     json!({"ph": "i", "s": "t", "name": placed.event.kind.name(), "cat": "event",
         "ts": timestamp_us(placed), "pid": placed.lane, "tid": thread_id(placed.event.kind),
         "args": &placed.event})
 }
 
-/// For each node that saw a request, a span from its first to its last event there.
+/// Returns, for each node that handled a request, a span from the first to the last event there.
 fn request_spans(events: &[&PlacedEvent]) -> Vec<Value> {
     let mut lanes: BTreeMap<usize, (&PlacedEvent, &PlacedEvent)> = BTreeMap::new();
     for placed in events {
@@ -86,7 +86,7 @@
     spans
 }
 
-/// An arrow wherever a request goes from one node to another.
+/// Returns a flow arrow wherever a request moves from one node to another.
 fn flow_arrows(events: &[&PlacedEvent]) -> Vec<Value> {
     let mut arrows = Vec::new();
     for (step, pair) in events.windows(2).enumerate() {
@@ -104,7 +104,6 @@
     arrows
 }
 
-/// The request's identity as text.
 fn request_id_text(placed: &PlacedEvent) -> String {
     placed
         .event
@@ -113,13 +112,14 @@
         .unwrap_or_default()
 }
 
-/// The event's time in microseconds; the counter keeps the order within a millisecond.
+/// Returns the event's time in microseconds; the clock's counter keeps the order within a
+/// millisecond.
 fn timestamp_us(placed: &PlacedEvent) -> u64 {
     let stamp = placed.event.stamp;
     stamp.wall_ms() * MICROS_PER_MS + u64::from(stamp.counter()).min(MICROS_PER_MS - 1)
 }
 
-/// The thread that events of `kind` are shown on.
+/// Returns the thread under which events of `kind` appear.
 fn thread_id(kind: EventKind) -> u32 {
     if kind.is_traffic() {
         TRAFFIC_THREAD
--- a/crates/ragwortroad_timeline/src/utc_time.rs
+++ b/crates/ragwortroad_timeline/src/utc_time.rs
@@ -1,18 +1,17 @@
-/// Milliseconds in a day.
 const DAY_MS: u64 = 86_400_000;
-/// Days in four hundred years.
+/// Days in an era: the 400 years after which the Gregorian calendar repeats.
 const DAYS_PER_ERA: u64 = 146_097;
-/// Days from the start of the era, on 1 March of the year 0, to 1 January 1970.
+/// Days from 1 March of the year 0, where the first era starts, to 1 January 1970.
 const UNIX_EPOCH_DAYS: u64 = 719_468;
 
-/// `wall_ms` since 1970 as `YYYY-MM-DDThh:mm:ss.mmmZ`.
+/// Formats `wall_ms`, in milliseconds since 1970, as `YYYY-MM-DDThh:mm:ss.mmmZ`.
 pub(crate) fn utc_text(wall_ms: u64) -> String {
     let (year, month, day) = civil_date(wall_ms / DAY_MS);
     let clock = clock_text(wall_ms);
     format!("{year:04}-{month:02}-{day:02}T{clock}Z")
 }
 
-/// The time of day of `wall_ms` as `23:13:16.007`.
+/// Formats the time of day of `wall_ms` as `23:13:16.007`.
 pub(crate) fn clock_text(wall_ms: u64) -> String {
     let of_day = wall_ms % DAY_MS;
     let (seconds, millis) = (of_day / 1000, of_day % 1000);
@@ -20,10 +19,10 @@
     format!("{hours:02}:{minutes:02}:{:02}.{millis:03}", seconds % 60)
 }
 
-/// Year, month and day of the day `days` after 1 January 1970.
+/// Converts `days` since 1 January 1970 to year, month and day.
 ///
-/// Years are counted from March, so that the leap day is the last of its year and months have
-/// lengths that one linear formula gives.
+/// The computation starts each year in March: the leap day is then the last day of its year, and a
+/// linear formula gives the lengths of the months.
 fn civil_date(days: u64) -> (u64, u64, u64) {
     let shifted = days + UNIX_EPOCH_DAYS;
     let (era, of_era) = (shifted / DAYS_PER_ERA, shifted % DAYS_PER_ERA);
--- a/crates/ragwortroad_timeline/tests/clock.rs
+++ b/crates/ragwortroad_timeline/tests/clock.rs
@@ -1,9 +1,9 @@
-//! Cause comes before effect, whatever the wall clocks say.
+//! Tests that hybrid timestamps follow causality even if wall clocks are skewed or jump.
 
 use proptest::prelude::*;
 use ragwortroad_timeline::prelude::*;
 
-/// What one step of a run does: an event on `node`, or a message from `node` to `to`.
+/// A step of a run: an event on `node` and, where `to` is set, a message from `node` to `to`.
 #[derive(Clone, Debug)]
 struct RunStep {
     node: usize,
@@ -27,9 +27,10 @@
 }
 
 proptest! {
-    /// Guards against stamps that set an effect before its cause.
+    /// Guards against timestamps that order an effect before its cause when wall clocks are skewed or
+    /// jump; vector clocks serve as the reference.
     #[test]
-    fn stamps_follow_cause_and_effect(
+    fn timestamps_follow_causality(
         skews in proptest::collection::vec(0_u64..600_000, NODES),
         steps in proptest::collection::vec(step(), 1..120),
     ) {
@@ -62,9 +63,9 @@
         }
     }
 
-    /// Without messages a stamp is the wall clock's reading, so that people can rely on it.
+    /// Guards against timestamps that drift from the wall clock of a node that receives no messages.
     #[test]
-    fn a_lone_clock_stays_with_its_wall_clock(walls in proptest::collection::vec(0_u64..1 << 40, 1..50)) {
+    fn without_messages_timestamps_follow_the_wall_clock(walls in proptest::collection::vec(0_u64..1 << 40, 1..50)) {
         let mut clock = HybridClock::default();
         let mut highest = 0;
         for wall in walls {
@@ -75,13 +76,13 @@
     }
 
     #[test]
-    fn bytes_that_are_no_part_are_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn malformed_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(NodeTimeline::from_bytes(&bytes).is_err());
     }
 }
 
 #[test]
-fn a_full_counter_runs_into_the_next_millisecond() {
+fn a_counter_overflow_carries_into_the_next_millisecond() {
     let mut clock = HybridClock::default();
     let first = clock.now(5);
     let last = (0..70_000).map(|_| clock.now(5)).last().unwrap();
--- a/crates/ragwortroad_timeline/tests/forms.rs
+++ b/crates/ragwortroad_timeline/tests/forms.rs
@@ -1,36 +1,36 @@
-//! The printed forms of a small history: a failover, and one request over two nodes.
+//! Tests the output forms with a short history: a failover, and a request on two nodes.
 
 use ragwortroad_timeline::prelude::*;
 use ragwortroad_types::prelude::*;
 
 /// 2 December 2026, 23:13:16 UTC.
-const START: u64 = 1_796_253_196_000;
+const START_MS: u64 = 1_796_253_196_000;
 
-fn at(ms: u64, kind: EventKind) -> FleetEvent {
+fn event_at(ms: u64, kind: EventKind) -> FleetEvent {
     FleetEvent {
-        stamp: HybridTime::from_wall_ms(START + ms),
+        stamp: HybridTime::from_wall_ms(START_MS + ms),
         ..FleetEvent::new(kind)
     }
 }
 
-fn of_request(ms: u64, kind: EventKind) -> FleetEvent {
+fn request_event(ms: u64, kind: EventKind) -> FleetEvent {
     FleetEvent {
         request: Some(RequestId(0xfeed)),
         chat: Some(ChatKey::from_parts("studio-north", "chat-17")),
         customer: Some("studio-north".into()),
         endpoint: Some("caption-llm-3".into()),
-        ..at(ms, kind)
+        ..event_at(ms, kind)
     }
 }
 
-fn about(who: &str, event: FleetEvent) -> FleetEvent {
+fn with_subject(who: &str, event: FleetEvent) -> FleetEvent {
     FleetEvent {
         who: Some(who.into()),
         ..event
     }
 }
 
-fn part(node: &str, zone: &str, events: Vec<FleetEvent>, most: usize) -> NodeTimeline {
+fn part(node: &str, zone: &str, events: Vec<FleetEvent>, limit: usize) -> NodeTimeline {
     let mut ring = EventRing::new(RingSettings {
         max_traffic_events: 3,
         max_control_events: 10,
@@ -38,59 +38,59 @@
     for event in events {
         ring.record(event);
     }
-    ring.query(node, zone, &EventFilter::default(), most)
+    ring.query(node, zone, &EventFilter::default(), limit)
 }
 
 fn history() -> FleetTimeline {
-    let old = vec![
+    let old_leader_events = vec![
         FleetEvent {
             term: Some(3),
-            ..at(0, EventKind::LeaderElected)
+            ..event_at(0, EventKind::LeaderElected)
         },
         FleetEvent {
             term: Some(3),
             detail: "lost its quorum".into(),
-            ..at(15_250, EventKind::LeaderDeposed)
+            ..event_at(15_250, EventKind::LeaderDeposed)
         },
     ];
-    let new = vec![
-        about("rvk-a-1", at(12_000, EventKind::NodeSuspected)),
+    let new_leader_events = vec![
+        with_subject("rvk-a-1", event_at(12_000, EventKind::NodeSuspected)),
         FleetEvent {
             term: Some(4),
-            ..at(12_900, EventKind::ElectionStarted)
+            ..event_at(12_900, EventKind::ElectionStarted)
         },
         FleetEvent {
             term: Some(4),
-            ..at(12_910, EventKind::LeaderElected)
+            ..event_at(12_910, EventKind::LeaderElected)
         },
         FleetEvent {
             term: Some(4),
             fence: Some(FenceNumber(8)),
-            ..at(16_000, EventKind::LeaseGranted)
+            ..event_at(16_000, EventKind::LeaseGranted)
         },
-        of_request(16_100, EventKind::RequestAdmitted),
-        of_request(16_104, EventKind::RequestDispatched),
-        of_request(16_109, EventKind::RequestRetried),
-        of_request(17_300, EventKind::RequestFinished),
+        request_event(16_100, EventKind::RequestAdmitted),
+        request_event(16_104, EventKind::RequestDispatched),
+        request_event(16_109, EventKind::RequestRetried),
+        request_event(17_300, EventKind::RequestFinished),
     ];
-    let third = vec![
-        about("rvk-a-1", at(17_000, EventKind::NodeDown)),
-        of_request(16_111, EventKind::RequestDispatched),
+    let third_node_events = vec![
+        with_subject("rvk-a-1", event_at(17_000, EventKind::NodeDown)),
+        request_event(16_111, EventKind::RequestDispatched),
         FleetEvent {
             detail: "<script>alert(1)</script>".into(),
-            ..at(17_500, EventKind::EndpointLeft)
+            ..event_at(17_500, EventKind::EndpointLeft)
         },
     ];
-    let away = UnreachableNode {
+    let unreachable = UnreachableNode {
         node: "kef-c-1".into(),
         reason: "no answer within 2 s".into(),
     };
     let parts = vec![
-        part("rvk-a-1", "rvk-a", old, 100),
-        part("hfj-b-1", "hfj-b", new, 6),
-        part("hfj-b-2", "hfj-b", third, 100),
+        part("rvk-a-1", "rvk-a", old_leader_events, 100),
+        part("hfj-b-1", "hfj-b", new_leader_events, 6),
+        part("hfj-b-2", "hfj-b", third_node_events, 100),
     ];
-    FleetTimeline::merge(parts, vec![away])
+    FleetTimeline::merge(parts, vec![unreachable])
 }
 
 #[test]
@@ -111,7 +111,7 @@
 #[test]
 fn page_form() {
     let page = history().to_html();
-    // Nothing may come from elsewhere, and nothing of an event's text may run.
+    // The page must not load other resources, and text of an event must not run as a script.
     for forbidden in [
         "http:",
         "https:",
@@ -125,17 +125,17 @@
     insta::assert_snapshot!(page);
 }
 
-/// Guards against traffic that pushes a failover out of the time line.
+/// Guards against events of requests that evict the events of a failover from the ring.
 #[test]
-fn busy_traffic_does_not_push_out_a_failover() {
+fn request_events_do_not_evict_a_failover() {
     let settings = RingSettings {
         max_traffic_events: 100,
         max_control_events: 10,
     };
     let mut ring = EventRing::new(settings);
-    ring.record(at(0, EventKind::LeaderElected));
+    ring.record(event_at(0, EventKind::LeaderElected));
     for ms in 0..1000 {
-        ring.record(of_request(ms, EventKind::RequestAdmitted));
+        ring.record(request_event(ms, EventKind::RequestAdmitted));
     }
     assert_eq!((ring.len(), ring.lost()), (101, 900));
     let filter = EventFilter {
@@ -150,11 +150,11 @@
 }
 
 #[test]
-fn filters_pick_by_each_field() {
+fn filters_match_each_field() {
     let mut ring = EventRing::new(RingSettings::default());
-    ring.record(at(0, EventKind::LeaderElected));
-    ring.record(of_request(5, EventKind::RequestAdmitted));
-    ring.record(of_request(9, EventKind::RequestFinished));
+    ring.record(event_at(0, EventKind::LeaderElected));
+    ring.record(request_event(5, EventKind::RequestAdmitted));
+    ring.record(request_event(9, EventKind::RequestFinished));
     let count = |filter: EventFilter| ring.query("a", "zone", &filter, 10).events.len();
     let all = EventFilter::default();
     assert_eq!(count(all.clone()), 3);
@@ -194,7 +194,7 @@
         }),
         1
     );
-    let (from_ms, until_ms) = (Some(START + 5), Some(START + 9));
+    let (from_ms, until_ms) = (Some(START_MS + 5), Some(START_MS + 9));
     assert_eq!(
         count(EventFilter {
             from_ms,
@@ -209,8 +209,8 @@
 }
 
 #[test]
-fn parts_travel_and_hide_customers_where_wanted() {
-    let part = part("a", "zone", vec![of_request(1, EventKind::ClaimMade)], 5);
+fn node_timelines_round_trip_and_redact_customers() {
+    let part = part("a", "zone", vec![request_event(1, EventKind::ClaimMade)], 5);
     let read = NodeTimeline::from_bytes(&part.to_bytes()).unwrap();
     assert_eq!(read, part);
     assert!(
