--- a/crates/ragwortroad_bench/examples/decision_speed.rs
+++ b/crates/ragwortroad_bench/examples/decision_speed.rs
@@ -1,7 +1,8 @@
-//! Measures one decision beside a plain hash choice over the same endpoints:
+//! Compares the duration of a routing decision with that of plain rendezvous hashing over the same
+//! endpoints:
 //! `cargo run --release -p ragwortroad_bench --example decision_speed`.
 //!
-//! The figures depend on the machine; the ratio hardly does. No test decides by them.
+//! The durations depend on the machine, the ratios hardly do. No test depends on them.
 
 use std::{
     hint::black_box,
@@ -11,37 +12,37 @@
 use ragwortroad_routing::prelude::*;
 use ragwortroad_types::prelude::*;
 
-const ROUNDS: u64 = 200_000;
+const ITERATIONS: u64 = 200_000;
 
 fn main() {
     println!("engines  plain hash ns  new chat ns  ratio  known chat ns  ratio");
     for engines in [12, 20, 750] {
-        let plain = nanoseconds(|round| plain_choice(engines, round));
-        let mut table = table_of(engines);
-        let fresh = nanoseconds(|round| decide(&mut table, round, false));
-        let known = nanoseconds(|round| decide(&mut table, round, true));
+        let baseline = mean_nanoseconds(|round| rendezvous_choice(engines, round));
+        let mut table = route_table(engines);
+        let new_chat = mean_nanoseconds(|round| decide(&mut table, round, false));
+        let known_chat = mean_nanoseconds(|round| decide(&mut table, round, true));
         println!(
-            "{engines:>7}  {plain:>13.0}  {fresh:>11.0}  {:>5.1}  {known:>13.0}  {:>5.1}",
-            fresh / plain,
-            known / plain
+            "{engines:>7}  {baseline:>13.0}  {new_chat:>11.0}  {:>5.1}  {known_chat:>13.0}  {:>5.1}",
+            new_chat / baseline,
+            known_chat / baseline
         );
     }
 }
 
-/// The time of one call of `step`, on average.
-fn nanoseconds(mut step: impl FnMut(u64) -> u64) -> f64 {
-    for round in 0..ROUNDS / 10 {
+/// Returns the mean duration of a call of `step`, after a warm-up of a tenth of the iterations.
+fn mean_nanoseconds(mut step: impl FnMut(u64) -> u64) -> f64 {
+    for round in 0..ITERATIONS / 10 {
         black_box(step(round));
     }
     let start = Instant::now();
-    for round in 0..ROUNDS {
+    for round in 0..ITERATIONS {
         black_box(step(round));
     }
-    start.elapsed().as_nanos() as f64 / ROUNDS as f64
+    start.elapsed().as_nanos() as f64 / ITERATIONS as f64
 }
 
-/// Rendezvous hashing and nothing else.
-fn plain_choice(engines: u64, key: u64) -> u64 {
+/// Selects an engine by rendezvous hashing alone.
+fn rendezvous_choice(engines: u64, key: u64) -> u64 {
     let hash = |engine: u64| {
         let mixed =
             (engine.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ key).wrapping_mul(0xd6e8_feb8_6659_fd93);
@@ -50,8 +51,9 @@
     (0..engines).max_by_key(|engine| hash(*engine)).unwrap_or(0)
 }
 
-/// A node that is home of every tenth engine, all of them serving one model.
-fn table_of(engines: u64) -> RouteTable {
+/// Returns the route table of a node that is the home of every tenth engine; all engines serve one
+/// model.
+fn route_table(engines: u64) -> RouteTable {
     let node = NodeId(1);
     let mut table = RouteTable::new(RouteSettings {
         node,
@@ -71,24 +73,24 @@
         };
         let (id, load) = (facts.id, 30 + (engine % 5) as u32);
         table.upsert_endpoint(facts, ClockTime::ZERO);
-        let set_aside = false;
+        let is_ejected = false;
         table.observe_digest(
             id,
             LoadDigest {
                 load,
-                ejected: set_aside,
+                ejected: is_ejected,
             },
         );
     }
     table
 }
 
-/// One decision; a slot that was granted is given back at once.
-fn decide(table: &mut RouteTable, round: u64, known: bool) -> u64 {
+/// Makes one routing decision and releases a granted slot at once.
+fn decide(table: &mut RouteTable, round: u64, known_chat: bool) -> u64 {
     let now = ClockTime(round / 100);
     let key = round.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let prefixes: Vec<PrefixKey> = (0..12).map(|block| PrefixKey(key % 64 + block)).collect();
-    let hint = known.then(|| EndpointId::from_name("engine-0"));
+    let hint = known_chat.then(|| EndpointId::from_name("engine-0"));
     let query = RouteQuery {
         offer: OfferKey(1),
         customer: CustomerKey(round % 10),
--- a/crates/ragwortroad_bench/examples/decisions.rs
+++ b/crates/ragwortroad_bench/examples/decisions.rs
@@ -4,11 +4,11 @@
 
 use ragwortroad_bench::prelude::*;
 
-/// Compares ways of choosing an engine on seeded, deterministic runs.
+/// Compares routing policies in seeded, deterministic simulations.
 #[derive(Debug)]
 #[derive(Parser)]
 struct DecisionArgs {
-    /// Decides every draw.
+    /// Seed of all random draws.
     #[arg(long, default_value_t = 7)]
     seed: u64,
     /// ljosmynd, splashmark or target.
@@ -18,19 +18,19 @@
     /// node_restarts joined by '+'.
     #[arg(long, default_value = "churn")]
     disturbances: String,
-    /// Seconds before the measured time.
+    /// Simulated warm-up before the measurement, in seconds.
     #[arg(long, default_value_t = 120)]
     warm_seconds: u64,
-    /// Seconds measured.
+    /// Simulated duration of the measurement, in seconds.
     #[arg(long, default_value_t = 240)]
     seconds: u64,
-    /// Requests a second, as a multiple of the workload's.
+    /// Request rate as a multiple of the workload's rate.
     #[arg(long, default_value_t = 1.0)]
     load_factor: f64,
-    /// Runs the planner and our whole policy only.
+    /// Runs only the planner and the policy with home nodes and all features.
     #[arg(long)]
     short: bool,
-    /// Standard deviations of the mean that admissions leave below the bound.
+    /// Margin that admission keeps below the load bound, in standard deviations of the mean.
     #[arg(long)]
     mean_margin: Option<f64>,
     /// Prints JSON.
@@ -43,7 +43,7 @@
     let workload = WorkloadKind::from_name(&args.workload);
     let disturbances = DisturbanceSet::from_name(&args.disturbances);
     let (Some(workload), Some(disturbances)) = (workload, disturbances) else {
-        eprintln!("no such workload or disturbance; --help names them");
+        eprintln!("unknown workload or disturbance; see --help");
         return std::process::ExitCode::FAILURE;
     };
     let policies = if args.short {
--- a/crates/ragwortroad_bench/src/fake/block_cache.rs
+++ b/crates/ragwortroad_bench/src/fake/block_cache.rs
@@ -14,22 +14,22 @@
 };
 use xxhash_rust::xxh3::Xxh3;
 
-/// An engine's prefix cache: blocks in limited memory, the least recently used go first, and of
-/// those used at once the deepest, so that what is left is always a prefix.
+/// An engine's prefix cache: an LRU cache of blocks. Of blocks used at the same time it evicts the
+/// deepest first, so that the cached blocks of a prompt are always a prefix of it.
 #[derive(Clone, Debug)]
 pub(crate) struct BlockCache {
     capacity: usize,
-    /// Last use and depth of every block held. It is never iterated, so that its order is of no
-    /// consequence.
+    /// Last use and depth of every cached block. The map is never iterated, so that its order does
+    /// not affect the run.
     blocks: HashMap<PrefixKey, (u64, u32), BuildHasherDefault<Xxh3>>,
     lru_order: BTreeSet<(u64, Reverse<u32>, PrefixKey)>,
-    /// Changes not yet published.
+    /// Stored and evicted blocks that have not been published.
     events: Vec<CacheEvent>,
     next_event: u64,
 }
 
 impl BlockCache {
-    /// An empty cache of `capacity` blocks.
+    /// Creates an empty cache of `capacity` blocks.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Blocks of `chain` held, from its start.
+    /// Returns the length in blocks of the longest cached prefix of `chain`.
     pub(crate) fn cached_prefix_blocks(&self, chain: &[PrefixKey]) -> usize {
-        // What is held of a chain is a prefix of it.
+        // The cached blocks of a chain are a prefix of it, so a binary search finds their end.
         chain.partition_point(|key| self.blocks.contains_key(key))
     }
 
-    /// Notes a use of all blocks of `chain`, which are held afterwards.
+    /// Stores all blocks of `chain` with `tick` as their last use and evicts blocks above the capacity.
     pub(crate) fn touch(&mut self, chain: &[PrefixKey], tick: u64) {
         for (depth, key) in chain.iter().enumerate() {
             let depth = depth as u32;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Changes since the last call.
+    /// Takes the cache events since the last call.
     pub(crate) fn take_events(&mut self) -> Vec<CacheEvent> {
         std::mem::take(&mut self.events)
     }
--- a/crates/ragwortroad_bench/src/fake/mod.rs
+++ b/crates/ragwortroad_bench/src/fake/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes of what the decisions meet.
+//! Fakes of the engines.
 
 pub(crate) mod block_cache;
 pub(crate) mod fake_engine;
--- a/crates/ragwortroad_bench/src/lib.rs
+++ b/crates/ragwortroad_bench/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decision bench: real decision code, small fakes, seeded workloads.
+//! The decision bench: a discrete-event simulation of routing decisions on seeded workloads.
 //!
-//! Engines are fakes that batch continuously, cache prompt prefixes in limited memory, report late
-//! and lose cache events; nodes are the real [`RouteTable`](ragwortroad_routing::RouteTable) and
-//! [`CustomerLimiter`](ragwortroad_routing::CustomerLimiter), one each, with delays between them.
-//! Nothing reads a clock: the same settings give the same report to the letter.
+//! Engines are fakes with continuous batching, a prefix cache of limited size, delayed load reports
+//! and lost cache events. Each node runs the real [`RouteTable`](ragwortroad_routing::RouteTable)
+//! and [`CustomerLimiter`](ragwortroad_routing::CustomerLimiter); messages between nodes are
+//! delayed. No code reads a clock: equal settings give byte-identical reports.
 //!
 //! ```
 //! use ragwortroad_bench::prelude::*;
@@ -25,7 +25,7 @@
 mod run;
 mod workload;
 
-/// Everything a dependent crate usually needs.
+/// The items that dependent crates usually import.
 pub mod prelude {
     pub use crate::{
         policy::policy_kind::{
--- a/crates/ragwortroad_bench/src/policy/mod.rs
+++ b/crates/ragwortroad_bench/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The ways of choosing an engine that are compared.
+//! The routing policies that the bench compares.
 
 pub(crate) mod baseline_view;
 pub(crate) mod policy_kind;
--- a/crates/ragwortroad_bench/src/policy/policy_kind.rs
+++ b/crates/ragwortroad_bench/src/policy/policy_kind.rs
@@ -3,51 +3,55 @@
     Serialize, //
 };
 
-/// A way of choosing an engine.
+/// A routing policy: how a node chooses the engine for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// Knows every cache and load at every moment, and chooses the engine within the bound that
-    /// holds most of the prompt.
+    /// An oracle that knows every cache and load at every moment; chooses the engine within the load
+    /// bound whose cache holds the longest prefix of the prompt.
     Planner,
-    /// Each engine in turn, by each node for itself.
+    /// Round robin over the engines, on each node separately.
     RoundRobin,
-    /// The engine with the least reported load.
+    /// The engine with the lowest reported load.
     LeastReported,
-    /// The less loaded, by reports, of two drawn at random.
+    /// The one with the lower reported load of two engines drawn at random.
     TwoChoices,
-    /// The highest hash of chat and engine.
+    /// Rendezvous hashing: the engine with the highest hash of chat and engine.
     Rendezvous,
-    /// The highest hash among engines that seem below the bound, by reports and own sends.
+    /// Rendezvous hashing among the engines below the load bound, by reports and the node's own
+    /// requests.
     BoundedLoad,
-    /// Ours: every engine has a home node that admits its work, with these ideas on top.
+    /// The project's policy: every engine has a home node that admits its requests, with the given
+    /// features enabled.
     Homes(FeatureSet),
 }
 
-/// What is added to plain admission by home nodes and rendezvous hashing.
+/// Optional features of the policy with home nodes; without them it combines admission by home
+/// nodes with rendezvous hashing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FeatureSet {
-    /// Chats go back to where they were, by the caller's hint or the node's memory.
+    /// Chats return to their previous engine, by the client's hint or the node's chat table.
     pub hints: bool,
-    /// Chats with a shared text stay together.
+    /// Chats with a shared prompt prefix are routed to the same engines.
     pub plans: bool,
-    /// New chats go to the less loaded of two.
+    /// New chats go to the less loaded of two engines.
     pub two_choices: bool,
-    /// A chat waits a little for room where its context is, and any request for room at all.
+    /// A request of a chat waits briefly for capacity on the engine that caches its context, and every
+    /// request for capacity on any engine.
     pub holds: bool,
 }
 
 impl FeatureSet {
-    /// Home nodes and rendezvous hashing alone.
+    /// No features: home nodes and rendezvous hashing only.
     pub const NONE: Self = Self {
         hints: false,
         plans: false,
         two_choices: false,
         holds: false,
     };
-    /// Everything.
+    /// All features.
     pub const ALL: Self = Self {
         hints: true,
         plans: true,
@@ -57,7 +61,8 @@
 }
 
 impl PolicyKind {
-    /// The planner, the baselines, then ours with each idea added to those before it.
+    /// Returns the planner, the baselines, and the policy with home nodes with one more feature at each
+    /// step.
     pub fn comparison_series() -> Vec<Self> {
         vec![
             Self::Planner,
@@ -84,7 +89,7 @@
         ]
     }
 
-    /// Its name in reports.
+    /// Returns the policy's name in reports, such as `homes+hints`.
     pub fn name(&self) -> String {
         match self {
             Self::Planner => "planner".to_owned(),
@@ -93,14 +98,14 @@
             Self::TwoChoices => "two_choices".to_owned(),
             Self::Rendezvous => "rendezvous".to_owned(),
             Self::BoundedLoad => "bounded_load".to_owned(),
-            Self::Homes(ideas) => {
-                let parts = [
-                    (ideas.hints, "+hints"),
-                    (ideas.plans, "+plans"),
-                    (ideas.two_choices, "+two_choices"),
-                    (ideas.holds, "+holds"),
+            Self::Homes(features) => {
+                let suffixes = [
+                    (features.hints, "+hints"),
+                    (features.plans, "+plans"),
+                    (features.two_choices, "+two_choices"),
+                    (features.holds, "+holds"),
                 ];
-                let names = parts.iter().filter(|(on, _)| *on).map(|(_, name)| *name);
+                let names = suffixes.iter().filter(|(on, _)| *on).map(|(_, name)| *name);
                 "homes".to_owned() + &names.collect::<String>()
             }
         }
--- a/crates/ragwortroad_bench/src/report/bench_report.rs
+++ b/crates/ragwortroad_bench/src/report/bench_report.rs
@@ -13,36 +13,36 @@
     report::text_cells::text_cells, //
 };
 
-/// What a bench found; the same to the letter for the same settings.
+/// The results of a bench; byte-identical for equal settings.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct BenchReport {
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The workload.
+    /// The simulated workload.
     pub workload: WorkloadKind,
-    /// The disturbances, by name.
+    /// Name of the disturbance set, as [`DisturbanceSet::name`](crate::DisturbanceSet::name) gives it.
     pub disturbances: String,
-    /// Requests a second, as a multiple of the workload's.
+    /// Request rate as a multiple of the workload's rate.
     pub load_factor: f64,
-    /// Seconds before the measured time.
+    /// Simulated warm-up before the measurement, in seconds.
     pub warm_seconds: u64,
-    /// Seconds measured.
+    /// Simulated duration of the measurement, in seconds.
     pub seconds: u64,
-    /// One for each policy, in the order of the settings.
+    /// The results of each policy, in the order of the settings.
     pub policies: Vec<PolicyReport>,
 }
 
 impl BenchReport {
-    /// Puts the policies' reports side by side.
+    /// Combines the policies' reports and sets their reuse relative to the planner's.
     pub(crate) fn new(settings: &BenchSettings, mut policies: Vec<PolicyReport>) -> Self {
         let planner = PolicyKind::Planner.name();
-        let planned = policies
+        let planner_reuse = policies
             .iter()
             .find(|report| report.policy == planner)
             .map_or(0.0, |report| report.reuse);
         for report in &mut policies {
-            report.set_planner_reuse(planned);
+            report.set_planner_reuse(planner_reuse);
         }
         Self {
             seed: settings.seed,
@@ -55,10 +55,10 @@
         }
     }
 
-    /// The report as JSON.
+    /// Formats the report as JSON.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self)
-            .unwrap_or_else(|fault| unreachable!("a report of plain numbers: {fault}"))
+            .unwrap_or_else(|error| unreachable!("the report does not serialize: {error}"))
     }
 }
 
@@ -77,8 +77,13 @@
         for (index, row) in self.policies.iter().enumerate() {
             let cells = text_cells(row);
             if index == 0 {
-                let heads = cells.iter().map(|(head, _)| format!(" {head:>7}"));
-                writeln!(formatter, "{:<39}{}", "policy", heads.collect::<String>())?;
+                let headings = cells.iter().map(|(heading, _)| format!(" {heading:>7}"));
+                writeln!(
+                    formatter,
+                    "{:<39}{}",
+                    "policy",
+                    headings.collect::<String>()
+                )?;
             }
             let values = cells.iter().map(|(_, value)| format!(" {value:>7}"));
             writeln!(
--- a/crates/ragwortroad_bench/src/report/mod.rs
+++ b/crates/ragwortroad_bench/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What a run found, as text and as JSON.
+//! The results of a run, as text and JSON.
 
 pub(crate) mod bench_report;
 pub(crate) mod policy_report;
--- a/crates/ragwortroad_bench/src/report/policy_report.rs
+++ b/crates/ragwortroad_bench/src/report/policy_report.rs
@@ -8,68 +8,68 @@
 
 use crate::run::bench_run::BenchRun;
 
-/// What one policy did.
+/// The results of one policy.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct PolicyReport {
-    /// Its name.
+    /// Name of the policy, as [`PolicyKind::name`](crate::PolicyKind::name) gives it.
     pub policy: String,
-    /// Requests that arrived in the measured time.
+    /// Requests that arrived during the measurement.
     pub arrived: u64,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub completed: u64,
-    /// Requests refused because their customer was over its limit.
+    /// Requests rejected because their customer exceeded its limit.
     pub limited: u64,
-    /// Requests refused because no engine had room.
+    /// Requests rejected because no engine had capacity.
     pub refused: u64,
-    /// Share of refusals for room among requests of customers that never surge.
+    /// Share of requests rejected for lack of capacity, of the customers that never surge.
     pub refused_small_share: f64,
-    /// Attempts that failed, and those followed by another.
+    /// Attempts that failed, including those that were retried.
     pub failed: u64,
-    /// Attempts that were made after a failed one.
+    /// Retries after a failed attempt.
     pub retried: u64,
-    /// Requests that ended in an error after something may have run.
+    /// Requests that ended in an error after an engine may have run them.
     pub lost: u64,
-    /// Requests cut off with their node.
+    /// Requests that were interrupted because their node stopped.
     pub cut: u64,
-    /// Share of prefix tokens that were found in a cache.
+    /// Share of the reusable prefix tokens that were found in an engine's cache.
     pub reuse: f64,
-    /// The same as a share of the planner's, where it ran too.
+    /// `reuse` relative to the planner's; 0 if the planner did not run.
     pub reuse_of_planner: f64,
-    /// Requests of a chat on another engine than its last, for each thousand.
+    /// Requests that ran on another engine than the previous request of their chat, per 1000 requests.
     pub moves_per_1000: f64,
-    /// Peak over mean of the load, weighted by time.
+    /// Load skew (highest over mean load of a fleet): time-weighted median.
     pub skew_p50: f64,
-    /// Exceeded one hundredth of the time.
+    /// Load skew: time-weighted 99th percentile.
     pub skew_p99: f64,
-    /// Highest at any moment.
+    /// Load skew: maximum.
     pub skew_max: f64,
-    /// Share of time in which some engine of a fleet was above the bound.
+    /// Share of time in which an engine of a fleet was above the load bound.
     pub above_share: f64,
-    /// Longest such time, in milliseconds.
+    /// Longest period in which an engine of a fleet was above the load bound, in milliseconds.
     pub above_longest_ms: u64,
-    /// Requests beyond the bound at the worst moment.
+    /// The most requests by which an engine exceeded the load bound.
     pub above_most: u32,
-    /// Control bytes a node and second: questions, answers and releases of slots.
+    /// Bytes per node and second for slot requests, answers and releases.
     pub slot_bytes: f64,
-    /// Customers' demand and shares.
+    /// Bytes per node and second for customers' demand and shares.
     pub limit_bytes: f64,
-    /// Load digests, worked out.
+    /// Bytes per node and second for load digests; computed, not counted message by message.
     pub digest_bytes: f64,
-    /// Milliseconds a request was held, on average.
+    /// Mean time that a request was held for capacity, in milliseconds.
     pub held_mean_ms: f64,
-    /// Questions to homes, for each thousand requests.
+    /// Slot requests sent to homes, per 1000 requests.
     pub asked_per_1000: f64,
-    /// Milliseconds to the first token: median.
+    /// Median time to first token, in milliseconds.
     pub first_token_p50_ms: u64,
-    /// 95 in 100.
+    /// 95th percentile of the time to first token, in milliseconds.
     pub first_token_p95_ms: u64,
-    /// 95 in 100, of customers that never surge.
+    /// 95th percentile of the time to first token for customers that never surge, in milliseconds.
     pub first_token_small_p95_ms: u64,
 }
 
 impl PolicyReport {
-    /// What a finished run found.
+    /// Summarizes a finished run.
     pub(crate) fn of_run(run: &BenchRun<'_>) -> Self {
         let tally = &run.tally;
         let seconds = run.settings.seconds as f64 * run.spec.nodes as f64;
@@ -98,27 +98,27 @@
             limit_bytes: rounded(tally.control_bytes.limits as f64 / seconds),
             digest_bytes: rounded(tally.control_bytes.digests as f64 / seconds),
             held_mean_ms: ratio(tally.held_ms, tally.arrived),
-            asked_per_1000: rounded(1000.0 * ratio(tally.asked, tally.arrived)),
+            asked_per_1000: rounded(1000.0 * ratio(tally.slot_requests, tally.arrived)),
             first_token_p50_ms: quantile(&tally.first_token, 0.5),
             first_token_p95_ms: quantile(&tally.first_token, 0.95),
             first_token_small_p95_ms: quantile(&tally.first_token_small, 0.95),
         }
     }
 
-    /// All control bytes a node and second.
+    /// Returns all control bytes per node and second.
     pub fn control_bytes(&self) -> f64 {
         self.slot_bytes + self.limit_bytes + self.digest_bytes
     }
 
-    /// Notes the planner's reuse beside this policy's.
-    pub(crate) fn set_planner_reuse(&mut self, planner: f64) {
-        if planner > 0.0 {
-            self.reuse_of_planner = rounded(self.reuse / planner);
+    /// Sets [`Self::reuse_of_planner`] from the planner's reuse, unless that is 0.
+    pub(crate) fn set_planner_reuse(&mut self, planner_reuse: f64) {
+        if planner_reuse > 0.0 {
+            self.reuse_of_planner = rounded(self.reuse / planner_reuse);
         }
     }
 }
 
-/// The skew of all fleets of a run together.
+/// The load skew of all fleets of a run combined.
 struct SkewSummary {
     p50: f64,
     p99: f64,
@@ -156,14 +156,14 @@
     }
 }
 
-/// The ratio below which `share` of the time was spent.
+/// Returns the smallest ratio that was not exceeded for `share` of the time.
 fn time_weighted_quantile(ratios: &BTreeMap<u32, u64>, share: f64) -> f64 {
     let total: u64 = ratios.values().sum();
-    let wanted = (share * total as f64).ceil() as u64;
+    let threshold = (share * total as f64).ceil() as u64;
     let mut seen = 0;
     for (ratio, span) in ratios {
         seen += span;
-        if seen >= wanted {
+        if seen >= threshold {
             return f64::from(*ratio) / 100.0;
         }
     }
@@ -184,7 +184,7 @@
     rounded(part as f64 / whole as f64)
 }
 
-/// Four digits after the point, so that reports can be compared by eye and by `diff`.
+/// Rounds to four decimal places, so that reports can be compared by eye and with `diff`.
 fn rounded(value: f64) -> f64 {
     (value * 10_000.0).round() / 10_000.0
 }
--- a/crates/ragwortroad_bench/src/report/text_cells.rs
+++ b/crates/ragwortroad_bench/src/report/text_cells.rs
@@ -1,6 +1,6 @@
 use crate::PolicyReport;
 
-/// The columns of the text report: head and value, in order.
+/// Returns the columns of the text report as heading and value, in order.
 pub(crate) fn text_cells(row: &PolicyReport) -> Vec<(&'static str, String)> {
     vec![
         ("reuse", format!("{:.4}", row.reuse)),
--- a/crates/ragwortroad_bench/src/run/bench_event.rs
+++ b/crates/ragwortroad_bench/src/run/bench_event.rs
@@ -15,31 +15,31 @@
 
 use crate::run::membership_update::MembershipUpdate;
 
-/// Something that happens at a moment of a run.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 pub(crate) enum BenchEvent {
-    /// The next request of the plan arrives.
+    /// The next request of the arrival plan arrives.
     RequestArrived,
-    /// A request that was held looks for a place again.
+    /// A held request is routed again.
     PlacementRetry { request: u32 },
-    /// A question for a slot reaches the home.
+    /// A slot request reaches the home.
     SlotRequested { request: u32, home: u32 },
-    /// The home's answer reaches the asker.
+    /// The home's answer reaches the requester.
     SlotAnswered { request: u32, answer: SlotAnswer },
     /// A request reaches its engine.
     EngineReached { request: u32, engine: u32 },
     /// An engine's step ends.
     StepEnded { engine: u32, incarnation: u32 },
-    /// The end of a request's attempt reaches its node.
-    AttemptEnded { request: u32, whole: bool },
-    /// A slot given back reaches the home.
+    /// The end of an attempt reaches the request's node.
+    AttemptEnded { request: u32, succeeded: bool },
+    /// The release of a slot reaches the home.
     SlotReleased {
         home: u32,
         engine: u32,
         slot: SlotId,
         outcome: SlotOutcome,
     },
-    /// An engine announces itself.
+    /// An engine is due to send its next announcement.
     AnnouncementDue { engine: u32 },
     /// An announcement reaches the engine's home.
     AnnouncementArrived {
@@ -47,24 +47,24 @@
         report: LoadReport,
         events: Vec<CacheEvent>,
     },
-    /// Homes tell of their engines.
+    /// Homes send the load digests of their engines.
     DigestsDue,
-    /// Digests reach all nodes.
+    /// Load digests reach all nodes.
     DigestsArrived {
         digests: Rc<Vec<Option<LoadDigest>>>,
     },
-    /// Nodes sweep, and tell keepers of demand.
+    /// Nodes run their periodic upkeep and report demand to coordinators.
     UpkeepDue,
-    /// Demand reaches a keeper.
+    /// A demand digest reaches a coordinator.
     DemandArrived {
         node: u32,
-        keeper: u32,
+        coordinator: u32,
         digest: DemandDigest,
     },
-    /// Shares reach a node.
+    /// A share digest reaches a node.
     ShareArrived { node: u32, digest: ShareDigest },
-    /// A node learns of a change.
-    UpdateArrived { node: u32, news: MembershipUpdate },
-    /// Something goes wrong, by number.
+    /// A membership update reaches a node.
+    UpdateArrived { node: u32, update: MembershipUpdate },
+    /// The disturbance with this index in the disturbance plan occurs.
     Disturbance(usize),
 }
--- a/crates/ragwortroad_bench/src/run/bench_node.rs
+++ b/crates/ragwortroad_bench/src/run/bench_node.rs
@@ -25,28 +25,28 @@
     policy::baseline_view::BaselineView, //
 };
 
-/// One node: the real decision code, and what baselines know instead.
+/// A simulated node: the real decision code, and the state that the baseline policies use instead.
 #[derive(Clone, Debug)]
 pub(crate) struct BenchNode {
     pub(crate) alive: bool,
     pub(crate) table: RouteTable,
     pub(crate) limiter: CustomerLimiter,
-    /// Customers whose limit the limiter knows.
+    /// Customers whose limit has been set in the limiter.
     declared_customers: BTreeSet<usize>,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) baseline_view: BaselineView,
-    /// Nodes it believes alive.
-    pub(crate) members: BTreeSet<NodeId>,
+    /// Nodes that this node considers alive.
+    pub(crate) known_nodes: BTreeSet<NodeId>,
 }
 
-/// Retries a node may make for each first attempt.
+/// Ratio of retries to first attempts that a node may make.
 const RETRY_RATIO: f64 = 0.1;
-/// Engines whose whole work a node may retry at once. An engine's callers are mostly at its home, so
-/// that a crash fails them all at one node.
+/// Burst of the retry budget, as the number of engines whose running requests a node may retry at
+/// once. Most requests on an engine come through its home, so a crash fails them all on one node.
 const RETRY_BURST_ENGINES: u32 = 2;
 
 impl BenchNode {
-    /// A node that has just started.
+    /// Creates a node that has just started and considers all of `ids` alive.
     pub(crate) fn new(
         index: usize,
         ids: &[NodeId],
@@ -66,20 +66,20 @@
             declared_customers: BTreeSet::new(),
             retry_budget: RetryBudget::new(RETRY_RATIO, RETRY_BURST_ENGINES * spec.engine_capacity),
             baseline_view: BaselineView::new(spec.engines, settings.seed, index),
-            members: ids.iter().copied().collect(),
+            known_nodes: ids.iter().copied().collect(),
         };
-        node.apply_members(ClockTime::ZERO);
+        node.apply_known_nodes(ClockTime::ZERO);
         node
     }
 
-    /// Hands the nodes believed alive to those who need them.
-    pub(crate) fn apply_members(&mut self, now: ClockTime) {
-        let nodes: Vec<NodeId> = self.members.iter().copied().collect();
+    /// Passes the nodes considered alive to the route table and the limiter.
+    pub(crate) fn apply_known_nodes(&mut self, now: ClockTime) {
+        let nodes: Vec<NodeId> = self.known_nodes.iter().copied().collect();
         self.table.set_nodes(&nodes);
         self.limiter.set_nodes(&nodes, now);
     }
 
-    /// Declares a customer's limit when it first turns up; on a real node the configuration does.
+    /// Sets a customer's limit at its first request; on a real node the configuration does.
     pub(crate) fn declare_limit(&mut self, customer: usize, rate: f64, now: ClockTime) {
         if self.declared_customers.insert(customer) {
             let limit = CustomerLimit {
@@ -93,40 +93,40 @@
     }
 }
 
-/// The key of a customer by its number.
+/// Returns the key of a customer by its index.
 pub(crate) fn customer_key(customer: usize) -> CustomerKey {
     CustomerKey::from_name(&format!("customer-{customer}"))
 }
 
-/// The settings of a node's table under `policy`.
+/// Returns the settings of a node's route table under `policy`.
 fn route_settings(
     node: NodeId,
     settings: &BenchSettings,
     spec: &WorkloadSpec,
     policy: PolicyKind,
 ) -> RouteSettings {
-    let ideas = match policy {
-        PolicyKind::Homes(ideas) => ideas,
+    let features = match policy {
+        PolicyKind::Homes(features) => features,
         _ => FeatureSet::NONE,
     };
     let defaults = RouteSettings::default();
     RouteSettings {
         node,
         mean_margin: settings.mean_margin.unwrap_or(defaults.mean_margin),
-        shared_prefix_block: if ideas.plans {
+        shared_prefix_block: if features.plans {
             defaults.shared_prefix_block
         } else {
             0
         },
-        two_choices: ideas.two_choices,
-        chat_entries: if ideas.hints { spec.chat_entries } else { 0 },
-        prefix_entries: if ideas.hints { spec.chat_entries } else { 0 },
-        max_context_wait: if ideas.holds {
+        two_choices: features.two_choices,
+        chat_entries: if features.hints { spec.chat_entries } else { 0 },
+        prefix_entries: if features.hints { spec.chat_entries } else { 0 },
+        max_context_wait: if features.holds {
             defaults.max_context_wait
         } else {
             Duration::ZERO
         },
-        max_capacity_wait: if ideas.holds {
+        max_capacity_wait: if features.holds {
             defaults.max_capacity_wait
         } else {
             Duration::ZERO
--- a/crates/ragwortroad_bench/src/run/bench_run.rs
+++ b/crates/ragwortroad_bench/src/run/bench_run.rs
@@ -45,7 +45,7 @@
     }, //
 };
 
-/// One policy over one plan of arrivals and disturbances.
+/// A run of one policy over an arrival plan and a disturbance plan.
 pub(crate) struct BenchRun<'plan> {
     pub(crate) settings: &'plan BenchSettings,
     pub(crate) spec: WorkloadSpec,
@@ -59,20 +59,20 @@
     pub(crate) node_ids: Vec<NodeId>,
     pub(crate) engines: Vec<FakeEngine>,
     pub(crate) engine_ids: Vec<EndpointId>,
-    /// The model each engine serves, and the engines of each model.
+    /// The model that each engine serves, and the engines that serve each model.
     pub(crate) engine_models: Vec<usize>,
     pub(crate) model_engines: Vec<Vec<usize>>,
-    /// The node each engine announces itself to.
+    /// The node to which each engine announces itself.
     pub(crate) homes: Vec<usize>,
-    /// Requests at each engine, and on their way to it.
+    /// Requests on each engine, and requests sent to it that have not arrived.
     pub(crate) engine_loads: Vec<u32>,
     pub(crate) in_transit: Vec<u32>,
-    /// The load each engine reported last.
+    /// The load that each engine reported last.
     pub(crate) reported_loads: Vec<u32>,
     pub(crate) skew_trackers: Vec<SkewTracker>,
     pub(crate) next_arrival: usize,
     pub(crate) requests: Vec<LiveRequest>,
-    /// Where each chat was last, as its caller and as the bench knows it.
+    /// The last engine of each chat: by the hint that its client received, and by its last first token.
     pub(crate) chat_hints: Vec<Option<usize>>,
     pub(crate) chat_engines: Vec<Option<usize>>,
     pub(crate) customer_limits: Vec<f64>,
@@ -81,7 +81,7 @@
 }
 
 impl<'plan> BenchRun<'plan> {
-    /// A run that has not begun.
+    /// Creates a run at time 0.
     pub(crate) fn new(
         settings: &'plan BenchSettings,
         spec: WorkloadSpec,
@@ -144,18 +144,18 @@
         }
     }
 
-    /// Runs to the end of the plan.
+    /// Runs to the end of the measurement; counts from before it are discarded.
     pub(crate) fn run(mut self) -> Self {
         self.schedule_initial_events();
         let warm_ms = self.settings.warm_seconds * 1000;
         let end_ms = warm_ms + self.settings.seconds * 1000;
-        let mut warm = true;
+        let mut warming_up = true;
         while let Some((at, event)) = self.queue.pop() {
             if at >= end_ms {
                 break;
             }
-            if warm && at >= warm_ms {
-                warm = false;
+            if warming_up && at >= warm_ms {
+                warming_up = false;
                 self.tally = RunTally::new();
             }
             self.now = at;
@@ -206,7 +206,9 @@
                 engine,
                 incarnation,
             } => self.handle_step_end(engine as usize, incarnation),
-            BenchEvent::AttemptEnded { request, whole } => self.handle_attempt_end(request, whole),
+            BenchEvent::AttemptEnded { request, succeeded } => {
+                self.handle_attempt_end(request, succeeded)
+            }
             BenchEvent::SlotReleased {
                 home,
                 engine,
@@ -224,55 +226,55 @@
             BenchEvent::UpkeepDue => self.run_upkeep(),
             BenchEvent::DemandArrived {
                 node,
-                keeper,
+                coordinator,
                 digest,
-            } => self.handle_demand(node as usize, keeper as usize, &digest),
+            } => self.handle_demand(node as usize, coordinator as usize, &digest),
             BenchEvent::ShareArrived { node, digest } => self.handle_share(node as usize, &digest),
-            BenchEvent::UpdateArrived { node, news } => self.handle_update(node as usize, news),
+            BenchEvent::UpdateArrived { node, update } => self.handle_update(node as usize, update),
             BenchEvent::Disturbance(index) => {
                 self.apply_disturbance(self.disturbance_plan.events[index].1)
             }
         }
     }
 
-    /// The time as the decision code sees it.
+    /// Returns the time as the decision code sees it.
     pub(crate) fn clock(&self) -> ClockTime {
         ClockTime(self.now)
     }
 
-    /// Queues the next request of the plan.
+    /// Queues the arrival of the next request.
     pub(crate) fn schedule_next_arrival(&mut self) {
         if let Some(arrival) = self.arrival_plan.arrivals.get(self.next_arrival) {
             self.queue.push(arrival.at_ms, BenchEvent::RequestArrived);
         }
     }
 
-    /// The prompt of an arrival: shared text, the chat so far, and a new block.
+    /// Returns the blocks of a prompt: the shared prefix, the earlier turns, and one new block.
     pub(crate) fn prompt_chain(&self, arrival: usize) -> Vec<PrefixKey> {
         self.extended_chain(arrival, 1)
     }
 
-    /// The shared text, the chat so far, and `more` blocks.
-    pub(crate) fn extended_chain(&self, arrival: usize, more: u32) -> Vec<PrefixKey> {
+    /// Returns the shared prefix, the earlier turns, and `new_blocks` further blocks.
+    pub(crate) fn extended_chain(&self, arrival: usize, new_blocks: u32) -> Vec<PrefixKey> {
         const PLAN_SEED: u64 = 1 << 40;
         const CHAT_SEED: u64 = 1 << 41;
         let arrival = &self.arrival_plan.arrivals[arrival];
         let plan = PLAN_SEED + u64::from(arrival.shared_prefix);
         let chat = CHAT_SEED + u64::from(arrival.chat);
         let shared = (0..self.spec.shared_prefix_blocks).map(|block| (plan, block));
-        let own = (0..arrival.context_blocks + more).map(|block| (chat, block));
+        let own = (0..arrival.context_blocks + new_blocks).map(|block| (chat, block));
         shared
             .chain(own)
             .map(|(seed, block)| PrefixKey(hash_pair(u64::from(block), seed)))
             .collect()
     }
 
-    /// The model an arrival is for.
+    /// Returns the model that an arrival requests.
     pub(crate) fn arrival_model(&self, arrival: usize) -> usize {
         self.arrival_plan.customer_models[self.arrival_plan.arrivals[arrival].customer as usize]
     }
 
-    /// What membership says of an engine.
+    /// Returns the facts about an engine that membership distributes.
     pub(crate) fn endpoint_facts(
         &self,
         engine: usize,
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Milliseconds of a message between two zones, drawn.
+    /// Draws the delay of a message in milliseconds: constant within a zone, random between zones.
     pub(crate) fn draw_delay(&mut self, from: usize, to: usize) -> u64 {
         if from % self.spec.zones == to % self.spec.zones {
             return 1;
@@ -302,40 +304,40 @@
         2 + self.rng.below(4)
     }
 
-    /// Nodes that are alive.
+    /// Returns the indexes of the nodes that are alive.
     pub(crate) fn alive_nodes(&self) -> BTreeSet<usize> {
         (0..self.nodes.len())
             .filter(|node| self.nodes[*node].alive)
             .collect()
     }
 
-    /// The number of a node by identity.
+    /// Returns the index of the node with this id.
     pub(crate) fn node_index(&self, id: NodeId) -> Option<usize> {
         self.node_ids.iter().position(|node| *node == id)
     }
 }
 
-/// The key of a model by its number.
+/// Returns the offer key of a model by its index.
 pub(crate) fn model_offer(model: usize) -> OfferKey {
     OfferKey::model(&format!("model-{model}"), "v1", None)
 }
 
-/// Gives each model engines in proportion to its customers' sizes.
+/// Assigns a model to each engine, in proportion to the demand of the model's customers.
 fn assign_models(spec: &WorkloadSpec, plan: &ArrivalPlan, weights: &[f64]) -> Vec<usize> {
     let mut demand = vec![0.0; spec.models];
     for (customer, weight) in weights.iter().enumerate() {
         demand[plan.customer_models[customer]] += weight;
     }
     let sum: f64 = demand.iter().sum();
-    let mut given = vec![0.0; spec.models];
+    let mut assigned = vec![0.0; spec.models];
     (0..spec.engines)
         .map(|_| {
-            let most_lacking = (0..spec.models).max_by(|left, right| {
-                let lack = |model: usize| demand[model] / sum / (given[model] + 1.0);
-                lack(*left).total_cmp(&lack(*right))
+            let neediest = (0..spec.models).max_by(|left, right| {
+                let unmet_demand = |model: usize| demand[model] / sum / (assigned[model] + 1.0);
+                unmet_demand(*left).total_cmp(&unmet_demand(*right))
             });
-            let model = most_lacking.unwrap_or(0);
-            given[model] += 1.0;
+            let model = neediest.unwrap_or(0);
+            assigned[model] += 1.0;
             model
         })
         .collect()
--- a/crates/ragwortroad_bench/src/run/bench_settings.rs
+++ b/crates/ragwortroad_bench/src/run/bench_settings.rs
@@ -4,24 +4,24 @@
     WorkloadKind, //
 };
 
-/// What [`run_bench`](crate::run_bench) is to run.
+/// The settings of [`run_bench`](crate::run_bench).
 #[derive(Clone, Debug, PartialEq)]
 pub struct BenchSettings {
-    /// Decides every draw.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Which deployment.
+    /// The workload to simulate.
     pub workload: WorkloadKind,
-    /// What goes wrong.
+    /// The disturbances that the run includes.
     pub disturbances: DisturbanceSet,
-    /// Seconds before the measured time, in which caches fill.
+    /// Simulated warm-up before the measurement, in which the caches fill, in seconds.
     pub warm_seconds: u64,
-    /// Seconds measured.
+    /// Simulated duration of the measurement, in seconds.
     pub seconds: u64,
-    /// What is compared.
+    /// The policies to compare, each run on the same arrivals and disturbances.
     pub policies: Vec<PolicyKind>,
-    /// Requests a second, as a multiple of the workload's.
+    /// Request rate as a multiple of the workload's rate.
     pub load_factor: f64,
-    /// Changes the settings of the tables, for trials of one value.
+    /// Overrides `mean_margin` of the route tables; `None` keeps the default.
     pub mean_margin: Option<f64>,
 }
 
--- a/crates/ragwortroad_bench/src/run/control_bytes.rs
+++ b/crates/ragwortroad_bench/src/run/control_bytes.rs
@@ -1,9 +1,9 @@
 use crate::WorkloadSpec;
 
-/// Bytes that a node's decisions cost on the wire, by kind.
+/// Bytes that routing decisions send over the network, by kind.
 ///
-/// Questions, answers, releases, demands and shares are counted message by message. The digests'
-/// cost is worked out: what membership sends is measured there.
+/// Slot requests, answers, releases, demands and shares are counted message by message. The size of
+/// the load digests is computed; the bytes that membership sends are measured there.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ControlBytes {
     pub(crate) slots: u64,
@@ -11,45 +11,46 @@
     pub(crate) digests: u64,
 }
 
-/// IP and UDP headers, a short QUIC header and its authentication tag, and a frame's head.
+/// IP and UDP headers, a short QUIC header, its authentication tag, and a frame header.
 const PACKET_OVERHEAD_BYTES: u64 = 60;
-/// Endpoint, request and customer in a question for a slot.
+/// Endpoint, request and customer in a slot request.
 const SLOT_REQUEST_BYTES: u64 = PACKET_OVERHEAD_BYTES + 24;
-/// Request, slot or wait in its answer.
+/// Request and slot, or request and wait, in the answer to a slot request.
 const SLOT_ANSWER_BYTES: u64 = PACKET_OVERHEAD_BYTES + 14;
 /// Endpoint, slot and outcome in a release.
 const RELEASE_BYTES: u64 = PACKET_OVERHEAD_BYTES + 17;
-/// One customer in a demand or share digest.
+/// The entry of one customer in a demand or share digest.
 const CUSTOMER_ENTRY_BYTES: u64 = 12;
-/// One engine in a load digest.
+/// The entry of one engine in a load digest.
 const ENGINE_ENTRY_BYTES: u64 = 4;
-/// Up to so many nodes each tells every other; beyond, digests are passed on.
+/// Largest fleet in which every node sends digests to every other; in larger fleets nodes forward
+/// them by gossip.
 const MAX_FULL_MESH_NODES: u64 = 16;
-/// Nodes to which a digest is passed on.
+/// Number of nodes to which a node forwards a digest.
 const GOSSIP_FANOUT: u64 = 3;
 
 impl ControlBytes {
-    /// A question.
+    /// Counts a slot request.
     pub(crate) fn add_slot_request(&mut self) {
         self.slots += SLOT_REQUEST_BYTES;
     }
 
-    /// An answer.
+    /// Counts the answer to a slot request.
     pub(crate) fn add_slot_answer(&mut self) {
         self.slots += SLOT_ANSWER_BYTES;
     }
 
-    /// A release.
+    /// Counts the release of a slot.
     pub(crate) fn add_release(&mut self) {
         self.slots += RELEASE_BYTES;
     }
 
-    /// A demand or share digest.
+    /// Counts a demand or share digest with `entries` customers.
     pub(crate) fn add_limit_digest(&mut self, entries: usize) {
         self.limits += PACKET_OVERHEAD_BYTES + CUSTOMER_ENTRY_BYTES * entries as u64;
     }
 
-    /// One round of load digests among all nodes.
+    /// Counts one round of load digests among all nodes.
     pub(crate) fn add_digest_round(&mut self, spec: &WorkloadSpec) {
         let (nodes, engines) = (spec.nodes as u64, spec.engines as u64);
         self.digests += if nodes <= MAX_FULL_MESH_NODES {
--- a/crates/ragwortroad_bench/src/run/fleet_flow.rs
+++ b/crates/ragwortroad_bench/src/run/fleet_flow.rs
@@ -24,26 +24,26 @@
     workload::disturbance_plan::DisturbanceEvent, //
 };
 
-/// Milliseconds without an announcement after which an endpoint or node counts as gone.
+/// Time without an announcement after which an endpoint or node is considered failed.
 const FAILURE_TIMEOUT_MS: u64 = 3_000;
-/// Milliseconds after which an engine whose home is gone announces itself to the next.
+/// Time after which an engine whose home failed announces itself to its next home.
 const HOME_FAILOVER_MS: u64 = 1_200;
-/// Milliseconds for which an earlier home may still admit work after a change of home.
+/// Time after a change of home in which the previous home may still admit requests.
 const HOME_OVERLAP_MS: u64 = 3_000;
-/// Milliseconds between an engine's announcements.
+/// Interval between an engine's announcements.
 const ANNOUNCE_INTERVAL_MS: u64 = 1_000;
-/// Age of what an engine reports, usually and under the disturbance.
+/// Age of an engine's reports, normally and under the `late_reports` disturbance.
 const REPORT_LAG_MS: u64 = 100;
 const LATE_REPORT_LAG_MS: u64 = 2_000;
-/// Cache events lost, usually and under the disturbance.
+/// Share of cache events that are lost, normally and under the `event_gaps` disturbance.
 const CACHE_EVENT_LOSS: f64 = 0.01;
 const DISTURBED_CACHE_EVENT_LOSS: f64 = 0.2;
-/// How late half of the nodes learn under the disturbance.
+/// Delay of membership updates to half of the nodes under the `differing_views` disturbance.
 const LATE_UPDATE_MS: u64 = 5_000;
 
-/// What engines and nodes tell each other, and what goes wrong.
+/// Messages between engines and nodes, and disturbances.
 impl BenchRun<'_> {
-    /// An engine announces itself.
+    /// Sends an engine's announcement and schedules the next one.
     pub(crate) fn send_announcement(&mut self, engine: usize) {
         let disturbances = self.settings.disturbances;
         let number = engine as u32;
@@ -79,7 +79,7 @@
         self.queue.push(self.now + lag, announced);
     }
 
-    /// An announcement reaches the engine's home.
+    /// Handles an announcement that reaches the engine's home.
     pub(crate) fn handle_announcement(
         &mut self,
         engine: usize,
@@ -97,19 +97,19 @@
         }
     }
 
-    /// Every home tells of its engines.
+    /// Sends the load digests of every home and schedules the next ones.
     pub(crate) fn send_digests(&mut self) {
         let next = self.now + self.spec.digest_interval_ms;
         self.queue.push(next, BenchEvent::DigestsDue);
         let clock = self.clock();
-        let homes = matches!(self.policy, PolicyKind::Homes(_));
+        let uses_homes = matches!(self.policy, PolicyKind::Homes(_));
         let digests = (0..self.spec.engines)
             .map(|engine| {
                 let node = &self.nodes[self.homes[engine]];
                 if !node.alive || !self.engines[engine].alive {
                     return None;
                 }
-                if homes {
+                if uses_homes {
                     let digest = node.table.digest_of(self.engine_ids[engine], clock)?;
                     return Some(quantize_load(digest));
                 }
@@ -125,15 +125,15 @@
         self.queue.push(at, BenchEvent::DigestsArrived { digests });
     }
 
-    /// Digests reach all nodes.
+    /// Handles load digests that reach all nodes.
     pub(crate) fn handle_digests(&mut self, digests: &[Option<LoadDigest>]) {
-        let homes = matches!(self.policy, PolicyKind::Homes(_));
+        let uses_homes = matches!(self.policy, PolicyKind::Homes(_));
         for node in self.nodes.iter_mut().filter(|node| node.alive) {
             for (engine, digest) in digests.iter().enumerate() {
                 let Some(digest) = *digest else {
                     continue;
                 };
-                if homes {
+                if uses_homes {
                     node.table.observe_digest(self.engine_ids[engine], digest);
                 } else {
                     node.baseline_view.engines[engine].reported_load = digest.load;
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Nodes sweep their slots and tell keepers what was wanted.
+    /// Runs the upkeep of every node, which expires slots, and sends demand and share digests.
     pub(crate) fn run_upkeep(&mut self) {
         self.queue.push(self.now + 1000, BenchEvent::UpkeepDue);
         if !matches!(self.policy, PolicyKind::Homes(_)) {
@@ -155,17 +155,17 @@
                 continue;
             }
             self.nodes[node].table.tick(clock);
-            for (keeper, digest) in self.nodes[node].limiter.demands(clock) {
+            for (coordinator, digest) in self.nodes[node].limiter.demands(clock) {
                 self.tally
                     .control_bytes
                     .add_limit_digest(digest.entries.len());
-                let Some(keeper) = self.node_index(keeper) else {
+                let Some(coordinator) = self.node_index(coordinator) else {
                     continue;
                 };
-                let at = self.now + self.draw_delay(node, keeper);
+                let at = self.now + self.draw_delay(node, coordinator);
                 let demand = BenchEvent::DemandArrived {
                     node: node as u32,
-                    keeper: keeper as u32,
+                    coordinator: coordinator as u32,
                     digest,
                 };
                 self.queue.push(at, demand);
@@ -185,27 +185,27 @@
         }
     }
 
-    /// Demand reaches a keeper.
-    pub(crate) fn handle_demand(&mut self, node: usize, keeper: usize, digest: &DemandDigest) {
+    /// Handles a demand digest that reaches a coordinator.
+    pub(crate) fn handle_demand(&mut self, node: usize, coordinator: usize, digest: &DemandDigest) {
         let (clock, from) = (self.clock(), self.node_ids[node]);
         for entry in &digest.entries {
             let number = self.customer_indexes.get(&entry.customer).copied();
             if let Some(customer) = number {
                 let rate = self.customer_limits[customer];
-                self.nodes[keeper].declare_limit(customer, rate, clock);
+                self.nodes[coordinator].declare_limit(customer, rate, clock);
             }
         }
-        let limiter = &mut self.nodes[keeper].limiter;
+        let limiter = &mut self.nodes[coordinator].limiter;
         limiter.merge_demand(from, digest, clock);
     }
 
-    /// Shares reach a node.
+    /// Handles a share digest that reaches a node.
     pub(crate) fn handle_share(&mut self, node: usize, digest: &ShareDigest) {
         let clock = self.clock();
         self.nodes[node].limiter.merge_share(digest, clock);
     }
 
-    /// Something goes wrong, or right again.
+    /// Applies a disturbance or the recovery from one.
     pub(crate) fn apply_disturbance(&mut self, change: DisturbanceEvent) {
         match change {
             DisturbanceEvent::EngineLeaves(engine) => {
@@ -229,10 +229,10 @@
                 self.restart_engine(engine, false);
                 let model = self.engine_models[engine];
                 self.skew_trackers[model].leave(engine, self.now);
-                let news = MembershipUpdate::EngineDown {
+                let update = MembershipUpdate::EngineDown {
                     engine: engine as u32,
                 };
-                self.broadcast_update(news, FAILURE_TIMEOUT_MS);
+                self.broadcast_update(update, FAILURE_TIMEOUT_MS);
             }
             DisturbanceEvent::NodeStops(node) => self.stop_node(node),
             DisturbanceEvent::NodeStarts(node) => self.start_node(node),
@@ -256,16 +256,19 @@
                 self.tally.cut += 1;
             }
         }
-        let gone = node as u32;
-        self.broadcast_update(MembershipUpdate::NodeDown { gone }, FAILURE_TIMEOUT_MS);
+        let stopped_node = node as u32;
+        self.broadcast_update(
+            MembershipUpdate::NodeDown { stopped_node },
+            FAILURE_TIMEOUT_MS,
+        );
         for engine in 0..self.spec.engines {
             if self.homes[engine] != node || !self.engines[engine].alive {
                 continue;
             }
             self.homes[engine] = self.next_home(engine);
             let exclusive_from = ClockTime(now + HOME_FAILOVER_MS + HOME_OVERLAP_MS);
-            let news = self.engine_update(engine, exclusive_from);
-            self.broadcast_update(news, HOME_FAILOVER_MS);
+            let update = self.engine_update(engine, exclusive_from);
+            self.broadcast_update(update, HOME_FAILOVER_MS);
         }
     }
 
@@ -273,24 +276,24 @@
         let mut fresh =
             BenchNode::new(node, &self.node_ids, self.settings, &self.spec, self.policy);
         let alive = self.alive_nodes();
-        fresh.members = alive.iter().map(|node| self.node_ids[*node]).collect();
-        fresh.members.insert(self.node_ids[node]);
-        fresh.apply_members(self.clock());
+        fresh.known_nodes = alive.iter().map(|node| self.node_ids[*node]).collect();
+        fresh.known_nodes.insert(self.node_ids[node]);
+        fresh.apply_known_nodes(self.clock());
         for engine in 0..self.spec.engines {
             let fake = &self.engines[engine];
             fresh.baseline_view.engines[engine].available = fake.alive && !fake.leaving;
             if fake.alive {
                 let facts = self.endpoint_facts(engine, self.homes[engine], fake.leaving);
-                let wait = ClockTime(self.now + HOME_OVERLAP_MS);
-                fresh.table.upsert_endpoint(facts, wait);
+                let exclusive_from = ClockTime(self.now + HOME_OVERLAP_MS);
+                fresh.table.upsert_endpoint(facts, exclusive_from);
             }
         }
         self.nodes[node] = fresh;
-        let back = node as u32;
-        self.broadcast_update(MembershipUpdate::NodeUp { back }, 0);
+        let restarted_node = node as u32;
+        self.broadcast_update(MembershipUpdate::NodeUp { restarted_node }, 0);
     }
 
-    /// The living node that comes next for an engine whose home is gone.
+    /// Returns the live node that becomes the home of an engine whose home failed.
     fn next_home(&self, engine: usize) -> usize {
         let alive = self.alive_nodes();
         let best = alive
@@ -300,8 +303,8 @@
     }
 
     fn broadcast_engine(&mut self, engine: usize, exclusive_from: ClockTime) {
-        let news = self.engine_update(engine, exclusive_from);
-        self.broadcast_update(news, 0);
+        let update = self.engine_update(engine, exclusive_from);
+        self.broadcast_update(update, 0);
     }
 
     fn engine_update(&self, engine: usize, exclusive_from: ClockTime) -> MembershipUpdate {
@@ -313,32 +316,32 @@
         }
     }
 
-    /// Lets every node learn of something after `wait` and the time gossip takes; the home of an
-    /// engine hears from it directly.
-    fn broadcast_update(&mut self, news: MembershipUpdate, wait: u64) {
-        let heard_by = match news {
+    /// Sends an update to every node after `after_ms` and the time that gossip takes; an engine's home
+    /// receives it from the engine directly.
+    fn broadcast_update(&mut self, update: MembershipUpdate, after_ms: u64) {
+        let notified_directly = match update {
             MembershipUpdate::EngineUp { home, .. } => Some(home as usize),
             _ => None,
         };
         for node in 0..self.nodes.len() {
-            let mut takes = 1 + self.rng.below(2 * self.spec.propagation_ms + 200);
+            let mut delay = 1 + self.rng.below(2 * self.spec.propagation_ms + 200);
             if self.settings.disturbances.differing_views && node % 2 == 1 {
-                takes = LATE_UPDATE_MS;
+                delay = LATE_UPDATE_MS;
             }
-            if heard_by == Some(node) {
-                takes = 1;
+            if notified_directly == Some(node) {
+                delay = 1;
             }
-            let at = self.now + wait + takes;
+            let at = self.now + after_ms + delay;
             let node = node as u32;
             self.queue
-                .push(at, BenchEvent::UpdateArrived { node, news });
+                .push(at, BenchEvent::UpdateArrived { node, update });
         }
     }
 
-    /// A node learns of a change.
-    pub(crate) fn handle_update(&mut self, node: usize, news: MembershipUpdate) {
+    /// Handles a membership update that reaches a node.
+    pub(crate) fn handle_update(&mut self, node: usize, update: MembershipUpdate) {
         let clock = self.clock();
-        match news {
+        match update {
             MembershipUpdate::EngineUp {
                 engine,
                 home,
@@ -349,14 +352,14 @@
                 let facts = self.endpoint_facts(engine, home as usize, leaving);
                 let node = &mut self.nodes[node];
                 node.baseline_view.engines[engine].available = !leaving;
-                // A process that starts anew has no slots of the old one.
+                // A restarted process does not have the slots of its predecessor.
                 if !leaving && exclusive_from == ClockTime::ZERO {
                     node.table.remove_endpoint(facts.id);
                 }
                 node.table.upsert_endpoint(facts, exclusive_from);
             }
             MembershipUpdate::EngineDown { engine } => {
-                // A process that is back is told of by its own announcement.
+                // A process that is running again announces itself.
                 let engine = engine as usize;
                 if !self.engines[engine].alive {
                     let node = &mut self.nodes[node];
@@ -364,35 +367,36 @@
                     node.table.remove_endpoint(self.engine_ids[engine]);
                 }
             }
-            MembershipUpdate::NodeDown { gone } => {
-                let id = self.node_ids[gone as usize];
-                if !self.nodes[gone as usize].alive {
+            MembershipUpdate::NodeDown { stopped_node } => {
+                let id = self.node_ids[stopped_node as usize];
+                if !self.nodes[stopped_node as usize].alive {
                     self.remove_node(node, id);
                 }
             }
-            MembershipUpdate::NodeUp { back } => {
-                let id = self.node_ids[back as usize];
-                // It restarted: what it held before is gone with it.
+            MembershipUpdate::NodeUp { restarted_node } => {
+                let id = self.node_ids[restarted_node as usize];
+                // The slots that the node held before its restart are lost.
                 self.nodes[node].table.expire_node_slots(id, clock);
-                self.nodes[node].members.insert(id);
-                self.nodes[node].apply_members(clock);
+                self.nodes[node].known_nodes.insert(id);
+                self.nodes[node].apply_known_nodes(clock);
             }
         }
     }
 
-    fn remove_node(&mut self, node: usize, gone: NodeId) {
+    fn remove_node(&mut self, node: usize, removed: NodeId) {
         let clock = self.clock();
         let node = &mut self.nodes[node];
-        node.members.remove(&gone);
-        node.apply_members(clock);
-        node.table.expire_node_slots(gone, clock);
+        node.known_nodes.remove(&removed);
+        node.apply_known_nodes(clock);
+        node.table.expire_node_slots(removed, clock);
     }
 }
 
-/// A load as a digest carries it: exact when small, else rounded down to one part in 32.
+/// Rounds a load as its encoding in a digest does: loads below 32 are exact, others are rounded
+/// down to five significant bits.
 fn quantize_load(digest: LoadDigest) -> LoadDigest {
     const EXACT_BITS: u32 = 5;
-    let spare = (u32::BITS - digest.load.leading_zeros()).saturating_sub(EXACT_BITS);
-    let load = digest.load >> spare << spare;
+    let dropped_bits = (u32::BITS - digest.load.leading_zeros()).saturating_sub(EXACT_BITS);
+    let load = digest.load >> dropped_bits << dropped_bits;
     LoadDigest { load, ..digest }
 }
--- a/crates/ragwortroad_bench/src/run/live_request.rs
+++ b/crates/ragwortroad_bench/src/run/live_request.rs
@@ -4,31 +4,31 @@
 };
 use ragwortroad_types::EndpointId;
 
-/// A request from its arrival to its end.
+/// The state of a request from its arrival to its end.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LiveRequest {
-    /// Number of its arrival.
+    /// Index of its arrival in the arrival plan.
     pub(crate) arrival: usize,
     /// The node that serves it.
     pub(crate) node: usize,
-    /// The engine asked for or sent to.
+    /// The engine for which a slot was last requested or to which the request was last sent.
     pub(crate) engine: usize,
-    /// The home that granted the slot, and the slot.
+    /// The home that granted the slot, and the slot; `None` while no slot is held.
     pub(crate) slot: Option<(usize, SlotId)>,
-    /// Engines that refused or failed it.
+    /// Engines on which an attempt failed.
     pub(crate) excluded: Vec<usize>,
-    /// The same, by identity.
+    /// The endpoint ids of `excluded`.
     pub(crate) excluded_ids: Vec<EndpointId>,
-    /// Homes that answered "full".
+    /// Slot requests that were not granted.
     pub(crate) refusals: u32,
-    /// What it claims of the home it asked last.
+    /// Admission class of the last slot request.
     pub(crate) class: AdmissionClass,
-    /// Questions asked for it.
+    /// Number of slot requests made.
     pub(crate) slot_requests: u32,
-    /// Attempts sent.
+    /// Number of attempts sent to engines.
     pub(crate) attempts: u32,
-    /// When it arrived.
+    /// Time of arrival since the start of the run.
     pub(crate) arrived_ms: u64,
-    /// It has ended for its caller.
+    /// The request ended for its client.
     pub(crate) finished: bool,
 }
--- a/crates/ragwortroad_bench/src/run/mod.rs
+++ b/crates/ragwortroad_bench/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! One run: nodes, engines and messages on one queue of events.
+//! A simulation run: nodes, engines and messages, driven by one event queue.
 
 pub(crate) mod bench_event;
 pub(crate) mod bench_node;
--- a/crates/ragwortroad_bench/src/run/request_flow.rs
+++ b/crates/ragwortroad_bench/src/run/request_flow.rs
@@ -33,14 +33,14 @@
     workload::arrival_plan::SURGING_CUSTOMERS, //
 };
 
-/// Questions asked of homes for one request before it is refused.
+/// Slot requests made for a request before it is rejected.
 const MAX_SLOT_REQUESTS: u32 = 8;
-/// Attempts sent for one request.
+/// Attempts made for a request before it fails.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// A request's way from its caller to an engine and back.
+/// The path of a request from its client to an engine and back.
 impl BenchRun<'_> {
-    /// A request arrives at the node that its caller was told to use.
+    /// Handles the arrival of a request at the node that its client was directed to.
     pub(crate) fn handle_arrival(&mut self) {
         let arrival = self.next_arrival;
         self.next_arrival += 1;
@@ -76,37 +76,37 @@
         self.place_request(request);
     }
 
-    /// The first of the addresses told to the caller that answers.
+    /// Returns the first live node among the addresses that a client receives for the request.
     fn entry_node(&self, arrival: usize) -> Option<usize> {
         let planned = &self.arrival_plan.arrivals[arrival];
         let alive = self.alive_nodes();
-        let turn = hash_pair(arrival as u64, 2) as usize % alive.len().max(1);
-        let told_by = *alive.iter().nth(turn)?;
+        let index = hash_pair(arrival as u64, 2) as usize % alive.len().max(1);
+        let responder = *alive.iter().nth(index)?;
         let chat = chat_key(planned.chat);
-        let told = self.nodes[told_by].table.addresses_for(
+        let addresses = self.nodes[responder].table.addresses_for(
             Some(chat),
             self.returned_hint(arrival),
             0,
             self.spec.nodes,
         );
-        let told = told.into_iter().filter_map(|id| self.node_index(id));
-        told.into_iter().find(|node| self.nodes[*node].alive)
+        let addresses = addresses.into_iter().filter_map(|id| self.node_index(id));
+        addresses.into_iter().find(|node| self.nodes[*node].alive)
     }
 
-    /// The hint a caller hands back.
+    /// Returns the placement hint that the client sends, if any.
     fn returned_hint(&self, arrival: usize) -> Option<EndpointId> {
         let planned = &self.arrival_plan.arrivals[arrival];
-        let uses = matches!(
+        let uses_hints = matches!(
             self.policy,
             PolicyKind::Homes(FeatureSet { hints: true, .. })
         );
-        if !uses || !planned.returns_hints {
+        if !uses_hints || !planned.returns_hints {
             return None;
         }
         self.chat_hints[planned.chat as usize].map(|engine| self.engine_ids[engine])
     }
 
-    /// Finds the next place for a request.
+    /// Routes a request that has not ended.
     pub(crate) fn place_request(&mut self, request: u32) {
         if self.requests[request as usize].finished {
             return;
@@ -157,21 +157,21 @@
             RouteDecision::AskHome {
                 endpoint,
                 home,
-                class: claim,
+                class,
                 ..
             } => {
                 let engine = self.engine_index(endpoint);
                 let live = &mut self.requests[request as usize];
                 live.engine = engine;
                 live.slot_requests += 1;
-                live.class = claim;
+                live.class = class;
                 if live.slot_requests > MAX_SLOT_REQUESTS {
                     return self.refuse_request(request);
                 }
                 let Some(home) = self.node_index(home) else {
                     return self.refuse_request(request);
                 };
-                self.tally.asked += 1;
+                self.tally.slot_requests += 1;
                 self.tally.control_bytes.add_slot_request();
                 let at = self.now + self.draw_delay(node, home);
                 let home = home as u32;
@@ -187,13 +187,13 @@
         }
     }
 
-    /// A question reaches the home, which answers at once; a dead one never does, and the asker
-    /// goes on after a short time.
+    /// Handles a slot request that reaches the home, which answers at once. A failed home never
+    /// answers; the requester continues after [`SLOT_REQUEST_TIMEOUT_MS`].
     pub(crate) fn handle_slot_request(&mut self, request: u32, home: usize) {
         const SLOT_REQUEST_TIMEOUT_MS: u64 = 50;
         let clock = self.clock();
         let live = &self.requests[request as usize];
-        let (node, engine, claim) = (live.node, live.engine, live.class);
+        let (node, engine, class) = (live.node, live.engine, live.class);
         let customer = self.arrival_plan.arrivals[live.arrival].customer as usize;
         if !self.nodes[home].alive {
             let answer = SlotAnswer::NotHome { home: None };
@@ -206,7 +206,7 @@
             self.engine_ids[engine],
             self.node_ids[node],
             customer_key(customer),
-            claim,
+            class,
             clock,
         );
         if let SlotAnswer::Granted { slot } = answer {
@@ -218,7 +218,7 @@
             .push(at, BenchEvent::SlotAnswered { request, answer });
     }
 
-    /// The home's answer reaches the asker.
+    /// Handles the home's answer, which reaches the requester.
     pub(crate) fn handle_slot_answer(&mut self, request: u32, answer: SlotAnswer) {
         let clock = self.clock();
         let live = &self.requests[request as usize];
@@ -238,7 +238,7 @@
         self.place_request(request);
     }
 
-    /// Sends a request to an engine.
+    /// Sends a request to an engine and counts the attempt.
     fn send_request(&mut self, request: u32, engine: usize) {
         let live = &mut self.requests[request as usize];
         live.engine = engine;
@@ -257,7 +257,7 @@
             .push(at, BenchEvent::EngineReached { request, engine });
     }
 
-    /// A request reaches its engine.
+    /// Handles a request that reaches its engine; on a failed engine the attempt fails.
     pub(crate) fn handle_engine_arrival(&mut self, request: u32, engine: usize) {
         self.in_transit[engine] -= 1;
         if !self.engines[engine].alive {
@@ -279,13 +279,13 @@
         }
     }
 
-    /// An engine's step ends.
+    /// Handles the end of an engine's step and starts the next one.
     pub(crate) fn handle_step_end(&mut self, engine: usize, incarnation: u32) {
         if self.engines[engine].incarnation != incarnation {
             return;
         }
-        for news in self.engines[engine].end_step() {
-            match news {
+        for output in self.engines[engine].end_step() {
+            match output {
                 StepOutput::FirstToken(request, cached) => {
                     self.record_first_token(request, engine, cached)
                 }
@@ -301,13 +301,13 @@
     fn begin_step(&mut self, engine: usize) {
         let fake = &mut self.engines[engine];
         let incarnation = fake.incarnation;
-        if let Some(takes) = fake.begin_step() {
+        if let Some(step_ms) = fake.begin_step() {
             let engine = engine as u32;
             let step = BenchEvent::StepEnded {
                 engine,
                 incarnation,
             };
-            self.queue.push(self.now + takes, step);
+            self.queue.push(self.now + step_ms, step);
         }
     }
 
@@ -317,33 +317,36 @@
         let reusable = self.spec.shared_prefix_blocks + planned.context_blocks;
         self.tally.reusable += u64::from(reusable);
         self.tally.reused += u64::from(cached.min(reusable));
-        let took = self.now - live.arrived_ms;
-        self.tally.first_token.saturating_record(took.max(1));
+        let elapsed = self.now - live.arrived_ms;
+        self.tally.first_token.saturating_record(elapsed.max(1));
         if planned.customer as usize >= SURGING_CUSTOMERS {
-            self.tally.first_token_small.saturating_record(took.max(1));
+            self.tally
+                .first_token_small
+                .saturating_record(elapsed.max(1));
         }
-        let place = &mut self.chat_engines[planned.chat as usize];
-        self.tally.moves += u64::from(place.is_some_and(|place| place != engine));
-        *place = Some(engine);
+        let last_engine = &mut self.chat_engines[planned.chat as usize];
+        self.tally.moves += u64::from(last_engine.is_some_and(|last| last != engine));
+        *last_engine = Some(engine);
     }
 
-    pub(crate) fn schedule_attempt_end(&mut self, request: u32, engine: usize, whole: bool) {
+    pub(crate) fn schedule_attempt_end(&mut self, request: u32, engine: usize, succeeded: bool) {
         let node = self.requests[request as usize].node;
         let at = self.now + self.draw_delay(engine, node);
         self.queue
-            .push(at, BenchEvent::AttemptEnded { request, whole });
+            .push(at, BenchEvent::AttemptEnded { request, succeeded });
     }
 
-    /// The end of an attempt reaches the node.
-    pub(crate) fn handle_attempt_end(&mut self, request: u32, whole: bool) {
+    /// Handles the end of an attempt, which reaches the node; a failed attempt is retried within the
+    /// retry budget.
+    pub(crate) fn handle_attempt_end(&mut self, request: u32, succeeded: bool) {
         let live = &self.requests[request as usize];
         if live.finished {
             return;
         }
         let (node, engine, attempts) = (live.node, live.engine, live.attempts);
         let chat = self.arrival_plan.arrivals[live.arrival].chat as usize;
-        self.release_slot(request, whole);
-        if whole {
+        self.release_slot(request, succeeded);
+        if succeeded {
             self.tally.completed += 1;
             self.chat_hints[chat] = Some(engine);
             return self.finish_request(request);
@@ -358,9 +361,9 @@
         self.finish_request(request);
     }
 
-    /// Gives a request's slot back to the home that granted it.
-    fn release_slot(&mut self, request: u32, whole: bool) {
-        let outcome = if whole {
+    /// Releases a request's slot at the home that granted it.
+    fn release_slot(&mut self, request: u32, succeeded: bool) {
+        let outcome = if succeeded {
             SlotOutcome::Succeeded
         } else {
             SlotOutcome::Failed
@@ -387,7 +390,7 @@
         self.queue.push(at, release);
     }
 
-    /// A slot given back reaches the home.
+    /// Handles the release of a slot that reaches the home.
     pub(crate) fn handle_release(
         &mut self,
         home: usize,
@@ -426,20 +429,20 @@
         live.excluded_ids.push(self.engine_ids[engine]);
     }
 
-    /// Changes the true load of an engine.
-    pub(crate) fn adjust_load(&mut self, engine: usize, by: i32) {
-        self.engine_loads[engine] = self.engine_loads[engine].saturating_add_signed(by);
+    /// Changes the actual load of an engine.
+    pub(crate) fn adjust_load(&mut self, engine: usize, delta: i32) {
+        self.engine_loads[engine] = self.engine_loads[engine].saturating_add_signed(delta);
         let model = self.engine_models[engine];
         self.skew_trackers[model].update_load(engine, self.engine_loads[engine], self.now);
     }
 
     fn engine_index(&self, id: EndpointId) -> usize {
         let index = self.engine_ids.iter().position(|engine| *engine == id);
-        index.unwrap_or_else(|| unreachable!("the table names an engine it was never told of"))
+        index.unwrap_or_else(|| unreachable!("the route table returned an unknown endpoint"))
     }
 }
 
-/// The key of a chat by its number.
+/// Returns the key of a chat by its index.
 fn chat_key(chat: u32) -> ChatKey {
     ChatKey(hash_pair(u64::from(chat), 3))
 }
--- a/crates/ragwortroad_bench/src/run/run_tally.rs
+++ b/crates/ragwortroad_bench/src/run/run_tally.rs
@@ -2,46 +2,46 @@
 
 use crate::run::control_bytes::ControlBytes;
 
-/// What is counted in the measured time of a run.
+/// Counters of a run; reset when the warm-up ends.
 #[derive(Clone, Debug)]
 pub(crate) struct RunTally {
     pub(crate) arrived: u64,
     pub(crate) completed: u64,
-    /// Refused because of the customer's own limit.
+    /// Requests rejected because their customer exceeded its limit.
     pub(crate) limited: u64,
-    /// Refused because no engine had room.
+    /// Requests rejected because no engine had capacity.
     pub(crate) refused: u64,
-    /// Of these, requests of customers that never surge.
+    /// The part of `refused` from customers that never surge.
     pub(crate) refused_small: u64,
     pub(crate) arrived_small: u64,
     /// Attempts that failed.
     pub(crate) failed: u64,
     pub(crate) retried: u64,
-    /// Requests whose caller got an error after something may have run.
+    /// Requests whose client got an error after an engine may have run them.
     pub(crate) lost: u64,
-    /// Requests cut off with their node.
+    /// Requests that were interrupted because their node stopped.
     pub(crate) cut: u64,
-    /// Blocks that had been in some cache before, and how many of them were found.
+    /// Prompt blocks that an earlier request had or shares, and the part of them found in the cache.
     pub(crate) reusable: u64,
     pub(crate) reused: u64,
-    /// Requests of a chat on another engine than its last.
+    /// Requests that ran on another engine than the previous request of their chat.
     pub(crate) moves: u64,
-    /// Milliseconds requests were held, together.
+    /// Total time that requests were held for capacity.
     pub(crate) held_ms: u64,
-    /// Questions asked of homes.
-    pub(crate) asked: u64,
-    /// Milliseconds to the first token.
+    /// Slot requests sent to homes.
+    pub(crate) slot_requests: u64,
+    /// Time to first token in milliseconds.
     pub(crate) first_token: Histogram<u64>,
-    /// The same for customers that never surge.
+    /// Time to first token in milliseconds, for customers that never surge.
     pub(crate) first_token_small: Histogram<u64>,
     pub(crate) control_bytes: ControlBytes,
 }
 
 impl RunTally {
-    /// Nothing counted.
+    /// Creates counters at zero.
     pub(crate) fn new() -> Self {
         let mut histogram = Histogram::new_with_bounds(1, 3_600_000, 3)
-            .unwrap_or_else(|fault| unreachable!("constant bounds: {fault}"));
+            .unwrap_or_else(|error| unreachable!("the histogram bounds are invalid: {error}"));
         histogram.auto(true);
         Self {
             arrived: 0,
@@ -58,7 +58,7 @@
             reused: 0,
             moves: 0,
             held_ms: 0,
-            asked: 0,
+            slot_requests: 0,
             first_token: histogram.clone(),
             first_token_small: histogram,
             control_bytes: ControlBytes::default(),
--- a/crates/ragwortroad_bench/src/run/skew_tracker.rs
+++ b/crates/ragwortroad_bench/src/run/skew_tracker.rs
@@ -2,35 +2,38 @@
 
 use ragwortroad_routing::LoadBound;
 
-/// Peak over mean of one fleet's true loads, weighted by time.
+/// Time-weighted load skew (highest over mean load) of the engines of one fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct SkewTracker {
     bound: LoadBound,
-    /// Load of every member. Invariant: `total` is their sum.
+    /// Load of every engine.
+    ///
+    /// Invariant: `total` is the sum of these loads.
     loads: BTreeMap<usize, u32>,
-    /// Members at each load.
-    members_by_load: Vec<u32>,
+    /// Number of engines at each load.
+    engines_by_load: Vec<u32>,
     total: u64,
     last_ms: u64,
-    /// Milliseconds spent at each ratio, in hundredths.
+    /// Milliseconds spent at each skew; the keys are hundredths.
     pub(crate) ratio_ms: BTreeMap<u32, u64>,
-    /// Milliseconds in which some member was above the bound, and the longest stretch of them.
+    /// Total time in which an engine was above the load bound, and the longest period without
+    /// interruption.
     pub(crate) above_ms: u64,
     pub(crate) longest_above_ms: u64,
     above_since: Option<u64>,
-    /// Milliseconds measured.
+    /// Time covered so far.
     pub(crate) measured_ms: u64,
-    /// Loads beyond the bound at the worst moment.
+    /// The most requests by which an engine exceeded the load bound.
     pub(crate) most_above: u32,
 }
 
 impl SkewTracker {
-    /// A fleet without members, measured from `from_ms`.
+    /// Creates a tracker without engines that starts to measure at `from_ms`.
     pub(crate) fn new(from_ms: u64) -> Self {
         Self {
             bound: LoadBound::default(),
             loads: BTreeMap::new(),
-            members_by_load: Vec::new(),
+            engines_by_load: Vec::new(),
             total: 0,
             last_ms: from_ms,
             ratio_ms: BTreeMap::new(),
@@ -42,37 +45,37 @@
         }
     }
 
-    /// Counts a member in.
+    /// Adds an engine, or updates the load of one already added.
     pub(crate) fn join(&mut self, engine: usize, load: u32, now: u64) {
         self.advance(now);
         self.leave(engine, now);
         self.loads.insert(engine, load);
         self.total += u64::from(load);
-        *self.members_at(load) += 1;
+        *self.engines_at(load) += 1;
     }
 
-    /// Counts a member out.
+    /// Removes an engine.
     pub(crate) fn leave(&mut self, engine: usize, now: u64) {
         self.advance(now);
         if let Some(load) = self.loads.remove(&engine) {
             self.total -= u64::from(load);
-            *self.members_at(load) -= 1;
+            *self.engines_at(load) -= 1;
         }
     }
 
-    /// Sets a member's load; one that is no member is left out.
+    /// Updates an engine's load; an engine that was not added is ignored.
     pub(crate) fn update_load(&mut self, engine: usize, load: u32, now: u64) {
         if self.loads.contains_key(&engine) {
             self.join(engine, load, now);
         }
     }
 
-    /// The most a member may carry now.
+    /// Returns the load bound of an engine at the current mean load.
     pub(crate) fn load_limit(&self) -> u32 {
         self.bound.of_mean(self.mean())
     }
 
-    /// Adds the time up to `now` to the account.
+    /// Accounts for the time up to `now` at the current loads.
     pub(crate) fn advance(&mut self, now: u64) {
         let Some(span) = now.checked_sub(self.last_ms).filter(|span| *span > 0) else {
             return;
@@ -103,15 +106,15 @@
     }
 
     fn peak(&self) -> u32 {
-        let highest = self.members_by_load.iter().rposition(|count| *count > 0);
-        highest.unwrap_or(0) as u32
+        let highest_load = self.engines_by_load.iter().rposition(|count| *count > 0);
+        highest_load.unwrap_or(0) as u32
     }
 
-    fn members_at(&mut self, load: u32) -> &mut u32 {
+    fn engines_at(&mut self, load: u32) -> &mut u32 {
         let index = load as usize;
-        if self.members_by_load.len() <= index {
-            self.members_by_load.resize(index + 1, 0);
+        if self.engines_by_load.len() <= index {
+            self.engines_by_load.resize(index + 1, 0);
         }
-        &mut self.members_by_load[index]
+        &mut self.engines_by_load[index]
     }
 }
--- a/crates/ragwortroad_bench/src/workload/arrival_plan.rs
+++ b/crates/ragwortroad_bench/src/workload/arrival_plan.rs
@@ -4,46 +4,45 @@
     workload::bench_rng::BenchRng, //
 };
 
-/// Every request of a run, in the order of time.
+/// The requests of a run, sorted by time.
 ///
-/// Arrivals are open-loop: a slow answer does not hold back the next request. They depend on the
-/// seed and the workload alone, so that every policy meets the same ones.
+/// Arrivals are open-loop: a slow answer does not delay the next request. They depend only on the
+/// seed, the workload and the disturbances, so that every policy gets the same requests.
 #[derive(Clone, Debug)]
 pub(crate) struct ArrivalPlan {
     pub(crate) arrivals: Vec<BenchArrival>,
-    /// Chats that occur.
+    /// Number of chats.
     pub(crate) chat_count: usize,
-    /// The model of each customer.
+    /// Model that each customer uses.
     pub(crate) customer_models: Vec<usize>,
 }
 
-/// One request.
+/// The arrival of one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BenchArrival {
     pub(crate) at_ms: u64,
     pub(crate) chat: u32,
     pub(crate) customer: u32,
-    /// Number of the shared text, over all customers.
+    /// Index of the shared prompt prefix, over all customers.
     pub(crate) shared_prefix: u32,
-    /// Blocks of the chat before this turn.
+    /// Blocks that earlier turns of the chat added after the shared prefix.
     pub(crate) context_blocks: u32,
-    /// Tokens of the answer.
     pub(crate) answer_tokens: u32,
-    /// The caller keeps hints.
+    /// The client sends the placement hint of the previous answer.
     pub(crate) returns_hints: bool,
 }
 
-/// Callers that hand back hints, as the interface allows but does not demand.
+/// Share of chats whose client returns placement hints, which the API allows but does not require.
 const HINT_RETURN_SHARE: f64 = 0.8;
 
-/// How much more the surging customers ask.
+/// Factor on the request rate of a customer during a surge.
 const SURGE_FACTOR: f64 = 4.0;
 
-/// Customers that surge.
+/// Number of customers that surge: those with the lowest indexes, which are the largest.
 pub(crate) const SURGING_CUSTOMERS: usize = 3;
 
 impl ArrivalPlan {
-    /// Draws the arrivals of `seconds`.
+    /// Generates the arrivals of a run of `seconds`.
     pub(crate) fn generate(
         spec: &WorkloadSpec,
         disturbances: DisturbanceSet,
@@ -63,12 +62,19 @@
         for (customer, weight) in weights.iter().enumerate() {
             let mut rng = BenchRng::new(seed, 1 + customer as u64);
             let chats_per_s = spec.requests_per_s * weight / sum / spec.mean_turns;
-            // Chats that began before the run are in the middle of it when it starts.
-            let early = -spec.mean_turns * spec.mean_pause_s;
-            plan.add_chats(spec, &mut rng, customer, chats_per_s, early, end);
+            // Chats that start before the run ensure that some are in progress at its start.
+            let earliest = -spec.mean_turns * spec.mean_pause_s;
+            plan.add_chats(spec, &mut rng, customer, chats_per_s, earliest, end);
             if disturbances.surge && customer < SURGING_CUSTOMERS {
-                let more = chats_per_s * (SURGE_FACTOR - 1.0);
-                plan.add_chats(spec, &mut rng, customer, more, end / 3.0, end * 2.0 / 3.0);
+                let extra_chats_per_s = chats_per_s * (SURGE_FACTOR - 1.0);
+                plan.add_chats(
+                    spec,
+                    &mut rng,
+                    customer,
+                    extra_chats_per_s,
+                    end / 3.0,
+                    end * 2.0 / 3.0,
+                );
             }
         }
         plan.arrivals
@@ -76,7 +82,7 @@
         plan
     }
 
-    /// Adds the chats of one customer that begin between `from` and `to`.
+    /// Adds the chats of one customer that start between `from` and `to`, in seconds.
     fn add_chats(
         &mut self,
         spec: &WorkloadSpec,
@@ -86,10 +92,10 @@
         from: f64,
         to: f64,
     ) {
-        let mut begins = from + rng.exponential(1.0 / chats_per_s);
-        while begins < to {
-            self.add_turns(spec, rng, customer, begins, to);
-            begins += rng.exponential(1.0 / chats_per_s);
+        let mut start = from + rng.exponential(1.0 / chats_per_s);
+        while start < to {
+            self.add_turns(spec, rng, customer, start, to);
+            start += rng.exponential(1.0 / chats_per_s);
         }
     }
 
@@ -98,7 +104,7 @@
         spec: &WorkloadSpec,
         rng: &mut BenchRng,
         customer: usize,
-        begins: f64,
+        start: f64,
         to: f64,
     ) {
         let chat = self.chat_count as u32;
@@ -107,34 +113,35 @@
             + rng.below(spec.prefixes_per_customer as u64) as u32;
         let returns_hints = rng.unit() < HINT_RETURN_SHARE;
         let turns = 1 + rng.exponential(spec.mean_turns - 1.0).round() as u32;
-        let mut at = begins;
+        let mut at = start;
         for turn in 0..turns {
-            let answer = 4.0 + rng.exponential(spec.mean_answer_tokens - 4.0);
+            let answer_tokens = 4.0 + rng.exponential(spec.mean_answer_tokens - 4.0);
             let arrival = BenchArrival {
                 at_ms: (at.max(0.0) * 1000.0) as u64,
                 chat,
                 customer: customer as u32,
                 shared_prefix,
                 context_blocks: turn * spec.turn_blocks,
-                answer_tokens: answer as u32,
+                answer_tokens: answer_tokens as u32,
                 returns_hints,
             };
             if at >= 0.0 && at < to {
                 self.arrivals.push(arrival);
             }
-            // Most come back soon, some much later.
+            // Most turns follow after a short pause, some after a much longer one.
             const LONG_PAUSE_SHARE: f64 = 0.1;
             const LONG_PAUSE_FACTOR: f64 = 5.5;
-            let late = rng.unit() < LONG_PAUSE_SHARE;
-            let mean = spec.mean_pause_s * if late { LONG_PAUSE_FACTOR } else { 0.5 };
-            // Nobody goes on before the answer is there.
+            let long_pause = rng.unit() < LONG_PAUSE_SHARE;
+            let mean = spec.mean_pause_s * if long_pause { LONG_PAUSE_FACTOR } else { 0.5 };
+            // The next turn starts after the answer is complete.
             const TOKEN_INTERVAL_S: f64 = 0.06;
-            at += 1.0 + answer * TOKEN_INTERVAL_S + rng.exponential(mean);
+            at += 1.0 + answer_tokens * TOKEN_INTERVAL_S + rng.exponential(mean);
         }
     }
 }
 
-/// The customers' sizes, against their sum.
+/// Returns the relative demand of each customer, which falls with its rank; the weights do not add
+/// up to 1.
 pub(crate) fn customer_weights(spec: &WorkloadSpec) -> Vec<f64> {
     (0..spec.customers)
         .map(|index| 1.0 / (1.0 + index as f64).powf(0.8))
--- a/crates/ragwortroad_bench/src/workload/disturbance_plan.rs
+++ b/crates/ragwortroad_bench/src/workload/disturbance_plan.rs
@@ -4,24 +4,24 @@
     workload::bench_rng::BenchRng, //
 };
 
-/// Everything that goes wrong in a run, in the order of time.
+/// The disturbances of a run with their times in milliseconds, sorted by time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DisturbancePlan {
     pub(crate) events: Vec<(u64, DisturbanceEvent)>,
 }
 
-/// One thing that goes wrong, or right again.
+/// A disturbance or the recovery from one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DisturbanceEvent {
     /// An engine announces that it leaves.
     EngineLeaves(usize),
-    /// A process in its place starts, with an empty cache.
+    /// A replacement process of an engine starts with an empty cache.
     EngineStarts(usize),
-    /// An engine is gone at once, with everything it worked on.
+    /// An engine crashes and loses its requests.
     EngineCrashes(usize),
-    /// A node is gone.
+    /// A node stops.
     NodeStops(usize),
-    /// A node is back and knows nothing.
+    /// A node starts again without its earlier state.
     NodeStarts(usize),
 }
 
@@ -33,7 +33,7 @@
 const ZONE_OUTAGE_MS: u64 = 15_000;
 
 impl DisturbancePlan {
-    /// Draws the changes of a run of `seconds`.
+    /// Generates the disturbances of a run of `seconds`.
     pub(crate) fn generate(
         spec: &WorkloadSpec,
         disturbances: DisturbanceSet,
@@ -85,7 +85,8 @@
         }
     }
 
-    /// The last zone is lost, so that the planner's ties, which favour low numbers, decide nothing.
+    /// Adds the loss of the zone with the highest index: the planner breaks ties in favor of low
+    /// indexes, and losing a low zone would let the ties affect the result.
     fn add_zone_loss(&mut self, spec: &WorkloadSpec, at: u64) {
         let lost = spec.zones - 1;
         for node in (0..spec.nodes).filter(|node| node % spec.zones == lost) {
--- a/crates/ragwortroad_bench/src/workload/disturbance_set.rs
+++ b/crates/ragwortroad_bench/src/workload/disturbance_set.rs
@@ -3,28 +3,28 @@
     Serialize, //
 };
 
-/// What goes wrong during a run.
+/// The disturbances that a run includes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DisturbanceSet {
-    /// An engine leaves, crashes or joins every ten seconds.
+    /// Every ten seconds an engine leaves or crashes; a replacement starts a few seconds later.
     pub churn: bool,
-    /// Half of the nodes learn of changes five seconds late.
+    /// Half of the nodes receive membership updates five seconds late.
     pub differing_views: bool,
-    /// Three customers ask four times as much for a third of the run.
+    /// Three customers send four times their usual rate for a third of the run.
     pub surge: bool,
-    /// Reports and cache events are two seconds late.
+    /// Load reports and cache events are two seconds late.
     pub late_reports: bool,
-    /// One cache event in five is lost.
+    /// One in five cache events is lost.
     pub event_gaps: bool,
-    /// One failure domain, nodes and engines, is gone for fifteen seconds.
+    /// The nodes and engines of one failure domain fail for fifteen seconds.
     pub zone_loss: bool,
-    /// A node restarts every twenty seconds and has forgotten everything.
+    /// Every twenty seconds a node restarts and loses its state.
     pub node_restarts: bool,
 }
 
 impl DisturbanceSet {
-    /// Nothing goes wrong.
+    /// No disturbances.
     pub const CALM: Self = Self {
         churn: false,
         differing_views: false,
@@ -34,7 +34,7 @@
         zone_loss: false,
         node_restarts: false,
     };
-    /// Everything at once.
+    /// All disturbances.
     pub const ALL: Self = Self {
         churn: true,
         differing_views: true,
@@ -44,13 +44,14 @@
         zone_loss: true,
         node_restarts: true,
     };
-    /// Engines come and go, nothing else.
+    /// Engine churn only.
     pub const CHURN: Self = Self {
         churn: true,
         ..Self::CALM
     };
 
-    /// The set called `name`: `calm`, `all`, or names of single disturbances joined by `+`.
+    /// Parses `calm`, `all`, or names of single disturbances joined by `+`; returns `None` for an
+    /// unknown name.
     pub fn from_name(name: &str) -> Option<Self> {
         let mut set = Self::CALM;
         for part in name.split('+') {
@@ -70,7 +71,7 @@
         Some(set)
     }
 
-    /// The name that [`Self::from_name`] reads.
+    /// Returns the name that [`Self::from_name`] parses.
     pub fn name(&self) -> String {
         if *self == Self::ALL {
             return "all".to_owned();
--- a/crates/ragwortroad_bench/src/workload/mod.rs
+++ b/crates/ragwortroad_bench/src/workload/mod.rs
@@ -1,4 +1,4 @@
-//! What arrives and what goes wrong, drawn from a seed before anything runs.
+//! Arrivals and disturbances, generated from a seed before the run starts.
 
 pub(crate) mod arrival_plan;
 pub(crate) mod bench_rng;
--- a/crates/ragwortroad_bench/src/workload/workload_spec.rs
+++ b/crates/ragwortroad_bench/src/workload/workload_spec.rs
@@ -3,22 +3,22 @@
     Serialize, //
 };
 
-/// Which deployment is imitated.
+/// The deployment that a workload models.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkloadKind {
-    /// A dozen engines, short shared briefs, a few large customers.
+    /// Twelve engines, short shared prompt prefixes, and a few large customers.
     #[default]
     Ljosmynd,
-    /// Twenty engines, long shared lesson plans.
+    /// Twenty engines and long shared prompt prefixes (lesson plans).
     Splashmark,
-    /// The ratios of the two-year target.
+    /// The proportions of the deployment expected in two years.
     Target,
 }
 
 impl WorkloadKind {
-    /// The workload called `name`.
+    /// Parses the name of a workload; returns `None` for an unknown name.
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "ljosmynd" => Some(Self::Ljosmynd),
@@ -29,49 +29,49 @@
     }
 }
 
-/// The sizes of one workload. The brief gives nodes, zones, engines and customers; the rest are
-/// assumptions, chosen so that the engines are a little over half full and their caches too small
-/// for every chat.
+/// The parameters of a workload. Nodes, zones, engines and customers are those of the modeled
+/// deployment; with the others, which are assumptions, the engines are a little over half full and
+/// their caches are too small for all chats.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkloadSpec {
-    /// Nodes that route.
+    /// Number of nodes, each of which routes requests.
     pub nodes: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub zones: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Models, each served by a share of the engines that follows its demand.
+    /// Number of models; the engines are divided among them in proportion to demand.
     pub models: usize,
-    /// Customers, their sizes falling as 1/rank.
+    /// Number of customers; their demand falls as 1/rank^0.8.
     pub customers: usize,
-    /// Requests a second of all customers together.
+    /// Requests per second of all customers combined.
     pub requests_per_s: f64,
-    /// Shared texts of each customer.
+    /// Number of shared prompt prefixes of each customer.
     pub prefixes_per_customer: usize,
-    /// Blocks of a shared text; a block is 128 tokens.
+    /// Length of a shared prompt prefix in blocks of 128 tokens.
     pub shared_prefix_blocks: u32,
-    /// Blocks that one turn adds to a chat, its answer included.
+    /// Blocks that one turn adds to a chat, including the answer.
     pub turn_blocks: u32,
-    /// Turns of a chat, on average.
+    /// Mean number of turns of a chat.
     pub mean_turns: f64,
-    /// Seconds between the turns of a chat, on average.
+    /// Mean pause between the turns of a chat, in seconds.
     pub mean_pause_s: f64,
-    /// Tokens of an answer, on average.
+    /// Mean length of an answer in tokens.
     pub mean_answer_tokens: f64,
-    /// Requests an engine works on at once.
+    /// Maximum number of requests that an engine runs concurrently.
     pub engine_capacity: u32,
-    /// Blocks an engine's cache holds.
+    /// Capacity of an engine's cache in blocks.
     pub cache_blocks: usize,
-    /// Milliseconds between a change and the last digest that tells of it.
+    /// Interval between load digests, in milliseconds.
     pub digest_interval_ms: u64,
-    /// Milliseconds a digest is on its way.
+    /// Time that a digest takes to reach all nodes, in milliseconds.
     pub propagation_ms: u64,
-    /// Chats a node remembers.
+    /// Capacity of a node's chat table.
     pub chat_entries: usize,
 }
 
 impl WorkloadSpec {
-    /// The sizes of `kind`.
+    /// Returns the parameters of the workload `kind`.
     pub fn for_kind(kind: WorkloadKind) -> Self {
         match kind {
             WorkloadKind::Ljosmynd => Self {
--- a/crates/ragwortroad_bench/tests/regression.rs
+++ b/crates/ragwortroad_bench/tests/regression.rs
@@ -1,12 +1,12 @@
-//! Bounds on what the decisions achieve, on seeded runs that are the same on every machine.
+//! Regression bounds on routing quality, in seeded simulations that are equal on every machine.
 //!
-//! The figures that the bounds were set from stand in `docs/MEASUREMENTS.md`; these runs are
-//! shorter, and the bounds leave room for a different order of events, not for a worse policy.
+//! `docs/MEASUREMENTS.md` has the results from which the bounds are derived. The runs here are
+//! shorter; the bounds tolerate another order of events, but not a worse policy.
 
 use ragwortroad_bench::prelude::*;
 
-/// The planner and our whole policy over a short run.
-fn compare(
+/// Runs the planner and the policy with home nodes and all features for a short time.
+fn run_planner_and_homes(
     workload: WorkloadKind,
     disturbances: DisturbanceSet,
     seed: u64,
@@ -21,55 +21,65 @@
         ..BenchSettings::default()
     };
     let mut policies = run_bench(&settings).policies.into_iter();
-    let planner = policies.next().expect("the planner ran");
-    (planner, policies.next().expect("our policy ran"))
+    let planner = policies.next().expect("the report lacks the planner");
+    (
+        planner,
+        policies
+            .next()
+            .expect("the report lacks the policy with homes"),
+    )
 }
 
-/// Guards against a policy that forgets where chats are, or fills engines up, while engines come and go.
+/// Guards against a policy that loses the engines of chats or overloads engines while engines
+/// leave, crash and start.
 #[test]
 fn reuse_and_skew_hold_through_churn() {
     for (workload, reuse) in [
         (WorkloadKind::Ljosmynd, 0.93),
         (WorkloadKind::Splashmark, 0.96),
     ] {
-        let (planner, ours) = compare(workload, DisturbanceSet::CHURN, 7);
+        let (planner, homes) = run_planner_and_homes(workload, DisturbanceSet::CHURN, 7);
         assert!(planner.reuse > 0.8, "{planner:?}");
-        assert!(ours.reuse_of_planner >= reuse, "{ours:?}");
-        assert!(ours.skew_p50 <= 1.25 && ours.skew_p99 <= 1.5, "{ours:?}");
-        assert!(ours.above_share <= 0.03 && ours.above_most <= 2, "{ours:?}");
-        assert!(ours.control_bytes() < 2_000.0, "{ours:?}");
+        assert!(homes.reuse_of_planner >= reuse, "{homes:?}");
+        assert!(homes.skew_p50 <= 1.25 && homes.skew_p99 <= 1.5, "{homes:?}");
         assert!(
-            ours.refused * 200 <= ours.arrived && ours.lost == 0,
-            "{ours:?}"
+            homes.above_share <= 0.03 && homes.above_most <= 2,
+            "{homes:?}"
+        );
+        assert!(homes.control_bytes() < 2_000.0, "{homes:?}");
+        assert!(
+            homes.refused * 200 <= homes.arrived && homes.lost == 0,
+            "{homes:?}"
         );
     }
 }
 
-/// Guards against answers that come late instead of refusals while everything fails at once.
+/// Guards against long delays where requests should be rejected, with all disturbances at once.
 #[test]
 fn everything_at_once_ends_in_refusals_and_not_in_delay() {
-    // How much of a run follows the loss of homes and the return of the lost zone, whose empty
-    // engines lower the mean, differs with the seed: over nine seeds 3 to 14 % of the time above the
-    // bound and 2 to 7 % of the small customers' requests refused.
+    // The part of a run that follows the loss of homes and the return of the lost zone, whose idle
+    // engines lower the mean load, depends on the seed: over nine seeds, engines are above the bound
+    // for 3 to 14 % of the time, and 2 to 7 % of the small customers' requests are rejected.
     let (mut above, mut refused) = (0.0, 0.0);
     for seed in [7, 8, 9] {
-        let (_, ours) = compare(WorkloadKind::Ljosmynd, DisturbanceSet::ALL, seed);
-        check_everything_at_once(&ours);
-        above += ours.above_share / 3.0;
-        refused += ours.refused_small_share / 3.0;
+        let (_, homes) = run_planner_and_homes(WorkloadKind::Ljosmynd, DisturbanceSet::ALL, seed);
+        check_everything_at_once(&homes);
+        above += homes.above_share / 3.0;
+        refused += homes.refused_small_share / 3.0;
     }
     assert!(above <= 0.1, "{above}");
     assert!(refused <= 0.06, "{refused}");
 }
 
-fn check_everything_at_once(ours: &PolicyReport) {
-    assert!(ours.reuse_of_planner >= 0.9, "{ours:?}");
-    assert!(ours.first_token_p95_ms <= 1_100, "{ours:?}");
-    assert!(ours.lost * 200 <= ours.arrived, "{ours:?}");
-    assert!(ours.control_bytes() < 2_500.0, "{ours:?}");
+fn check_everything_at_once(homes: &PolicyReport) {
+    assert!(homes.reuse_of_planner >= 0.9, "{homes:?}");
+    assert!(homes.first_token_p95_ms <= 1_100, "{homes:?}");
+    assert!(homes.lost * 200 <= homes.arrived, "{homes:?}");
+    assert!(homes.control_bytes() < 2_500.0, "{homes:?}");
 }
 
-/// Guards against requests that wait until they are of use to nobody.
+/// Guards against a drop in completed requests under overload, when requests wait so long that
+/// their answers are useless.
 #[test]
 fn useful_work_stays_flat_past_saturation() {
     let at = |load_factor| {
--- a/crates/ragwortroad_report/src/bench_figures.rs
+++ b/crates/ragwortroad_report/src/bench_figures.rs
@@ -1,43 +1,43 @@
 use serde::Deserialize;
 
-/// What a page shows of a decision bench's report.
+/// The part of a decision bench's report that a page shows.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct BenchFigures {
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The workload.
+    /// Name of the workload.
     pub workload: String,
-    /// The disturbances, joined by '+'.
+    /// Names of the disturbances, joined by '+'.
     pub disturbances: String,
-    /// One for each policy.
+    /// The results of each policy.
     pub policies: Vec<PolicyFigures>,
 }
 
-/// What a page shows of one policy.
+/// The part of a policy's results that a page shows.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct PolicyFigures {
-    /// Its name.
+    /// Name of the policy.
     pub policy: String,
-    /// Share of prefix tokens that were found in a cache.
+    /// Share of the reusable prefix tokens that were found in an engine's cache.
     pub reuse: f64,
-    /// Peak over mean of the load: median over time.
+    /// Load skew (highest over mean load of a fleet): time-weighted median.
     pub skew_p50: f64,
-    /// Exceeded one hundredth of the time.
+    /// Load skew: time-weighted 99th percentile.
     pub skew_p99: f64,
-    /// Control bytes a node and second: slots.
+    /// Bytes per node and second for slot requests, answers and releases.
     pub slot_bytes: f64,
-    /// Customers' demand and shares.
+    /// Bytes per node and second for customers' demand and shares.
     pub limit_bytes: f64,
-    /// Load digests.
+    /// Bytes per node and second for load digests.
     pub digest_bytes: f64,
-    /// Milliseconds to the first token: 95 in 100.
+    /// 95th percentile of the time to first token, in milliseconds.
     pub first_token_p95_ms: u64,
 }
 
 impl PolicyFigures {
-    /// All control bytes a node and second.
+    /// Returns all control bytes per node and second.
     pub(crate) fn control_bytes(&self) -> f64 {
         self.slot_bytes + self.limit_bytes + self.digest_bytes
     }
--- a/crates/ragwortroad_report/src/lib.rs
+++ b/crates/ragwortroad_report/src/lib.rs
@@ -1,7 +1,7 @@
-//! Pages made from measurement files.
+//! Generates HTML pages from measurement files.
 //!
-//! [`Measurement::from_json`] reads what `load --json`, `demo --json` and `bench --json` print;
-//! [`report_page`] turns any number of them into one self-contained HTML page with plots.
+//! [`Measurement::from_json`] parses the output of `load --json`, `demo --json` and `bench --json`;
+//! [`report_page`] formats any number of measurements as one self-contained HTML page with plots.
 //!
 //! ```
 //! use ragwortroad_report::prelude::*;
@@ -21,7 +21,7 @@
 mod report_error;
 mod report_page;
 
-/// Everything a dependent crate usually needs.
+/// The items that dependent crates usually import.
 pub mod prelude {
     pub use crate::{
         bench_figures::{
--- a/crates/ragwortroad_report/src/load_figures.rs
+++ b/crates/ragwortroad_report/src/load_figures.rs
@@ -1,53 +1,55 @@
 use serde::Deserialize;
 
-/// What a page shows of a load run's report.
+/// The part of a load run's report that a page shows.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct LoadFigures {
-    /// The seed of its arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// How long it took.
+    /// Duration of the run in seconds.
     pub seconds: f64,
-    /// Calls by what they were and how they ended.
+    /// Number of calls by kind and outcome.
     pub outcomes: Vec<OutcomeFigures>,
-    /// From when a stream was due to its first token.
+    /// Time from a stream's scheduled start to its first token; zero where the report lacks it.
     #[serde(default)]
     pub first_token: LatencyFigures,
-    /// Between two tokens.
+    /// Time between two successive tokens; zero where the report lacks it.
     #[serde(default)]
     pub token_gap: LatencyFigures,
-    /// From when a chat was due to its whole answer.
+    /// Time from a chat request's scheduled start to the end of its answer; zero where the report lacks
+    /// it.
     #[serde(default)]
     pub whole_chat: LatencyFigures,
-    /// From when a service call was due to its whole answer.
+    /// Time from a service call's scheduled start to the end of its answer; zero where the report lacks
+    /// it.
     #[serde(default)]
     pub service: LatencyFigures,
-    /// Of the prompt tokens of returning turns, the part that was cached.
+    /// Share of cached tokens in the prompts of returning turns.
     pub cache_reuse: f64,
 }
 
-/// How many calls of one kind ended in one way.
+/// Number of calls of one kind with one outcome.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct OutcomeFigures {
-    /// What they were.
+    /// Kind of the calls, such as `read`.
     pub kind: String,
-    /// How they ended.
+    /// Outcome of the calls, such as `answered`.
     pub end: String,
-    /// How many.
+    /// Number of these calls.
     pub count: u64,
 }
 
-/// Percentiles in microseconds.
+/// Latency percentiles.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Deserialize)]
 pub struct LatencyFigures {
-    /// Values counted.
+    /// Number of measured values.
     pub count: u64,
-    /// Half are at most this.
+    /// Median, in microseconds.
     pub p50_us: u64,
-    /// 95 of 100 are at most this.
+    /// 95th percentile, in microseconds.
     pub p95_us: u64,
-    /// 99 of 100 are at most this.
+    /// 99th percentile, in microseconds.
     pub p99_us: u64,
 }
--- a/crates/ragwortroad_report/src/measurement.rs
+++ b/crates/ragwortroad_report/src/measurement.rs
@@ -16,46 +16,46 @@
     }, //
 };
 
-/// One measurement file.
+/// A parsed measurement file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Measurement {
-    /// The file's name, for headings.
+    /// Name of the file, shown as a heading.
     pub name: String,
-    /// What is in it.
+    /// The contents of the file.
     pub kind: MeasurementKind,
 }
 
-/// What a measurement file holds.
+/// The contents of a measurement file, by the command that wrote it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MeasurementKind {
-    /// A load run.
+    /// Report of `load`.
     Load(LoadFigures),
-    /// The demonstration.
+    /// Report of `demo`.
     Demo(DemoFigures),
-    /// A decision bench.
+    /// Report of `bench`.
     Bench(BenchFigures),
 }
 
-/// What a page shows of the demonstration's report.
+/// The part of the demonstration's report that a page shows.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct DemoFigures {
-    /// Nodes that ran.
+    /// Number of nodes.
     pub nodes: usize,
-    /// What callers saw.
+    /// Results as measured by the clients.
     pub load: LoadFigures,
-    /// Requests on one engine, peak over mean.
+    /// Load skew: highest over mean number of requests of an engine.
     pub skew: f64,
-    /// Bytes a node sent to others a second.
+    /// Mean number of bytes that a node sent to other nodes per second.
     pub control_bytes_per_second: f64,
 }
 
 impl Measurement {
-    /// Reads the JSON of one file; which kind it is shows in its keys.
+    /// Parses the JSON text of one file; the keys of the object determine its kind.
     ///
     /// # Errors
     ///
-    /// [`ReportError`] with the file's name where the text is none of the reports.
+    /// [`ReportError`] with the file's name if the text is not JSON or is not one of the reports.
     pub fn from_json(name: &str, text: &str) -> Result<Self, ReportError> {
         let value: Value = serde_json::from_str(text).context(NotJsonSnafu { name })?;
         let has = |key: &str| value.get(key).is_some();
--- a/crates/ragwortroad_report/src/plot_bars.rs
+++ b/crates/ragwortroad_report/src/plot_bars.rs
@@ -2,42 +2,41 @@
 
 use crate::ReportError;
 
-/// Width of a plot in pixels.
+/// Width of a plot, in pixels.
 const WIDTH: u32 = 900;
-/// Height of a plot in pixels, without the rows.
+/// Height of a plot without its rows, in pixels.
 const TITLE_HEIGHT: u32 = 70;
-/// Height of one bar with its gap.
+/// Height of a bar and the gap below it, in pixels.
 const ROW_HEIGHT: u32 = 22;
-/// Where bars begin, behind their labels.
+/// Width of the labels to the left of the bars, in pixels.
 const LABEL_WIDTH: i32 = 330;
-/// Room behind the longest bar for its figure.
+/// Width of the values to the right of the longest bar, in pixels.
 const VALUE_WIDTH: i32 = 110;
 
-/// One bar.
+/// A bar of a plot.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PlotBar {
-    /// What it stands for.
+    /// Text to the left of the bar.
     pub(crate) label: String,
-    /// Its length.
+    /// Value that determines the bar's length, in the unit of the plot.
     pub(crate) value: f64,
 }
 
-/// Horizontal bars under a title, as one SVG element.
+/// Draws horizontal bars below a title, as one SVG element.
 ///
-/// The labels stand beside the bars, so that names of any length and logarithms of latencies alike
-/// can be read without a legend.
+/// Every bar has its label beside it, so that long names are readable and no legend is needed.
 pub(crate) fn plot_bars(title: &str, unit: &str, bars: &[PlotBar]) -> Result<String, ReportError> {
     let mut svg = String::new();
     let height = TITLE_HEIGHT + ROW_HEIGHT * bars.len() as u32;
-    let drawn = draw(&mut svg, (WIDTH, height), title, unit, bars);
-    drawn.map_err(|error| ReportError::PlotFailed {
+    let result = draw_bars(&mut svg, (WIDTH, height), title, unit, bars);
+    result.map_err(|error| ReportError::PlotFailed {
         title: title.to_owned(),
         reason: error.to_string(),
     })?;
     Ok(svg)
 }
 
-fn draw(
+fn draw_bars(
     svg: &mut String,
     size: (u32, u32),
     title: &str,
@@ -49,12 +48,16 @@
     let heading = format!("{title} ({unit})");
     let font = ("sans-serif", 18).into_font();
     area.draw(&Text::new(heading, (10, 14), font))?;
-    let most = bars.iter().map(|bar| bar.value).fold(0.0, f64::max);
-    let room = f64::from(WIDTH as i32 - LABEL_WIDTH - VALUE_WIDTH);
+    let max_value = bars.iter().map(|bar| bar.value).fold(0.0, f64::max);
+    let plot_width = f64::from(WIDTH as i32 - LABEL_WIDTH - VALUE_WIDTH);
     for (row, bar) in bars.iter().enumerate() {
         let top = (TITLE_HEIGHT - ROW_HEIGHT) as i32 + row as i32 * ROW_HEIGHT as i32;
-        let share = if most > 0.0 { bar.value / most } else { 0.0 };
-        let end = LABEL_WIDTH + (room * share).round() as i32;
+        let share = if max_value > 0.0 {
+            bar.value / max_value
+        } else {
+            0.0
+        };
+        let end = LABEL_WIDTH + (plot_width * share).round() as i32;
         let corners = [
             (LABEL_WIDTH, top),
             (end.max(LABEL_WIDTH + 1), top + ROW_HEIGHT as i32 - 6),
@@ -73,7 +76,7 @@
     Ok(())
 }
 
-/// A figure with as many digits as tell it from its neighbours.
+/// Formats a value with enough digits to distinguish it from similar values.
 fn format_value(value: f64) -> String {
     match value {
         value if value >= 100.0 => format!("{value:.0}"),
--- a/crates/ragwortroad_report/src/report_error.rs
+++ b/crates/ragwortroad_report/src/report_error.rs
@@ -1,49 +1,51 @@
 use snafu::Snafu;
 
-/// Why no page could be made.
+/// An error while parsing measurements or drawing a page.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ReportError {
-    /// A file is no JSON.
+    /// A file is not valid JSON.
     #[snafu(display(
-        "{name} is not JSON ({source}); give a file with the output of 'ragwortroad load --json', \
-         'demo --json' or 'bench --json' alone"
+        "{name} is not JSON ({source}); pass a file that contains only the output of \
+         'ragwortroad load --json', 'demo --json' or 'bench --json'"
     ))]
     NotJson {
-        /// The file.
+        /// Name of the file.
         name: String,
-        /// The parser's word.
+        /// The JSON parser's error.
         source: serde_json::Error,
     },
-    /// A file is JSON and none of the reports.
+    /// A file is JSON, but not one of the reports.
     #[snafu(display(
-        "{name} is no report of 'load', 'demo' or 'bench': it has neither 'policies' nor 'load' \
-         nor 'outcomes'; write one with --json"
+        "{name} is not a report of 'load', 'demo' or 'bench': it has neither 'policies' nor 'load' \
+         nor 'outcomes'; create a report with --json"
     ))]
     UnknownReport {
-        /// The file.
+        /// Name of the file.
         name: String,
     },
-    /// A report lacks something.
+    /// A report lacks a field or has a field of the wrong type.
     #[snafu(display(
-        "{name} looks like a report of '{command}' but cannot be read ({source}); write it again \
-         with this version's 'ragwortroad {command} --json'"
+        "{name} looks like a report of '{command}' but cannot be parsed ({source}); create it again \
+         with 'ragwortroad {command} --json' of this version"
     ))]
     Incomplete {
-        /// The file.
+        /// Name of the file.
         name: String,
-        /// The command that writes such reports.
+        /// The command that prints such reports.
         command: &'static str,
-        /// The parser's word.
+        /// The JSON parser's error.
         source: serde_json::Error,
     },
     /// A plot could not be drawn.
-    #[snafu(display("the plot '{title}' could not be drawn: {reason}; report it as a fault"))]
+    #[snafu(display(
+        "failed to draw the plot '{title}': {reason}; this is a bug, please report it"
+    ))]
     PlotFailed {
-        /// The plot.
+        /// Title of the plot.
         title: String,
-        /// The library's word.
+        /// The plotting library's error.
         reason: String,
     },
 }
--- a/crates/ragwortroad_report/src/report_page.rs
+++ b/crates/ragwortroad_report/src/report_page.rs
@@ -17,11 +17,11 @@
     margin:2em auto}svg{display:block;margin:1em 0}</style></head><body>\n\
     <h1>ragwortroad measurements</h1>\n";
 
-/// One page with the plots of all measurements; it refers to nothing outside of itself.
+/// Formats the plots of all measurements as one self-contained HTML page.
 ///
 /// # Errors
 ///
-/// [`ReportError::PlotFailed`] where a plot could not be drawn.
+/// [`ReportError::PlotFailed`] if a plot cannot be drawn.
 pub fn report_page(measurements: &[Measurement]) -> Result<String, ReportError> {
     let mut page = PAGE_HEADER.to_owned();
     for measurement in measurements {
@@ -68,32 +68,32 @@
         "calls",
         &outcomes.collect::<Vec<_>>(),
     )?);
-    let spans = [
+    let latencies = [
         ("first token", load.first_token),
         ("token gap", load.token_gap),
         ("whole chat", load.whole_chat),
         ("service", load.service),
     ];
-    let bars = spans
+    let bars = latencies
         .iter()
-        .flat_map(|(name, span)| latency_bars(name, span));
+        .flat_map(|(name, latency)| latency_bars(name, latency));
     page.push_str(&plot_bars("Latency", "ms", &bars.collect::<Vec<_>>())?);
     Ok(())
 }
 
-fn latency_bars(name: &str, span: &LatencyFigures) -> [PlotBar; 3] {
-    let parts = [
-        ("p50", span.p50_us),
-        ("p95", span.p95_us),
-        ("p99", span.p99_us),
+fn latency_bars(name: &str, latency: &LatencyFigures) -> [PlotBar; 3] {
+    let percentiles = [
+        ("p50", latency.p50_us),
+        ("p95", latency.p95_us),
+        ("p99", latency.p99_us),
     ];
-    parts.map(|(part, value)| PlotBar {
-        label: format!("{name} {part} (of {})", span.count),
+    percentiles.map(|(percentile, value)| PlotBar {
+        label: format!("{name} {percentile} (of {})", latency.count),
         value: value as f64 / 1000.0,
     })
 }
 
-/// A figure of a policy that is compared over disturbances.
+/// Returns the value of a policy that a plot compares.
 type PolicyValue = fn(&PolicyFigures) -> f64;
 
 fn add_benches(page: &mut String, benches: &[&BenchFigures]) -> Result<(), ReportError> {
--- a/crates/ragwortroad_report/tests/pages.rs
+++ b/crates/ragwortroad_report/tests/pages.rs
@@ -1,4 +1,4 @@
-//! Pages from small measurement files, and files that are none.
+//! Tests pages from small measurement files, and the errors for other files.
 
 use ragwortroad_report::prelude::*;
 
@@ -11,7 +11,7 @@
       "limit_bytes": 2.0, "digest_bytes": 3.0, "first_token_p95_ms": 410}]}"#;
 
 #[test]
-fn a_page_has_all_plots_and_refers_to_nothing_outside() {
+fn a_page_has_all_plots_and_no_external_references() {
     let demo = format!(
         r#"{{"nodes": 3, "skew": 1.4, "control_bytes_per_second": 9000.0, "load": {LOAD}}}"#
     );
@@ -30,25 +30,25 @@
         "Skew p99",
         "Control traffic",
     ] {
-        assert!(page.contains(part), "no plot of {part}");
+        assert!(page.contains(part), "the plot {part} is missing");
     }
-    // The figures themselves, in the units of the plots.
+    // The plotted values, in the units of the plots.
     for figure in ["508", "1.860", "6.000", "0.360", "47.0"] {
-        assert!(page.contains(figure), "no figure {figure}");
+        assert!(page.contains(figure), "the value {figure} is missing");
     }
-    assert!(
-        !page.contains("round<robin"),
-        "a name was written as markup"
-    );
+    assert!(!page.contains("round<robin"), "a name is not escaped");
     let outside = page.replace("http://www.w3.org/2000/svg", "");
     for reference in ["http:", "https:", "src=", "href=", "@import", "url("] {
-        assert!(!outside.contains(reference), "refers to {reference}");
+        assert!(
+            !outside.contains(reference),
+            "the page contains {reference}"
+        );
     }
 }
 
-/// Guards against a page without plots for a file that is no report.
+/// Guards against a page without plots where a file is not a report.
 #[test]
-fn a_file_that_is_no_report_is_refused_with_a_remedy() {
+fn unknown_files_are_rejected_with_instructions() {
     let error = |text: &str| {
         Measurement::from_json("x.json", text)
             .unwrap_err()
@@ -62,6 +62,9 @@
     ] {
         let error = error(text);
         assert!(error.contains(word) && error.contains("x.json"), "{error}");
-        assert!(error.contains("--json"), "no remedy: {error}");
+        assert!(
+            error.contains("--json"),
+            "the error lacks instructions: {error}"
+        );
     }
 }
--- a/crates/ragwortroad_timeline/src/timeline_error.rs
+++ b/crates/ragwortroad_timeline/src/timeline_error.rs
@@ -6,7 +6,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum TimelineError {
     /// No event kind has this name.
-    #[snafu(display("no kind of event is called '{name}'; use one of: {known}"))]
+    #[snafu(display("unknown event kind '{name}'; valid kinds: {known}"))]
     UnknownKind {
         /// The name as given.
         name: String,
