--- a/crates/ragwortroad_bench/src/fake/block_cache.rs
+++ b/crates/ragwortroad_bench/src/fake/block_cache.rs
@@ -46,7 +46,8 @@
         chain.partition_point(|key| self.blocks.contains_key(key))
     }
 
-    /// Stores all blocks of `chain` with `tick` as their last use and evicts blocks above the capacity.
+    /// Stores all blocks of `chain` with `tick` as their last use and evicts blocks above the
+    /// capacity.
     pub(crate) fn touch(&mut self, chain: &[PrefixKey], tick: u64) {
         for (depth, key) in chain.iter().enumerate() {
             let depth = depth as u32;
--- a/crates/ragwortroad_bench/src/fake/fake_engine.rs
+++ b/crates/ragwortroad_bench/src/fake/fake_engine.rs
@@ -46,8 +46,8 @@
 /// The outcome of a step for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StepOutput {
-    /// The request with this index generated its first token; the second number is its count of cached
-    /// prompt blocks.
+    /// The request with this index generated its first token; the second number is its count of
+    /// cached prompt blocks.
     FirstToken(u32, u32),
     /// The request with this index generated its last token.
     Finished(u32),
@@ -88,7 +88,8 @@
         self.waiting.push_back(request);
     }
 
-    /// Replaces the engine by a new process with an empty cache; returns the requests that are lost.
+    /// Replaces the engine by a new process with an empty cache; returns the requests that are
+    /// lost.
     pub(crate) fn restart(&mut self, cache_blocks: usize, alive: bool) -> Vec<u32> {
         let lost = self
             .running
@@ -113,7 +114,7 @@
                 break;
             };
             let cached = self.cache.cached_prefix_blocks(&request.prompt);
-            // Engines always compute the last token of a prompt, also if every block is cached.
+            // Engines always compute the last token of a prompt, even if every block is cached.
             request.prefill_tokens = ((request.prompt.len() - cached) as u32 * BLOCK_TOKENS).max(1);
             request.cached_blocks = cached as u32;
             self.cache.touch(&request.prompt, self.step_count);
--- a/crates/ragwortroad_bench/src/policy/baseline_view.rs
+++ b/crates/ragwortroad_bench/src/policy/baseline_view.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Returns the engine of `pool` to which `policy` routes the chat with hash `key`, or `None` if all
-    /// engines are unavailable or in `excluded`.
+    /// Returns the engine of `pool` to which `policy` routes the chat with hash `key`, or `None` if
+    /// all engines are unavailable or in `excluded`.
     pub(crate) fn choose(
         &mut self,
         policy: PolicyKind,
--- a/crates/ragwortroad_bench/src/policy/policy_kind.rs
+++ b/crates/ragwortroad_bench/src/policy/policy_kind.rs
@@ -8,8 +8,8 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// An oracle that knows every cache and load at every moment; chooses the engine within the load
-    /// bound whose cache holds the longest prefix of the prompt.
+    /// An oracle that knows every cache and load at every moment; chooses the engine within the
+    /// load bound whose cache holds the longest prefix of the prompt.
     Planner,
     /// Round robin over the engines, on each node separately.
     RoundRobin,
@@ -38,8 +38,8 @@
     pub plans: bool,
     /// New chats go to the less loaded of two engines.
     pub two_choices: bool,
-    /// A request of a chat waits briefly for capacity on the engine that caches its context, and every
-    /// request for capacity on any engine.
+    /// A request of a chat waits briefly for capacity on the engine that caches its context, and
+    /// every request for capacity on any engine.
     pub holds: bool,
 }
 
@@ -61,8 +61,8 @@
 }
 
 impl PolicyKind {
-    /// Returns the planner, the baselines, and the policy with home nodes with one more feature at each
-    /// step.
+    /// Returns the planner, the baselines, and the policy with home nodes with one more feature at
+    /// each step.
     pub fn comparison_series() -> Vec<Self> {
         vec![
             Self::Planner,
--- a/crates/ragwortroad_bench/src/report/bench_report.rs
+++ b/crates/ragwortroad_bench/src/report/bench_report.rs
@@ -21,7 +21,8 @@
     pub seed: u64,
     /// The simulated workload.
     pub workload: WorkloadKind,
-    /// Name of the disturbance set, as [`DisturbanceSet::name`](crate::DisturbanceSet::name) gives it.
+    /// Name of the disturbance set, as [`DisturbanceSet::name`](crate::DisturbanceSet::name) gives
+    /// it.
     pub disturbances: String,
     /// Request rate as a multiple of the workload's rate.
     pub load_factor: f64,
--- a/crates/ragwortroad_bench/src/report/policy_report.rs
+++ b/crates/ragwortroad_bench/src/report/policy_report.rs
@@ -18,11 +18,11 @@
     pub arrived: u64,
     /// Requests answered completely.
     pub completed: u64,
-    /// Requests rejected because their customer exceeded its limit.
+    /// Requests refused because their customer exceeded its limit.
     pub limited: u64,
-    /// Requests rejected because no engine had capacity.
+    /// Requests refused because no engine had capacity.
     pub refused: u64,
-    /// Share of requests rejected for lack of capacity, of the customers that never surge.
+    /// Share of requests refused for lack of capacity, of the customers that never surge.
     pub refused_small_share: f64,
     /// Attempts that failed, including those that were retried.
     pub failed: u64,
@@ -36,7 +36,8 @@
     pub reuse: f64,
     /// `reuse` relative to the planner's; 0 if the planner did not run.
     pub reuse_of_planner: f64,
-    /// Requests that ran on another engine than the previous request of their chat, per 1000 requests.
+    /// Requests that ran on another engine than the previous request of their chat, per 1000
+    /// requests.
     pub moves_per_1000: f64,
     /// Load skew (highest over mean load of a fleet): time-weighted median.
     pub skew_p50: f64,
--- a/crates/ragwortroad_bench/src/run/bench_node.rs
+++ b/crates/ragwortroad_bench/src/run/bench_node.rs
@@ -79,7 +79,7 @@
         self.limiter.set_nodes(&nodes, now);
     }
 
-    /// Sets a customer's limit at its first request; on a real node the configuration does.
+    /// Sets a customer's limit when it is first seen; on a real node the configuration does.
     pub(crate) fn declare_limit(&mut self, customer: usize, rate: f64, now: ClockTime) {
         if self.declared_customers.insert(customer) {
             let limit = CustomerLimit {
--- a/crates/ragwortroad_bench/src/run/bench_run.rs
+++ b/crates/ragwortroad_bench/src/run/bench_run.rs
@@ -72,7 +72,8 @@
     pub(crate) skew_trackers: Vec<SkewTracker>,
     pub(crate) next_arrival: usize,
     pub(crate) requests: Vec<LiveRequest>,
-    /// The last engine of each chat: by the hint that its client received, and by its last first token.
+    /// The last engine of each chat: by the hint that its client received, and by its last first
+    /// token.
     pub(crate) chat_hints: Vec<Option<usize>>,
     pub(crate) chat_engines: Vec<Option<usize>>,
     pub(crate) customer_limits: Vec<f64>,
@@ -256,13 +257,13 @@
 
     /// Returns the shared prefix, the earlier turns, and `new_blocks` further blocks.
     pub(crate) fn extended_chain(&self, arrival: usize, new_blocks: u32) -> Vec<PrefixKey> {
-        const PLAN_SEED: u64 = 1 << 40;
+        const PREFIX_SEED: u64 = 1 << 40;
         const CHAT_SEED: u64 = 1 << 41;
         let arrival = &self.arrival_plan.arrivals[arrival];
-        let plan = PLAN_SEED + u64::from(arrival.shared_prefix);
-        let chat = CHAT_SEED + u64::from(arrival.chat);
-        let shared = (0..self.spec.shared_prefix_blocks).map(|block| (plan, block));
-        let own = (0..arrival.context_blocks + new_blocks).map(|block| (chat, block));
+        let prefix_seed = PREFIX_SEED + u64::from(arrival.shared_prefix);
+        let chat_seed = CHAT_SEED + u64::from(arrival.chat);
+        let shared = (0..self.spec.shared_prefix_blocks).map(|block| (prefix_seed, block));
+        let own = (0..arrival.context_blocks + new_blocks).map(|block| (chat_seed, block));
         shared
             .chain(own)
             .map(|(seed, block)| PrefixKey(hash_pair(u64::from(block), seed)))
--- a/crates/ragwortroad_bench/src/run/fleet_flow.rs
+++ b/crates/ragwortroad_bench/src/run/fleet_flow.rs
@@ -316,8 +316,8 @@
         }
     }
 
-    /// Sends an update to every node after `after_ms` and the time that gossip takes; an engine's home
-    /// receives it from the engine directly.
+    /// Sends an update to every node after `after_ms` and the time that gossip takes; an engine's
+    /// home receives it from the engine directly.
     fn broadcast_update(&mut self, update: MembershipUpdate, after_ms: u64) {
         let notified_directly = match update {
             MembershipUpdate::EngineUp { home, .. } => Some(home as usize),
@@ -359,7 +359,8 @@
                 node.table.upsert_endpoint(facts, exclusive_from);
             }
             MembershipUpdate::EngineDown { engine } => {
-                // A process that is running again announces itself.
+                // An engine that runs again announces itself; a late update about its failure is
+                // ignored.
                 let engine = engine as usize;
                 if !self.engines[engine].alive {
                     let node = &mut self.nodes[node];
--- a/crates/ragwortroad_bench/src/run/planner_choice.rs
+++ b/crates/ragwortroad_bench/src/run/planner_choice.rs
@@ -2,8 +2,8 @@
 
 /// The planner: an oracle with the current caches and loads of all engines.
 impl BenchRun<'_> {
-    /// Returns the engine below the load bound whose cache holds the longest prefix of the prompt, and
-    /// of equals the least loaded. If all engines are at the bound, returns the least loaded.
+    /// Returns the engine below the load bound whose cache holds the longest prefix of the prompt,
+    /// and of equals the least loaded. If all engines are at the bound, returns the least loaded.
     pub(crate) fn choose_by_planner(&self, request: u32) -> Option<usize> {
         let live = &self.requests[request as usize];
         let chain = self.prompt_chain(live.arrival);
--- a/crates/ragwortroad_bench/src/run/request_flow.rs
+++ b/crates/ragwortroad_bench/src/run/request_flow.rs
@@ -17,8 +17,8 @@
     FeatureSet,
     PolicyKind,
     fake::fake_engine::{
-        EngineRequest, //
-        StepOutput,
+        EngineRequest,
+        StepOutput, //
     },
     policy::baseline_view::hash_pair,
     run::{
@@ -33,7 +33,7 @@
     workload::arrival_plan::SURGING_CUSTOMERS, //
 };
 
-/// Slot requests made for a request before it is rejected.
+/// Slot requests made for a request before it is refused.
 const MAX_SLOT_REQUESTS: u32 = 8;
 /// Attempts made for a request before it fails.
 const MAX_ATTEMPTS: u32 = 3;
@@ -188,7 +188,7 @@
     }
 
     /// Handles a slot request that reaches the home, which answers at once. A failed home never
-    /// answers; the requester continues after [`SLOT_REQUEST_TIMEOUT_MS`].
+    /// answers; the requester continues after `SLOT_REQUEST_TIMEOUT_MS`.
     pub(crate) fn handle_slot_request(&mut self, request: u32, home: usize) {
         const SLOT_REQUEST_TIMEOUT_MS: u64 = 50;
         let clock = self.clock();
@@ -264,7 +264,7 @@
             return self.schedule_attempt_end(request, engine, false);
         }
         let arrival = self.requests[request as usize].arrival;
-        let work = EngineRequest {
+        let engine_request = EngineRequest {
             request,
             prompt: self.prompt_chain(arrival),
             prompt_and_answer: self.extended_chain(arrival, self.spec.turn_blocks),
@@ -272,7 +272,7 @@
             prefill_tokens: 0,
             cached_blocks: 0,
         };
-        self.engines[engine].enqueue(work);
+        self.engines[engine].enqueue(engine_request);
         self.adjust_load(engine, 1);
         if !self.engines[engine].step_running {
             self.begin_step(engine);
@@ -336,8 +336,8 @@
             .push(at, BenchEvent::AttemptEnded { request, succeeded });
     }
 
-    /// Handles the end of an attempt, which reaches the node; a failed attempt is retried within the
-    /// retry budget.
+    /// Handles the end of an attempt, which reaches the node; a failed attempt is retried within
+    /// the retry budget.
     pub(crate) fn handle_attempt_end(&mut self, request: u32, succeeded: bool) {
         let live = &self.requests[request as usize];
         if live.finished {
--- a/crates/ragwortroad_bench/src/run/run_tally.rs
+++ b/crates/ragwortroad_bench/src/run/run_tally.rs
@@ -7,9 +7,9 @@
 pub(crate) struct RunTally {
     pub(crate) arrived: u64,
     pub(crate) completed: u64,
-    /// Requests rejected because their customer exceeded its limit.
+    /// Requests refused because their customer exceeded its limit.
     pub(crate) limited: u64,
-    /// Requests rejected because no engine had capacity.
+    /// Requests refused because no engine had capacity.
     pub(crate) refused: u64,
     /// The part of `refused` from customers that never surge.
     pub(crate) refused_small: u64,
@@ -21,7 +21,8 @@
     pub(crate) lost: u64,
     /// Requests that were interrupted because their node stopped.
     pub(crate) cut: u64,
-    /// Prompt blocks that an earlier request had or shares, and the part of them found in the cache.
+    /// Prompt blocks that earlier requests of the chat or of its shared prefix had, and the part of
+    /// them found in the engine's cache.
     pub(crate) reusable: u64,
     pub(crate) reused: u64,
     /// Requests that ran on another engine than the previous request of their chat.
--- a/crates/ragwortroad_bench/tests/regression.rs
+++ b/crates/ragwortroad_bench/tests/regression.rs
@@ -54,12 +54,12 @@
     }
 }
 
-/// Guards against long delays where requests should be rejected, with all disturbances at once.
+/// Guards against long delays where requests should be refused, with all disturbances at once.
 #[test]
 fn everything_at_once_ends_in_refusals_and_not_in_delay() {
     // The part of a run that follows the loss of homes and the return of the lost zone, whose idle
-    // engines lower the mean load, depends on the seed: over nine seeds, engines are above the bound
-    // for 3 to 14 % of the time, and 2 to 7 % of the small customers' requests are rejected.
+    // engines lower the mean load, depends on the seed: over nine seeds, engines are above the
+    // bound for 3 to 14 % of the time, and 2 to 7 % of the small customers' requests are refused.
     let (mut above, mut refused) = (0.0, 0.0);
     for seed in [7, 8, 9] {
         let (_, homes) = run_planner_and_homes(WorkloadKind::Ljosmynd, DisturbanceSet::ALL, seed);
--- a/crates/ragwortroad_report/src/load_figures.rs
+++ b/crates/ragwortroad_report/src/load_figures.rs
@@ -16,12 +16,12 @@
     /// Time between two successive tokens; zero where the report lacks it.
     #[serde(default)]
     pub token_gap: LatencyFigures,
-    /// Time from a chat request's scheduled start to the end of its answer; zero where the report lacks
-    /// it.
+    /// Time from a chat request's scheduled start to the end of its answer; zero where the report
+    /// lacks it.
     #[serde(default)]
     pub whole_chat: LatencyFigures,
-    /// Time from a service call's scheduled start to the end of its answer; zero where the report lacks
-    /// it.
+    /// Time from a service call's scheduled start to the end of its answer; zero where the report
+    /// lacks it.
     #[serde(default)]
     pub service: LatencyFigures,
     /// Share of cached tokens in the prompts of returning turns.
--- a/crates/ragwortroad_report/src/measurement.rs
+++ b/crates/ragwortroad_report/src/measurement.rs
@@ -11,8 +11,8 @@
     ReportError,
     report_error::{
         IncompleteSnafu,
-        NotJsonSnafu, //
-        UnknownReportSnafu,
+        NotJsonSnafu,
+        UnknownReportSnafu, //
     }, //
 };
 
--- a/crates/ragwortroad_report/src/plot_bars.rs
+++ b/crates/ragwortroad_report/src/plot_bars.rs
@@ -24,7 +24,8 @@
 
 /// Draws horizontal bars below a title, as one SVG element.
 ///
-/// Every bar has its label beside it, so that long names are readable and no legend is needed.
+/// Every bar has its label and value beside it, so that names of any length and latencies of any
+/// magnitude are readable without a legend.
 pub(crate) fn plot_bars(title: &str, unit: &str, bars: &[PlotBar]) -> Result<String, ReportError> {
     let mut svg = String::new();
     let height = TITLE_HEIGHT + ROW_HEIGHT * bars.len() as u32;
--- a/crates/ragwortroad_timeline/src/event_kind.rs
+++ b/crates/ragwortroad_timeline/src/event_kind.rs
@@ -42,7 +42,7 @@
     LeaseEnded,
     /// A configuration change is durable on a quorum.
     ChangeAccepted,
-    /// A configuration change was rejected.
+    /// A configuration change was refused.
     ChangeRefused,
     /// The node started to apply a revision of the configuration.
     ChangeInForce,
@@ -72,7 +72,7 @@
     DrainFinished,
     /// A request was admitted.
     RequestAdmitted,
-    /// A request was rejected before it ran.
+    /// A request was refused before it ran.
     RequestRefused,
     /// The first byte of a request is about to be sent to an endpoint.
     RequestDispatched,
--- a/crates/ragwortroad_timeline/src/fleet_timeline.rs
+++ b/crates/ragwortroad_timeline/src/fleet_timeline.rs
@@ -28,7 +28,8 @@
     pub zone: String,
     /// Events that the node's ring evicted since the node started.
     pub lost: u64,
-    /// Older events that were left out because more events matched the filter than the limit allows.
+    /// Older events that were left out because more events matched the filter than the limit
+    /// allows.
     pub left_out: u64,
 }
 
--- a/crates/ragwortroad_timeline/src/hybrid_clock.rs
+++ b/crates/ragwortroad_timeline/src/hybrid_clock.rs
@@ -15,7 +15,8 @@
 }
 
 impl HybridClock {
-    /// Issues a timestamp for an event at the wall-clock time `wall_ms`, in milliseconds since 1970.
+    /// Issues a timestamp for an event at the wall-clock time `wall_ms`, in milliseconds since
+    /// 1970.
     pub fn now(&mut self, wall_ms: u64) -> HybridTime {
         self.latest = HybridTime::from_wall_ms(wall_ms).max(self.latest.next());
         self.latest
@@ -32,7 +33,8 @@
         self.max_drift_ms = self.max_drift_ms.max(ahead);
     }
 
-    /// Returns the most that an observed timestamp was ahead of the local wall clock, in milliseconds.
+    /// Returns the most that an observed timestamp was ahead of the local wall clock, in
+    /// milliseconds.
     pub fn max_drift_ms(&self) -> u64 {
         self.max_drift_ms
     }
--- a/crates/ragwortroad_timeline/src/node_timeline.rs
+++ b/crates/ragwortroad_timeline/src/node_timeline.rs
@@ -24,7 +24,8 @@
     pub lost_traffic: u64,
     /// Other events that the node's ring evicted since the node started.
     pub lost_control: u64,
-    /// Older events that were left out because more events matched the filter than the limit allows.
+    /// Older events that were left out because more events matched the filter than the limit
+    /// allows.
     pub left_out: u64,
 }
 
--- a/crates/ragwortroad_timeline/tests/clock.rs
+++ b/crates/ragwortroad_timeline/tests/clock.rs
@@ -27,8 +27,8 @@
 }
 
 proptest! {
-    /// Guards against timestamps that order an effect before its cause when wall clocks are skewed or
-    /// jump; vector clocks serve as the reference.
+    /// Guards against timestamps that order an effect before its cause when wall clocks are skewed
+    /// or jump; vector clocks serve as the reference.
     #[test]
     fn timestamps_follow_causality(
         skews in proptest::collection::vec(0_u64..600_000, NODES),
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Guards against timestamps that drift from the wall clock of a node that receives no messages.
+    /// Guards against timestamps that drift from the wall clock of a node that receives no
+    /// messages.
     #[test]
     fn without_messages_timestamps_follow_the_wall_clock(walls in proptest::collection::vec(0_u64..1 << 40, 1..50)) {
         let mut clock = HybridClock::default();
