--- a/crates/ragwortroad_timeline/src/page/lane_picture.rs
+++ b/crates/ragwortroad_timeline/src/page/lane_picture.rs
@@ -139,7 +139,7 @@
 }
 
 /// Draws a line through the events of each request that has several events. Above [`MAX_PATHS`]
-/// requests, only those that were on several nodes are drawn.
+/// requests, only the first [`MAX_PATHS`] of those that were on several nodes are drawn.
 fn paths(timeline: &FleetTimeline, scale: &PictureScale) -> Vec<String> {
     let mut requests: BTreeMap<RequestId, Vec<(f64, usize)>> = BTreeMap::new();
     for (placed, place) in timeline.events.iter().zip(&scale.positions) {
