--- a/crates/ragwortroad_bench/src/fake/block_cache.rs
+++ b/crates/ragwortroad_bench/src/fake/block_cache.rs
@@ -14,60 +14,61 @@
 };
 use xxhash_rust::xxh3::Xxh3;
 
-/// An engine's prefix cache: blocks in limited memory, the least recently used go first, and of
-/// those used at once the deepest, so that what is left is always a prefix.
+/// An engine's prefix cache: an LRU cache of blocks. Of blocks used at the same time it evicts the
+/// deepest first, so that the cached blocks of a prompt are always a prefix of it.
 #[derive(Clone, Debug)]
 pub(crate) struct BlockCache {
     capacity: usize,
-    /// Last use and depth of every block held. It is never iterated, so that its order is of no
-    /// consequence.
-    held: HashMap<PrefixKey, (u64, u32), BuildHasherDefault<Xxh3>>,
-    order: BTreeSet<(u64, Reverse<u32>, PrefixKey)>,
-    /// Changes not yet published.
+    /// Last use and depth of every cached block. The map is never iterated, so that its order does
+    /// not affect the run.
+    blocks: HashMap<PrefixKey, (u64, u32), BuildHasherDefault<Xxh3>>,
+    lru_order: BTreeSet<(u64, Reverse<u32>, PrefixKey)>,
+    /// Stored and evicted blocks that have not been published.
     events: Vec<CacheEvent>,
     next_event: u64,
 }
 
 impl BlockCache {
-    /// An empty cache of `capacity` blocks.
+    /// Creates an empty cache of `capacity` blocks.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             capacity,
-            held: HashMap::default(),
-            order: BTreeSet::new(),
+            blocks: HashMap::default(),
+            lru_order: BTreeSet::new(),
             events: Vec::new(),
             next_event: 0,
         }
     }
 
-    /// Blocks of `chain` held, from its start.
-    pub(crate) fn match_length(&self, chain: &[PrefixKey]) -> usize {
-        // What is held of a chain is a prefix of it.
-        chain.partition_point(|key| self.held.contains_key(key))
+    /// Returns the length in blocks of the longest cached prefix of `chain`.
+    pub(crate) fn cached_prefix_blocks(&self, chain: &[PrefixKey]) -> usize {
+        // The cached blocks of a chain are a prefix of it, so a binary search finds their end.
+        chain.partition_point(|key| self.blocks.contains_key(key))
     }
 
-    /// Notes a use of all blocks of `chain`, which are held afterwards.
+    /// Stores all blocks of `chain` with `tick` as their last use and evicts blocks above the
+    /// capacity.
     pub(crate) fn touch(&mut self, chain: &[PrefixKey], tick: u64) {
         for (depth, key) in chain.iter().enumerate() {
             let depth = depth as u32;
-            match self.held.insert(*key, (tick, depth)) {
+            match self.blocks.insert(*key, (tick, depth)) {
                 Some((used, depth)) => {
-                    self.order.remove(&(used, Reverse(depth), *key));
+                    self.lru_order.remove(&(used, Reverse(depth), *key));
                 }
                 None => self.publish(CacheChange::Stored, *key),
             }
-            self.order.insert((tick, Reverse(depth), *key));
+            self.lru_order.insert((tick, Reverse(depth), *key));
         }
-        while self.held.len() > self.capacity {
-            let Some((_, _, key)) = self.order.pop_first() else {
+        while self.blocks.len() > self.capacity {
+            let Some((_, _, key)) = self.lru_order.pop_first() else {
                 break;
             };
-            self.held.remove(&key);
+            self.blocks.remove(&key);
             self.publish(CacheChange::Evicted, key);
         }
     }
 
-    /// Changes since the last call.
+    /// Takes the cache events since the last call.
     pub(crate) fn take_events(&mut self) -> Vec<CacheEvent> {
         std::mem::take(&mut self.events)
     }
--- a/crates/ragwortroad_bench/src/run/control_bytes.rs
+++ b/crates/ragwortroad_bench/src/run/control_bytes.rs
@@ -1,9 +1,9 @@
 use crate::WorkloadSpec;
 
-/// Bytes that a node's decisions cost on the wire, by kind.
+/// Bytes that routing decisions send over the network, by kind.
 ///
-/// Questions, answers, releases, demands and shares are counted message by message. The digests'
-/// cost is worked out: what membership sends is measured there.
+/// Slot requests, answers, releases, demands and shares are counted message by message. The size of
+/// the load digests is computed; the bytes that membership sends are measured there.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ControlBytes {
     pub(crate) slots: u64,
@@ -11,51 +11,52 @@
     pub(crate) digests: u64,
 }
 
-/// IP and UDP headers, a short QUIC header and its authentication tag, and a frame's head.
-const PACKET_BYTES: u64 = 60;
-/// Endpoint, request and customer in a question for a slot.
-const ASK_BYTES: u64 = PACKET_BYTES + 24;
-/// Request, slot or wait in its answer.
-const ANSWER_BYTES: u64 = PACKET_BYTES + 14;
+/// IP and UDP headers, a short QUIC header, its authentication tag, and a frame header.
+const PACKET_OVERHEAD_BYTES: u64 = 60;
+/// Endpoint, request and customer in a slot request.
+const SLOT_REQUEST_BYTES: u64 = PACKET_OVERHEAD_BYTES + 24;
+/// Request and slot, or request and wait, in the answer to a slot request.
+const SLOT_ANSWER_BYTES: u64 = PACKET_OVERHEAD_BYTES + 14;
 /// Endpoint, slot and outcome in a release.
-const RELEASE_BYTES: u64 = PACKET_BYTES + 17;
-/// One customer in a demand or share digest.
-const CUSTOMER_BYTES: u64 = 12;
-/// One engine in a load digest.
-const ENGINE_BYTES: u64 = 4;
-/// Up to so many nodes each tells every other; beyond, digests are passed on.
-const FULL_MESH: u64 = 16;
-/// Nodes to which a digest is passed on.
-const FAN_OUT: u64 = 3;
+const RELEASE_BYTES: u64 = PACKET_OVERHEAD_BYTES + 17;
+/// The entry of one customer in a demand or share digest.
+const CUSTOMER_ENTRY_BYTES: u64 = 12;
+/// The entry of one engine in a load digest.
+const ENGINE_ENTRY_BYTES: u64 = 4;
+/// Largest fleet in which every node sends digests to every other; in larger fleets nodes forward
+/// them by gossip.
+const MAX_FULL_MESH_NODES: u64 = 16;
+/// Number of nodes to which a node forwards a digest.
+const GOSSIP_FANOUT: u64 = 3;
 
 impl ControlBytes {
-    /// A question.
-    pub(crate) fn ask(&mut self) {
-        self.slots += ASK_BYTES;
+    /// Counts a slot request.
+    pub(crate) fn add_slot_request(&mut self) {
+        self.slots += SLOT_REQUEST_BYTES;
     }
 
-    /// An answer.
-    pub(crate) fn answer(&mut self) {
-        self.slots += ANSWER_BYTES;
+    /// Counts the answer to a slot request.
+    pub(crate) fn add_slot_answer(&mut self) {
+        self.slots += SLOT_ANSWER_BYTES;
     }
 
-    /// A release.
-    pub(crate) fn release(&mut self) {
+    /// Counts the release of a slot.
+    pub(crate) fn add_release(&mut self) {
         self.slots += RELEASE_BYTES;
     }
 
-    /// A demand or share digest.
-    pub(crate) fn limit(&mut self, entries: usize) {
-        self.limits += PACKET_BYTES + CUSTOMER_BYTES * entries as u64;
+    /// Counts a demand or share digest with `entries` customers.
+    pub(crate) fn add_limit_digest(&mut self, entries: usize) {
+        self.limits += PACKET_OVERHEAD_BYTES + CUSTOMER_ENTRY_BYTES * entries as u64;
     }
 
-    /// One round of load digests among all nodes.
-    pub(crate) fn round(&mut self, spec: &WorkloadSpec) {
+    /// Counts one round of load digests among all nodes.
+    pub(crate) fn add_digest_round(&mut self, spec: &WorkloadSpec) {
         let (nodes, engines) = (spec.nodes as u64, spec.engines as u64);
-        self.digests += if nodes <= FULL_MESH {
-            (nodes - 1) * (nodes * PACKET_BYTES + engines * ENGINE_BYTES)
+        self.digests += if nodes <= MAX_FULL_MESH_NODES {
+            (nodes - 1) * (nodes * PACKET_OVERHEAD_BYTES + engines * ENGINE_ENTRY_BYTES)
         } else {
-            nodes * (FAN_OUT * PACKET_BYTES + engines * ENGINE_BYTES)
+            nodes * (GOSSIP_FANOUT * PACKET_OVERHEAD_BYTES + engines * ENGINE_ENTRY_BYTES)
         };
     }
 }
--- a/crates/ragwortroad_node/src/event_log.rs
+++ b/crates/ragwortroad_node/src/event_log.rs
@@ -55,7 +55,7 @@
 
     /// Returns the events that pass `filter`, as this node's part of a timeline.
     pub(crate) fn gather(&self, node: &str, zone: &str, filter: &EventFilter) -> NodeTimeline {
-        self.ring.gather(node, zone, filter, MAX_PAGE_EVENTS)
+        self.ring.query(node, zone, filter, MAX_PAGE_EVENTS)
     }
 
     fn stamp(&self) -> HybridTime {
--- a/crates/ragwortroad_timeline/src/fleet_event.rs
+++ b/crates/ragwortroad_timeline/src/fleet_event.rs
@@ -11,49 +11,49 @@
     HybridTime, //
 };
 
-/// Something that happened on a node.
+/// An event on a node.
 ///
-/// Made by update syntax from [`FleetEvent::new`]; what does not apply stays empty.
+/// Built from [`FleetEvent::new`] with struct update syntax; fields that do not apply stay empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FleetEvent {
-    /// When, by the node's hybrid clock.
+    /// Time of the event by the node's hybrid clock.
     pub stamp: HybridTime,
-    /// Counts up by one with every event the node kept; the ring sets it.
+    /// Number of the event on its node, starting at 1; set by the [`EventRing`](crate::EventRing).
     pub sequence: u64,
     /// What happened.
     pub kind: EventKind,
-    /// Who it happened to or who did it: a node's or operator's name.
+    /// Name of the node or operator that caused the event or that it concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub who: Option<String>,
-    /// Revision of the configuration.
+    /// Revision of the configuration that the event concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// Term of the leader.
+    /// Term of the leader or candidate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub term: Option<u64>,
-    /// Fencing number of an order or lease.
+    /// Fencing token of an order or lease.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fence: Option<FencingToken>,
-    /// The request.
+    /// The request that the event belongs to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
-    /// The chat.
+    /// The chat that the event belongs to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub chat: Option<ChatKey>,
-    /// The customer's name.
+    /// Name of the customer whose request it is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<String>,
-    /// The endpoint's name.
+    /// Name of the endpoint that the event concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<String>,
-    /// Anything else, for a person.
+    /// Further details as free text for operators; may be empty.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub detail: String,
 }
 
 impl FleetEvent {
-    /// An event of `kind` without anything else.
+    /// Creates an event of `kind` with all other fields empty.
     pub fn new(kind: EventKind) -> Self {
         Self {
             stamp: HybridTime::default(),
@@ -72,18 +72,18 @@
     }
 }
 
-/// The event without its stamp, as `kind name=value ...`.
+/// Formats the event without its timestamp, as `kind name=value ...`.
 impl fmt::Display for FleetEvent {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}", self.kind)?;
-        field(formatter, "who", self.who.as_ref())?;
-        field(formatter, "revision", self.revision)?;
-        field(formatter, "term", self.term)?;
-        field(formatter, "fence", self.fence)?;
-        field(formatter, "request", self.request)?;
-        field(formatter, "chat", self.chat)?;
-        field(formatter, "customer", self.customer.as_ref())?;
-        field(formatter, "endpoint", self.endpoint.as_ref())?;
+        write_field(formatter, "who", self.who.as_ref())?;
+        write_field(formatter, "revision", self.revision)?;
+        write_field(formatter, "term", self.term)?;
+        write_field(formatter, "fence", self.fence)?;
+        write_field(formatter, "request", self.request)?;
+        write_field(formatter, "chat", self.chat)?;
+        write_field(formatter, "customer", self.customer.as_ref())?;
+        write_field(formatter, "endpoint", self.endpoint.as_ref())?;
         if !self.detail.is_empty() {
             write!(formatter, " ({})", self.detail)?;
         }
@@ -91,8 +91,8 @@
     }
 }
 
-/// Writes one field, if it is there.
-fn field(
+/// Writes ` name=value` if there is a value.
+fn write_field(
     formatter: &mut fmt::Formatter<'_>,
     name: &str,
     value: Option<impl fmt::Display>,
--- a/crates/ragwortroad_timeline/src/page/event_rows.rs
+++ b/crates/ragwortroad_timeline/src/page/event_rows.rs
@@ -1,13 +1,13 @@
-//! The table below the picture.
+//! The event table below the diagram.
 
 use crate::{
     FleetTimeline,
     PlacedEvent,
-    page::text_escape::escaped,
+    page::text_escape::escape_html,
     utc_time::clock_text, //
 };
 
-/// All events, one a row.
+/// Formats all events as a table, one row per event.
 pub(crate) fn table(timeline: &FleetTimeline) -> String {
     let start = timeline.start().wall_ms();
     let rows: Vec<String> = timeline
@@ -21,10 +21,10 @@
     )
 }
 
-/// One event.
+/// Formats one row; `start` is the wall-clock time of the first event, in milliseconds since 1970.
 fn row(timeline: &FleetTimeline, placed: &PlacedEvent, start: u64) -> String {
-    let node = escaped(&timeline.lanes[placed.lane].node);
-    let event = escaped(&placed.event.to_string());
+    let node = escape_html(&timeline.lanes[placed.lane].node);
+    let event = escape_html(&placed.event.to_string());
     let wall = placed.event.stamp.wall_ms();
     let class = if placed.event.kind.is_alarming() {
         "alarm"
--- a/crates/ragwortroad_timeline/src/page/mod.rs
+++ b/crates/ragwortroad_timeline/src/page/mod.rs
@@ -1,4 +1,4 @@
-//! The time line as one page that loads nothing from elsewhere.
+//! The HTML form: a self-contained page that loads no other resource.
 
 mod event_rows;
 mod lane_picture;
@@ -10,21 +10,20 @@
     utc_time::utc_text, //
 };
 
-use text_escape::escaped;
+use text_escape::escape_html;
 
-/// The look of the page.
-const STYLE: &str = include_str!("page.css");
-/// Filters rows and points as the reader types.
+const STYLE_SHEET: &str = include_str!("page.css");
+/// Filters rows and points by the text in the search field.
 const SCRIPT: &str = include_str!("page.js");
 
-/// The page.
+/// Formats the time line as an HTML page.
 pub(crate) fn html(timeline: &FleetTimeline) -> String {
     let start = utc_text(timeline.start().wall_ms());
     let (events, nodes) = (timeline.events.len(), timeline.lanes.len());
     let summary = format!("{events} events of {nodes} nodes from {start}");
     format!(
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\n\
-         <title>Time line</title>\n<style>\n{STYLE}</style></head>\n<body>\n\
+         <title>Time line</title>\n<style>\n{STYLE_SHEET}</style></head>\n<body>\n\
          <h1>Time line</h1>\n<p>{summary}</p>\n{}{}{}\
          <p><label>Show only <input id=\"only\" size=\"40\" placeholder=\"request, endpoint, \
          kind, node\"></label></p>\n{}<script>\n{SCRIPT}</script>\n</body></html>\n",
@@ -35,7 +34,7 @@
     )
 }
 
-/// What is missing, where everybody sees it.
+/// Formats the list of missing events, which stands at the top of the page.
 fn gaps(timeline: &FleetTimeline) -> String {
     let gaps = timeline.gaps();
     if gaps.is_empty() {
@@ -43,12 +42,12 @@
     }
     let items: Vec<String> = gaps
         .iter()
-        .map(|gap| format!("<li>{}</li>", escaped(gap)))
+        .map(|gap| format!("<li>{}</li>", escape_html(gap)))
         .collect();
     format!("<ul class=\"gaps\">{}</ul>\n", items.join(""))
 }
 
-/// What the colours mean.
+/// Formats the legend of the diagram's colors.
 fn legend() -> String {
     let entries = [
         ("alarm", "trouble"),
