--- a/src/command_line.rs
+++ b/src/command_line.rs
@@ -239,8 +239,8 @@
     #[command(flatten)]
     pub(crate) access: OperatorAccess,
     /// The form to print.
-    #[arg(long, value_enum, default_value_t = TimelineForm::Text)]
-    pub(crate) format: TimelineForm,
+    #[arg(long, value_enum, default_value_t = TimelineFormat::Text)]
+    pub(crate) format: TimelineFormat,
     /// Only events of this request, as its 16 hexadecimal digits.
     #[arg(long, value_name = "HEX")]
     pub(crate) request: Option<String>,
@@ -267,7 +267,7 @@
 /// How a time line is printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(ValueEnum)]
-pub(crate) enum TimelineForm {
+pub(crate) enum TimelineFormat {
     /// One line an event.
     Text,
     /// One JSON object.
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -24,7 +24,7 @@
 };
 
 /// Fields that every line has, and that say nothing of the request.
-const FRAME_FIELDS: [&str; 5] = ["timestamp", "level", "target", "message", "request"];
+const COMMON_FIELDS: [&str; 5] = ["timestamp", "level", "target", "message", "request"];
 
 /// One line about the request.
 struct RequestLine {
@@ -37,10 +37,10 @@
 
 /// What one file has.
 #[derive(Default)]
-struct FileReading {
+struct FileScan {
     lines: Vec<RequestLine>,
     /// Lines that are no JSON object.
-    unreadable: usize,
+    malformed: usize,
 }
 
 /// Prints the lines of a request in the order of their time.
@@ -49,18 +49,18 @@
 /// first brace is passed over.
 pub(crate) fn run(options: &ExplainOptions) -> ExitStatus {
     let mut lines = Vec::new();
-    let mut silent = Vec::new();
+    let mut unmatched = Vec::new();
     for path in &options.files {
         match read_file(path, &options.request) {
-            Ok(reading) => {
-                if reading.unreadable > 0 {
-                    let count = reading.unreadable;
+            Ok(scan) => {
+                if scan.malformed > 0 {
+                    let count = scan.malformed;
                     println!("{}: {count} lines cannot be read", path.display());
                 }
-                if reading.lines.is_empty() {
-                    silent.push(path);
+                if scan.lines.is_empty() {
+                    unmatched.push(path);
                 }
-                lines.extend(reading.lines);
+                lines.extend(scan.lines);
             }
             Err(error) => {
                 eprintln!("{}: {error}; name a log file of a process", path.display());
@@ -72,7 +72,7 @@
     for line in &lines {
         print_line(line);
     }
-    print_silent(&silent);
+    print_unmatched(&unmatched);
     match lines.is_empty() {
         true => {
             println!("no file has the request {}", options.request);
@@ -89,45 +89,45 @@
     }
 }
 
-fn print_silent(silent: &[&PathBuf]) {
-    if !silent.is_empty() {
-        let names: Vec<String> = silent.iter().map(|path| file_name(path)).collect();
+fn print_unmatched(unmatched: &[&PathBuf]) {
+    if !unmatched.is_empty() {
+        let names: Vec<String> = unmatched.iter().map(|path| file_name(path)).collect();
         println!("nothing in {}", names.join(", "));
     }
 }
 
-fn read_file(path: &Path, request: &str) -> io::Result<FileReading> {
-    let mut reading = FileReading::default();
+fn read_file(path: &Path, request: &str) -> io::Result<FileScan> {
+    let mut scan = FileScan::default();
     for line in BufReader::new(File::open(path)?).split(b'\n') {
         let bytes = line?;
         let text = String::from_utf8_lossy(&bytes);
-        let Some(begin) = text.find('{') else {
-            reading.unreadable += usize::from(!text.trim().is_empty());
+        let Some(start) = text.find('{') else {
+            scan.malformed += usize::from(!text.trim().is_empty());
             continue;
         };
-        match serde_json::from_str::<Map<String, Value>>(&text[begin..]) {
+        match serde_json::from_str::<Map<String, Value>>(&text[start..]) {
             Ok(object) => {
-                let is_it = object.get("request").and_then(Value::as_str) == Some(request);
-                if is_it {
-                    reading.lines.push(to_line(path, &object));
+                let is_match = object.get("request").and_then(Value::as_str) == Some(request);
+                if is_match {
+                    scan.lines.push(to_line(path, &object));
                 }
             }
-            Err(_) => reading.unreadable += 1,
+            Err(_) => scan.malformed += 1,
         }
     }
-    Ok(reading)
+    Ok(scan)
 }
 
 fn to_line(path: &Path, object: &Map<String, Value>) -> RequestLine {
     let text = |name: &str| object.get(name).and_then(Value::as_str).unwrap_or("?");
-    let own = object
+    let fields = object
         .iter()
-        .filter(|(name, _)| !FRAME_FIELDS.contains(&name.as_str()));
+        .filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
     RequestLine {
         time: text("timestamp").to_owned(),
         file: file_name(path),
         message: text("message").to_owned(),
-        fields: own
+        fields: fields
             .map(|(name, value)| (name.clone(), value.to_string()))
             .collect(),
     }
--- a/src/commands/forward.rs
+++ b/src/commands/forward.rs
@@ -37,26 +37,26 @@
 
 use crate::{
     exit_status::ExitStatus,
-    line_quota::LineQuota,
+    log_limiter::LogLimiter,
     log_output::start_process_log, //
 };
 
 /// Time between two looks at a settings file, which may change without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const FILE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs an edge until SIGTERM or SIGINT.
 pub(crate) fn run_edge_process(path: &Path) -> ExitStatus {
     run_process(path, "edge", |settings, page, watch| {
-        let (signals, queue) = flume::unbounded();
-        let watching = watch(Box::new(move |news| {
-            let signal = match news {
-                ProcessNews::Reload(settings) => EdgeSignal::Reload(settings),
-                ProcessNews::Stop => EdgeSignal::Stop,
+        let (sender, receiver) = flume::unbounded();
+        let watcher = watch(Box::new(move |event| {
+            let signal = match event {
+                ProcessEvent::Reload(settings) => EdgeSignal::Reload(settings),
+                ProcessEvent::Stop => EdgeSignal::Stop,
             };
-            signals.send(signal).is_ok()
+            sender.send(signal).is_ok()
         }));
-        let ended = run_edge(settings, ragwortroad_platform::edge_port(), queue, page);
-        (ended.map_err(|error| error.to_string()), watching)
+        let result = run_edge(settings, ragwortroad_platform::edge_port(), receiver, page);
+        (result.map_err(|error| error.to_string()), watcher)
     })
 }
 
@@ -71,48 +71,53 @@
 }
 
 /// What runs a registry or a directory to its end.
-type RunRole = fn(
+type RoleFunction = fn(
     ForwardSettings,
     RegistryPort,
     Receiver<RegistrySignal>,
     Option<MetricsPage>,
 ) -> Result<(), RegistryError>;
 
-fn run_registry_role(path: &Path, role: &'static str, run: RunRole) -> ExitStatus {
+fn run_registry_role(path: &Path, role: &'static str, run: RoleFunction) -> ExitStatus {
     run_process(path, role, |settings, page, watch| {
-        let (signals, queue) = flume::unbounded();
-        let watching = watch(Box::new(move |news| {
-            let signal = match news {
-                ProcessNews::Reload(settings) => RegistrySignal::Reload(settings),
-                ProcessNews::Stop => RegistrySignal::Stop,
+        let (sender, receiver) = flume::unbounded();
+        let watcher = watch(Box::new(move |event| {
+            let signal = match event {
+                ProcessEvent::Reload(settings) => RegistrySignal::Reload(settings),
+                ProcessEvent::Stop => RegistrySignal::Stop,
             };
-            signals.send(signal).is_ok()
+            sender.send(signal).is_ok()
         }));
-        let ended = run(settings, ragwortroad_platform::registry_port(), queue, page);
-        (ended.map_err(|error| error.to_string()), watching)
+        let result = run(
+            settings,
+            ragwortroad_platform::registry_port(),
+            receiver,
+            page,
+        );
+        (result.map_err(|error| error.to_string()), watcher)
     })
 }
 
 /// What a process is told from outside.
-enum ProcessNews {
+enum ProcessEvent {
     Reload(Box<ForwardSettings>),
     Stop,
 }
 
 /// Passes news on; tells whether anybody still takes them.
-type TellNews = Box<dyn Fn(ProcessNews) -> bool + Send>;
+type EventCallback = Box<dyn Fn(ProcessEvent) -> bool + Send>;
 
 /// The threads that watch signals and the settings file.
-struct ProcessWatch {
+struct ProcessWatcher {
     signals: Handle,
-    end_look: Sender<()>,
+    stop_polling: Sender<()>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl ProcessWatch {
+impl ProcessWatcher {
     fn join(self) {
         self.signals.close();
-        drop(self.end_look);
+        drop(self.stop_polling);
         for thread in self.threads {
             if thread.join().is_err() {
                 tracing::error!("a thread that watches signals or settings panicked");
@@ -124,11 +129,11 @@
 fn run_process(
     path: &Path,
     role: &'static str,
-    body: impl FnOnce(
+    run_role: impl FnOnce(
         ForwardSettings,
         Option<MetricsPage>,
-        &dyn Fn(TellNews) -> ProcessWatch,
-    ) -> (Result<(), String>, ProcessWatch),
+        &dyn Fn(EventCallback) -> ProcessWatcher,
+    ) -> (Result<(), String>, ProcessWatcher),
 ) -> ExitStatus {
     let settings = match ForwardSettings::from_file(path) {
         Ok(settings) => settings,
@@ -157,22 +162,22 @@
         }
     };
     let signals = std::cell::RefCell::new(Some(signals));
-    let watched = path.to_owned();
-    let first = settings.clone();
-    let watch = |tell: TellNews| {
+    let settings_path = path.to_owned();
+    let initial = settings.clone();
+    let watch_process = |callback: EventCallback| {
         let signals = signals.borrow_mut().take();
-        let watched = WatchedFile {
-            path: watched.clone(),
-            known: first.clone(),
-            unread: log.unread.clone(),
-            quota: Arc::clone(&log.quota),
-            left_out: 0,
+        let poller = SettingsPoller {
+            path: settings_path.clone(),
+            current: initial.clone(),
+            overflow: log.overflow.clone(),
+            limiter: Arc::clone(&log.limiter),
+            reported_suppressed: 0,
         };
-        start_watch(signals, watched, tell)
+        spawn_watcher(signals, poller, callback)
     };
-    let (ended, watching) = body(settings, page, &watch);
-    watching.join();
-    match ended {
+    let (result, watcher) = run_role(settings, page, &watch_process);
+    watcher.join();
+    match result {
         Ok(()) => {
             tracing::info!(role, "stopped");
             ExitStatus::Done
@@ -185,71 +190,75 @@
     }
 }
 
-fn start_watch(signals: Option<Signals>, mut watched: WatchedFile, tell: TellNews) -> ProcessWatch {
+fn spawn_watcher(
+    signals: Option<Signals>,
+    mut poller: SettingsPoller,
+    callback: EventCallback,
+) -> ProcessWatcher {
     let Some(mut signals) = signals else {
         unreachable!("a process starts its watch once");
     };
     let handle = signals.handle();
-    let (end_look, looking) = flume::bounded::<()>(0);
-    let (hang_ups, hung_up) = flume::unbounded::<()>();
-    let (news, told) = flume::unbounded();
-    let stops = news.clone();
+    let (stop_polling, polling_stopped) = flume::bounded::<()>(0);
+    let (reload_sender, reload_receiver) = flume::unbounded::<()>();
+    let (event_sender, event_receiver) = flume::unbounded();
+    let stop_sender = event_sender.clone();
     let watch_signals = thread::spawn(move || {
         for signal in signals.forever() {
             tracing::info!(signal, "signal");
             let sent = match signal {
-                SIGHUP => hang_ups.send(()).is_ok(),
-                _ => stops.send(ProcessNews::Stop).is_ok(),
+                SIGHUP => reload_sender.send(()).is_ok(),
+                _ => stop_sender.send(ProcessEvent::Stop).is_ok(),
             };
             if !sent {
                 return;
             }
         }
     });
-    let watch_file = thread::spawn(move || {
+    let poll_settings = thread::spawn(move || {
         loop {
-            let ended = flume::Selector::new()
-                .recv(&looking, |_| true)
-                .recv(&hung_up, |_| false)
-                .wait_timeout(LOOK_EVERY);
-            if ended == Ok(true) {
+            let is_stopped = flume::Selector::new()
+                .recv(&polling_stopped, |_| true)
+                .recv(&reload_receiver, |_| false)
+                .wait_timeout(FILE_POLL_INTERVAL);
+            if is_stopped == Ok(true) {
                 return;
             }
-            watched.count_dropped();
-            let changed = watched.read_changed();
-            let reload = changed.map(|settings| ProcessNews::Reload(Box::new(settings)));
-            if reload.is_some_and(|reload| news.send(reload).is_err()) {
+            poller.report_lost_lines();
+            let changed = poller.read_changed();
+            let reload = changed.map(|settings| ProcessEvent::Reload(Box::new(settings)));
+            if reload.is_some_and(|reload| event_sender.send(reload).is_err()) {
                 return;
             }
         }
     });
-    let pass_news = thread::spawn(move || {
-        while let Ok(news) = told.recv() {
-            if !tell(news) {
+    let deliver_events = thread::spawn(move || {
+        while let Ok(event) = event_receiver.recv() {
+            if !callback(event) {
                 return;
             }
         }
     });
-    ProcessWatch {
+    ProcessWatcher {
         signals: handle,
-        end_look,
-        threads: vec![watch_signals, watch_file, pass_news],
+        stop_polling,
+        threads: vec![watch_signals, poll_settings, deliver_events],
     }
 }
 
 /// A settings file that is looked at from time to time, and what is looked at beside it.
-struct WatchedFile {
+struct SettingsPoller {
     path: PathBuf,
-    known: ForwardSettings,
+    current: ForwardSettings,
     /// Log lines that nobody read in time.
-    unread: ErrorCounter,
+    overflow: ErrorCounter,
     /// Limits and counts lines about single requests.
-    quota: Arc<LineQuota>,
+    limiter: Arc<LogLimiter>,
     /// Lines that were left out by the last look.
-    left_out: u64,
+    reported_suppressed: u64,
 }
 
-impl WatchedFile {
+impl SettingsPoller {
     /// The settings, if the file holds others than those known.
     fn read_changed(&mut self) -> Option<ForwardSettings> {
         let bytes = match fs::read(&self.path) {
@@ -260,9 +269,9 @@
             }
         };
         match ForwardSettings::from_bytes(&bytes) {
-            Ok(settings) if settings == self.known => None,
+            Ok(settings) if settings == self.current => None,
             Ok(settings) => {
-                self.known = settings.clone();
+                self.current = settings.clone();
                 Some(settings)
             }
             Err(faults) => {
@@ -273,15 +282,16 @@
     }
 
     /// Brings the metrics of lost log lines up to date, and says in the log how many were left out.
-    fn count_dropped(&mut self) {
-        let unread = self.unread.dropped_lines() as u64;
-        let left_out = self.quota.left_out();
-        metrics::counter!(metric_names::LOG_LINES_DROPPED, "reason" => "unread").absolute(unread);
-        metrics::counter!(metric_names::LOG_LINES_DROPPED, "reason" => "limit").absolute(left_out);
-        if left_out > self.left_out {
-            let lines = left_out - self.left_out;
+    fn report_lost_lines(&mut self) {
+        let overflow = self.overflow.dropped_lines() as u64;
+        let suppressed = self.limiter.suppressed();
+        metrics::counter!(metric_names::LOG_LINES_DROPPED, "reason" => "unread").absolute(overflow);
+        metrics::counter!(metric_names::LOG_LINES_DROPPED, "reason" => "limit")
+            .absolute(suppressed);
+        if suppressed > self.reported_suppressed {
+            let lines = suppressed - self.reported_suppressed;
             tracing::warn!(lines, "lines about requests were left out");
         }
-        self.left_out = left_out;
+        self.reported_suppressed = suppressed;
     }
 }
--- a/src/commands/keys.rs
+++ b/src/commands/keys.rs
@@ -11,7 +11,7 @@
 
 /// Makes a fleet's keys, or further nodes' keys where the folder has an authority already.
 pub(crate) fn run(options: &KeyOptions) -> ExitStatus {
-    match make(options) {
+    match write_keys(options) {
         Ok(()) => {
             let folder = options.out.display();
             println!(
@@ -28,7 +28,7 @@
     }
 }
 
-fn make(options: &KeyOptions) -> Result<(), TransportError> {
+fn write_keys(options: &KeyOptions) -> Result<(), TransportError> {
     let names: Vec<&str> = options.nodes.iter().map(String::as_str).collect();
     let authority = fs::read_to_string(options.out.join("authority.key"));
     if let Ok(authority_key) = authority {
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -56,11 +56,11 @@
 
 /// The surge that the options ask for, in the middle third of the run.
 fn surge(options: &LoadOptions) -> Option<SurgePlan> {
-    let run = Duration::from_secs(options.seconds);
+    let duration = Duration::from_secs(options.seconds);
     (options.surge_customers > 0).then(|| SurgePlan {
         customers: options.surge_customers,
-        from: run / 3,
-        until: run / 3 * 2,
+        from: duration / 3,
+        until: duration / 3 * 2,
         factor: options.surge_factor,
     })
 }
--- a/src/commands/operator.rs
+++ b/src/commands/operator.rs
@@ -33,7 +33,7 @@
         Ok(client) => client,
         Err(status) => return status,
     };
-    let id = options.id.clone().unwrap_or_else(fresh_id);
+    let id = options.id.clone().unwrap_or_else(generate_change_id);
     eprintln!("change id: {id} (send again with --id {id} if the answer is lost)");
     print_answer(client.change(&question.line, &id), question.json)
 }
@@ -47,7 +47,7 @@
 }
 
 /// A change id that no other change has: the time and this process.
-fn fresh_id() -> String {
+fn generate_change_id() -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let nanos = now.map_or(0, |span| span.as_nanos());
     format!("{nanos:x}-{:x}", std::process::id())
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -30,9 +30,9 @@
         Ok(secret) => secret,
         Err(status) => return status,
     };
-    let started = start_all(options, &secret);
-    let (engines, services) = match started {
-        Ok(started) => started,
+    let result = start_all(options, &secret);
+    let (engines, services) = match result {
+        Ok(standins) => standins,
         Err(error) => {
             eprintln!("{error}");
             return ExitStatus::Unusable;
@@ -43,7 +43,7 @@
         engines.len(),
         services.len()
     );
-    let status = wait(options.seconds);
+    let status = wait_for_stop(options.seconds);
     for engine in &engines {
         engine.leave();
     }
@@ -99,7 +99,7 @@
 }
 
 /// Waits for the time to be over, or for a signal where no time is given.
-fn wait(seconds: u64) -> ExitStatus {
+fn wait_for_stop(seconds: u64) -> ExitStatus {
     if seconds > 0 {
         thread::sleep(Duration::from_secs(seconds));
         return ExitStatus::Done;
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     command_line::{
-        TimelineForm,
+        TimelineFormat,
         TimelineOptions, //
     },
     commands::operator,
@@ -26,18 +26,18 @@
             return ExitStatus::BadInput;
         }
     };
-    let line = match gather_timeline(&client, &filter) {
-        Ok(line) => line,
+    let timeline = match gather_timeline(&client, &filter) {
+        Ok(timeline) => timeline,
         Err(error) => {
             eprintln!("{error}");
             return ExitStatus::Unusable;
         }
     };
     match options.format {
-        TimelineForm::Text => print!("{}", line.to_text()),
-        TimelineForm::Json => println!("{}", line.to_json()),
-        TimelineForm::Trace => println!("{}", line.to_trace()),
-        TimelineForm::Html => println!("{}", line.to_html()),
+        TimelineFormat::Text => print!("{}", timeline.to_text()),
+        TimelineFormat::Json => println!("{}", timeline.to_json()),
+        TimelineFormat::Trace => println!("{}", timeline.to_trace()),
+        TimelineFormat::Html => println!("{}", timeline.to_html()),
     }
     ExitStatus::Done
 }
--- a/src/line_quota.rs
+++ b/src/log_limiter.rs
@@ -13,39 +13,39 @@
 /// An edge with twenty requests a second writes two or three lines for each; this is some ten times
 /// that. Lines took 6.5 and 8.1 % of the processor time of a busy day on two sites; without a limit,
 /// callers who repeat at once and often would have an edge spend its time on their refusals.
-const LINES_A_SECOND: u64 = 500;
+const REQUEST_LINES_PER_SECOND: u64 = 500;
 
 /// Counts lines about single requests, and those that are left out.
 ///
 /// Lines about what a process believes are rare and never left out.
 #[derive(Debug, Default)]
-pub(crate) struct LineQuota {
+pub(crate) struct LogLimiter {
     /// The second that is being counted, in seconds of any steady clock.
     second: AtomicU64,
     /// Lines that were wanted in it.
-    wanted: AtomicU64,
+    requested: AtomicU64,
     /// Lines that were left out since the start.
-    left_out: AtomicU64,
+    suppressed: AtomicU64,
 }
 
-impl LineQuota {
+impl LogLimiter {
     /// Whether another line may be written in this second.
     ///
     /// Two threads that see a new second at the same time may both reset the count, which costs
     /// nothing but a few lines more.
     pub(crate) fn admit(&self, second: u64) -> bool {
         if self.second.swap(second, Ordering::Relaxed) != second {
-            self.wanted.store(0, Ordering::Relaxed);
+            self.requested.store(0, Ordering::Relaxed);
         }
-        let admits = self.wanted.fetch_add(1, Ordering::Relaxed) < LINES_A_SECOND;
+        let admits = self.requested.fetch_add(1, Ordering::Relaxed) < REQUEST_LINES_PER_SECOND;
         if !admits {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.suppressed.fetch_add(1, Ordering::Relaxed);
         }
         admits
     }
 
     /// Lines that were left out since the start.
-    pub(crate) fn left_out(&self) -> u64 {
-        self.left_out.load(Ordering::Relaxed)
+    pub(crate) fn suppressed(&self) -> u64 {
+        self.suppressed.load(Ordering::Relaxed)
     }
 }
--- a/src/log_output.rs
+++ b/src/log_output.rs
@@ -21,22 +21,22 @@
     util::SubscriberInitExt, //
 };
 
-use crate::line_quota::LineQuota;
+use crate::log_limiter::LogLimiter;
 
 /// Lines that wait to be written at most; further ones are dropped.
 ///
 /// A reader of standard output that stops reading must not stop requests. At some hundred bytes a
 /// line this is two megabytes.
-const WAITING_LINES: usize = 8192;
+const MAX_BUFFERED_LINES: usize = 8192;
 
 /// The log of an edge or a registry while its process runs.
 pub(crate) struct ProcessLog {
     /// Writes the last lines when it is dropped.
     _guard: WorkerGuard,
     /// Lines that were dropped because nobody read them in time.
-    pub(crate) unread: ErrorCounter,
+    pub(crate) overflow: ErrorCounter,
     /// Lines about single requests that were left out.
-    pub(crate) quota: Arc<LineQuota>,
+    pub(crate) limiter: Arc<LogLimiter>,
 }
 
 /// Sends the log of an edge or a registry to standard output, a JSON object a line.
@@ -44,37 +44,37 @@
 /// Lines are written by a thread of their own, and those about single requests are limited.
 pub(crate) fn start_process_log(settings: &LogSettings) -> ProcessLog {
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .lossy(true)
         .finish(io::stdout());
-    let unread = writer.error_counter();
-    let quota = Arc::new(LineQuota::default());
-    let counted = Arc::clone(&quota);
+    let overflow = writer.error_counter();
+    let limiter = Arc::new(LogLimiter::default());
+    let filter_limiter = Arc::clone(&limiter);
     let started_at = Instant::now();
-    let limit = dynamic_filter_fn(move |metadata, _| {
+    let request_filter = dynamic_filter_fn(move |metadata, _| {
         let is_limited =
             *metadata.level() == Level::INFO && metadata.fields().field("request").is_some();
-        !is_limited || counted.admit(started_at.elapsed().as_secs())
+        !is_limited || filter_limiter.admit(started_at.elapsed().as_secs())
     });
-    let lines = tracing_subscriber::fmt::layer()
+    let layer = tracing_subscriber::fmt::layer()
         .with_writer(writer)
         .json()
         .flatten_event(true)
         .with_current_span(false)
         .with_span_list(false)
-        .with_filter(limit);
+        .with_filter(request_filter);
     let filter = EnvFilter::try_new(&settings.level).unwrap_or_else(|_| EnvFilter::new("info"));
-    let started = tracing_subscriber::registry()
+    let result = tracing_subscriber::registry()
         .with(filter)
-        .with(lines)
+        .with(layer)
         .try_init();
-    if let Err(error) = started {
+    if let Err(error) = result {
         eprintln!("the log could not be started: {error}");
     }
     ProcessLog {
         _guard: guard,
-        unread,
-        quota,
+        overflow,
+        limiter,
     }
 }
 
@@ -89,11 +89,11 @@
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(io::stderr);
-    let started = match settings.format {
+    let result = match settings.format {
         LogFormat::Text => builder.try_init(),
         LogFormat::Json => builder.json().try_init(),
     };
-    if let Err(error) = started {
+    if let Err(error) = result {
         eprintln!("the log could not be started: {error}");
     }
     if let Some(fault) = fault {
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 mod command_line;
 mod commands;
 mod exit_status;
-mod line_quota;
+mod log_limiter;
 mod log_output;
 
 use std::process::ExitCode;
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -20,46 +20,50 @@
         .unwrap()
 }
 
-fn told(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 /// Guards against nodes that start on faulty settings.
 #[test]
-fn faulty_settings_are_refused_with_line_and_remedy() {
+fn invalid_settings_are_refused_with_line_and_hint() {
     let folder = TempDir::new().unwrap();
     let path = folder.path().join("node.ini");
-    let good = include_str!("../examples/ljosmynd/rvk-a-1.ini");
-    let doubled = format!("{good}\n[node]\nname = other\n");
-    let misspelt = good.replace("zone =", "zoen =");
+    let valid = include_str!("../examples/ljosmynd/rvk-a-1.ini");
+    let with_duplicate_section = format!("{valid}\n[node]\nname = other\n");
+    let with_misspelt_key = valid.replace("zone =", "zoen =");
     let cases: [(&[u8], &str); 6] = [
         (b"[node\nname", "is not INI here"),
         (
             b"[node]\nname = Lj\xf3smynd\n",
             "line 2: file: is not UTF-8",
         ),
-        (doubled.as_bytes(), "stands twice; merge it"),
-        (misspelt.as_bytes(), "did you mean 'zone'?"),
+        (with_duplicate_section.as_bytes(), "stands twice; merge it"),
+        (with_misspelt_key.as_bytes(), "did you mean 'zone'?"),
         (b"", "node.name: is missing"),
         (b"\0\x01\x02\xff", "is not UTF-8"),
     ];
-    for (bytes, word) in cases {
+    for (bytes, expected) in cases {
         fs::write(&path, bytes).unwrap();
         for command in ["check", "serve"] {
             let output = run(&[command, "--settings", path.to_str().unwrap()]);
             assert_eq!(
                 output.status.code(),
                 Some(2),
-                "{command} of {word}: {output:?}"
+                "{command} of {expected}: {output:?}"
+            );
+            assert!(
+                stderr_text(&output).contains(expected),
+                "{command}: {}",
+                stderr_text(&output)
             );
-            assert!(told(&output).contains(word), "{command}: {}", told(&output));
         }
     }
     assert_eq!(fs::read_dir(folder.path()).unwrap().count(), 1);
 }
 
 #[test]
-fn unknown_commands_and_missing_files_are_told_apart() {
+fn invalid_arguments_and_missing_files_are_reported() {
     let cases: [(&[&str], i32, &str); 6] = [
         (&["srve"], 2, "serve"),
         (&["ask", "show nodes"], 2, "--node"),
@@ -72,7 +76,7 @@
             "is not JSON",
         ),
     ];
-    for (arguments, status, word) in cases {
+    for (arguments, status, expected) in cases {
         let output = run(arguments);
         assert_eq!(
             output.status.code(),
@@ -80,16 +84,16 @@
             "{arguments:?}: {output:?}"
         );
         assert!(
-            told(&output).contains(word),
+            stderr_text(&output).contains(expected),
             "{arguments:?}: {}",
-            told(&output)
+            stderr_text(&output)
         );
     }
 }
 
 /// Guards against changes by wrong keys or mistyped lines.
 #[test]
-fn wrong_keys_and_wrong_lines_change_nothing() {
+fn unknown_keys_and_misspelt_statements_change_nothing() {
     let fleet = SmallFleet::start(FleetPlan {
         nodes: 1,
         members: 1,
@@ -112,29 +116,29 @@
             line,
         ])
     };
-    let said = |output: &Output| String::from_utf8_lossy(&output.stdout).into_owned();
-    let wrong = change("nobody", "set multiple 2");
-    assert_eq!(wrong.status.code(), Some(1));
+    let stdout_text = |output: &Output| String::from_utf8_lossy(&output.stdout).into_owned();
+    let refused = change("nobody", "set multiple 2");
+    assert_eq!(refused.status.code(), Some(1));
     assert!(
-        said(&wrong).contains("no operator has this key"),
-        "{wrong:?}"
+        stdout_text(&refused).contains("no operator has this key"),
+        "{refused:?}"
     );
     let mistyped = change("small-fleet-operator", "set mutiple 2");
     assert_eq!(mistyped.status.code(), Some(1));
     assert!(
-        said(&mistyped).contains("did you mean 'multiple'?"),
+        stdout_text(&mistyped).contains("did you mean 'multiple'?"),
         "{mistyped:?}"
     );
     let empty = change("", "set multiple 2");
     assert_eq!(empty.status.code(), Some(3));
-    assert!(told(&empty).contains("has no key"), "{empty:?}");
+    assert!(stderr_text(&empty).contains("has no key"), "{empty:?}");
     let config = fleet.operator().ask("show config").unwrap().text;
     assert!(config.contains("multiple       1.25"), "{config}");
     fleet.stop();
 }
 
 #[test]
-fn bash_gets_completions() {
+fn completions_cover_bash() {
     let output = run(&["completions", "bash"]);
     assert!(output.status.success());
     let script = String::from_utf8(output.stdout).unwrap();
--- a/tests/example_sites.rs
+++ b/tests/example_sites.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_studios_examples_are_accepted() {
+fn ljosmynd_examples_are_valid() {
     check_site(&SiteExample {
         folder: "ljosmynd",
         region: "is-sudvestur",
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_swim_schools_examples_are_accepted() {
+fn splashmark_examples_are_valid() {
     check_site(&SiteExample {
         folder: "splashmark",
         region: "lagos",
@@ -84,11 +84,11 @@
     let members: Vec<_> = nodes.iter().filter(|node| node.is_member()).collect();
     assert_eq!(members.len(), 3);
     for member in members {
-        let named = &member.state.members;
-        let own = named.iter().find(|seed| seed.name == member.node.name);
+        let configured = &member.state.members;
+        let own = configured.iter().find(|seed| seed.name == member.node.name);
         assert_eq!(own.map(|seed| seed.peer), Some(member.node.peer));
     }
-    let config = declared(&folder.join("declarations.txt"));
+    let config = apply_declarations(&folder.join("declarations.txt"));
     assert_eq!(config.customers.len(), 10);
     let service = &config.services[site.service];
     let matches = |patterns: &BTreeSet<CallPattern>, (method, path): (&str, &str)| {
@@ -100,7 +100,7 @@
 
 /// The configuration after all changes of a declarations file: blocks divided by blank lines, each
 /// of which is one change.
-fn declared(path: &Path) -> FleetConfig {
+fn apply_declarations(path: &Path) -> FleetConfig {
     let text = fs::read_to_string(path).unwrap();
     let mut config = FleetConfig::default();
     for block in text.split("\n\n") {
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -5,7 +5,7 @@
     process::Command, //
 };
 
-const EDGE: &str = concat!(
+const EDGE_LOG: &str = concat!(
     "{\"timestamp\":\"2026-01-01T00:00:02Z\",\"level\":\"INFO\",\"message\":\"request over\",",
     "\"request\":\"r1\",\"outcome\":\"refused\",\"reason\":\"NotRun\",\"attempts\":1}\n",
     "{\"timestamp\":\"2026-01-01T00:00:01Z\",\"level\":\"INFO\",\"message\":\"attempt failed\",",
@@ -16,11 +16,11 @@
 
 /// Guards against lines of a request that are missing, out of order or cut.
 #[test]
-fn a_requests_lines_come_in_order_with_their_inputs() {
+fn log_lines_of_a_request_are_printed_in_time_order() {
     let folder = tempfile::tempdir().expect("a folder");
     let edge = folder.path().join("edge-1.log");
     let other = folder.path().join("edge-2.log");
-    fs::write(&edge, EDGE).expect("a file");
+    fs::write(&edge, EDGE_LOG).expect("a file");
     fs::write(&other, "{\"request\":\"r9\"}\n").expect("a file");
     let explain = |request: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ragwortroad"));
@@ -41,12 +41,12 @@
         .expect("the attempt");
     let end = text.find("edge-1.log: request over").expect("the end");
     assert!(attempt < end, "{text}");
-    for wanted in [
+    for expected in [
         "endpoint = \"i-1\"",
         "reason = \"NotRun\"",
         "nothing in edge-2.log",
     ] {
-        assert!(text.contains(wanted), "{wanted} is not in {text}");
+        assert!(text.contains(expected), "{expected} is not in {text}");
     }
     assert!(text.contains("1 lines cannot be read"), "{text}");
     let (text, found) = explain("r7");
--- a/tests/interface_samples.rs
+++ b/tests/interface_samples.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 /// Headers of an answer that the page shows, in its order.
-const SHOWN: [&str; 5] = [
+const SHOWN_HEADERS: [&str; 5] = [
     "content-type",
     "retry-after",
     "x-replayed",
@@ -21,7 +21,7 @@
 
 /// Guards against a page of the interface that tells what is not so.
 #[test]
-fn the_interface_page_tells_the_truth() {
+fn interface_samples_match_actual_answers() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/INTERFACE.md");
     let page = fs::read_to_string(path).unwrap();
     let fleet = SmallFleet::start(FleetPlan {
@@ -40,59 +40,59 @@
     })
     .unwrap();
     let addresses = fleet.caller_addresses();
-    let mut found = String::new();
+    let mut actual = String::new();
     let mut samples = 0;
     for (number, part) in page.split("```").enumerate() {
         let text = match part.strip_prefix("http\n").filter(|_| number % 2 == 1) {
             Some(sample) => {
                 samples += 1;
-                format!("http\n{}", answered(sample, &addresses))
+                format!("http\n{}", answer_sample(sample, &addresses))
             }
             None => part.to_owned(),
         };
         let fence = if number == 0 { "" } else { "```" };
-        found.push_str(fence);
-        found.push_str(&text);
+        actual.push_str(fence);
+        actual.push_str(&text);
     }
     fleet.stop();
     assert!(samples >= 12, "the page has only {samples} samples");
-    if page != found {
-        let beside = Path::new(env!("CARGO_TARGET_TMPDIR")).join("INTERFACE.md");
-        fs::write(&beside, &found).unwrap();
-        let lines = page.lines().zip(found.lines());
-        let first = lines.into_iter().find(|(page, found)| page != found);
+    if page != actual {
+        let actual_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("INTERFACE.md");
+        fs::write(&actual_path, &actual).unwrap();
+        let lines = page.lines().zip(actual.lines());
+        let difference = lines.into_iter().find(|(page, actual)| page != actual);
         panic!(
-            "the page differs from {}, first at {first:?}",
-            beside.display()
+            "the page differs from {}, first at {difference:?}",
+            actual_path.display()
         );
     }
 }
 
 /// The sample's request, followed by the answer that the fleet gives to it now.
-fn answered(sample: &str, addresses: &[String]) -> String {
+fn answer_sample(sample: &str, addresses: &[String]) -> String {
     let request = sample.split("\nHTTP ").next().unwrap().trim_end();
     let (head, body) = request.split_once("\n\n").unwrap_or((request, ""));
     let mut lines = head.lines();
     let (method, path) = lines.next().unwrap().split_once(' ').unwrap();
     let method = minreq::Method::Custom(method.to_owned());
-    let mut call = minreq::Request::new(method, format!("http://{}{path}", addresses[0]))
+    let mut http_request = minreq::Request::new(method, format!("http://{}{path}", addresses[0]))
         .with_follow_redirects(false)
         .with_timeout(30);
     for line in lines {
         let (name, value) = line.split_once(": ").unwrap();
-        call = call.with_header(name, value);
+        http_request = http_request.with_header(name, value);
     }
     if !body.is_empty() {
-        call = call.with_body(body);
+        http_request = http_request.with_body(body);
     }
-    let answer = call.send().unwrap();
+    let answer = http_request.send().unwrap();
     let header = |wanted: &str| {
         let mut headers = answer.headers.iter();
         let found = headers.find(|(name, _)| name.eq_ignore_ascii_case(wanted));
         found.map_or("", |(_, value)| value.as_str())
     };
     let mut text = format!("HTTP {}\n", answer.status_code);
-    for name in SHOWN {
+    for name in SHOWN_HEADERS {
         if !header(name).is_empty() {
             text.push_str(&format!("{name}: {}\n", header(name)));
         }
--- a/tests/soak/kept_caller.rs
+++ b/tests/soak/keep_alive_client.rs
@@ -13,68 +13,74 @@
 };
 
 /// Longest time for which an answer is awaited.
-const PATIENCE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What came of one request.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum KeptEnd {
+pub(crate) enum RequestOutcome {
     /// An answer with this status came in full; whether its connection goes on.
-    Answered { status: u16, goes_on: bool },
+    Answered { status: u16, keeps_alive: bool },
     /// The connection ended without an answer in full.
-    Cut,
+    Disconnected,
     /// Nobody listens there.
-    Unreached,
+    ConnectFailed,
 }
 
 /// One caller.
 #[derive(Debug, Default)]
-pub(crate) struct KeptCaller {
+pub(crate) struct KeepAliveClient {
     stream: Option<TcpStream>,
 }
 
-impl KeptCaller {
+impl KeepAliveClient {
     /// Sends a request on the connection that is open, or on a new one.
-    pub(crate) fn ask(&mut self, edge: SocketAddr, path: &str, id: &str) -> KeptEnd {
+    pub(crate) fn send(&mut self, edge: SocketAddr, path: &str, id: &str) -> RequestOutcome {
         let stream = self.stream.take().or_else(|| {
             let stream = TcpStream::connect(edge).ok()?;
-            stream.set_read_timeout(Some(PATIENCE)).ok()?;
+            stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
             Some(stream)
         });
         let Some(mut stream) = stream else {
-            return KeptEnd::Unreached;
+            return RequestOutcome::ConnectFailed;
         };
         let request = format!(
             "POST {path} HTTP/1.1\r\nHost: site.example\r\nX-Request-Id: {id}\r\n\
              X-Deadline-Ms: 3000\r\nContent-Length: 0\r\n\r\n"
         );
         if stream.write_all(request.as_bytes()).is_err() {
-            return KeptEnd::Cut;
+            return RequestOutcome::Disconnected;
         }
-        let end = read_answer(&mut stream).unwrap_or(KeptEnd::Cut);
-        if let KeptEnd::Answered { goes_on: true, .. } = end {
+        let outcome = read_answer(&mut stream).unwrap_or(RequestOutcome::Disconnected);
+        if let RequestOutcome::Answered {
+            keeps_alive: true, ..
+        } = outcome
+        {
             self.stream = Some(stream);
         }
-        end
+        outcome
     }
 }
 
 /// Reads one answer with a length; nothing if it does not come in full.
-fn read_answer(stream: &mut TcpStream) -> Option<KeptEnd> {
+fn read_answer(stream: &mut TcpStream) -> Option<RequestOutcome> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
     loop {
-        let end = bytes.windows(4).position(|window| window == b"\r\n\r\n");
-        if let Some(end) = end {
-            let head = String::from_utf8_lossy(&bytes[..end]).to_ascii_lowercase();
+        let head_end = bytes.windows(4).position(|window| window == b"\r\n\r\n");
+        if let Some(head_end) = head_end {
+            let head = String::from_utf8_lossy(&bytes[..head_end]).to_ascii_lowercase();
             let value = |name: &str| {
                 let line = head.lines().find(|line| line.starts_with(name))?;
                 Some(line[name.len()..].trim().to_owned())
             };
             let length: usize = value("content-length:")?.parse().ok()?;
-            if bytes.len() >= end + 4 + length {
+            if bytes.len() >= head_end + 4 + length {
                 let status = head.split(' ').nth(1)?.parse().ok()?;
-                let goes_on = value("connection:").as_deref() != Some("close");
-                return Some(KeptEnd::Answered { status, goes_on });
+                let keeps_alive = value("connection:").as_deref() != Some("close");
+                return Some(RequestOutcome::Answered {
+                    status,
+                    keeps_alive,
+                });
             }
         }
         let count = stream.read(&mut buffer).ok().filter(|count| *count > 0)?;
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -9,7 +9,7 @@
 mod caller;
 #[path = "../../platform/tests/whole_path/document.rs"]
 mod document;
-mod kept_caller;
+mod keep_alive_client;
 mod processes;
 mod proxy;
 #[allow(dead_code, reason = "the whole path uses more of it")]
@@ -40,9 +40,9 @@
     open_document,
     version_of, //
 };
-use kept_caller::{
-    KeptCaller,
-    KeptEnd, //
+use keep_alive_client::{
+    KeepAliveClient,
+    RequestOutcome, //
 };
 use processes::{
     SoakProcess,
@@ -64,12 +64,12 @@
 use rustix::process::Signal;
 
 /// Longest time for the fleet to serve again after the last fault.
-const RECOVERY: Duration = Duration::from_secs(30);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Seeds that failed once, with what was at fault.
 ///
 /// Real processes do not repeat to the letter, so each cause has a test of its own as well.
-const FAILED_SEEDS: [u64; 2] = [
+const REGRESSION_SEEDS: [u64; 2] = [
     // An edge gave up all endpoints when the registry with the later word of them missed them,
     // though another one went on hearing them.
     4102, 4103,
@@ -77,7 +77,7 @@
 
 /// What the threads of one run share.
 struct SoakRun {
-    is_over: AtomicBool,
+    is_finished: AtomicBool,
     edges: Vec<SocketAddr>,
     registries: Vec<SocketAddr>,
     replicas: [Replica; 2],
@@ -86,21 +86,24 @@
     /// How often each edge was ended by force.
     edge_kills: Vec<AtomicU64>,
     /// Held while a fault of the network lasts, or while it may bring none.
-    calm: Mutex<()>,
+    network_lock: Mutex<()>,
     /// Paths of what must run once at most and was said not to have run.
-    refused: Mutex<Vec<String>>,
+    refused_paths: Mutex<Vec<String>>,
     /// Highest version that an operator was told is accepted.
-    acked: AtomicU64,
-    next_call: AtomicU64,
+    accepted_version: AtomicU64,
+    next_request: AtomicU64,
     served: AtomicU64,
     /// Promises that were broken.
-    broken: Mutex<Vec<String>>,
+    violations: Mutex<Vec<String>>,
 }
 
 impl SoakRun {
-    fn note(&self, text: String) {
+    fn record_violation(&self, text: String) {
         println!("broken: {text}");
-        self.broken.lock().expect("no thread panicked").push(text);
+        self.violations
+            .lock()
+            .expect("no thread panicked")
+            .push(text);
     }
 
     fn runs(&self, path: &str) -> usize {
@@ -108,9 +111,9 @@
     }
 
     /// A caller: each call has an id and a path of its own, so that its runs can be counted.
-    fn call(&self, rng: &mut Pcg64Mcg) {
-        let call = self.next_call.fetch_add(1, Ordering::SeqCst);
-        let (kind, deed) = [
+    fn send_request(&self, rng: &mut Pcg64Mcg) {
+        let request = self.next_request.fetch_add(1, Ordering::SeqCst);
+        let (kind, action) = [
             ("safe", "ok"),
             ("safe", "crossed"),
             ("unsafe", "ok"),
@@ -119,9 +122,9 @@
             ("resumable", "breaking"),
             ("once", "stream"),
         ][rng.random_range(0..7)];
-        let path = format!("/{kind}/{call}/{deed}");
+        let path = format!("/{kind}/{request}/{action}");
         let edge = self.edges[rng.random_range(0..self.edges.len())];
-        let id = format!("call-{call}");
+        let id = format!("call-{request}");
         let headers = [("X-Request-Id", id.as_str()), ("X-Deadline-Ms", "3000")];
         let answer = send(edge, &format!("POST {path}"), &headers, b"words");
         if answer.status == 200 && answer.is_whole {
@@ -131,28 +134,28 @@
         let is_once = kind == "unsafe" || kind == "once";
         let runs = self.runs(&path);
         if is_once && runs > 1 {
-            self.note(format!("{path} ran {runs} times"));
+            self.record_violation(format!("{path} ran {runs} times"));
         }
         if is_once && answer.status == 503 && answer.is_whole {
-            let mut refused = self.refused.lock().expect("no thread panicked");
-            refused.push(path);
+            let mut refused_paths = self.refused_paths.lock().expect("no thread panicked");
+            refused_paths.push(path);
         }
     }
 
     /// A caller that keeps its connection: only force may cut what it has asked.
-    fn call_kept(&self, edge: usize, caller: &mut KeptCaller) {
-        let call = self.next_call.fetch_add(1, Ordering::SeqCst);
-        let path = format!("/safe/{call}/ok");
+    fn send_on_kept_connection(&self, edge: usize, client: &mut KeepAliveClient) {
+        let request = self.next_request.fetch_add(1, Ordering::SeqCst);
+        let path = format!("/safe/{request}/ok");
         let kills = || self.edge_kills[edge].load(Ordering::SeqCst);
-        let before = kills();
-        let end = caller.ask(self.edges[edge], &path, &format!("call-{call}"));
+        let kills_before = kills();
+        let outcome = client.send(self.edges[edge], &path, &format!("call-{request}"));
         // One that was closed before it was passed on can be sent again without harm.
-        let was_passed_on = || {
+        let was_forwarded = || {
             let arrivals = self.replicas.iter().map(|replica| replica.arrivals(&path));
             arrivals.flatten().next().is_some()
         };
-        if end == KeptEnd::Cut && before == kills() && was_passed_on() {
-            self.note(format!(
+        if outcome == RequestOutcome::Disconnected && kills_before == kills() && was_forwarded() {
+            self.record_violation(format!(
                 "{path} was cut on a kept connection to edge {edge}"
             ));
         }
@@ -160,47 +163,57 @@
 
     /// What was said not to have run must not run later either.
     fn check_refused(&self) {
-        let refused = self.refused.lock().expect("no thread panicked");
-        for path in refused.iter().filter(|path| self.runs(path) > 0) {
-            self.note(format!("{path} was said not to have run, and ran"));
+        let refused_paths = self.refused_paths.lock().expect("no thread panicked");
+        for path in refused_paths.iter().filter(|path| self.runs(path) > 0) {
+            self.record_violation(format!("{path} was said not to have run, and ran"));
         }
     }
 
     fn check_body(&self, kind: &str, path: &str, text: &str) {
-        let is_right = match kind {
+        let is_expected = match kind {
             "resumable" | "once" => {
                 let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
                 ids.eq((1..=EVENTS).map(|event| event.to_string()))
             }
             _ => text.ends_with("answers"),
         };
-        if !is_right {
-            self.note(format!("{path} was answered with {text:?}"));
+        if !is_expected {
+            self.record_violation(format!("{path} was answered with {text:?}"));
         }
     }
 
     /// An operator: declares the next version somewhere, and reads somewhere.
-    fn operate(&self, version: u64, rng: &mut Pcg64Mcg) {
-        let at = |rng: &mut Pcg64Mcg| self.registries[rng.random_range(0..self.registries.len())];
+    fn change_and_read_config(&self, version: u64, rng: &mut Pcg64Mcg) {
+        let random_registry =
+            |rng: &mut Pcg64Mcg| self.registries[rng.random_range(0..self.registries.len())];
         let document = open_document(version);
-        let answer = send(at(rng), "PUT /config", &[], document.as_bytes());
+        let answer = send(
+            random_registry(rng),
+            "PUT /config",
+            &[],
+            document.as_bytes(),
+        );
         match answer.status {
             200 => {
-                self.acked.fetch_max(version, Ordering::SeqCst);
+                self.accepted_version.fetch_max(version, Ordering::SeqCst);
+            }
+            status @ 400..=499 => {
+                self.record_violation(format!("version {version} was refused: {status}"))
             }
-            status @ 400..=499 => self.note(format!("version {version} was refused: {status}")),
             _ => {}
         }
-        let acked = self.acked.load(Ordering::SeqCst);
-        let read = send(at(rng), "GET /config", &[], b"");
+        let accepted_version = self.accepted_version.load(Ordering::SeqCst);
+        let read = send(random_registry(rng), "GET /config", &[], b"");
         let found = version_of(&read.text());
-        if read.status == 200 && read.is_whole && found < Some(acked) {
-            self.note(format!("read {found:?} after {acked} was accepted"));
+        if read.status == 200 && read.is_whole && found < Some(accepted_version) {
+            self.record_violation(format!(
+                "read {found:?} after {accepted_version} was accepted"
+            ));
         }
     }
 
     /// The endpoints announce themselves, each at the next registry that takes it.
-    fn announce(&self, sequence: u64) {
+    fn announce_endpoints(&self, sequence: u64) {
         for (replica, proxy) in self.replicas.iter().zip(&self.replica_proxies) {
             let (line, body) = announcement(&replica.name, &proxy.address.to_string(), sequence);
             self.registries
@@ -211,7 +224,7 @@
 }
 
 /// Does one thing to one process and leaves it running again, or brings all down at once.
-fn disturb(
+fn inject_process_fault(
     run: &SoakRun,
     registries: &mut [SoakProcess],
     edges: &mut [SoakProcess],
@@ -220,27 +233,27 @@
     let pause = Duration::from_millis(rng.random_range(50..1500));
     let registry = rng.random_range(0..registries.len());
     let edge = rng.random_range(0..edges.len());
-    let noise: [u8; 40] = rng.random();
+    let random_bytes: [u8; 40] = rng.random();
     match rng.random_range(0..9) {
         0 => restart(&mut registries[registry], pause, SoakProcess::kill),
         1 => {
             // One disk may be lost at a time; while the network holds the copying up, that one counts.
-            let _calm = run.calm.lock().expect("no thread panicked");
+            let _network_guard = run.network_lock.lock().expect("no thread panicked");
             restart(&mut registries[registry], pause, |process| {
                 process.kill();
-                process.wipe();
+                process.erase_data();
             });
         }
         2 => {
             run.edge_kills[edge].fetch_add(1, Ordering::SeqCst);
             restart(&mut edges[edge], pause, SoakProcess::kill);
         }
-        3 => freeze(&registries[registry], pause * 2),
-        4 => freeze(&edges[edge], pause),
+        3 => suspend(&registries[registry], pause * 2),
+        4 => suspend(&edges[edge], pause),
         5 => restart(&mut edges[edge], pause, stop),
         6 => restart(&mut registries[registry], pause, |process| {
             process.kill();
-            process.tear_log(&noise);
+            process.append_torn_write(&random_bytes);
         }),
         7 => fill_disk(&mut registries[registry], pause * 2),
         _ => {
@@ -262,23 +275,23 @@
 }
 
 /// Has a registry run for a while on a disk that takes nothing more.
-fn fill_disk(process: &mut SoakProcess, span: Duration) {
+fn fill_disk(process: &mut SoakProcess, duration: Duration) {
     process.kill();
-    process.limit_disk(Some(1));
+    process.set_disk_quota(Some(1));
     process.start();
-    thread::sleep(span);
-    process.limit_disk(None);
+    thread::sleep(duration);
+    process.set_disk_quota(None);
     restart(process, Duration::from_millis(50), SoakProcess::kill);
 }
 
 /// Does one thing to the connections behind one proxy, and lets them go on afterwards.
-fn disturb_network(proxies: &[&SoakProxy], rng: &mut Pcg64Mcg) {
+fn inject_network_fault(proxies: &[&SoakProxy], rng: &mut Pcg64Mcg) {
     let proxy = proxies[rng.random_range(0..proxies.len())];
-    let span = Duration::from_millis(rng.random_range(200..3500));
+    let duration = Duration::from_millis(rng.random_range(200..3500));
     let delay = Duration::from_millis(rng.random_range(5..300));
-    let silent = ProxyMode {
-        holds_forth: true,
-        holds_back: true,
+    let blocked = ProxyMode {
+        blocks_forward: true,
+        blocks_backward: true,
         ..ProxyMode::default()
     };
     let mode = match rng.random_range(0..5) {
@@ -287,61 +300,61 @@
             ..ProxyMode::default()
         },
         1 => ProxyMode {
-            holds_back: false,
-            ..silent
+            blocks_backward: false,
+            ..blocked
         },
         2 => ProxyMode {
-            holds_forth: false,
-            ..silent
+            blocks_forward: false,
+            ..blocked
         },
-        3 => silent,
+        3 => blocked,
         _ => {
             proxy.reset();
             return;
         }
     };
-    proxy.set(mode);
-    thread::sleep(span);
-    proxy.set(ProxyMode::default());
+    proxy.set_mode(mode);
+    thread::sleep(duration);
+    proxy.set_mode(ProxyMode::default());
 }
 
-fn restart(process: &mut SoakProcess, pause: Duration, end: impl Fn(&mut SoakProcess)) {
-    let is_counted = process.data.is_some();
-    end(process);
+fn restart(process: &mut SoakProcess, pause: Duration, terminate: impl Fn(&mut SoakProcess)) {
+    let is_registry = process.data.is_some();
+    terminate(process);
     thread::sleep(pause);
     process.start();
-    if is_counted {
+    if is_registry {
         // Only one registry may be lost at a time, and it counts until it has caught up.
         thread::sleep(Duration::from_secs(4));
     }
 }
 
-fn freeze(process: &SoakProcess, pause: Duration) {
+fn suspend(process: &SoakProcess, pause: Duration) {
     process.signal(Signal::STOP);
     thread::sleep(pause);
     process.signal(Signal::CONT);
 }
 
 /// Plays one seed; returns what was broken.
-fn soak(seed: u64, span: Duration) -> Vec<String> {
+fn run_soak(seed: u64, duration: Duration) -> Vec<String> {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut registries, mut edges) = make_processes(folder.path());
     let replicas = [Replica::start("i-one"), Replica::start("i-two")];
-    let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
-    let before = |replica: &Replica| SoakProxy::start(anywhere, replica.address);
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let start_proxy = |replica: &Replica| SoakProxy::start(any_port, replica.address);
     let run = SoakRun {
-        replica_proxies: replicas.iter().map(before).collect(),
+        replica_proxies: replicas.iter().map(start_proxy).collect(),
         edge_kills: edges.iter().map(|_| AtomicU64::new(0)).collect(),
-        refused: Mutex::default(),
-        calm: Mutex::default(),
-        is_over: AtomicBool::new(false),
+        refused_paths: Mutex::default(),
+        network_lock: Mutex::default(),
+        is_finished: AtomicBool::new(false),
         edges: edges.iter().map(|edge| edge.address).collect(),
         registries: registries.iter().map(|registry| registry.address).collect(),
         replicas,
-        acked: AtomicU64::new(0),
-        next_call: AtomicU64::new(0),
+        accepted_version: AtomicU64::new(0),
+        next_request: AtomicU64::new(0),
         served: AtomicU64::new(0),
-        broken: Mutex::new(Vec::new()),
+        violations: Mutex::new(Vec::new()),
     };
     let proxies: Vec<SoakProxy> = registries
         .iter_mut()
@@ -350,12 +363,12 @@
     registries.iter_mut().for_each(SoakProcess::start);
     edges.iter_mut().for_each(SoakProcess::start);
     thread::scope(|scope| {
-        for caller in 0..4 {
-            let mut rng = Pcg64Mcg::seed_from_u64(seed * 100 + caller);
+        for client in 0..4 {
+            let mut rng = Pcg64Mcg::seed_from_u64(seed * 100 + client);
             let run = &run;
             scope.spawn(move || {
-                while !run.is_over.load(Ordering::SeqCst) {
-                    run.call(&mut rng);
+                while !run.is_finished.load(Ordering::SeqCst) {
+                    run.send_request(&mut rng);
                     thread::sleep(Duration::from_millis(20));
                 }
             });
@@ -363,9 +376,9 @@
         let run = &run;
         for edge in 0..run.edges.len() {
             scope.spawn(move || {
-                let mut caller = KeptCaller::default();
-                while !run.is_over.load(Ordering::SeqCst) {
-                    run.call_kept(edge, &mut caller);
+                let mut client = KeepAliveClient::default();
+                while !run.is_finished.load(Ordering::SeqCst) {
+                    run.send_on_kept_connection(edge, &mut client);
                     thread::sleep(Duration::from_millis(20));
                 }
             });
@@ -373,90 +386,92 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed * 100 + 50);
         scope.spawn(move || {
             let mut version = 0;
-            while !run.is_over.load(Ordering::SeqCst) {
+            while !run.is_finished.load(Ordering::SeqCst) {
                 version += rng.random_range(1..4);
-                run.operate(version, &mut rng);
+                run.change_and_read_config(version, &mut rng);
                 thread::sleep(Duration::from_millis(100));
             }
         });
         scope.spawn(move || {
             let mut sequence = 0;
-            while !run.is_over.load(Ordering::SeqCst) {
+            while !run.is_finished.load(Ordering::SeqCst) {
                 sequence += 1;
-                run.announce(sequence);
+                run.announce_endpoints(sequence);
                 thread::sleep(Duration::from_millis(400));
             }
         });
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         thread::sleep(Duration::from_secs(2));
         // Faults of the network overlap with those of the processes.
         let mut network_rng = Pcg64Mcg::seed_from_u64(seed * 100 + 60);
         let proxies: Vec<_> = proxies.iter().chain(&run.replica_proxies).collect();
         let network = scope.spawn(move || {
-            while begun.elapsed() < span {
-                let calm = run.calm.lock().expect("no thread panicked");
-                disturb_network(&proxies, &mut network_rng);
-                drop(calm);
+            while started_at.elapsed() < duration {
+                let network_guard = run.network_lock.lock().expect("no thread panicked");
+                inject_network_fault(&proxies, &mut network_rng);
+                drop(network_guard);
                 thread::sleep(Duration::from_millis(network_rng.random_range(0..800)));
             }
         });
-        while begun.elapsed() < span {
-            disturb(run, &mut registries, &mut edges, &mut rng);
+        while started_at.elapsed() < duration {
+            inject_process_fault(run, &mut registries, &mut edges, &mut rng);
         }
         network.join().expect("no thread panicked");
         check_recovery(run);
-        run.is_over.store(true, Ordering::SeqCst);
+        run.is_finished.store(true, Ordering::SeqCst);
     });
     run.check_refused();
     let served = run.served.load(Ordering::SeqCst);
-    let acked = run.acked.load(Ordering::SeqCst);
-    println!("seed {seed}: {served} served, version {acked} accepted");
-    let broken = run.broken.into_inner().expect("no thread panicked");
-    if !broken.is_empty() {
+    let accepted_version = run.accepted_version.load(Ordering::SeqCst);
+    println!("seed {seed}: {served} served, version {accepted_version} accepted");
+    let violations = run.violations.into_inner().expect("no thread panicked");
+    if !violations.is_empty() {
         println!("logs of seed {seed}: {}", folder.keep().display());
     }
-    broken
+    violations
 }
 
 /// After the last fault every edge serves and the configuration can be read again.
 fn check_recovery(run: &SoakRun) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let serves = |edge: &SocketAddr| {
         let headers = [("X-Request-Id", "recovery"), ("X-Deadline-Ms", "2000")];
         send(*edge, "POST /safe/recovery/ok", &headers, b"").status == 200
     };
     let reads = || send(run.registries[0], "GET /config", &[], b"").status == 200;
     while !(run.edges.iter().all(serves) && reads()) {
-        if begun.elapsed() > RECOVERY {
-            run.note(format!("no service {RECOVERY:?} after the last fault"));
+        if started_at.elapsed() > RECOVERY_TIMEOUT {
+            run.record_violation(format!(
+                "no service {RECOVERY_TIMEOUT:?} after the last fault"
+            ));
             return;
         }
         thread::sleep(Duration::from_millis(100));
     }
 }
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     let text = env::var(name).ok();
     text.and_then(|text| text.parse().ok())
 }
 
 /// The seeds to play: those that the variables name, or a short one and all that ever failed.
-fn seeds() -> Vec<u64> {
-    match number("SOAK_SEED") {
-        Some(first) => (first..first + number("SOAK_SEEDS").unwrap_or(1)).collect(),
-        None => [1].into_iter().chain(FAILED_SEEDS).collect(),
+fn selected_seeds() -> Vec<u64> {
+    match env_number("SOAK_SEED") {
+        Some(first) => (first..first + env_number("SOAK_SEEDS").unwrap_or(1)).collect(),
+        None => [1].into_iter().chain(REGRESSION_SEEDS).collect(),
     }
 }
 
 /// Guards against broken promises while processes and disks come and go.
 #[test]
-fn promises_hold_while_processes_come_and_go() {
-    let span = Duration::from_secs(number("SOAK_SECONDS").unwrap_or(15));
-    let mut broken = Vec::new();
-    for seed in seeds() {
-        let found = soak(seed, span);
-        broken.extend(found.into_iter().map(|text| format!("seed {seed}: {text}")));
+fn guarantees_hold_during_process_disk_and_network_faults() {
+    let duration = Duration::from_secs(env_number("SOAK_SECONDS").unwrap_or(15));
+    let mut violations = Vec::new();
+    for seed in selected_seeds() {
+        let found = run_soak(seed, duration);
+        violations.extend(found.into_iter().map(|text| format!("seed {seed}: {text}")));
     }
-    assert!(broken.is_empty(), "{broken:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -93,7 +93,7 @@
     }
 
     /// Gives its disk this much room from the next start on, or as much as there is.
-    pub(crate) fn limit_disk(&self, bytes: Option<u64>) {
+    pub(crate) fn set_disk_quota(&self, bytes: Option<u64>) {
         let text = fs::read_to_string(&self.settings).expect("its settings");
         let kept = text.lines().filter(|line| !line.starts_with(QUOTA_KEY));
         let quota = bytes.map(|bytes| format!("{QUOTA_KEY} = {bytes}"));
@@ -102,7 +102,7 @@
     }
 
     /// Leaves half of a write behind the newest log file, as a loss of power does.
-    pub(crate) fn tear_log(&self, bytes: &[u8]) {
+    pub(crate) fn append_torn_write(&self, bytes: &[u8]) {
         let Some(data) = &self.data else {
             return;
         };
@@ -117,7 +117,7 @@
     }
 
     /// Takes its disk away.
-    pub(crate) fn wipe(&mut self) {
+    pub(crate) fn erase_data(&mut self) {
         if let Some(data) = &self.data {
             fs::remove_dir_all(data).expect("a folder");
             let text = fs::read_to_string(&self.settings).expect("its settings");
@@ -138,13 +138,13 @@
 
 /// Three registries and two edges, with addresses of their own and files below `folder`.
 pub(crate) fn make_processes(folder: &Path) -> (Vec<SoakProcess>, Vec<SoakProcess>) {
-    let net = (std::process::id() % 100) as u8 + 20;
-    let ip = |host| IpAddr::V4(Ipv4Addr::new(127, net, 200, host));
-    let hidden = |host| IpAddr::V4(Ipv4Addr::new(127, net, 201, host));
+    let subnet = (std::process::id() % 100) as u8 + 20;
+    let ip = |host| IpAddr::V4(Ipv4Addr::new(127, subnet, 200, host));
+    let bind_ip = |host| IpAddr::V4(Ipv4Addr::new(127, subnet, 201, host));
     let ports: Vec<u16> = (0..4).map(|_| free_port(ip(1))).collect();
     let at = |host, port: usize| SocketAddr::new(ip(host), ports[port]);
     let seeds: Vec<String> = (1..=3).map(|host| at(host, 1).to_string()).collect();
-    let common = |host, bind: Option<SocketAddr>| {
+    let common_settings = |host, bind: Option<SocketAddr>| {
         let bind = bind.map_or_else(String::new, |bind| format!("inner_bind = {bind}\n"));
         format!(
             "[vm]\nname = vm-{host}\nzone = a\ninner = {}\nseeds = {}\nfirst_start = true\n{bind}\
@@ -155,13 +155,14 @@
     };
     let program = folder.join("ragwortroad");
     fs::copy(env!("CARGO_BIN_EXE_ragwortroad"), &program).expect("a copy");
-    let make = |host: u8, role, own: String, data: Option<PathBuf>, address| {
+    let make = |host: u8, role, role_settings: String, data: Option<PathBuf>, address| {
         let bind = data
             .is_some()
-            .then(|| SocketAddr::new(hidden(host), ports[0]));
+            .then(|| SocketAddr::new(bind_ip(host), ports[0]));
         let proxy = bind.map(|bind| SoakProxy::start(at(host, 0), bind));
         let settings = folder.join(format!("{role}-{host}.ini"));
-        fs::write(&settings, common(host, bind) + &own).expect("a settings file");
+        fs::write(&settings, common_settings(host, bind) + &role_settings)
+            .expect("a settings file");
         SoakProcess {
             role,
             program: program.clone(),
@@ -175,22 +176,22 @@
     };
     let registry = |host| {
         let data = folder.join(format!("data-{host}"));
-        let own = format!(
+        let role_settings = format!(
             "[registry]\ncontrol = {}\ndirectory = {}\ndata_folder = {}\n\
              trust_disk = true\n",
             at(host, 1),
             at(host, 2),
             data.display()
         );
-        make(host, "registry", own, Some(data), at(host, 1))
+        make(host, "registry", role_settings, Some(data), at(host, 1))
     };
     let edge = |host| {
-        let own = format!(
+        let role_settings = format!(
             "[edge]\ncallers = {}\nreadiness = {}\n",
             at(host, 2),
             at(host, 3)
         );
-        make(host, "edge", own, None, at(host, 2))
+        make(host, "edge", role_settings, None, at(host, 2))
     };
     ((1..=3).map(registry).collect(), (4..=5).map(edge).collect())
 }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -30,7 +30,7 @@
 use socket2::SockRef;
 
 /// Time after which a waiting thread looks at what it is to do.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What is done to the bytes of all connections.
 #[derive(Clone, Copy, Debug, Default)]
@@ -38,9 +38,9 @@
     /// Time by which each piece is late.
     pub(crate) delay: Duration,
     /// Whether what the dialling side sends is held back.
-    pub(crate) holds_forth: bool,
+    pub(crate) blocks_forward: bool,
     /// Whether what comes back is held back.
-    pub(crate) holds_back: bool,
+    pub(crate) blocks_backward: bool,
 }
 
 /// What the proxy's threads share.
@@ -48,8 +48,8 @@
 struct ProxyState {
     mode: Mutex<ProxyMode>,
     /// Connections made before the last change of this number are reset.
-    resets: AtomicU64,
-    is_over: AtomicBool,
+    reset_count: AtomicU64,
+    is_stopping: AtomicBool,
 }
 
 /// Stands between the processes that dial `address` and the one that listens at another.
@@ -74,19 +74,19 @@
         }
     }
 
-    pub(crate) fn set(&self, mode: ProxyMode) {
+    pub(crate) fn set_mode(&self, mode: ProxyMode) {
         *self.state.mode.lock().expect("no thread panicked") = mode;
     }
 
     /// Resets all connections.
     pub(crate) fn reset(&self) {
-        self.state.resets.fetch_add(1, Ordering::SeqCst);
+        self.state.reset_count.fetch_add(1, Ordering::SeqCst);
     }
 }
 
 impl Drop for SoakProxy {
     fn drop(&mut self) {
-        self.state.is_over.store(true, Ordering::SeqCst);
+        self.state.is_stopping.store(true, Ordering::SeqCst);
         // Wakes the accept.
         drop(TcpStream::connect(self.address));
         if let Some(thread) = self.thread.take() {
@@ -97,28 +97,30 @@
 
 fn accept(listener: &TcpListener, target: SocketAddr, state: &Arc<ProxyState>) {
     let mut threads = Vec::new();
-    for dialled in listener.incoming() {
-        if state.is_over.load(Ordering::SeqCst) {
+    for downstream in listener.incoming() {
+        if state.is_stopping.load(Ordering::SeqCst) {
             break;
         }
-        let dialled = dialled.expect("accepts");
+        let downstream = downstream.expect("accepts");
         // The process may not run; its dialler sees a connection that ends at once.
-        let Ok(reached) = TcpStream::connect(target) else {
+        let Ok(upstream) = TcpStream::connect(target) else {
             continue;
         };
-        for stream in [&dialled, &reached] {
+        for stream in [&downstream, &upstream] {
             stream.set_nodelay(true).expect("a socket");
-            stream.set_read_timeout(Some(LOOK_EVERY)).expect("a socket");
+            stream
+                .set_read_timeout(Some(POLL_INTERVAL))
+                .expect("a socket");
         }
-        let copies = || (dialled.try_clone(), reached.try_clone());
-        for is_forth in [true, false] {
-            let (Ok(dialled), Ok(reached)) = copies() else {
+        let clone_pair = || (downstream.try_clone(), upstream.try_clone());
+        for is_forward in [true, false] {
+            let (Ok(downstream), Ok(upstream)) = clone_pair() else {
                 continue;
             };
             let state = Arc::clone(state);
-            threads.push(thread::spawn(move || match is_forth {
-                true => copy(dialled, reached, &state, true),
-                false => copy(reached, dialled, &state, false),
+            threads.push(thread::spawn(move || match is_forward {
+                true => copy(downstream, upstream, &state, true),
+                false => copy(upstream, downstream, &state, false),
             }));
         }
         threads.retain(|thread| !thread.is_finished());
@@ -129,17 +131,19 @@
 }
 
 /// Copies one direction until it ends or is reset.
-fn copy(mut from: TcpStream, mut to: TcpStream, state: &ProxyState, is_forth: bool) {
-    let resets = state.resets.load(Ordering::SeqCst);
+fn copy(mut from: TcpStream, mut to: TcpStream, state: &ProxyState, is_forward: bool) {
+    let reset_count = state.reset_count.load(Ordering::SeqCst);
     let mut buffer = vec![0; 16 << 10];
     loop {
-        if state.is_over.load(Ordering::SeqCst) || state.resets.load(Ordering::SeqCst) != resets {
+        if state.is_stopping.load(Ordering::SeqCst)
+            || state.reset_count.load(Ordering::SeqCst) != reset_count
+        {
             reset_both(&from, &to);
             return;
         }
         let mode = *state.mode.lock().expect("no thread panicked");
-        if is_forth && mode.holds_forth || !is_forth && mode.holds_back {
-            thread::sleep(LOOK_EVERY);
+        if is_forward && mode.blocks_forward || !is_forward && mode.blocks_backward {
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
         let count = match from.read(&mut buffer) {
@@ -149,7 +153,7 @@
                 return;
             }
             Ok(count) => count,
-            Err(error) if is_pause(error.kind()) => continue,
+            Err(error) if is_timeout(error.kind()) => continue,
             Err(_) => {
                 reset_both(&from, &to);
                 return;
@@ -163,7 +167,7 @@
     }
 }
 
-fn is_pause(kind: ErrorKind) -> bool {
+fn is_timeout(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
 
