--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -98,7 +98,7 @@
 }
 
 impl SoakRun {
-    fn record_violation(&self, text: String) {
+    fn record(&self, text: String) {
         println!("broken: {text}");
         self.violations
             .lock()
@@ -134,7 +134,7 @@
         let is_once = kind == "unsafe" || kind == "once";
         let runs = self.runs(&path);
         if is_once && runs > 1 {
-            self.record_violation(format!("{path} ran {runs} times"));
+            self.record(format!("{path} ran {runs} times"));
         }
         if is_once && answer.status == 503 && answer.is_whole {
             let mut refused_paths = self.refused_paths.lock().expect("no thread panicked");
@@ -155,7 +155,7 @@
             arrivals.flatten().next().is_some()
         };
         if outcome == RequestOutcome::Disconnected && kills_before == kills() && was_forwarded() {
-            self.record_violation(format!(
+            self.record(format!(
                 "{path} was cut on a kept connection to edge {edge}"
             ));
         }
@@ -165,7 +165,7 @@
     fn check_refused(&self) {
         let refused_paths = self.refused_paths.lock().expect("no thread panicked");
         for path in refused_paths.iter().filter(|path| self.runs(path) > 0) {
-            self.record_violation(format!("{path} was said not to have run, and ran"));
+            self.record(format!("{path} was said not to have run, and ran"));
         }
     }
 
@@ -178,7 +178,7 @@
             _ => text.ends_with("answers"),
         };
         if !is_expected {
-            self.record_violation(format!("{path} was answered with {text:?}"));
+            self.record(format!("{path} was answered with {text:?}"));
         }
     }
 
@@ -197,16 +197,14 @@
             200 => {
                 self.accepted_version.fetch_max(version, Ordering::SeqCst);
             }
-            status @ 400..=499 => {
-                self.record_violation(format!("version {version} was refused: {status}"))
-            }
+            status @ 400..=499 => self.record(format!("version {version} was refused: {status}")),
             _ => {}
         }
         let accepted_version = self.accepted_version.load(Ordering::SeqCst);
         let read = send(random_registry(rng), "GET /config", &[], b"");
         let found = version_of(&read.text());
         if read.status == 200 && read.is_whole && found < Some(accepted_version) {
-            self.record_violation(format!(
+            self.record(format!(
                 "read {found:?} after {accepted_version} was accepted"
             ));
         }
@@ -442,7 +440,7 @@
     let reads = || send(run.registries[0], "GET /config", &[], b"").status == 200;
     while !(run.edges.iter().all(serves) && reads()) {
         if started_at.elapsed() > RECOVERY_TIMEOUT {
-            run.record_violation(format!(
+            run.record(format!(
                 "no service {RECOVERY_TIMEOUT:?} after the last fault"
             ));
             return;
