--- a/src/command_line.rs
+++ b/src/command_line.rs
@@ -9,15 +9,15 @@
 use clap_complete::Shell;
 use ragwortroad_timeline::EventKind;
 
-/// A router fleet for very many returning chats.
+/// A distributed request router for large numbers of multi-turn chats.
 #[derive(Debug)]
 #[derive(Parser)]
 #[command(name = "ragwortroad", version, max_term_width = 100)]
 #[command(after_help = "\
 Exit status:
-  0  done
-  1  something that must hold did not, or the fleet refused
-  2  the command line or the settings have faults; nothing was started
+  0  success
+  1  a check failed, or the fleet refused the request
+  2  invalid command line or settings; nothing was started
   3  a network address, file or key could not be used
 
 Examples:
@@ -27,82 +27,81 @@
   ragwortroad serve --settings node-1.ini
   ragwortroad ask --node 127.0.0.1:8001 --key operator.key 'show endpoints'")]
 pub(crate) struct CommandLine {
-    /// What to do.
     #[command(subcommand)]
     pub(crate) command: CommandKind,
 }
 
-/// The subcommands.
+/// The subcommands; their doc comments are the help text.
 #[derive(Debug)]
 #[derive(Subcommand)]
 pub(crate) enum CommandKind {
     /// Run one node of the fleet; SIGTERM or SIGINT drains it.
     Serve(SettingsFile),
-    /// Run an edge of a fleet that forwards by host and path; SIGTERM or SIGINT drains it.
+    /// Run an edge of a fleet that routes by host and path; SIGTERM or SIGINT drains it.
     Edge(SettingsFile),
-    /// Run a registry of a fleet that forwards by host and path; it holds the configuration.
+    /// Run a registry, which holds the configuration of a fleet that routes by host and path.
     Registry(SettingsFile),
-    /// Run a directory, which tells callers the edges of a fleet that forwards by host and path.
+    /// Run a directory, which tells clients the edges of a fleet that routes by host and path.
     Directory(SettingsFile),
-    /// Report every fault of a settings file; start nothing.
+    /// Report all errors in a settings file without starting anything.
     Check(SettingsFile),
-    /// Run three nodes with stand-in endpoints on loopback, and check what callers saw.
+    /// Run three nodes with stand-in endpoints on loopback, and check the responses that clients received.
     Demo(DemoOptions),
     /// Run stand-in engines and services that announce themselves to a fleet.
     Standin(StandinOptions),
-    /// Send open-loop load to a fleet and report what callers saw.
+    /// Send open-loop load to a fleet and report the responses that clients received.
     Load(LoadOptions),
-    /// Ask the fleet what is true now.
+    /// Query the current state of the fleet.
     Ask(OperatorOptions),
-    /// Change the fleet's configuration; returns once the change is in force everywhere.
+    /// Change the fleet's configuration; returns once the change is in effect everywhere.
     Change(ChangeOptions),
-    /// Gather the time line of events from all nodes that can be reached.
+    /// Collect the timeline of events from all reachable nodes.
     Timeline(TimelineOptions),
-    /// Print one request's way through the log files of edges, in the order of time.
+    /// Print the log entries of one request from the log files of edges, ordered by time.
     Explain(ExplainOptions),
-    /// Make the certificates and keys with which nodes prove themselves to each other.
+    /// Generate the certificates and keys with which nodes authenticate each other.
     Keys(KeyOptions),
-    /// Run the decision bench: real decision code, small fakes, one seed.
+    /// Simulate routing decisions: real decision code, small fakes, one seed.
     Bench(BenchOptions),
-    /// Print one self-contained HTML page with plots of measurement files.
+    /// Print a self-contained HTML page with plots of measurement files.
     Report(ReportOptions),
     /// Print shell completions.
     Completions(CompletionOptions),
 }
 
-/// Which settings to use.
+/// Options of the commands that read a settings file.
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct SettingsFile {
-    /// INI file of this process.
+    /// Settings of this process, in INI format.
     #[arg(long, value_name = "FILE")]
     pub(crate) settings: PathBuf,
 }
 
-/// Which request to explain.
+/// Options of `explain`.
 #[derive(Debug, Args)]
 pub(crate) struct ExplainOptions {
-    /// Identity of the caller's attempt.
+    /// Request id that the client sent with its attempt.
     #[arg(value_name = "ID")]
     pub(crate) request: String,
-    /// Log files, one of each process.
+    /// Log files, one for each process.
     #[arg(value_name = "FILE", required = true)]
     pub(crate) files: Vec<PathBuf>,
 }
 
-/// How to reach the fleet as an operator.
+/// Options of the commands that connect to the fleet as an operator.
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct OperatorAccess {
-    /// Any node, as IP:port; the next one given is asked where one does not answer.
+    /// Any node, as IP:port; if it does not answer, the next one given is tried.
     #[arg(long, value_name = "IP:PORT", required = true)]
     pub(crate) node: Vec<String>,
-    /// File with the operator's key.
+    /// File whose first line is the operator's key.
     #[arg(long, value_name = "FILE")]
     pub(crate) key: PathBuf,
 }
 
-/// A question.
+/// Options of `ask`.
 #[derive(Debug)]
 #[derive(Args)]
 #[command(after_help = "\
@@ -112,19 +111,19 @@
 pub(crate) struct OperatorOptions {
     #[command(flatten)]
     pub(crate) access: OperatorAccess,
-    /// The question, in the operators' language.
+    /// The statement, in the operators' language.
     pub(crate) line: String,
     /// Print the answer as JSON.
     #[arg(long)]
     pub(crate) json: bool,
 }
 
-/// A change.
+/// Options of `change`.
 #[derive(Debug)]
 #[derive(Args)]
 #[command(after_help = "\
-A change whose answer was lost may be sent again with the same --id: it is made once, and the
-resend returns the first outcome.
+A change whose answer was lost can be sent again with the same --id: it is applied once, and the
+second request returns the result of the first.
 
 Examples:
   ragwortroad change --node 127.0.0.1:8001 --key operator.key 'set multiple 1.25'
@@ -132,16 +131,16 @@
 pub(crate) struct ChangeOptions {
     #[command(flatten)]
     pub(crate) question: OperatorOptions,
-    /// Identity of the change; drawn at random and printed where it is not given.
+    /// Id of the change; generated and printed if not given.
     #[arg(long, value_name = "ID")]
     pub(crate) id: Option<String>,
 }
 
-/// The demonstration.
+/// Options of `demo`.
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct DemoOptions {
-    /// Seed of all that is random in it.
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
     /// Chats to send.
@@ -155,7 +154,7 @@
     pub(crate) json: bool,
 }
 
-/// Stand-ins.
+/// Options of `standin`.
 #[derive(Debug)]
 #[derive(Args)]
 #[command(after_help = "\
@@ -165,61 +164,61 @@
     /// Nodes to announce to first, as IP:port.
     #[arg(long, value_name = "IP:PORT", required = true)]
     pub(crate) announce: Vec<String>,
-    /// File with the join secret.
+    /// File whose first line is the join secret.
     #[arg(long, value_name = "FILE")]
     pub(crate) join_secret: PathBuf,
-    /// Engines to run.
+    /// Number of engines to run.
     #[arg(long, default_value_t = 4)]
     pub(crate) engines: u32,
-    /// Model the engines hold.
+    /// Model that the engines serve.
     #[arg(long, default_value = "caption-llm")]
     pub(crate) model: String,
-    /// Replicas of the plain service to run.
+    /// Number of replicas of the plain service to run.
     #[arg(long, default_value_t = 1)]
     pub(crate) services: u32,
     /// Name of the plain service.
     #[arg(long, default_value = "studio-desk")]
     pub(crate) service: String,
-    /// Zones to spread them over.
+    /// Zones over which engines and replicas are spread, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "zone-a,zone-b,zone-c")]
     pub(crate) zones: Vec<String>,
-    /// Prefix of the endpoints' names.
+    /// Prefix of the endpoint names.
     #[arg(long, default_value = "standin")]
     pub(crate) name: String,
-    /// Stop after this many seconds; 0 waits for SIGTERM.
+    /// Stop after this many seconds; 0 waits for SIGTERM or SIGINT.
     #[arg(long, default_value_t = 0)]
     pub(crate) seconds: u64,
 }
 
-/// Load.
+/// Options of `load`.
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct LoadOptions {
-    /// Nodes to ask for addresses, as IP:port.
+    /// Nodes to query for addresses, as IP:port.
     #[arg(long, value_name = "IP:PORT", required = true)]
     pub(crate) node: Vec<String>,
-    /// File with one 'customer key' a line.
+    /// File with one 'NAME KEY' pair per line.
     #[arg(long, value_name = "FILE")]
     pub(crate) customers: PathBuf,
-    /// Arrivals a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 20.0)]
     pub(crate) rate: f64,
-    /// How long to send.
+    /// Duration of the run in seconds.
     #[arg(long, default_value_t = 10)]
     pub(crate) seconds: u64,
-    /// Model to ask.
+    /// Model to send chats to.
     #[arg(long, default_value = "caption-llm")]
     pub(crate) model: String,
-    /// Plain service to book at.
+    /// Plain service to send bookings and reads to.
     #[arg(long, default_value = "studio-desk")]
     pub(crate) service: String,
-    /// Seed of the arrivals.
+    /// Seed of the random arrivals.
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
-    /// How many customers, the first of the file, surge in the middle third of the run.
+    /// Number of customers, from the start of the file, that surge in the middle third of the run.
     #[arg(long, default_value_t = 0)]
     pub(crate) surge_customers: usize,
-    /// By how much the surging customers' chats multiply.
+    /// Factor by which the chats of surging customers increase.
     #[arg(long, default_value_t = 5.0)]
     pub(crate) surge_factor: f64,
     /// Print the report as JSON.
@@ -227,7 +226,7 @@
     pub(crate) json: bool,
 }
 
-/// Time line.
+/// Options of `timeline`.
 #[derive(Debug)]
 #[derive(Args)]
 #[command(after_help = "\
@@ -238,10 +237,10 @@
 pub(crate) struct TimelineOptions {
     #[command(flatten)]
     pub(crate) access: OperatorAccess,
-    /// The form to print.
+    /// Output format.
     #[arg(long, value_enum, default_value_t = TimelineFormat::Text)]
     pub(crate) format: TimelineFormat,
-    /// Only events of this request, as its 16 hexadecimal digits.
+    /// Only events of this request, given as 16 hexadecimal digits.
     #[arg(long, value_name = "HEX")]
     pub(crate) request: Option<String>,
     /// Only events of this customer.
@@ -253,10 +252,10 @@
     /// Only events of this endpoint.
     #[arg(long, value_name = "NAME")]
     pub(crate) endpoint: Option<String>,
-    /// Only events of this kind; may be given several times.
+    /// Only events of this kind; can be given several times.
     #[arg(long, value_name = "KIND")]
     pub(crate) kind: Vec<EventKind>,
-    /// Only events from this time on, in milliseconds since 1970.
+    /// Only events at or after this time, in milliseconds since 1970.
     #[arg(long, value_name = "MS")]
     pub(crate) from_ms: Option<u64>,
     /// Only events before this time, in milliseconds since 1970.
@@ -264,28 +263,28 @@
     pub(crate) until_ms: Option<u64>,
 }
 
-/// How a time line is printed.
+/// Output format of a timeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(ValueEnum)]
 pub(crate) enum TimelineFormat {
-    /// One line an event.
+    /// One line per event.
     Text,
     /// One JSON object.
     Json,
-    /// The trace-event format, which common trace viewers open.
+    /// Trace Event Format, which common trace viewers open.
     Trace,
-    /// One self-contained page.
+    /// One self-contained HTML page.
     Html,
 }
 
-/// Keys.
+/// Options of `keys`.
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct KeyOptions {
-    /// The fleet's name.
+    /// Name of the fleet.
     #[arg(long)]
     pub(crate) fleet: String,
-    /// Folder to write to; one folder a node is made in it.
+    /// Folder to write to; one folder per node is created in it.
     #[arg(long, value_name = "FOLDER")]
     pub(crate) out: PathBuf,
     /// Names of the nodes.
@@ -293,27 +292,27 @@
     pub(crate) nodes: Vec<String>,
 }
 
-/// Decision bench.
+/// Options of `bench`.
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct BenchOptions {
-    /// ljosmynd, splashmark or target.
+    /// Workload: ljosmynd, splashmark or target.
     #[arg(long, default_value = "ljosmynd")]
     pub(crate) workload: String,
-    /// calm, all, or some of churn, differing_views, surge, late_reports, event_gaps, zone_loss,
+    /// Disturbances: calm, all, or some of churn, differing_views, surge, late_reports, event_gaps, zone_loss,
     /// node_restarts, joined by '+'.
     #[arg(long, default_value = "churn")]
     pub(crate) disturbances: String,
-    /// Multiple of the workload's arrivals.
+    /// Factor by which the workload's arrival rate is multiplied.
     #[arg(long, default_value_t = 1.0)]
     pub(crate) load_factor: f64,
-    /// Seconds before the measured time.
+    /// Warm-up in seconds, which is not measured.
     #[arg(long, default_value_t = 120)]
     pub(crate) warm_seconds: u64,
-    /// Seconds measured.
+    /// Duration of the measurement in seconds.
     #[arg(long, default_value_t = 240)]
     pub(crate) seconds: u64,
-    /// Seed of the run.
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 7)]
     pub(crate) seed: u64,
     /// Print the report as JSON.
@@ -321,7 +320,7 @@
     pub(crate) json: bool,
 }
 
-/// Report.
+/// Options of `report`.
 #[derive(Debug)]
 #[derive(Args)]
 #[command(after_help = "\
@@ -333,10 +332,10 @@
     pub(crate) files: Vec<PathBuf>,
 }
 
-/// Shell completions.
+/// Options of `completions`.
 #[derive(Debug)]
 #[derive(Args)]
 pub(crate) struct CompletionOptions {
-    /// The shell.
+    /// Shell to generate completions for.
     pub(crate) shell: Shell,
 }
--- a/src/commands/bench.rs
+++ b/src/commands/bench.rs
@@ -1,4 +1,4 @@
-//! `bench`: the decision bench.
+//! `bench`: simulates routing decisions under several policies.
 
 use ragwortroad_bench::prelude::*;
 
@@ -7,12 +7,12 @@
     exit_status::ExitStatus, //
 };
 
-/// Plays the workload with each policy and prints the report; the same to the letter for the same seed.
+/// Runs the workload with each policy and prints the report, which is identical for equal seeds.
 pub(crate) fn run(options: &BenchOptions) -> ExitStatus {
     let workload = WorkloadKind::from_name(&options.workload);
     let disturbances = DisturbanceSet::from_name(&options.disturbances);
     let (Some(workload), Some(disturbances)) = (workload, disturbances) else {
-        eprintln!("no such workload or disturbance; 'ragwortroad bench --help' names them");
+        eprintln!("unknown workload or disturbance; 'ragwortroad bench --help' lists them");
         return ExitStatus::BadInput;
     };
     let report = run_bench(&BenchSettings {
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: every fault of a settings file at once.
+//! `check`: reports all errors in a settings file at once.
 
 use std::{
     fs,
@@ -9,9 +9,10 @@
 
 use crate::exit_status::ExitStatus;
 
-/// Checks the file and starts nothing.
+/// Validates the settings file without starting anything.
 ///
-/// The section `[vm]` tells the settings of an edge or a registry from those of a node.
+/// The section `[vm]` distinguishes the settings of an edge, registry or directory from those of a
+/// node.
 pub(crate) fn run(path: &Path) -> ExitStatus {
     let is_forwarding =
         fs::read_to_string(path).is_ok_and(|text| text.lines().any(|line| line.trim() == "[vm]"));
--- a/src/commands/completions.rs
+++ b/src/commands/completions.rs
@@ -1,4 +1,4 @@
-//! `completions`: what a shell needs to complete this command.
+//! `completions`: generates shell completions for this command.
 
 use std::io;
 
@@ -12,7 +12,7 @@
     exit_status::ExitStatus, //
 };
 
-/// Prints the completions for one shell.
+/// Prints the completion script for one shell.
 pub(crate) fn run(options: &CompletionOptions) -> ExitStatus {
     let mut command = CommandLine::command();
     clap_complete::generate(
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: three nodes and stand-ins in one process.
+//! `demo`: runs three nodes and stand-in endpoints in one process.
 
 use ragwortroad_demo::prelude::*;
 use ragwortroad_settings::prelude::*;
@@ -9,7 +9,7 @@
     log_output::start_log, //
 };
 
-/// Runs the demonstration and prints its report.
+/// Runs the demonstration and prints its report; fails if a check of the report fails.
 pub(crate) fn run(options: &DemoOptions) -> ExitStatus {
     start_log(&LogSettings {
         level: "error".to_owned(),
@@ -41,6 +41,6 @@
 fn print_json(report: &DemoReport) {
     match serde_json::to_string_pretty(report) {
         Ok(text) => println!("{text}"),
-        Err(error) => eprintln!("the report has no JSON form: {error}"),
+        Err(error) => eprintln!("failed to serialize the report as JSON: {error}"),
     }
 }
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: one request's way through the log files of many processes.
+//! `explain`: collects the entries of one request from the log files of many processes.
 
 use std::{
     fs::File,
@@ -23,30 +23,31 @@
     exit_status::ExitStatus, //
 };
 
-/// Fields that every line has, and that say nothing of the request.
+/// Fields that are not listed below an entry: its header shows them, or they do not concern the
+/// request.
 const COMMON_FIELDS: [&str; 5] = ["timestamp", "level", "target", "message", "request"];
 
-/// One line about the request.
+/// One log entry of the request.
 struct RequestLine {
     time: String,
     file: String,
     message: String,
-    /// What decided and what came of it, in the line's own order.
+    /// Names and JSON values of the remaining fields, in the order of the entry.
     fields: Vec<(String, String)>,
 }
 
-/// What one file has.
+/// Result of reading one log file.
 #[derive(Default)]
 struct FileScan {
     lines: Vec<RequestLine>,
-    /// Lines that are no JSON object.
+    /// Number of non-empty lines without a valid JSON object.
     malformed: usize,
 }
 
-/// Prints the lines of a request in the order of their time.
+/// Prints the log entries of a request, ordered by timestamp.
 ///
-/// A bench may put the time and the process's name before each object; what stands before the
-/// first brace is passed over.
+/// A test bench may prefix each object with the time and the name of the process; text before the
+/// first brace is ignored.
 pub(crate) fn run(options: &ExplainOptions) -> ExitStatus {
     let mut lines = Vec::new();
     let mut unmatched = Vec::new();
@@ -63,7 +64,10 @@
                 lines.extend(scan.lines);
             }
             Err(error) => {
-                eprintln!("{}: {error}; name a log file of a process", path.display());
+                eprintln!(
+                    "failed to read {}: {error}; give the log file of a process",
+                    path.display()
+                );
                 return ExitStatus::Unusable;
             }
         }
--- a/src/commands/forward.rs
+++ b/src/commands/forward.rs
@@ -1,4 +1,4 @@
-//! `edge`, `registry` and `directory`: the processes of a fleet that forwards by host and path.
+//! `edge`, `registry` and `directory`: run the processes of a fleet that routes by host and path.
 
 use std::{
     fs,
@@ -41,10 +41,10 @@
     log_output::start_process_log, //
 };
 
-/// Time between two looks at a settings file, which may change without a signal.
+/// Interval at which the settings file is polled, as it may change without a SIGHUP.
 const FILE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs an edge until SIGTERM or SIGINT.
+/// Runs an edge until SIGTERM or SIGINT; SIGHUP reloads the settings.
 pub(crate) fn run_edge_process(path: &Path) -> ExitStatus {
     run_process(path, "edge", |settings, page, watch| {
         let (sender, receiver) = flume::unbounded();
@@ -60,17 +60,17 @@
     })
 }
 
-/// Runs a registry until SIGTERM or SIGINT.
+/// Runs a registry until SIGTERM or SIGINT; SIGHUP reloads the settings.
 pub(crate) fn run_registry_process(path: &Path) -> ExitStatus {
     run_registry_role(path, "registry", run_registry)
 }
 
-/// Runs a directory until SIGTERM or SIGINT.
+/// Runs a directory until SIGTERM or SIGINT; SIGHUP reloads the settings.
 pub(crate) fn run_directory_process(path: &Path) -> ExitStatus {
     run_registry_role(path, "directory", run_directory)
 }
 
-/// What runs a registry or a directory to its end.
+/// Function that runs a registry or a directory until it stops.
 type RoleFunction = fn(
     ForwardSettings,
     RegistryPort,
@@ -98,18 +98,22 @@
     })
 }
 
-/// What a process is told from outside.
+/// Event from outside to which a process reacts.
 enum ProcessEvent {
+    /// The settings file has changed and is valid.
     Reload(Box<ForwardSettings>),
+    /// SIGTERM or SIGINT was received.
     Stop,
 }
 
-/// Passes news on; tells whether anybody still takes them.
+/// Delivers an event to the process; returns `false` once the process no longer receives events.
 type EventCallback = Box<dyn Fn(ProcessEvent) -> bool + Send>;
 
-/// The threads that watch signals and the settings file.
+/// The threads that watch for signals and changes of the settings file.
 struct ProcessWatcher {
+    /// Closing it ends the thread that waits for signals.
     signals: Handle,
+    /// Dropping it ends the thread that polls the settings file.
     stop_polling: Sender<()>,
     threads: Vec<JoinHandle<()>>,
 }
@@ -120,12 +124,16 @@
         drop(self.stop_polling);
         for thread in self.threads {
             if thread.join().is_err() {
-                tracing::error!("a thread that watches signals or settings panicked");
+                tracing::error!("a thread that watches for signals or changed settings panicked");
             }
         }
     }
 }
 
+/// Loads the settings, starts the log, signal handlers and metrics, and calls `run_role` with them.
+///
+/// `run_role` starts the watcher itself, through the function it is given, and returns it with its
+/// result.
 fn run_process(
     path: &Path,
     role: &'static str,
@@ -142,13 +150,13 @@
             return ExitStatus::BadInput;
         }
     };
-    // Dropped last, so that the last lines are written.
+    // Dropped last, so that the final lines are written.
     let log = start_process_log(&settings.log);
-    // Taken over before the first thread starts, so that no signal falls between.
+    // Installed before the first thread starts, so that no signal is missed.
     let signals = match Signals::new([SIGTERM, SIGINT, SIGHUP]) {
         Ok(signals) => signals,
         Err(error) => {
-            eprintln!("signals cannot be taken over: {error}");
+            eprintln!("failed to install the signal handlers: {error}");
             return ExitStatus::Unusable;
         }
     };
@@ -156,8 +164,8 @@
     let page = match MetricsPage::install() {
         Ok(page) => Some(page),
         Err(error) => {
-            // Callers are served all the same.
-            tracing::error!(%error, "no metrics");
+            // Clients are served without metrics as well.
+            tracing::error!(%error, "failed to install the metrics exporter; running without metrics");
             None
         }
     };
@@ -183,7 +191,7 @@
             ExitStatus::Done
         }
         Err(error) => {
-            tracing::error!(role, error, "ended");
+            tracing::error!(role, error, "process failed");
             eprintln!("{error}");
             ExitStatus::Unusable
         }
@@ -196,7 +204,7 @@
     callback: EventCallback,
 ) -> ProcessWatcher {
     let Some(mut signals) = signals else {
-        unreachable!("a process starts its watch once");
+        unreachable!("a process starts its watcher only once");
     };
     let handle = signals.handle();
     let (stop_polling, polling_stopped) = flume::bounded::<()>(0);
@@ -205,7 +213,7 @@
     let stop_sender = event_sender.clone();
     let watch_signals = thread::spawn(move || {
         for signal in signals.forever() {
-            tracing::info!(signal, "signal");
+            tracing::info!(signal, "received a signal");
             let sent = match signal {
                 SIGHUP => reload_sender.send(()).is_ok(),
                 _ => stop_sender.send(ProcessEvent::Stop).is_ok(),
@@ -246,25 +254,26 @@
     }
 }
 
-/// A settings file that is looked at from time to time, and what is looked at beside it.
+/// Polls the settings file for changes and reports lost log lines.
 struct SettingsPoller {
     path: PathBuf,
+    /// The settings that were read last without errors.
     current: ForwardSettings,
-    /// Log lines that nobody read in time.
+    /// Counts log lines that were dropped because the buffer was full.
     overflow: ErrorCounter,
-    /// Limits and counts lines about single requests.
+    /// Limits the log lines about single requests and counts those suppressed.
     limiter: Arc<LogLimiter>,
-    /// Lines that were left out by the last look.
+    /// Number of suppressed lines at the last report.
     reported_suppressed: u64,
 }
 
 impl SettingsPoller {
-    /// The settings, if the file holds others than those known.
+    /// Reads the file; returns its settings if they are valid and differ from the current ones.
     fn read_changed(&mut self) -> Option<ForwardSettings> {
         let bytes = match fs::read(&self.path) {
             Ok(bytes) => bytes,
             Err(error) => {
-                tracing::warn!(%error, "the settings cannot be read; the known ones stay in force");
+                tracing::warn!(%error, "failed to read the settings file; keeping the current settings");
                 return None;
             }
         };
@@ -275,13 +284,13 @@
                 Some(settings)
             }
             Err(faults) => {
-                tracing::warn!(%faults, "the settings have faults; the known ones stay in force");
+                tracing::warn!(%faults, "the settings file is invalid; keeping the current settings");
                 None
             }
         }
     }
 
-    /// Brings the metrics of lost log lines up to date, and says in the log how many were left out.
+    /// Updates the metrics of lost log lines and logs how many were suppressed since the last report.
     fn report_lost_lines(&mut self) {
         let overflow = self.overflow.dropped_lines() as u64;
         let suppressed = self.limiter.suppressed();
@@ -290,7 +299,7 @@
             .absolute(suppressed);
         if suppressed > self.reported_suppressed {
             let lines = suppressed - self.reported_suppressed;
-            tracing::warn!(lines, "lines about requests were left out");
+            tracing::warn!(lines, "log lines about requests were suppressed");
         }
         self.reported_suppressed = suppressed;
     }
--- a/src/commands/keys.rs
+++ b/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! `keys`: certificates and keys of a fleet's nodes.
+//! `keys`: generates certificates and keys for the nodes of a fleet.
 
 use std::fs;
 
@@ -9,7 +9,7 @@
     exit_status::ExitStatus, //
 };
 
-/// Makes a fleet's keys, or further nodes' keys where the folder has an authority already.
+/// Generates the keys of a fleet, or adds nodes if the folder already contains an authority.
 pub(crate) fn run(options: &KeyOptions) -> ExitStatus {
     match write_keys(options) {
         Ok(()) => {
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `load`: open-loop load on a running fleet.
+//! `load`: sends open-loop load to a running fleet.
 
 use std::{
     fs,
@@ -14,7 +14,7 @@
     log_output::start_log, //
 };
 
-/// Sends load and prints what callers saw.
+/// Sends the load and prints a report of the responses.
 pub(crate) fn run(options: &LoadOptions) -> ExitStatus {
     start_log(&LogSettings::default());
     let customers = match read_customers(options) {
@@ -24,7 +24,7 @@
             return ExitStatus::BadInput;
         }
     };
-    // Half of the arrivals are turns of chats, a quarter each are bookings and reads.
+    // Chat turns make up half of the requests, bookings and reads a quarter each.
     let base = LoadSettings::default();
     let settings = LoadSettings {
         nodes: options.node.clone(),
@@ -54,7 +54,8 @@
     }
 }
 
-/// The surge that the options ask for, in the middle third of the run.
+/// The surge selected by the options, in the middle third of the run; `None` without surging
+/// customers.
 fn surge(options: &LoadOptions) -> Option<SurgePlan> {
     let duration = Duration::from_secs(options.seconds);
     (options.surge_customers > 0).then(|| SurgePlan {
@@ -65,7 +66,13 @@
     })
 }
 
-/// Customers of a file with one 'NAME KEY' a line.
+/// Reads the customers from a file with one `NAME KEY` pair per line.
+///
+/// Empty lines and lines that start with `#` are ignored.
+///
+/// # Errors
+///
+/// The reason as text, if the file cannot be read, a line has no key or no customer is listed.
 fn read_customers(options: &LoadOptions) -> Result<Vec<CustomerLoad>, String> {
     let text = fs::read_to_string(&options.customers).map_err(|error| error.to_string())?;
     let mut customers = Vec::new();
@@ -76,7 +83,7 @@
         }
         let (name, key) = line
             .split_once(char::is_whitespace)
-            .ok_or_else(|| format!("line {}: write 'NAME KEY'", number + 1))?;
+            .ok_or_else(|| format!("line {}: expected 'NAME KEY'", number + 1))?;
         customers.push(CustomerLoad {
             name: name.to_owned(),
             key: key.trim().to_owned(),
@@ -84,7 +91,7 @@
         });
     }
     if customers.is_empty() {
-        return Err("names no customer; write 'NAME KEY' on a line".to_owned());
+        return Err("no customers listed; expected one 'NAME KEY' pair per line".to_owned());
     }
     Ok(customers)
 }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module a subcommand.
+//! The subcommands, one per module.
 
 mod bench;
 mod check;
@@ -20,7 +20,7 @@
     exit_status::ExitStatus, //
 };
 
-/// Runs one subcommand to its end.
+/// Runs one subcommand to completion.
 pub(crate) fn run(command: CommandKind) -> ExitStatus {
     match command {
         CommandKind::Serve(file) => serve::run(&file.settings),
--- a/src/commands/operator.rs
+++ b/src/commands/operator.rs
@@ -1,4 +1,4 @@
-//! `ask` and `change`: the operators' language over HTTP.
+//! `ask` and `change`: send statements of the operators' language over HTTP.
 
 use std::time::{
     SystemTime,
@@ -17,7 +17,7 @@
     exit_status::ExitStatus, //
 };
 
-/// Asks what is true now.
+/// Sends a query and prints the answer.
 pub(crate) fn ask(options: &OperatorOptions) -> ExitStatus {
     let client = match client(&options.access) {
         Ok(client) => client,
@@ -26,7 +26,7 @@
     print_answer(client.ask(&options.line), options.json)
 }
 
-/// Makes a change.
+/// Sends a change and prints the answer; the change id goes to standard error.
 pub(crate) fn change(options: &ChangeOptions) -> ExitStatus {
     let question = &options.question;
     let client = match client(&question.access) {
@@ -34,11 +34,15 @@
         Err(status) => return status,
     };
     let id = options.id.clone().unwrap_or_else(generate_change_id);
-    eprintln!("change id: {id} (send again with --id {id} if the answer is lost)");
+    eprintln!("change id: {id} (retry with --id {id} if the answer is lost)");
     print_answer(client.change(&question.line, &id), question.json)
 }
 
-/// An operator's client with the key from its file.
+/// Creates an operator client with the key from the key file.
+///
+/// # Errors
+///
+/// [`ExitStatus::Unusable`] if the key cannot be read; the reason has been printed.
 pub(crate) fn client(access: &OperatorAccess) -> Result<OperatorClient, ExitStatus> {
     Ok(OperatorClient {
         nodes: access.node.clone(),
@@ -46,14 +50,15 @@
     })
 }
 
-/// A change id that no other change has: the time and this process.
+/// Generates a change id from the time in nanoseconds and the process id, so that no two changes
+/// share one.
 fn generate_change_id() -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let nanos = now.map_or(0, |span| span.as_nanos());
     format!("{nanos:x}-{:x}", std::process::id())
 }
 
-/// Prints the text for a person, or the whole JSON object.
+/// Prints the human-readable text of an answer, or its whole JSON object.
 fn print_answer(answer: Result<LineAnswer, DemoError>, as_json: bool) -> ExitStatus {
     let answer = match answer {
         Ok(answer) => answer,
--- a/src/commands/report.rs
+++ b/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `report`: one page with plots from measurement files.
+//! `report`: renders measurement files as an HTML page with plots.
 
 use std::fs;
 
@@ -9,7 +9,7 @@
     exit_status::ExitStatus, //
 };
 
-/// Prints the page.
+/// Prints the HTML page to standard output.
 pub(crate) fn run(options: &ReportOptions) -> ExitStatus {
     let mut measurements = Vec::new();
     for path in &options.files {
@@ -17,7 +17,7 @@
         let text = match fs::read_to_string(path) {
             Ok(text) => text,
             Err(error) => {
-                eprintln!("cannot read {name}: {error}; give files written with --json");
+                eprintln!("failed to read {name}: {error}; give files written with --json");
                 return ExitStatus::Unusable;
             }
         };
--- a/src/commands/secret_file.rs
+++ b/src/commands/secret_file.rs
@@ -1,4 +1,4 @@
-//! Keys and secrets that stand in files of their own.
+//! Files that contain one key or secret.
 
 use std::{
     fs,
@@ -7,15 +7,16 @@
 
 use crate::exit_status::ExitStatus;
 
-/// The first line of the file at `path`, without blanks around it.
+/// Reads the first line of the file at `path`, without leading and trailing whitespace.
 ///
 /// # Errors
 ///
-/// [`ExitStatus::Unusable`], after the reason was printed.
+/// [`ExitStatus::Unusable`] if the file cannot be read or its first line is empty; the reason has
+/// been printed.
 pub(crate) fn read_secret(path: &Path) -> Result<String, ExitStatus> {
     let text = fs::read_to_string(path).map_err(|error| {
         eprintln!(
-            "cannot read {}: {error}; give a file with the key",
+            "failed to read {}: {error}; give a file that contains the key",
             path.display()
         );
         ExitStatus::Unusable
@@ -23,7 +24,7 @@
     let secret = text.lines().next().unwrap_or_default().trim();
     if secret.is_empty() {
         eprintln!(
-            "{} has no key in its first line; write it there",
+            "{} has no key in its first line; write the key there",
             path.display()
         );
         return Err(ExitStatus::Unusable);
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: one node of the fleet.
+//! `serve`: runs one node of the fleet.
 
 use std::path::Path;
 
@@ -27,11 +27,11 @@
         }
     };
     start_log(&settings.log);
-    // Taken over before the first thread starts, so that no signal falls between.
+    // Installed before the first thread starts, so that no signal is missed.
     let mut signals = match Signals::new([SIGTERM, SIGINT]) {
         Ok(signals) => signals,
         Err(error) => {
-            eprintln!("signals cannot be taken over: {error}");
+            eprintln!("failed to install the signal handlers: {error}");
             return ExitStatus::Unusable;
         }
     };
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: engines and services to try a fleet with.
+//! `standin`: runs stand-in engines and services for trying out a fleet.
 
 use std::{
     thread,
@@ -23,7 +23,7 @@
     log_output::start_log, //
 };
 
-/// Runs stand-ins until the time is over or a signal comes.
+/// Runs the stand-ins for the given time or, if it is 0, until SIGTERM or SIGINT.
 pub(crate) fn run(options: &StandinOptions) -> ExitStatus {
     start_log(&LogSettings::default());
     let secret = match read_secret(&options.join_secret) {
@@ -39,7 +39,7 @@
         }
     };
     println!(
-        "{} engines and {} services run",
+        "{} engines and {} services are running",
         engines.len(),
         services.len()
     );
@@ -53,7 +53,7 @@
     let mut records: Vec<RunRecord> = Vec::new();
     records.extend(engines.into_iter().flat_map(StandinEngine::stop));
     records.extend(services.into_iter().flat_map(StandinService::stop));
-    println!("{} requests ran", records.len());
+    println!("{} requests processed", records.len());
     status
 }
 
@@ -98,7 +98,7 @@
     Ok((engines, services))
 }
 
-/// Waits for the time to be over, or for a signal where no time is given.
+/// Sleeps for `seconds` or, if it is 0, until SIGTERM or SIGINT.
 fn wait_for_stop(seconds: u64) -> ExitStatus {
     if seconds > 0 {
         thread::sleep(Duration::from_secs(seconds));
@@ -110,7 +110,7 @@
             ExitStatus::Done
         }
         Err(error) => {
-            eprintln!("signals cannot be taken over: {error}");
+            eprintln!("failed to install the signal handlers: {error}");
             ExitStatus::Unusable
         }
     }
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! `timeline`: events of all nodes in one order.
+//! `timeline`: merges the events of all nodes into one order.
 
 use ragwortroad_demo::prelude::*;
 use ragwortroad_timeline::prelude::*;
@@ -13,7 +13,7 @@
     exit_status::ExitStatus, //
 };
 
-/// Gathers and prints the time line.
+/// Collects the timeline and prints it in the selected format.
 pub(crate) fn run(options: &TimelineOptions) -> ExitStatus {
     let client = match operator::client(&options.access) {
         Ok(client) => client,
@@ -42,11 +42,16 @@
     ExitStatus::Done
 }
 
-/// The filter that the options describe.
+/// Converts the options to an event filter.
+///
+/// # Errors
+///
+/// The reason as text, if the request id is not hexadecimal.
 fn filter(options: &TimelineOptions) -> Result<EventFilter, String> {
     let request = options.request.as_deref().map(|text| {
         let number = u64::from_str_radix(text, 16);
-        let number = number.map_err(|_| format!("'{text}' is not a request; give 16 hex digits"));
+        let number =
+            number.map_err(|_| format!("'{text}' is not a request id; give 16 hexadecimal digits"));
         number.map(RequestId)
     });
     let customer = options.customer.as_deref().unwrap_or_default();
--- a/src/exit_status.rs
+++ b/src/exit_status.rs
@@ -1,13 +1,13 @@
 use std::process::ExitCode;
 
-/// How a run of the command ended, as the shell sees it.
+/// Exit status of the command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExitStatus {
-    /// 0: done.
+    /// 0: success.
     Done,
-    /// 1: it ran, and something that must always hold did not, or a question was refused.
+    /// 1: the command ran, but a check failed or the fleet refused the request.
     Failed,
-    /// 2: the command line or the settings have faults; nothing was started.
+    /// 2: the command line or the settings are invalid; nothing was started.
     BadInput,
     /// 3: a network address, file or key could not be used.
     Unusable,
--- a/src/log_limiter.rs
+++ b/src/log_limiter.rs
@@ -1,4 +1,4 @@
-//! How many lines about single requests are written in a second.
+//! Rate limit for log lines about single requests.
 
 #[cfg(test)]
 mod tests;
@@ -8,31 +8,32 @@
     Ordering, //
 };
 
-/// Lines about single requests that a process writes in a second.
+/// Maximum number of lines about single requests that a process writes per second.
 ///
-/// An edge with twenty requests a second writes two or three lines for each; this is some ten times
-/// that. Lines took 6.5 and 8.1 % of the processor time of a busy day on two sites; without a limit,
-/// callers who repeat at once and often would have an edge spend its time on their refusals.
+/// An edge with twenty requests per second writes two or three lines for each, about a tenth of
+/// this limit. Log lines take 6.5 % and 8.1 % of the processor time at two sites under heavy load;
+/// without a limit, clients that retry immediately and often would make an edge spend its time on
+/// logging their refusals.
 const REQUEST_LINES_PER_SECOND: u64 = 500;
 
-/// Counts lines about single requests, and those that are left out.
+/// Limits the log lines about single requests and counts those that are suppressed.
 ///
-/// Lines about what a process believes are rare and never left out.
+/// Lines about the process's view of the fleet are rare and never suppressed.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimiter {
-    /// The second that is being counted, in seconds of any steady clock.
+    /// The second to which `requested` refers, in seconds of a monotonic clock.
     second: AtomicU64,
-    /// Lines that were wanted in it.
+    /// Number of lines requested in that second, including suppressed ones.
     requested: AtomicU64,
-    /// Lines that were left out since the start.
+    /// Number of lines suppressed since the process started.
     suppressed: AtomicU64,
 }
 
 impl LogLimiter {
-    /// Whether another line may be written in this second.
+    /// Returns whether another line may be written in `second`, and counts the line.
     ///
-    /// Two threads that see a new second at the same time may both reset the count, which costs
-    /// nothing but a few lines more.
+    /// Two threads that see a new second at the same time may both reset the count, which only
+    /// admits a few lines more.
     pub(crate) fn admit(&self, second: u64) -> bool {
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.requested.store(0, Ordering::Relaxed);
@@ -44,7 +45,7 @@
         admits
     }
 
-    /// Lines that were left out since the start.
+    /// Number of lines suppressed since the process started.
     pub(crate) fn suppressed(&self) -> u64 {
         self.suppressed.load(Ordering::Relaxed)
     }
--- a/src/log_output.rs
+++ b/src/log_output.rs
@@ -1,4 +1,4 @@
-//! Where log entries go.
+//! Log output of the processes.
 
 use std::{
     io,
@@ -23,25 +23,27 @@
 
 use crate::log_limiter::LogLimiter;
 
-/// Lines that wait to be written at most; further ones are dropped.
+/// Maximum number of lines buffered for standard output; further ones are dropped.
 ///
-/// A reader of standard output that stops reading must not stop requests. At some hundred bytes a
-/// line this is two megabytes.
+/// A reader of standard output that stops reading must not block requests. At a few hundred bytes
+/// per line, the buffer takes two megabytes.
 const MAX_BUFFERED_LINES: usize = 8192;
 
-/// The log of an edge or a registry while its process runs.
+/// Log of an edge, registry or directory process; must live until the process ends.
 pub(crate) struct ProcessLog {
-    /// Writes the last lines when it is dropped.
+    /// Flushes the buffered lines when dropped.
     _guard: WorkerGuard,
-    /// Lines that were dropped because nobody read them in time.
+    /// Counts lines that were dropped because the buffer was full.
     pub(crate) overflow: ErrorCounter,
-    /// Lines about single requests that were left out.
+    /// Limits the lines about single requests and counts those suppressed.
     pub(crate) limiter: Arc<LogLimiter>,
 }
 
-/// Sends the log of an edge or a registry to standard output, a JSON object a line.
+/// Writes the log of an edge, registry or directory to standard output, one JSON object per line.
 ///
-/// Lines are written by a thread of their own, and those about single requests are limited.
+/// A separate thread writes the lines. Lines about single requests, which are entries at level
+/// `INFO` with a field `request`, are limited per second. Invalid filter directives are replaced by
+/// `info`.
 pub(crate) fn start_process_log(settings: &LogSettings) -> ProcessLog {
     let (writer, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(MAX_BUFFERED_LINES)
@@ -69,7 +71,7 @@
         .with(layer)
         .try_init();
     if let Err(error) = result {
-        eprintln!("the log could not be started: {error}");
+        eprintln!("failed to start the log: {error}");
     }
     ProcessLog {
         _guard: guard,
@@ -78,10 +80,10 @@
     }
 }
 
-/// Sends the log of this process to standard error, as the settings say.
+/// Writes the log of this process to standard error, with the level and format of the settings.
 ///
-/// Faulty filter directives fall back to `info` and are reported as the first entry: a process
-/// that refuses to start for its log level would be worse than one that logs too much.
+/// Invalid filter directives are replaced by `info` and reported in the first entry: a process that
+/// refuses to start because of its log level would be worse than one that logs too much.
 pub(crate) fn start_log(settings: &LogSettings) {
     let parsed = EnvFilter::try_new(&settings.level);
     let fault = parsed.as_ref().err().map(ToString::to_string);
@@ -94,13 +96,13 @@
         LogFormat::Json => builder.json().try_init(),
     };
     if let Err(error) = result {
-        eprintln!("the log could not be started: {error}");
+        eprintln!("failed to start the log: {error}");
     }
     if let Some(fault) = fault {
         tracing::warn!(
             level = settings.level,
             fault,
-            "log level cannot be read, using info"
+            "invalid log level; using info"
         );
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `ragwortroad` command: every process of the fleet, and the tools around it.
+//! The `ragwortroad` command: the processes of a fleet and the tools to operate and test it.
 
 mod command_line;
 mod commands;
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Faulty input at the command line: a clear word, the right exit status, nothing started.
+//! Invalid input on the command line is reported clearly, with the right exit status, and starts
+//! nothing.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -24,7 +25,8 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// Guards against nodes that start on faulty settings.
+/// Guards against nodes that start with invalid settings, and against errors that do not name the
+/// place and the correction.
 #[test]
 fn invalid_settings_are_refused_with_line_and_hint() {
     let folder = TempDir::new().unwrap();
@@ -62,6 +64,8 @@
     assert_eq!(fs::read_dir(folder.path()).unwrap().count(), 1);
 }
 
+/// Guards against command-line errors that do not name the invalid argument or the missing file, or
+/// that mix up the exit statuses of invalid input (2) and unusable files (3).
 #[test]
 fn invalid_arguments_and_missing_files_are_reported() {
     let cases: [(&[&str], i32, &str); 6] = [
@@ -91,7 +95,8 @@
     }
 }
 
-/// Guards against changes by wrong keys or mistyped lines.
+/// Guards against changes with an unknown, an empty or no operator key or with a misspelt statement
+/// that still take effect.
 #[test]
 fn unknown_keys_and_misspelt_statements_change_nothing() {
     let fleet = SmallFleet::start(FleetPlan {
@@ -137,6 +142,7 @@
     fleet.stop();
 }
 
+/// Guards against a completion script for bash without the subcommands.
 #[test]
 fn completions_cover_bash() {
     let output = run(&["completions", "bash"]);
--- a/tests/example_sites.rs
+++ b/tests/example_sites.rs
@@ -1,4 +1,4 @@
-//! The example settings and declarations of both deployments.
+//! Checks the example settings and declarations of both deployments.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,19 +13,22 @@
 use ragwortroad_settings::prelude::*;
 use ragwortroad_state::prelude::*;
 
-/// What a site's examples must contain.
+/// Expected contents of the examples of one site.
 struct SiteExample {
+    /// Name of the folder below `examples/`.
     folder: &'static str,
     region: &'static str,
     zones: [&'static str; 3],
     nodes: usize,
+    /// Service to which `once` and `read` belong.
     service: &'static str,
-    /// A call that must never be repeated.
+    /// Method and path of a request that must run at most once.
     once: (&'static str, &'static str),
-    /// A call that may be.
+    /// Method and path of a request that may be repeated.
     read: (&'static str, &'static str),
 }
 
+/// Guards against examples that the current version rejects or that contradict each other.
 #[test]
 fn ljosmynd_examples_are_valid() {
     check_site(&SiteExample {
@@ -39,6 +42,7 @@
     });
 }
 
+/// Guards against examples that the current version rejects or that contradict each other.
 #[test]
 fn splashmark_examples_are_valid() {
     check_site(&SiteExample {
@@ -80,7 +84,11 @@
     let zones: BTreeSet<&str> = nodes.iter().map(|node| &*node.node.zone).collect();
     assert!(zones.into_iter().eq(site.zones));
     let peers: BTreeSet<_> = nodes.iter().map(|node| node.node.peer).collect();
-    assert_eq!(peers.len(), site.nodes, "two nodes share an address");
+    assert_eq!(
+        peers.len(),
+        site.nodes,
+        "two nodes have the same peer address"
+    );
     let members: Vec<_> = nodes.iter().filter(|node| node.is_member()).collect();
     assert_eq!(members.len(), 3);
     for member in members {
@@ -98,8 +106,9 @@
     assert!(matches(&service.idempotent, site.read) && !matches(&service.once, site.read));
 }
 
-/// The configuration after all changes of a declarations file: blocks divided by blank lines, each
-/// of which is one change.
+/// Applies all changes of a declarations file to an empty configuration.
+///
+/// Blank lines separate the changes.
 fn apply_declarations(path: &Path) -> FleetConfig {
     let text = fs::read_to_string(path).unwrap();
     let mut config = FleetConfig::default();
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `explain` finds a request's way in the log files of many processes.
+//! `explain` collects the log entries of a request from the log files of several processes.
 
 use std::{
     fs,
@@ -14,21 +14,22 @@
     "half a li",
 );
 
-/// Guards against lines of a request that are missing, out of order or cut.
+/// Guards against log entries of a request that are missing, out of order or printed without their
+/// fields, also if the last line of a file is truncated.
 #[test]
 fn log_lines_of_a_request_are_printed_in_time_order() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("failed to create a folder");
     let edge = folder.path().join("edge-1.log");
     let other = folder.path().join("edge-2.log");
-    fs::write(&edge, EDGE_LOG).expect("a file");
-    fs::write(&other, "{\"request\":\"r9\"}\n").expect("a file");
+    fs::write(&edge, EDGE_LOG).expect("failed to write a log file");
+    fs::write(&other, "{\"request\":\"r9\"}\n").expect("failed to write a log file");
     let explain = |request: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ragwortroad"));
         let output = command
             .args(["explain", request])
             .args([&edge, &other])
             .output();
-        let output = output.expect("runs");
+        let output = output.expect("failed to run the command");
         (
             String::from_utf8_lossy(&output.stdout).into_owned(),
             output.status.success(),
@@ -38,8 +39,10 @@
     assert!(found);
     let attempt = text
         .find("edge-1.log: attempt failed")
-        .expect("the attempt");
-    let end = text.find("edge-1.log: request over").expect("the end");
+        .expect("the attempt is not printed");
+    let end = text
+        .find("edge-1.log: request over")
+        .expect("the end of the request is not printed");
     assert!(attempt < end, "{text}");
     for expected in [
         "endpoint = \"i-1\"",
--- a/tests/interface_samples.rs
+++ b/tests/interface_samples.rs
@@ -1,4 +1,4 @@
-//! The samples of docs/INTERFACE.md: each request is sent, each answer compared.
+//! Sends the sample requests of `docs/INTERFACE.md` and compares the answers with the samples.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,7 +10,7 @@
 use ragwortroad_demo::prelude::*;
 use serde_json::Value;
 
-/// Headers of an answer that the page shows, in its order.
+/// Headers that the samples show, in the order of the samples.
 const SHOWN_HEADERS: [&str; 5] = [
     "content-type",
     "retry-after",
@@ -19,7 +19,7 @@
     "x-placement-hint",
 ];
 
-/// Guards against a page of the interface that tells what is not so.
+/// Guards against samples on the interface page that differ from what the fleet answers.
 #[test]
 fn interface_samples_match_actual_answers() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/INTERFACE.md");
@@ -68,7 +68,9 @@
     }
 }
 
-/// The sample's request, followed by the answer that the fleet gives to it now.
+/// Sends the request of a sample; returns the request followed by the actual answer.
+///
+/// Ids, hints and addresses, which differ between runs, are replaced by placeholders.
 fn answer_sample(sample: &str, addresses: &[String]) -> String {
     let request = sample.split("\nHTTP ").next().unwrap().trim_end();
     let (head, body) = request.split_once("\n\n").unwrap_or((request, ""));
