--- a/src/command_line.rs
+++ b/src/command_line.rs
@@ -45,11 +45,11 @@
     Directory(SettingsFile),
     /// Report all errors in a settings file without starting anything.
     Check(SettingsFile),
-    /// Run three nodes with stand-in endpoints on loopback, and check the responses that clients received.
+    /// Run three nodes with stand-in endpoints on loopback, and check what clients received.
     Demo(DemoOptions),
     /// Run stand-in engines and services that announce themselves to a fleet.
     Standin(StandinOptions),
-    /// Send open-loop load to a fleet and report the responses that clients received.
+    /// Send open-loop load to a fleet and report what clients received.
     Load(LoadOptions),
     /// Query the current state of the fleet.
     Ask(OperatorOptions),
@@ -299,8 +299,8 @@
     /// Workload: ljosmynd, splashmark or target.
     #[arg(long, default_value = "ljosmynd")]
     pub(crate) workload: String,
-    /// Disturbances: calm, all, or some of churn, differing_views, surge, late_reports, event_gaps, zone_loss,
-    /// node_restarts, joined by '+'.
+    /// Disturbances: calm, all, or some of churn, differing_views, surge, late_reports,
+    /// event_gaps, zone_loss, node_restarts, joined by '+'.
     #[arg(long, default_value = "churn")]
     pub(crate) disturbances: String,
     /// Factor by which the workload's arrival rate is multiplied.
--- a/src/commands/forward.rs
+++ b/src/commands/forward.rs
@@ -165,7 +165,7 @@
         Ok(page) => Some(page),
         Err(error) => {
             // Clients are served without metrics as well.
-            tracing::error!(%error, "failed to install the metrics exporter; running without metrics");
+            tracing::error!(%error, "failed to install the metrics exporter; metrics are off");
             None
         }
     };
@@ -273,7 +273,7 @@
         let bytes = match fs::read(&self.path) {
             Ok(bytes) => bytes,
             Err(error) => {
-                tracing::warn!(%error, "failed to read the settings file; keeping the current settings");
+                tracing::warn!(%error, "failed to read the settings; keeping the current ones");
                 return None;
             }
         };
@@ -284,13 +284,14 @@
                 Some(settings)
             }
             Err(faults) => {
-                tracing::warn!(%faults, "the settings file is invalid; keeping the current settings");
+                tracing::warn!(%faults, "the settings are invalid; keeping the current ones");
                 None
             }
         }
     }
 
-    /// Updates the metrics of lost log lines and logs how many were suppressed since the last report.
+    /// Updates the metrics of lost log lines and logs how many have been suppressed since the last
+    /// report.
     fn report_lost_lines(&mut self) {
         let overflow = self.overflow.dropped_lines() as u64;
         let suppressed = self.limiter.suppressed();
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// Guards against changes with an unknown, an empty or no operator key or with a misspelt statement
-/// that still take effect.
+/// Guards against changes that take effect despite an unknown or empty operator key or a misspelt
+/// statement.
 #[test]
 fn unknown_keys_and_misspelt_statements_change_nothing() {
     let fleet = SmallFleet::start(FleetPlan {
--- a/tests/soak/keep_alive_client.rs
+++ b/tests/soak/keep_alive_client.rs
@@ -1,4 +1,4 @@
-//! A caller that keeps one connection open until the process at its other end is gone.
+//! A client that reuses one connection until the server closes it.
 
 use std::{
     io::{
@@ -12,28 +12,28 @@
     time::Duration, //
 };
 
-/// Longest time for which an answer is awaited.
+/// Time limit for each read from the connection.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What came of one request.
+/// Outcome of one request.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum RequestOutcome {
-    /// An answer with this status came in full; whether its connection goes on.
+    /// A complete answer was received; `keeps_alive` tells whether the connection stays open.
     Answered { status: u16, keeps_alive: bool },
-    /// The connection ended without an answer in full.
+    /// The connection ended before a complete answer.
     Disconnected,
-    /// Nobody listens there.
+    /// No connection could be established.
     ConnectFailed,
 }
 
-/// One caller.
+/// A client with at most one open connection.
 #[derive(Debug, Default)]
 pub(crate) struct KeepAliveClient {
     stream: Option<TcpStream>,
 }
 
 impl KeepAliveClient {
-    /// Sends a request on the connection that is open, or on a new one.
+    /// Sends a request on the open connection, or on a new one.
     pub(crate) fn send(&mut self, edge: SocketAddr, path: &str, id: &str) -> RequestOutcome {
         let stream = self.stream.take().or_else(|| {
             let stream = TcpStream::connect(edge).ok()?;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Reads one answer with a length; nothing if it does not come in full.
+/// Reads one answer with a `Content-Length`; `None` if it is incomplete.
 fn read_answer(stream: &mut TcpStream) -> Option<RequestOutcome> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,10 +1,11 @@
-//! A randomized soak of the real programs as separate processes, with faults from outside.
+//! Randomized soak test of the real programs as separate processes, with faults injected from
+//! outside.
 //!
-//! One short seed and those that failed once run in CI. By hand, with fresh seeds and longer:
+//! CI runs one seed and the regression seeds, briefly. To run new seeds for longer:
 //! `SOAK_SEED=100 SOAK_SEEDS=50 SOAK_SECONDS=30 cargo test --release --test soak -- --nocapture`.
-//! The logs of a run that fails stay; their folder is printed.
+//! The logs of a failed run are kept; the name of their folder is printed.
 
-#[allow(dead_code, reason = "the whole path uses more of it")]
+#[allow(dead_code, reason = "the tests in `whole_path` use more of it")]
 #[path = "../../platform/tests/whole_path/caller.rs"]
 mod caller;
 #[path = "../../platform/tests/whole_path/document.rs"]
@@ -12,7 +13,7 @@
 mod keep_alive_client;
 mod processes;
 mod proxy;
-#[allow(dead_code, reason = "the whole path uses more of it")]
+#[allow(dead_code, reason = "the tests in `whole_path` use more of it")]
 #[path = "../../platform/tests/whole_path/replica.rs"]
 mod replica;
 
@@ -63,54 +64,58 @@
 };
 use rustix::process::Signal;
 
-/// Longest time for the fleet to serve again after the last fault.
+/// Time limit for the fleet to serve again after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Seeds that failed once, with what was at fault.
+/// Seeds of runs that failed, with the cause.
 ///
-/// Real processes do not repeat to the letter, so each cause has a test of its own as well.
+/// Runs of real processes are not reproducible exactly, so each cause also has a test of its own.
 const REGRESSION_SEEDS: [u64; 2] = [
-    // An edge gave up all endpoints when the registry with the later word of them missed them,
-    // though another one went on hearing them.
+    // An edge dropped all endpoints when the registry with the latest report on them no longer
+    // received their announcements, although another registry still did.
     4102, 4103,
 ];
 
-/// What the threads of one run share.
+/// State shared by the threads of one run.
 struct SoakRun {
     is_finished: AtomicBool,
     edges: Vec<SocketAddr>,
     registries: Vec<SocketAddr>,
     replicas: [Replica; 2],
-    /// What stands before each replica; its address is the one announced.
+    /// Proxy in front of each replica; its address is the announced one.
     replica_proxies: Vec<SoakProxy>,
-    /// How often each edge was ended by force.
+    /// Number of times that each edge was killed.
     edge_kills: Vec<AtomicU64>,
-    /// Held while a fault of the network lasts, or while it may bring none.
+    /// Held during a network fault, and while no network fault may be injected.
     network_lock: Mutex<()>,
-    /// Paths of what must run once at most and was said not to have run.
+    /// Paths of requests that must run at most once and were answered as not run.
     refused_paths: Mutex<Vec<String>>,
-    /// Highest version that an operator was told is accepted.
+    /// Highest configuration version that a registry has reported as accepted.
     accepted_version: AtomicU64,
     next_request: AtomicU64,
     served: AtomicU64,
-    /// Promises that were broken.
+    /// Violated guarantees.
     violations: Mutex<Vec<String>>,
 }
 
 impl SoakRun {
+    /// Records a violated guarantee.
     fn record(&self, text: String) {
-        println!("broken: {text}");
+        println!("violation: {text}");
         self.violations
             .lock()
-            .expect("no thread panicked")
+            .expect("thread panicked while holding the lock")
             .push(text);
     }
 
+    /// Number of times that the request for `path` has run on any replica.
     fn runs(&self, path: &str) -> usize {
         self.replicas.iter().map(|replica| replica.runs(path)).sum()
     }
 
-    /// A caller: each call has an id and a path of its own, so that its runs can be counted.
+    /// Sends one random request to a random edge and checks the answer.
+    ///
+    /// Each request has its own id and path, so that its runs can be counted.
     fn send_request(&self, rng: &mut Pcg64Mcg) {
         let request = self.next_request.fetch_add(1, Ordering::SeqCst);
         let (kind, action) = [
@@ -137,38 +142,47 @@
             self.record(format!("{path} ran {runs} times"));
         }
         if is_once && answer.status == 503 && answer.is_whole {
-            let mut refused_paths = self.refused_paths.lock().expect("no thread panicked");
+            let mut refused_paths = self
+                .refused_paths
+                .lock()
+                .expect("thread panicked while holding the lock");
             refused_paths.push(path);
         }
     }
 
-    /// A caller that keeps its connection: only force may cut what it has asked.
+    /// Sends one request on a connection that is kept open.
+    ///
+    /// Only a kill of the edge may end the connection before the answer.
     fn send_on_kept_connection(&self, edge: usize, client: &mut KeepAliveClient) {
         let request = self.next_request.fetch_add(1, Ordering::SeqCst);
         let path = format!("/safe/{request}/ok");
         let kills = || self.edge_kills[edge].load(Ordering::SeqCst);
         let kills_before = kills();
         let outcome = client.send(self.edges[edge], &path, &format!("call-{request}"));
-        // One that was closed before it was passed on can be sent again without harm.
+        // A request whose connection was closed before it was forwarded can safely be sent again.
         let was_forwarded = || {
             let arrivals = self.replicas.iter().map(|replica| replica.arrivals(&path));
             arrivals.flatten().next().is_some()
         };
         if outcome == RequestOutcome::Disconnected && kills_before == kills() && was_forwarded() {
             self.record(format!(
-                "{path} was cut on a kept connection to edge {edge}"
+                "the kept connection to edge {edge} was closed during {path}"
             ));
         }
     }
 
-    /// What was said not to have run must not run later either.
+    /// Checks that requests answered as not run have not run later either.
     fn check_refused(&self) {
-        let refused_paths = self.refused_paths.lock().expect("no thread panicked");
+        let refused_paths = self
+            .refused_paths
+            .lock()
+            .expect("thread panicked while holding the lock");
         for path in refused_paths.iter().filter(|path| self.runs(path) > 0) {
-            self.record(format!("{path} was said not to have run, and ran"));
+            self.record(format!("{path} was answered as not run, but ran"));
         }
     }
 
+    /// Checks that a complete answer to a request of this kind has the expected body.
     fn check_body(&self, kind: &str, path: &str, text: &str) {
         let is_expected = match kind {
             "resumable" | "once" => {
@@ -182,7 +196,10 @@
         }
     }
 
-    /// An operator: declares the next version somewhere, and reads somewhere.
+    /// Puts a configuration version to one random registry and reads the configuration from a
+    /// random one.
+    ///
+    /// The version read must not be lower than any version accepted before the read.
     fn change_and_read_config(&self, version: u64, rng: &mut Pcg64Mcg) {
         let random_registry =
             |rng: &mut Pcg64Mcg| self.registries[rng.random_range(0..self.registries.len())];
@@ -205,12 +222,12 @@
         let found = version_of(&read.text());
         if read.status == 200 && read.is_whole && found < Some(accepted_version) {
             self.record(format!(
-                "read {found:?} after {accepted_version} was accepted"
+                "read version {found:?} after {accepted_version} was accepted"
             ));
         }
     }
 
-    /// The endpoints announce themselves, each at the next registry that takes it.
+    /// Announces each endpoint to the first registry that accepts the announcement.
     fn announce_endpoints(&self, sequence: u64) {
         for (replica, proxy) in self.replicas.iter().zip(&self.replica_proxies) {
             let (line, body) = announcement(&replica.name, &proxy.address.to_string(), sequence);
@@ -221,7 +238,9 @@
     }
 }
 
-/// Does one thing to one process and leaves it running again, or brings all down at once.
+/// Injects one random fault into one process, or kills all registries at once.
+///
+/// All processes are running again when it returns.
 fn inject_process_fault(
     run: &SoakRun,
     registries: &mut [SoakProcess],
@@ -235,8 +254,12 @@
     match rng.random_range(0..9) {
         0 => restart(&mut registries[registry], pause, SoakProcess::kill),
         1 => {
-            // One disk may be lost at a time; while the network holds the copying up, that one counts.
-            let _network_guard = run.network_lock.lock().expect("no thread panicked");
+            // Only one disk may be lost at a time, and it counts as lost until its data has been
+            // copied again, which a network fault would delay.
+            let _network_guard = run
+                .network_lock
+                .lock()
+                .expect("thread panicked while holding the lock");
             restart(&mut registries[registry], pause, |process| {
                 process.kill();
                 process.erase_data();
@@ -258,13 +281,13 @@
             registries.iter_mut().for_each(SoakProcess::kill);
             thread::sleep(pause);
             registries.iter_mut().for_each(SoakProcess::start);
-            // A disk may be lost next, and the others must have what it had by then.
+            // The next fault may lose a disk; by then the others must have its data.
             thread::sleep(Duration::from_secs(3));
         }
     }
 }
 
-/// Stops a process and waits until it has ended, which it does within its grace time.
+/// Sends SIGTERM to a process and waits until it has ended, which takes at most its grace period.
 fn stop(process: &mut SoakProcess) {
     process.signal(Signal::TERM);
     while !process.has_ended() {
@@ -272,7 +295,7 @@
     }
 }
 
-/// Has a registry run for a while on a disk that takes nothing more.
+/// Runs a registry for `duration` on a full disk.
 fn fill_disk(process: &mut SoakProcess, duration: Duration) {
     process.kill();
     process.set_disk_quota(Some(1));
@@ -282,7 +305,7 @@
     restart(process, Duration::from_millis(50), SoakProcess::kill);
 }
 
-/// Does one thing to the connections behind one proxy, and lets them go on afterwards.
+/// Injects one random fault into the connections of one proxy and removes it afterwards.
 fn inject_network_fault(proxies: &[&SoakProxy], rng: &mut Pcg64Mcg) {
     let proxy = proxies[rng.random_range(0..proxies.len())];
     let duration = Duration::from_millis(rng.random_range(200..3500));
@@ -316,13 +339,14 @@
     proxy.set_mode(ProxyMode::default());
 }
 
+/// Ends a process through `terminate` and starts it again after `pause`.
 fn restart(process: &mut SoakProcess, pause: Duration, terminate: impl Fn(&mut SoakProcess)) {
     let is_registry = process.data.is_some();
     terminate(process);
     thread::sleep(pause);
     process.start();
     if is_registry {
-        // Only one registry may be lost at a time, and it counts until it has caught up.
+        // Only one registry may be lost at a time, and it counts as lost until it has caught up.
         thread::sleep(Duration::from_secs(4));
     }
 }
@@ -333,9 +357,9 @@
     process.signal(Signal::CONT);
 }
 
-/// Plays one seed; returns what was broken.
+/// Runs the soak with one seed; returns the violated guarantees.
 fn run_soak(seed: u64, duration: Duration) -> Vec<String> {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("failed to create a folder");
     let (mut registries, mut edges) = make_processes(folder.path());
     let replicas = [Replica::start("i-one"), Replica::start("i-two")];
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -406,7 +430,10 @@
         let proxies: Vec<_> = proxies.iter().chain(&run.replica_proxies).collect();
         let network = scope.spawn(move || {
             while started_at.elapsed() < duration {
-                let network_guard = run.network_lock.lock().expect("no thread panicked");
+                let network_guard = run
+                    .network_lock
+                    .lock()
+                    .expect("thread panicked while holding the lock");
                 inject_network_fault(&proxies, &mut network_rng);
                 drop(network_guard);
                 thread::sleep(Duration::from_millis(network_rng.random_range(0..800)));
@@ -415,7 +442,7 @@
         while started_at.elapsed() < duration {
             inject_process_fault(run, &mut registries, &mut edges, &mut rng);
         }
-        network.join().expect("no thread panicked");
+        network.join().expect("network fault thread panicked");
         check_recovery(run);
         run.is_finished.store(true, Ordering::SeqCst);
     });
@@ -423,14 +450,17 @@
     let served = run.served.load(Ordering::SeqCst);
     let accepted_version = run.accepted_version.load(Ordering::SeqCst);
     println!("seed {seed}: {served} served, version {accepted_version} accepted");
-    let violations = run.violations.into_inner().expect("no thread panicked");
+    let violations = run
+        .violations
+        .into_inner()
+        .expect("thread panicked while holding the lock");
     if !violations.is_empty() {
         println!("logs of seed {seed}: {}", folder.keep().display());
     }
     violations
 }
 
-/// After the last fault every edge serves and the configuration can be read again.
+/// Checks that every edge serves and the configuration can be read again after the last fault.
 fn check_recovery(run: &SoakRun) {
     let started_at = Instant::now();
     let serves = |edge: &SocketAddr| {
@@ -441,7 +471,7 @@
     while !(run.edges.iter().all(serves) && reads()) {
         if started_at.elapsed() > RECOVERY_TIMEOUT {
             run.record(format!(
-                "no service {RECOVERY_TIMEOUT:?} after the last fault"
+                "no service within {RECOVERY_TIMEOUT:?} after the last fault"
             ));
             return;
         }
@@ -449,12 +479,13 @@
     }
 }
 
+/// Value of an environment variable, if it is set to a number.
 fn env_number(name: &str) -> Option<u64> {
     let text = env::var(name).ok();
     text.and_then(|text| text.parse().ok())
 }
 
-/// The seeds to play: those that the variables name, or a short one and all that ever failed.
+/// Seeds to run: those selected by environment variables, or one seed and the regression seeds.
 fn selected_seeds() -> Vec<u64> {
     match env_number("SOAK_SEED") {
         Some(first) => (first..first + env_number("SOAK_SEEDS").unwrap_or(1)).collect(),
@@ -462,7 +493,9 @@
     }
 }
 
-/// Guards against broken promises while processes and disks come and go.
+/// Guards against lost configurations, forbidden runs of requests, wrong answers, closed connections
+/// and missing recovery while processes are killed, suspended or restarted, disks are lost or full
+/// and connections are delayed, blocked or reset.
 #[test]
 fn guarantees_hold_during_process_disk_and_network_faults() {
     let duration = Duration::from_secs(env_number("SOAK_SECONDS").unwrap_or(15));
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -1,4 +1,4 @@
-//! The fleet's real processes, and what is done to them from outside.
+//! The real processes of the fleet, and the faults injected into them from outside.
 
 use std::{
     fs::{
@@ -34,21 +34,21 @@
 /// One process of the fleet.
 pub(crate) struct SoakProcess {
     role: &'static str,
-    /// The program; a copy of its own, for a build in the middle of a run would mix two versions.
+    /// Copy of the program, since a build during the run would otherwise mix two versions.
     program: PathBuf,
     settings: PathBuf,
-    /// Where it keeps what must survive, if it is a registry.
+    /// Folder for durable state; only a registry has one.
     pub(crate) data: Option<PathBuf>,
     log: PathBuf,
     child: Option<Child>,
-    /// Where it is reached: callers at an edge, operators at a registry.
+    /// Address for clients of an edge or for operators of a registry.
     pub(crate) address: SocketAddr,
-    /// What stands between it and the fleet's other processes, if it is a registry.
+    /// Proxy between this process and the other processes of the fleet; only a registry has one.
     pub(crate) proxy: Option<SoakProxy>,
 }
 
 impl SoakProcess {
-    /// Starts it, unless it runs.
+    /// Starts the process unless it is running.
     pub(crate) fn start(&mut self) {
         if self.child.is_some() {
             return;
@@ -57,13 +57,13 @@
         let child = Command::new(&self.program)
             .args([self.role, "--settings"])
             .arg(&self.settings)
-            .stdout(Stdio::from(log.expect("a log file")))
+            .stdout(Stdio::from(log.expect("failed to open the log file")))
             .stderr(Stdio::null())
             .spawn();
-        self.child = Some(child.expect("starts"));
+        self.child = Some(child.expect("failed to start the process"));
     }
 
-    /// Sends it a signal, if it runs.
+    /// Sends a signal to the process if it is running.
     pub(crate) fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().map(Child::id);
         let id = id.and_then(|id| Pid::from_raw(id as i32));
@@ -72,18 +72,18 @@
         }
     }
 
-    /// Ends it by force and waits for its end.
+    /// Kills the process and waits until it has ended.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            child.kill().expect("it is ours");
-            child.wait().expect("it ends");
+            child.kill().expect("failed to kill the process");
+            child.wait().expect("failed to wait for the process");
         }
     }
 
-    /// Whether it has ended by itself; it can be started again then.
+    /// Returns whether the process has ended; if so, it can be started again.
     pub(crate) fn has_ended(&mut self) -> bool {
         let ended = self.child.as_mut().is_none_or(|child| {
-            let status = child.try_wait().expect("it is ours");
+            let status = child.try_wait().expect("failed to query the process");
             status.is_some()
         });
         if ended {
@@ -92,42 +92,42 @@
         ended
     }
 
-    /// Gives its disk this much room from the next start on, or as much as there is.
+    /// Sets the disk quota from the next start on; `None` removes it.
     pub(crate) fn set_disk_quota(&self, bytes: Option<u64>) {
-        let text = fs::read_to_string(&self.settings).expect("its settings");
+        let text = fs::read_to_string(&self.settings).expect("failed to read the settings");
         let kept = text.lines().filter(|line| !line.starts_with(QUOTA_KEY));
         let quota = bytes.map(|bytes| format!("{QUOTA_KEY} = {bytes}"));
         let lines: Vec<&str> = kept.chain(quota.as_deref()).collect();
-        fs::write(&self.settings, lines.join("\n") + "\n").expect("its settings");
+        fs::write(&self.settings, lines.join("\n") + "\n").expect("failed to write the settings");
     }
 
-    /// Leaves half of a write behind the newest log file, as a loss of power does.
+    /// Appends `bytes` to the newest log file, like a partial write left by a power loss.
     pub(crate) fn append_torn_write(&self, bytes: &[u8]) {
         let Some(data) = &self.data else {
             return;
         };
-        let files = fs::read_dir(data).expect("a folder");
+        let files = fs::read_dir(data).expect("failed to list the data folder");
         let names = files.filter_map(|file| file.ok()?.file_name().into_string().ok());
         let Some(newest) = names.filter(|name| name.starts_with("log-")).max() else {
             return;
         };
         let file = File::options().append(true).open(data.join(newest));
         file.and_then(|mut file| file.write_all(bytes))
-            .expect("a log file");
+            .expect("failed to append to the log file");
     }
 
-    /// Takes its disk away.
+    /// Deletes the data folder, as if the disk were lost, and clears `first_start`.
     pub(crate) fn erase_data(&mut self) {
         if let Some(data) = &self.data {
-            fs::remove_dir_all(data).expect("a folder");
-            let text = fs::read_to_string(&self.settings).expect("its settings");
+            fs::remove_dir_all(data).expect("failed to delete the data folder");
+            let text = fs::read_to_string(&self.settings).expect("failed to read the settings");
             let text = text.replace("first_start = true", "first_start = false");
-            fs::write(&self.settings, text).expect("its settings");
+            fs::write(&self.settings, text).expect("failed to write the settings");
         }
     }
 }
 
-/// The settings' key for a disk's room; the last one of its section's.
+/// Settings key of the disk quota. [`SoakProcess::set_disk_quota`] appends it to the last section.
 const QUOTA_KEY: &str = "data_quota_bytes";
 
 impl Drop for SoakProcess {
@@ -136,7 +136,9 @@
     }
 }
 
-/// Three registries and two edges, with addresses of their own and files below `folder`.
+/// Creates three registries and two edges with distinct addresses and with their files in `folder`.
+///
+/// They are not started. The process id selects the loopback subnet.
 pub(crate) fn make_processes(folder: &Path) -> (Vec<SoakProcess>, Vec<SoakProcess>) {
     let subnet = (std::process::id() % 100) as u8 + 20;
     let ip = |host| IpAddr::V4(Ipv4Addr::new(127, subnet, 200, host));
@@ -154,7 +156,7 @@
         )
     };
     let program = folder.join("ragwortroad");
-    fs::copy(env!("CARGO_BIN_EXE_ragwortroad"), &program).expect("a copy");
+    fs::copy(env!("CARGO_BIN_EXE_ragwortroad"), &program).expect("failed to copy the program");
     let make = |host: u8, role, role_settings: String, data: Option<PathBuf>, address| {
         let bind = data
             .is_some()
@@ -162,7 +164,7 @@
         let proxy = bind.map(|bind| SoakProxy::start(at(host, 0), bind));
         let settings = folder.join(format!("{role}-{host}.ini"));
         fs::write(&settings, common_settings(host, bind) + &role_settings)
-            .expect("a settings file");
+            .expect("failed to write the settings");
         SoakProcess {
             role,
             program: program.clone(),
@@ -197,6 +199,9 @@
 }
 
 fn free_port(ip: IpAddr) -> u16 {
-    let listener = TcpListener::bind(SocketAddr::new(ip, 0)).expect("binds");
-    listener.local_addr().expect("an address").port()
+    let listener = TcpListener::bind(SocketAddr::new(ip, 0)).expect("failed to bind a listener");
+    listener
+        .local_addr()
+        .expect("listener has no local address")
+        .port()
 }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that does to connections what networks do.
+//! A loopback proxy that simulates network faults.
 
 use std::{
     io::{
@@ -29,30 +29,30 @@
 
 use socket2::SockRef;
 
-/// Time after which a waiting thread looks at what it is to do.
+/// Interval at which waiting threads check for a changed mode, a reset or the end.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is done to the bytes of all connections.
+/// Faults applied to all connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ProxyMode {
-    /// Time by which each piece is late.
+    /// Delay of each chunk of data.
     pub(crate) delay: Duration,
-    /// Whether what the dialling side sends is held back.
+    /// Whether data from the connecting side is withheld.
     pub(crate) blocks_forward: bool,
-    /// Whether what comes back is held back.
+    /// Whether data to the connecting side is withheld.
     pub(crate) blocks_backward: bool,
 }
 
-/// What the proxy's threads share.
+/// State shared by the proxy's threads.
 #[derive(Debug, Default)]
 struct ProxyState {
     mode: Mutex<ProxyMode>,
-    /// Connections made before the last change of this number are reset.
+    /// Number of calls of [`SoakProxy::reset`]; each resets the connections that existed before.
     reset_count: AtomicU64,
     is_stopping: AtomicBool,
 }
 
-/// Stands between the processes that dial `address` and the one that listens at another.
+/// Forwards connections made to `address` to a target address.
 #[derive(Debug)]
 pub(crate) struct SoakProxy {
     pub(crate) address: SocketAddr,
@@ -62,8 +62,10 @@
 
 impl SoakProxy {
     pub(crate) fn start(address: SocketAddr, target: SocketAddr) -> Self {
-        let listener = TcpListener::bind(address).expect("binds");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind(address).expect("failed to bind a listener");
+        let address = listener
+            .local_addr()
+            .expect("listener has no local address");
         let state = Arc::new(ProxyState::default());
         let shared = Arc::clone(&state);
         let thread = thread::spawn(move || accept(&listener, target, &shared));
@@ -75,10 +77,14 @@
     }
 
     pub(crate) fn set_mode(&self, mode: ProxyMode) {
-        *self.state.mode.lock().expect("no thread panicked") = mode;
+        *self
+            .state
+            .mode
+            .lock()
+            .expect("thread panicked while holding the lock") = mode;
     }
 
-    /// Resets all connections.
+    /// Resets all current connections.
     pub(crate) fn reset(&self) {
         self.state.reset_count.fetch_add(1, Ordering::SeqCst);
     }
@@ -87,7 +93,7 @@
 impl Drop for SoakProxy {
     fn drop(&mut self) {
         self.state.is_stopping.store(true, Ordering::SeqCst);
-        // Wakes the accept.
+        // Wakes the blocking accept.
         drop(TcpStream::connect(self.address));
         if let Some(thread) = self.thread.take() {
             drop(thread.join());
@@ -101,16 +107,16 @@
         if state.is_stopping.load(Ordering::SeqCst) {
             break;
         }
-        let downstream = downstream.expect("accepts");
-        // The process may not run; its dialler sees a connection that ends at once.
+        let downstream = downstream.expect("failed to accept a connection");
+        // The target process may not be running; dropping the accepted connection closes it.
         let Ok(upstream) = TcpStream::connect(target) else {
             continue;
         };
         for stream in [&downstream, &upstream] {
-            stream.set_nodelay(true).expect("a socket");
+            stream.set_nodelay(true).expect("failed to set TCP_NODELAY");
             stream
                 .set_read_timeout(Some(POLL_INTERVAL))
-                .expect("a socket");
+                .expect("failed to set the read timeout");
         }
         let clone_pair = || (downstream.try_clone(), upstream.try_clone());
         for is_forward in [true, false] {
@@ -130,7 +136,7 @@
     }
 }
 
-/// Copies one direction until it ends or is reset.
+/// Copies one direction until it ends or the connection is reset.
 fn copy(mut from: TcpStream, mut to: TcpStream, state: &ProxyState, is_forward: bool) {
     let reset_count = state.reset_count.load(Ordering::SeqCst);
     let mut buffer = vec![0; 16 << 10];
@@ -141,14 +147,17 @@
             reset_both(&from, &to);
             return;
         }
-        let mode = *state.mode.lock().expect("no thread panicked");
+        let mode = *state
+            .mode
+            .lock()
+            .expect("thread panicked while holding the lock");
         if is_forward && mode.blocks_forward || !is_forward && mode.blocks_backward {
             thread::sleep(POLL_INTERVAL);
             continue;
         }
         let count = match from.read(&mut buffer) {
             Ok(0) => {
-                // The other direction may go on; its end may have gone already.
+                // The other direction may continue; the peer may have closed the connection.
                 drop(to.shutdown(std::net::Shutdown::Write));
                 return;
             }
@@ -167,13 +176,15 @@
     }
 }
 
+/// Returns whether a read ended because of the read timeout.
 fn is_timeout(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
 
 fn reset_both(from: &TcpStream, to: &TcpStream) {
     for stream in [from, to] {
-        // Without a time to linger the close is a reset. Either end may be gone already.
+        // With a linger time of zero, closing sends a reset. Either peer may have closed the
+        // connection already.
         drop(SockRef::from(stream).set_linger(Some(Duration::ZERO)));
         drop(stream.shutdown(std::net::Shutdown::Both));
     }
