--- a/src/commands/forward.rs
+++ b/src/commands/forward.rs
@@ -164,7 +164,7 @@
     let page = match MetricsPage::install() {
         Ok(page) => Some(page),
         Err(error) => {
-            // Clients are served without metrics as well.
+            // Clients are served even without metrics.
             tracing::error!(%error, "failed to install the metrics exporter; metrics are off");
             None
         }
--- a/src/log_limiter/tests.rs
+++ b/src/log_limiter/tests.rs
@@ -3,7 +3,7 @@
 /// Guards against log lines that use up a VM's processor time in a surge of requests, and against
 /// lines that are suppressed without being counted.
 #[test]
-fn lines_beyond_the_limit_are_left_out_and_counted() {
+fn lines_above_the_limit_are_suppressed_and_counted() {
     let limiter = LogLimiter::default();
     let written = (0..3000).filter(|_| limiter.admit(7)).count();
     assert_eq!(written, 500);
--- a/tests/interface_samples.rs
+++ b/tests/interface_samples.rs
@@ -105,12 +105,12 @@
         Err(_) => body.trim_end().to_owned(),
     };
     text = format!("{text}\n{body}");
-    for (value, word) in [
+    for (value, placeholder) in [
         (header("x-request-id"), "REQUEST"),
         (header("x-placement-hint"), "HINT"),
     ] {
         if !value.is_empty() {
-            text = text.replace(value, word);
+            text = text.replace(value, placeholder);
         }
     }
     for address in addresses {
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -90,7 +90,7 @@
     network_lock: Mutex<()>,
     /// Paths of requests that must run at most once and were answered as not run.
     refused_paths: Mutex<Vec<String>>,
-    /// Highest configuration version that a registry has reported as accepted.
+    /// Highest configuration version that a registry has acknowledged.
     accepted_version: AtomicU64,
     next_request: AtomicU64,
     served: AtomicU64,
