--- a/src/commands/keys.rs
+++ b/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! `keys`: certificates and keys of a fleet's nodes.
+//! `keys`: generates certificates and keys for the nodes of a fleet.
 
 use std::fs;
 
@@ -9,9 +9,9 @@
     exit_status::ExitStatus, //
 };
 
-/// Makes a fleet's keys, or further nodes' keys where the folder has an authority already.
+/// Generates the keys of a fleet, or adds nodes if the folder already contains an authority.
 pub(crate) fn run(options: &KeyOptions) -> ExitStatus {
-    match make(options) {
+    match write_keys(options) {
         Ok(()) => {
             let folder = options.out.display();
             println!(
@@ -28,7 +28,7 @@
     }
 }
 
-fn make(options: &KeyOptions) -> Result<(), TransportError> {
+fn write_keys(options: &KeyOptions) -> Result<(), TransportError> {
     let names: Vec<&str> = options.nodes.iter().map(String::as_str).collect();
     let authority = fs::read_to_string(options.out.join("authority.key"));
     if let Ok(authority_key) = authority {
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -1,4 +1,4 @@
-//! `timeline`: events of all nodes in one order.
+//! `timeline`: merges the events of all nodes into one order.
 
 use ragwortroad_demo::prelude::*;
 use ragwortroad_timeline::prelude::*;
@@ -6,14 +6,14 @@
 
 use crate::{
     command_line::{
-        TimelineForm,
+        TimelineFormat,
         TimelineOptions, //
     },
     commands::operator,
     exit_status::ExitStatus, //
 };
 
-/// Gathers and prints the time line.
+/// Collects the timeline and prints it in the selected format.
 pub(crate) fn run(options: &TimelineOptions) -> ExitStatus {
     let client = match operator::client(&options.access) {
         Ok(client) => client,
@@ -26,27 +26,32 @@
             return ExitStatus::BadInput;
         }
     };
-    let line = match gather_timeline(&client, &filter) {
-        Ok(line) => line,
+    let timeline = match gather_timeline(&client, &filter) {
+        Ok(timeline) => timeline,
         Err(error) => {
             eprintln!("{error}");
             return ExitStatus::Unusable;
         }
     };
     match options.format {
-        TimelineForm::Text => print!("{}", line.to_text()),
-        TimelineForm::Json => println!("{}", line.to_json()),
-        TimelineForm::Trace => println!("{}", line.to_trace()),
-        TimelineForm::Html => println!("{}", line.to_html()),
+        TimelineFormat::Text => print!("{}", timeline.to_text()),
+        TimelineFormat::Json => println!("{}", timeline.to_json()),
+        TimelineFormat::Trace => println!("{}", timeline.to_trace()),
+        TimelineFormat::Html => println!("{}", timeline.to_html()),
     }
     ExitStatus::Done
 }
 
-/// The filter that the options describe.
+/// Converts the options to an event filter.
+///
+/// # Errors
+///
+/// The reason as text, if the request id is not hexadecimal.
 fn filter(options: &TimelineOptions) -> Result<EventFilter, String> {
     let request = options.request.as_deref().map(|text| {
         let number = u64::from_str_radix(text, 16);
-        let number = number.map_err(|_| format!("'{text}' is not a request; give 16 hex digits"));
+        let number =
+            number.map_err(|_| format!("'{text}' is not a request id; give 16 hexadecimal digits"));
         number.map(RequestId)
     });
     let customer = options.customer.as_deref().unwrap_or_default();
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,9 +1,9 @@
-//! The `ragwortroad` command: every process of the fleet, and the tools around it.
+//! The `ragwortroad` command: the processes of a fleet and the tools to operate and test it.
 
 mod command_line;
 mod commands;
 mod exit_status;
-mod line_quota;
+mod log_limiter;
 mod log_output;
 
 use std::process::ExitCode;
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that does to connections what networks do.
+//! A loopback proxy that simulates network faults.
 
 use std::{
     io::{
@@ -29,30 +29,30 @@
 
 use socket2::SockRef;
 
-/// Time after which a waiting thread looks at what it is to do.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Interval at which waiting threads check for a changed mode, a reset or the end.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is done to the bytes of all connections.
+/// Faults applied to all connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ProxyMode {
-    /// Time by which each piece is late.
+    /// Delay of each chunk of data.
     pub(crate) delay: Duration,
-    /// Whether what the dialling side sends is held back.
-    pub(crate) holds_forth: bool,
-    /// Whether what comes back is held back.
-    pub(crate) holds_back: bool,
+    /// Whether data from the connecting side is withheld.
+    pub(crate) blocks_forward: bool,
+    /// Whether data to the connecting side is withheld.
+    pub(crate) blocks_backward: bool,
 }
 
-/// What the proxy's threads share.
+/// State shared by the proxy's threads.
 #[derive(Debug, Default)]
 struct ProxyState {
     mode: Mutex<ProxyMode>,
-    /// Connections made before the last change of this number are reset.
-    resets: AtomicU64,
-    is_over: AtomicBool,
+    /// Number of calls of [`SoakProxy::reset`]; each resets the connections that existed before.
+    reset_count: AtomicU64,
+    is_stopping: AtomicBool,
 }
 
-/// Stands between the processes that dial `address` and the one that listens at another.
+/// Forwards connections made to `address` to a target address.
 #[derive(Debug)]
 pub(crate) struct SoakProxy {
     pub(crate) address: SocketAddr,
@@ -62,8 +62,10 @@
 
 impl SoakProxy {
     pub(crate) fn start(address: SocketAddr, target: SocketAddr) -> Self {
-        let listener = TcpListener::bind(address).expect("binds");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind(address).expect("failed to bind a listener");
+        let address = listener
+            .local_addr()
+            .expect("listener has no local address");
         let state = Arc::new(ProxyState::default());
         let shared = Arc::clone(&state);
         let thread = thread::spawn(move || accept(&listener, target, &shared));
@@ -74,20 +76,24 @@
         }
     }
 
-    pub(crate) fn set(&self, mode: ProxyMode) {
-        *self.state.mode.lock().expect("no thread panicked") = mode;
+    pub(crate) fn set_mode(&self, mode: ProxyMode) {
+        *self
+            .state
+            .mode
+            .lock()
+            .expect("thread panicked while holding the lock") = mode;
     }
 
-    /// Resets all connections.
+    /// Resets all current connections.
     pub(crate) fn reset(&self) {
-        self.state.resets.fetch_add(1, Ordering::SeqCst);
+        self.state.reset_count.fetch_add(1, Ordering::SeqCst);
     }
 }
 
 impl Drop for SoakProxy {
     fn drop(&mut self) {
-        self.state.is_over.store(true, Ordering::SeqCst);
-        // Wakes the accept.
+        self.state.is_stopping.store(true, Ordering::SeqCst);
+        // Wakes the blocking accept.
         drop(TcpStream::connect(self.address));
         if let Some(thread) = self.thread.take() {
             drop(thread.join());
@@ -97,28 +103,30 @@
 
 fn accept(listener: &TcpListener, target: SocketAddr, state: &Arc<ProxyState>) {
     let mut threads = Vec::new();
-    for dialled in listener.incoming() {
-        if state.is_over.load(Ordering::SeqCst) {
+    for downstream in listener.incoming() {
+        if state.is_stopping.load(Ordering::SeqCst) {
             break;
         }
-        let dialled = dialled.expect("accepts");
-        // The process may not run; its dialler sees a connection that ends at once.
-        let Ok(reached) = TcpStream::connect(target) else {
+        let downstream = downstream.expect("failed to accept a connection");
+        // The target process may not be running; dropping the accepted connection closes it.
+        let Ok(upstream) = TcpStream::connect(target) else {
             continue;
         };
-        for stream in [&dialled, &reached] {
-            stream.set_nodelay(true).expect("a socket");
-            stream.set_read_timeout(Some(LOOK_EVERY)).expect("a socket");
+        for stream in [&downstream, &upstream] {
+            stream.set_nodelay(true).expect("failed to set TCP_NODELAY");
+            stream
+                .set_read_timeout(Some(POLL_INTERVAL))
+                .expect("failed to set the read timeout");
         }
-        let copies = || (dialled.try_clone(), reached.try_clone());
-        for is_forth in [true, false] {
-            let (Ok(dialled), Ok(reached)) = copies() else {
+        let clone_pair = || (downstream.try_clone(), upstream.try_clone());
+        for is_forward in [true, false] {
+            let (Ok(downstream), Ok(upstream)) = clone_pair() else {
                 continue;
             };
             let state = Arc::clone(state);
-            threads.push(thread::spawn(move || match is_forth {
-                true => copy(dialled, reached, &state, true),
-                false => copy(reached, dialled, &state, false),
+            threads.push(thread::spawn(move || match is_forward {
+                true => copy(downstream, upstream, &state, true),
+                false => copy(upstream, downstream, &state, false),
             }));
         }
         threads.retain(|thread| !thread.is_finished());
@@ -128,28 +136,33 @@
     }
 }
 
-/// Copies one direction until it ends or is reset.
-fn copy(mut from: TcpStream, mut to: TcpStream, state: &ProxyState, is_forth: bool) {
-    let resets = state.resets.load(Ordering::SeqCst);
+/// Copies one direction until it ends or the connection is reset.
+fn copy(mut from: TcpStream, mut to: TcpStream, state: &ProxyState, is_forward: bool) {
+    let reset_count = state.reset_count.load(Ordering::SeqCst);
     let mut buffer = vec![0; 16 << 10];
     loop {
-        if state.is_over.load(Ordering::SeqCst) || state.resets.load(Ordering::SeqCst) != resets {
+        if state.is_stopping.load(Ordering::SeqCst)
+            || state.reset_count.load(Ordering::SeqCst) != reset_count
+        {
             reset_both(&from, &to);
             return;
         }
-        let mode = *state.mode.lock().expect("no thread panicked");
-        if is_forth && mode.holds_forth || !is_forth && mode.holds_back {
-            thread::sleep(LOOK_EVERY);
+        let mode = *state
+            .mode
+            .lock()
+            .expect("thread panicked while holding the lock");
+        if is_forward && mode.blocks_forward || !is_forward && mode.blocks_backward {
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
         let count = match from.read(&mut buffer) {
             Ok(0) => {
-                // The other direction may go on; its end may have gone already.
+                // The other direction may continue; the peer may have closed the connection.
                 drop(to.shutdown(std::net::Shutdown::Write));
                 return;
             }
             Ok(count) => count,
-            Err(error) if is_pause(error.kind()) => continue,
+            Err(error) if is_timeout(error.kind()) => continue,
             Err(_) => {
                 reset_both(&from, &to);
                 return;
@@ -163,13 +176,15 @@
     }
 }
 
-fn is_pause(kind: ErrorKind) -> bool {
+/// Returns whether a read ended because of the read timeout.
+fn is_timeout(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
 
 fn reset_both(from: &TcpStream, to: &TcpStream) {
     for stream in [from, to] {
-        // Without a time to linger the close is a reset. Either end may be gone already.
+        // With a linger time of zero, closing sends a reset. Either peer may have closed the
+        // connection already.
         drop(SockRef::from(stream).set_linger(Some(Duration::ZERO)));
         drop(stream.shutdown(std::net::Shutdown::Both));
     }
