--- a/crates/ragwortroad_consensus/examples/group_cost.rs
+++ b/crates/ragwortroad_consensus/examples/group_cost.rs
@@ -1,13 +1,13 @@
-//! Measures, over fake messages and disks: bytes a second of a quiet group, the time without a
-//! leader, and what it takes to catch up.
+//! Measures, on a simulated network and simulated disks, the traffic of idle and busy groups, the
+//! time without a leader, and the cost of catching up after a restart.
 //!
-//! One way takes 0.5 to 6 ms, a sync 0.2 to 8 ms.
+//! One-way message latency is 0.5 to 6 ms, and a sync takes 0.2 to 8 ms.
 //!
 //! ```sh
 //! cargo run --release -p ragwortroad_consensus --example group_cost
 //! ```
 
-// The tests use the rest of it.
+// The schedule tests use the rest of the module.
 #[allow(dead_code)]
 #[path = "../tests/schedules/world/mod.rs"]
 mod world;
@@ -18,23 +18,23 @@
     SimWorld, //
 };
 
-fn calm_world(seed: u64, nodes: usize) -> SimWorld {
+fn fault_free_world(seed: u64, nodes: usize) -> SimWorld {
     let mut world = SimWorld::new(SimPlan {
         seed,
         nodes,
-        founders: nodes,
+        initial_members: nodes,
         client_every_ms: 100_000_000,
         core: CoreSettings::default(),
         ..SimPlan::default()
     });
-    world.is_calm = true;
+    world.is_fault_free = true;
     world.run_until(8_000_000);
     world
 }
 
-fn acting(world: &SimWorld) -> Option<usize> {
+fn acting_node(world: &SimWorld) -> Option<usize> {
     (0..world.nodes.len()).find(|&node| {
-        let now = world.local(node);
+        let now = world.local_time(node);
         let target = &world.nodes[node];
         !target.is_paused
             && target
@@ -44,21 +44,21 @@
 }
 
 fn main() {
-    println!("Quiet group, without the transport's own bytes:");
+    println!("Idle group, without transport overhead:");
     for nodes in [3, 5, 7] {
         quiet(nodes);
     }
-    println!("Busy group, 1000 commands a second of 8 to 119 bytes:");
+    println!("Busy group, 1000 commands per second of 8 to 119 bytes:");
     for nodes in [3, 5, 7] {
         busy(nodes);
     }
-    println!("Time without anyone in charge, in lease lengths:");
+    println!("Time without an acting leader, in lease lengths:");
     for nodes in [3, 5, 7] {
         failover("leader lost", nodes, |world, leader| {
             world.nodes[leader].is_paused = true;
         });
-        failover("handover", nodes, |world, leader| {
-            world.input(leader, CoreInput::HandOver);
+        failover("leadership transfer", nodes, |world, leader| {
+            world.input(leader, CoreInput::TransferLeadership);
         });
     }
     println!("Catching up after a restart, three members, commands of 8 to 119 bytes:");
@@ -68,18 +68,20 @@
 }
 
 fn quiet(nodes: usize) {
-    let mut world = calm_world(1, nodes);
+    let mut world = fault_free_world(1, nodes);
     let before = world.counts.clone();
     world.run_until(68_000_000);
     let messages = (world.counts.messages - before.messages) as f64 / 60.0;
     let bytes = (world.counts.message_bytes - before.message_bytes) as f64 / 60.0;
     let each = bytes / nodes as f64;
-    println!("  {nodes} members: {messages:.1} messages/s, {bytes:.0} B/s, {each:.0} B/s a member");
+    println!(
+        "  {nodes} members: {messages:.1} messages/s, {bytes:.0} B/s, {each:.0} B/s per member"
+    );
 }
 
 fn busy(nodes: usize) {
-    let mut world = calm_world(1, nodes);
-    let Some(leader) = acting(&world) else {
+    let mut world = fault_free_world(1, nodes);
+    let Some(leader) = acting_node(&world) else {
         return println!("  no leader");
     };
     let before = world.counts.clone();
@@ -93,35 +95,36 @@
     let accepted = (world.counts.accepted - before.accepted) as f64;
     let messages = (world.counts.messages - before.messages) as f64 / accepted;
     let bytes = (world.counts.message_bytes - before.message_bytes) as f64 / accepted;
-    // By Little's law, with one command a millisecond.
+    // By Little's law, with one command proposed per millisecond.
     let mean = waiting as f64 / 10_000.0;
     println!(
-        "  {nodes} members: accepted after {mean:.1} ms on average, \
-         {messages:.2} messages and {bytes:.0} bytes each"
+        "  {nodes} members: mean commit latency {mean:.1} ms, \
+         {messages:.2} messages and {bytes:.0} bytes per command"
     );
 }
 
-/// Ends the leader's time by `end` in many groups; measures until another may act.
+/// Runs many groups, ends the leadership of each with `end`, and measures the time until another
+/// member may act as leader.
 fn failover(title: &str, nodes: usize, end: impl Fn(&mut SimWorld, usize)) {
     let lease = CoreSettings::default().lease_span().as_millis() as f64;
     let mut spans = Vec::new();
     for seed in 0..300 {
-        let mut world = calm_world(seed, nodes);
-        let begun = world.now_us + seed * 1003;
-        world.run_until(begun);
-        let Some(leader) = acting(&world) else {
+        let mut world = fault_free_world(seed, nodes);
+        let started_us = world.now_us + seed * 1003;
+        world.run_until(started_us);
+        let Some(leader) = acting_node(&world) else {
             continue;
         };
         end(&mut world, leader);
-        while acting(&world).is_none() {
+        while acting_node(&world).is_none() {
             world.run_until(world.now_us + 1000);
         }
-        spans.push((world.now_us - begun) as f64 / 1000.0 / lease);
+        spans.push((world.now_us - started_us) as f64 / 1000.0 / lease);
     }
     spans.sort_unstable_by(f64::total_cmp);
     let at = |percent: usize| spans[(spans.len() - 1) * percent / 100];
     println!(
-        "  {title}, {nodes} members: p50 {:.2}, p99 {:.2}, most {:.2} ({} runs, lease {lease} ms)",
+        "  {title}, {nodes} members: p50 {:.2}, p99 {:.2}, max {:.2} ({} runs, lease {lease} ms)",
         at(50),
         at(99),
         at(100),
@@ -130,13 +133,13 @@
 }
 
 fn catch_up(missed: u64) {
-    let mut world = calm_world(3, 3);
-    let Some(leader) = acting(&world) else {
+    let mut world = fault_free_world(3, 3);
+    let Some(leader) = acting_node(&world) else {
         return println!("  no leader");
     };
-    let late = (leader + 1) % 3;
-    world.nodes[late].process = None;
-    world.nodes[late].epoch += 1;
+    let lagging = (leader + 1) % 3;
+    world.nodes[lagging].process = None;
+    world.nodes[lagging].epoch += 1;
     for _ in 0..missed.div_ceil(100) {
         for _ in 0..100 {
             let token = world.token();
@@ -150,13 +153,13 @@
         core.map_or(0, ConsensusCore::commit_index)
     };
     let target = commit(&world, leader);
-    let begun = world.now_us;
+    let started_us = world.now_us;
     let before = world.counts.message_bytes;
-    world.start(late);
-    while commit(&world, late) < target {
+    world.start(lagging);
+    while commit(&world, lagging) < target {
         world.run_until(world.now_us + 1000);
     }
-    let span = (world.now_us - begun) / 1000;
+    let span = (world.now_us - started_us) / 1000;
     let bytes = world.counts.message_bytes - before;
-    println!("  {missed} missed: {span} ms, {bytes} bytes");
+    println!("  {missed} entries missed: {span} ms, {bytes} bytes");
 }
--- a/crates/ragwortroad_consensus/src/consensus_core.rs
+++ b/crates/ragwortroad_consensus/src/consensus_core.rs
@@ -16,11 +16,11 @@
 use ragwortroad_types::ClockTime;
 
 use crate::{
-    BrokenRule,
     CoreAction,
     CoreInput,
     CoreSettings,
     EntryLog,
+    InjectedBug,
     LeaderState,
     MemberHistory,
     MemberId,
@@ -28,134 +28,137 @@
     MemberState,
     PeerFrame,
     PeerMessage,
-    PersistGate,
+    PersistBarrier,
     ProposeResult,
     RestartCheck,
     SnapshotAssembly,
     StartTable,
-    persist_gate::HeldEffect, //
+    persist_barrier::DeferredEffect, //
 };
 
-/// One member of a group that agrees on a log, as pure state.
+/// One member of a Raft group, as a state machine without I/O.
 ///
-/// Inputs go in with the time, actions come out; time, randomness, disk and messages belong to the
-/// caller. The caller does the actions in their order, writes batches in their order, and applies
-/// commands as they come out.
+/// The driver passes inputs together with the current time, and the core returns actions; time,
+/// randomness, the disk and the network belong to the driver. The driver performs the actions in
+/// order, writes batches in order, and applies commands in the order in which they are emitted.
 #[derive(Debug)]
 pub struct ConsensusCore {
     pub(crate) settings: CoreSettings,
     pub(crate) id: MemberId,
     pub(crate) start: u64,
     pub(crate) rng: Pcg64Mcg,
-    /// Invariant: `vote.term` never goes down, and `voted_for` changes only with the term or from
-    /// none.
+    /// Invariant: `vote.term` never decreases, and `voted_for` changes only together with the term
+    /// or from `None`.
     pub(crate) vote: VoteRecord,
     pub(crate) leader: Option<MemberId>,
     pub(crate) log: EntryLog,
     pub(crate) members: MemberHistory,
     pub(crate) snapshot: Option<Arc<StoredSnapshot>>,
-    /// Entries up to here are durable on a quorum.
+    /// Index of the last entry known to be durable on a quorum.
     pub(crate) commit: u64,
-    /// Entries up to here went out as actions.
+    /// Index of the last entry emitted as an action.
     ///
-    /// Invariant: not above `commit`.
+    /// Invariant: at most `commit`.
     pub(crate) applied: u64,
     /// Bytes of the entries applied since the last snapshot.
     pub(crate) applied_bytes: usize,
-    pub(crate) snapshot_wanted: bool,
-    /// The log equals the leader's up to here.
+    pub(crate) snapshot_requested: bool,
+    /// Index up to which this log is known to equal the leader's.
     ///
-    /// A heartbeat's commit index says nothing about entries beyond: they may be leftovers of an
-    /// earlier term, and applying one would fork the state.
-    pub(crate) agreed: u64,
+    /// A heartbeat's commit index says nothing about later entries: they may be left over from an
+    /// earlier term, and applying one would make the replicas' states diverge.
+    pub(crate) leader_match_index: u64,
     pub(crate) state: MemberState,
-    pub(crate) gate: PersistGate,
+    pub(crate) barrier: PersistBarrier,
     pub(crate) check: RestartCheck,
     pub(crate) starts: StartTable,
-    /// The disk has been told that it is not older than what was acknowledged.
+    /// Whether the data folder has been confirmed, in this boot, to be no older than what this
+    /// member acknowledged.
     pub(crate) is_confirmed: bool,
     pub(crate) assembly: Option<SnapshotAssembly>,
-    /// Before this, no vote is given: a leader may rely on this member for its lease.
+    /// Time before which this member grants no vote, because a leader may rely on it for its lease.
     pub(crate) no_vote_until: ClockTime,
-    /// When an election starts if nothing is heard.
-    pub(crate) election_at: ClockTime,
-    /// A write failed; this member promises nothing any more.
+    /// Time at which an election starts unless the member hears from a leader or candidate first.
+    pub(crate) election_deadline: ClockTime,
+    /// Whether a write failed or an entry could not be read; a failed member promises nothing any
+    /// more.
     pub(crate) has_failed: bool,
     pub(crate) out: Vec<CoreAction>,
 }
 
 impl ConsensusCore {
-    /// Handles one input at the time `now`; returns what is to be done.
+    /// Handles one input at the time `now` and returns the actions to perform.
     ///
-    /// All of it is to be done, in order, before the next input: a batch handed to the disk ahead
-    /// of an earlier one would not fit the log.
+    /// The driver must perform all of them, in order, before it passes the next input: a batch
+    /// written ahead of an earlier one would not fit the log.
     pub fn handle(&mut self, input: CoreInput, now: ClockTime) -> Vec<CoreAction> {
         if self.has_failed {
-            self.refuse(input);
+            self.reject_input(input);
         } else {
-            self.take(input, now);
+            self.dispatch(input, now);
             self.flush(now);
         }
         std::mem::take(&mut self.out)
     }
 
-    fn take(&mut self, input: CoreInput, now: ClockTime) {
+    fn dispatch(&mut self, input: CoreInput, now: ClockTime) {
         match input {
             CoreInput::Tick => self.tick(now),
-            CoreInput::Frame(frame) => self.take_frame(frame, now),
+            CoreInput::Frame(frame) => self.handle_frame(frame, now),
             CoreInput::Propose { token, command } => self.propose(token, command, now),
-            CoreInput::ReadRequest { token } => self.read(token, now),
-            CoreInput::Persisted { batch } => self.gate.persisted(batch),
-            CoreInput::PersistFailed => self.fail(),
-            CoreInput::SnapshotTaken { index, bytes } => self.take_snapshot(index, bytes),
+            CoreInput::ReadRequest { token } => self.request_read(token, now),
+            CoreInput::Persisted { batch } => self.barrier.mark_persisted(batch),
+            CoreInput::PersistFailed => self.handle_persist_failure(),
+            CoreInput::SnapshotTaken { index, bytes } => self.compact_to_snapshot(index, bytes),
             CoreInput::ChangeMember { token, change } => self.change_member(token, &change, now),
-            CoreInput::PeerReached { member } => self.send_lost(member, now),
-            CoreInput::HandOver => self.hand_over(now),
+            CoreInput::PeerConnected { member } => self.resend_unacknowledged(member, now),
+            CoreInput::TransferLeadership => self.transfer_leadership(now),
             CoreInput::TrustDisk => self.check = RestartCheck::skipped(),
         }
     }
 
-    /// Ends an input: what changed goes to the disk, what is durable takes effect.
+    /// Ends an input: emits the changes to be persisted, and runs the effects whose changes are
+    /// durable.
     fn flush(&mut self, now: ClockTime) {
         self.confirm_boot();
         loop {
-            if let Some((batch, mut change)) = self.gate.take_batch() {
-                if self.settings.breaks(BrokenRule::ForgetVote) {
+            if let Some((batch, mut change)) = self.barrier.take_batch() {
+                if self.settings.has_bug(InjectedBug::SkipVoteWrite) {
                     change.vote = None;
                 }
                 self.out.push(CoreAction::Persist { batch, change });
-                if self.settings.breaks(BrokenRule::ActBeforeSync) {
-                    self.gate.persisted(batch);
+                if self.settings.has_bug(InjectedBug::ActBeforeSync) {
+                    self.barrier.mark_persisted(batch);
                 }
             }
-            let Some(effect) = self.gate.release() else {
+            let Some(effect) = self.barrier.pop_ready() else {
                 break;
             };
-            self.do_held(effect, now);
+            self.run_effect(effect, now);
         }
-        self.want_snapshot();
+        self.request_snapshot_if_due();
     }
 
-    fn do_held(&mut self, effect: HeldEffect, now: ClockTime) {
+    fn run_effect(&mut self, effect: DeferredEffect, now: ClockTime) {
         match effect {
-            HeldEffect::Send(to, message) => self.send(to, message),
-            HeldEffect::OwnVote(term) => self.count_own_vote(term, now),
-            HeldEffect::OwnMatch(term, index) => self.count_own_match(term, index, now),
+            DeferredEffect::Send(to, message) => self.send(to, message),
+            DeferredEffect::OwnVote(term) => self.count_own_vote(term, now),
+            DeferredEffect::OwnMatch(term, index) => self.count_own_match(term, index, now),
         }
     }
 
-    fn take_frame(&mut self, frame: PeerFrame, now: ClockTime) {
+    fn handle_frame(&mut self, frame: PeerFrame, now: ClockTime) {
         if frame.to != self.id || frame.from == self.id {
             return;
         }
-        if !self.learn_start(frame.from, frame.start, now) {
+        if !self.observe_start(frame.from, frame.start, now) {
             return;
         }
-        self.take_message(frame.from, frame.message, now);
+        self.handle_message(frame.from, frame.message, now);
     }
 
-    /// Answers an input after a failed write.
-    fn refuse(&mut self, input: CoreInput) {
+    /// Rejects an input after this member has failed.
+    fn reject_input(&mut self, input: CoreInput) {
         let leader = None;
         match input {
             CoreInput::Propose { token, .. } | CoreInput::ChangeMember { token, .. } => {
@@ -169,13 +172,14 @@
         }
     }
 
-    /// A write failed: what reached the disk is unknown, so nothing more is promised from here.
+    /// Stops this member after a failed write: what reached the disk is unknown, so it promises
+    /// nothing more.
     ///
-    /// The process goes on; a new core may start once the folder has been opened anew.
-    fn fail(&mut self) {
+    /// The process continues; a new core may start once the data folder has been reopened.
+    fn handle_persist_failure(&mut self) {
         self.step_down();
         self.leader = None;
-        self.gate.clear();
+        self.barrier.clear();
         self.has_failed = true;
     }
 
@@ -188,39 +192,42 @@
         }));
     }
 
-    /// Sends once everything changed so far is durable.
-    pub(crate) fn send_held(&mut self, to: MemberId, message: PeerMessage) {
-        self.gate.hold(HeldEffect::Send(to, message));
+    /// Sends a message once all changes made so far are durable.
+    pub(crate) fn send_after_persist(&mut self, to: MemberId, message: PeerMessage) {
+        self.barrier.defer(DeferredEffect::Send(to, message));
     }
 
-    /// An election starts an election timeout and some more from now, if nothing is heard.
-    pub(crate) fn draw_election(&mut self, now: ClockTime) {
-        let least = self.settings.election_timeout;
-        self.draw_within(now, least, least / 2);
+    /// Restarts the election timer: an election timeout plus a random part, unless a leader is
+    /// heard first.
+    pub(crate) fn reset_election_timer(&mut self, now: ClockTime) {
+        let min_delay = self.settings.election_timeout;
+        self.set_election_deadline(now, min_delay, min_delay / 2);
     }
 
-    /// The question who would vote binds nobody and is soon asked again: a member that heard the
-    /// leader a little later says no only a little longer.
-    pub(crate) fn draw_pre_vote(&mut self, now: ClockTime) {
-        let least = self.settings.election_timeout / 8;
-        self.draw_within(now, least, least * 2);
+    /// Restarts the timer after a pre-vote.
+    ///
+    /// A pre-vote binds nobody and is repeated soon, so that a voter that heard the leader slightly
+    /// later delays the election only slightly when it refuses.
+    pub(crate) fn reset_pre_vote_timer(&mut self, now: ClockTime) {
+        let min_delay = self.settings.election_timeout / 8;
+        self.set_election_deadline(now, min_delay, min_delay * 2);
     }
 
-    /// Votes that split between candidates need another term.
+    /// Restarts the timer of a candidate, since a split vote needs another term.
     ///
-    /// Without leases many members start at once after a common restart, and split votes are
-    /// common: the next try comes sooner and is spread wider.
-    pub(crate) fn draw_vote(&mut self, now: ClockTime) {
+    /// Without leases many members start at once after a common restart and split votes are common,
+    /// so the next attempt comes sooner and is spread over a wider range.
+    pub(crate) fn reset_candidate_timer(&mut self, now: ClockTime) {
         let timeout = self.settings.election_timeout;
-        match self.settings.acts_by_lease {
-            true => self.draw_within(now, timeout / 2, timeout / 2),
-            false => self.draw_within(now, timeout / 8, timeout / 2),
+        match self.settings.uses_leader_lease {
+            true => self.set_election_deadline(now, timeout / 2, timeout / 2),
+            false => self.set_election_deadline(now, timeout / 8, timeout / 2),
         }
     }
 
-    fn draw_within(&mut self, now: ClockTime, least: Duration, spread: Duration) {
-        let extra = self.rng.random_range(0..=spread.as_millis() as u64);
-        self.election_at = now.after(least).after(Duration::from_millis(extra));
+    fn set_election_deadline(&mut self, now: ClockTime, min_delay: Duration, spread: Duration) {
+        let jitter = self.rng.random_range(0..=spread.as_millis() as u64);
+        self.election_deadline = now.after(min_delay).after(Duration::from_millis(jitter));
     }
 
     pub(crate) fn set_leader(&mut self, leader: Option<MemberId>) {
@@ -231,20 +238,19 @@
         }
     }
 
-    /// Whether this member may vote or be elected.
+    /// Whether this member may campaign: it has passed the restart check and is a voter.
     pub(crate) fn is_electable(&self) -> bool {
         self.check.is_done && self.members().is_voter(self.id)
     }
 
-    /// The state of the leader, if this member is one.
-    pub(crate) fn leading(&self) -> Option<&LeaderState> {
+    pub(crate) fn leader_state(&self) -> Option<&LeaderState> {
         match &self.state {
             MemberState::Leader(state) => Some(state),
             _ => None,
         }
     }
 
-    pub(crate) fn leading_mut(&mut self) -> Option<&mut LeaderState> {
+    pub(crate) fn leader_state_mut(&mut self) -> Option<&mut LeaderState> {
         match &mut self.state {
             MemberState::Leader(state) => Some(state),
             _ => None,
@@ -255,7 +261,7 @@
         Pcg64Mcg::seed_from_u64(seed)
     }
 
-    /// The members in force here, committed or not.
+    /// The member set in force here, whether committed or not.
     pub fn members(&self) -> &MemberSet {
         self.members.latest()
     }
--- a/crates/ragwortroad_consensus/src/lib.rs
+++ b/crates/ragwortroad_consensus/src/lib.rs
@@ -1,8 +1,9 @@
-//! Leader election and log replication as pure state.
+//! Raft leader election and log replication as a state machine without I/O.
 //!
 //! A [`ConsensusCore`] is one member of a group that agrees on the order of commands. It reads no
-//! clock, draws no unseeded randomness and touches no disk or network: inputs go in with the time,
-//! and actions come out for the caller to do, so that every schedule can be replayed.
+//! clock, uses no unseeded randomness and accesses no disk or network: the driver passes inputs
+//! together with the time and performs the returned actions, so that every schedule can be
+//! replayed.
 //!
 //! ```
 //! use ragwortroad_consensus::prelude::*;
@@ -10,8 +11,8 @@
 //! use ragwortroad_types::prelude::*;
 //!
 //! let stored = StoredState { identity: 17, is_new: true, ..StoredState::default() };
-//! let founders = MemberSet::from_voters([(MemberId(17), NodeId::from_name("rvk-1"))]);
-//! let start = CoreStart { stored, start: 1, founders: Some(founders) };
+//! let voters = MemberSet::from_voters([(MemberId(17), NodeId::from_name("rvk-1"))]);
+//! let start = CoreStart { stored, start: 1, initial_members: Some(voters) };
 //! let now = ClockTime(1000);
 //! let (mut core, mut actions) = ConsensusCore::new(CoreSettings::default(), start, now, 1)?;
 //! actions.extend(core.handle(CoreInput::Propose { token: 1, command: b"on".to_vec() }, now));
@@ -25,21 +26,20 @@
 //! # Ok::<(), CoreError>(())
 //! ```
 
-mod applying;
-mod changing;
+mod bootstrap_table;
+mod commit_apply;
 mod consensus_core;
 mod core_action;
 mod core_error;
 mod core_input;
-mod core_new;
+mod core_queries;
 mod core_settings;
 mod core_start;
-mod core_view;
+mod core_startup;
 mod election;
 mod entry_log;
 mod entry_payload;
 mod following;
-mod founding_table;
 mod leader_state;
 mod leading;
 mod log_position;
@@ -50,20 +50,26 @@
 mod member_record;
 mod member_set;
 mod member_state;
+mod membership;
+mod message_handling;
 mod peer_frame;
 mod peer_message;
-mod persist_gate;
-mod receiving;
-mod rejoining;
+mod persist_barrier;
 mod replicating;
 mod restart_check;
+mod restart_queries;
 mod snapshot_assembly;
 mod snapshotting;
 mod start_table;
 
-/// Everything a dependent crate usually needs.
+/// Common items for dependent crates.
 pub mod prelude {
     pub use crate::{
+        bootstrap_table::{
+            BootstrapDecision,
+            BootstrapHello,
+            BootstrapTable, //
+        },
         consensus_core::ConsensusCore,
         core_action::{
             CoreAction,
@@ -74,11 +80,6 @@
         core_settings::CoreSettings,
         core_start::CoreStart,
         entry_payload::EntryPayload,
-        founding_table::{
-            FoundingHello,
-            FoundingStep,
-            FoundingTable, //
-        },
         log_position::LogPosition,
         member_change::{
             ChangeRefusal,
@@ -106,7 +107,7 @@
 }
 
 #[doc(hidden)]
-pub use core_settings::BrokenRule;
+pub use core_settings::InjectedBug;
 pub use prelude::*;
 
 use entry_log::EntryLog;
@@ -124,7 +125,7 @@
     MemberState,
     VoteTally, //
 };
-use persist_gate::PersistGate;
+use persist_barrier::PersistBarrier;
 use restart_check::RestartCheck;
 use snapshot_assembly::SnapshotAssembly;
 use start_table::StartTable;
--- a/crates/ragwortroad_consensus/tests/by_hand/hand_group.rs
+++ b/crates/ragwortroad_consensus/tests/by_hand/scripted_group.rs
@@ -4,19 +4,19 @@
 use ragwortroad_log::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// A group whose every message a test carries or drops by hand; disks write at once.
-pub(crate) struct HandGroup {
+/// A group in which the test delivers or drops every message; disk writes complete at once.
+pub(crate) struct ScriptedGroup {
     pub(crate) settings: CoreSettings,
-    pub(crate) members: Vec<HandMember>,
+    pub(crate) members: Vec<ScriptedMember>,
     pub(crate) now: ClockTime,
-    wire: VecDeque<PeerFrame>,
+    in_flight: VecDeque<PeerFrame>,
     starts: u64,
-    founders: MemberSet,
+    initial_members: MemberSet,
 }
 
-/// One member of it.
+/// A member of the group with its disk.
 #[derive(Default)]
-pub(crate) struct HandMember {
+pub(crate) struct ScriptedMember {
     pub(crate) disk: FakeDisk,
     pub(crate) core: Option<ConsensusCore>,
     folder: Option<LogFolder>,
@@ -25,23 +25,23 @@
     pub(crate) results: Vec<ProposeResult>,
 }
 
-impl HandGroup {
-    /// A group of `count` voters, of which the first has been elected by all.
+impl ScriptedGroup {
+    /// Creates a group of `count` voters, of which all have elected the first.
     pub(crate) fn new(count: usize, settings: CoreSettings) -> Self {
         let voters = (0..count).map(|at| (member_id(at), NodeId(at as u64)));
         let mut group = Self {
             settings,
-            members: (0..count).map(|_| HandMember::default()).collect(),
+            members: (0..count).map(|_| ScriptedMember::default()).collect(),
             now: ClockTime(1000),
-            wire: VecDeque::new(),
+            in_flight: VecDeque::new(),
             starts: 0,
-            founders: MemberSet::from_voters(voters),
+            initial_members: MemberSet::from_voters(voters),
         };
         for at in 0..count {
             group.start(at);
         }
-        group.carry(|_, _, _| true);
-        group.wait(0, 2);
+        group.deliver(|_, _, _| true);
+        group.wait_for_leader(0, 2);
         assert!(group.core(0).may_act_as_leader(group.now));
         group
     }
@@ -55,26 +55,27 @@
         let member = &mut self.members[at];
         let settings = FolderSettings {
             fresh_identity: member_id(at).0,
-            boot: member.boot.to_string(),
+            boot_id: member.boot.to_string(),
             ..FolderSettings::default()
         };
         let port = DiskPort::Fake(member.disk.clone());
         let (folder, stored) = LogFolder::open_on(port, &settings).expect("the folder opens");
-        let founders = Some(self.founders.clone()).filter(|_| at == 0 && stored.is_new);
+        let initial_members =
+            Some(self.initial_members.clone()).filter(|_| at == 0 && stored.is_new);
         let start = CoreStart {
             stored,
             start: self.starts,
-            founders,
+            initial_members,
         };
-        let made = ConsensusCore::new(self.settings.clone(), start, self.now, at as u64);
-        let (core, actions) = made.expect("the core starts");
+        let created = ConsensusCore::new(self.settings.clone(), start, self.now, at as u64);
+        let (core, actions) = created.expect("the core starts");
         member.core = Some(core);
         member.folder = Some(folder);
         member.applied.clear();
         self.act(at, actions);
     }
 
-    /// Ends the process, and with `new_boot` the machine restarts.
+    /// Stops the process; with `new_boot` the machine restarts, too.
     pub(crate) fn stop(&mut self, at: usize, new_boot: bool) {
         let member = &mut self.members[at];
         member.core = None;
@@ -101,7 +102,7 @@
                     folder.sync().expect("the disk works");
                     written = Some(batch);
                 }
-                CoreAction::Send(frame) => self.wire.push_back(frame),
+                CoreAction::Send(frame) => self.in_flight.push_back(frame),
                 CoreAction::Apply { command, .. } => member.applied.push(command),
                 CoreAction::ProposeDone { result, .. } => member.results.push(result),
                 _ => {}
@@ -112,9 +113,9 @@
         }
     }
 
-    /// Carries messages until there are none, dropping those that `passes` says no to.
-    pub(crate) fn carry(&mut self, passes: impl Fn(&PeerFrame, usize, usize) -> bool) {
-        while let Some(frame) = self.wire.pop_front() {
+    /// Delivers messages until none are left, dropping those that `passes` rejects.
+    pub(crate) fn deliver(&mut self, passes: impl Fn(&PeerFrame, usize, usize) -> bool) {
+        while let Some(frame) = self.in_flight.pop_front() {
             let from = (frame.from.0 - member_id(0).0) as usize;
             let to = (frame.to.0 - member_id(0).0) as usize;
             if passes(&frame, from, to) {
@@ -123,15 +124,15 @@
         }
     }
 
-    /// Takes the messages from one member to another off the wire, to carry them later.
-    pub(crate) fn hold(&mut self, from: usize, to: usize) -> Vec<PeerFrame> {
+    /// Removes the messages from one member to another, so that the test can deliver them later.
+    pub(crate) fn intercept(&mut self, from: usize, to: usize) -> Vec<PeerFrame> {
         let (from, to) = (member_id(from), member_id(to));
-        let (held, rest) = self
-            .wire
+        let (intercepted, rest) = self
+            .in_flight
             .drain(..)
             .partition(|frame| frame.from == from && frame.to == to);
-        self.wire = rest;
-        held.into()
+        self.in_flight = rest;
+        intercepted.into()
     }
 
     pub(crate) fn propose(&mut self, at: usize, command: &[u8]) {
@@ -139,24 +140,25 @@
         self.input(at, CoreInput::Propose { token: 1, command });
     }
 
-    /// Lets up to `rounds` elections of `at` go by, with all messages carried, until it leads.
-    pub(crate) fn wait(&mut self, at: usize, rounds: u32) {
+    /// Runs up to `rounds` elections of `at` with all messages delivered, until it leads.
+    pub(crate) fn wait_for_leader(&mut self, at: usize, rounds: u32) {
         for _ in 0..rounds {
             if self.core(at).is_leader() {
                 break;
             }
             self.now = self.now.after(self.settings.election_timeout * 2);
             self.input(at, CoreInput::Tick);
-            self.carry(|_, _, _| true);
+            self.deliver(|_, _, _| true);
         }
     }
 
-    /// Lets `at` campaign, and carries nothing but what elections need between `among`.
-    pub(crate) fn elect(&mut self, at: usize, among: &[usize]) {
+    /// Lets `at` campaign, and delivers only messages without entries between the members in
+    /// `among`.
+    pub(crate) fn run_election(&mut self, at: usize, among: &[usize]) {
         for _ in 0..3 {
             self.now = self.now.after(self.settings.election_timeout * 2);
             self.input(at, CoreInput::Tick);
-            self.carry(|frame, from, to| {
+            self.deliver(|frame, from, to| {
                 let is_entry = matches!(frame.message, PeerMessage::Append { .. });
                 !is_entry && among.contains(&from) && among.contains(&to)
             });
--- a/crates/ragwortroad_consensus/tests/schedules/world/sim_faults.rs
+++ b/crates/ragwortroad_consensus/tests/schedules/world/sim_faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and how it is over again.
+//! Injects faults and ends them again.
 
 use rand::RngExt;
 
@@ -11,11 +11,11 @@
 };
 
 impl SimWorld {
-    /// One fault of a random kind at a random node.
+    /// Injects one fault of a random kind at a random node.
     pub(crate) fn fault(&mut self) {
-        let every = self.plan.fault_every_ms * 1000;
-        let next = self.rng.random_range(0..every * 2);
-        if self.is_calm {
+        let interval = self.plan.fault_every_ms * 1000;
+        let next = self.rng.random_range(0..interval * 2);
+        if self.is_fault_free {
             return;
         }
         self.schedule(next, SimEvent::Fault);
@@ -32,14 +32,14 @@
             FaultKind::FailedSync => self.nodes[node].disk.fail_syncs(1),
             FaultKind::FullDisk => self.fill_disk(node),
             FaultKind::Pause => self.pause(node),
-            FaultKind::Cut => self.cut(node),
+            FaultKind::Partition => self.partition(node),
             FaultKind::LostDisk => self.lose_disk(node),
-            FaultKind::HandOver => self.hand_over(),
+            FaultKind::TransferLeadership => self.transfer_leadership(),
             FaultKind::RemoveMember => self.remove_member(node),
         }
     }
 
-    /// Several machines stop at once.
+    /// Crashes several machines at once.
     fn cut_power(&mut self) {
         for node in 0..self.nodes.len() {
             if self.rng.random_range(0..4) > 0 {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The machine stops; what was not synced is lost in part.
+    /// Crashes the machine; part of the data that was not synced is lost.
     pub(crate) fn crash(&mut self, node: usize) {
         self.counts.crashes += 1;
         let rng = &mut self.rng;
@@ -59,7 +59,7 @@
         self.end(node);
     }
 
-    /// The process ends; the machine goes on and forgets nothing.
+    /// Kills the process; the machine keeps running and loses no data.
     fn kill(&mut self, node: usize) {
         self.counts.kills += 1;
         self.end(node);
@@ -71,12 +71,12 @@
         target.epoch += 1;
         target.is_paused = false;
         target.backlog.clear();
-        let down = self.rng.random_range(20_000..2_000_000);
-        self.schedule(down, SimEvent::Start(node));
+        let downtime_us = self.rng.random_range(20_000..2_000_000);
+        self.schedule(downtime_us, SimEvent::Start(node));
     }
 
     fn fill_disk(&mut self, node: usize) {
-        let room = self.rng.random_range(0..400);
+        let spare_bytes = self.rng.random_range(0..400);
         let disk = &self.nodes[node].disk;
         let used: usize = disk
             .names()
@@ -84,7 +84,7 @@
             .filter_map(|name| disk.bytes(name))
             .map(|bytes| bytes.len())
             .sum();
-        disk.set_capacity(Some((used + room) as u64));
+        disk.set_capacity(Some((used + spare_bytes) as u64));
     }
 
     fn pause(&mut self, node: usize) {
@@ -98,7 +98,7 @@
         self.schedule(span, SimEvent::Resume(node, epoch));
     }
 
-    pub(crate) fn resume(&mut self, node: usize, epoch: u64) {
+    pub(crate) fn resume_node(&mut self, node: usize, epoch: u64) {
         if self.nodes[node].epoch != epoch {
             return;
         }
@@ -108,9 +108,9 @@
         }
     }
 
-    /// Nothing gets through from a node, or to it, or both, to one other or to all.
-    fn cut(&mut self, node: usize) {
-        self.counts.cuts += 1;
+    /// Drops messages from a node, to it, or both, with one other node or with all.
+    fn partition(&mut self, node: usize) {
+        self.counts.partitions += 1;
         let kind = self.rng.random_range(0..4);
         let only = self.rng.random_range(0..self.nodes.len());
         let span = self.rng.random_range(100_000..5_000_000);
@@ -119,30 +119,31 @@
                 continue;
             }
             if kind != 1 {
-                self.cuts.insert((node, other));
+                self.partitions.insert((node, other));
                 self.schedule(span, SimEvent::Heal(node, other));
             }
             if kind != 0 {
-                self.cuts.insert((other, node));
+                self.partitions.insert((other, node));
                 self.schedule(span, SimEvent::Heal(other, node));
             }
         }
     }
 
-    /// Whether the group can bear the loss of one more disk: the last one has been made good.
-    fn can_lose(&self) -> bool {
+    /// Whether the group can tolerate the loss of one more disk, because it has recovered from the
+    /// last one.
+    fn can_lose_disk(&self) -> bool {
         let Some(members) = self.operator.settled_members(self) else {
             return false;
         };
         let is_held = |record: &MemberRecord| {
             let mut nodes = self.nodes.iter();
-            nodes.any(|node| node.member == Some(record.member) && node.is_sound())
+            nodes.any(|node| node.member == Some(record.member) && node.is_healthy())
         };
         members.voters().count() >= 3 && members.records().iter().all(is_held)
     }
 
     pub(crate) fn lose_disk(&mut self, node: usize) {
-        if !self.can_lose() {
+        if !self.can_lose_disk() {
             return;
         }
         self.counts.lost_disks += 1;
@@ -155,8 +156,8 @@
         target.lost = target.member.take();
     }
 
-    /// Keeps a copy of the disk as it would be after a crash.
-    pub(crate) fn keep_image(&mut self, node: usize) {
+    /// Saves a copy of what the disk would hold after a crash.
+    pub(crate) fn save_image(&mut self, node: usize) {
         let target = &mut self.nodes[node];
         if let Some(process) = &target.process {
             let members = process.core.members_index();
@@ -164,23 +165,23 @@
         }
     }
 
-    /// The whole disk goes back to an earlier state, as after a restore from a backup.
+    /// Rolls the whole disk back to an earlier state, as after a restore from a backup.
     pub(crate) fn roll_back(&mut self, node: usize) {
         let image = self.nodes[node].image.clone();
         let members = self.nodes[node].core().map(ConsensusCore::members_index);
         let Some((_, image)) = image.filter(|(index, _)| Some(*index) == members) else {
             return;
         };
-        if !self.can_lose() {
+        if !self.can_lose_disk() {
             return;
         }
         self.counts.rollbacks += 1;
-        let most = self.nodes.iter().filter_map(|node| node.core());
-        let most = most.map(ConsensusCore::commit_index).max();
+        let max_commit = self.nodes.iter().filter_map(|node| node.core());
+        let max_commit = max_commit.map(ConsensusCore::commit_index).max();
         self.end(node);
         self.nodes[node].boot += 1;
         self.nodes[node].disk.roll_back(&image);
-        self.nodes[node].rolled_back_from = most;
+        self.nodes[node].rolled_back_from = max_commit;
     }
 
     fn remove_member(&mut self, node: usize) {
@@ -196,26 +197,26 @@
         }
     }
 
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         let leader = self
             .nodes
             .iter()
             .position(|node| !node.is_paused && node.core().is_some_and(ConsensusCore::is_leader));
         if let Some(leader) = leader {
             self.counts.handovers += 1;
-            self.input(leader, CoreInput::HandOver);
+            self.input(leader, CoreInput::TransferLeadership);
         }
     }
 
-    /// All faults are over.
-    pub(crate) fn calm_down(&mut self) {
-        self.is_calm = true;
-        self.cuts.clear();
+    /// Ends all faults.
+    pub(crate) fn end_faults(&mut self) {
+        self.is_fault_free = true;
+        self.partitions.clear();
         for node in 0..self.nodes.len() {
             let epoch = self.nodes[node].epoch;
             self.nodes[node].disk.set_capacity(None);
             self.nodes[node].disk.fail_syncs(0);
-            self.resume(node, epoch);
+            self.resume_node(node, epoch);
             if self.nodes[node].disk.has_stopped() {
                 self.crash(node);
             }
--- a/crates/ragwortroad_gateway/src/gateway_state.rs
+++ b/crates/ragwortroad_gateway/src/gateway_state.rs
@@ -25,29 +25,29 @@
     ControlCall,
     GatewayPages,
     GatewaySettings,
-    body_room::{
-        BodyRoom,
-        HeldRoom, //
+    body_budget::{
+        BodyBudget,
+        BodyReservation, //
     },
-    cancel_worker::CancelOrder,
+    cancel_worker::CancelRequest,
     endpoint_pool::EndpointPool, //
 };
 
-/// What all connections of one gateway share.
+/// State shared by all connections of one gateway.
 pub(crate) struct GatewayState {
     pub(crate) settings: GatewaySettings,
     pub(crate) calls: Sender<ControlCall>,
     pub(crate) pages: GatewayPages,
-    pub(crate) cancels: UnboundedSender<CancelOrder>,
+    pub(crate) cancels: UnboundedSender<CancelRequest>,
     pub(crate) pool: EndpointPool,
-    pub(crate) room: Arc<BodyRoom>,
-    /// Invariant: once true, stays true.
+    pub(crate) budget: Arc<BodyBudget>,
+    /// Invariant: never reset once true.
     draining: AtomicBool,
     /// Invariant: the number of live [`FlightGuard`]s.
-    flights: AtomicUsize,
-    landed: Notify,
-    seeds: RandomState,
-    drawn: AtomicU64,
+    request_count: AtomicUsize,
+    idle_notify: Notify,
+    request_id_hasher: RandomState,
+    next_request_number: AtomicU64,
 }
 
 impl GatewayState {
@@ -55,27 +55,27 @@
         settings: GatewaySettings,
         calls: Sender<ControlCall>,
         pages: GatewayPages,
-        cancels: UnboundedSender<CancelOrder>,
+        cancels: UnboundedSender<CancelRequest>,
     ) -> Self {
         Self {
-            room: Arc::new(BodyRoom::new(settings.max_bodies)),
+            budget: Arc::new(BodyBudget::new(settings.max_buffered_body_bytes)),
             settings,
             calls,
             pages,
             cancels,
             pool: EndpointPool::default(),
             draining: AtomicBool::new(false),
-            flights: AtomicUsize::new(0),
-            landed: Notify::new(),
-            seeds: RandomState::new(),
-            drawn: AtomicU64::new(0),
+            request_count: AtomicUsize::new(0),
+            idle_notify: Notify::new(),
+            request_id_hasher: RandomState::new(),
+            next_request_number: AtomicU64::new(0),
         }
     }
 
-    /// A new request's identity: a counter under a keyed hash whose key the system draws.
-    pub(crate) fn draw_request(&self) -> RequestId {
-        let count = self.drawn.fetch_add(1, Ordering::Relaxed);
-        RequestId(self.seeds.hash_one(count))
+    /// Returns a new request identity: a counter, hashed with a key that the system draws.
+    pub(crate) fn next_request_id(&self) -> RequestId {
+        let count = self.next_request_number.fetch_add(1, Ordering::Relaxed);
+        RequestId(self.request_id_hasher.hash_one(count))
     }
 
     pub(crate) fn begin_drain(&self) {
@@ -87,41 +87,41 @@
     }
 
     pub(crate) fn in_flight(&self) -> usize {
-        self.flights.load(Ordering::Acquire)
+        self.request_count.load(Ordering::Acquire)
     }
 
-    /// Counts a request in until the guard drops.
-    pub(crate) fn take_off(self: &Arc<Self>) -> FlightGuard {
-        self.flights.fetch_add(1, Ordering::AcqRel);
+    /// Counts a request as in flight until the guard is dropped.
+    pub(crate) fn begin_request(self: &Arc<Self>) -> FlightGuard {
+        self.request_count.fetch_add(1, Ordering::AcqRel);
         FlightGuard {
             state: Arc::clone(self),
-            room: self.room.hold(),
+            reservation: self.budget.new_reservation(),
         }
     }
 
     /// Waits until no request is in flight.
-    pub(crate) async fn all_landed(&self) {
+    pub(crate) async fn wait_until_idle(&self) {
         loop {
-            let landed = self.landed.notified();
+            let notified = self.idle_notify.notified();
             if self.in_flight() == 0 {
                 return;
             }
-            landed.await;
+            notified.await;
         }
     }
 }
 
-/// One request in flight, from its head to the last byte of its answer.
+/// A request in flight, from its head to the last byte of its response.
 pub(crate) struct FlightGuard {
     state: Arc<GatewayState>,
-    /// Room for the request's body, which is kept for attempts to come.
-    pub(crate) room: HeldRoom,
+    /// Memory reserved for the request body, which is kept for further attempts.
+    pub(crate) reservation: BodyReservation,
 }
 
 impl Drop for FlightGuard {
     fn drop(&mut self) {
-        if self.state.flights.fetch_sub(1, Ordering::AcqRel) == 1 {
-            self.state.landed.notify_waiters();
+        if self.state.request_count.fetch_sub(1, Ordering::AcqRel) == 1 {
+            self.state.idle_notify.notify_waiters();
         }
     }
 }
--- a/crates/ragwortroad_gateway/src/lib.rs
+++ b/crates/ragwortroad_gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP towards callers, endpoints and operators.
+//! HTTP server for clients, endpoints and operators.
 //!
-//! The gateway moves bytes on traffic threads and decides nothing: for every decision it sends a
-//! [`ControlCall`] to the node's one control thread and awaits the reply. So the state that
-//! decisions rest on needs no lock.
+//! The gateway moves bytes on its traffic threads and makes no decisions: for each decision it
+//! sends a [`ControlCall`] to the node's single control thread and awaits the reply. The state
+//! behind those decisions therefore needs no lock.
 //!
 //! ```
 //! use ragwortroad_gateway::prelude::*;
@@ -13,21 +13,20 @@
 //! ```
 
 mod admit_wait;
-mod answer_check;
 mod attempt_guard;
+mod body_budget;
 mod body_reader;
-mod body_room;
 mod call;
-mod caller_socket;
 mod cancel_worker;
 mod chunk_wire;
+mod client_socket;
 mod connection_count;
 mod connection_loop;
-mod control_ask;
+mod control_client;
 mod endpoint_link;
 mod endpoint_pool;
-mod engine_opening;
 mod engine_request;
+mod engine_response;
 mod exchange_phase;
 mod gateway_error;
 mod gateway_pages;
@@ -38,11 +37,12 @@
 mod model_relay;
 mod page_handlers;
 mod query_values;
-mod reply_body;
-mod reply_maker;
 mod request_context;
 mod request_flow;
 mod request_router;
+mod response_body;
+mod response_builder;
+mod response_check;
 mod service_relay;
 mod sse_splitter;
 mod stop_signal;
@@ -51,7 +51,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Everything a dependent crate usually needs.
+/// Re-exports of the items that a dependent crate usually needs.
 pub mod prelude {
     pub use crate::call::{
         address_call::AddressCall,
@@ -62,15 +62,15 @@
         admit_reply::{
             AdmitGrant,
             AdmitReply,
-            RecordedAnswer, //
+            RecordedResponse, //
         },
         announce_call::AnnounceCall,
         attempt_outcome::AttemptOutcome,
         control_call::ControlCall,
         finish_call::FinishCall,
         operator_call::{
-            OperatorAnswer,
             OperatorCall, //
+            OperatorResponse,
         },
         ticket_id::TicketId,
     };
--- a/crates/ragwortroad_gateway/src/reply_body.rs
+++ b/crates/ragwortroad_gateway/src/response_body.rs
@@ -21,37 +21,37 @@
     gateway_state::FlightGuard, //
 };
 
-/// The work that feeds a stream.
+/// The future that produces the events of a stream.
 type RelayFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// The body of an answer to a caller.
+/// The body of a response to a client.
 ///
-/// A stream's relay runs inside the body: the connection that writes the answer owns the work that
-/// makes it, so a caller that goes away ends the work with no task left behind.
-pub(crate) struct ReplyBody {
+/// The relay of a stream runs inside the body: the connection that writes the response owns the
+/// work that produces it, so a client that disconnects ends the work without leaving a task behind.
+pub(crate) struct ResponseBody {
     source: BodySource,
-    /// Keeps the request counted as in flight until the connection has taken the last byte.
+    /// Keep the request counted as in flight until the connection has taken the last byte.
     guards: Option<(FlightGuard, PhaseGuard)>,
 }
 
-/// Where the bytes come from.
+/// Source of the bytes of a response body.
 enum BodySource {
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     Stream {
         events: mpsc::Receiver<Bytes>,
         relay: Option<RelayFuture>,
     },
 }
 
-impl ReplyBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
+impl ResponseBody {
+    pub(crate) fn complete(bytes: impl Into<Bytes>) -> Self {
         Self {
-            source: BodySource::Whole(Some(bytes.into())),
+            source: BodySource::Complete(Some(bytes.into())),
             guards: None,
         }
     }
 
-    /// A body that `relay` feeds through the channel's other end.
+    /// Creates a body that `relay` feeds through the other end of the channel.
     pub(crate) fn stream(
         events: mpsc::Receiver<Bytes>,
         relay: impl Future<Output = ()> + Send + 'static,
@@ -65,13 +65,14 @@
         }
     }
 
-    pub(crate) fn with_guards(mut self, flight: FlightGuard, phase: PhaseGuard) -> Self {
-        self.guards = Some((flight, phase));
+    pub(crate) fn with_guards(mut self, in_flight: FlightGuard, phase: PhaseGuard) -> Self {
+        self.guards = Some((in_flight, phase));
         self
     }
 }
 
-/// The next piece of a stream: what is in the channel first, else what the relay makes now.
+/// Polls for the next part of a stream: a queued event first, otherwise one that the relay produces
+/// now.
 fn poll_stream(
     events: &mut mpsc::Receiver<Bytes>,
     relay: &mut Option<RelayFuture>,
@@ -89,7 +90,7 @@
     Poll::Pending
 }
 
-impl Body for ReplyBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -98,19 +99,19 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         let bytes = match &mut self.source {
-            BodySource::Whole(bytes) => Poll::Ready(bytes.take()),
+            BodySource::Complete(bytes) => Poll::Ready(bytes.take()),
             BodySource::Stream { events, relay } => poll_stream(events, relay, context),
         };
         bytes.map(|bytes| bytes.map(|bytes| Ok(Frame::data(bytes))))
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(&self.source, BodySource::Whole(None))
+        matches!(&self.source, BodySource::Complete(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            BodySource::Whole(bytes) => {
+            BodySource::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             BodySource::Stream { .. } => SizeHint::default(),
--- a/crates/ragwortroad_gateway/tests/common/fake_control.rs
+++ b/crates/ragwortroad_gateway/tests/common/fake_control.rs
@@ -19,7 +19,7 @@
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// What the fake saw.
+/// The calls that the fake control thread received, and its grants.
 #[derive(Clone, Debug, Default)]
 pub struct ControlLog {
     pub admits: Vec<AdmitCall>,
@@ -28,28 +28,28 @@
 }
 
 impl ControlLog {
-    /// Outcomes of finished attempts, in order.
+    /// Outcomes of the finished attempts, in order.
     pub fn outcomes(&self) -> Vec<AttemptOutcome> {
         let finishes = self.finishes.iter();
         finishes.map(|finish| finish.outcome.clone()).collect()
     }
 }
 
-/// Endpoints that the fake grants, by what they serve.
+/// Endpoints that the fake control thread grants, by the model or service they provide.
 #[derive(Clone, Debug, Default)]
 pub struct FakeRoutes {
     pub models: Vec<(String, SocketAddr)>,
     pub services: Vec<(String, SocketAddr)>,
     pub addresses: Vec<String>,
-    /// Refuses every admission that is a retry.
+    /// Whether to refuse every admission that is a retry.
     pub refuse_retries: bool,
-    /// Answers recorded under an idempotency key.
-    pub recorded: HashMap<String, RecordedAnswer>,
-    /// Waits before each grant.
+    /// Responses recorded under idempotency keys.
+    pub recorded: HashMap<String, RecordedResponse>,
+    /// Delay before each grant.
     pub grant_delay: Duration,
 }
 
-/// A control thread in a few lines: the first endpoint that did not fail this request.
+/// A minimal control thread, which grants the first endpoint that did not fail the request.
 pub struct FakeControl {
     pub log: Arc<Mutex<ControlLog>>,
     pub routes: Arc<Mutex<FakeRoutes>>,
@@ -73,7 +73,7 @@
         )
     }
 
-    /// Waits for the thread, which ends with the last sender.
+    /// Waits for the thread, which ends once the last sender is dropped.
     pub fn join(self) -> ControlLog {
         self.thread.join().unwrap();
         Arc::try_unwrap(self.log).unwrap().into_inner().unwrap()
@@ -97,26 +97,26 @@
             }
             ControlCall::Finish(finish) => log.lock().unwrap().finishes.push(finish),
             ControlCall::Addresses(_, reply) => {
-                let answer = AddressAnswer {
+                let response = AddressResponse {
                     addresses: routes.addresses.clone(),
                     keep_ms: 1000,
                     reason: "the fake's order".to_owned(),
                 };
-                drop(reply.send(Ok(answer)));
+                drop(reply.send(Ok(response)));
             }
             ControlCall::Announce(call, reply) => {
-                let answer = AnnounceAnswer {
+                let response = AnnounceResponse {
                     announce_to: routes.addresses.clone(),
                     every_ms: 1000 + call.announce.sequence,
                 };
-                drop(reply.send(Ok(answer)));
+                drop(reply.send(Ok(response)));
             }
             ControlCall::Operator(call, reply) => {
                 let body = format!(
                     "{{\"line\":{:?},\"change\":{}}}",
                     call.line, call.may_change
                 );
-                drop(reply.send(OperatorAnswer { status: 200, body }));
+                drop(reply.send(OperatorResponse { status: 200, body }));
             }
         }
     }
@@ -127,12 +127,12 @@
         let outcome = RequestOutcome::NotRun;
         AdmitReply::Refused(RefusalWire::new(outcome, code, message, admit.request))
     };
-    if let Some(answer) = admit
+    if let Some(response) = admit
         .idempotency_key
         .as_ref()
         .and_then(|key| routes.recorded.get(key))
     {
-        return AdmitReply::Recorded(answer.clone());
+        return AdmitReply::Recorded(response.clone());
     }
     if routes.refuse_retries && admit.retry_of.is_some() {
         return refuse(RefusalCode::NoEndpoint, "no other endpoint");
@@ -160,7 +160,7 @@
         priority: 1,
         version: None,
         customer: "studio-north".to_owned(),
-        record_answer: admit.idempotency_key.is_some(),
+        record_response: admit.idempotency_key.is_some(),
     })
 }
 
--- a/crates/ragwortroad_gateway/tests/library_evidence.rs
+++ b/crates/ragwortroad_gateway/tests/library_evidence.rs
@@ -1,5 +1,5 @@
-//! Why the traffic path is built on `hyper` and neither on `tiny_http` nor on `minreq`: each trap
-//! shown on loopback. Where a trap is a wait without end, the test looks for a bounded time.
+//! Shows on loopback why the traffic path uses `hyper` and neither `tiny_http` nor `minreq`: one
+//! test per defect. Where the defect is an endless wait, the test observes it for a bounded time.
 #![allow(clippy::unwrap_used)]
 
 use std::{
@@ -28,18 +28,18 @@
     StatusCode, //
 };
 
-/// How long a test looks for something that should not come.
-const LOOK: Duration = Duration::from_millis(400);
+/// Time for which a test observes that something does not happen.
+const OBSERVATION_TIME: Duration = Duration::from_millis(400);
 
-/// Answers one connection with fixed bytes, closes, and returns what was asked.
-fn answer_once(answer: String) -> (SocketAddr, JoinHandle<String>) {
+/// Accepts one connection, sends a fixed response, closes, and returns the request.
+fn respond_once(response: String) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let thread = thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let mut buffer = [0; 2048];
         let count = stream.read(&mut buffer).unwrap();
-        stream.write_all(answer.as_bytes()).unwrap();
+        stream.write_all(response.as_bytes()).unwrap();
         stream.shutdown(Shutdown::Write).unwrap();
         String::from_utf8_lossy(&buffer[..count]).into_owned()
     });
@@ -52,14 +52,14 @@
     (server, address)
 }
 
-/// A connection that gives up reading after [`LOOK`].
+/// Opens a connection with a read timeout of [`OBSERVATION_TIME`].
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(LOOK)).unwrap();
+    stream.set_read_timeout(Some(OBSERVATION_TIME)).unwrap();
     stream
 }
 
-/// Whether the other side says nothing and does not close while the test looks.
+/// Whether the peer neither sends nor closes during the observation.
 fn stays_open(stream: &mut TcpStream) -> bool {
     let error = match stream.read(&mut [0; 64]) {
         Ok(_) => return false,
@@ -82,56 +82,59 @@
         .unwrap()
 }
 
+/// Shows a truncated response that counts as complete: a booking response breaks off, and the
+/// client gets status 200 and a partial body without an error.
 #[test]
-fn minreq_takes_a_short_body_as_whole() {
-    // A booking's answer breaks off. The caller is told 200 and gets a part of the body, with no
-    // error.
+fn minreq_accepts_a_truncated_body() {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n";
-    let (address, thread) = answer_once(format!("{head}0123456789"));
-    let answer = minreq::get(format!("http://{address}/")).send().unwrap();
-    assert_eq!(answer.status_code, 200);
-    assert_eq!(answer.as_bytes(), b"0123456789");
+    let (address, thread) = respond_once(format!("{head}0123456789"));
+    let response = minreq::get(format!("http://{address}/")).send().unwrap();
+    assert_eq!(response.status_code, 200);
+    assert_eq!(response.as_bytes(), b"0123456789");
     thread.join().unwrap();
 }
 
+/// Shows a repeated booking: a service responds with a redirect, and the library sends the booking
+/// again to its target.
 #[test]
-fn minreq_repeats_a_post_where_a_redirect_points() {
-    // A desk answers a booking with a redirect. The library books again at the other place.
+fn minreq_repeats_a_post_at_a_redirect_target() {
     let (second, second_thread) =
-        answer_once("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_owned());
+        respond_once("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n".to_owned());
     let redirect = format!(
         "HTTP/1.1 307 Temporary Redirect\r\nlocation: http://{second}/\r\ncontent-length: 0\r\n\r\n"
     );
-    let (first, first_thread) = answer_once(redirect);
-    let answer = minreq::post(format!("http://{first}/"))
+    let (first, first_thread) = respond_once(redirect);
+    let response = minreq::post(format!("http://{first}/"))
         .with_body("slot")
         .send();
-    assert_eq!(answer.unwrap().status_code, 200);
+    assert_eq!(response.unwrap().status_code, 200);
     first_thread.join().unwrap();
     let repeated = second_thread.join().unwrap();
     assert!(repeated.starts_with("POST "), "{repeated}");
 }
 
+/// Shows a missing head timeout: a client sends half a head and then nothing, and its connection
+/// and thread stay.
 #[test]
-fn tiny_http_waits_for_ever_for_a_head() {
-    // A caller sends half a head and falls silent: the connection and its thread stay.
+fn tiny_http_has_no_head_timeout() {
     let (server, address) = tiny_server();
-    let mut caller = connect(address);
-    caller.write_all(b"GET / HT").unwrap();
-    assert!(stays_open(&mut caller));
+    let mut client = connect(address);
+    client.write_all(b"GET / HT").unwrap();
+    assert!(stays_open(&mut client));
     drop(server);
 }
 
+/// Shows a missing head size limit: a client sends a head of one mebibyte, which is read into
+/// memory as it arrives.
 #[test]
-fn tiny_http_takes_heads_of_any_size() {
-    // A caller sends a head of a mebibyte; it is taken into memory as it comes.
+fn tiny_http_has_no_head_size_limit() {
     let (server, address) = tiny_server();
     let writer = thread::spawn(move || {
-        let mut caller = connect(address);
+        let mut client = connect(address);
         let value = "a".repeat(1 << 20);
         let head = format!("GET / HTTP/1.1\r\nhost: n\r\nx-long: {value}\r\n\r\n");
-        caller.write_all(head.as_bytes()).unwrap();
-        caller
+        client.write_all(head.as_bytes()).unwrap();
+        client
     });
     let request = server.recv().unwrap();
     let longest = request
@@ -143,51 +146,51 @@
     drop(writer.join().unwrap());
 }
 
+/// Shows one thread and its stack per idle connection: clients get their responses and keep their
+/// connections open, as browsers do.
 #[test]
 fn tiny_http_starts_a_thread_for_each_connection() {
-    // Callers are answered and keep their connections open, as browsers do: each holds a thread
-    // and its stack, with nothing to do.
     let (server, address) = tiny_server();
     let before = thread_count();
-    let mut callers = Vec::new();
+    let mut clients = Vec::new();
     for _ in 0..100 {
-        let mut caller = connect(address);
-        caller
+        let mut client = connect(address);
+        client
             .write_all(b"GET / HTTP/1.1\r\nhost: n\r\n\r\n")
             .unwrap();
         let request = server.recv().unwrap();
         request.respond(Response::from_string("ok")).unwrap();
-        callers.push(caller);
+        clients.push(client);
     }
     let after = thread_count();
     assert!(after >= before + 80, "{before} threads, then {after}");
-    drop(callers);
+    drop(clients);
     drop(server);
 }
 
+/// Shows that dropping the server neither closes nor serves open connections: clients of a stopped
+/// node wait, and a stand-in built on it could not simulate a lost VM.
 #[test]
-fn tiny_http_serves_open_connections_after_its_end() {
-    // A node stops. A connection that is open then is neither closed nor answered, so its caller
-    // waits; and a stand-in built on it could not show a VM that is lost.
+fn tiny_http_leaves_connections_open_after_shutdown() {
     let (server, address) = tiny_server();
-    let mut caller = connect(address);
-    caller
+    let mut client = connect(address);
+    client
         .write_all(b"GET / HTTP/1.1\r\nhost: n\r\n\r\n")
         .unwrap();
     let request = server.recv().unwrap();
     request.respond(Response::from_string("ok")).unwrap();
-    let mut answer = [0; 12];
-    caller.read_exact(&mut answer).unwrap();
+    let mut response = [0; 12];
+    client.read_exact(&mut response).unwrap();
     drop(server);
     let mut rest = [0; 4096];
-    while caller.read(&mut rest).is_ok_and(|count| count > 0) {}
-    caller
+    while client.read(&mut rest).is_ok_and(|count| count > 0) {}
+    client
         .write_all(b"GET / HTTP/1.1\r\nhost: n\r\n\r\n")
         .unwrap();
-    assert!(stays_open(&mut caller));
+    assert!(stays_open(&mut client));
 }
 
-/// A body of one token that ends only when the test says so.
+/// A body of one token that ends when the test releases it.
 struct HeldToken {
     token: &'static [u8],
     release: flume::Receiver<()>,
@@ -203,34 +206,34 @@
     }
 }
 
+/// Shows delayed tokens: an engine sends a token and continues to compute, and chunked bodies of
+/// the library deliver the token only with later ones or at the end.
 #[test]
-fn tiny_http_holds_tokens_back() {
-    // An engine makes a token and goes on thinking. With the library's own chunked bodies the
-    // caller sees the token only with the later ones, or at the end.
+fn tiny_http_delays_tokens() {
     let (server, address) = tiny_server();
-    let (release, held) = flume::bounded(1);
+    let (release, release_receiver) = flume::bounded(1);
     let sender = thread::spawn(move || {
         let request = server.recv().unwrap();
         let body = HeldToken {
             token: b"token-0",
-            release: held,
+            release: release_receiver,
         };
         let response = Response::new(StatusCode(200), Vec::new(), body, None, None);
         request.respond(response).unwrap();
         server
     });
-    let mut caller = connect(address);
-    caller
+    let mut client = connect(address);
+    client
         .write_all(b"GET / HTTP/1.1\r\nhost: n\r\nconnection: close\r\n\r\n")
         .unwrap();
     let mut seen = Vec::new();
     let mut buffer = [0; 4096];
-    while let Ok(count) = caller.read(&mut buffer) {
+    while let Ok(count) = client.read(&mut buffer) {
         seen.extend_from_slice(&buffer[..count]);
     }
     assert!(!String::from_utf8_lossy(&seen).contains("token-0"));
     release.send(()).unwrap();
-    caller.read_to_end(&mut seen).unwrap();
+    client.read_to_end(&mut seen).unwrap();
     assert!(String::from_utf8_lossy(&seen).contains("token-0"));
     drop(sender.join().unwrap());
 }
--- a/crates/ragwortroad_language/src/edit/customer_edit.rs
+++ b/crates/ragwortroad_language/src/edit/customer_edit.rs
@@ -1,4 +1,4 @@
-//! Edits of customers.
+//! Parses edits of customers.
 
 use ragwortroad_state::prelude::*;
 
@@ -13,33 +13,33 @@
 };
 
 const CUSTOMER: &str = "a customer's NAME";
-pub(super) const HASH: &str = "a key's SHA-256";
-pub(super) const HASH_EXAMPLE: &str = "the 64 hex digits of 'printf KEY | sha256sum'";
+pub(super) const KEY_HASH: &str = "a key's SHA-256";
+pub(super) const KEY_HASH_EXAMPLE: &str = "the 64 hex digits of 'printf KEY | sha256sum'";
 
-type Parsed = Result<(), LanguageError>;
+type ParseResult = Result<(), LanguageError>;
 
-/// `NAME [rate 20/s] [tokens 40000/s] [concurrent 30] [weight 100] [priority 100]`
-pub(super) fn add(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `NAME [rate 20/s] [tokens 40000/s] [concurrent 30] [weight 100] [priority 100]`.
+pub(super) fn add(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     edits.push(ConfigEdit::AddCustomer {
         customer: customer.clone(),
     });
-    if !cursor.at_end() {
+    if !cursor.at_statement_end() {
         let limits = limits(cursor)?;
         edits.push(ConfigEdit::SetLimits { customer, limits });
     }
     Ok(())
 }
 
-/// `NAME`
-pub(super) fn remove(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `NAME`.
+pub(super) fn remove(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     edits.push(ConfigEdit::RemoveCustomer { customer });
     Ok(())
 }
 
-/// `NAME [rate 20/s] [tokens 40000/s] [concurrent 30] [weight 100] [priority 100]`
-pub(super) fn set(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `NAME [rate 20/s] [tokens 40000/s] [concurrent 30] [weight 100] [priority 100]`.
+pub(super) fn set(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
     let limits = limits(cursor)?;
     edits.push(ConfigEdit::SetLimits { customer, limits });
@@ -65,24 +65,24 @@
     }
 }
 
-/// `CUSTOMER HASH`
-pub(super) fn add_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `CUSTOMER HASH`.
+pub(super) fn add_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
-    let key = cursor.value(HASH, HASH_EXAMPLE, key_hash)?;
+    let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::AddKey { customer, key });
     Ok(())
 }
 
-/// `CUSTOMER HASH`
-pub(super) fn remove_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `CUSTOMER HASH`.
+pub(super) fn remove_key(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let customer = cursor.text(CUSTOMER)?;
-    let key = cursor.value(HASH, HASH_EXAMPLE, key_hash)?;
+    let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::RemoveKey { customer, key });
     Ok(())
 }
 
-/// `customer NAME model M [adapter A] [version V]` or `customer NAME service S`
-pub(super) fn allow(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `customer NAME model M [adapter A] [version V]` or `customer NAME service S`.
+pub(super) fn allow(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("customer")?;
     let customer = cursor.text(CUSTOMER)?;
     if cursor.choice(&["model", "service"])? == "service" {
@@ -107,8 +107,8 @@
     Ok(())
 }
 
-/// `customer NAME model M [adapter A]` or `customer NAME service S`
-pub(super) fn deny(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `customer NAME model M [adapter A]` or `customer NAME service S`.
+pub(super) fn deny(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("customer")?;
     let customer = cursor.text(CUSTOMER)?;
     if cursor.choice(&["model", "service"])? == "service" {
@@ -129,8 +129,8 @@
     Ok(())
 }
 
-/// `keys CUSTOMER`
-pub(super) fn forget(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `keys CUSTOMER`.
+pub(super) fn forget(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("keys")?;
     let customer = cursor.text(CUSTOMER)?;
     edits.push(ConfigEdit::ForgetKeys { customer });
--- a/crates/ragwortroad_language/src/edit/fleet_edit.rs
+++ b/crates/ragwortroad_language/src/edit/fleet_edit.rs
@@ -1,19 +1,19 @@
-//! Edits of services, drains, members, operators and fleet-wide settings.
+//! Parses edits of services, drains, members, operators and fleet-wide settings.
 
 use ragwortroad_state::prelude::*;
 
 use super::customer_edit::{
-    HASH,
-    HASH_EXAMPLE, //
+    KEY_HASH,
+    KEY_HASH_EXAMPLE, //
 };
 use crate::{
     LanguageError,
     word_cursor::WordCursor,
     word_value::{
+        duration, //
         key_hash,
         multiple,
         number,
-        span, //
     }, //
 };
 
@@ -22,10 +22,10 @@
 const OPERATOR: &str = "an operator's NAME";
 const REPEATS: [&str; 3] = ["idempotent", "once", "by-method"];
 
-type Parsed = Result<(), LanguageError>;
+type ParseResult = Result<(), LanguageError>;
 
-/// `S [idempotent|once METHOD PATH]...`
-pub(super) fn add_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `S [idempotent|once METHOD PATH]...`.
+pub(super) fn add_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let service = cursor.text(SERVICE)?;
     edits.push(ConfigEdit::AddService {
         service: service.clone(),
@@ -36,15 +36,18 @@
     Ok(())
 }
 
-/// `S`
-pub(super) fn remove_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `S`.
+pub(super) fn remove_service(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let service = cursor.text(SERVICE)?;
     edits.push(ConfigEdit::RemoveService { service });
     Ok(())
 }
 
-/// `S idempotent|once|by-method METHOD PATH ...`
-pub(super) fn set_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `S idempotent|once|by-method METHOD PATH ...`.
+pub(super) fn set_service(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let service = cursor.text(SERVICE)?;
     let repeat = cursor.choice(&REPEATS)?;
     edits.push(call(cursor, &service, repeat)?);
@@ -73,15 +76,15 @@
     })
 }
 
-/// `endpoint|node|domain NAME`
-pub(super) fn drain(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `endpoint|node|domain NAME`.
+pub(super) fn drain(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let target = drain_target(cursor)?;
     edits.push(ConfigEdit::Drain { target });
     Ok(())
 }
 
-/// `endpoint|node|domain NAME`
-pub(super) fn undrain(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `endpoint|node|domain NAME`.
+pub(super) fn undrain(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let target = drain_target(cursor)?;
     edits.push(ConfigEdit::Undrain { target });
     Ok(())
@@ -97,39 +100,46 @@
     }
 }
 
-/// `1.25`
-pub(super) fn set_multiple(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `1.25`.
+pub(super) fn set_multiple(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let permille = cursor.value("a load multiple", "1.25", multiple)?;
     edits.push(ConfigEdit::SetMultiple { permille });
     Ok(())
 }
 
-/// `refuse` or `go-on 30s`
-pub(super) fn set_quorum_loss(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `refuse` or `go-on 30s`.
+pub(super) fn set_quorum_loss(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let policy = match cursor.choice(&["refuse", "go-on"])? {
         "refuse" => QuorumLoss::Refuse,
         _ => QuorumLoss::GoOn {
-            seconds: cursor.value("a span of time", "30s", span)?,
+            seconds: cursor.value("a span of time", "30s", duration)?,
         },
     };
     edits.push(ConfigEdit::SetQuorumLoss { policy });
     Ok(())
 }
 
-/// `[window 24h] [keys 20000] [answer 4096] [budget 1048576] [spent 250000] [skew 60s] [run 600s]`
-pub(super) fn set_claims(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses
+/// `[window 24h] [keys 20000] [answer 4096] [budget 1048576] [spent 250000] [skew 60s] [run 600s]`.
+pub(super) fn set_claims(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let names = ["window", "keys", "answer", "budget", "spent", "skew", "run"];
     let mut rules = ClaimsEdit::default();
     let mut name = cursor.choice(&names)?;
     loop {
         match name {
-            "window" => rules.window_s = Some(cursor.value("a span of time", "24h", span)?),
+            "window" => rules.window_s = Some(cursor.value("a span of time", "24h", duration)?),
             "keys" => rules.per_customer = Some(cursor.value("a number", "20000", number)?),
             "answer" => rules.answer_bytes = Some(cursor.value("bytes", "4096", number)?),
             "budget" => rules.answer_budget = Some(cursor.value("bytes", "1048576", number)?),
             "spent" => rules.spent_per_customer = Some(cursor.value("a number", "250000", number)?),
-            "skew" => rules.skew_s = Some(cursor.value("a span of time", "60s", span)?),
-            _ => rules.run_bound_s = Some(cursor.value("a span of time", "10m", span)?),
+            "skew" => rules.skew_s = Some(cursor.value("a span of time", "60s", duration)?),
+            _ => rules.run_bound_s = Some(cursor.value("a span of time", "10m", duration)?),
         }
         match cursor.option(&names)? {
             Some(next) => name = next,
@@ -140,33 +150,42 @@
     Ok(())
 }
 
-/// `NAME IP:PORT`
-pub(super) fn add_member(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `NAME IP:PORT`.
+pub(super) fn add_member(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let member = cursor.text(MEMBER)?;
     let address = cursor.text("the member's IP:PORT")?;
     edits.push(ConfigEdit::AddMember { member, address });
     Ok(())
 }
 
-/// `NAME`
-pub(super) fn remove_member(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `NAME`.
+pub(super) fn remove_member(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let member = cursor.text(MEMBER)?;
     edits.push(ConfigEdit::RemoveMember { member });
     Ok(())
 }
 
-/// `NAME HASH`
-pub(super) fn add_operator(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `NAME HASH`.
+pub(super) fn add_operator(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let operator = cursor.text(OPERATOR)?;
-    let key = cursor.value(HASH, HASH_EXAMPLE, key_hash)?;
+    let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::AddOperator { operator, key });
     Ok(())
 }
 
-/// `NAME HASH`
-pub(super) fn remove_operator(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `NAME HASH`.
+pub(super) fn remove_operator(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let operator = cursor.text(OPERATOR)?;
-    let key = cursor.value(HASH, HASH_EXAMPLE, key_hash)?;
+    let key = cursor.value(KEY_HASH, KEY_HASH_EXAMPLE, key_hash)?;
     edits.push(ConfigEdit::RemoveOperator { operator, key });
     Ok(())
 }
--- a/crates/ragwortroad_language/src/edit/model_edit.rs
+++ b/crates/ragwortroad_language/src/edit/model_edit.rs
@@ -1,4 +1,4 @@
-//! Edits of models.
+//! Parses edits of models.
 
 use ragwortroad_state::prelude::*;
 
@@ -17,10 +17,10 @@
 const VERSION: &str = "a version's NAME";
 const ADAPTER: &str = "an adapter's NAME";
 
-type Parsed = Result<(), LanguageError>;
+type ParseResult = Result<(), LanguageError>;
 
-/// `M version V [replicas 2..6] [wanted 3] [size 16gb]`
-pub(super) fn add(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `M version V [replicas 2..6] [wanted 3] [size 16gb]`.
+pub(super) fn add(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let model = cursor.text(MODEL)?;
     cursor.keyword("version")?;
     let version = cursor.text(VERSION)?;
@@ -51,15 +51,15 @@
     })
 }
 
-/// `M`
-pub(super) fn remove(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `M`.
+pub(super) fn remove(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let model = cursor.text(MODEL)?;
     edits.push(ConfigEdit::RemoveModel { model });
     Ok(())
 }
 
-/// `M replicas 2..6 [wanted 3]`
-pub(super) fn set(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `M replicas 2..6 [wanted 3]`.
+pub(super) fn set(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let model = cursor.text(MODEL)?;
     cursor.keyword("replicas")?;
     let mut replicas = replica_range(cursor)?;
@@ -70,15 +70,18 @@
     Ok(())
 }
 
-/// `A model M`
-pub(super) fn add_adapter(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `A model M`.
+pub(super) fn add_adapter(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     let (adapter, model) = adapter_of_model(cursor)?;
     edits.push(ConfigEdit::AddAdapter { model, adapter });
     Ok(())
 }
 
-/// `A model M`
-pub(super) fn remove_adapter(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `A model M`.
+pub(super) fn remove_adapter(
+    cursor: &mut WordCursor<'_>,
+    edits: &mut Vec<ConfigEdit>,
+) -> ParseResult {
     let (adapter, model) = adapter_of_model(cursor)?;
     edits.push(ConfigEdit::RemoveAdapter { model, adapter });
     Ok(())
@@ -90,8 +93,8 @@
     Ok((adapter, cursor.text(MODEL)?))
 }
 
-/// `model M to V 25%`
-pub(super) fn roll(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `model M to V 25%`.
+pub(super) fn roll(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("model")?;
     let model = cursor.text(MODEL)?;
     cursor.keyword("to")?;
@@ -105,8 +108,8 @@
     Ok(())
 }
 
-/// `model M`
-pub(super) fn rollback(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> Parsed {
+/// Parses `model M`.
+pub(super) fn rollback(cursor: &mut WordCursor<'_>, edits: &mut Vec<ConfigEdit>) -> ParseResult {
     cursor.keyword("model")?;
     let model = cursor.text(MODEL)?;
     edits.push(ConfigEdit::RollBack { model });
--- a/crates/ragwortroad_language/src/line_word.rs
+++ b/crates/ragwortroad_language/src/line_word.rs
@@ -27,50 +27,50 @@
 pub(crate) struct LineWord {
     pub(crate) text: String,
     pub(crate) kind: WordKind,
-    /// Its bytes in the line, with its quotes.
+    /// Byte range in the line, including quotes.
     pub(crate) bytes: Range<usize>,
 }
 
 /// How a word is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WordKind {
-    /// As it is.
+    /// Written without quotes.
     Bare,
-    /// Between quotes; never a keyword.
+    /// Written between quotes; never a keyword.
     Quoted,
     /// One of `;`, `=`, `!=`, `<`, `>`.
-    Sign,
+    Symbol,
 }
 
 type Line<'i> = LocatingSlice<&'i str>;
 
 fn quoted(input: &mut Line<'_>) -> ModalResult<(String, WordKind)> {
-    delimited('"', take_while(0.., |sign| sign != '"'), '"')
+    delimited('"', take_while(0.., |character| character != '"'), '"')
         .map(|text: &str| (text.to_owned(), WordKind::Quoted))
         .parse_next(input)
 }
 
-fn sign(input: &mut Line<'_>) -> ModalResult<(String, WordKind)> {
+fn symbol(input: &mut Line<'_>) -> ModalResult<(String, WordKind)> {
     alt((";", "=", "!=", "<", ">"))
-        .map(|text: &str| (text.to_owned(), WordKind::Sign))
+        .map(|text: &str| (text.to_owned(), WordKind::Symbol))
         .parse_next(input)
 }
 
 fn bare(input: &mut Line<'_>) -> ModalResult<(String, WordKind)> {
-    take_while(1.., |sign: char| {
-        !sign.is_whitespace() && !"\";=!<>".contains(sign)
+    take_while(1.., |character: char| {
+        !character.is_whitespace() && !"\";=!<>".contains(character)
     })
     .map(|text: &str| (text.to_owned(), WordKind::Bare))
     .parse_next(input)
 }
 
 fn word(input: &mut Line<'_>) -> ModalResult<LineWord> {
-    preceded(multispace0, alt((quoted, sign, bare)).with_span())
+    preceded(multispace0, alt((quoted, symbol, bare)).with_span())
         .map(|((text, kind), bytes)| LineWord { text, kind, bytes })
         .parse_next(input)
 }
 
-/// The words of `line`, or the place at which no word begins.
+/// Splits `line` into words. The error points at the position at which no word begins.
 pub(crate) fn split_line(line: &str) -> Result<Vec<LineWord>, LanguageError> {
     let mut input = LocatingSlice::new(line);
     let words: ModalResult<Vec<LineWord>> = repeat(0.., word).parse_next(&mut input);
--- a/crates/ragwortroad_language/src/table/cell_value.rs
+++ b/crates/ragwortroad_language/src/table/cell_value.rs
@@ -5,31 +5,31 @@
 
 use serde_json::Value;
 
-use crate::CellRelation;
+use crate::CellComparison;
 
 /// One cell of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum CellValue {
-    /// Nothing known.
+    /// No value; `-` in text and `null` in JSON.
     #[default]
     Empty,
-    /// Text.
+    /// A text.
     Text(String),
-    /// A number.
+    /// An unsigned integer.
     Number(u64),
-    /// Yes or no.
+    /// A boolean; `yes` or `no` in text.
     Flag(bool),
 }
 
 impl CellValue {
-    /// Whether the cell stands in `relation` to the value of a condition.
-    pub(crate) fn stands(&self, relation: CellRelation, value: &str) -> bool {
+    /// Whether the cell satisfies `comparison` with the value of a condition.
+    pub(crate) fn matches(&self, comparison: CellComparison, value: &str) -> bool {
         let order = self.compare(value);
-        match relation {
-            CellRelation::Equal => order == Ordering::Equal,
-            CellRelation::Unequal => order != Ordering::Equal,
-            CellRelation::Less => order == Ordering::Less,
-            CellRelation::Greater => order == Ordering::Greater,
+        match comparison {
+            CellComparison::Equal => order == Ordering::Equal,
+            CellComparison::NotEqual => order != Ordering::Equal,
+            CellComparison::Less => order == Ordering::Less,
+            CellComparison::Greater => order == Ordering::Greater,
         }
     }
 
--- a/crates/ragwortroad_language/src/table/state_table.rs
+++ b/crates/ragwortroad_language/src/table/state_table.rs
@@ -10,7 +10,8 @@
     }, //
 };
 
-/// The table of a topic that the replicated state alone answers; nothing for the others.
+/// Builds the table of a topic from the replicated state; `None` for topics that need other
+/// sources.
 pub fn state_table(topic: ShowTopic, state: &FleetState) -> Option<ResultTable> {
     let config = state.config();
     let mut table = ResultTable::new(topic);
@@ -35,7 +36,7 @@
     Some(table)
 }
 
-fn listed<T: ToString>(items: impl IntoIterator<Item = T>) -> CellValue {
+fn comma_list<T: ToString>(items: impl IntoIterator<Item = T>) -> CellValue {
     let items: Vec<String> = items.into_iter().map(|item| item.to_string()).collect();
     if items.is_empty() {
         CellValue::Empty
@@ -44,9 +45,9 @@
     }
 }
 
-/// The first digits of keys' hashes, enough to tell them apart.
+/// Lists the first 12 digits of the key hashes, enough to distinguish them.
 fn key_list<'a>(keys: impl IntoIterator<Item = &'a KeyHash>) -> CellValue {
-    listed(keys.into_iter().map(|key| key.to_string()[..12].to_owned()))
+    comma_list(keys.into_iter().map(|key| key.to_string()[..12].to_owned()))
 }
 
 fn customers(table: &mut ResultTable, config: &FleetConfig) {
@@ -59,8 +60,8 @@
         table.push([
             name.as_str().into(),
             key_list(&customer.keys),
-            listed(models),
-            listed(&customer.services),
+            comma_list(models),
+            comma_list(&customer.services),
         ]);
     }
 }
@@ -84,8 +85,8 @@
         let shares = model.versions.iter();
         table.push([
             name.as_str().into(),
-            listed(shares.map(|(version, share)| format!("{version}:{share}%"))),
-            listed(&model.adapters),
+            comma_list(shares.map(|(version, share)| format!("{version}:{share}%"))),
+            comma_list(&model.adapters),
             model.replicas.min.into(),
             model.replicas.wanted.into(),
             model.replicas.max.into(),
@@ -97,9 +98,9 @@
 
 fn versions(table: &mut ResultTable, config: &FleetConfig) {
     for (name, model) in &config.models {
-        let old = model.stable.keys();
-        let gone = old.filter(|version| !model.versions.contains_key(*version));
-        for version in model.versions.keys().chain(gone) {
+        let previous = model.stable.keys();
+        let removed = previous.filter(|version| !model.versions.contains_key(*version));
+        for version in model.versions.keys().chain(removed) {
             let share = model.versions.get(version).copied().unwrap_or(0);
             table.push([
                 name.as_str().into(),
@@ -115,8 +116,8 @@
     for (name, service) in &config.services {
         table.push([
             name.as_str().into(),
-            listed(&service.idempotent),
-            listed(&service.once),
+            comma_list(&service.idempotent),
+            comma_list(&service.once),
         ]);
     }
 }
--- a/crates/ragwortroad_node/src/control/address_flow.rs
+++ b/crates/ragwortroad_node/src/control/address_flow.rs
@@ -1,4 +1,4 @@
-//! Which addresses a caller should use.
+//! Selects the node addresses that a caller should connect to.
 
 use std::time::Duration;
 
@@ -11,26 +11,26 @@
     control_state::ControlState, //
 };
 
-/// Addresses in one answer.
-const ADDRESS_COUNT: usize = 3;
+const MAX_ADDRESSES: usize = 3;
 
-/// How long a caller may keep an answer.
+/// How long a caller may cache the addresses.
 ///
-/// Longer answers save questions; shorter ones bring callers sooner to the home of a chat that
-/// moved. A stale answer costs one message between nodes a request, never correctness.
-const KEEP: Duration = Duration::from_secs(30);
+/// A longer time saves lookups; a shorter one moves callers sooner when a chat gets another home. A
+/// stale address costs one extra message between nodes for each request, but never correctness.
+const ADDRESS_TTL: Duration = Duration::from_secs(30);
 
 impl ControlState {
-    /// Answers a caller's question for addresses.
+    /// Returns the addresses for a caller, the preferred one first.
     pub(crate) fn addresses(
         &mut self,
         call: &AddressCall,
         now: ClockTime,
-    ) -> Result<AddressAnswer, RefusalWire> {
-        let request = RequestId(self.draw());
-        let Some((customer, _)) = self.follow.customer_of(call.key_hash) else {
-            // A node that has no configuration yet knows no customer; others may.
-            let refusal = match self.follow.guard.may_admit(now) {
+    ) -> Result<AddressResponse, RefusalWire> {
+        let request = RequestId(self.next_random());
+        let Some((customer, _)) = self.follower.customer_of(call.key_hash) else {
+            // A node that has not received its configuration yet knows no customers; other nodes
+            // may.
+            let refusal = match self.follower.guard.may_admit(now) {
                 Ok(()) => AdmitRefusal::not_run(RefusalCode::WrongKey, "no customer has this key"),
                 Err(reason) => AdmitRefusal::not_run(RefusalCode::NotCurrent, reason.to_string()),
             };
@@ -43,7 +43,7 @@
         let hint = hint.and_then(|hint| self.hints.decode(customer_key, hint));
         let nodes = self
             .route
-            .addresses_for(chat, hint, request.0, ADDRESS_COUNT);
+            .addresses_for(chat, hint, request.0, MAX_ADDRESSES);
         let addresses: Vec<String> = nodes
             .iter()
             .filter_map(|node| self.caller_address(*node))
@@ -52,27 +52,29 @@
         if addresses.is_empty() {
             let message = "no node takes requests now";
             let refusal = AdmitRefusal::not_run(RefusalCode::NoEndpoint, message);
-            return Err(self.refusal_wire(request, refusal.after(Duration::from_secs(1))));
+            return Err(
+                self.refusal_wire(request, refusal.with_retry_after(Duration::from_secs(1)))
+            );
         }
         let reason = match (hint, chat) {
             (Some(_), _) => "the first admits to the engine in the hint",
             (None, Some(_)) => "the chat's own nodes",
             (None, None) => "spread evenly; name a chat to reach its own nodes",
         };
-        Ok(AddressAnswer {
+        Ok(AddressResponse {
             addresses,
-            keep_ms: KEEP.as_millis() as u64,
+            keep_ms: ADDRESS_TTL.as_millis() as u64,
             reason: reason.to_owned(),
         })
     }
 
-    /// Addresses of other nodes that take requests, for a refusal.
+    /// Returns the addresses of other nodes that take requests, to be sent with a refusal.
     pub(crate) fn other_addresses(&self) -> Vec<String> {
-        let nodes = self.open_nodes();
+        let nodes = self.available_nodes();
         let others = nodes.into_iter().filter(|node| *node != self.node);
         let addresses = others.filter_map(|node| self.caller_address(node));
         addresses
-            .take(ADDRESS_COUNT)
+            .take(MAX_ADDRESSES)
             .map(|address| address.to_string())
             .collect()
     }
--- a/crates/ragwortroad_node/src/control/endpoint_flow.rs
+++ b/crates/ragwortroad_node/src/control/endpoint_flow.rs
@@ -1,4 +1,5 @@
-//! Nodes and endpoints: announcements in, gossip in and out, the route table kept true to both.
+//! Handles announcements and gossip about nodes and endpoints, and updates the route table from
+//! both.
 
 use ragwortroad_gateway::prelude::*;
 use ragwortroad_membership::prelude::*;
@@ -17,13 +18,13 @@
 };
 
 impl ControlState {
-    /// Serves an endpoint's announcement.
+    /// Handles an endpoint's announcement.
     pub(crate) fn announce(
         &mut self,
         call: AnnounceCall,
         now: ClockTime,
-    ) -> Result<AnnounceAnswer, RefusalWire> {
-        let request = RequestId(self.draw());
+    ) -> Result<AnnounceResponse, RefusalWire> {
+        let request = RequestId(self.next_random());
         if !same_hash(&call.secret_hash, &self.secrets.join) {
             let message = "the join secret is not the fleet's";
             let refusal = AdmitRefusal::not_run(RefusalCode::WrongKey, message);
@@ -42,9 +43,9 @@
         let endpoint = EndpointId::from_name(&call.announce.name);
         let load = call.announce.load;
         let events = call.announce.cache_events.clone();
-        let announce = self.with_own_count(call.announce, now);
+        let announce = self.with_local_load(call.announce, now);
         let actions = self.membership.handle(GossipInput::Announce(announce), now);
-        self.do_gossip(actions, now);
+        self.run_gossip_actions(actions, now);
         if let HomeState::Home { .. } = self.membership.home_state(endpoint, now) {
             self.route.observe_report(endpoint, load, now);
             self.route.observe_cache(endpoint, &events, now);
@@ -52,11 +53,12 @@
         Ok(self.membership.announce_answer(endpoint, now))
     }
 
-    /// An announcement with the load that this node knows exactly, where it is the home.
+    /// Replaces the load in an announcement by this node's own count if this node is the endpoint's
+    /// home.
     ///
-    /// Other nodes choose by what gossip tells them. The endpoint's own report is older than the
-    /// home's count of what it admitted.
-    fn with_own_count(&self, announce: AnnounceWire, now: ClockTime) -> AnnounceWire {
+    /// Other nodes choose endpoints by the gossiped load, and the endpoint's own report is older
+    /// than the home's count of the requests it admitted.
+    fn with_local_load(&self, announce: AnnounceWire, now: ClockTime) -> AnnounceWire {
         let endpoint = EndpointId::from_name(&announce.name);
         let is_home = self.membership.home_state(endpoint, now).admits_at(now);
         let Some(running) = self.route.load_of(endpoint).filter(|_| is_home) else {
@@ -69,21 +71,21 @@
         AnnounceWire { load, ..announce }
     }
 
-    /// Lets time pass for membership.
+    /// Runs the timers of the membership table.
     pub(crate) fn tick_membership(&mut self, now: ClockTime) {
         let actions = self.membership.handle(GossipInput::Tick, now);
-        self.do_gossip(actions, now);
+        self.run_gossip_actions(actions, now);
     }
 
-    /// Takes in a gossip packet.
+    /// Handles a gossip packet.
     pub(crate) fn handle_gossip(&mut self, from: NodeId, bytes: Vec<u8>, now: ClockTime) {
         let packet = GossipInput::Packet { from, bytes };
         let actions = self.membership.handle(packet, now);
-        self.do_gossip(actions, now);
+        self.run_gossip_actions(actions, now);
     }
 
-    /// Does what membership wants done.
-    pub(crate) fn do_gossip(&mut self, actions: Vec<GossipAction>, now: ClockTime) {
+    /// Performs the actions that the membership table returned.
+    pub(crate) fn run_gossip_actions(&mut self, actions: Vec<GossipAction>, now: ClockTime) {
         for action in actions {
             match action {
                 GossipAction::Send { to, address, bytes } => {
@@ -91,12 +93,12 @@
                 }
                 GossipAction::NodeUp(node) => self.node_up(node, now),
                 GossipAction::NodeSuspected(node) => {
-                    self.note_node(EventKind::NodeSuspected, node);
-                    tracing::info!(node = self.node_name(node), "node is silent");
+                    self.record_node_event(EventKind::NodeSuspected, node);
+                    tracing::info!(node = self.node_name(node), "node is unresponsive");
                 }
                 GossipAction::NodeDown(node) => self.node_down(node, now),
                 GossipAction::NodeLeaving(node) => {
-                    self.note_node(EventKind::NodeLeaving, node);
+                    self.record_node_event(EventKind::NodeLeaving, node);
                     tracing::info!(node = self.node_name(node), "node is leaving");
                     self.refresh_nodes(now);
                 }
@@ -104,12 +106,12 @@
                     self.endpoint_changed(endpoint, now);
                 }
                 GossipAction::HomeChanged(endpoint) => {
-                    self.note_endpoint(EventKind::HomeChanged, endpoint);
+                    self.record_endpoint_event(EventKind::HomeChanged, endpoint);
                     self.refresh_endpoint(endpoint, now);
                 }
                 GossipAction::EndpointLoadChanged(endpoint) => self.refresh_load(endpoint),
                 GossipAction::EndpointGone(endpoint) => {
-                    self.note_endpoint(EventKind::EndpointLeft, endpoint);
+                    self.record_endpoint_event(EventKind::EndpointLeft, endpoint);
                     self.route.remove_endpoint(endpoint);
                 }
                 GossipAction::BlobChanged { .. } => {}
@@ -124,13 +126,13 @@
         let is_damped = record.is_some_and(|record| record.damped);
         match presence {
             Some(EndpointPresence::Leaving) => {
-                self.note_endpoint(EventKind::EndpointLeaving, endpoint);
+                self.record_endpoint_event(EventKind::EndpointLeaving, endpoint);
             }
             Some(EndpointPresence::Present) if is_damped => {
-                self.note_endpoint(EventKind::EndpointDamped, endpoint);
+                self.record_endpoint_event(EventKind::EndpointDamped, endpoint);
             }
             Some(EndpointPresence::Present) if is_new => {
-                self.note_endpoint(EventKind::EndpointJoined, endpoint);
+                self.record_endpoint_event(EventKind::EndpointJoined, endpoint);
             }
             _ => {}
         }
@@ -138,36 +140,41 @@
     }
 
     fn node_up(&mut self, node: NodeId, now: ClockTime) {
-        self.note_node(EventKind::NodeUp, node);
+        self.record_node_event(EventKind::NodeUp, node);
         tracing::info!(node = self.node_name(node), "node is up");
         self.refresh_nodes(now);
-        // Endpoints whose home came back can be asked for again.
+        // Endpoints whose home came back can be requested again.
         self.refresh_endpoints(now);
     }
 
     fn node_down(&mut self, node: NodeId, now: ClockTime) {
         tracing::warn!(node = self.node_name(node), "node is down");
-        self.note_node(EventKind::NodeDown, node);
+        self.record_node_event(EventKind::NodeDown, node);
         self.route.expire_node_slots(node, now);
-        self.grants.node_gone(node);
-        self.releases.node_gone(node);
-        if self.member.as_ref().is_some_and(|seat| seat.leads(now)) {
-            // Its claims would say "in progress" until their longest run is over; callers who ask
-            // again elsewhere are told at once that the outcome is unknown.
-            self.claims.settle(ClaimStep::NodeLost { node });
+        self.grants.remove_node(node);
+        self.releases.remove_node(node);
+        if self
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.leads(now))
+        {
+            // Otherwise the node's claims would stay "in progress" until their maximum run time has
+            // passed; with this step a caller that retries elsewhere learns at once that the
+            // outcome is unknown.
+            self.claims.push_step(ClaimStep::NodeLost { node });
         }
         self.refresh_nodes(now);
         self.refresh_endpoints(now);
     }
 
-    /// Takes over which nodes take callers.
+    /// Updates the nodes that take callers in the route table and the limiter.
     pub(crate) fn refresh_nodes(&mut self, now: ClockTime) {
-        let nodes = self.open_nodes();
+        let nodes = self.available_nodes();
         self.route.set_nodes(&nodes);
         self.limiter.set_nodes(&nodes, now);
     }
 
-    /// Takes over all endpoints.
+    /// Updates all endpoints in the route table.
     pub(crate) fn refresh_endpoints(&mut self, now: ClockTime) {
         let endpoints = self.membership.endpoints();
         let endpoints: Vec<EndpointId> = endpoints.map(|record| record.id).collect();
@@ -176,7 +183,7 @@
         }
     }
 
-    /// Takes over what membership and configuration say of an endpoint.
+    /// Updates an endpoint in the route table from the membership table and the configuration.
     fn refresh_endpoint(&mut self, endpoint: EndpointId, now: ClockTime) {
         let Some(record) = self.membership.endpoint(endpoint) else {
             return;
@@ -200,23 +207,23 @@
             home,
             leaving: !has_home || !self.membership.is_available(endpoint),
             drained: self
-                .follow
+                .follower
                 .config
                 .drains_endpoint(&record.name, &record.zone),
         };
         self.route.upsert_endpoint(facts, exclusive_from);
     }
 
-    /// Tells the route table that loads are as they were last told.
+    /// Feeds the last gossiped loads of remote endpoints to the route table again.
     ///
-    /// Gossip tells only news, and the route table adds what was sent since the last digest to the
-    /// load in it. Without this an idle endpoint with another home would look fuller with every
-    /// request, until this node no longer asked for it at all.
-    pub(crate) fn repeat_digests(&mut self) {
+    /// Gossip sends only changes, and the route table adds the requests sent since the last digest
+    /// to the load in it. Without this refresh an idle endpoint with a remote home would look
+    /// fuller with every request, until this node stopped using it.
+    pub(crate) fn refresh_remote_loads(&mut self) {
         let endpoints = self.membership.endpoints();
-        let foreign = endpoints.filter(|record| record.home != self.node);
-        let foreign: Vec<EndpointId> = foreign.map(|record| record.id).collect();
-        for endpoint in foreign {
+        let remote = endpoints.filter(|record| record.home != self.node);
+        let remote: Vec<EndpointId> = remote.map(|record| record.id).collect();
+        for endpoint in remote {
             self.refresh_load(endpoint);
         }
     }
@@ -233,7 +240,8 @@
     }
 }
 
-/// Whose mean an endpoint's load is compared with: endpoints that can do the same work.
+/// Returns the group of endpoints whose mean load an endpoint is compared with: those that can
+/// serve the same requests.
 fn fleet_key(record: &EndpointRecord) -> FleetKey {
     if let Some(service) = &record.service {
         return FleetKey::from_name(&format!("service {service}"));
@@ -245,7 +253,7 @@
     FleetKey::from_name(&format!("models {}", models.join(" ")))
 }
 
-/// Everything an endpoint can serve.
+/// Returns everything an endpoint can serve.
 fn offers(record: &EndpointRecord) -> Vec<OfferKey> {
     let models = record.models.iter().flat_map(OfferKey::of_offer);
     let service = record.service.as_deref().map(OfferKey::service);
--- a/crates/ragwortroad_node/src/control/line_flow.rs
+++ b/crates/ragwortroad_node/src/control/line_flow.rs
@@ -1,4 +1,4 @@
-//! Operators' lines: passed on to the leader, checked, carried out, answered.
+//! Operators' lines: forwarded to the leader, parsed, executed, answered.
 
 use std::time::Duration;
 
@@ -17,9 +17,9 @@
     control::{
         control_state::{
             ControlState,
-            reply_to, //
+            send_reply, //
         },
-        line_table::OpenLine, //
+        line_table::PendingLine, //
     },
     member::proposal_kind::LineOrigin,
     node_secrets::same_hash,
@@ -32,22 +32,22 @@
     }, //
 };
 
-/// How long the leader's answer to a passed-on line is waited for; longer than the leader itself
+/// How long to wait for the leader's answer to a forwarded line; longer than the leader itself
 /// waits for a change to be in force.
-const LINE_PATIENCE: Duration = Duration::from_secs(20);
+const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time after which an unanswered line is sent again.
-const LINE_REPEAT: Duration = Duration::from_secs(2);
+/// Time after which an unanswered line is resent.
+const LINE_RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Name of the operator whose key stands in the settings, until operators are declared.
+/// Name of the operator whose key is in the settings, used until operators are declared.
 const FIRST_OPERATOR: &str = "first-operator";
 
 impl ControlState {
-    /// Serves an operator's connection at this node.
-    pub(crate) fn operator(
+    /// Handles a line from an operator connected to this node.
+    pub(crate) fn handle_operator(
         &mut self,
         call: OperatorCall,
-        reply: Sender<OperatorAnswer>,
+        reply: Sender<OperatorResponse>,
         now: ClockTime,
     ) {
         let line = OperatorLine {
@@ -56,27 +56,30 @@
             may_change: call.may_change,
             change_id: call.change_id,
         };
-        let leads = self.member.as_ref().is_some_and(|seat| seat.leads(now));
+        let leads = self
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.leads(now));
         if leads {
-            return self.serve_line(line, LineOrigin::Here(reply), now);
+            return self.execute_line(line, LineOrigin::Local(reply), now);
         }
         let Some(leader) = self.leader().filter(|leader| *leader != self.node) else {
-            return self.serve_without_leader(line, reply);
+            return self.answer_without_leader(line, reply);
         };
-        let open = OpenLine {
+        let pending = PendingLine {
             reply,
             leader,
             line: line.clone(),
-            since: now,
-            sent: now,
+            received: now,
+            last_sent: now,
         };
-        let token = self.lines.add(open);
+        let token = self.lines.add(pending);
         let message = FollowMessage::Line { token, line };
         self.send(leader, PeerChannel::Follow, encode(&message));
     }
 
-    /// Takes a line that another node passed on.
-    pub(crate) fn take_line(
+    /// Handles a line that another node forwarded.
+    pub(crate) fn handle_line(
         &mut self,
         from: NodeId,
         token: u64,
@@ -84,44 +87,54 @@
         now: ClockTime,
     ) {
         let origin = LineOrigin::Node { node: from, token };
-        if self.member.as_ref().is_some_and(|seat| seat.leads(now)) {
-            return self.serve_line(line, origin, now);
+        if self
+            .replica
+            .as_ref()
+            .is_some_and(|replica| replica.leads(now))
+        {
+            return self.execute_line(line, origin, now);
         }
         let text = "not made: the lead is changing; send the line again";
         self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
     }
 
-    /// The leader answered a line of this node.
-    pub(crate) fn line_done(&mut self, from: NodeId, token: u64, status: u16, body: String) {
-        if let Some(open) = self.lines.take(token, from) {
-            reply_to(&open.reply, OperatorAnswer { status, body });
+    /// Passes the leader's answer on to the operator.
+    pub(crate) fn handle_line_answer(
+        &mut self,
+        from: NodeId,
+        token: u64,
+        status: u16,
+        body: String,
+    ) {
+        if let Some(pending) = self.lines.take(token, from) {
+            send_reply(&pending.reply, OperatorResponse { status, body });
         }
     }
 
-    /// Sends lines again whose answer is late, and answers those whose leader never does.
+    /// Resends unanswered lines, and answers those that have timed out.
     pub(crate) fn tick_lines(&mut self, now: ClockTime) {
         if let Some(leader) = self.leader().filter(|leader| *leader != self.node) {
-            let limit = now.before(LINE_REPEAT);
-            for (token, line) in self.lines.repeat(limit, leader, now) {
+            let limit = now.before(LINE_RESEND_INTERVAL);
+            for (token, line) in self.lines.take_resends(limit, leader, now) {
                 let message = FollowMessage::Line { token, line };
                 self.send(leader, PeerChannel::Follow, encode(&message));
             }
         }
-        for open in self.lines.overdue(now.before(LINE_PATIENCE)) {
-            let text = match open.line.may_change {
+        for pending in self.lines.take_overdue(now.before(LINE_TIMEOUT)) {
+            let text = match pending.line.may_change {
                 true => "not known: the leader did not answer; send it again with the same id",
                 false => "the leader did not answer; ask again",
             };
             let facts = json!({ "outcome": "unknown" });
-            reply_to(&open.reply, line_answer(504, text, facts));
+            send_reply(&pending.reply, line_answer(504, text, facts));
         }
     }
 
-    /// Answers an operator, wherever the line came in.
+    /// Answers an operator, directly or through the node that forwarded the line.
     pub(crate) fn answer_line(&self, origin: LineOrigin, status: u16, text: &str, facts: Value) {
         let answer = line_answer(status, text, facts);
         match origin {
-            LineOrigin::Here(reply) => reply_to(&reply, answer),
+            LineOrigin::Local(reply) => send_reply(&reply, answer),
             LineOrigin::Node { node, token } => {
                 let message = FollowMessage::LineDone {
                     token,
@@ -140,18 +153,19 @@
         self.answer_line(origin, 409, &text, json!({ "refused": facts }));
     }
 
-    /// Without a leader nothing can be changed, and only what this node itself knows can be told.
-    fn serve_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorAnswer>) {
-        let origin = LineOrigin::Here(reply);
+    /// Serves a line while no leader is known: no change is possible, and answers hold only what
+    /// this node knows.
+    fn answer_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorResponse>) {
+        let origin = LineOrigin::Local(reply);
         if self
-            .operator_name(&line.key_hash, &self.follow.config)
+            .operator_name(&line.key_hash, &self.follower.config)
             .is_none()
         {
-            if self.follow.confirmed == ClockTime::ZERO {
+            if self.follower.last_confirmed == ClockTime::ZERO {
                 let text = "this node has no configuration yet; ask another node";
                 return self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
             }
-            return self.refuse_key(origin);
+            return self.refuse_unknown_key(origin);
         }
         match parse_line(&line.line) {
             Ok(Statement::Show(query)) => {
@@ -163,29 +177,29 @@
                 let text = "not made: no leader is known; look at 'show members', then try again";
                 self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
             }
-            Err(error) => self.refuse_line(origin, &error),
+            Err(error) => self.refuse_invalid_line(origin, &error),
         }
     }
 
-    /// Carries out a line, as the leader.
-    fn serve_line(&mut self, line: OperatorLine, origin: LineOrigin, now: ClockTime) {
-        let Some(seat) = &self.member else {
+    /// Executes a line on the leader.
+    fn execute_line(&mut self, line: OperatorLine, origin: LineOrigin, now: ClockTime) {
+        let Some(replica) = &self.replica else {
             return;
         };
-        let Some(operator) = self.operator_name(&line.key_hash, seat.state.config()) else {
-            return self.refuse_key(origin);
+        let Some(operator) = self.operator_name(&line.key_hash, replica.state.config()) else {
+            return self.refuse_unknown_key(origin);
         };
         match parse_line(&line.line) {
-            Ok(Statement::Show(query)) => self.answer_show(origin, &query, &seat.state, ""),
+            Ok(Statement::Show(query)) => self.answer_show(origin, &query, &replica.state, ""),
             Ok(Statement::Help) => self.answer_line(origin, 200, HELP_TEXT, json!({})),
             Ok(Statement::Change(change)) => {
-                self.serve_change(change, &line, &operator, origin, now);
+                self.execute_change(change, &line, &operator, origin, now);
             }
-            Err(error) => self.refuse_line(origin, &error),
+            Err(error) => self.refuse_invalid_line(origin, &error),
         }
     }
 
-    fn serve_change(
+    fn execute_change(
         &mut self,
         change: ChangeStatement,
         line: &OperatorLine,
@@ -197,24 +211,25 @@
             let text = "refused: this is a change; send it with 'ragwortroad change'";
             return self.answer_line(origin, 400, text, json!({ "outcome": "not_run" }));
         };
-        let base = self.base_of(change_id);
+        let base = self.base_revision(change_id);
         let command = change.into_command(change_id, operator, base);
         self.propose_change(command, origin, now);
     }
 
-    /// The revision that a change rests on whose line names none.
+    /// Returns the base revision for a change whose line names none.
     ///
-    /// A resend rests on the revision that the first sending rested on, or it would look like
-    /// another change under the same id and be refused, also where the first was refused.
-    fn base_of(&self, change_id: &str) -> u64 {
-        let Some(seat) = &self.member else {
+    /// A resent change uses the base revision of its first transmission. With another one it would
+    /// look like a different change under the same id and be refused, even if the first was
+    /// refused.
+    fn base_revision(&self, change_id: &str) -> u64 {
+        let Some(replica) = &self.replica else {
             return 0;
         };
-        let first = seat.state.changes().base_of(change_id);
-        first.unwrap_or(seat.state.config().revision)
+        let first = replica.state.changes().base_revision_of(change_id);
+        first.unwrap_or(replica.state.config().revision)
     }
 
-    /// The operator that a key belongs to.
+    /// Returns the name of the operator that a key belongs to.
     pub(crate) fn operator_name(&self, key: &[u8; 32], config: &FleetConfig) -> Option<String> {
         if config.operators.is_empty() {
             let is_first = same_hash(key, &self.secrets.operator);
@@ -223,24 +238,24 @@
         config.operator_of(&KeyHash(*key)).map(str::to_owned)
     }
 
-    fn refuse_key(&self, origin: LineOrigin) {
+    fn refuse_unknown_key(&self, origin: LineOrigin) {
         let text = "refused: no operator has this key";
         self.answer_line(origin, 401, text, json!({ "outcome": "not_run" }));
     }
 
-    fn refuse_line(&self, origin: LineOrigin, error: &LanguageError) {
+    fn refuse_invalid_line(&self, origin: LineOrigin, error: &LanguageError) {
         let facts = json!({ "outcome": "not_run", "column": error.column });
         self.answer_line(origin, 400, &error.to_string(), facts);
     }
 }
 
-/// An answer with a text for a person and facts for a program.
-fn line_answer(status: u16, text: &str, facts: Value) -> OperatorAnswer {
+/// Builds an answer with a text for people and fields for programs.
+fn line_answer(status: u16, text: &str, facts: Value) -> OperatorResponse {
     let mut body = json!({ "text": text });
     if let (Some(body), Value::Object(facts)) = (body.as_object_mut(), facts) {
         body.extend(facts);
     }
-    OperatorAnswer {
+    OperatorResponse {
         status,
         body: body.to_string(),
     }
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -1,4 +1,4 @@
-//! A member's part in the replicated log: founding, frames, disk, applied commands.
+//! A member's part in the replicated log: bootstrap, frames, disk writes, committed commands.
 
 use std::{
     collections::VecDeque,
@@ -14,50 +14,52 @@
 use crate::{
     control::control_state::ControlState,
     disk_worker::{
-        DiskOrder,
-        DiskReport, //
+        DiskReport,
+        DiskWrite, //
     },
     member::{
-        member_seat::MemberSeat,
         proposal_kind::{
             LineOrigin,
             ProposalKind, //
-        }, //
+        },
+        state_replica::StateReplica, //
     },
     wire::follow_message::FollowMessage,
 };
 
-/// Time between two hellos while a group is being founded, or asked for a place.
-const HELLO_EVERY: Duration = Duration::from_millis(250);
+/// Minimum interval between two hellos while the group is bootstrapped; requests to join an
+/// existing group wait four times as long.
+const HELLO_INTERVAL: Duration = Duration::from_millis(250);
 
 impl ControlState {
-    /// Lets time pass for this member.
+    /// Runs the timers of this member's replica.
     pub(crate) fn tick_member(&mut self, now: ClockTime) {
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        if seat.core.is_none() {
+        if replica.core.is_none() {
             return self.tick_founding(now);
         }
-        let actions = seat.handle(CoreInput::Tick, now);
-        self.do_core(actions, now);
-        self.ask_for_place(now);
+        let actions = replica.handle(CoreInput::Tick, now);
+        self.run_core_actions(actions, now);
+        self.request_membership(now);
         self.tick_leader(now);
     }
 
-    /// Says hello to the other founding members, and founds the group when all have said theirs.
+    /// Sends hellos to the other initial members, and bootstraps the group once all of them have
+    /// sent theirs.
     fn tick_founding(&mut self, now: ClockTime) {
-        let seed = self.draw();
-        let Some(seat) = &mut self.member else {
+        let seed = self.next_random();
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        let actions = seat.try_found(now, seed);
-        let hello = seat.hello(self.node);
+        let actions = replica.try_bootstrap(now, seed);
+        let hello = replica.hello(self.node);
         if !actions.is_empty() {
-            return self.do_core(actions, now);
+            return self.run_core_actions(actions, now);
         }
-        if now.since(self.said_hello) >= HELLO_EVERY {
-            self.said_hello = now;
+        if now.since(self.last_hello) >= HELLO_INTERVAL {
+            self.last_hello = now;
             for node in self.member_nodes() {
                 if node != self.node {
                     self.send_follow(node, FollowMessage::Founding(hello), now);
@@ -66,43 +68,43 @@
         }
     }
 
-    /// Takes in another founding member's hello, and returns this one's.
-    pub(crate) fn take_hello(&mut self, from: NodeId, hello: FoundingHello, now: ClockTime) {
+    /// Handles another initial member's hello, and answers it.
+    pub(crate) fn handle_hello(&mut self, from: NodeId, hello: BootstrapHello, now: ClockTime) {
         let node = self.node;
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
         if hello.node != from {
-            tracing::warn!(%from, "a hello names another node than its certificate");
+            tracing::warn!(%from, "ignored a hello: it names another node than its sender's certificate");
             return;
         }
-        seat.founding.take(hello);
-        // Who has a core already tells so to one that is still waiting for hellos.
-        if seat.core.is_some() {
-            let own = seat.hello(node);
-            let asks = now.since(self.said_hello) >= HELLO_EVERY;
-            if asks && own != hello {
-                self.said_hello = now;
+        replica.founding.record_hello(hello);
+        // A member that already has a consensus core says so to one that still waits for hellos.
+        if replica.core.is_some() {
+            let own = replica.hello(node);
+            let is_due = now.since(self.last_hello) >= HELLO_INTERVAL;
+            if is_due && own != hello {
+                self.last_hello = now;
                 self.send_follow(from, FollowMessage::Founding(own), now);
             }
         }
     }
 
-    /// Asks the leader for a place in the group, where this member's folder has none.
-    fn ask_for_place(&mut self, now: ClockTime) {
-        let Some(seat) = &self.member else {
+    /// Asks the leader for membership if this member's data folder isn't part of the group.
+    fn request_membership(&mut self, now: ClockTime) {
+        let Some(replica) = &self.replica else {
             return;
         };
-        let Some(core) = &seat.core else {
+        let Some(core) = &replica.core else {
             return;
         };
-        let identity = seat.identity;
+        let identity = replica.identity;
         let has_place = core.members().find(identity).is_some();
-        let is_due = now.since(self.said_hello) >= HELLO_EVERY * 4;
+        let is_due = now.since(self.last_hello) >= HELLO_INTERVAL * 4;
         if has_place || !is_due {
             return;
         }
-        self.said_hello = now;
+        self.last_hello = now;
         let leader = self.leader().filter(|leader| *leader != self.node);
         if let Some(leader) = leader {
             let message = FollowMessage::Enlist { member: identity };
@@ -110,174 +112,176 @@
         }
     }
 
-    /// Takes in a frame of another member.
+    /// Handles a frame from another member.
     pub(crate) fn handle_frame(&mut self, from: NodeId, bytes: &[u8], now: ClockTime) {
-        let Some(seat) = &mut self.member else {
+        let Some(replica) = &mut self.replica else {
             return;
         };
         let frame = match PeerFrame::decode(bytes) {
             Ok(frame) => frame,
             Err(error) => {
-                tracing::warn!(%error, "a member's frame cannot be read");
+                tracing::warn!(%error, "cannot decode a member's frame");
                 return;
             }
         };
-        if !is_honest(seat, &frame, from) {
-            tracing::warn!(%from, member = %frame.from, "a frame names another node's folder");
+        if !is_from_known_node(replica, &frame, from) {
+            tracing::warn!(%from, member = %frame.from, "ignored a frame: its member belongs to another node");
             return;
         }
-        seat.nodes.insert(frame.from, from);
-        if breaks_promise(seat, &frame, now) {
+        replica.nodes.insert(frame.from, from);
+        if breaks_promise(replica, &frame, now) {
             return;
         }
-        let actions = seat.handle(CoreInput::Frame(frame), now);
-        self.do_core(actions, now);
+        let actions = replica.handle(CoreInput::Frame(frame), now);
+        self.run_core_actions(actions, now);
     }
 
-    /// Takes in a report of the disk thread.
+    /// Handles a report from the disk thread.
     pub(crate) fn handle_disk(&mut self, report: DiskReport, now: ClockTime) {
         let input = match report {
             DiskReport::Durable { batch } => CoreInput::Persisted { batch },
             DiskReport::Failed { reason } => {
                 tracing::error!(
                     reason,
-                    "this member acknowledges nothing until it is restarted"
+                    "data folder failed; this member acknowledges nothing until it is restarted"
                 );
                 CoreInput::PersistFailed
             }
         };
-        if let Some(seat) = &mut self.member {
-            let actions = seat.handle(input, now);
-            self.do_core(actions, now);
+        if let Some(replica) = &mut self.replica {
+            let actions = replica.handle(input, now);
+            self.run_core_actions(actions, now);
         }
     }
 
-    /// Does what the core wants done.
-    pub(crate) fn do_core(&mut self, actions: Vec<CoreAction>, now: ClockTime) {
+    /// Performs the actions that the consensus core returned.
+    pub(crate) fn run_core_actions(&mut self, actions: Vec<CoreAction>, now: ClockTime) {
         let mut queue = VecDeque::from(actions);
         while let Some(action) = queue.pop_front() {
             match action {
                 CoreAction::Persist { batch, change } => {
-                    if let Some(seat) = &self.member {
-                        seat.disk.order(DiskOrder { batch, change });
+                    if let Some(replica) = &self.replica {
+                        replica.disk.write(DiskWrite { batch, change });
                     }
                 }
                 CoreAction::Send(frame) => self.send_frame(&frame),
-                CoreAction::Apply { index, command, .. } => self.apply(index, &command),
-                CoreAction::RestoreSnapshot { index, bytes } => self.restore(index, &bytes),
-                CoreAction::WantSnapshot { index } => {
-                    if let Some(seat) = &mut self.member {
-                        let bytes = seat.state.to_snapshot();
+                CoreAction::Apply { index, command, .. } => self.apply_command(index, &command),
+                CoreAction::RestoreSnapshot { index, bytes } => {
+                    self.restore_snapshot(index, &bytes)
+                }
+                CoreAction::TakeSnapshot { index } => {
+                    if let Some(replica) = &mut self.replica {
+                        let bytes = replica.state.to_snapshot();
                         let taken = CoreInput::SnapshotTaken { index, bytes };
-                        queue.extend(seat.handle(taken, now));
+                        queue.extend(replica.handle(taken, now));
                     }
                 }
                 CoreAction::ProposeDone { token, result } => {
-                    self.proposal_done(token, result, now);
+                    self.handle_proposal_result(token, result, now);
                 }
                 CoreAction::LeaderChanged { term, leader } => {
                     let leader = leader.map(|leader| leader.to_string());
                     tracing::info!(term, leader, "leader changed");
-                    self.leader_moved();
+                    self.handle_leader_change();
                 }
                 CoreAction::MembersChanged { members, .. } => {
                     let count = members.records().len();
-                    tracing::info!(members = count, "the members changed");
-                    self.events.note(FleetEvent {
+                    tracing::info!(members = count, "membership changed");
+                    self.events.record(FleetEvent {
                         detail: format!("{count} members"),
                         ..FleetEvent::new(EventKind::MembersChanged)
                     });
                 }
-                // Reads rest on the leader's lease; none is proved by a round of its own.
+                // Reads rely on the leader's lease; none needs a confirmation round of its own.
                 CoreAction::ReadReady { .. } | CoreAction::ReadRefused { .. } => {}
             }
         }
     }
 
     fn send_frame(&self, frame: &PeerFrame) {
-        let Some(seat) = &self.member else {
+        let Some(replica) = &self.replica else {
             return;
         };
-        let Some(node) = seat.node_of(frame.to) else {
-            tracing::debug!(member = %frame.to, "the node of a member is not known");
+        let Some(node) = replica.node_of(frame.to) else {
+            tracing::debug!(member = %frame.to, "cannot send a frame: the member's node is not known");
             return;
         };
         match frame.encode() {
             Ok(bytes) => self.send(node, PeerChannel::Consensus, bytes),
-            Err(error) => tracing::error!(%error, "a frame was not sent"),
+            Err(error) => tracing::error!(%error, "cannot encode a frame"),
         }
     }
 
-    /// Applies a committed command.
-    fn apply(&mut self, index: u64, command: &[u8]) {
-        let Some(seat) = &mut self.member else {
+    /// Applies a committed command to the state.
+    fn apply_command(&mut self, index: u64, command: &[u8]) {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        match seat.state.apply(index, command) {
+        match replica.state.apply(index, command) {
             Ok(applied) => {
-                if !seat.proposals.is_empty() {
-                    seat.applied.insert(index, applied);
+                if !replica.proposals.is_empty() {
+                    replica.applied.insert(index, applied);
                 }
             }
             Err(error) => {
-                tracing::error!(%error, "this member takes no further part");
-                seat.core = None;
-                seat.desk = None;
-                seat.halted = true;
+                tracing::error!(%error, "cannot apply a committed command; this member is halted");
+                replica.core = None;
+                replica.leader_context = None;
+                replica.halted = true;
             }
         }
     }
 
-    fn restore(&mut self, index: u64, bytes: &[u8]) {
-        let Some(seat) = &mut self.member else {
+    fn restore_snapshot(&mut self, index: u64, bytes: &[u8]) {
+        let Some(replica) = &mut self.replica else {
             return;
         };
         match FleetState::from_snapshot(bytes) {
             Ok(state) => {
                 tracing::info!(index, "state restored from a snapshot");
-                seat.state = state;
+                replica.state = state;
             }
             Err(error) => {
-                tracing::error!(%error, "this member takes no further part");
-                seat.core = None;
-                seat.halted = true;
+                tracing::error!(%error, "cannot restore a snapshot; this member is halted");
+                replica.core = None;
+                replica.halted = true;
             }
         }
     }
 
-    /// A proposal of this member came to its end.
-    fn proposal_done(&mut self, token: u64, result: ProposeResult, now: ClockTime) {
-        let Some(seat) = &mut self.member else {
+    /// Handles the result of a proposal made by this member.
+    fn handle_proposal_result(&mut self, token: u64, result: ProposeResult, now: ClockTime) {
+        let Some(replica) = &mut self.replica else {
             return;
         };
-        let Some(kind) = seat.proposals.remove(&token) else {
+        let Some(kind) = replica.proposals.remove(&token) else {
             return;
         };
         let applied = match result {
-            ProposeResult::Committed { index, .. } => seat.applied.remove(&index),
+            ProposeResult::Committed { index, .. } => replica.applied.remove(&index),
             _ => None,
         };
-        if seat.proposals.is_empty() {
-            seat.applied.clear();
+        if replica.proposals.is_empty() {
+            replica.applied.clear();
         }
         match (kind, applied) {
-            (ProposalKind::Claims(batches), Some(Applied::Claimed(outcomes))) => {
+            (ProposalKind::Claims(batches), Some(ApplyOutcome::Claimed(outcomes))) => {
                 self.answer_claims(batches, outcomes, now);
             }
-            (ProposalKind::Change(origin), Some(Applied::Changed(outcome))) => {
-                self.change_decided(origin, outcome, now);
+            (ProposalKind::Change(origin), Some(ApplyOutcome::Changed(outcome))) => {
+                self.handle_change_outcome(origin, outcome, now);
             }
-            (ProposalKind::Change(origin), _) => self.change_lost(origin, result),
-            (ProposalKind::TakeOrders, Some(Applied::OrdersTaken { fence, .. })) => {
-                self.orders_taken(fence, now);
+            (ProposalKind::Change(origin), _) => self.handle_lost_change(origin, result),
+            (ProposalKind::TakeOrders, Some(ApplyOutcome::OrdersTaken { fence, .. })) => {
+                self.start_orders(fence, now);
             }
-            // Nodes send their claim steps again until they are answered.
-            (kind, applied) => tracing::debug!(?kind, ?applied, ?result, "a proposal ended"),
+            // Nodes resend their claim steps until they are answered.
+            (kind, applied) => tracing::debug!(?kind, ?applied, ?result, "proposal ended"),
         }
     }
 
-    /// Tells an operator whose change did not come to a decision.
-    fn change_lost(&mut self, origin: LineOrigin, result: ProposeResult) {
+    /// Tells an operator that a change was not decided.
+    fn handle_lost_change(&mut self, origin: LineOrigin, result: ProposeResult) {
         let body = match result {
             ProposeResult::NotLeader { .. } | ProposeResult::Refused(_) => {
                 "not made: this node is no longer in charge; send the change again"
@@ -293,22 +297,22 @@
     }
 }
 
-/// Whether a frame comes from the node on which its sender's folder is known to be.
-fn is_honest(seat: &MemberSeat, frame: &PeerFrame, from: NodeId) -> bool {
-    let known = seat.core.as_ref();
+/// Whether a frame comes from the node that the group knows for the sender's data folder.
+fn is_from_known_node(replica: &StateReplica, frame: &PeerFrame, from: NodeId) -> bool {
+    let known = replica.core.as_ref();
     let known = known.and_then(|core| core.members().find(frame.from));
     known.is_none_or(|record| record.node == from)
 }
 
-/// Whether a frame brings a change of configuration or membership that this member has promised
+/// Whether a frame contains a change of configuration or membership that this member has promised
 /// not to write yet.
 ///
-/// A node without a leader goes on admitting work as long as so many members promise to accept no
-/// change that the others are no quorum. If this member took a change before its promise is over,
-/// the change could count as in force while that node still acts on the old configuration. The
-/// frame is treated as lost; the leader sends it again.
-fn breaks_promise(seat: &MemberSeat, frame: &PeerFrame, now: ClockTime) -> bool {
-    if seat.promises.may_write(now).is_ok() {
+/// A node without a leader keeps admitting requests while so many members promise to accept no
+/// change that the others can't form a quorum. If this member accepted a change before its promise
+/// ends, the change could count as in force while that node still uses the old configuration. The
+/// frame is treated as lost; the leader resends it.
+fn breaks_promise(replica: &StateReplica, frame: &PeerFrame, now: ClockTime) -> bool {
+    if replica.promises.may_write(now).is_ok() {
         return false;
     }
     match &frame.message {
@@ -318,7 +322,8 @@
     }
 }
 
-/// Whether an entry changes the configuration or the members; one that cannot be read might.
+/// Whether an entry changes the configuration or the members; an unreadable entry counts as one
+/// that does.
 fn is_change(entry: &WireEntry) -> bool {
     match postcard::from_bytes(&entry.bytes) {
         Ok(EntryPayload::Noop) => false,
--- a/crates/ragwortroad_node/src/control/mod.rs
+++ b/crates/ragwortroad_node/src/control/mod.rs
@@ -1,18 +1,18 @@
-//! The control thread: all state of a node and every decision, in one place.
+//! The control thread, which holds all state of a node and makes every decision.
 //!
-//! [`ControlState`](control_state::ControlState) is spread over files by what is decided; each
-//! `*_flow` file holds one subject's part of its methods.
+//! The methods of [`ControlState`](control_state::ControlState) are split over files by subject,
+//! one `*_flow` file each.
 
 pub(crate) mod address_flow;
 pub(crate) mod admit_flow;
 pub(crate) mod claim_flow;
+pub(crate) mod config_follower;
 pub(crate) mod control_inbox;
 pub(crate) mod control_state;
 pub(crate) mod endpoint_flow;
 pub(crate) mod event_flow;
 pub(crate) mod fleet_view;
 pub(crate) mod follow_flow;
-pub(crate) mod follow_seat;
 pub(crate) mod gauge_flow;
 pub(crate) mod grant_flow;
 pub(crate) mod leader_flow;
--- a/crates/ragwortroad_node/src/order/order_worker.rs
+++ b/crates/ragwortroad_node/src/order/order_worker.rs
@@ -41,7 +41,7 @@
 };
 
 use crate::{
-    member::member_seat::ORDER_FLIGHT,
+    member::state_replica::MAX_ORDER_FLIGHT,
     node_error::{
         NodeError,
         ThreadSnafu, //
@@ -55,8 +55,8 @@
 
 /// The thread that sends orders to engines.
 ///
-/// An engine that does not answer must hold up neither the control thread nor the orders to other
-/// engines, so orders under way share this thread side by side.
+/// An engine that doesn't answer must delay neither the control thread nor the orders to other
+/// engines, so all orders in flight run concurrently on this thread.
 #[derive(Debug)]
 pub(crate) struct OrderWorker {
     tasks: Sender<OrderTask>,
@@ -64,28 +64,30 @@
     thread: JoinHandle<()>,
 }
 
-/// Time to open a connection; nothing is sent meanwhile, so it is no part of an order's flight.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout for opening a connection. Nothing is sent before it is open, so this time is not part of
+/// an order's flight.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time in which what was written must be acknowledged by the engine's kernel, or the own one ends
-/// the connection and sends nothing again. It holds also while this process is paused.
-const DELIVERY_LIMIT: Duration = Duration::from_secs(2);
+/// Time in which the engine's kernel must acknowledge what was written; otherwise the local kernel
+/// closes the connection and retransmits nothing. It holds even while this process is paused.
+const DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time an engine may take from the arrival of an order until nothing of it lies in a queue.
-const ENGINE_QUEUE: Duration = Duration::from_secs(2);
+/// Maximum time an engine may keep an order queued after its arrival.
+const MAX_ENGINE_QUEUE_TIME: Duration = Duration::from_secs(2);
 
-/// Time for an answer, which comes when a load is over.
-const ANSWER_LIMIT: Duration = Duration::from_secs(120);
+/// Timeout for an answer, which the engine sends when a load has completed.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Largest answer that is read.
-const ANSWER_BYTES: usize = 64 * 1024;
+/// Maximum size of an answer that is read.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Orders under way at once.
-const MOST_TASKS: usize = 256;
+/// Maximum number of orders in flight.
+const MAX_TASKS: usize = 256;
 
-/// What the flight is made up of must leave room for the instructions between check and write.
+/// The parts of an order's flight must leave time for the instructions between the check and the
+/// write.
 const _: () = assert!(
-    DELIVERY_LIMIT.as_millis() + ENGINE_QUEUE.as_millis() < ORDER_FLIGHT.as_millis(),
+    DELIVERY_TIMEOUT.as_millis() + MAX_ENGINE_QUEUE_TIME.as_millis() < MAX_ORDER_FLIGHT.as_millis(),
     "an order could take effect after the next leader's wait"
 );
 
@@ -109,19 +111,19 @@
         })
     }
 
-    /// Hands an order over; one that is still under way is not sent a second time.
+    /// Queues an order. One that is still in flight is not sent a second time.
     pub(crate) fn send(&self, task: OrderTask) {
         if self.tasks.send(task).is_err() {
-            tracing::error!("the order thread is gone; engines get no orders from this node");
+            tracing::error!("the order thread has ended; engines get no orders from this node");
         }
     }
 
-    /// What came of orders since the last call.
+    /// Returns the reports since the last call.
     pub(crate) fn reports(&self) -> Vec<OrderReport> {
         self.reports.try_iter().collect()
     }
 
-    /// Cuts what is under way and joins the thread.
+    /// Aborts the orders in flight and joins the thread.
     pub(crate) fn join(self) {
         drop(self.tasks);
         if self.thread.join().is_err() {
@@ -130,9 +132,9 @@
     }
 }
 
-/// Sends orders until the control thread drops its end.
+/// Sends orders until the control thread drops its sender.
 async fn serve_tasks(queue: &Receiver<OrderTask>, results: &Sender<OrderReport>, clock: RealClock) {
-    let mut under_way = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     let mut ids = BTreeSet::new();
     loop {
         tokio::select! {
@@ -140,11 +142,11 @@
                 let Ok(task) = task else {
                     return;
                 };
-                if ids.len() < MOST_TASKS && ids.insert(task.order.id) {
-                    under_way.spawn(send_order(task, clock));
+                if ids.len() < MAX_TASKS && ids.insert(task.order.id) {
+                    in_flight.spawn(send_order(task, clock));
                 }
             }
-            Some(ended) = under_way.join_next() => {
+            Some(ended) = in_flight.join_next() => {
                 let Ok(report) = ended else {
                     continue;
                 };
@@ -157,30 +159,31 @@
     }
 }
 
-/// Sends one order and awaits its answer.
+/// Sends one order and waits for its answer.
 async fn send_order(task: OrderTask, clock: RealClock) -> OrderReport {
     let end = match connect(task.address).await {
-        Ok(stream) => exchange(stream, &task, clock).await,
+        Ok(stream) => send_and_await(stream, &task, clock).await,
         Err(error) => OrderEnd::Failed(error.to_string()),
     };
     let EngineOrder { id, engine, .. } = task.order;
     OrderReport { id, engine, end }
 }
 
-/// Opens a connection from which nothing arrives later than the limit after it was written.
+/// Opens a connection on which no data arrives later than `DELIVERY_TIMEOUT` after it was written.
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let stream = timeout(CONNECT_LIMIT, TcpStream::connect(address)).await??;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
-    // Without these the kernel would repeat a lost order for a quarter of an hour; it would arrive
-    // after the next leader's orders, and an engine that ignores fencing numbers would obey it.
-    socket.set_tcp_user_timeout(Some(DELIVERY_LIMIT))?;
+    // Without these options the kernel would retransmit a lost order for a quarter of an hour. It
+    // would arrive after the next leader's orders, and an engine that ignores fencing numbers would
+    // execute it.
+    socket.set_tcp_user_timeout(Some(DELIVERY_TIMEOUT))?;
     socket.set_linger(Some(Duration::ZERO))?;
     Ok(stream)
 }
 
-/// Writes the order if the gate is still open, and awaits the answer.
-async fn exchange(stream: TcpStream, task: &OrderTask, clock: RealClock) -> OrderEnd {
+/// Writes the order if the gate still permits it, and waits for the answer.
+async fn send_and_await(stream: TcpStream, task: &OrderTask, clock: RealClock) -> OrderEnd {
     let request = match order_request(task) {
         Ok(request) => request,
         Err(error) => return OrderEnd::Failed(error),
@@ -190,7 +193,7 @@
         Err(error) => return OrderEnd::Failed(error.to_string()),
     };
     let answer = async {
-        // The connection is open; from here to the write there is nothing to wait for.
+        // The connection is open; nothing blocks between this check and the write.
         let gate = &task.gate;
         gate.may_order(clock.now(), task.lead_until, task.checks_fencing)
             .map_err(OrderEnd::Withheld)?;
@@ -198,14 +201,14 @@
         let response = sender.send_request(request).await;
         let response = response.map_err(|error| failed(&error))?;
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), ANSWER_BYTES).collect();
-        // An answer that was cut confirms nothing.
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
+        // A truncated answer confirms nothing.
         body.await.map_err(|error| failed(&error))?;
         Ok(status)
     };
     let ended = tokio::select! {
-        ended = timeout(ANSWER_LIMIT, answer) => ended,
-        end = drive(connection) => return end,
+        ended = timeout(ANSWER_TIMEOUT, answer) => ended,
+        end = drive_connection(connection) => return end,
     };
     match ended {
         Ok(Ok(200)) => OrderEnd::Confirmed,
@@ -215,12 +218,12 @@
     }
 }
 
-/// Moves a connection's bytes; ends when it broke without an answer.
-async fn drive(connection: impl Future<Output = hyper::Result<()>>) -> OrderEnd {
+/// Drives a connection; returns only if it fails before the answer.
+async fn drive_connection(connection: impl Future<Output = hyper::Result<()>>) -> OrderEnd {
     if let Err(error) = connection.await {
         return OrderEnd::Failed(error.to_string());
     }
-    // Closed in good order: the answer is on its way to its reader.
+    // The connection was closed in an orderly way: the answer is on its way to its reader.
     std::future::pending().await
 }
 
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -59,7 +59,7 @@
         entry.queue = Some(queue);
         let hello = entry.hello.as_ref();
         if let Some(member) = hello.and_then(|(hello, _)| hello.member).map(MemberId) {
-            let effects = self.driver.handle(CoreInput::PeerReached { member }, now);
+            let effects = self.driver.handle(CoreInput::PeerConnected { member }, now);
             self.apply_effects(effects, now);
         }
     }
@@ -172,7 +172,7 @@
         self.apply_effects(effects, now);
         // Before its first hello, the member behind this address was unknown.
         if let Some(member) = member.filter(|_| is_first) {
-            let effects = self.driver.handle(CoreInput::PeerReached { member }, now);
+            let effects = self.driver.handle(CoreInput::PeerConnected { member }, now);
             self.apply_effects(effects, now);
         }
     }
@@ -214,7 +214,7 @@
         let Some(core) = self.driver.core() else {
             return;
         };
-        if now < self.next_plan_at || !core.takes_commands(now) {
+        if now < self.next_plan_at || !core.accepts_proposals(now) {
             return;
         }
         self.next_plan_at = now.after(VOTER_PLAN_INTERVAL);
--- a/crates/ragwortroad_state/src/change/change_log.rs
+++ b/crates/ragwortroad_state/src/change/change_log.rs
@@ -18,25 +18,27 @@
 };
 
 /// Accepted changes kept for followers that missed them.
-pub const KEPT_CHANGES: usize = 1024;
+pub const MAX_KEPT_CHANGES: usize = 1024;
 
-/// Outcomes kept for resends; at 1,600 changes a day this is two and a half days.
-pub const KEPT_OUTCOMES: usize = 4096;
+/// Outcomes kept for changes that are sent again; at 1,600 changes a day this covers two and a half
+/// days.
+pub const MAX_KEPT_OUTCOMES: usize = 4096;
 
-/// Longest name of a change in bytes.
-const CHANGE_ID_BYTES: usize = 64;
+/// Longest identifier of a change, in bytes.
+const MAX_CHANGE_ID_BYTES: usize = 64;
 
-/// The configuration with the history of how it came about.
+/// The current configuration with the history of its changes.
 ///
-/// A resend past the kept outcomes is refused as a conflict when it was accepted, since its base
-/// is then an old revision: it can be told less, but it never takes effect twice.
+/// An accepted change that is sent again after its outcome was dropped is refused as a conflict,
+/// because its base is an old revision by then. The answer says less, but the change never takes
+/// effect twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeLog {
     config: FleetConfig,
-    /// Invariant: revisions are contiguous and end at the configuration's.
+    /// Invariant: revisions are contiguous and end at the configuration's revision.
     history: VecDeque<KeptChange>,
     outcomes: BTreeMap<String, KeptOutcome>,
-    /// Names in `outcomes`, the oldest first.
+    /// Identifiers in `outcomes`, oldest first.
     order: VecDeque<String>,
     config_bytes: usize,
     digest: u64,
@@ -54,12 +56,12 @@
 pub(crate) struct KeptOutcome {
     digest: [u8; 16],
     base_revision: u64,
-    /// Invariant: a conflict is kept without its winner, which the history has, so that many
-    /// refused changes do not keep many copies of a large one.
+    /// Invariant: a conflict is kept without the winning change, which is in the history, so that
+    /// many refused changes do not keep many copies of a large one.
     outcome: ChangeOutcome,
 }
 
-/// A change log as it stands in a snapshot.
+/// A change log as encoded in a snapshot.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct ChangeLogWire {
     config: FleetConfig,
@@ -77,30 +79,30 @@
             config_bytes: 0,
             digest: 0,
         };
-        log.take_config(FleetConfig::default());
+        log.set_config(FleetConfig::default());
         log
     }
 }
 
 impl ChangeLog {
-    /// The configuration now.
+    /// The current configuration.
     pub fn config(&self) -> &FleetConfig {
         &self.config
     }
 
-    /// The accepted changes still kept, the oldest first.
+    /// The accepted changes that are still kept, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &AcceptedChange> {
         self.history.iter().map(|kept| &kept.change)
     }
 
-    /// The outcome of an earlier change of this name, while it is kept.
+    /// The outcome of the change with this identifier, while it is kept.
     pub fn outcome_of(&self, change_id: &str) -> Option<ChangeOutcome> {
         let kept = self.outcomes.get(change_id)?;
         Some(self.with_winner(kept))
     }
 
-    /// The revision on which an earlier change of this name was issued, while that is kept.
-    pub fn base_of(&self, change_id: &str) -> Option<u64> {
+    /// The base revision of the change with this identifier, while it is kept.
+    pub fn base_revision_of(&self, change_id: &str) -> Option<u64> {
         let kept = self.outcomes.get(change_id)?;
         Some(kept.base_revision)
     }
@@ -110,7 +112,7 @@
             ChangeOutcome::Conflict { revision, .. } => ChangeOutcome::Conflict {
                 revision,
                 winner: self
-                    .change_to(kept.base_revision + 1)
+                    .change_at(kept.base_revision + 1)
                     .cloned()
                     .map(Box::new),
             },
@@ -118,9 +120,9 @@
         }
     }
 
-    /// Decides on a change, or returns what was decided on it before.
+    /// Accepts or refuses a change. Returns the first outcome if the change was already decided on.
     pub(crate) fn apply(&mut self, command: ChangeCommand, now: StateTime) -> ChangeOutcome {
-        if command.change_id.is_empty() || command.change_id.len() > CHANGE_ID_BYTES {
+        if command.change_id.is_empty() || command.change_id.len() > MAX_CHANGE_ID_BYTES {
             return ChangeOutcome::BadId;
         }
         let digest = command.digest();
@@ -139,7 +141,7 @@
             outcome: self.decide(command, now),
         };
         let outcome = self.with_winner(&kept);
-        self.keep_outcome(change_id, kept);
+        self.record_outcome(change_id, kept);
         outcome
     }
 
@@ -174,37 +176,37 @@
             accepted_at: now,
             edits: command.edits,
         }));
-        if self.history.len() > KEPT_CHANGES {
+        if self.history.len() > MAX_KEPT_CHANGES {
             self.history.pop_front();
         }
-        self.take_config(config);
+        self.set_config(config);
         ChangeOutcome::Accepted { revision }
     }
 
-    fn take_config(&mut self, config: FleetConfig) {
-        self.config_bytes = encoded_bytes(&config);
+    fn set_config(&mut self, config: FleetConfig) {
+        self.config_bytes = encoded_len(&config);
         self.digest = config.digest();
         self.config = config;
     }
 
-    fn keep_outcome(&mut self, change_id: String, kept: KeptOutcome) {
+    fn record_outcome(&mut self, change_id: String, kept: KeptOutcome) {
         self.outcomes.insert(change_id.clone(), kept);
         self.order.push_back(change_id);
-        if self.order.len() > KEPT_OUTCOMES
+        if self.order.len() > MAX_KEPT_OUTCOMES
             && let Some(oldest) = self.order.pop_front()
         {
             self.outcomes.remove(&oldest);
         }
     }
 
-    fn change_to(&self, revision: u64) -> Option<&AcceptedChange> {
+    fn change_at(&self, revision: u64) -> Option<&AcceptedChange> {
         let first = self.history.front()?.change.revision;
-        let place = usize::try_from(revision.checked_sub(first)?).ok()?;
-        self.history.get(place).map(|kept| &kept.change)
+        let index = usize::try_from(revision.checked_sub(first)?).ok()?;
+        self.history.get(index).map(|kept| &kept.change)
     }
 
-    /// What a follower at `revision` needs: the changes it missed, or the whole configuration
-    /// where they are no longer kept or would be longer.
+    /// Returns the update that brings a follower from `revision` to the current one: the changes it
+    /// missed, or the whole configuration if they are no longer kept or would be larger.
     pub fn config_since(&self, revision: u64) -> ConfigUpdate {
         let missed = self.config.revision.saturating_sub(revision);
         let known = revision <= self.config.revision && missed <= self.history.len() as u64;
@@ -240,18 +242,18 @@
             outcomes: wire.outcomes.into_iter().collect(),
             ..Self::default()
         };
-        log.take_config(wire.config);
+        log.set_config(wire.config);
         log
     }
 }
 
 impl KeptChange {
     fn new(change: AcceptedChange) -> Self {
-        let bytes = encoded_bytes(&change) as u32;
+        let bytes = encoded_len(&change) as u32;
         Self { change, bytes }
     }
 }
 
-fn encoded_bytes<T: Serialize>(value: &T) -> usize {
+fn encoded_len<T: Serialize>(value: &T) -> usize {
     postcard::experimental::serialized_size(value).unwrap_or(usize::MAX)
 }
--- a/crates/ragwortroad_state/src/order/order_settings.rs
+++ b/crates/ragwortroad_state/src/order/order_settings.rs
@@ -2,14 +2,14 @@
 
 use crate::LoadRate;
 
-/// Settings of the holder's orders.
+/// Settings of the lease holder's orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// Time after which an order whose effect is not seen is sent again.
+    /// Time after which an order is sent again if its effect was not observed.
     pub resend_after: Duration,
-    /// Time after which a load that is not seen gives its place at the weight store up.
-    pub load_bound: Duration,
-    /// The weight store's rate.
+    /// Time after which a load that was not observed gives up its slot at the weight store.
+    pub load_timeout: Duration,
+    /// Rate limits of the weight store.
     pub rate: LoadRate,
 }
 
@@ -17,7 +17,7 @@
     fn default() -> Self {
         Self {
             resend_after: Duration::from_secs(5),
-            load_bound: Duration::from_secs(600),
+            load_timeout: Duration::from_secs(600),
             rate: LoadRate::default(),
         }
     }
--- a/crates/ragwortroad_state/src/order/order_table.rs
+++ b/crates/ragwortroad_state/src/order/order_table.rs
@@ -6,28 +6,29 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
+    EngineObservation,
     EngineOrder,
-    EngineSight,
     EngineTarget,
     LoadQueue,
     OrderAction,
     OrderId,
     OrderKey,
     OrderSettings,
-    order::engine_state::EngineState, //
+    order::managed_engine::ManagedEngine, //
 };
 
-/// The holder's orders under way: brings what is seen to what is planned.
+/// The lease holder's pending orders, which reconcile the engines' observed state with their
+/// targets.
 ///
-/// An order counts as done only when its effect is seen, or, for a role or a drain, which engines
-/// do not announce, when it was answered by the engine's present incarnation. An answer to an
-/// order that is no longer under way changes nothing.
+/// An order is complete only when its effect is observed. Engines do not announce their role or
+/// drain, so those orders are complete when the engine's current incarnation acknowledged them. An
+/// acknowledgement of an order that is no longer pending has no effect.
 #[derive(Clone, Debug)]
 pub struct OrderTable {
     settings: OrderSettings,
-    fence: FenceNumber,
+    fence: FencingToken,
     next_number: u64,
-    engines: BTreeMap<String, EngineState>,
+    engines: BTreeMap<String, ManagedEngine>,
     pending: BTreeMap<OrderId, PendingOrder>,
     queue: LoadQueue,
 }
@@ -40,8 +41,8 @@
 }
 
 impl OrderTable {
-    /// The orders of the holder with number `fence`; none yet.
-    pub fn new(settings: OrderSettings, fence: FenceNumber, now: ClockTime) -> Self {
+    /// Creates an empty table for the holder with fencing number `fence`.
+    pub fn new(settings: OrderSettings, fence: FencingToken, now: ClockTime) -> Self {
         Self {
             settings,
             fence,
@@ -52,64 +53,65 @@
         }
     }
 
-    /// What an engine shall be, and how urgently it is needed.
-    pub fn plan(&mut self, engine: &str, target: EngineTarget, urgency: u32) {
-        let state = self.engines.entry(engine.to_owned()).or_default();
-        state.target = target;
-        state.urgency = urgency;
+    /// Sets an engine's target and urgency; a higher urgency is served first.
+    pub fn set_target(&mut self, engine: &str, target: EngineTarget, urgency: u32) {
+        let managed = self.engines.entry(engine.to_owned()).or_default();
+        managed.target = target;
+        managed.urgency = urgency;
     }
 
-    /// What an engine was seen to be.
-    pub fn observe(&mut self, engine: &str, sight: EngineSight) {
-        let state = self.engines.entry(engine.to_owned()).or_default();
-        state.see(sight);
+    /// Records a new observation of an engine.
+    pub fn observe(&mut self, engine: &str, observation: EngineObservation) {
+        let managed = self.engines.entry(engine.to_owned()).or_default();
+        managed.observe(observation);
     }
 
-    /// A former holder may have drained this engine, which no announcement tells: it is ordered
-    /// anew, once. Without this an engine whose drain was taken back while the lead changed would
-    /// take nothing new for ever.
-    pub fn doubt_drain(&mut self, engine: &str) {
-        let state = self.engines.entry(engine.to_owned()).or_default();
-        state.drain_doubted = true;
+    /// Marks that a former holder may have drained the engine, which no announcement tells. The
+    /// drain state is then ordered once more. Otherwise an engine whose drain was ended during a
+    /// leader change would never accept work again.
+    pub fn mark_drain_unknown(&mut self, engine: &str) {
+        let managed = self.engines.entry(engine.to_owned()).or_default();
+        managed.drain_unknown = true;
     }
 
-    /// The engine is gone.
-    pub fn forget(&mut self, engine: &str) {
+    /// Removes an engine that left the fleet.
+    pub fn remove_engine(&mut self, engine: &str) {
         self.engines.remove(engine);
     }
 
-    /// The engine answered that it carries the order out. False where the order is not under way.
-    pub fn answered(&mut self, id: OrderId) -> bool {
+    /// Records that the engine acknowledged an order. Returns false if the order is not
+    /// pending or its engine was removed.
+    pub fn acknowledge(&mut self, id: OrderId) -> bool {
         let Some(pending) = self.pending.get(&id) else {
             return false;
         };
-        let Some(state) = self.engines.get_mut(&pending.order.engine) else {
+        let Some(managed) = self.engines.get_mut(&pending.order.engine) else {
             return false;
         };
         match pending.order.action {
-            OrderAction::SetRole { role } => state.role = role,
+            OrderAction::SetRole { role } => managed.role = role,
             OrderAction::SetDrain { drain } => {
-                state.drain = drain;
-                state.drain_doubted = false;
+                managed.drain = drain;
+                managed.drain_unknown = false;
             }
             OrderAction::Load { .. } | OrderAction::Unload { .. } => {}
         }
         true
     }
 
-    /// Orders to send now: new ones, and those to send again.
+    /// Returns the orders to send now: new ones, and those to send again.
     ///
-    /// `may_order` says for an engine whether the [`OrderGate`](crate::OrderGate) is open, and
-    /// `size_of` gives a model's megabytes.
-    pub fn due(
+    /// `may_order` tells for an engine whether the [`OrderGate`](crate::OrderGate) is open;
+    /// `size_of` returns a model's size in megabytes.
+    pub fn due_orders(
         &mut self,
         now: ClockTime,
         mut may_order: impl FnMut(&str) -> bool,
         size_of: impl Fn(&str) -> u32,
     ) -> Vec<EngineOrder> {
-        let wanted = self.wanted();
-        self.drop_unwanted(&wanted, now);
-        let under_way = self.under_way();
+        let wanted = self.required_orders();
+        self.prune_pending(&wanted, now);
+        let under_way = self.pending_keys();
         let mut starts = Vec::new();
         for key in wanted {
             if under_way.contains(&key) {
@@ -120,9 +122,9 @@
                     let urgency = self
                         .engines
                         .get(&key.engine)
-                        .map_or(0, |state| state.urgency);
+                        .map_or(0, |managed| managed.urgency);
                     let size = size_of(model);
-                    self.queue.want(key, size, urgency);
+                    self.queue.enqueue(key, size, urgency);
                 }
                 _ if may_order(&key.engine) => starts.push(key),
                 _ => {}
@@ -132,23 +134,25 @@
         while let Some(key) = self.queue.start_next(now, |key| may_order(&key.engine)) {
             starts.push(key);
         }
-        let mut orders: Vec<EngineOrder> =
-            starts.into_iter().map(|key| self.start(key, now)).collect();
+        let mut orders: Vec<EngineOrder> = starts
+            .into_iter()
+            .map(|key| self.start_order(key, now))
+            .collect();
         orders.extend(resent);
         orders
     }
 
-    /// Orders under way.
+    /// The pending orders.
     pub fn pending(&self) -> impl Iterator<Item = &EngineOrder> {
         self.pending.values().map(|pending| &pending.order)
     }
 
-    /// Loads waiting for the weight store.
+    /// The number of loads that wait for the weight store.
     pub fn waiting_loads(&self) -> usize {
         self.queue.waiting()
     }
 
-    fn start(&mut self, key: OrderKey, now: ClockTime) -> EngineOrder {
+    fn start_order(&mut self, key: OrderKey, now: ClockTime) -> EngineOrder {
         self.next_number += 1;
         let id = OrderId {
             fence: self.fence,
@@ -165,17 +169,17 @@
         order
     }
 
-    /// What the orders under way are about.
-    fn under_way(&self) -> BTreeSet<OrderKey> {
+    /// The keys of the pending orders.
+    fn pending_keys(&self) -> BTreeSet<OrderKey> {
         let orders = self.pending.values().map(|pending| &pending.order);
         orders.map(OrderKey::from).collect()
     }
 
     /// Everything in which an engine differs from its target.
-    fn wanted(&self) -> BTreeSet<OrderKey> {
+    fn required_orders(&self) -> BTreeSet<OrderKey> {
         let mut wanted = BTreeSet::new();
-        for (name, state) in &self.engines {
-            let actions = state.differences().into_iter();
+        for (name, managed) in &self.engines {
+            let actions = managed.required_actions().into_iter();
             let engine = || name.clone();
             wanted.extend(actions.map(|action| OrderKey {
                 engine: engine(),
@@ -185,9 +189,9 @@
         wanted
     }
 
-    /// Forgets orders whose effect is seen or no longer wanted, and loads that take too long.
-    fn drop_unwanted(&mut self, wanted: &BTreeSet<OrderKey>, now: ClockTime) {
-        let load_bound = self.settings.load_bound;
+    /// Removes orders whose effect was observed or is no longer needed, and loads that timed out.
+    fn prune_pending(&mut self, wanted: &BTreeSet<OrderKey>, now: ClockTime) {
+        let load_bound = self.settings.load_timeout;
         let queue = &mut self.queue;
         self.pending.retain(|_, pending| {
             let key = OrderKey::from(&pending.order);
@@ -195,11 +199,11 @@
             let late = is_load && now.since(pending.first_sent) > load_bound;
             let keep = wanted.contains(&key) && !late;
             if !keep {
-                queue.drop_load(&key);
+                queue.remove(&key);
             }
             keep
         });
-        self.queue.keep_waiting(|key| wanted.contains(key));
+        self.queue.retain_waiting(|key| wanted.contains(key));
     }
 
     fn resend(
--- a/crates/ragwortroad_timeline/src/event_filter.rs
+++ b/crates/ragwortroad_timeline/src/event_filter.rs
@@ -9,7 +9,7 @@
     FleetEvent, //
 };
 
-/// Which events are wanted; what is empty lets everything pass.
+/// Selects events; an empty field matches every event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EventFilter {
@@ -30,20 +30,20 @@
 }
 
 impl EventFilter {
-    /// Whether `event` is wanted.
-    pub fn lets_pass(&self, event: &FleetEvent) -> bool {
+    /// Returns whether `event` matches all fields.
+    pub fn matches(&self, event: &FleetEvent) -> bool {
         let wall = event.stamp.wall_ms();
-        wants(&self.request, &event.request)
-            && wants(&self.chat, &event.chat)
-            && wants(&self.customer, &event.customer)
-            && wants(&self.endpoint, &event.endpoint)
+        field_matches(&self.request, &event.request)
+            && field_matches(&self.chat, &event.chat)
+            && field_matches(&self.customer, &event.customer)
+            && field_matches(&self.endpoint, &event.endpoint)
             && (self.kinds.is_empty() || self.kinds.contains(&event.kind))
             && self.from_ms.is_none_or(|from| wall >= from)
             && self.until_ms.is_none_or(|until| wall < until)
     }
 }
 
-/// Whether a field has the wanted value, or none is wanted.
-fn wants<T: PartialEq>(wanted: &Option<T>, found: &Option<T>) -> bool {
+/// Returns whether the filter is empty or equal to the event's value.
+fn field_matches<T: PartialEq>(wanted: &Option<T>, found: &Option<T>) -> bool {
     wanted.is_none() || wanted == found
 }
--- a/crates/ragwortroad_timeline/src/trace_form.rs
+++ b/crates/ragwortroad_timeline/src/trace_form.rs
@@ -1,4 +1,4 @@
-//! The trace-event format that common trace viewers open.
+//! The trace form, in the trace-event format that common trace viewers read.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
     PlacedEvent, //
 };
 
-/// Microseconds in a millisecond; the format counts in microseconds.
-const MICROS: u64 = 1000;
-/// Lane within a node for control events.
+/// Microseconds per millisecond; the format counts in microseconds.
+const MICROS_PER_MS: u64 = 1000;
+/// Thread id under which control events of a node appear.
 const CONTROL_THREAD: u32 = 1;
-/// Lane within a node for events of requests.
+/// Thread id under which events of requests appear.
 const TRAFFIC_THREAD: u32 = 2;
 
-/// The time line as a trace: a process a node, a thread each for control and traffic, a span for
-/// each request on each node, and arrows between nodes along a request's path.
+/// Formats the time line as a trace: one process per node with a thread each for control events and
+/// requests, a span for each request on each node, and flow arrows between the nodes of a request.
 pub(crate) fn trace(timeline: &FleetTimeline) -> String {
     let mut entries = Vec::new();
     for (lane, node) in timeline.lanes.iter().enumerate() {
@@ -35,18 +35,18 @@
             );
         }
     }
-    entries.extend(timeline.events.iter().map(instant));
-    for events in by_request(timeline).values() {
-        entries.extend(spans(events));
-        entries.extend(arrows(events));
+    entries.extend(timeline.events.iter().map(instant_event));
+    for events in group_by_request(timeline).values() {
+        entries.extend(request_spans(events));
+        entries.extend(flow_arrows(events));
     }
     let gaps = timeline.gaps();
     let trace = json!({"traceEvents": entries, "otherData": {"missing": gaps}});
     serde_json::to_string_pretty(&trace).unwrap_or_default()
 }
 
-/// The events of each request.
-fn by_request(timeline: &FleetTimeline) -> BTreeMap<RequestId, Vec<&PlacedEvent>> {
+/// Groups events by request; events without a request are left out.
+fn group_by_request(timeline: &FleetTimeline) -> BTreeMap<RequestId, Vec<&PlacedEvent>> {
     let mut requests: BTreeMap<RequestId, Vec<&PlacedEvent>> = BTreeMap::new();
     for placed in &timeline.events {
         if let Some(request) = placed.event.request {
@@ -56,15 +56,15 @@
     requests
 }
 
-/// One event as a point in time.
-fn instant(placed: &PlacedEvent) -> Value {
+/// Formats an event as an instant event.
+fn instant_event(placed: &PlacedEvent) -> Value {
     json!({"ph": "i", "s": "t", "name": placed.event.kind.name(), "cat": "event",
-        "ts": micros(placed), "pid": placed.lane, "tid": thread(placed.event.kind),
+        "ts": timestamp_us(placed), "pid": placed.lane, "tid": thread_id(placed.event.kind),
         "args": &placed.event})
 }
 
-/// For each node that saw a request, a span from its first to its last event there.
-fn spans(events: &[&PlacedEvent]) -> Vec<Value> {
+/// Returns, for each node that handled a request, a span from the first to the last event there.
+fn request_spans(events: &[&PlacedEvent]) -> Vec<Value> {
     let mut lanes: BTreeMap<usize, (&PlacedEvent, &PlacedEvent)> = BTreeMap::new();
     for placed in events {
         lanes
@@ -74,11 +74,11 @@
     }
     let mut spans = Vec::new();
     for (lane, (first, last)) in lanes {
-        let id = request_text(first);
+        let id = request_id_text(first);
         for (phase, placed) in [("b", first), ("e", last)] {
             spans.push(
                 json!({"ph": phase, "name": format!("request {id}"), "cat": "request",
-                "id": format!("{id}-{lane}"), "ts": micros(placed), "pid": lane,
+                "id": format!("{id}-{lane}"), "ts": timestamp_us(placed), "pid": lane,
                 "tid": TRAFFIC_THREAD}),
             );
         }
@@ -86,26 +86,25 @@
     spans
 }
 
-/// An arrow wherever a request goes from one node to another.
-fn arrows(events: &[&PlacedEvent]) -> Vec<Value> {
+/// Returns a flow arrow wherever a request moves from one node to another.
+fn flow_arrows(events: &[&PlacedEvent]) -> Vec<Value> {
     let mut arrows = Vec::new();
     for (step, pair) in events.windows(2).enumerate() {
         if pair[0].lane == pair[1].lane {
             continue;
         }
-        let id = format!("{}-{step}", request_text(pair[0]));
+        let id = format!("{}-{step}", request_id_text(pair[0]));
         for (phase, placed) in [("s", pair[0]), ("f", pair[1])] {
             arrows.push(
                 json!({"ph": phase, "bp": "e", "name": "path", "cat": "path", "id": id,
-                "ts": micros(placed), "pid": placed.lane, "tid": thread(placed.event.kind)}),
+                "ts": timestamp_us(placed), "pid": placed.lane, "tid": thread_id(placed.event.kind)}),
             );
         }
     }
     arrows
 }
 
-/// The request's identity as text.
-fn request_text(placed: &PlacedEvent) -> String {
+fn request_id_text(placed: &PlacedEvent) -> String {
     placed
         .event
         .request
@@ -113,14 +112,15 @@
         .unwrap_or_default()
 }
 
-/// The event's time in microseconds; the counter keeps the order within a millisecond.
-fn micros(placed: &PlacedEvent) -> u64 {
+/// Returns the event's time in microseconds; the clock's counter keeps the order within a
+/// millisecond.
+fn timestamp_us(placed: &PlacedEvent) -> u64 {
     let stamp = placed.event.stamp;
-    stamp.wall_ms() * MICROS + u64::from(stamp.counter()).min(MICROS - 1)
+    stamp.wall_ms() * MICROS_PER_MS + u64::from(stamp.counter()).min(MICROS_PER_MS - 1)
 }
 
-/// The thread that events of `kind` are shown on.
-fn thread(kind: EventKind) -> u32 {
+/// Returns the thread under which events of `kind` appear.
+fn thread_id(kind: EventKind) -> u32 {
     if kind.is_traffic() {
         TRAFFIC_THREAD
     } else {
--- a/crates/ragwortroad_transport/src/connection_reader.rs
+++ b/crates/ragwortroad_transport/src/connection_reader.rs
@@ -24,50 +24,50 @@
     PeerEvent,
     PeerMessage,
     TransportSettings,
-    peer_book::{
-        PeerBook,
-        count, //
+    connection_table::{
+        ConnectionTable,
+        increment, //
     },
     peer_identity::certificate_node, //
 };
 
-/// Reads what one proved peer sends.
+/// Reads the messages that one authenticated peer sends on a connection.
 pub(crate) struct ConnectionReader {
-    /// The peer, proved by its certificate.
+    /// The peer, authenticated by its certificate.
     pub(crate) peer: NodeId,
-    /// The connection.
     pub(crate) connection: Connection,
-    /// Where the connection is listed.
-    pub(crate) book: Arc<PeerBook>,
-    /// Where messages go.
+    /// The shared connection table.
+    pub(crate) table: Arc<ConnectionTable>,
+    /// Receives messages, and the peer if it is lost.
     pub(crate) events: Sender<PeerEvent>,
-    /// Largest message with its tag.
-    pub(crate) max_frame: usize,
-    /// Longest time for one message.
+    /// Maximum size of a message with its tag.
+    pub(crate) max_frame_bytes: usize,
+    /// Time limit for reading one message.
     pub(crate) message_timeout: Duration,
 }
 
 impl ConnectionReader {
-    /// Lists `connection` under its proved peer, ready to be read; nothing if it proves no peer.
+    /// Adds `connection` to the table under its authenticated peer and returns its reader; `None`
+    /// if the certificate names no node.
     pub(crate) fn register(
         connection: Connection,
-        book: &Arc<PeerBook>,
+        table: &Arc<ConnectionTable>,
         events: &Sender<PeerEvent>,
         settings: &TransportSettings,
     ) -> Option<Self> {
-        let peer = proved_node(&connection)?;
-        book.insert(peer, connection.clone());
+        let peer = authenticated_node(&connection)?;
+        table.insert(peer, connection.clone());
         Some(Self {
             peer,
             connection,
-            book: book.clone(),
+            table: table.clone(),
             events: events.clone(),
-            max_frame: settings.max_message + 1,
+            max_frame_bytes: settings.max_message_bytes + 1,
             message_timeout: settings.message_timeout,
         })
     }
 
-    /// Reads until the connection closes; reports the peer lost unless the close was orderly.
+    /// Reads until the connection closes; reports the peer as lost unless the close was orderly.
     pub(crate) async fn run(self) {
         let mut streams = JoinSet::new();
         let closed = loop {
@@ -77,15 +77,15 @@
                     Err(error) => break error,
                 },
                 datagram = self.connection.read_datagram() => match datagram {
-                    Ok(frame) => self.take_datagram(&frame),
+                    Ok(frame) => self.deliver_datagram(&frame),
                     Err(error) => break error,
                 },
                 Some(_ended) = streams.join_next() => {}
             }
         };
-        // What arrived whole before the close is still delivered.
+        // Messages that arrived completely before the close are still delivered.
         while streams.join_next().await.is_some() {}
-        self.book.remove(self.peer, &self.connection);
+        self.table.remove(self.peer, &self.connection);
         if !is_orderly(&closed) {
             self.report_lost(&closed).await;
         }
@@ -93,44 +93,52 @@
 
     /// Reads one message from its stream.
     ///
-    /// A stream that was reset or fell silent yields nothing: half a message handed on could be
-    /// taken for a whole one.
+    /// A stream that was reset or stalled yields nothing, because the receiver could mistake a
+    /// partial message for a complete one.
     fn read_stream(&self, mut stream: RecvStream) -> impl Future<Output = ()> + Send + 'static {
-        let (peer, events, book) = (self.peer, self.events.clone(), self.book.clone());
-        let (max_frame, limit) = (self.max_frame, self.message_timeout);
+        let (peer, events, table) = (self.peer, self.events.clone(), self.table.clone());
+        let (max_frame_bytes, limit) = (self.max_frame_bytes, self.message_timeout);
         async move {
-            match timeout(limit, stream.read_to_end(max_frame)).await {
+            match timeout(limit, stream.read_to_end(max_frame_bytes)).await {
                 Ok(Ok(frame)) => {
-                    let event = received(peer, &frame).filter(|_| book.gate.passes(peer));
+                    let event = received_event(peer, &frame)
+                        .filter(|_| table.partition_filter.allows(peer));
                     if let Some(event) = event {
-                        count(&book.messages_received);
-                        // The owner may be gone during shutdown; then the message is void.
+                        increment(&table.messages_received);
+                        // The owner may have dropped the receiver during a shutdown; the message is
+                        // then discarded.
                         events.send_async(event).await.unwrap_or_default();
                     }
                 }
                 Ok(Err(ReadToEndError::TooLong)) => {
-                    tracing::warn!(%peer, max_frame, "refused a message that is too large");
-                    count(&book.messages_too_large);
+                    tracing::warn!(
+                        %peer,
+                        max_frame = max_frame_bytes,
+                        "rejected a message above the size limit"
+                    );
+                    increment(&table.messages_too_large);
+                }
+                Ok(Err(error)) => tracing::debug!(%peer, %error, "message stream ended early"),
+                Err(_elapsed) => {
+                    tracing::debug!(%peer, "message was not received within the time limit")
                 }
-                Ok(Err(error)) => tracing::debug!(%peer, %error, "a message was cut off"),
-                Err(_elapsed) => tracing::debug!(%peer, "a message took too long"),
             }
         }
     }
 
-    /// Hands on a datagram; drops it where the owner is behind, as it is unreliable anyway.
-    fn take_datagram(&self, frame: &[u8]) {
-        let passes = self.book.gate.passes(self.peer);
-        let Some(event) = received(self.peer, frame).filter(|_| passes) else {
+    /// Delivers a datagram; drops it if the event queue is full, because datagrams are unreliable
+    /// anyway.
+    fn deliver_datagram(&self, frame: &[u8]) {
+        let passes = self.table.partition_filter.allows(self.peer);
+        let Some(event) = received_event(self.peer, frame).filter(|_| passes) else {
             return;
         };
         match self.events.try_send(event) {
-            Ok(()) => count(&self.book.messages_received),
-            Err(_full) => count(&self.book.messages_dropped),
+            Ok(()) => increment(&self.table.messages_received),
+            Err(_full) => increment(&self.table.messages_dropped),
         }
     }
 
-    /// Tells the owner that the peer was lost.
     async fn report_lost(&self, reason: &ConnectionError) {
         let event = PeerEvent::PeerLost {
             peer: self.peer,
@@ -140,15 +148,15 @@
     }
 }
 
-/// The node that the peer's certificate proves.
-fn proved_node(connection: &Connection) -> Option<NodeId> {
+/// The node that the certificate of the peer names.
+fn authenticated_node(connection: &Connection) -> Option<NodeId> {
     let identity = connection.peer_identity()?;
     let chain = identity.downcast::<Vec<CertificateDer<'static>>>().ok()?;
     certificate_node(chain.first()?).ok()
 }
 
-/// The event for a frame, unless its tag is unknown.
-fn received(from: NodeId, frame: &[u8]) -> Option<PeerEvent> {
+/// Decodes a frame into an event; `None` if its tag is unknown.
+fn received_event(from: NodeId, frame: &[u8]) -> Option<PeerEvent> {
     let (tag, bytes) = frame.split_first()?;
     let channel = PeerChannel::from_tag(*tag)?;
     Some(PeerEvent::Received(PeerMessage {
@@ -158,7 +166,7 @@
     }))
 }
 
-/// Whether a close says nothing about the peer's health.
+/// Whether a close is no sign of a failed peer.
 fn is_orderly(error: &ConnectionError) -> bool {
     matches!(
         error,
--- a/crates/ragwortroad_transport/src/peer_book.rs
+++ b/crates/ragwortroad_transport/src/connection_table.rs
@@ -16,18 +16,18 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
-    LinkGate,
+    PartitionFilter,
     TransportStats, //
 };
 
-/// The open connections and the counters, shared by all tasks of one transport.
+/// Open connections and counters, shared by all tasks of one transport.
 #[derive(Default)]
-pub(crate) struct PeerBook {
-    /// Held for a few instructions only, never across an await.
+pub(crate) struct ConnectionTable {
+    /// Locked for a few instructions only, never across an await.
     connections: Mutex<ConnectionMap>,
-    /// Links that are cut for a test.
-    pub(crate) gate: Arc<LinkGate>,
-    /// Handshakes that peers began and that are not over.
+    /// Peers whose messages are dropped for a test.
+    pub(crate) partition_filter: Arc<PartitionFilter>,
+    /// Incoming handshakes in progress.
     pub(crate) handshakes: AtomicU64,
     /// See [`TransportStats::messages_queued`].
     pub(crate) messages_queued: AtomicU64,
@@ -41,43 +41,43 @@
     pub(crate) handshakes_refused: AtomicU64,
 }
 
-/// Connections whose peer is proved.
+/// Connections whose peer is authenticated.
 #[derive(Default)]
 struct ConnectionMap {
-    /// All open connections by the library's stable number.
+    /// All open connections by quinn's stable identifier.
     open: HashMap<usize, Connection>,
-    /// The connection to send on.
+    /// The connection to send on, for each peer.
     ///
     /// Invariant: each value is a key of `open`.
     current: HashMap<NodeId, usize>,
-    /// Traffic of connections closed already.
+    /// Traffic of closed connections.
     closed: TransportStats,
 }
 
-impl PeerBook {
-    /// Makes `connection` the one to send to `peer` on.
+impl ConnectionTable {
+    /// Makes `connection` the one on which messages to `peer` are sent.
     ///
-    /// Two nodes that dial each other at once have two connections for a while; the one not used
-    /// falls idle and closes.
+    /// Two nodes that dial each other at the same time have two connections for a while; the unused
+    /// one becomes idle and closes.
     pub(crate) fn insert(&self, peer: NodeId, connection: Connection) {
         let mut map = self.lock();
         map.current.insert(peer, connection.stable_id());
         map.open.insert(connection.stable_id(), connection);
     }
 
-    /// Forgets a closed connection and keeps its counters.
+    /// Removes a closed connection and keeps its traffic counters.
     pub(crate) fn remove(&self, peer: NodeId, connection: &Connection) {
         let mut map = self.lock();
-        let number = connection.stable_id();
-        if map.current.get(&peer) == Some(&number) {
+        let stable_id = connection.stable_id();
+        if map.current.get(&peer) == Some(&stable_id) {
             map.current.remove(&peer);
         }
-        if map.open.remove(&number).is_some() {
+        if map.open.remove(&stable_id).is_some() {
             add_traffic(&mut map.closed, connection);
         }
     }
 
-    /// The connection to send to `peer` on, where one is open.
+    /// The connection on which to send to `peer`, if one is open.
     pub(crate) fn current(&self, peer: NodeId) -> Option<Connection> {
         let map = self.lock();
         let connection = map.open.get(map.current.get(&peer)?)?;
@@ -87,12 +87,10 @@
             .then(|| connection.clone())
     }
 
-    /// Number of open connections.
     pub(crate) fn open_count(&self) -> usize {
         self.lock().open.len()
     }
 
-    /// All counters.
     pub(crate) fn stats(&self) -> TransportStats {
         let map = self.lock();
         let mut stats = map.closed;
@@ -108,7 +106,8 @@
         stats
     }
 
-    /// The map; no task panics while it holds the lock, so a poisoned one is sound.
+    /// Locks the map. No task panics while it holds the lock, so a poisoned map is still
+    /// consistent.
     fn lock(&self) -> MutexGuard<'_, ConnectionMap> {
         self.connections
             .lock()
@@ -116,12 +115,10 @@
     }
 }
 
-/// Counts one event.
-pub(crate) fn count(counter: &AtomicU64) {
+pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Adds the traffic of `connection` to `stats`.
 fn add_traffic(stats: &mut TransportStats, connection: &Connection) {
     let traffic = connection.stats();
     stats.bytes_sent += traffic.udp_tx.bytes;
--- a/src/log_output.rs
+++ b/src/log_output.rs
@@ -1,4 +1,4 @@
-//! Where log entries go.
+//! Log output of the processes.
 
 use std::{
     io,
@@ -21,67 +21,69 @@
     util::SubscriberInitExt, //
 };
 
-use crate::line_quota::LineQuota;
+use crate::log_limiter::LogLimiter;
 
-/// Lines that wait to be written at most; further ones are dropped.
+/// Maximum number of lines buffered for standard output; further ones are dropped.
 ///
-/// A reader of standard output that stops reading must not stop requests. At some hundred bytes a
-/// line this is two megabytes.
-const WAITING_LINES: usize = 8192;
+/// A reader of standard output that stops reading must not block requests. At a few hundred bytes
+/// per line, the buffer takes two megabytes.
+const MAX_BUFFERED_LINES: usize = 8192;
 
-/// The log of an edge or a registry while its process runs.
+/// Log of an edge, registry or directory process; must live until the process ends.
 pub(crate) struct ProcessLog {
-    /// Writes the last lines when it is dropped.
+    /// Flushes the buffered lines when dropped.
     _guard: WorkerGuard,
-    /// Lines that were dropped because nobody read them in time.
-    pub(crate) unread: ErrorCounter,
-    /// Lines about single requests that were left out.
-    pub(crate) quota: Arc<LineQuota>,
+    /// Counts lines that were dropped because the buffer was full.
+    pub(crate) overflow: ErrorCounter,
+    /// Limits the lines about single requests and counts those suppressed.
+    pub(crate) limiter: Arc<LogLimiter>,
 }
 
-/// Sends the log of an edge or a registry to standard output, a JSON object a line.
+/// Writes the log of an edge, registry or directory to standard output, one JSON object per line.
 ///
-/// Lines are written by a thread of their own, and those about single requests are limited.
+/// A separate thread writes the lines. Lines about single requests, which are entries at level
+/// `INFO` with a field `request`, are limited per second. Invalid filter directives are replaced by
+/// `info`.
 pub(crate) fn start_process_log(settings: &LogSettings) -> ProcessLog {
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .lossy(true)
         .finish(io::stdout());
-    let unread = writer.error_counter();
-    let quota = Arc::new(LineQuota::default());
-    let counted = Arc::clone(&quota);
+    let overflow = writer.error_counter();
+    let limiter = Arc::new(LogLimiter::default());
+    let filter_limiter = Arc::clone(&limiter);
     let started_at = Instant::now();
-    let limit = dynamic_filter_fn(move |metadata, _| {
+    let request_filter = dynamic_filter_fn(move |metadata, _| {
         let is_limited =
             *metadata.level() == Level::INFO && metadata.fields().field("request").is_some();
-        !is_limited || counted.admit(started_at.elapsed().as_secs())
+        !is_limited || filter_limiter.admit(started_at.elapsed().as_secs())
     });
-    let lines = tracing_subscriber::fmt::layer()
+    let layer = tracing_subscriber::fmt::layer()
         .with_writer(writer)
         .json()
         .flatten_event(true)
         .with_current_span(false)
         .with_span_list(false)
-        .with_filter(limit);
+        .with_filter(request_filter);
     let filter = EnvFilter::try_new(&settings.level).unwrap_or_else(|_| EnvFilter::new("info"));
-    let started = tracing_subscriber::registry()
+    let result = tracing_subscriber::registry()
         .with(filter)
-        .with(lines)
+        .with(layer)
         .try_init();
-    if let Err(error) = started {
-        eprintln!("the log could not be started: {error}");
+    if let Err(error) = result {
+        eprintln!("failed to start the log: {error}");
     }
     ProcessLog {
         _guard: guard,
-        unread,
-        quota,
+        overflow,
+        limiter,
     }
 }
 
-/// Sends the log of this process to standard error, as the settings say.
+/// Writes the log of this process to standard error, with the level and format of the settings.
 ///
-/// Faulty filter directives fall back to `info` and are reported as the first entry: a process
-/// that refuses to start for its log level would be worse than one that logs too much.
+/// Invalid filter directives are replaced by `info` and reported in the first entry: a process that
+/// refuses to start because of its log level would be worse than one that logs too much.
 pub(crate) fn start_log(settings: &LogSettings) {
     let parsed = EnvFilter::try_new(&settings.level);
     let fault = parsed.as_ref().err().map(ToString::to_string);
@@ -89,18 +91,18 @@
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(io::stderr);
-    let started = match settings.format {
+    let result = match settings.format {
         LogFormat::Text => builder.try_init(),
         LogFormat::Json => builder.json().try_init(),
     };
-    if let Err(error) = started {
-        eprintln!("the log could not be started: {error}");
+    if let Err(error) = result {
+        eprintln!("failed to start the log: {error}");
     }
     if let Some(fault) = fault {
         tracing::warn!(
             level = settings.level,
             fault,
-            "log level cannot be read, using info"
+            "invalid log level; using info"
         );
     }
 }
--- a/tests/example_sites.rs
+++ b/tests/example_sites.rs
@@ -1,4 +1,4 @@
-//! The example settings and declarations of both deployments.
+//! Checks the example settings and declarations of both deployments.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,21 +13,24 @@
 use ragwortroad_settings::prelude::*;
 use ragwortroad_state::prelude::*;
 
-/// What a site's examples must contain.
+/// Expected contents of the examples of one site.
 struct SiteExample {
+    /// Name of the folder below `examples/`.
     folder: &'static str,
     region: &'static str,
     zones: [&'static str; 3],
     nodes: usize,
+    /// Service to which `once` and `read` belong.
     service: &'static str,
-    /// A call that must never be repeated.
+    /// Method and path of a request that must run at most once.
     once: (&'static str, &'static str),
-    /// A call that may be.
+    /// Method and path of a request that may be repeated.
     read: (&'static str, &'static str),
 }
 
+/// Guards against examples that the current version rejects or that contradict each other.
 #[test]
-fn the_studios_examples_are_accepted() {
+fn ljosmynd_examples_are_valid() {
     check_site(&SiteExample {
         folder: "ljosmynd",
         region: "is-sudvestur",
@@ -39,8 +42,9 @@
     });
 }
 
+/// Guards against examples that the current version rejects or that contradict each other.
 #[test]
-fn the_swim_schools_examples_are_accepted() {
+fn splashmark_examples_are_valid() {
     check_site(&SiteExample {
         folder: "splashmark",
         region: "lagos",
@@ -80,15 +84,19 @@
     let zones: BTreeSet<&str> = nodes.iter().map(|node| &*node.node.zone).collect();
     assert!(zones.into_iter().eq(site.zones));
     let peers: BTreeSet<_> = nodes.iter().map(|node| node.node.peer).collect();
-    assert_eq!(peers.len(), site.nodes, "two nodes share an address");
+    assert_eq!(
+        peers.len(),
+        site.nodes,
+        "two nodes have the same peer address"
+    );
     let members: Vec<_> = nodes.iter().filter(|node| node.is_member()).collect();
     assert_eq!(members.len(), 3);
     for member in members {
-        let named = &member.state.members;
-        let own = named.iter().find(|seed| seed.name == member.node.name);
+        let configured = &member.state.members;
+        let own = configured.iter().find(|seed| seed.name == member.node.name);
         assert_eq!(own.map(|seed| seed.peer), Some(member.node.peer));
     }
-    let config = declared(&folder.join("declarations.txt"));
+    let config = apply_declarations(&folder.join("declarations.txt"));
     assert_eq!(config.customers.len(), 10);
     let service = &config.services[site.service];
     let matches = |patterns: &BTreeSet<CallPattern>, (method, path): (&str, &str)| {
@@ -98,9 +106,10 @@
     assert!(matches(&service.idempotent, site.read) && !matches(&service.once, site.read));
 }
 
-/// The configuration after all changes of a declarations file: blocks divided by blank lines, each
-/// of which is one change.
-fn declared(path: &Path) -> FleetConfig {
+/// Applies all changes of a declarations file to an empty configuration.
+///
+/// Blank lines separate the changes.
+fn apply_declarations(path: &Path) -> FleetConfig {
     let text = fs::read_to_string(path).unwrap();
     let mut config = FleetConfig::default();
     for block in text.split("\n\n") {
