--- a/crates/ragwortroad_demo/examples/claim_rate.rs
+++ b/crates/ragwortroad_demo/examples/claim_rate.rs
@@ -26,8 +26,8 @@
     let plan = FleetPlan {
         engines: 0,
         services: 3,
-        rate: 100_000,
-        desk: ServiceSettings {
+        customer_rate_limit: 100_000,
+        replica: ServiceSettings {
             capacity: 2048,
             work_time: Duration::ZERO,
             threads: 2,
@@ -78,7 +78,7 @@
 
 /// One caller's bookings: how long each took, and how many got another answer than 200.
 fn book_for(fleet: &SmallFleet, callers: usize, number: usize) -> (Vec<Duration>, usize) {
-    let addresses = fleet.caller_addresses();
+    let addresses = fleet.client_addresses();
     let address = &addresses[number % addresses.len()];
     let customer = &fleet.plan.customers[number % fleet.plan.customers.len()];
     let service = &fleet.plan.service;
--- a/crates/ragwortroad_demo/src/demo_error.rs
+++ b/crates/ragwortroad_demo/src/demo_error.rs
@@ -53,7 +53,7 @@
     },
     /// Something did not come about in time.
     #[snafu(display("{what} did not come about within {seconds} s; look at the nodes' logs"))]
-    Late {
+    Timeout {
         /// What was waited for.
         what: String,
         /// How long.
--- a/crates/ragwortroad_demo/src/demo_report.rs
+++ b/crates/ragwortroad_demo/src/demo_report.rs
@@ -23,7 +23,7 @@
 
 impl DemoReport {
     /// Whether everything held that must always hold.
-    pub fn holds(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.load.violations.is_empty()
     }
 }
--- a/crates/ragwortroad_demo/src/fleet_plan.rs
+++ b/crates/ragwortroad_demo/src/fleet_plan.rs
@@ -23,11 +23,11 @@
     /// Customers, by name; each one's key is `key-of-NAME`.
     pub customers: Vec<String>,
     /// Requests a second that each customer may send.
-    pub rate: u32,
+    pub customer_rate_limit: u32,
     /// What the engines are like; name, zone and addresses are filled in.
     pub engine: EngineSettings,
     /// What the service's replicas are like; name, zone and addresses are filled in.
-    pub desk: ServiceSettings,
+    pub replica: ServiceSettings,
     /// `follow_bound_ms` of the nodes.
     pub follow_bound: Duration,
     /// `lease_ms` of the nodes.
@@ -48,9 +48,9 @@
             model: "caption-llm".to_owned(),
             service: "studio-desk".to_owned(),
             customers: (1..=6).map(|number| format!("studio-{number}")).collect(),
-            rate: 1000,
+            customer_rate_limit: 1000,
             engine: EngineSettings::default(),
-            desk: ServiceSettings::default(),
+            replica: ServiceSettings::default(),
             follow_bound: Duration::from_secs(3),
             lease: Duration::from_millis(1200),
             orders: EngineOrderSettings::default(),
--- a/crates/ragwortroad_demo/src/lib.rs
+++ b/crates/ragwortroad_demo/src/lib.rs
@@ -33,7 +33,7 @@
         },
         fleet_plan::FleetPlan,
         operator_client::{
-            LineAnswer,
+            LineResponse,
             OperatorClient, //
         },
         small_fleet::{
--- a/crates/ragwortroad_demo/src/operator_client.rs
+++ b/crates/ragwortroad_demo/src/operator_client.rs
@@ -15,7 +15,7 @@
 
 /// The answer to an operator's line.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LineAnswer {
+pub struct LineResponse {
     /// HTTP status.
     pub status: u16,
     /// The text for a person.
@@ -29,16 +29,16 @@
 
 impl OperatorClient {
     /// Asks what is true.
-    pub fn ask(&self, line: &str) -> Result<LineAnswer, DemoError> {
+    pub fn ask(&self, line: &str) -> Result<LineResponse, DemoError> {
         self.send(line, None)
     }
 
     /// Makes a change under an id of its own.
-    pub fn change(&self, line: &str, id: &str) -> Result<LineAnswer, DemoError> {
+    pub fn change(&self, line: &str, id: &str) -> Result<LineResponse, DemoError> {
         self.send(line, Some(id))
     }
 
-    fn send(&self, line: &str, id: Option<&str>) -> Result<LineAnswer, DemoError> {
+    fn send(&self, line: &str, id: Option<&str>) -> Result<LineResponse, DemoError> {
         let mut reason = "no node is known".to_owned();
         for node in &self.nodes {
             match self.send_to(node, line, id) {
@@ -50,7 +50,7 @@
         Err(DemoError::Line { line, reason })
     }
 
-    fn send_to(&self, node: &str, line: &str, id: Option<&str>) -> Result<LineAnswer, String> {
+    fn send_to(&self, node: &str, line: &str, id: Option<&str>) -> Result<LineResponse, String> {
         let body = serde_json::json!({
             "line": line,
             "may_change": id.is_some(),
@@ -68,7 +68,7 @@
         // A body that ended early is no JSON object any more.
         let body: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
         let text = body.get("text").and_then(Value::as_str).unwrap_or_default();
-        Ok(LineAnswer {
+        Ok(LineResponse {
             status: response.status_code as u16,
             text: text.to_owned(),
             body,
--- a/crates/ragwortroad_demo/src/small_fleet.rs
+++ b/crates/ragwortroad_demo/src/small_fleet.rs
@@ -109,7 +109,7 @@
             name: format!("engine-{number}"),
             zone: self.plan.zone(number),
             offers: offers.collect(),
-            announce_to: self.caller_addresses(),
+            announce_to: self.client_addresses(),
             join_secret: JOIN_SECRET.to_owned(),
             incarnation,
             ..self.plan.engine.clone()
@@ -127,10 +127,10 @@
             name: format!("desk-{number}"),
             service: self.plan.service.clone(),
             zone: self.plan.zone(number),
-            announce_to: self.caller_addresses(),
+            announce_to: self.client_addresses(),
             join_secret: JOIN_SECRET.to_owned(),
             incarnation,
-            ..self.plan.desk.clone()
+            ..self.plan.replica.clone()
         })
         .context(StandinSnafu)
     }
@@ -156,7 +156,7 @@
     }
 
     /// Replaces the data folder of a stopped node by none, as on a VM with a new disk.
-    pub fn lose_disk(&self, number: usize) -> Result<(), DemoError> {
+    pub fn delete_data_folder(&self, number: usize) -> Result<(), DemoError> {
         match &self.settings[number].state.data_folder {
             Some(folder) => fs::remove_dir_all(folder).context(FolderSnafu),
             None => Ok(()),
@@ -164,7 +164,7 @@
     }
 
     /// Cuts the links between these nodes and all others.
-    pub fn cut_off(&self, numbers: &[usize]) {
+    pub fn partition(&self, numbers: &[usize]) {
         let id = |number: usize| NodeId::from_name(&self.settings[number].node.name);
         for (number, node) in self.nodes.iter().enumerate() {
             let is_inside = numbers.contains(&number);
@@ -176,7 +176,7 @@
     }
 
     /// Heals all links.
-    pub fn heal(&self) {
+    pub fn heal_partition(&self) {
         for node in self.nodes.iter().flatten() {
             node.gate().heal();
         }
@@ -198,14 +198,14 @@
     }
 
     /// `IP:port` of all nodes for callers, running or not.
-    pub fn caller_addresses(&self) -> Vec<String> {
+    pub fn client_addresses(&self) -> Vec<String> {
         let listen = self.settings.iter().map(|settings| settings.node.listen);
         listen.map(|address| address.to_string()).collect()
     }
 
     /// An operator who may ask these nodes only.
     pub fn operator_at(&self, numbers: &[usize]) -> OperatorClient {
-        let addresses = self.caller_addresses();
+        let addresses = self.client_addresses();
         let nodes = numbers.iter().map(|number| addresses[*number].clone());
         OperatorClient {
             nodes: nodes.collect(),
@@ -216,7 +216,7 @@
     /// An operator who may ask any node.
     pub fn operator(&self) -> OperatorClient {
         OperatorClient {
-            nodes: self.caller_addresses(),
+            nodes: self.client_addresses(),
             key: OPERATOR_KEY.to_owned(),
         }
     }
@@ -243,7 +243,7 @@
         let version = self.plan.engine.offers.first();
         let version = version.map_or("v1", |offer| &offer.version);
         let engines = self.plan.engines.max(1);
-        let rate = self.plan.rate;
+        let rate = self.plan.customer_rate_limit;
         let mut edits = vec![
             format!("add model {model} version {version} replicas 1..{engines} wanted {engines}"),
             format!("add service {service}"),
@@ -268,7 +268,7 @@
             weight: 1.0,
         };
         LoadSettings {
-            nodes: self.caller_addresses(),
+            nodes: self.client_addresses(),
             customers: self.plan.customers.iter().map(customer).collect(),
             model: self.plan.model.clone(),
             service: self.plan.service.clone(),
@@ -316,7 +316,7 @@
     let start = Instant::now();
     while !is_done() {
         if start.elapsed() > PATIENCE {
-            return Err(DemoError::Late {
+            return Err(DemoError::Timeout {
                 what: what.to_owned(),
                 seconds: PATIENCE.as_secs(),
             });
--- a/crates/ragwortroad_demo/tests/failures/bookings.rs
+++ b/crates/ragwortroad_demo/tests/failures/bookings.rs
@@ -103,7 +103,7 @@
         };
         for service in fleet.services.iter().flatten() {
             service.set_faults(FaultPlan {
-                answer_delay: Duration::from_secs(2),
+                response_delay: Duration::from_secs(2),
                 ..FaultPlan::default()
             });
         }
@@ -121,15 +121,18 @@
             let call = caller.book(&fleet.address(others[calls.len() % 2]), "cut");
             let end = call.note.end.clone();
             calls.push(call);
-            let not_run = matches!(end, CallEnd::Refused(RequestOutcome::NotRun, code)
+            let not_run = matches!(end, ClientOutcome::Refused(RequestOutcome::NotRun, code)
                 if !matches!(code, RefusalCode::ClaimUnavailable | RefusalCode::NotCurrent));
             assert!(!not_run, "{end:?}");
-            matches!(end, CallEnd::Refused(_, code) if code != RefusalCode::KeyInProgress
+            matches!(end, ClientOutcome::Refused(_, code) if code != RefusalCode::KeyInProgress
                 && code != RefusalCode::ClaimUnavailable && code != RefusalCode::NotCurrent)
         })
         .unwrap_or_else(|error| panic!("leader killed: {kills_leader}: {error}: {calls:?}"));
         let last = calls.last().unwrap();
-        let unknown = matches!(last.note.end, CallEnd::Refused(RequestOutcome::Unknown, _));
+        let unknown = matches!(
+            last.note.end,
+            ClientOutcome::Refused(RequestOutcome::Unknown, _)
+        );
         assert!(unknown, "{:?}", last.note.end);
         fleet.restart_node(killed).unwrap();
         calls.push(caller.book(&fleet.address(killed), "cut"));
@@ -157,11 +160,11 @@
             move || caller.book(&address, &key)
         });
         thread::sleep(Duration::from_millis(150));
-        fleet.cut_off(&[lost]);
+        fleet.partition(&[lost]);
         drop(freeze);
         fleet.crash_node(lost);
         calls.push(first.join().unwrap());
-        fleet.heal();
+        fleet.heal_partition();
         let call = caller.book(&fleet.address(leader), &key);
         let is_held = matches!(call.code(), Some(RefusalCode::KeyInProgress));
         calls.push(call);
@@ -178,7 +181,10 @@
     let (key, lost) = found.expect("a claim that outlived its node");
     for number in [lost, (lost + 1) % 3, (lost + 2) % 3] {
         let call = caller.book(&fleet.address(number), &key);
-        let unknown = matches!(call.note.end, CallEnd::Refused(RequestOutcome::Unknown, _));
+        let unknown = matches!(
+            call.note.end,
+            ClientOutcome::Refused(RequestOutcome::Unknown, _)
+        );
         assert!(unknown, "{:?}", call.note.end);
         calls.push(call);
     }
--- a/crates/ragwortroad_demo/tests/failures/common/caller.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/caller.rs
@@ -20,7 +20,7 @@
 /// One sending and what came of it.
 #[derive(Clone, Debug)]
 pub(crate) struct TestCall {
-    pub(crate) note: CallNote,
+    pub(crate) note: CallRecord,
     pub(crate) called: Instant,
     pub(crate) answered: Instant,
     /// Which run the answer stems from: its endpoint, and its place among that one's runs.
@@ -60,7 +60,7 @@
             max_tokens: Some(tokens),
             ..ChatBody::default()
         };
-        let check = AnswerCheck::new(&body);
+        let check = ResponseCheck::new(&body);
         let body = serde_json::to_string(&body).unwrap();
         let url = format!("http://{address}/v1/chat/completions");
         self.send(minreq::post(url).with_body(body), None, |answer| {
@@ -68,8 +68,8 @@
             let content = answer.pointer("/choices/0/message/content");
             let content = content.and_then(Value::as_str).unwrap_or_default();
             match check.check_text(content) {
-                Ok(()) => CallEnd::Answered,
-                Err(fault) => CallEnd::Wrong(fault),
+                Ok(()) => ClientOutcome::Answered,
+                Err(fault) => ClientOutcome::Wrong(fault),
             }
         })
     }
@@ -79,7 +79,7 @@
         let mut last = None;
         wait_until("an answer to a booking", || {
             let call = self.book(address, key);
-            let is_answered = call.note.end == CallEnd::Answered;
+            let is_answered = call.note.end == ClientOutcome::Answered;
             last = Some(call);
             is_answered
         })
@@ -104,7 +104,7 @@
         &self,
         request: minreq::Request,
         key: Option<&str>,
-        judge: impl Fn(&[u8]) -> CallEnd,
+        judge: impl Fn(&[u8]) -> ClientOutcome,
     ) -> TestCall {
         let kind = key.map_or(CallKind::Read, |_| CallKind::Booking);
         let bearer = format!("Bearer {}", FleetPlan::key_of(&self.customer));
@@ -120,7 +120,7 @@
         let called = Instant::now();
         let answer = request.send();
         let answered = Instant::now();
-        let mut attempt = AttemptNote {
+        let mut attempt = AttemptRecord {
             address: String::new(),
             request_id: None,
             status: None,
@@ -131,9 +131,11 @@
         let mut has_pause = false;
         let mut answer_hash = None;
         let end = match answer {
-            Err(error) => CallEnd::Broken(error.to_string()),
+            Err(error) => ClientOutcome::Broken(error.to_string()),
             // The library makes a status up where the connection closed without a byte.
-            Ok(answer) if answer.headers.is_empty() => CallEnd::Broken("no answer".to_owned()),
+            Ok(answer) if answer.headers.is_empty() => {
+                ClientOutcome::Broken("no answer".to_owned())
+            }
             Ok(answer) => {
                 let mut headers = answer.headers.iter();
                 let id = headers.find(|(name, _)| name.eq_ignore_ascii_case("x-request-id"));
@@ -151,14 +153,14 @@
                             has_pause = refusal.error.retry_after_ms.is_some();
                             attempt.outcome = Some(refusal.error.outcome);
                             attempt.code = Some(refusal.error.code);
-                            CallEnd::Refused(refusal.error.outcome, refusal.error.code)
+                            ClientOutcome::Refused(refusal.error.outcome, refusal.error.code)
                         }
-                        Err(_) => CallEnd::Wrong(AnswerFault::Unreadable),
+                        Err(_) => ClientOutcome::Wrong(ResponseFault::Unreadable),
                     },
                 }
             }
         };
-        let note = CallNote {
+        let note = CallRecord {
             kind,
             customer: self.customer.clone(),
             key: key.map(str::to_owned),
@@ -182,7 +184,7 @@
 
 impl TestCall {
     pub(crate) fn is_answered(&self) -> bool {
-        self.note.end == CallEnd::Answered
+        self.note.end == ClientOutcome::Answered
     }
 
     pub(crate) fn code(&self) -> Option<RefusalCode> {
@@ -197,17 +199,17 @@
 }
 
 /// Whether an answer is to the booking under `key`.
-fn check_own(body: &[u8], key: Option<&str>) -> CallEnd {
+fn check_own(body: &[u8], key: Option<&str>) -> ClientOutcome {
     let body: Option<Value> = serde_json::from_slice(body).ok();
     let named = body.as_ref().and_then(|body| body.get("idempotency_key"));
     match body.is_some() && named.and_then(Value::as_str) == key {
-        true => CallEnd::Answered,
-        false => CallEnd::Wrong(AnswerFault::Foreign),
+        true => ClientOutcome::Answered,
+        false => ClientOutcome::Wrong(ResponseFault::Foreign),
     }
 }
 
 /// What must always hold, over these calls and everything that endpoints ran.
 pub(crate) fn violations(calls: &[TestCall], fleet: &SmallFleet) -> Vec<RunViolation> {
-    let notes: Vec<CallNote> = calls.iter().map(|call| call.note.clone()).collect();
+    let notes: Vec<CallRecord> = calls.iter().map(|call| call.note.clone()).collect();
     verify_run(&notes, &fleet.records())
 }
--- a/crates/ragwortroad_demo/tests/failures/common/fleet.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/fleet.rs
@@ -84,7 +84,7 @@
 impl Drop for TestFleet {
     fn drop(&mut self) {
         if let Some(fleet) = self.0.take() {
-            fleet.heal();
+            fleet.heal_partition();
             fleet.stop();
         }
         if let Ok(mut running) = RUNNING.lock() {
--- a/crates/ragwortroad_demo/tests/failures/common/operator_history.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/operator_history.rs
@@ -22,7 +22,7 @@
     pub(crate) op: ChangeOp,
     pub(crate) called: Instant,
     pub(crate) answered: Instant,
-    pub(crate) answer: LineAnswer,
+    pub(crate) answer: LineResponse,
 }
 
 /// A change and what was decided on it.
@@ -92,7 +92,7 @@
     }
 }
 
-fn change_end(answer: &LineAnswer) -> ChangeEnd {
+fn change_end(answer: &LineResponse) -> ChangeEnd {
     let refused = answer.body.pointer("/refused/conflict/revision");
     let accepted = answer.body.get("revision").and_then(Value::as_u64);
     match (accepted, refused.and_then(Value::as_u64)) {
--- a/crates/ragwortroad_demo/tests/failures/endpoints.rs
+++ b/crates/ragwortroad_demo/tests/failures/endpoints.rs
@@ -40,16 +40,16 @@
         chats_per_second: 20.0,
         turns: 2,
         answer_tokens: 40,
-        attempts: 6,
+        max_attempts: 6,
         ..fleet.load_settings()
     };
     thread::spawn(move || run_load(settings).unwrap())
 }
 
 /// Sendings whose answer began and neither became whole nor ended with a clear refusal.
-fn cut_answers(report: &RunReport) -> Vec<&CallNote> {
-    let is_cut = |note: &&CallNote| {
-        let whole = usize::from(note.end == CallEnd::Answered);
+fn cut_answers(report: &RunReport) -> Vec<&CallRecord> {
+    let is_cut = |note: &&CallRecord| {
+        let whole = usize::from(note.end == ClientOutcome::Answered);
         let begun = note.attempts.iter().filter(|attempt| {
             let ok = attempt.status.is_some_and(|status| status < 300);
             ok && attempt.outcome.is_none()
@@ -61,14 +61,16 @@
 
 fn answered(report: &RunReport) -> usize {
     let notes = report.notes.iter();
-    notes.filter(|note| note.end == CallEnd::Answered).count()
+    notes
+        .filter(|note| note.end == ClientOutcome::Answered)
+        .count()
 }
 
 /// Everything that must always hold does, and most callers were served.
 fn assert_sound(mut report: RunReport, fleet: &SmallFleet) -> RunReport {
     report.verify(&fleet.records());
     assert_eq!(report.violations, []);
-    assert_eq!(cut_answers(&report), Vec::<&CallNote>::new());
+    assert_eq!(cut_answers(&report), Vec::<&CallRecord>::new());
     let (whole, all) = (answered(&report), report.notes.len());
     assert!(
         whole * 10 >= all * 9,
@@ -94,7 +96,9 @@
     }
     let report = assert_sound(load.join().unwrap(), &fleet);
     let records = fleet.records();
-    let all_whole = records.iter().all(|record| record.end == RunEnd::Completed);
+    let all_whole = records
+        .iter()
+        .all(|record| record.end == RunStatus::Completed);
     assert!(all_whole, "{:?}", report.outcomes);
 }
 
@@ -106,7 +110,7 @@
     let load = start_load(&fleet, 9);
     thread::sleep(Duration::from_millis(500));
     let engines: Vec<&StandinEngine> = fleet.engines.iter().flatten().collect();
-    engines[0].leave();
+    engines[0].announce_leaving();
     let left = Instant::now();
     let answer = fleet
         .operator()
@@ -128,7 +132,11 @@
     for engine in &engines[..2] {
         assert!(!engine.records().is_empty());
         let records = engine.records();
-        assert!(records.iter().all(|record| record.end == RunEnd::Completed));
+        assert!(
+            records
+                .iter()
+                .all(|record| record.end == RunStatus::Completed)
+        );
     }
     assert!(began_after(engines[2], left + FEW_SECONDS) > 10);
 }
@@ -168,7 +176,11 @@
     wait_until("work at the domain again", || begun() > before).unwrap();
     assert_sound(load.join().unwrap(), &fleet);
     let records: Vec<RunRecord> = drained.iter().flat_map(|engine| engine.records()).collect();
-    assert!(records.iter().all(|record| record.end == RunEnd::Completed));
+    assert!(
+        records
+            .iter()
+            .all(|record| record.end == RunStatus::Completed)
+    );
 }
 
 /// Guards against answers of others, or parts of answers, from engines with faults.
@@ -181,11 +193,11 @@
     let load = start_load(&fleet, 9);
     let faults = [
         FaultPlan {
-            cross_at: Some(5),
+            foreign_id_from_token: Some(5),
             ..FaultPlan::default()
         },
         FaultPlan {
-            double_token: Some(7),
+            duplicate_token: Some(7),
             ..FaultPlan::default()
         },
         FaultPlan {
@@ -193,23 +205,23 @@
             ..FaultPlan::default()
         },
         FaultPlan {
-            echo_id: Some("0123456789abcdef".to_owned()),
+            echoed_request_id: Some("0123456789abcdef".to_owned()),
             ..FaultPlan::default()
         },
         FaultPlan {
-            drop_marker: true,
+            omit_done_marker: true,
             ..FaultPlan::default()
         },
         FaultPlan {
-            short_body: true,
+            truncate_body: true,
             ..FaultPlan::default()
         },
         FaultPlan {
-            die_after_tokens: Some(9),
+            close_after_tokens: Some(9),
             ..FaultPlan::default()
         },
         FaultPlan {
-            answer_delay: Duration::from_millis(700),
+            response_delay: Duration::from_millis(700),
             ..FaultPlan::default()
         },
     ];
@@ -242,7 +254,7 @@
     let cut = fleet
         .stopped_records
         .iter()
-        .any(|record| record.tokens > 0 && record.end != RunEnd::Completed);
+        .any(|record| record.tokens > 0 && record.end != RunStatus::Completed);
     assert!(cut, "no stream was cut: {:?}", report.outcomes);
 }
 
@@ -259,25 +271,25 @@
         messages: vec![ChatMessage::text("user", "and whose is this?")],
         ..ChatBody::default()
     };
-    let own = answer_tokens(&body);
-    let check = AnswerCheck::new(&body);
+    let own = expected_tokens(&body);
+    let check = ResponseCheck::new(&body);
     assert_eq!(check.check_text(&own.concat()), Ok(()));
-    let crossed = [&own[..2], &answer_tokens(&other)[2..]].concat().concat();
-    assert_eq!(check.check_text(&crossed), Err(AnswerFault::Foreign));
+    let crossed = [&own[..2], &expected_tokens(&other)[2..]].concat().concat();
+    assert_eq!(check.check_text(&crossed), Err(ResponseFault::Foreign));
     assert_eq!(
         check.check_text(&own[1..].concat()),
-        Err(AnswerFault::Foreign)
+        Err(ResponseFault::Foreign)
     );
     assert_eq!(
         check.check_text(&own[..1].concat()),
-        Err(AnswerFault::Short)
+        Err(ResponseFault::Short)
     );
 
     let note = report
         .notes
         .iter_mut()
-        .find(|note| note.end == CallEnd::Answered);
-    note.unwrap().end = CallEnd::Broken("cut".to_owned());
+        .find(|note| note.end == ClientOutcome::Answered);
+    note.unwrap().end = ClientOutcome::Broken("cut".to_owned());
     assert_eq!(cut_answers(&report).len(), 1);
 }
 
--- a/crates/ragwortroad_demo/tests/failures/members.rs
+++ b/crates/ragwortroad_demo/tests/failures/members.rs
@@ -83,7 +83,7 @@
             calls.push(caller.book_until_answered(&fleet.address(step), &key));
         }
         fleet.crash_node(lost);
-        fleet.lose_disk(lost).unwrap();
+        fleet.delete_data_folder(lost).unwrap();
         let others: Vec<usize> = (0..3).filter(|number| *number != lost).collect();
         ids.push(format!("without-{round}"));
         change(&fleet, &others, ids.last().unwrap(), ids.len());
@@ -212,7 +212,10 @@
     .unwrap();
     for number in [full, other] {
         let call = caller.book(&fleet.address(number), &format!("no-quorum-{number}"));
-        let not_run = matches!(call.note.end, CallEnd::Refused(RequestOutcome::NotRun, _));
+        let not_run = matches!(
+            call.note.end,
+            ClientOutcome::Refused(RequestOutcome::NotRun, _)
+        );
         assert!(not_run && call.has_pause, "{call:?}");
         calls.push(call);
     }
--- a/crates/ragwortroad_demo/tests/failures/operators.rs
+++ b/crates/ragwortroad_demo/tests/failures/operators.rs
@@ -201,14 +201,14 @@
                 calls
             });
             thread::sleep(Duration::from_millis(300));
-            fleet.cut_off(&[cut]);
+            fleet.partition(&[cut]);
             let reported = deny(&fleet, &caller, &others);
             thread::sleep(Duration::from_secs(1));
             stops.store(true, Ordering::Relaxed);
             (load.join().unwrap(), reported)
         });
         check_cut_off(&calls, reported, &fleet);
-        fleet.heal();
+        fleet.heal_partition();
         wait_until("the change at the node that was cut off", || {
             caller.read(&fleet.address(cut)).code() == Some(RefusalCode::UnknownService)
         })
@@ -257,7 +257,7 @@
     let others: Vec<usize> = (0..3).filter(|number| *number != old).collect();
     let caller = TestCaller::new(&fleet.plan, 0);
     let base = revision(&fleet);
-    fleet.cut_off(&[old]);
+    fleet.partition(&[old]);
     // The old leader may still have its lease when this one arrives.
     let early = fleet
         .operator_at(&[old])
@@ -286,7 +286,7 @@
         }
         assert_eq!(violations(&calls, &fleet), []);
     }
-    fleet.heal();
+    fleet.heal_partition();
     wait_until("the old leader's return", || {
         caller.read(&fleet.address(old)).is_answered()
     })
--- a/crates/ragwortroad_demo/tests/failures/overload.rs
+++ b/crates/ragwortroad_demo/tests/failures/overload.rs
@@ -74,7 +74,10 @@
     let refused = large.iter().filter(|call| !call.is_answered());
     assert!(refused.clone().count() > 50);
     for call in refused {
-        let not_run = matches!(call.note.end, CallEnd::Refused(RequestOutcome::NotRun, _));
+        let not_run = matches!(
+            call.note.end,
+            ClientOutcome::Refused(RequestOutcome::NotRun, _)
+        );
         assert!(not_run && call.has_pause, "{call:?}");
     }
     // Fifteen answers in at most three sendings each, against forty callers.
@@ -83,7 +86,11 @@
     assert_eq!(violations(&calls, &fleet), []);
     let answered = calls.iter().filter(|call| call.is_answered()).count();
     let records = fleet.records();
-    assert!(records.iter().all(|record| record.end == RunEnd::Completed));
+    assert!(
+        records
+            .iter()
+            .all(|record| record.end == RunStatus::Completed)
+    );
     assert_eq!(records.len(), answered, "an engine worked for nobody");
 }
 
--- a/crates/ragwortroad_demo/tests/failures/pairs.rs
+++ b/crates/ragwortroad_demo/tests/failures/pairs.rs
@@ -46,7 +46,7 @@
         let key = format!("{name}-{number}");
         for sending in 0..6 {
             let call = caller.book(&addresses[(number + sending) % addresses.len()], &key);
-            let is_final = matches!(call.note.end, CallEnd::Answered)
+            let is_final = matches!(call.note.end, ClientOutcome::Answered)
                 || call.code() == Some(RefusalCode::BrokenAnswer);
             calls.push(call);
             // One more through the next node, which must say the same.
@@ -66,14 +66,14 @@
         nodes: 4,
         engines: 0,
         services: 2,
-        desk: ServiceSettings {
+        replica: ServiceSettings {
             work_time: Duration::from_millis(15),
             ..ServiceSettings::default()
         },
         follow_bound: Duration::from_secs(1),
         ..FleetPlan::default()
     });
-    let addresses = fleet.caller_addresses();
+    let addresses = fleet.client_addresses();
     let stops = AtomicBool::new(false);
     let mut calls = thread::scope(|scope| {
         let threads: Vec<_> = (0..4)
@@ -104,10 +104,10 @@
                 .as_ref()
                 .unwrap()
                 .set_faults(FaultPlan::default());
-            fleet.cut_off(&[(leader + 1) % 3]);
+            fleet.partition(&[(leader + 1) % 3]);
             thread::sleep(Duration::from_millis(1200));
             fleet.restart_node(leader).unwrap();
-            fleet.heal();
+            fleet.heal_partition();
         }
         fleet.wait_for_leader(&[0, 1, 2]);
         stops.store(true, Ordering::Relaxed);
@@ -145,14 +145,14 @@
         chats_per_second: 25.0,
         turns: 2,
         answer_tokens: 50,
-        attempts: 8,
+        max_attempts: 8,
         bookings_per_second: 0.0,
         reads_per_second: 0.0,
         ..fleet.load_settings()
     };
     let load = thread::spawn(move || run_load(settings).unwrap());
     thread::sleep(Duration::from_millis(1500));
-    fleet.cut_off(&[3]);
+    fleet.partition(&[3]);
     let lost = fleet.engines[0].take().unwrap();
     let lost_at = Instant::now();
     let (lost_start, lost_records) = (lost.started(), lost.stop());
@@ -160,7 +160,7 @@
     let leader = fleet.wait_for_leader(&[0, 1, 2]);
     fleet.crash_node(leader);
     thread::sleep(Duration::from_millis(2500));
-    fleet.heal();
+    fleet.heal_partition();
     fleet.restart_node(leader).unwrap();
     thread::sleep(Duration::from_millis(2500));
     fleet.crash_node(3);
@@ -172,7 +172,7 @@
     let answered = report
         .notes
         .iter()
-        .filter(|note| note.end == CallEnd::Answered);
+        .filter(|note| note.end == ClientOutcome::Answered);
     assert!(
         answered.count() * 10 > report.notes.len() * 7,
         "{:?}",
--- a/crates/ragwortroad_demo/tests/orders/common/mod.rs
+++ b/crates/ragwortroad_demo/tests/orders/common/mod.rs
@@ -36,7 +36,7 @@
     FleetPlan {
         services: 0,
         engine: EngineSettings {
-            load_time: Duration::from_millis(50),
+            model_load_time: Duration::from_millis(50),
             ..EngineSettings::default()
         },
         ..FleetPlan::default()
@@ -64,7 +64,7 @@
 pub(crate) fn orders(fleet: &SmallFleet) -> Vec<OrderRecord> {
     let engines = fleet.engines.iter().flatten();
     let mut orders: Vec<OrderRecord> = engines.flat_map(StandinEngine::orders).collect();
-    orders.sort_by_key(|record| record.came);
+    orders.sort_by_key(|record| record.received_at);
     orders
 }
 
--- a/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
+++ b/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
@@ -32,7 +32,7 @@
     let fleet = start(plan);
     for engine in fleet.engines.iter().flatten() {
         engine.set_faults(FaultPlan {
-            idle_orders: true,
+            acknowledge_only: true,
             ..FaultPlan::default()
         });
     }
@@ -50,7 +50,7 @@
         let later_fence = |earlier: &OrderRecord| {
             earlier.endpoint == record.endpoint && earlier.order.fence > record.order.fence
         };
-        let went_back = record.obeyed && orders[..place].iter().any(later_fence);
+        let went_back = record.accepted && orders[..place].iter().any(later_fence);
         went_back.then_some(record)
     })
 }
@@ -64,7 +64,7 @@
     let others: Vec<usize> = all.into_iter().filter(|node| *node != old).collect();
     let hold = match lost {
         LostTouch::CutOff => {
-            fleet.cut_off(&[old]);
+            fleet.partition(&[old]);
             None
         }
         LostTouch::Paused => Some(fleet.nodes[old].as_ref().unwrap().freeze()),
@@ -82,7 +82,7 @@
         orders(&fleet).len() > before + 50
     })
     .unwrap();
-    fleet.heal();
+    fleet.heal_partition();
     let before = orders(&fleet).len();
     wait_until("orders after the cut", || {
         orders(&fleet).len() > before + 50
@@ -119,8 +119,8 @@
             number: 1,
             kind: OrderKind::SetDrain { drain: false },
         },
-        obeyed: true,
-        came: std::time::Instant::now(),
+        accepted: true,
+        received_at: std::time::Instant::now(),
     };
     assert!(goes_back(&[record(1), record(2), record(2)]).is_none());
     assert!(goes_back(&[record(1), record(2), record(1)]).is_some());
--- a/crates/ragwortroad_demo/tests/orders/placement.rs
+++ b/crates/ragwortroad_demo/tests/orders/placement.rs
@@ -55,7 +55,7 @@
     wait_until("the drain", drained).unwrap();
     change(&fleet, "undrain endpoint engine-0");
     wait_until("the end of the drain", || !drained()).unwrap();
-    assert!(orders(&fleet).iter().all(|record| record.obeyed));
+    assert!(orders(&fleet).iter().all(|record| record.accepted));
     fleet.stop();
 }
 
@@ -82,7 +82,7 @@
     let mut came: Vec<_> = ["tutor", "note"]
         .iter()
         .flat_map(|model| loads(&orders, model))
-        .map(|record| record.came)
+        .map(|record| record.received_at)
         .collect();
     came.sort();
     assert_eq!(came.len(), 6);
@@ -107,7 +107,7 @@
     let fleet = start(plan);
     for engine in fleet.engines.iter().flatten() {
         engine.set_faults(ragwortroad_standin::FaultPlan {
-            order_answer_delay: Duration::from_millis(700),
+            order_response_delay: Duration::from_millis(700),
             ..Default::default()
         });
     }
--- a/crates/ragwortroad_gateway/examples/added_latency.rs
+++ b/crates/ragwortroad_gateway/examples/added_latency.rs
@@ -102,8 +102,8 @@
     let engine = StandinEngine::start(EngineSettings {
         capacity: 4096,
         token_gap: TOKEN_GAP,
-        gap_growth: 0,
-        prefill_time: Duration::ZERO,
+        batch_slowdown_percent: 0,
+        prefill_time_per_token: Duration::ZERO,
         threads: 4,
         ..EngineSettings::default()
     })?;
--- a/crates/ragwortroad_gateway/tests/broken_answers.rs
+++ b/crates/ragwortroad_gateway/tests/broken_answers.rs
@@ -39,7 +39,7 @@
     let (_, body) = answer.split_once("\r\n\r\n").unwrap();
     let value: serde_json::Value = serde_json::from_str(body).unwrap();
     let text = value["choices"][0]["message"]["content"].as_str().unwrap();
-    AnswerCheck::new(chat).check_text(text).is_ok()
+    ResponseCheck::new(chat).check_text(text).is_ok()
 }
 
 #[test]
@@ -48,11 +48,11 @@
     // or never comes. A library that takes such an answer would hand a photographer half a
     // caption, or another studio's.
     let faults = [
-        fault(|plan| plan.short_body = true),
-        fault(|plan| plan.echo_id = Some("00000000000000aa".to_owned())),
-        fault(|plan| plan.cross_at = Some(0)),
+        fault(|plan| plan.truncate_body = true),
+        fault(|plan| plan.echoed_request_id = Some("00000000000000aa".to_owned())),
+        fault(|plan| plan.foreign_id_from_token = Some(0)),
         fault(|plan| plan.redirect_to = Some("http://192.0.2.9/".to_owned())),
-        fault(|plan| plan.close_unanswered = true),
+        fault(|plan| plan.close_without_response = true),
         fault(|plan| plan.status = Some(503)),
     ];
     for plan in faults {
@@ -80,10 +80,10 @@
         for kind in 0..5 {
             let at = |wanted: u32| (kind == wanted).then_some(token);
             let fault = FaultPlan {
-                die_after_tokens: at(0),
+                close_after_tokens: at(0),
                 stall_after_tokens: at(1).filter(|token| token % 4 == 0),
-                cross_at: at(2),
-                double_token: at(3),
+                foreign_id_from_token: at(2),
+                duplicate_token: at(3),
                 skip_token: at(4),
                 ..FaultPlan::default()
             };
@@ -108,7 +108,7 @@
 fn a_stream_without_its_final_marker_is_not_taken_as_whole() {
     // The engine ends the body in good order but leaves out the marker, as one does that was told
     // to stop. Without the check the caller would take the text as complete.
-    let fleet = fleet_with(fault(|plan| plan.drop_marker = true));
+    let fleet = fleet_with(fault(|plan| plan.omit_done_marker = true));
     let chat = chat_body(true);
     let answer = fleet.chat(&chat, "");
     assert!(is_own(&answer, &chat), "{answer}");
@@ -125,7 +125,7 @@
 fn a_stream_that_nobody_goes_on_with_ends_in_a_typed_error() {
     // The only engine dies in mid-stream. The caller must be able to tell that the text is not
     // whole, and must not be told that nothing ran.
-    let fleet = fleet_with(fault(|plan| plan.die_after_tokens = Some(5)));
+    let fleet = fleet_with(fault(|plan| plan.close_after_tokens = Some(5)));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
     let answer = fleet.chat(&chat_body(true), "");
     let (_, ended) = streamed_text(&answer.replace("data: {\"error\"", "error: {\"error\""));
@@ -140,7 +140,7 @@
 fn a_request_that_was_sent_is_never_refused_as_not_run() {
     // The first engine breaks off, and the control thread refuses the retry as not run, which is
     // true of the retry alone. A caller that believed it would run the request again.
-    let fleet = fleet_with(fault(|plan| plan.close_unanswered = true));
+    let fleet = fleet_with(fault(|plan| plan.close_without_response = true));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
     let refusal = refusal_of(&fleet.chat(&chat_body(false), ""));
     assert_eq!(refusal.outcome, RequestOutcome::Unknown);
@@ -152,9 +152,9 @@
     // The desk books, and its answer is lost, cut short or another's. Sent again elsewhere, the
     // booking would put two crews on one set.
     let faults = [
-        fault(|plan| plan.close_unanswered = true),
-        fault(|plan| plan.short_body = true),
-        fault(|plan| plan.echo_id = Some("00000000000000aa".to_owned())),
+        fault(|plan| plan.close_without_response = true),
+        fault(|plan| plan.truncate_body = true),
+        fault(|plan| plan.echoed_request_id = Some("00000000000000aa".to_owned())),
     ];
     for fault in faults {
         let fleet = fleet_with(fault);
@@ -207,7 +207,7 @@
 fn an_answer_after_the_deadline_is_not_handed_over() {
     // The endpoint answers when the caller has given up. Handed over late, the answer could meet
     // the caller's next request; and nobody knows whether the booking ran.
-    let fleet = fleet_with(fault(|plan| plan.answer_delay = Duration::from_secs(60)));
+    let fleet = fleet_with(fault(|plan| plan.response_delay = Duration::from_secs(60)));
     let answer = fleet.book("x-deadline-ms: 500\r\n");
     let refusal = refusal_of(&answer);
     assert_eq!(refusal.code, RefusalCode::DeadlinePassed);
@@ -215,7 +215,7 @@
     let answer = fleet.chat(&chat_body(false), "x-deadline-ms: 500\r\n");
     assert_eq!(refusal_of(&answer).code, RefusalCode::DeadlinePassed);
     fleet.wait_for("the engine's work is cancelled", |fleet| {
-        fleet.engines[0].records()[0].end == RunEnd::Cancelled
+        fleet.engines[0].records()[0].end == RunStatus::Cancelled
     });
     let outcomes = fleet.stop().outcomes();
     assert_eq!(
--- a/crates/ragwortroad_gateway/tests/caller_faults.rs
+++ b/crates/ragwortroad_gateway/tests/caller_faults.rs
@@ -258,11 +258,13 @@
         }
         caller.shutdown(Shutdown::Both).unwrap();
         fleet.wait_for("the engine stops", |fleet| {
-            runs(fleet).iter().all(|run| run.end == RunEnd::Cancelled)
+            runs(fleet)
+                .iter()
+                .all(|run| run.end == RunStatus::Cancelled)
         });
         // The closed connection may do it as well; an engine that does not look at it is told.
         fleet.wait_for("the engine is told", |fleet| {
-            let told = fleet.engines[0].cancels();
+            let told = fleet.engines[0].cancelled_requests();
             runs(fleet).iter().all(|run| told.contains(&run.request_id))
         });
     }
@@ -298,7 +300,7 @@
     let good = chat_body(true);
     assert!(is_own(&fleet.chat(&good, ""), &good));
     fleet.wait_for("the engine stops", |fleet| {
-        fleet.engines[0].records()[0].end == RunEnd::Cancelled
+        fleet.engines[0].records()[0].end == RunStatus::Cancelled
     });
     fleet.stop();
 }
--- a/crates/ragwortroad_gateway/tests/common/test_fleet.rs
+++ b/crates/ragwortroad_gateway/tests/common/test_fleet.rs
@@ -158,7 +158,7 @@
 /// Whether a streamed answer is whole and the chat's own.
 pub fn is_own(answer: &str, chat: &ChatBody) -> bool {
     let (text, ended) = streamed_text(answer);
-    ended && AnswerCheck::new(chat).check_text(&text).is_ok()
+    ended && ResponseCheck::new(chat).check_text(&text).is_ok()
 }
 
 /// The refusal in an answer that came as raw bytes.
--- a/crates/ragwortroad_gateway/tests/whole_path.rs
+++ b/crates/ragwortroad_gateway/tests/whole_path.rs
@@ -34,7 +34,7 @@
         }],
         duration: Duration::from_millis(1500),
         resend_percent: 0,
-        pause: Duration::from_millis(200),
+        think_time: Duration::from_millis(200),
         ..LoadSettings::default()
     }
 }
@@ -89,7 +89,7 @@
             duration: Duration::from_secs(4),
             chats_per_second: 20.0,
             bookings_per_second: 40.0,
-            attempts: 1,
+            max_attempts: 1,
             ..load_on(&fleet)
         };
         let report = run_load(settings).unwrap();
@@ -114,13 +114,13 @@
         ..FaultPlan::default()
     };
     match round % 9 {
-        0 => plan.die_after_tokens = place,
-        1 => plan.short_body = true,
-        2 => plan.echo_id = Some("00000000000000aa".to_owned()),
-        3 => plan.cross_at = place,
-        4 => plan.close_unanswered = true,
+        0 => plan.close_after_tokens = place,
+        1 => plan.truncate_body = true,
+        2 => plan.echoed_request_id = Some("00000000000000aa".to_owned()),
+        3 => plan.foreign_id_from_token = place,
+        4 => plan.close_without_response = true,
         5 => plan.stall_after_tokens = place,
-        6 => plan.drop_marker = true,
+        6 => plan.omit_done_marker = true,
         7 => plan.skip_token = place,
         _ => plan.refuse_connections = true,
     }
--- a/crates/ragwortroad_load/src/address_book.rs
+++ b/crates/ragwortroad_load/src/address_book.rs
@@ -26,7 +26,7 @@
 /// One answer with its end.
 struct KeptAnswer {
     addresses: Vec<String>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl AddressBook {
@@ -39,21 +39,27 @@
     }
 
     /// The addresses kept under `name`, if they may still be used.
-    pub(crate) fn kept(&self, name: &str) -> Option<Vec<String>> {
+    pub(crate) fn get(&self, name: &str) -> Option<Vec<String>> {
         let kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
         let answer = kept.get(name)?;
-        (Instant::now() < answer.until).then(|| answer.addresses.clone())
+        (Instant::now() < answer.expires_at).then(|| answer.addresses.clone())
     }
 
-    pub(crate) fn keep(&self, name: &str, answer: &AddressAnswer) {
-        let until = Instant::now() + Duration::from_millis(answer.keep_ms);
+    pub(crate) fn insert(&self, name: &str, answer: &AddressAnswer) {
+        let expires_at = Instant::now() + Duration::from_millis(answer.keep_ms);
         let addresses = answer.addresses.clone();
         let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.insert(name.to_owned(), KeptAnswer { addresses, until });
+        kept.insert(
+            name.to_owned(),
+            KeptAnswer {
+                addresses,
+                expires_at,
+            },
+        );
     }
 
     /// Puts the node that an answer named first in what is kept under `name`.
-    pub(crate) fn prefer(&self, name: &str, address: &str) {
+    pub(crate) fn move_to_front(&self, name: &str, address: &str) {
         let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(answer) = kept.get_mut(name) {
             answer.addresses.retain(|known| known != address);
@@ -61,7 +67,7 @@
         }
     }
 
-    pub(crate) fn forget(&self, name: &str) {
+    pub(crate) fn remove(&self, name: &str) {
         let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
         kept.remove(name);
     }
--- a/crates/ragwortroad_load/src/arrival_plan.rs
+++ b/crates/ragwortroad_load/src/arrival_plan.rs
@@ -41,7 +41,7 @@
 /// Draws all arrivals of a run, in the order of their times.
 pub(crate) fn plan_arrivals(settings: &LoadSettings) -> Vec<PlannedArrival> {
     let mut plan = ArrivalPlan {
-        random: Pcg64Mcg::seed_from_u64(settings.seed),
+        rng: Pcg64Mcg::seed_from_u64(settings.seed),
         settings,
         arrivals: Vec::new(),
     };
@@ -56,7 +56,7 @@
 
 /// A plan being drawn.
 struct ArrivalPlan<'settings> {
-    random: Pcg64Mcg,
+    rng: Pcg64Mcg,
     settings: &'settings LoadSettings,
     arrivals: Vec<PlannedArrival>,
 }
@@ -74,7 +74,7 @@
         while let Some(next) = self.next_time(at, self.settings.chats_per_second * factor) {
             at = next;
             let customer = self.draw_customer();
-            if self.random.random::<f64>() * factor > self.rate_factor(customer, at) {
+            if self.rng.random::<f64>() * factor > self.rate_factor(customer, at) {
                 continue;
             }
             chat += 1;
@@ -96,15 +96,15 @@
     fn add_turns(&mut self, customer: usize, chat: u64, first: Duration) {
         let mut at = first;
         for turn in 0..self.settings.turns {
-            let streamed = self.random.random_range(0..100) < self.settings.stream_percent;
+            let streamed = self.rng.random_range(0..100) < self.settings.stream_percent;
             let action = PlannedAction::Turn {
                 chat,
                 turn,
                 streamed,
             };
             self.push(at, customer, action);
-            let stretch = 0.5 + self.random.random::<f64>();
-            at += self.settings.pause.mul_f64(stretch);
+            let stretch = 0.5 + self.rng.random::<f64>();
+            at += self.settings.think_time.mul_f64(stretch);
         }
     }
 
@@ -116,8 +116,8 @@
             booking += 1;
             let customer = self.draw_customer();
             self.push(at, customer, PlannedAction::Booking { booking });
-            if self.random.random_range(0..100) < self.settings.resend_percent {
-                let later = Duration::from_millis(self.random.random_range(0..300));
+            if self.rng.random_range(0..100) < self.settings.resend_percent {
+                let later = Duration::from_millis(self.rng.random_range(0..300));
                 self.push(at + later, customer, PlannedAction::Resend { booking });
             }
         }
@@ -128,7 +128,7 @@
         while let Some(next) = self.next_time(at, self.settings.reads_per_second) {
             at = next;
             let customer = self.draw_customer();
-            let record = self.random.random_range(0..1000);
+            let record = self.rng.random_range(0..1000);
             self.push(at, customer, PlannedAction::Read { record });
         }
     }
@@ -148,7 +148,7 @@
         if rate <= 0.0 {
             return None;
         }
-        let draw: f64 = self.random.random();
+        let draw: f64 = self.rng.random();
         let gap = -(1.0 - draw).ln() / rate;
         let next = at + Duration::from_secs_f64(gap.min(1e6));
         (next < self.settings.duration).then_some(next)
@@ -157,7 +157,7 @@
     fn draw_customer(&mut self) -> usize {
         let customers = &self.settings.customers;
         let total: f64 = customers.iter().map(|customer| customer.weight).sum();
-        let mut draw = self.random.random::<f64>() * total;
+        let mut draw = self.rng.random::<f64>() * total;
         for (place, customer) in customers.iter().enumerate() {
             draw -= customer.weight;
             if draw < 0.0 {
--- a/crates/ragwortroad_load/src/call_note.rs
+++ b/crates/ragwortroad_load/src/call_record.rs
@@ -4,12 +4,12 @@
     Serialize, //
 };
 
-use crate::AnswerFault;
+use crate::ResponseFault;
 
 /// What one caller saw of one request, over all its attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct CallNote {
+pub struct CallRecord {
     /// What it was.
     pub kind: CallKind,
     /// The customer's name.
@@ -17,9 +17,9 @@
     /// The idempotency key it was sent with.
     pub key: Option<String>,
     /// Every sending, in order.
-    pub attempts: Vec<AttemptNote>,
+    pub attempts: Vec<AttemptRecord>,
     /// How it ended.
-    pub end: CallEnd,
+    pub end: ClientOutcome,
     /// Microseconds from when it was due to its first token, for a stream.
     pub first_token_us: Option<u64>,
     /// Microseconds from when it was due to its end.
@@ -52,7 +52,7 @@
 /// One sending of a request to one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct AttemptNote {
+pub struct AttemptRecord {
     /// `IP:port` of the node.
     pub address: String,
     /// The identity the node gave it, if it answered.
@@ -69,13 +69,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum CallEnd {
+pub enum ClientOutcome {
     /// With a whole answer of its own.
     Answered,
     /// With a refusal.
     Refused(RequestOutcome, RefusalCode),
     /// With an answer that must never be given.
-    Wrong(AnswerFault),
+    Wrong(ResponseFault),
     /// With a broken connection.
     Broken(String),
     /// No node could be reached.
--- a/crates/ragwortroad_load/src/call_retry.rs
+++ b/crates/ragwortroad_load/src/call_retry.rs
@@ -9,9 +9,9 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
-    CallEnd,
     CallKind,
-    CallNote,
+    CallRecord,
+    ClientOutcome,
     CustomerLoad,
     caller_request::{
         CallerAnswer,
@@ -21,14 +21,14 @@
 };
 
 /// Longest wait that a refusal can impose.
-const LONGEST_WAIT: Duration = Duration::from_millis(1000);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1000);
 
 /// Wait before the next sending where no refusal named one.
-const SHORT_WAIT: Duration = Duration::from_millis(30);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(30);
 
 impl LoadState {
     /// Sends a request until it is answered, going from address to address as refusals say.
-    pub(crate) fn send(
+    pub(crate) fn send_with_retries(
         &self,
         kind: CallKind,
         customer: &CustomerLoad,
@@ -36,24 +36,24 @@
         (book_name, mut addresses): (&str, Vec<String>),
         request: &CallerRequest<'_>,
         mut call: impl FnMut(&str) -> CallerAnswer,
-    ) -> (CallNote, CallerAnswer) {
+    ) -> (CallRecord, CallerAnswer) {
         let mut attempts = Vec::new();
         let answer = loop {
             if addresses.is_empty() {
-                addresses = self.book.seeds();
+                addresses = self.address_cache.seeds();
             }
             let address = match addresses.is_empty() {
                 true => String::new(),
                 false => addresses.remove(0),
             };
             let answer = call(&address);
-            attempts.push(answer.note.clone());
-            let over = attempts.len() as u32 >= self.settings.attempts
+            attempts.push(answer.attempt.clone());
+            let over = attempts.len() as u32 >= self.settings.max_attempts
                 || due.elapsed() >= self.settings.deadline;
             if over || is_final(&answer.end) {
                 break answer;
             }
-            self.book.forget(book_name);
+            self.address_cache.remove(book_name);
             if let Some(refusal) = &answer.refusal {
                 let named = refusal.error.addresses.iter();
                 let others: Vec<String> =
@@ -62,9 +62,9 @@
                     addresses = others;
                 }
             }
-            thread::sleep(wait_of(&answer));
+            thread::sleep(retry_delay(&answer));
         };
-        let note = CallNote {
+        let note = CallRecord {
             kind,
             customer: customer.name.clone(),
             key: request.idempotency_key.map(str::to_owned),
@@ -82,11 +82,11 @@
 
 /// Whether sending again is of no use. Every call here may be sent again: reads and chats change
 /// nothing, and bookings carry their key.
-fn is_final(end: &CallEnd) -> bool {
+fn is_final(end: &ClientOutcome) -> bool {
     match end {
-        CallEnd::Answered | CallEnd::Wrong(_) => true,
-        CallEnd::Broken(_) | CallEnd::Unreachable => false,
-        CallEnd::Refused(_, code) => matches!(
+        ClientOutcome::Answered | ClientOutcome::Wrong(_) => true,
+        ClientOutcome::Broken(_) | ClientOutcome::Unreachable => false,
+        ClientOutcome::Refused(_, code) => matches!(
             code,
             RefusalCode::MalformedRequest
                 | RefusalCode::TooLarge
@@ -101,14 +101,14 @@
     }
 }
 
-fn wait_of(answer: &CallerAnswer) -> Duration {
+fn retry_delay(answer: &CallerAnswer) -> Duration {
     let named = answer
         .refusal
         .as_ref()
         .and_then(|refusal| refusal.error.retry_after_ms);
     named
-        .map_or(SHORT_WAIT, Duration::from_millis)
-        .min(LONGEST_WAIT)
+        .map_or(DEFAULT_RETRY_DELAY, Duration::from_millis)
+        .min(MAX_RETRY_DELAY)
 }
 
 fn micros(time: Duration) -> u64 {
--- a/crates/ragwortroad_load/src/caller_client.rs
+++ b/crates/ragwortroad_load/src/caller_client.rs
@@ -15,9 +15,9 @@
 use serde::Deserialize;
 
 use crate::{
-    AnswerCheck,
-    AnswerFault,
-    CallEnd,
+    ClientOutcome,
+    ResponseCheck,
+    ResponseFault,
     address_book::AddressBook,
     caller_request::{
         CallerAnswer,
@@ -56,7 +56,7 @@
 }
 
 /// Sends one request to one node and reads the answer's head.
-fn send_request(
+fn open_response(
     address: &str,
     request: &CallerRequest<'_>,
 ) -> Result<(CallerAnswer, ResponseLazy), Box<CallerAnswer>> {
@@ -83,8 +83,8 @@
     let mut answer = CallerAnswer::unreachable(address);
     match sent.send_lazy() {
         Ok(response) => {
-            answer.note.status = Some(response.status_code);
-            answer.note.request_id = header(&response, "x-request-id");
+            answer.attempt.status = Some(response.status_code);
+            answer.attempt.request_id = header(&response, "x-request-id");
             answer.hint = header(&response, "x-placement-hint");
             answer.next_node = header(&response, "x-next-node");
             Ok((answer, response))
@@ -95,7 +95,7 @@
                 _ => None,
             };
             if kind != Some(std::io::ErrorKind::ConnectionRefused) {
-                answer.end = CallEnd::Broken(error.to_string());
+                answer.end = ClientOutcome::Broken(error.to_string());
             }
             Err(Box::new(answer))
         }
@@ -111,7 +111,7 @@
 }
 
 /// Reads a body and counts its bytes: the library ends a short body without an error.
-fn read_counted(response: &mut ResponseLazy) -> Result<Vec<u8>, String> {
+fn read_full_body(response: &mut ResponseLazy) -> Result<Vec<u8>, String> {
     let promised = header(response, "content-length").and_then(|text| text.parse::<usize>().ok());
     let mut body = Vec::new();
     response
@@ -126,41 +126,41 @@
 }
 
 /// Sends a request whose answer is whole, and reads it as far as its kind allows.
-pub(crate) fn call_whole(address: &str, request: &CallerRequest<'_>) -> CallerAnswer {
-    let (mut answer, mut response) = match send_request(address, request) {
+pub(crate) fn send_buffered(address: &str, request: &CallerRequest<'_>) -> CallerAnswer {
+    let (mut answer, mut response) = match open_response(address, request) {
         Ok(begun) => begun,
         Err(answer) => return *answer,
     };
-    match read_counted(&mut response) {
+    match read_full_body(&mut response) {
         Ok(body) => answer.body = body,
         Err(why) => {
-            answer.end = CallEnd::Broken(why);
+            answer.end = ClientOutcome::Broken(why);
             return answer;
         }
     }
     if response.status_code < 300 {
-        answer.end = CallEnd::Answered;
+        answer.end = ClientOutcome::Answered;
         return answer;
     }
     match serde_json::from_slice(&answer.body) {
-        Ok(refusal) => answer.take_refusal(refusal),
-        Err(_) => answer.end = CallEnd::Broken(format!("status {}", response.status_code)),
+        Ok(refusal) => answer.record_refusal(refusal),
+        Err(_) => answer.end = ClientOutcome::Broken(format!("status {}", response.status_code)),
     }
     answer
 }
 
 /// Sends a chat whose answer is whole, and checks it.
-pub(crate) fn call_chat(
+pub(crate) fn send_chat(
     address: &str,
     request: &CallerRequest<'_>,
-    check: Option<&AnswerCheck>,
+    check: Option<&ResponseCheck>,
 ) -> CallerAnswer {
-    let mut answer = call_whole(address, request);
-    if answer.end != CallEnd::Answered {
+    let mut answer = send_buffered(address, request);
+    if answer.end != ClientOutcome::Answered {
         return answer;
     }
     let Ok(whole) = serde_json::from_slice::<WholeAnswer>(&answer.body) else {
-        answer.end = CallEnd::Wrong(AnswerFault::Unreadable);
+        answer.end = ClientOutcome::Wrong(ResponseFault::Unreadable);
         return answer;
     };
     answer.usage = whole.usage;
@@ -170,44 +170,44 @@
             .iter()
             .map(|choice| choice.message.content.as_str())
             .collect();
-        let owner = answer.note.request_id.as_deref().unwrap_or_default();
-        let checked = AnswerCheck::check_owner(&whole.id, owner);
+        let owner = answer.attempt.request_id.as_deref().unwrap_or_default();
+        let checked = ResponseCheck::check_owner(&whole.id, owner);
         if let Err(fault) = checked.and_then(|()| check.check_text(&text)) {
-            answer.end = CallEnd::Wrong(fault);
+            answer.end = ClientOutcome::Wrong(fault);
         }
     }
     answer
 }
 
 /// Sends a chat whose answer is streamed, reads it token by token, and checks it.
-pub(crate) fn call_stream(
+pub(crate) fn send_chat_stream(
     address: &str,
     request: &CallerRequest<'_>,
-    check: Option<&AnswerCheck>,
+    check: Option<&ResponseCheck>,
     latencies: &mut LatencySet,
 ) -> CallerAnswer {
-    let (mut answer, mut response) = match send_request(address, request) {
+    let (mut answer, mut response) = match open_response(address, request) {
         Ok(begun) => begun,
         Err(answer) => return *answer,
     };
     if response.status_code != 200 {
-        match read_counted(&mut response).map(|body| serde_json::from_slice(&body)) {
-            Ok(Ok(refusal)) => answer.take_refusal(refusal),
-            _ => answer.end = CallEnd::Broken(format!("status {}", response.status_code)),
+        match read_full_body(&mut response).map(|body| serde_json::from_slice(&body)) {
+            Ok(Ok(refusal)) => answer.record_refusal(refusal),
+            _ => answer.end = ClientOutcome::Broken(format!("status {}", response.status_code)),
         }
         return answer;
     }
-    let owner = answer.note.request_id.clone().unwrap_or_default();
+    let owner = answer.attempt.request_id.clone().unwrap_or_default();
     let mut reader = EventReader::new(response);
     let mut text = String::new();
     let mut last = None;
     loop {
         match reader.next_event() {
             StreamEvent::Chunk(chunk) => {
-                if let Err(fault) = AnswerCheck::check_owner(&chunk.id, &owner)
+                if let Err(fault) = ResponseCheck::check_owner(&chunk.id, &owner)
                     && check.is_some()
                 {
-                    answer.end = CallEnd::Wrong(fault);
+                    answer.end = ClientOutcome::Wrong(fault);
                     return answer;
                 }
                 answer.usage = chunk.usage.unwrap_or(answer.usage);
@@ -223,18 +223,18 @@
             }
             StreamEvent::Done => break,
             StreamEvent::Refusal(refusal) => {
-                answer.take_refusal(refusal);
+                answer.record_refusal(refusal);
                 return answer;
             }
             StreamEvent::Broken(why) => {
-                answer.end = CallEnd::Broken(why);
+                answer.end = ClientOutcome::Broken(why);
                 return answer;
             }
         }
     }
     answer.end = match check.map(|check| check.check_text(&text)) {
-        Some(Err(fault)) => CallEnd::Wrong(fault),
-        _ => CallEnd::Answered,
+        Some(Err(fault)) => ClientOutcome::Wrong(fault),
+        _ => ClientOutcome::Answered,
     };
     answer
 }
@@ -246,7 +246,7 @@
     key: &str,
     chat: Option<&str>,
 ) -> Vec<String> {
-    if let Some(kept) = book.kept(name) {
+    if let Some(kept) = book.get(name) {
         return kept;
     }
     let path = match chat {
@@ -264,10 +264,10 @@
             hint: None,
             deadline: Duration::from_secs(2),
         };
-        let answer = call_whole(&seed, &request);
+        let answer = send_buffered(&seed, &request);
         let found = serde_json::from_slice::<AddressAnswer>(&answer.body);
-        if let (CallEnd::Answered, Ok(found)) = (&answer.end, found) {
-            book.keep(name, &found);
+        if let (ClientOutcome::Answered, Ok(found)) = (&answer.end, found) {
+            book.insert(name, &found);
             return found.addresses;
         }
     }
--- a/crates/ragwortroad_load/src/caller_request.rs
+++ b/crates/ragwortroad_load/src/caller_request.rs
@@ -7,8 +7,8 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
-    AttemptNote,
-    CallEnd,
+    AttemptRecord,
+    ClientOutcome,
     event_reader::UsageFigures, //
 };
 
@@ -26,8 +26,8 @@
 
 /// What came back from one sending.
 pub(crate) struct CallerAnswer {
-    pub(crate) note: AttemptNote,
-    pub(crate) end: CallEnd,
+    pub(crate) attempt: AttemptRecord,
+    pub(crate) end: ClientOutcome,
     pub(crate) refusal: Option<Box<RefusalWire>>,
     pub(crate) hint: Option<String>,
     /// The node to send the chat's next request to.
@@ -39,7 +39,7 @@
 
 impl CallerAnswer {
     pub(crate) fn unreachable(address: &str) -> Self {
-        let note = AttemptNote {
+        let attempt = AttemptRecord {
             address: address.to_owned(),
             request_id: None,
             status: None,
@@ -47,8 +47,8 @@
             code: None,
         };
         Self {
-            note,
-            end: CallEnd::Unreachable,
+            attempt,
+            end: ClientOutcome::Unreachable,
             refusal: None,
             hint: None,
             next_node: None,
@@ -58,11 +58,11 @@
         }
     }
 
-    pub(crate) fn take_refusal(&mut self, refusal: RefusalWire) {
+    pub(crate) fn record_refusal(&mut self, refusal: RefusalWire) {
         let detail = &refusal.error;
-        self.note.outcome = Some(detail.outcome);
-        self.note.code = Some(detail.code);
-        self.end = CallEnd::Refused(detail.outcome, detail.code);
+        self.attempt.outcome = Some(detail.outcome);
+        self.attempt.code = Some(detail.code);
+        self.end = ClientOutcome::Refused(detail.outcome, detail.code);
         self.refusal = Some(Box::new(refusal));
     }
 }
--- a/crates/ragwortroad_load/src/chat_script.rs
+++ b/crates/ragwortroad_load/src/chat_script.rs
@@ -1,4 +1,4 @@
-use ragwortroad_standin::answer_tokens;
+use ragwortroad_standin::expected_tokens;
 use ragwortroad_types::prelude::*;
 
 use crate::{
@@ -17,7 +17,7 @@
     chat: u64,
     turn: u32,
 ) -> ChatBody {
-    let plan = filler(&customer.name, settings.plan_bytes);
+    let plan = filler_text(&customer.name, settings.system_prompt_bytes);
     let mut body = ChatBody {
         model: settings.model.clone(),
         messages: vec![ChatMessage::text("system", &plan)],
@@ -27,10 +27,10 @@
     };
     for past in 0..=turn {
         let seed = format!("{} {} {chat} {past}", settings.seed, customer.name);
-        let message = filler(&seed, settings.message_bytes);
+        let message = filler_text(&seed, settings.message_bytes);
         body.messages.push(ChatMessage::text("user", &message));
         if past < turn {
-            let answer = answer_tokens(&body).concat();
+            let answer = expected_tokens(&body).concat();
             body.messages.push(ChatMessage::text("assistant", &answer));
         }
     }
@@ -42,7 +42,7 @@
 }
 
 /// Text of `length` bytes that depends on `seed` only.
-fn filler(seed: &str, length: usize) -> String {
+fn filler_text(seed: &str, length: usize) -> String {
     let start = xxhash_rust::xxh3::xxh3_64(seed.as_bytes());
     let mut text = String::with_capacity(length + 16);
     let mut at = 0_u64;
--- a/crates/ragwortroad_load/src/latency_set.rs
+++ b/crates/ragwortroad_load/src/latency_set.rs
@@ -21,7 +21,7 @@
 }
 
 /// Longest time that a histogram tells apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_LATENCY_US: u64 = 600_000_000;
 
 /// One histogram in a few figures, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 
 impl LatencySet {
     pub(crate) fn new() -> Result<Self, LoadError> {
-        let make = || Histogram::new_with_bounds(1, LONGEST_US, 3).context(HistogramSnafu);
+        let make = || Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).context(HistogramSnafu);
         Ok(Self {
             first_token: make()?,
             token_gap: make()?,
@@ -50,7 +50,7 @@
         })
     }
 
-    pub(crate) fn add(&mut self, other: &Self) {
+    pub(crate) fn merge(&mut self, other: &Self) {
         let pairs = [
             (&mut self.first_token, &other.first_token),
             (&mut self.token_gap, &other.token_gap),
@@ -69,7 +69,7 @@
 /// Counts a time, as the longest that can be told apart where it is longer.
 pub(crate) fn record(histogram: &mut Histogram<u64>, time: Duration) {
     let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-    histogram.saturating_record(micros.clamp(1, LONGEST_US));
+    histogram.saturating_record(micros.clamp(1, MAX_LATENCY_US));
 }
 
 impl From<&Histogram<u64>> for LatencySummary {
--- a/crates/ragwortroad_load/src/lib.rs
+++ b/crates/ragwortroad_load/src/lib.rs
@@ -17,9 +17,8 @@
 //! ```
 
 mod address_book;
-mod answer_check;
 mod arrival_plan;
-mod call_note;
+mod call_record;
 mod call_retry;
 mod caller_client;
 mod caller_request;
@@ -30,21 +29,18 @@
 mod load_run;
 mod load_settings;
 mod load_state;
+mod response_check;
 mod run_check;
 mod run_report;
 
 /// Everything a dependent crate usually needs.
 pub mod prelude {
     pub use crate::{
-        answer_check::{
-            AnswerCheck,
-            AnswerFault, //
-        },
-        call_note::{
-            AttemptNote,
-            CallEnd,
+        call_record::{
+            AttemptRecord,
             CallKind,
-            CallNote, //
+            CallRecord, //
+            ClientOutcome,
         },
         latency_set::LatencySummary,
         load_error::LoadError,
@@ -54,6 +50,10 @@
             LoadSettings,
             SurgePlan, //
         },
+        response_check::{
+            ResponseCheck,
+            ResponseFault, //
+        },
         run_check::{
             RunViolation,
             verify_run, //
--- a/crates/ragwortroad_load/src/load_error.rs
+++ b/crates/ragwortroad_load/src/load_error.rs
@@ -15,7 +15,7 @@
     },
     /// A caller's thread panicked, so the figures are not whole.
     #[snafu(display("a caller panicked; its figures are lost, so the run counts as failed"))]
-    CallerPanicked,
+    ClientPanicked,
     /// A histogram could not be made.
     #[snafu(display("cannot make a histogram: {source}; this is a fault in the program"))]
     Histogram {
--- a/crates/ragwortroad_load/src/load_run.rs
+++ b/crates/ragwortroad_load/src/load_run.rs
@@ -8,7 +8,7 @@
 use snafu::ResultExt;
 
 use crate::{
-    CallNote,
+    CallRecord,
     LoadError,
     LoadSettings,
     RunReport,
@@ -22,11 +22,11 @@
 };
 
 /// Stack of a caller's thread: many of them wait at once.
-const CALLER_STACK: usize = 256 << 10;
+const CLIENT_STACK_BYTES: usize = 256 << 10;
 
 /// One caller's results.
 struct CallerResult {
-    notes: Vec<CallNote>,
+    notes: Vec<CallRecord>,
     latencies: LatencySet,
 }
 
@@ -36,7 +36,7 @@
 pub fn run_load(settings: LoadSettings) -> Result<RunReport, LoadError> {
     let arrivals = plan_arrivals(&settings);
     let start = Instant::now();
-    let callers = settings.callers.clamp(1, arrivals.len().max(1));
+    let callers = settings.client_threads.clamp(1, arrivals.len().max(1));
     let state = Arc::new(LoadState::new(settings, start));
     let (sender, queue) = flume::unbounded();
     let mut threads = Vec::with_capacity(callers);
@@ -45,8 +45,8 @@
         let queue = queue.clone();
         let builder = thread::Builder::new()
             .name("caller".to_owned())
-            .stack_size(CALLER_STACK);
-        let thread = builder.spawn(move || serve_arrivals(&state, &queue));
+            .stack_size(CLIENT_STACK_BYTES);
+        let thread = builder.spawn(move || run_arrivals(&state, &queue));
         threads.push(thread.context(ThreadsSnafu)?);
     }
     drop(queue);
@@ -60,15 +60,15 @@
     let mut latencies = LatencySet::new()?;
     let mut notes = Vec::new();
     for thread in threads {
-        let result = thread.join().map_err(|_| LoadError::CallerPanicked)??;
-        latencies.add(&result.latencies);
+        let result = thread.join().map_err(|_| LoadError::ClientPanicked)??;
+        latencies.merge(&result.latencies);
         notes.extend(result.notes);
     }
     let seed = state.settings.seed;
     Ok(RunReport::new(seed, start.elapsed(), notes, &latencies))
 }
 
-fn serve_arrivals(
+fn run_arrivals(
     state: &LoadState,
     queue: &Receiver<PlannedArrival>,
 ) -> Result<CallerResult, LoadError> {
@@ -77,7 +77,7 @@
         latencies: LatencySet::new()?,
     };
     while let Ok(arrival) = queue.recv() {
-        let note = state.serve(arrival, &mut result.latencies);
+        let note = state.execute(arrival, &mut result.latencies);
         result.notes.push(note);
     }
     Ok(result)
--- a/crates/ragwortroad_load/src/load_settings.rs
+++ b/crates/ragwortroad_load/src/load_settings.rs
@@ -20,7 +20,7 @@
     /// Turns of each chat.
     pub turns: u32,
     /// Mean pause between a chat's turns.
-    pub pause: Duration,
+    pub think_time: Duration,
     /// Bookings a second.
     pub bookings_per_second: f64,
     /// Of a hundred bookings, how many are sent again under the same key, through another node.
@@ -30,7 +30,7 @@
     /// Of a hundred turns, how many are streamed.
     pub stream_percent: u32,
     /// Bytes of the text that all chats of a customer begin with.
-    pub plan_bytes: usize,
+    pub system_prompt_bytes: usize,
     /// Bytes of each user message.
     pub message_bytes: usize,
     /// Tokens of each answer.
@@ -40,11 +40,11 @@
     /// The deadline sent with each request.
     pub deadline: Duration,
     /// Times a caller sends one request at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Callers at work at once.
-    pub callers: usize,
+    pub client_threads: usize,
     /// Whether the answers are those of stand-ins, whose right text is known.
-    pub check_answers: bool,
+    pub verify_responses: bool,
 }
 
 /// One customer's part of the load.
@@ -82,19 +82,19 @@
             duration: Duration::from_secs(5),
             chats_per_second: 10.0,
             turns: 3,
-            pause: Duration::from_millis(800),
+            think_time: Duration::from_millis(800),
             bookings_per_second: 10.0,
             resend_percent: 20,
             reads_per_second: 10.0,
             stream_percent: 70,
-            plan_bytes: 4096,
+            system_prompt_bytes: 4096,
             message_bytes: 600,
             answer_tokens: 24,
             surge: None,
             deadline: Duration::from_secs(20),
-            attempts: 4,
-            callers: 64,
-            check_answers: true,
+            max_attempts: 4,
+            client_threads: 64,
+            verify_responses: true,
         }
     }
 }
--- a/crates/ragwortroad_load/src/load_state.rs
+++ b/crates/ragwortroad_load/src/load_state.rs
@@ -13,22 +13,22 @@
 use minreq::Method;
 
 use crate::{
-    AnswerCheck,
-    CallEnd,
     CallKind,
-    CallNote,
+    CallRecord,
+    ClientOutcome,
     CustomerLoad,
     LoadSettings,
+    ResponseCheck,
     address_book::AddressBook,
     arrival_plan::{
         PlannedAction,
         PlannedArrival, //
     },
     caller_client::{
-        call_chat,
-        call_stream,
-        call_whole,
         find_addresses, //
+        send_buffered,
+        send_chat,
+        send_chat_stream,
     },
     caller_request::CallerRequest,
     chat_script::{
@@ -44,7 +44,7 @@
 /// What all callers share.
 pub(crate) struct LoadState {
     pub(crate) settings: LoadSettings,
-    pub(crate) book: AddressBook,
+    pub(crate) address_cache: AddressBook,
     /// The placement hint of each chat's last answer.
     hints: Mutex<HashMap<String, String>>,
     pub(crate) start: Instant,
@@ -53,7 +53,7 @@
 impl LoadState {
     pub(crate) fn new(settings: LoadSettings, start: Instant) -> Self {
         Self {
-            book: AddressBook::new(settings.nodes.clone()),
+            address_cache: AddressBook::new(settings.nodes.clone()),
             hints: Mutex::default(),
             settings,
             start,
@@ -61,7 +61,11 @@
     }
 
     /// Does what is due, and returns what its caller saw.
-    pub(crate) fn serve(&self, arrival: PlannedArrival, latencies: &mut LatencySet) -> CallNote {
+    pub(crate) fn execute(
+        &self,
+        arrival: PlannedArrival,
+        latencies: &mut LatencySet,
+    ) -> CallRecord {
         let customer = &self.settings.customers[arrival.customer];
         let due = self.start + arrival.at;
         match arrival.action {
@@ -69,27 +73,30 @@
                 chat,
                 turn,
                 streamed,
-            } => self.serve_turn(customer, due, (chat, turn, streamed), latencies),
+            } => self.send_turn(customer, due, (chat, turn, streamed), latencies),
             PlannedAction::Booking { booking } => {
-                self.serve_booking(customer, due, CallKind::Booking, booking, latencies)
+                self.send_booking(customer, due, CallKind::Booking, booking, latencies)
             }
             PlannedAction::Resend { booking } => {
-                self.serve_booking(customer, due, CallKind::Resend, booking, latencies)
+                self.send_booking(customer, due, CallKind::Resend, booking, latencies)
             }
-            PlannedAction::Read { record } => self.serve_read(customer, due, record, latencies),
+            PlannedAction::Read { record } => self.send_read(customer, due, record, latencies),
         }
     }
 
-    fn serve_turn(
+    fn send_turn(
         &self,
         customer: &CustomerLoad,
         due: Instant,
         (chat, turn, streamed): (u64, u32, bool),
         latencies: &mut LatencySet,
-    ) -> CallNote {
+    ) -> CallRecord {
         let mut body = chat_turn(&self.settings, customer, chat, turn);
         body.stream = streamed;
-        let check = self.settings.check_answers.then(|| AnswerCheck::new(&body));
+        let check = self
+            .settings
+            .verify_responses
+            .then(|| ResponseCheck::new(&body));
         let name = chat_name(customer, chat);
         let request = CallerRequest {
             method: Method::Post,
@@ -106,21 +113,22 @@
             _ => CallKind::ReturnTurn,
         };
         let call = |address: &str| match streamed {
-            true => call_stream(address, &request, check.as_ref(), latencies),
-            false => call_chat(address, &request, check.as_ref()),
+            true => send_chat_stream(address, &request, check.as_ref(), latencies),
+            false => send_chat(address, &request, check.as_ref()),
         };
-        let addresses = find_addresses(&self.book, &name, &customer.key, Some(&name));
-        let (note, answer) = self.send(kind, customer, due, (&name, addresses), &request, call);
-        self.keep_hint(&name, answer.hint);
+        let addresses = find_addresses(&self.address_cache, &name, &customer.key, Some(&name));
+        let (note, answer) =
+            self.send_with_retries(kind, customer, due, (&name, addresses), &request, call);
+        self.store_hint(&name, answer.hint);
         if let Some(node) = &answer.next_node {
-            self.book.prefer(&name, node);
+            self.address_cache.move_to_front(&name, node);
         }
         let total = Duration::from_micros(note.total_us);
         match (streamed, note.first_token_us) {
             (true, Some(first)) => {
                 record(&mut latencies.first_token, Duration::from_micros(first));
             }
-            (false, _) if note.end == CallEnd::Answered => {
+            (false, _) if note.end == ClientOutcome::Answered => {
                 record(&mut latencies.whole_chat, total);
             }
             _ => {}
@@ -128,14 +136,14 @@
         note
     }
 
-    fn serve_booking(
+    fn send_booking(
         &self,
         customer: &CustomerLoad,
         due: Instant,
         kind: CallKind,
         booking: u64,
         latencies: &mut LatencySet,
-    ) -> CallNote {
+    ) -> CallRecord {
         let key = format!("{}-{}-{booking}", customer.name, self.settings.seed);
         let request = CallerRequest {
             method: Method::Post,
@@ -147,27 +155,28 @@
             hint: None,
             deadline: self.settings.deadline,
         };
-        let mut addresses = find_addresses(&self.book, &customer.name, &customer.key, None);
+        let mut addresses =
+            find_addresses(&self.address_cache, &customer.name, &customer.key, None);
         if kind == CallKind::Resend && !addresses.is_empty() {
             addresses.rotate_left(1);
         }
-        let call = |address: &str| call_whole(address, &request);
+        let call = |address: &str| send_buffered(address, &request);
         let place = (customer.name.as_str(), addresses);
-        let (mut note, answer) = self.send(kind, customer, due, place, &request, call);
+        let (mut note, answer) = self.send_with_retries(kind, customer, due, place, &request, call);
         note.answer_hash = Some(xxhash_rust::xxh3::xxh3_64(&answer.body));
-        if note.end == CallEnd::Answered {
+        if note.end == ClientOutcome::Answered {
             record(&mut latencies.service, Duration::from_micros(note.total_us));
         }
         note
     }
 
-    fn serve_read(
+    fn send_read(
         &self,
         customer: &CustomerLoad,
         due: Instant,
         place: u64,
         latencies: &mut LatencySet,
-    ) -> CallNote {
+    ) -> CallRecord {
         let request = CallerRequest {
             method: Method::Get,
             path: format!("/v1/services/{}/bookings/{place}", self.settings.service),
@@ -178,11 +187,12 @@
             hint: None,
             deadline: self.settings.deadline,
         };
-        let addresses = find_addresses(&self.book, &customer.name, &customer.key, None);
-        let call = |address: &str| call_whole(address, &request);
+        let addresses = find_addresses(&self.address_cache, &customer.name, &customer.key, None);
+        let call = |address: &str| send_buffered(address, &request);
         let place = (customer.name.as_str(), addresses);
-        let (note, _) = self.send(CallKind::Read, customer, due, place, &request, call);
-        if note.end == CallEnd::Answered {
+        let (note, _) =
+            self.send_with_retries(CallKind::Read, customer, due, place, &request, call);
+        if note.end == ClientOutcome::Answered {
             record(&mut latencies.service, Duration::from_micros(note.total_us));
         }
         note
@@ -193,7 +203,7 @@
         hints.get(chat).cloned()
     }
 
-    fn keep_hint(&self, chat: &str, hint: Option<String>) {
+    fn store_hint(&self, chat: &str, hint: Option<String>) {
         if let Some(hint) = hint {
             let mut hints = self.hints.lock().unwrap_or_else(PoisonError::into_inner);
             hints.insert(chat.to_owned(), hint);
--- a/crates/ragwortroad_load/src/answer_check.rs
+++ b/crates/ragwortroad_load/src/response_check.rs
@@ -1,4 +1,4 @@
-use ragwortroad_standin::answer_tokens;
+use ragwortroad_standin::expected_tokens;
 use ragwortroad_types::prelude::*;
 use serde::{
     Deserialize,
@@ -6,9 +6,9 @@
 };
 
 /// Tells whether an answer is whole and the caller's own.
-pub struct AnswerCheck {
+pub struct ResponseCheck {
     /// The only right answer.
-    wanted: String,
+    expected: String,
     /// Where each of its tokens ends.
     token_count: usize,
 }
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AnswerFault {
+pub enum ResponseFault {
     /// It ends early, yet was given as whole.
     Short,
     /// It is longer than the answer.
@@ -30,35 +30,35 @@
     Unreadable,
 }
 
-impl AnswerCheck {
+impl ResponseCheck {
     /// A check for answers to `chat` by stand-ins.
     pub fn new(chat: &ChatBody) -> Self {
-        let tokens = answer_tokens(chat);
+        let tokens = expected_tokens(chat);
         Self {
             token_count: tokens.len(),
-            wanted: tokens.concat(),
+            expected: tokens.concat(),
         }
     }
 
     /// Checks the text of an answer that was given as whole.
-    pub fn check_text(&self, text: &str) -> Result<(), AnswerFault> {
-        if text == self.wanted {
+    pub fn check_text(&self, text: &str) -> Result<(), ResponseFault> {
+        if text == self.expected {
             return Ok(());
         }
-        if self.wanted.starts_with(text) {
-            return Err(AnswerFault::Short);
+        if self.expected.starts_with(text) {
+            return Err(ResponseFault::Short);
         }
-        if text.starts_with(&self.wanted) {
-            return Err(AnswerFault::Long);
+        if text.starts_with(&self.expected) {
+            return Err(ResponseFault::Long);
         }
-        Err(AnswerFault::Foreign)
+        Err(ResponseFault::Foreign)
     }
 
     /// Checks an answer's own identity against the request's.
-    pub fn check_owner(answer_id: &str, request_id: &str) -> Result<(), AnswerFault> {
+    pub fn check_owner(answer_id: &str, request_id: &str) -> Result<(), ResponseFault> {
         match answer_id.strip_prefix("chatcmpl-") == Some(request_id) {
             true => Ok(()),
-            false => Err(AnswerFault::WrongRequest),
+            false => Err(ResponseFault::WrongRequest),
         }
     }
 
--- a/crates/ragwortroad_load/src/run_check.rs
+++ b/crates/ragwortroad_load/src/run_check.rs
@@ -8,8 +8,8 @@
 };
 
 use ragwortroad_standin::{
-    RunEnd,
     RunRecord, //
+    RunStatus,
 };
 use ragwortroad_types::prelude::*;
 use serde::{
@@ -18,10 +18,10 @@
 };
 
 use crate::{
-    AnswerFault,
-    CallEnd,
     CallKind,
-    CallNote, //
+    CallRecord, //
+    ClientOutcome,
+    ResponseFault,
 };
 
 /// Something that must never happen, and did.
@@ -64,7 +64,7 @@
         /// The customer.
         customer: String,
         /// What is wrong.
-        fault: AnswerFault,
+        fault: ResponseFault,
     },
     /// A request reached an endpoint under another customer's name.
     WrongCustomer {
@@ -117,13 +117,13 @@
 type KeyName = (String, String);
 
 /// Compares what callers saw with what endpoints wrote down.
-pub fn verify_run(notes: &[CallNote], records: &[RunRecord]) -> Vec<RunViolation> {
+pub fn verify_run(notes: &[CallRecord], records: &[RunRecord]) -> Vec<RunViolation> {
     let mut found = Vec::new();
     let runs = count_runs(records);
     check_once(&runs, &mut found);
     check_refusals(notes, records, &mut found);
     check_bookings(notes, &runs, &mut found);
-    check_answers(notes, &mut found);
+    check_responses(notes, &mut found);
     check_customers(notes, records, &mut found);
     found
 }
@@ -150,7 +150,7 @@
     }
 }
 
-fn check_refusals(notes: &[CallNote], records: &[RunRecord], found: &mut Vec<RunViolation>) {
+fn check_refusals(notes: &[CallRecord], records: &[RunRecord], found: &mut Vec<RunViolation>) {
     let refused: HashSet<&str> = notes
         .iter()
         .flat_map(|note| &note.attempts)
@@ -168,14 +168,14 @@
 }
 
 fn check_bookings(
-    notes: &[CallNote],
+    notes: &[CallRecord],
     runs: &BTreeMap<KeyName, usize>,
     found: &mut Vec<RunViolation>,
 ) {
     let mut answers: HashMap<KeyName, u64> = HashMap::new();
     for note in notes {
         let booked = matches!(note.kind, CallKind::Booking | CallKind::Resend);
-        let (true, CallEnd::Answered, Some(key)) = (booked, &note.end, &note.key) else {
+        let (true, ClientOutcome::Answered, Some(key)) = (booked, &note.end, &note.key) else {
             continue;
         };
         let customer = note.customer.clone();
@@ -194,9 +194,9 @@
     }
 }
 
-fn check_answers(notes: &[CallNote], found: &mut Vec<RunViolation>) {
+fn check_responses(notes: &[CallRecord], found: &mut Vec<RunViolation>) {
     for note in notes {
-        if let CallEnd::Wrong(fault) = &note.end {
+        if let ClientOutcome::Wrong(fault) = &note.end {
             found.push(RunViolation::WrongAnswer {
                 customer: note.customer.clone(),
                 fault: *fault,
@@ -205,7 +205,7 @@
     }
 }
 
-fn check_customers(notes: &[CallNote], records: &[RunRecord], found: &mut Vec<RunViolation>) {
+fn check_customers(notes: &[CallRecord], records: &[RunRecord], found: &mut Vec<RunViolation>) {
     let mut owners: HashMap<&str, &str> = HashMap::new();
     for note in notes {
         let ids = note
@@ -216,7 +216,7 @@
     }
     for record in records
         .iter()
-        .filter(|record| record.end != RunEnd::Running)
+        .filter(|record| record.end != RunStatus::Running)
     {
         let owner = owners.get(record.request_id.as_str());
         if owner.is_some_and(|owner| *owner != record.customer) {
--- a/crates/ragwortroad_load/src/run_report.rs
+++ b/crates/ragwortroad_load/src/run_report.rs
@@ -11,9 +11,9 @@
 };
 
 use crate::{
-    CallEnd,
     CallKind,
-    CallNote,
+    CallRecord,
+    ClientOutcome,
     LatencySummary,
     RunViolation,
     latency_set::LatencySet,
@@ -46,7 +46,7 @@
     pub violations: Vec<RunViolation>,
     /// Every call, for checks.
     #[serde(skip)]
-    pub notes: Vec<CallNote>,
+    pub notes: Vec<CallRecord>,
 }
 
 /// How many calls of one kind ended in one way.
@@ -65,7 +65,7 @@
     pub(crate) fn new(
         seed: u64,
         took: Duration,
-        notes: Vec<CallNote>,
+        notes: Vec<CallRecord>,
         latencies: &LatencySet,
     ) -> Self {
         Self {
@@ -115,7 +115,7 @@
 
 const ANSWERED: &str = "answered";
 
-fn count_outcomes(notes: &[CallNote]) -> Vec<OutcomeCount> {
+fn count_outcomes(notes: &[CallRecord]) -> Vec<OutcomeCount> {
     let mut counts: BTreeMap<(CallKind, String), u64> = BTreeMap::new();
     for note in notes {
         *counts.entry((note.kind, end_name(&note.end))).or_insert(0) += 1;
@@ -124,20 +124,20 @@
     counts.into_iter().map(outcome).collect()
 }
 
-fn end_name(end: &CallEnd) -> String {
+fn end_name(end: &ClientOutcome) -> String {
     match end {
-        CallEnd::Answered => ANSWERED.to_owned(),
-        CallEnd::Refused(outcome, code) => format!("{outcome:?}/{code:?}"),
-        CallEnd::Wrong(fault) => format!("wrong/{fault:?}"),
-        CallEnd::Broken(_) => "broken".to_owned(),
-        CallEnd::Unreachable => "unreachable".to_owned(),
+        ClientOutcome::Answered => ANSWERED.to_owned(),
+        ClientOutcome::Refused(outcome, code) => format!("{outcome:?}/{code:?}"),
+        ClientOutcome::Wrong(fault) => format!("wrong/{fault:?}"),
+        ClientOutcome::Broken(_) => "broken".to_owned(),
+        ClientOutcome::Unreachable => "unreachable".to_owned(),
     }
 }
 
-fn cache_reuse(notes: &[CallNote]) -> f64 {
+fn cache_reuse(notes: &[CallRecord]) -> f64 {
     let returning = notes
         .iter()
-        .filter(|note| note.kind == CallKind::ReturnTurn && note.end == CallEnd::Answered);
+        .filter(|note| note.kind == CallKind::ReturnTurn && note.end == ClientOutcome::Answered);
     let (cached, total) = returning.fold((0_u64, 0_u64), |(cached, total), note| {
         (
             cached + u64::from(note.cached_tokens),
--- a/crates/ragwortroad_load/tests/checks_catch_faults.rs
+++ b/crates/ragwortroad_load/tests/checks_catch_faults.rs
@@ -18,7 +18,7 @@
         body_hash: 1,
         began_ms: 0,
         ended_ms: Some(1),
-        end: RunEnd::Completed,
+        end: RunStatus::Completed,
         from_token: 0,
         tokens: 0,
         cached_tokens: 0,
@@ -26,8 +26,8 @@
     }
 }
 
-fn attempt(request_id: &str, outcome: Option<RequestOutcome>) -> AttemptNote {
-    AttemptNote {
+fn attempt(request_id: &str, outcome: Option<RequestOutcome>) -> AttemptRecord {
+    AttemptRecord {
         address: "192.0.2.1:80".to_owned(),
         request_id: Some(request_id.to_owned()),
         status: Some(200),
@@ -36,13 +36,13 @@
     }
 }
 
-fn note(kind: CallKind, request_id: &str, key: Option<&str>) -> CallNote {
-    CallNote {
+fn note(kind: CallKind, request_id: &str, key: Option<&str>) -> CallRecord {
+    CallRecord {
         kind,
         customer: "north".to_owned(),
         key: key.map(str::to_owned),
         attempts: vec![attempt(request_id, None)],
-        end: CallEnd::Answered,
+        end: ClientOutcome::Answered,
         first_token_us: None,
         total_us: 10,
         cached_tokens: 0,
@@ -52,7 +52,7 @@
 }
 
 /// A booking that was refused once, ran at the second try, and was sent again later.
-fn good_run() -> (Vec<CallNote>, Vec<RunRecord>) {
+fn good_run() -> (Vec<CallRecord>, Vec<RunRecord>) {
     let mut first = note(CallKind::Booking, "b", Some("k"));
     first
         .attempts
@@ -71,7 +71,7 @@
 fn each_broken_run_has_its_violation() {
     // Fleets that book twice, lie about what ran, answer without running, answer differently, or
     // let one studio's request pass as another's.
-    type Spoil = fn(&mut Vec<CallNote>, &mut Vec<RunRecord>);
+    type Spoil = fn(&mut Vec<CallRecord>, &mut Vec<RunRecord>);
     let (customer, key) = ("north".to_owned(), "k".to_owned());
     let cases: Vec<(Spoil, RunViolation)> = vec![
         (
@@ -104,10 +104,10 @@
             },
         ),
         (
-            |notes, _| notes[1].end = CallEnd::Wrong(AnswerFault::Foreign),
+            |notes, _| notes[1].end = ClientOutcome::Wrong(ResponseFault::Foreign),
             RunViolation::WrongAnswer {
                 customer,
-                fault: AnswerFault::Foreign,
+                fault: ResponseFault::Foreign,
             },
         ),
         (
@@ -138,14 +138,14 @@
         ..ChatBody::default()
     };
     let own = chat("a linen coat");
-    let check = AnswerCheck::new(&own);
-    let tokens = answer_tokens(&own);
+    let check = ResponseCheck::new(&own);
+    let tokens = expected_tokens(&own);
     assert_eq!(check.check_text(&tokens.concat()), Ok(()));
     assert_eq!(check.token_count(), 8);
     for place in 0..tokens.len() {
         assert_eq!(
             check.check_text(&tokens[..place].concat()),
-            Err(AnswerFault::Short)
+            Err(ResponseFault::Short)
         );
         let mut doubled = tokens.clone();
         doubled.insert(place, tokens[place].clone());
@@ -154,13 +154,13 @@
         lacking.remove(place);
         assert!(check.check_text(&lacking.concat()).is_err());
     }
-    let other = answer_tokens(&chat("a wool coat")).concat();
-    assert_eq!(check.check_text(&other), Err(AnswerFault::Foreign));
+    let other = expected_tokens(&chat("a wool coat")).concat();
+    assert_eq!(check.check_text(&other), Err(ResponseFault::Foreign));
     let longer = tokens.concat() + &other;
-    assert_eq!(check.check_text(&longer), Err(AnswerFault::Long));
+    assert_eq!(check.check_text(&longer), Err(ResponseFault::Long));
     assert_eq!(
-        AnswerCheck::check_owner("chatcmpl-2", "1"),
-        Err(AnswerFault::WrongRequest)
+        ResponseCheck::check_owner("chatcmpl-2", "1"),
+        Err(ResponseFault::WrongRequest)
     );
 }
 
@@ -212,7 +212,7 @@
         bookings_per_second: 0.0,
         reads_per_second: 200.0,
         duration: Duration::from_millis(400),
-        callers: 1,
+        client_threads: 1,
         ..LoadSettings::default()
     })
     .unwrap();
--- a/crates/ragwortroad_standin/src/engine_handler.rs
+++ b/crates/ragwortroad_standin/src/engine_handler.rs
@@ -16,12 +16,8 @@
 
 use crate::{
     FaultPlan,
-    RunEnd,
     RunRecord,
-    answer_tokens::{
-        TOKEN_BYTES,
-        answer_tokens, //
-    },
+    RunStatus,
     engine_pages::{
         answer_cancel,
         answer_export,
@@ -37,6 +33,10 @@
         stream_reply,
         whole_reply, //
     },
+    expected_tokens::{
+        TOKEN_BYTES,
+        expected_tokens, //
+    },
     standin_reply::{
         StandinReply,
         header_text,
@@ -92,15 +92,15 @@
         faults,
     };
     let run = begin_run(&state, &chat, begin);
-    if run.faults.close_unanswered {
-        state.shell.end_run(run.place, RunEnd::Cut);
+    if run.faults.close_without_response {
+        state.shell.end_run(run.place, RunStatus::Cut);
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     if let Some(location) = &run.faults.redirect_to {
-        state.shell.end_run(run.place, RunEnd::Cut);
+        state.shell.end_run(run.place, RunStatus::Cut);
         return Ok(redirect_reply(&run.name.request_id, location));
     }
-    sleep(run.faults.answer_delay).await;
+    sleep(run.faults.response_delay).await;
     match chat.stream {
         true => Ok(stream_reply(run)),
         false => whole_reply(run).await,
@@ -149,7 +149,7 @@
         body_hash: xxhash_rust::xxh3::xxh3_64(body),
         began_ms: state.shell.elapsed_ms(),
         ended_ms: None,
-        end: RunEnd::Running,
+        end: RunStatus::Running,
         from_token,
         tokens: 0,
         cached_tokens,
@@ -160,7 +160,7 @@
         name,
         customer,
         priority,
-        tokens: answer_tokens(chat),
+        tokens: expected_tokens(chat),
         chat: chat.clone(),
         chain,
         prompt_tokens,
--- a/crates/ragwortroad_standin/src/engine_pages.rs
+++ b/crates/ragwortroad_standin/src/engine_pages.rs
@@ -63,27 +63,27 @@
         let error = json!({"error": "old fencing number", "highest": highest});
         return Ok(json_reply(409, "", &error));
     }
-    if !faults.idle_orders {
+    if !faults.acknowledge_only {
         if matches!(order.kind, OrderKind::Load { .. }) {
-            sleep(state.settings.load_time).await;
+            sleep(state.settings.model_load_time).await;
         }
         carry_out(&mut state.parts(), order.kind);
     }
-    sleep(faults.order_answer_delay).await;
+    sleep(faults.order_response_delay).await;
     Ok(json_reply(200, "", &json!({"done": true})))
 }
 
 /// Writes an order down; the highest fencing number where its own is older and that is checked.
 fn take_order(state: &EngineState, order: &OrderWire, checks: bool) -> Result<(), FenceNumber> {
     let mut parts = state.parts();
-    let obeyed = !checks || order.fence >= parts.fence;
+    let accepted = !checks || order.fence >= parts.fence;
     parts.orders.push(OrderRecord {
         endpoint: state.settings.name.clone(),
         order: order.clone(),
-        obeyed,
-        came: Instant::now(),
+        accepted,
+        received_at: Instant::now(),
     });
-    if !obeyed {
+    if !accepted {
         return Err(parts.fence);
     }
     parts.fence = parts.fence.max(order.fence);
--- a/crates/ragwortroad_standin/src/engine_settings.rs
+++ b/crates/ragwortroad_standin/src/engine_settings.rs
@@ -30,19 +30,19 @@
     /// Counts up with every restart.
     pub incarnation: u64,
     /// Time to read one prompt token that is not in the cache.
-    pub prefill_time: Duration,
+    pub prefill_time_per_token: Duration,
     /// Time between tokens when it has one request to work on.
     pub token_gap: Duration,
     /// By how many percent the gap grows from one request to a full batch.
-    pub gap_growth: u32,
+    pub batch_slowdown_percent: u32,
     /// Blocks its prefix cache holds.
     pub cache_blocks: usize,
     /// Age of the load it reports.
-    pub load_lag: Duration,
+    pub load_report_delay: Duration,
     /// One of so many cache events is lost; 0 loses none.
-    pub event_loss: u64,
+    pub event_loss_interval: u64,
     /// Time to load a model.
-    pub load_time: Duration,
+    pub model_load_time: Duration,
     /// Threads for requests.
     pub threads: usize,
 }
@@ -64,13 +64,13 @@
             join_secret: "join".to_owned(),
             checks_fencing: true,
             incarnation: 1,
-            prefill_time: Duration::from_micros(20),
+            prefill_time_per_token: Duration::from_micros(20),
             token_gap: Duration::from_millis(2),
-            gap_growth: 50,
+            batch_slowdown_percent: 50,
             cache_blocks: 4096,
-            load_lag: Duration::from_millis(100),
-            event_loss: 50,
-            load_time: Duration::from_millis(200),
+            load_report_delay: Duration::from_millis(100),
+            event_loss_interval: 50,
+            model_load_time: Duration::from_millis(200),
             threads: 1,
         }
     }
--- a/crates/ragwortroad_standin/src/engine_state.rs
+++ b/crates/ragwortroad_standin/src/engine_state.rs
@@ -98,7 +98,7 @@
     pub(crate) fn token_gap(&self) -> Duration {
         let running = self.running.load(Ordering::Relaxed);
         let capacity = self.settings.capacity.max(1);
-        let growth = self.settings.gap_growth * running.min(capacity) / capacity;
+        let growth = self.settings.batch_slowdown_percent * running.min(capacity) / capacity;
         self.settings.token_gap * (100 + growth) / 100
     }
 
@@ -115,8 +115,8 @@
         parts.sequence += 1;
         parts.loads.push_back((now, load));
         let mut events = parts.cache.take_events();
-        if settings.event_loss > 0 {
-            events.retain(|event| event.sequence % settings.event_loss != 0);
+        if settings.event_loss_interval > 0 {
+            events.retain(|event| event.sequence % settings.event_loss_interval != 0);
         }
         AnnounceWire {
             name: settings.name.clone(),
@@ -130,7 +130,7 @@
             incarnation: settings.incarnation,
             sequence: parts.sequence,
             home_epoch,
-            load: parts.late_load(now, settings.load_lag),
+            load: parts.late_load(now, settings.load_report_delay),
             cache_events: events,
             leaving: self.leaving.load(Ordering::Relaxed),
         }
--- a/crates/ragwortroad_standin/src/engine_stream.rs
+++ b/crates/ragwortroad_standin/src/engine_stream.rs
@@ -28,7 +28,7 @@
 
 use crate::{
     FaultPlan,
-    RunEnd,
+    RunStatus,
     batch_gate::BatchPlace,
     engine_state::{
         AttemptName,
@@ -67,7 +67,7 @@
 impl Drop for EngineRun {
     fn drop(&mut self) {
         self.state.parts().cancels.remove(&self.name);
-        self.state.shell.end_run(self.place, RunEnd::Cancelled);
+        self.state.shell.end_run(self.place, RunStatus::Cancelled);
     }
 }
 
@@ -79,7 +79,7 @@
         drop(queued);
         let running = CountGuard::new(&self.state.running);
         let unread = self.prompt_tokens.saturating_sub(self.cached_tokens);
-        sleep(self.state.settings.prefill_time * unread).await;
+        sleep(self.state.settings.prefill_time_per_token * unread).await;
         self.state.parts().cache.store(&self.chain);
         (place, running)
     }
@@ -95,7 +95,7 @@
         let made = self.tokens.len() as u32 - self.from_token.min(self.tokens.len() as u32);
         let shell = &self.state.shell;
         shell.change_run(self.place, |record| record.tokens = made);
-        shell.end_run(self.place, RunEnd::Completed);
+        shell.end_run(self.place, RunStatus::Completed);
         self.keep_answer();
     }
 
@@ -108,9 +108,9 @@
         self.state.parts().cache.store(&chain);
     }
 
-    fn echo_id(&self) -> &str {
+    fn echoed_request_id(&self) -> &str {
         self.faults
-            .echo_id
+            .echoed_request_id
             .as_deref()
             .unwrap_or(&self.name.request_id)
     }
@@ -125,9 +125,9 @@
 
     /// Whom the answer names as its request at a token.
     fn owner_at(&self, token: u32) -> &str {
-        match self.faults.cross_at {
+        match self.faults.foreign_id_from_token {
             Some(from) if token >= from => "another",
-            _ => self.echo_id(),
+            _ => self.echoed_request_id(),
         }
     }
 
@@ -147,13 +147,13 @@
     /// The last events: the reason for the end with the usage, and the final marker.
     fn closing(&self) -> Bytes {
         let chunk = json!({
-            "id": format!("chatcmpl-{}", self.echo_id()),
+            "id": format!("chatcmpl-{}", self.echoed_request_id()),
             "object": "chat.completion.chunk",
             "model": self.chat.model,
             "choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}],
             "usage": self.usage(),
         });
-        let marker = match self.faults.drop_marker {
+        let marker = match self.faults.omit_done_marker {
             true => "",
             false => "data: [DONE]\n\n",
         };
@@ -183,19 +183,19 @@
         "choices": [{"index": 0, "message": message, "finish_reason": "stop"}],
         "usage": run.usage(),
     });
-    if run.faults.short_body {
-        run.state.shell.end_run(run.place, RunEnd::Cut);
-        return Ok(short_reply(run.echo_id(), &answer));
+    if run.faults.truncate_body {
+        run.state.shell.end_run(run.place, RunStatus::Cut);
+        return Ok(short_reply(run.echoed_request_id(), &answer));
     }
     run.complete();
-    Ok(json_reply(200, run.echo_id(), &answer))
+    Ok(json_reply(200, run.echoed_request_id(), &answer))
 }
 
 /// Answers a chat as server-sent events, made by a task of the engine's.
 pub(crate) fn stream_reply(run: EngineRun) -> Response<StandinBody> {
     let (sender, body) = Channel::new(1);
     let mut reply = Response::new(Either::Right(body));
-    mark_reply(&mut reply, "text/event-stream", run.echo_id());
+    mark_reply(&mut reply, "text/event-stream", run.echoed_request_id());
     tokio::spawn(feed_stream(run, sender));
     reply
 }
@@ -218,8 +218,8 @@
     let mut next = Instant::now();
     for at in run.from_token as usize..run.tokens.len() {
         let place = Some(at as u32);
-        if faults.die_after_tokens == place {
-            run.state.shell.end_run(run.place, RunEnd::Cut);
+        if faults.close_after_tokens == place {
+            run.state.shell.end_run(run.place, RunStatus::Cut);
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         if faults.stall_after_tokens == place {
@@ -228,7 +228,7 @@
         if faults.skip_token != place {
             send(sender, run.chunk(at)).await?;
         }
-        if faults.double_token == place {
+        if faults.duplicate_token == place {
             send(sender, run.chunk(at)).await?;
         }
         run.state
--- a/crates/ragwortroad_standin/src/answer_tokens.rs
+++ b/crates/ragwortroad_standin/src/expected_tokens.rs
@@ -10,7 +10,7 @@
 ///
 /// It depends on the model and the messages and on nothing else, so a caller can tell whether an
 /// answer is whole and its own.
-pub fn answer_tokens(chat: &ChatBody) -> Vec<String> {
+pub fn expected_tokens(chat: &ChatBody) -> Vec<String> {
     let seed = xxhash_rust::xxh3::xxh3_64(chat.model.as_bytes());
     let start = xxhash_rust::xxh3::xxh3_64_with_seed(&chat.prompt_text(), seed);
     let count = match chat.max_tokens {
--- a/crates/ragwortroad_standin/src/lib.rs
+++ b/crates/ragwortroad_standin/src/lib.rs
@@ -14,13 +14,13 @@
 //! ```
 
 mod announce_loop;
-mod answer_tokens;
 mod batch_gate;
 mod engine_handler;
 mod engine_pages;
 mod engine_settings;
 mod engine_state;
 mod engine_stream;
+mod expected_tokens;
 mod fault_plan;
 mod order_record;
 mod prefix_cache;
@@ -36,13 +36,13 @@
 /// Everything a dependent crate usually needs.
 pub mod prelude {
     pub use crate::{
-        answer_tokens::answer_tokens,
         engine_settings::EngineSettings,
+        expected_tokens::expected_tokens,
         fault_plan::FaultPlan,
         order_record::OrderRecord,
         run_record::{
-            RunEnd,
             RunRecord, //
+            RunStatus,
         },
         service_settings::ServiceSettings,
         standin_engine::StandinEngine,
--- a/crates/ragwortroad_standin/src/order_record.rs
+++ b/crates/ragwortroad_standin/src/order_record.rs
@@ -9,8 +9,8 @@
     pub endpoint: String,
     /// The order.
     pub order: OrderWire,
-    /// Whether it was obeyed, and not refused for its old fencing number.
-    pub obeyed: bool,
+    /// Whether it was accepted, and not refused for its old fencing number.
+    pub accepted: bool,
     /// When it came.
-    pub came: Instant,
+    pub received_at: Instant,
 }
--- a/crates/ragwortroad_standin/src/run_record.rs
+++ b/crates/ragwortroad_standin/src/run_record.rs
@@ -26,7 +26,7 @@
     /// Milliseconds since the stand-in started, once it is over.
     pub ended_ms: Option<u64>,
     /// How it ended.
-    pub end: RunEnd,
+    pub end: RunStatus,
     /// First token made, for a resumed stream.
     pub from_token: u32,
     /// Tokens made.
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RunEnd {
+pub enum RunStatus {
     /// Still under way.
     Running,
     /// The whole answer was written.
--- a/crates/ragwortroad_standin/src/standin_engine.rs
+++ b/crates/ragwortroad_standin/src/standin_engine.rs
@@ -75,7 +75,7 @@
     }
 
     /// From now on announces that it will stop.
-    pub fn leave(&self) {
+    pub fn announce_leaving(&self) {
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Requests whose cancellation it was told.
-    pub fn cancels(&self) -> Vec<String> {
+    pub fn cancelled_requests(&self) -> Vec<String> {
         self.state.parts().told.clone()
     }
 
--- a/crates/ragwortroad_standin/src/standin_service.rs
+++ b/crates/ragwortroad_standin/src/standin_service.rs
@@ -24,8 +24,8 @@
 
 use crate::{
     FaultPlan,
-    RunEnd,
     RunRecord,
+    RunStatus,
     ServiceSettings,
     StandinError,
     engine_state::CountGuard,
@@ -109,7 +109,7 @@
     }
 
     /// From now on announces that it will stop.
-    pub fn leave(&self) {
+    pub fn announce_leaving(&self) {
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
@@ -177,14 +177,14 @@
         body_hash,
         began_ms: state.shell.elapsed_ms(),
         ended_ms: None,
-        end: RunEnd::Running,
+        end: RunStatus::Running,
         from_token: 0,
         tokens: 0,
         cached_tokens: 0,
         prompt_tokens: 0,
     });
-    sleep(state.settings.work_time + faults.answer_delay).await;
-    let echo = faults.echo_id.as_deref().unwrap_or(&request_id);
+    sleep(state.settings.work_time + faults.response_delay).await;
+    let echo = faults.echoed_request_id.as_deref().unwrap_or(&request_id);
     let answer = json!({
         "service": state.settings.service,
         "endpoint": state.settings.name,
@@ -205,18 +205,18 @@
     echo: &str,
     answer: &serde_json::Value,
 ) -> StandinReply {
-    if faults.close_unanswered {
-        state.shell.end_run(place, RunEnd::Cut);
+    if faults.close_without_response {
+        state.shell.end_run(place, RunStatus::Cut);
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     if let Some(location) = &faults.redirect_to {
-        state.shell.end_run(place, RunEnd::Completed);
+        state.shell.end_run(place, RunStatus::Completed);
         return Ok(redirect_reply(echo, location));
     }
-    if faults.short_body {
-        state.shell.end_run(place, RunEnd::Cut);
+    if faults.truncate_body {
+        state.shell.end_run(place, RunStatus::Cut);
         return Ok(short_reply(echo, answer));
     }
-    state.shell.end_run(place, RunEnd::Completed);
+    state.shell.end_run(place, RunStatus::Completed);
     Ok(json_reply(200, echo, answer))
 }
--- a/crates/ragwortroad_standin/src/standin_shell.rs
+++ b/crates/ragwortroad_standin/src/standin_shell.rs
@@ -36,8 +36,8 @@
 
 use crate::{
     FaultPlan,
-    RunEnd,
     RunRecord,
+    RunStatus,
     StandinError,
     standin_error::{
         ListenSnafu,
@@ -118,10 +118,10 @@
     }
 
     /// Writes down how a run ended, once.
-    pub(crate) fn end_run(&self, place: usize, end: RunEnd) {
+    pub(crate) fn end_run(&self, place: usize, end: RunStatus) {
         let now = self.elapsed_ms();
         self.change_run(place, |record| {
-            if record.end == RunEnd::Running {
+            if record.end == RunStatus::Running {
                 record.end = end;
                 record.ended_ms = Some(now);
             }
--- a/crates/ragwortroad_standin/tests/standin_duties.rs
+++ b/crates/ragwortroad_standin/tests/standin_duties.rs
@@ -96,7 +96,7 @@
     let moved = take_announce(&second, &second_address);
     assert_eq!((moved.home_epoch, moved.sequence), (2, 3));
     assert_eq!(take_announce(&second, &first_address).home_epoch, 2);
-    engine.leave();
+    engine.announce_leaving();
     let back = take_announce(&first, &first_address);
     assert_eq!((back.home_epoch, back.leaving), (3, true));
     engine.stop();
@@ -107,7 +107,7 @@
     // A deposed leader goes on giving orders. An engine that checks refuses them; one that does
     // not takes them, and the fleet has to see to it by time.
     let settings = EngineSettings {
-        load_time: Duration::ZERO,
+        model_load_time: Duration::ZERO,
         ..EngineSettings::default()
     };
     let engine = StandinEngine::start(settings).unwrap();
@@ -131,7 +131,7 @@
     let engine = StandinEngine::start(EngineSettings {
         announce_to: vec![address.clone()],
         cache_blocks: 8,
-        event_loss: 5,
+        event_loss_interval: 5,
         ..EngineSettings::default()
     })
     .unwrap();
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -32,7 +32,7 @@
         true => print_json(&report),
         false => println!("{report}"),
     }
-    match report.holds() {
+    match report.passed() {
         true => ExitStatus::Done,
         false => ExitStatus::Failed,
     }
--- a/src/commands/operator.rs
+++ b/src/commands/operator.rs
@@ -54,7 +54,7 @@
 }
 
 /// Prints the text for a person, or the whole JSON object.
-fn print_answer(answer: Result<LineAnswer, DemoError>, as_json: bool) -> ExitStatus {
+fn print_answer(answer: Result<LineResponse, DemoError>, as_json: bool) -> ExitStatus {
     let answer = match answer {
         Ok(answer) => answer,
         Err(error) => {
--- a/src/commands/standin.rs
+++ b/src/commands/standin.rs
@@ -45,10 +45,10 @@
     );
     let status = wait(options.seconds);
     for engine in &engines {
-        engine.leave();
+        engine.announce_leaving();
     }
     for service in &services {
-        service.leave();
+        service.announce_leaving();
     }
     let mut records: Vec<RunRecord> = Vec::new();
     records.extend(engines.into_iter().flat_map(StandinEngine::stop));
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -100,7 +100,7 @@
     .unwrap();
     fleet.declare().unwrap();
     let key = fleet.folder.path().join("key");
-    let node = fleet.caller_addresses().remove(0);
+    let node = fleet.client_addresses().remove(0);
     let change = |secret: &str, line: &str| {
         fs::write(&key, secret).unwrap();
         run(&[
--- a/tests/interface_samples.rs
+++ b/tests/interface_samples.rs
@@ -39,7 +39,7 @@
         rows == Some(3)
     })
     .unwrap();
-    let addresses = fleet.caller_addresses();
+    let addresses = fleet.client_addresses();
     let mut found = String::new();
     let mut samples = 0;
     for (number, part) in page.split("```").enumerate() {
