--- a/crates/ragwortroad_demo/src/lib.rs
+++ b/crates/ragwortroad_demo/src/lib.rs
@@ -20,7 +20,7 @@
 mod fleet_plan;
 mod operator_client;
 mod small_fleet;
-mod timeline_gather;
+mod timeline_collection;
 
 /// Everything a dependent crate usually needs.
 pub mod prelude {
@@ -40,7 +40,7 @@
             SmallFleet,
             wait_until, //
         },
-        timeline_gather::gather_timeline,
+        timeline_collection::collect_timeline,
     };
 }
 
--- a/crates/ragwortroad_demo/src/operator_client.rs
+++ b/crates/ragwortroad_demo/src/operator_client.rs
@@ -25,7 +25,7 @@
 }
 
 /// How long a node may take over a line: a change waits until it is in force.
-const PATIENCE: Duration = Duration::from_secs(25);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(25);
 
 impl OperatorClient {
     /// Asks what is true.
@@ -60,7 +60,7 @@
             .with_header("Authorization", format!("Bearer {}", self.key))
             .with_header("Content-Type", "application/json")
             .with_body(body.to_string())
-            .with_timeout(PATIENCE.as_secs())
+            .with_timeout(RESPONSE_TIMEOUT.as_secs())
             .with_follow_redirects(false)
             .send()
             .map_err(|error| error.to_string())?;
--- a/crates/ragwortroad_demo/src/small_fleet.rs
+++ b/crates/ragwortroad_demo/src/small_fleet.rs
@@ -43,10 +43,10 @@
 const OPERATOR_KEY: &str = "small-fleet-operator";
 
 /// How long something that must come about is waited for; far more than it takes.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time between two looks at something that is waited for.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Nodes and stand-in endpoints in one process, on loopback.
 pub struct SmallFleet {
@@ -249,7 +249,7 @@
             format!("add service {service}"),
         ];
         for customer in &self.plan.customers {
-            let hash = key_hash(&FleetPlan::key_of(customer));
+            let hash = api_key_hash(&FleetPlan::key_of(customer));
             edits.push(format!(
                 "add customer {customer} rate {rate}/s tokens 1000000/s concurrent 512"
             ));
@@ -315,13 +315,13 @@
 pub fn wait_until(what: &str, mut is_done: impl FnMut() -> bool) -> Result<(), DemoError> {
     let start = Instant::now();
     while !is_done() {
-        if start.elapsed() > PATIENCE {
+        if start.elapsed() > WAIT_TIMEOUT {
             return Err(DemoError::Timeout {
                 what: what.to_owned(),
-                seconds: PATIENCE.as_secs(),
+                seconds: WAIT_TIMEOUT.as_secs(),
             });
         }
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
@@ -333,7 +333,7 @@
 }
 
 /// SHA-256 of a key in hexadecimal.
-fn key_hash(key: &str) -> String {
+fn api_key_hash(key: &str) -> String {
     data_encoding::HEXLOWER.encode(&Sha256::digest(key.as_bytes()))
 }
 
@@ -350,7 +350,7 @@
     fs::write(&join_secret_file, JOIN_SECRET).context(FolderSnafu)?;
     let operator_key_file = folder.join("operator.key");
     fs::write(&operator_key_file, OPERATOR_KEY).context(FolderSnafu)?;
-    let addresses = free_addresses(plan.nodes).context(FolderSnafu)?;
+    let addresses = reserve_addresses(plan.nodes).context(FolderSnafu)?;
     let seeds = names
         .iter()
         .zip(&addresses)
@@ -391,7 +391,7 @@
 /// Free TCP and UDP addresses on loopback, all different.
 ///
 /// Nodes name each other's addresses in their settings, so these must be known before any starts.
-fn free_addresses(count: usize) -> std::io::Result<Vec<(SocketAddr, SocketAddr)>> {
+fn reserve_addresses(count: usize) -> std::io::Result<Vec<(SocketAddr, SocketAddr)>> {
     let mut held = Vec::with_capacity(count);
     for _ in 0..count {
         let tcp = TcpListener::bind(("127.0.0.1", 0))?;
--- a/crates/ragwortroad_demo/src/timeline_gather.rs
+++ b/crates/ragwortroad_demo/src/timeline_collection.rs
@@ -7,10 +7,10 @@
 };
 
 /// Seconds that one node may take over its part.
-const PART_SECONDS: u64 = 10;
+const NODE_TIMEOUT_SECONDS: u64 = 10;
 
 /// Gathers the time line from every node that the fleet knows, and names those that do not answer.
-pub fn gather_timeline(
+pub fn collect_timeline(
     client: &OperatorClient,
     filter: &EventFilter,
 ) -> Result<FleetTimeline, DemoError> {
@@ -41,7 +41,7 @@
     let filter = data_encoding::HEXLOWER.encode(&filter);
     let response = minreq::get(format!("http://{address}/v1/timeline?filter={filter}"))
         .with_header("Authorization", format!("Bearer {}", client.key))
-        .with_timeout(PART_SECONDS)
+        .with_timeout(NODE_TIMEOUT_SECONDS)
         .with_follow_redirects(false)
         .send()
         .map_err(|error| error.to_string())?;
--- a/crates/ragwortroad_demo/tests/failures/bookings.rs
+++ b/crates/ragwortroad_demo/tests/failures/bookings.rs
@@ -14,20 +14,20 @@
 use crate::common::{
     booking_history::{
         KeyEvent,
-        KeyOp,
-        broken_keys,
+        KeyOperation,
         is_linearizable,
         key_events, //
+        nonlinearizable_keys,
     },
-    caller::{
+    client::{
         TestCall,
-        TestCaller,
+        TestClient,
         violations, //
     },
     fleet::TestFleet, //
 };
 
-fn desk_plan() -> FleetPlan {
+fn booking_plan() -> FleetPlan {
     FleetPlan {
         engines: 0,
         ..FleetPlan::default()
@@ -35,7 +35,7 @@
 }
 
 /// Books one key through all nodes at the same moment.
-fn book_everywhere(fleet: &TestFleet, caller: &TestCaller, key: &str) -> Vec<TestCall> {
+fn book_everywhere(fleet: &TestFleet, caller: &TestClient, key: &str) -> Vec<TestCall> {
     let count = fleet.nodes.len();
     let start = Barrier::new(count);
     thread::scope(|scope| {
@@ -55,9 +55,9 @@
 }
 
 /// Nothing that must never happen did, and each key's history fits one order of events.
-fn assert_sound(calls: &[TestCall], fleet: &SmallFleet) {
+fn assert_consistent(calls: &[TestCall], fleet: &SmallFleet) {
     assert_eq!(violations(calls, fleet), []);
-    assert_eq!(broken_keys(calls, fleet), Vec::<String>::new());
+    assert_eq!(nonlinearizable_keys(calls, fleet), Vec::<String>::new());
 }
 
 fn runs_of(fleet: &SmallFleet, key: &str) -> usize {
@@ -69,8 +69,8 @@
 /// Guards against bookings that run twice when they are sent through every node.
 #[test]
 fn a_booking_sent_through_all_nodes_at_once_runs_once() {
-    let mut fleet = TestFleet::start(desk_plan());
-    let caller = TestCaller::new(&fleet.plan, 0);
+    let mut fleet = TestFleet::start(booking_plan());
+    let caller = TestClient::new(&fleet.plan, 0);
     let keys: Vec<String> = (0..12).map(|number| format!("at-once-{number}")).collect();
     let mut calls = Vec::new();
     for key in &keys {
@@ -78,24 +78,24 @@
     }
     for (place, key) in keys.iter().enumerate() {
         let address = fleet.address(place % 3);
-        calls.push(caller.book_until_answered(&address, key));
+        calls.push(caller.book_until_success(&address, key));
         assert_eq!(runs_of(&fleet, key), 1, "{key}");
     }
     fleet.restart_all();
     for (place, key) in keys.iter().enumerate() {
         let address = fleet.address((place + 1) % 3);
-        let call = caller.book_until_answered(&address, key);
+        let call = caller.book_until_success(&address, key);
         calls.push(call);
     }
-    assert_sound(&calls, &fleet);
+    assert_consistent(&calls, &fleet);
 }
 
 /// Guards against bookings that run again, or are called not run, after their node was killed.
 #[test]
 fn a_node_killed_between_dispatch_and_answer_leaves_one_run() {
     for kills_leader in [false, true] {
-        let mut fleet = TestFleet::start(desk_plan());
-        let caller = TestCaller::new(&fleet.plan, 1);
+        let mut fleet = TestFleet::start(booking_plan());
+        let caller = TestClient::new(&fleet.plan, 1);
         let leader = fleet.wait_for_leader(&[0, 1, 2]);
         let killed = match kills_leader {
             true => leader,
@@ -138,15 +138,15 @@
         calls.push(caller.book(&fleet.address(killed), "cut"));
         assert!(!calls.last().unwrap().is_answered());
         assert_eq!(runs_of(&fleet, "cut"), 1);
-        assert_sound(&calls, &fleet);
+        assert_consistent(&calls, &fleet);
     }
 }
 
 /// Guards against bookings that another node runs on a guess after their node was lost.
 #[test]
 fn a_node_lost_between_claim_and_dispatch_runs_nothing() {
-    let mut fleet = TestFleet::start(desk_plan());
-    let caller = TestCaller::new(&fleet.plan, 2);
+    let mut fleet = TestFleet::start(booking_plan());
+    let caller = TestClient::new(&fleet.plan, 2);
     let mut calls = Vec::new();
     let mut found = None;
     // The claim has to reach the frozen leader before the cut; where it did not, once more.
@@ -189,36 +189,36 @@
         calls.push(call);
     }
     assert_eq!(runs_of(&fleet, &key), 0);
-    assert_sound(&calls, &fleet);
+    assert_consistent(&calls, &fleet);
 }
 
 /// Guards against checks that do not notice a second run, or a stale or crossed answer.
 #[test]
 fn the_booking_checks_notice_broken_variants() {
-    let fleet = TestFleet::start(desk_plan());
-    let caller = TestCaller::new(&fleet.plan, 0);
+    let fleet = TestFleet::start(booking_plan());
+    let caller = TestClient::new(&fleet.plan, 0);
     let mut calls = Vec::new();
     for number in 0..3 {
         let key = format!("sound-{number}");
         calls.extend(book_everywhere(&fleet, &caller, &key));
-        calls.push(caller.book_until_answered(&fleet.address(number), &key));
+        calls.push(caller.book_until_success(&fleet.address(number), &key));
     }
-    assert_sound(&calls, &fleet);
+    assert_consistent(&calls, &fleet);
 
     let sound = key_events(&calls, &fleet);
     let mut crossed = calls.clone();
     let run = crossed.last().unwrap().run.clone();
     crossed[2].run = run;
-    assert_eq!(broken_keys(&crossed, &fleet), ["sound-0"]);
+    assert_eq!(nonlinearizable_keys(&crossed, &fleet), ["sound-0"]);
 
     let mut stale: Vec<KeyEvent> = sound[0].1.clone();
     let first_run = stale
         .iter()
-        .find(|event| matches!(event.what, KeyOp::Run(_)));
+        .find(|event| matches!(event.what, KeyOperation::Run(_)));
     let before = first_run.unwrap().from - Duration::from_millis(1);
     let answer = stale
         .iter_mut()
-        .find(|event| matches!(event.what, KeyOp::Answer(_)));
+        .find(|event| matches!(event.what, KeyOperation::Answer(_)));
     let answer = answer.unwrap();
     (answer.from, answer.until) = (before, Some(before));
     assert!(!is_linearizable(&stale));
@@ -237,5 +237,5 @@
     let found = violations(&unclaimed, &fleet);
     let twice = |violation: &RunViolation| matches!(violation, RunViolation::RanTwice { .. });
     assert!(found.iter().any(twice), "{found:?}");
-    assert_eq!(broken_keys(&unclaimed, &fleet), ["unclaimed"]);
+    assert_eq!(nonlinearizable_keys(&unclaimed, &fleet), ["unclaimed"]);
 }
--- a/crates/ragwortroad_demo/tests/failures/common/booking_history.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/booking_history.rs
@@ -18,15 +18,15 @@
     specifications::Specification, //
 };
 
-use crate::common::caller::{
-    RunName,
+use crate::common::client::{
+    RunId,
     TestCall, //
 };
 
 /// What happened to one key at some time between two moments.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyEvent {
-    pub(crate) what: KeyOp,
+    pub(crate) what: KeyOperation,
     pub(crate) from: Instant,
     /// Nothing if it is not over.
     pub(crate) until: Option<Instant>,
@@ -34,28 +34,28 @@
 
 /// What can happen to a key.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum KeyOp {
+pub(crate) enum KeyOperation {
     /// An endpoint ran the booking.
-    Run(RunName),
+    Run(RunId),
     /// A caller was given the answer of this run.
-    Answer(RunName),
+    Answer(RunId),
 }
 
 /// A key runs once at most, and after that every answer is that run's.
-struct KeySpec;
+struct BookingSpec;
 
-impl Specification for KeySpec {
-    type State = Option<RunName>;
-    type Operation = KeyOp;
+impl Specification for BookingSpec {
+    type State = Option<RunId>;
+    type Operation = KeyOperation;
 
     fn init() -> Self::State {
         None
     }
 
-    fn apply(operation: &KeyOp, state: &Self::State) -> (bool, Self::State) {
+    fn apply(operation: &KeyOperation, state: &Self::State) -> (bool, Self::State) {
         match operation {
-            KeyOp::Run(name) => (state.is_none(), Some(name.clone())),
-            KeyOp::Answer(name) => (state.as_ref() == Some(name), state.clone()),
+            KeyOperation::Run(name) => (state.is_none(), Some(name.clone())),
+            KeyOperation::Answer(name) => (state.as_ref() == Some(name), state.clone()),
         }
     }
 }
@@ -82,7 +82,7 @@
             // Times are cut to milliseconds, so the end may be a part of one later.
             let end = record.ended_ms.map(|ended| ended + 1);
             events.push(KeyEvent {
-                what: KeyOp::Run((record.endpoint.clone(), place as u64)),
+                what: KeyOperation::Run((record.endpoint.clone(), place as u64)),
                 from: start + Duration::from_millis(record.began_ms),
                 until: end.map(|ended| start + Duration::from_millis(ended)),
             });
@@ -91,7 +91,7 @@
     for call in calls {
         if let (true, Some(run)) = (call.note.key.as_deref() == Some(key), &call.run) {
             events.push(KeyEvent {
-                what: KeyOp::Answer(run.clone()),
+                what: KeyOperation::Answer(run.clone()),
                 from: call.called,
                 until: Some(call.answered),
             });
@@ -115,11 +115,11 @@
     actions.sort_by_key(|(at, place, _)| (*at, *place));
     let actions = actions.into_iter();
     let history: Vec<_> = actions.map(|(_, place, action)| (place, action)).collect();
-    history.is_empty() || WGLChecker::<KeySpec>::is_linearizable(History::from_actions(history))
+    history.is_empty() || WGLChecker::<BookingSpec>::is_linearizable(History::from_actions(history))
 }
 
 /// Keys whose history fits no order.
-pub(crate) fn broken_keys(calls: &[TestCall], fleet: &SmallFleet) -> Vec<String> {
+pub(crate) fn nonlinearizable_keys(calls: &[TestCall], fleet: &SmallFleet) -> Vec<String> {
     let events = key_events(calls, fleet).into_iter();
     events
         .filter(|(_, events)| !is_linearizable(events))
--- a/crates/ragwortroad_demo/tests/failures/common/caller.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/client.rs
@@ -10,7 +10,7 @@
 
 /// A customer who calls one node at a time and writes down what came of it.
 #[derive(Clone, Debug)]
-pub(crate) struct TestCaller {
+pub(crate) struct TestClient {
     pub(crate) customer: String,
     pub(crate) service: String,
     /// How long it waits for an answer.
@@ -24,15 +24,15 @@
     pub(crate) called: Instant,
     pub(crate) answered: Instant,
     /// Which run the answer stems from: its endpoint, and its place among that one's runs.
-    pub(crate) run: Option<RunName>,
+    pub(crate) run: Option<RunId>,
     /// Whether a refusal told when to ask again.
-    pub(crate) has_pause: bool,
+    pub(crate) has_retry_delay: bool,
 }
 
 /// An endpoint's name and the place of a run in its records.
-pub(crate) type RunName = (String, u64);
+pub(crate) type RunId = (String, u64);
 
-impl TestCaller {
+impl TestClient {
     pub(crate) fn new(plan: &FleetPlan, number: usize) -> Self {
         Self {
             customer: plan.customers[number].clone(),
@@ -75,7 +75,7 @@
     }
 
     /// Books until the outcome is an answer or one that waiting does not change.
-    pub(crate) fn book_until_answered(&self, address: &str, key: &str) -> TestCall {
+    pub(crate) fn book_until_success(&self, address: &str, key: &str) -> TestCall {
         let mut last = None;
         wait_until("an answer to a booking", || {
             let call = self.book(address, key);
@@ -96,7 +96,7 @@
     ) -> TestCall {
         let url = format!("http://{address}/v1/services/{}/bookings", self.service);
         let request = minreq::Request::new(method, url).with_body(body);
-        self.send(request, key, |answer| check_own(answer, key))
+        self.send(request, key, |answer| check_booking(answer, key))
     }
 
     /// Sends a request and writes down what came of it; `judge` says what a whole answer is worth.
@@ -128,7 +128,7 @@
             code: None,
         };
         let mut run = None;
-        let mut has_pause = false;
+        let mut has_retry_delay = false;
         let mut answer_hash = None;
         let end = match answer {
             Err(error) => ClientOutcome::Broken(error.to_string()),
@@ -144,13 +144,13 @@
                 answer_hash = Some(xxhash_rust::xxh3::xxh3_64(answer.as_bytes()));
                 match answer.status_code {
                     200..=299 => {
-                        run = run_name(answer.as_bytes());
+                        run = run_id(answer.as_bytes());
                         judge(answer.as_bytes())
                     }
                     // Whatever is not the answer must be a refusal that a program can read.
                     _ => match serde_json::from_slice::<RefusalWire>(answer.as_bytes()) {
                         Ok(refusal) => {
-                            has_pause = refusal.error.retry_after_ms.is_some();
+                            has_retry_delay = refusal.error.retry_after_ms.is_some();
                             attempt.outcome = Some(refusal.error.outcome);
                             attempt.code = Some(refusal.error.code);
                             ClientOutcome::Refused(refusal.error.outcome, refusal.error.code)
@@ -177,7 +177,7 @@
             called,
             answered,
             run,
-            has_pause,
+            has_retry_delay,
         }
     }
 }
@@ -192,14 +192,14 @@
     }
 }
 
-fn run_name(body: &[u8]) -> Option<RunName> {
+fn run_id(body: &[u8]) -> Option<RunId> {
     let body: Value = serde_json::from_slice(body).ok()?;
     let endpoint = body.get("endpoint")?.as_str()?.to_owned();
     Some((endpoint, body.get("run")?.as_u64()?))
 }
 
 /// Whether an answer is to the booking under `key`.
-fn check_own(body: &[u8], key: Option<&str>) -> ClientOutcome {
+fn check_booking(body: &[u8], key: Option<&str>) -> ClientOutcome {
     let body: Option<Value> = serde_json::from_slice(body).ok();
     let named = body.as_ref().and_then(|body| body.get("idempotency_key"));
     match body.is_some() && named.and_then(Value::as_str) == key {
--- a/crates/ragwortroad_demo/tests/failures/common/fleet.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/fleet.rs
@@ -13,7 +13,7 @@
 use tracing_subscriber::EnvFilter;
 
 /// Fleets that run at once; more would take each other's processor time.
-const MOST_FLEETS: usize = 5;
+const MAX_FLEETS: usize = 5;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
@@ -30,7 +30,7 @@
             .try_init()
             .unwrap_or_default();
         let mut running = RUNNING.lock().unwrap();
-        while *running >= MOST_FLEETS {
+        while *running >= MAX_FLEETS {
             running = ENDED.wait(running).unwrap();
         }
         *running += 1;
--- a/crates/ragwortroad_demo/tests/failures/common/operator_history.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/operator_history.rs
@@ -18,8 +18,8 @@
 
 /// One change as its operator saw it.
 #[derive(Clone, Debug)]
-pub(crate) struct ChangeNote {
-    pub(crate) op: ChangeOp,
+pub(crate) struct ChangeRecord {
+    pub(crate) op: ChangeOperation,
     pub(crate) called: Instant,
     pub(crate) answered: Instant,
     pub(crate) answer: LineResponse,
@@ -27,14 +27,14 @@
 
 /// A change and what was decided on it.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct ChangeOp {
+pub(crate) struct ChangeOperation {
     pub(crate) id: String,
     pub(crate) base: u64,
-    pub(crate) end: ChangeEnd,
+    pub(crate) end: ObservedOutcome,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum ChangeEnd {
+pub(crate) enum ObservedOutcome {
     /// Accepted as this revision.
     Accepted(u64),
     /// Refused, since this revision was there already.
@@ -48,18 +48,18 @@
 
 impl Specification for RevisionSpec {
     type State = (u64, BTreeMap<String, (u64, bool)>);
-    type Operation = ChangeOp;
+    type Operation = ChangeOperation;
 
     fn init() -> Self::State {
         (0, BTreeMap::new())
     }
 
-    fn apply(operation: &ChangeOp, state: &Self::State) -> (bool, Self::State) {
+    fn apply(operation: &ChangeOperation, state: &Self::State) -> (bool, Self::State) {
         let (revision, mut outcomes) = state.clone();
         let told = match operation.end {
-            ChangeEnd::Accepted(told) => (told, true),
-            ChangeEnd::Conflict(told) => (told, false),
-            ChangeEnd::Unknown => return (false, state.clone()),
+            ObservedOutcome::Accepted(told) => (told, true),
+            ObservedOutcome::Conflict(told) => (told, false),
+            ObservedOutcome::Unknown => return (false, state.clone()),
         };
         if let Some(first) = outcomes.get(&operation.id) {
             return (*first == told, state.clone());
@@ -74,17 +74,17 @@
 }
 
 /// Issues a change on a revision and writes down what came of it.
-pub(crate) fn issue(operator: &OperatorClient, edit: &str, base: u64, id: &str) -> ChangeNote {
+pub(crate) fn issue(operator: &OperatorClient, edit: &str, base: u64, id: &str) -> ChangeRecord {
     let line = format!("{edit} on revision {base}");
     let called = Instant::now();
     let answer = operator.change(&line, id).unwrap();
     let answered = Instant::now();
-    let op = ChangeOp {
+    let op = ChangeOperation {
         id: id.to_owned(),
         base,
         end: change_end(&answer),
     };
-    ChangeNote {
+    ChangeRecord {
         op,
         called,
         answered,
@@ -92,27 +92,27 @@
     }
 }
 
-fn change_end(answer: &LineResponse) -> ChangeEnd {
+fn change_end(answer: &LineResponse) -> ObservedOutcome {
     let refused = answer.body.pointer("/refused/conflict/revision");
     let accepted = answer.body.get("revision").and_then(Value::as_u64);
     match (accepted, refused.and_then(Value::as_u64)) {
-        (Some(revision), _) => ChangeEnd::Accepted(revision),
-        (None, Some(revision)) => ChangeEnd::Conflict(revision),
-        (None, None) => ChangeEnd::Unknown,
+        (Some(revision), _) => ObservedOutcome::Accepted(revision),
+        (None, Some(revision)) => ObservedOutcome::Conflict(revision),
+        (None, None) => ObservedOutcome::Unknown,
     }
 }
 
 /// Whether one order of all decided changes fits the rule, from `base` on.
-pub(crate) fn is_linearizable(notes: &[ChangeNote], base: u64) -> bool {
+pub(crate) fn is_linearizable(notes: &[ChangeRecord], base: u64) -> bool {
     let mut actions = Vec::new();
     for (place, note) in notes.iter().enumerate() {
         let mut op = note.op.clone();
         // Histories start at 0.
         op.base -= base;
         op.end = match op.end {
-            ChangeEnd::Accepted(revision) => ChangeEnd::Accepted(revision - base),
-            ChangeEnd::Conflict(revision) => ChangeEnd::Conflict(revision - base),
-            ChangeEnd::Unknown => continue,
+            ObservedOutcome::Accepted(revision) => ObservedOutcome::Accepted(revision - base),
+            ObservedOutcome::Conflict(revision) => ObservedOutcome::Conflict(revision - base),
+            ObservedOutcome::Unknown => continue,
         };
         actions.push((note.called, place, Action::Call(op.clone())));
         actions.push((note.answered, place, Action::Response(op)));
--- a/crates/ragwortroad_demo/tests/failures/common/load_spans.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/run_spans.rs
@@ -6,24 +6,24 @@
 use ragwortroad_standin::prelude::*;
 
 /// The multiple of the fleet's mean that a fleet has until an operator sets another.
-const MULTIPLE: f64 = 1.25;
+const LOAD_FACTOR: f64 = 1.25;
 
 /// Up to this load an engine is never above its bound.
-const FLOOR: usize = 4;
+const LOAD_FLOOR: usize = 4;
 
 /// The mean falls while requests that were admitted under a higher one still run; so the bound is
 /// that of the highest mean within this time, about the life of a request.
-const MEAN_SPAN: Duration = Duration::from_secs(1);
+const MEAN_WINDOW: Duration = Duration::from_secs(1);
 
 /// When each run of one engine began and ended, by its own record.
-pub(crate) struct LoadSpans {
+pub(crate) struct RunSpans {
     name: String,
     spans: Vec<(Instant, Option<Instant>)>,
     /// From then on the engine is not there any more.
     lost_at: Option<Instant>,
 }
 
-impl LoadSpans {
+impl RunSpans {
     pub(crate) fn new(start: Instant, records: &[RunRecord]) -> Self {
         let at = |moment: u64| start + Duration::from_millis(moment);
         let span = |record: &RunRecord| (at(record.began_ms), record.ended_ms.map(at));
@@ -59,8 +59,8 @@
 }
 
 /// The loads beyond the bound, at every moment at which an engine began a run.
-pub(crate) fn beyond_bound(engines: &[LoadSpans]) -> Vec<String> {
-    let begins = |engine: &LoadSpans| engine.spans.iter().map(|(from, _)| *from).collect();
+pub(crate) fn bound_violations(engines: &[RunSpans]) -> Vec<String> {
+    let begins = |engine: &RunSpans| engine.spans.iter().map(|(from, _)| *from).collect();
     let mut moments: Vec<Instant> = engines
         .iter()
         .flat_map(|engine| -> Vec<Instant> { begins(engine) })
@@ -77,9 +77,9 @@
     for (moment, _) in &means {
         let recent = means
             .iter()
-            .filter(|(at, _)| at <= moment && *moment - *at <= MEAN_SPAN);
+            .filter(|(at, _)| at <= moment && *moment - *at <= MEAN_WINDOW);
         let mean = recent.map(|(_, mean)| *mean).fold(0.0, f64::max);
-        let bound = FLOOR.max((MULTIPLE * mean).ceil() as usize);
+        let bound = LOAD_FLOOR.max((LOAD_FACTOR * mean).ceil() as usize);
         for engine in engines {
             let load = engine.load_at(*moment);
             if load > bound {
@@ -90,8 +90,8 @@
                     earlier.map(|(_, mean)| *mean).fold(0.0, f64::max)
                 };
                 let name = &engine.name;
-                let two = older(MEAN_SPAN * 2);
-                let three = older(MEAN_SPAN * 3);
+                let two = older(MEAN_WINDOW * 2);
+                let three = older(MEAN_WINDOW * 3);
                 beyond.push(format!(
                     "{name}: {load} at a mean of {mean:.2} ({two:.2} in 2 s, {three:.2} in 3 s)"
                 ));
--- a/crates/ragwortroad_demo/tests/failures/endpoints.rs
+++ b/crates/ragwortroad_demo/tests/failures/endpoints.rs
@@ -17,7 +17,7 @@
 use ragwortroad_types::prelude::*;
 
 use crate::common::{
-    caller::TestCaller,
+    client::TestClient,
     fleet::TestFleet, //
 };
 
@@ -47,7 +47,7 @@
 }
 
 /// Sendings whose answer began and neither became whole nor ended with a clear refusal.
-fn cut_answers(report: &RunReport) -> Vec<&CallRecord> {
+fn truncated_calls(report: &RunReport) -> Vec<&CallRecord> {
     let is_cut = |note: &&CallRecord| {
         let whole = usize::from(note.end == ClientOutcome::Answered);
         let begun = note.attempts.iter().filter(|attempt| {
@@ -67,10 +67,10 @@
 }
 
 /// Everything that must always hold does, and most callers were served.
-fn assert_sound(mut report: RunReport, fleet: &SmallFleet) -> RunReport {
+fn assert_consistent(mut report: RunReport, fleet: &SmallFleet) -> RunReport {
     report.verify(&fleet.records());
     assert_eq!(report.violations, []);
-    assert_eq!(cut_answers(&report), Vec::<&CallRecord>::new());
+    assert_eq!(truncated_calls(&report), Vec::<&CallRecord>::new());
     let (whole, all) = (answered(&report), report.notes.len());
     assert!(
         whole * 10 >= all * 9,
@@ -94,7 +94,7 @@
         fleet.restart_node(number).unwrap();
         fleet.wait_for_leader(&[0, 1, 2]);
     }
-    let report = assert_sound(load.join().unwrap(), &fleet);
+    let report = assert_consistent(load.join().unwrap(), &fleet);
     let records = fleet.records();
     let all_whole = records
         .iter()
@@ -105,7 +105,7 @@
 /// Guards against new work for endpoints that leave or are drained.
 #[test]
 fn a_leaving_endpoint_gets_no_new_work() {
-    const FEW_SECONDS: Duration = Duration::from_secs(3);
+    const STOP_DELAY: Duration = Duration::from_secs(3);
     let fleet = TestFleet::start(stream_plan());
     let load = start_load(&fleet, 9);
     thread::sleep(Duration::from_millis(500));
@@ -118,7 +118,7 @@
         .unwrap();
     assert_eq!(answer.status, 200, "{answer:?}");
     let drained = Instant::now();
-    let report = assert_sound(load.join().unwrap(), &fleet);
+    let report = assert_consistent(load.join().unwrap(), &fleet);
     assert!(report.seconds > 8.0);
     let began_after = |engine: &StandinEngine, moment: Instant| {
         let records = engine.records();
@@ -126,7 +126,7 @@
         let late = records.iter().filter(|record| began(record) > moment);
         late.count()
     };
-    assert_eq!(began_after(engines[0], left + FEW_SECONDS), 0);
+    assert_eq!(began_after(engines[0], left + STOP_DELAY), 0);
     // A change in force binds every node, so requests on their way are all that may still come.
     assert_eq!(began_after(engines[1], drained + Duration::from_secs(1)), 0);
     for engine in &engines[..2] {
@@ -138,7 +138,7 @@
                 .all(|record| record.end == RunStatus::Completed)
         );
     }
-    assert!(began_after(engines[2], left + FEW_SECONDS) > 10);
+    assert!(began_after(engines[2], left + STOP_DELAY) > 10);
 }
 
 /// Guards against new work for the endpoints of a drained failure domain, and against drains without end.
@@ -174,7 +174,7 @@
     assert_eq!(begun(), before);
     change("undrain domain zone-b");
     wait_until("work at the domain again", || begun() > before).unwrap();
-    assert_sound(load.join().unwrap(), &fleet);
+    assert_consistent(load.join().unwrap(), &fleet);
     let records: Vec<RunRecord> = drained.iter().flat_map(|engine| engine.records()).collect();
     assert!(
         records
@@ -228,7 +228,7 @@
     for (round, plan) in faults.into_iter().enumerate() {
         let faulty = fleet.engines[0].as_ref().unwrap();
         faulty.set_faults(FaultPlan {
-            requests: Some(4),
+            max_requests: Some(4),
             ..plan
         });
         // Later on it is held back, as it flaps.
@@ -250,7 +250,7 @@
         fleet.engines[1] = Some(back);
         thread::sleep(Duration::from_millis(400));
     }
-    let report = assert_sound(load.join().unwrap(), &fleet);
+    let report = assert_consistent(load.join().unwrap(), &fleet);
     let cut = fleet
         .stopped_records
         .iter()
@@ -262,7 +262,7 @@
 #[test]
 fn the_answer_checks_notice_broken_variants() {
     let fleet = TestFleet::start(stream_plan());
-    let mut report = assert_sound(start_load(&fleet, 2).join().unwrap(), &fleet);
+    let mut report = assert_consistent(start_load(&fleet, 2).join().unwrap(), &fleet);
     let body = ChatBody {
         messages: vec![ChatMessage::text("user", "whose caption is this?")],
         ..ChatBody::default()
@@ -290,7 +290,7 @@
         .iter_mut()
         .find(|note| note.end == ClientOutcome::Answered);
     note.unwrap().end = ClientOutcome::Broken("cut".to_owned());
-    assert_eq!(cut_answers(&report).len(), 1);
+    assert_eq!(truncated_calls(&report).len(), 1);
 }
 
 /// Guards against an idle service that counts as full for nodes that only add requests up.
@@ -301,7 +301,7 @@
         services: 1,
         ..FleetPlan::default()
     });
-    let caller = TestCaller::new(&fleet.plan, 0);
+    let caller = TestClient::new(&fleet.plan, 0);
     for number in 0..3 {
         for _ in 0..30 {
             let call = caller.read(&fleet.address(number));
--- a/crates/ragwortroad_demo/tests/failures/members.rs
+++ b/crates/ragwortroad_demo/tests/failures/members.rs
@@ -11,10 +11,10 @@
 use serde_json::Value;
 
 use crate::common::{
-    booking_history::broken_keys,
-    caller::{
+    booking_history::nonlinearizable_keys,
+    client::{
         TestCall,
-        TestCaller,
+        TestClient,
         violations, //
     },
     fleet::TestFleet, //
@@ -30,7 +30,7 @@
 }
 
 /// Whether three members count in quorums and have the same entries, which a lost folder has not.
-fn is_whole(fleet: &SmallFleet, asked: &[usize]) -> bool {
+fn is_fully_replicated(fleet: &SmallFleet, asked: &[usize]) -> bool {
     let operator = fleet.operator_at(asked);
     let Ok(answer) = operator.ask("show members where state = voter") else {
         return false;
@@ -68,7 +68,7 @@
 #[test]
 fn two_disks_lost_one_after_the_other_lose_nothing() {
     let mut fleet = TestFleet::start(state_plan());
-    let caller = TestCaller::new(&fleet.plan, 0);
+    let caller = TestClient::new(&fleet.plan, 0);
     let mut calls = Vec::new();
     let mut ids = Vec::new();
     let leader = fleet.wait_for_leader(&[0, 1, 2]);
@@ -80,7 +80,7 @@
             ids.push(format!("kept-{round}-{step}"));
             change(&fleet, &[0, 1, 2], ids.last().unwrap(), ids.len());
             let key = format!("kept-{round}-{step}");
-            calls.push(caller.book_until_answered(&fleet.address(step), &key));
+            calls.push(caller.book_until_success(&fleet.address(step), &key));
         }
         fleet.crash_node(lost);
         fleet.delete_data_folder(lost).unwrap();
@@ -88,22 +88,27 @@
         ids.push(format!("without-{round}"));
         change(&fleet, &others, ids.last().unwrap(), ids.len());
         fleet.restart_node(lost).unwrap();
-        wait_until("the new member", || is_whole(&fleet, &others)).unwrap();
+        wait_until("the new member", || is_fully_replicated(&fleet, &others)).unwrap();
     }
-    check_kept(&fleet, &caller, &mut calls, &ids);
+    assert_all_kept(&fleet, &caller, &mut calls, &ids);
     fleet.restart_all();
-    check_kept(&fleet, &caller, &mut calls, &ids);
+    assert_all_kept(&fleet, &caller, &mut calls, &ids);
     assert_eq!(violations(&calls, &fleet), []);
-    assert_eq!(broken_keys(&calls, &fleet), Vec::<String>::new());
+    assert_eq!(nonlinearizable_keys(&calls, &fleet), Vec::<String>::new());
 }
 
 /// Every change is known at each node, and every booking is answered again.
-fn check_kept(fleet: &TestFleet, caller: &TestCaller, calls: &mut Vec<TestCall>, ids: &[String]) {
+fn assert_all_kept(
+    fleet: &TestFleet,
+    caller: &TestClient,
+    calls: &mut Vec<TestCall>,
+    ids: &[String],
+) {
     for number in 0..3 {
         for id in ids {
             wait_until(id, || knows_change(fleet, number, id)).unwrap();
         }
-        calls.push(caller.book_until_answered(&fleet.address(number), &ids[number]));
+        calls.push(caller.book_until_success(&fleet.address(number), &ids[number]));
     }
 }
 
@@ -137,7 +142,10 @@
     }
     let wanted = first + CHANGES as u64;
     fleet.restart_node(late).unwrap();
-    wait_until("the member that was away", || is_whole(&fleet, &[late])).unwrap();
+    wait_until("the member that was away", || {
+        is_fully_replicated(&fleet, &[late])
+    })
+    .unwrap();
     fleet.crash_node(third);
     wait_until("all changes at the rest", || {
         revision(&fleet, late) == wanted
@@ -181,7 +189,7 @@
 #[test]
 fn a_full_disk_stops_acknowledgements_and_not_the_process() {
     let mut fleet = TestFleet::start(state_plan());
-    let caller = TestCaller::new(&fleet.plan, 0);
+    let caller = TestClient::new(&fleet.plan, 0);
     let full = fleet.wait_for_leader(&[0, 1, 2]);
     let (third, other) = ((full + 1) % 3, (full + 2) % 3);
     let folder = fleet.settings[full].state.data_folder.clone().unwrap();
@@ -192,13 +200,16 @@
     let taken: u64 = taken.sum();
     fleet.settings[full].state.data_quota = Some(taken + 12_000);
     fleet.restart_node(full).unwrap();
-    wait_until("the member with little room", || is_whole(&fleet, &[full])).unwrap();
+    wait_until("the member with little room", || {
+        is_fully_replicated(&fleet, &[full])
+    })
+    .unwrap();
     let mut calls = Vec::new();
     for number in 0..60 {
         let address = fleet.address(number % 3);
-        calls.push(caller.book_until_answered(&address, &format!("full-{number}")));
+        calls.push(caller.book_until_success(&address, &format!("full-{number}")));
     }
-    assert!(!is_whole(&fleet, &[third, other]));
+    assert!(!is_fully_replicated(&fleet, &[third, other]));
     assert!(caller.read(&fleet.address(full)).is_answered());
 
     fleet.crash_node(third);
@@ -216,20 +227,23 @@
             call.note.end,
             ClientOutcome::Refused(RequestOutcome::NotRun, _)
         );
-        assert!(not_run && call.has_pause, "{call:?}");
+        assert!(not_run && call.has_retry_delay, "{call:?}");
         calls.push(call);
     }
     fleet.restart_node(third).unwrap();
     fleet.crash_node(full);
     fleet.settings[full].state.data_quota = None;
     fleet.restart_node(full).unwrap();
-    wait_until("the member with room again", || is_whole(&fleet, &[full])).unwrap();
+    wait_until("the member with room again", || {
+        is_fully_replicated(&fleet, &[full])
+    })
+    .unwrap();
     for number in 0..3 {
         let address = fleet.address(number);
-        calls.push(caller.book_until_answered(&address, &format!("full-{number}")));
+        calls.push(caller.book_until_success(&address, &format!("full-{number}")));
     }
     assert_eq!(violations(&calls, &fleet), []);
-    assert_eq!(broken_keys(&calls, &fleet), Vec::<String>::new());
+    assert_eq!(nonlinearizable_keys(&calls, &fleet), Vec::<String>::new());
 }
 
 /// The newest revision by the word of the leader, asked through one node; 0 if there is none.
--- a/crates/ragwortroad_demo/tests/failures/operators.rs
+++ b/crates/ragwortroad_demo/tests/failures/operators.rs
@@ -21,15 +21,15 @@
 use ragwortroad_types::prelude::*;
 
 use crate::common::{
-    caller::{
+    client::{
         TestCall,
-        TestCaller,
+        TestClient,
         violations, //
     },
     fleet::TestFleet,
     operator_history::{
-        ChangeEnd,
-        ChangeNote,
+        ChangeRecord,
+        ObservedOutcome,
         is_linearizable,
         issue, //
     }, //
@@ -64,21 +64,21 @@
     for pair in notes.chunks(2) {
         let accepted = pair
             .iter()
-            .filter(|note| matches!(note.op.end, ChangeEnd::Accepted(_)));
+            .filter(|note| matches!(note.op.end, ObservedOutcome::Accepted(_)));
         assert_eq!(accepted.count(), 1, "{pair:?}");
         let refused = pair
             .iter()
-            .find(|note| matches!(note.op.end, ChangeEnd::Conflict(_)));
+            .find(|note| matches!(note.op.end, ObservedOutcome::Conflict(_)));
         let text = &refused.expect("a refusal").answer.text;
         assert!(text.contains("won with 'set multiple"), "{text}");
     }
-    let resend = |fleet: &TestFleet, note: &ChangeNote, number: usize| {
+    let resend = |fleet: &TestFleet, note: &ChangeRecord, number: usize| {
         let mut again = None;
         wait_until("an outcome", || {
             let operator = fleet.operator_at(&[number]);
             let edit = edit_of(&note.op.id);
             let sent = issue(&operator, &edit, note.op.base, &note.op.id);
-            again = Some(sent).filter(|sent| sent.op.end != ChangeEnd::Unknown);
+            again = Some(sent).filter(|sent| sent.op.end != ObservedOutcome::Unknown);
             again.is_some()
         })
         .unwrap();
@@ -106,14 +106,14 @@
     let mut broken = notes.clone();
     let refused = broken
         .iter_mut()
-        .find(|note| matches!(note.op.end, ChangeEnd::Conflict(_)));
+        .find(|note| matches!(note.op.end, ObservedOutcome::Conflict(_)));
     let refused = refused.unwrap();
-    refused.op.end = ChangeEnd::Accepted(refused.op.base + 1);
+    refused.op.end = ObservedOutcome::Accepted(refused.op.base + 1);
     assert!(!is_linearizable(&broken, base));
 }
 
 /// Two operators' changes at one moment, at two nodes.
-fn race(fleet: &TestFleet, base: u64, round: u64) -> Vec<ChangeNote> {
+fn race(fleet: &TestFleet, base: u64, round: u64) -> Vec<ChangeRecord> {
     let start = Barrier::new(2);
     thread::scope(|scope| {
         let threads: Vec<_> = (0..2)
@@ -184,7 +184,7 @@
     let leader = fleet.wait_for_leader(&[0, 1, 2]);
     for cut in [3, (leader + 1) % 3, leader] {
         let customer = cut;
-        let caller = TestCaller::new(&fleet.plan, customer);
+        let caller = TestClient::new(&fleet.plan, customer);
         let others: Vec<usize> = (0..4).filter(|number| *number != cut).collect();
         wait_until("service before the cut", || {
             caller.read(&fleet.address(cut)).is_answered()
@@ -217,7 +217,7 @@
 }
 
 /// Takes a service from a customer; returns when the change was reported in force.
-fn deny(fleet: &TestFleet, caller: &TestCaller, asked: &[usize]) -> Instant {
+fn deny(fleet: &TestFleet, caller: &TestClient, asked: &[usize]) -> Instant {
     let line = format!(
         "deny customer {} service {}",
         caller.customer, caller.service
@@ -244,7 +244,7 @@
             "admitted after it was in force: {call:?}"
         );
         assert_eq!(call.code(), Some(RefusalCode::NotCurrent));
-        assert!(call.has_pause);
+        assert!(call.has_retry_delay);
     }
     assert_eq!(violations(calls, fleet), []);
 }
@@ -255,7 +255,7 @@
     let fleet = TestFleet::start(small_plan());
     let old = fleet.wait_for_leader(&[0, 1, 2]);
     let others: Vec<usize> = (0..3).filter(|number| *number != old).collect();
-    let caller = TestCaller::new(&fleet.plan, 0);
+    let caller = TestClient::new(&fleet.plan, 0);
     let base = revision(&fleet);
     fleet.partition(&[old]);
     // The old leader may still have its lease when this one arrives.
--- a/crates/ragwortroad_demo/tests/failures/overload.rs
+++ b/crates/ragwortroad_demo/tests/failures/overload.rs
@@ -20,15 +20,15 @@
 use ragwortroad_types::prelude::*;
 
 use crate::common::{
-    caller::{
+    client::{
         TestCall,
-        TestCaller,
+        TestClient,
         violations, //
     },
     fleet::TestFleet, //
 };
 
-fn narrow_plan() -> FleetPlan {
+fn small_engines_plan() -> FleetPlan {
     FleetPlan {
         engines: 2,
         services: 0,
@@ -44,16 +44,16 @@
 /// Guards against work for callers who have given up, and small customers behind a large one's queue.
 #[test]
 fn a_surge_is_refused_in_time_and_small_customers_are_served() {
-    let fleet = TestFleet::start(narrow_plan());
+    let fleet = TestFleet::start(small_engines_plan());
     let stops = AtomicBool::new(false);
     let (large, small) = thread::scope(|scope| {
         let surge: Vec<_> = (0..40)
             .map(|number| {
                 let (fleet, stops) = (&fleet, &stops);
-                scope.spawn(move || surge_caller(fleet, number, stops))
+                scope.spawn(move || run_surge_client(fleet, number, stops))
             })
             .collect();
-        let caller = TestCaller::new(&fleet.plan, 1);
+        let caller = TestClient::new(&fleet.plan, 1);
         let mut small = Vec::new();
         for number in 0..15 {
             let text = format!("small {number}");
@@ -78,7 +78,7 @@
             call.note.end,
             ClientOutcome::Refused(RequestOutcome::NotRun, _)
         );
-        assert!(not_run && call.has_pause, "{call:?}");
+        assert!(not_run && call.has_retry_delay, "{call:?}");
     }
     // Fifteen answers in at most three sendings each, against forty callers.
     assert!(small.len() <= 45, "{} sendings", small.len());
@@ -95,8 +95,8 @@
 }
 
 /// One of the large studio's callers, who comes back when told to.
-fn surge_caller(fleet: &SmallFleet, number: usize, stops: &AtomicBool) -> Vec<TestCall> {
-    let caller = TestCaller::new(&fleet.plan, 0);
+fn run_surge_client(fleet: &SmallFleet, number: usize, stops: &AtomicBool) -> Vec<TestCall> {
+    let caller = TestClient::new(&fleet.plan, 0);
     let address = fleet.settings[number % 3].node.listen.to_string();
     let mut calls = Vec::new();
     while !stops.load(Ordering::Relaxed) {
@@ -120,7 +120,7 @@
             token_gap: Duration::from_micros(200),
             ..EngineSettings::default()
         },
-        ..narrow_plan()
+        ..small_engines_plan()
     });
     let body = ChatBody {
         model: fleet.plan.model.clone(),
@@ -146,7 +146,7 @@
         socket
     };
     let sockets: Vec<TcpStream> = (0..4).map(open).collect();
-    let caller = TestCaller::new(&fleet.plan, 1);
+    let caller = TestClient::new(&fleet.plan, 1);
     let mut calls = Vec::new();
     for number in 0..30 {
         let address = fleet.address(number % 3);
--- a/crates/ragwortroad_demo/tests/failures/pairs.rs
+++ b/crates/ragwortroad_demo/tests/failures/pairs.rs
@@ -18,23 +18,23 @@
 use ragwortroad_types::prelude::*;
 
 use crate::common::{
-    booking_history::broken_keys,
-    caller::{
+    booking_history::nonlinearizable_keys,
+    client::{
         TestCall,
-        TestCaller,
+        TestClient,
         violations, //
     },
     fleet::TestFleet,
-    load_spans::{
-        LoadSpans,
-        beyond_bound, //
+    run_spans::{
+        RunSpans,
+        bound_violations, //
     }, //
 };
 
 /// Books new keys until it is told to stop, each through several nodes until its outcome is final.
-fn book_on(
+fn book_until_stopped(
     addresses: &[String],
-    caller: &TestCaller,
+    caller: &TestClient,
     name: &str,
     stops: &AtomicBool,
 ) -> Vec<TestCall> {
@@ -78,13 +78,13 @@
     let mut calls = thread::scope(|scope| {
         let threads: Vec<_> = (0..4)
             .map(|number| {
-                let caller = TestCaller {
+                let caller = TestClient {
                     patience: Duration::from_secs(6),
-                    ..TestCaller::new(&fleet.plan, number)
+                    ..TestClient::new(&fleet.plan, number)
                 };
                 let (addresses, stops) = (&addresses, &stops);
                 let name = format!("pair-{number}");
-                scope.spawn(move || book_on(addresses, &caller, &name, stops))
+                scope.spawn(move || book_until_stopped(addresses, &caller, &name, stops))
             })
             .collect();
         for round in 0..3 {
@@ -115,12 +115,12 @@
         let calls: Vec<TestCall> = threads.flat_map(|thread| thread.join().unwrap()).collect();
         calls
     });
-    let caller = TestCaller::new(&fleet.plan, 0);
+    let caller = TestClient::new(&fleet.plan, 0);
     for number in 0..4 {
-        calls.push(caller.book_until_answered(&fleet.address(number), &format!("after-{number}")));
+        calls.push(caller.book_until_success(&fleet.address(number), &format!("after-{number}")));
     }
     assert_eq!(violations(&calls, &fleet), []);
-    assert_eq!(broken_keys(&calls, &fleet), Vec::<String>::new());
+    assert_eq!(nonlinearizable_keys(&calls, &fleet), Vec::<String>::new());
     let was_hit = calls.iter().any(|call| !call.is_answered());
     assert!(was_hit, "no call met a failure");
     assert!(calls.iter().filter(|call| call.is_answered()).count() > 50);
@@ -178,11 +178,11 @@
         "{:?}",
         report.outcomes
     );
-    let mut spans = vec![LoadSpans::new(lost_start, &lost_records).lost_at(lost_at)];
+    let mut spans = vec![RunSpans::new(lost_start, &lost_records).lost_at(lost_at)];
     for engine in fleet.engines.iter().flatten() {
-        spans.push(LoadSpans::new(engine.started(), &engine.records()));
+        spans.push(RunSpans::new(engine.started(), &engine.records()));
     }
-    assert_eq!(beyond_bound(&spans), Vec::<String>::new());
+    assert_eq!(bound_violations(&spans), Vec::<String>::new());
 
     // Two homes that each fill an engine up to the bound are noticed.
     let busiest = fleet
@@ -193,6 +193,6 @@
     let busiest = busiest.unwrap();
     let mut doubled = busiest.records();
     doubled.extend(busiest.records());
-    spans.push(LoadSpans::new(busiest.started(), &doubled));
-    assert!(!beyond_bound(&spans).is_empty());
+    spans.push(RunSpans::new(busiest.started(), &doubled));
+    assert!(!bound_violations(&spans).is_empty());
 }
--- a/crates/ragwortroad_demo/tests/orders/common/mod.rs
+++ b/crates/ragwortroad_demo/tests/orders/common/mod.rs
@@ -14,14 +14,14 @@
 use ragwortroad_types::prelude::*;
 
 /// Fleets run one at a time; more would take each other's processor time.
-static ONE_FLEET: Mutex<()> = Mutex::new(());
+static FLEET_LOCK: Mutex<()> = Mutex::new(());
 
 /// Changes made so far, which gives each one an id of its own.
 static CHANGES: AtomicU32 = AtomicU32::new(0);
 
 /// Holds other tests' fleets back.
-pub(crate) fn only_fleet() -> MutexGuard<'static, ()> {
-    ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner)
+pub(crate) fn lock_fleets() -> MutexGuard<'static, ()> {
+    FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// A fleet whose engines hold its model, which is declared.
--- a/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
+++ b/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
@@ -9,7 +9,7 @@
 
 use crate::common::{
     change,
-    only_fleet,
+    lock_fleets,
     orders,
     quick_plan,
     start, //
@@ -17,15 +17,15 @@
 
 /// How the leader loses touch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LostTouch {
+enum LeaderFault {
     /// Its links to the other nodes are cut; engines still hear it.
-    CutOff,
+    Partitioned,
     /// It gets no processor, and goes on as if nothing had been.
     Paused,
 }
 
 /// Engines that confirm every order and obey none, so that a leader never stops giving them.
-fn deaf_fleet(checks_fencing: bool) -> SmallFleet {
+fn non_executing_fleet(checks_fencing: bool) -> SmallFleet {
     let mut plan = quick_plan();
     plan.orders.resend = Duration::from_millis(50);
     plan.engine.checks_fencing = checks_fencing;
@@ -45,7 +45,7 @@
 }
 
 /// Each engine's orders that took effect, in the order in which they came, never go back.
-fn goes_back(orders: &[OrderRecord]) -> Option<&OrderRecord> {
+fn stale_order(orders: &[OrderRecord]) -> Option<&OrderRecord> {
     orders.iter().enumerate().find_map(|(place, record)| {
         let later_fence = |earlier: &OrderRecord| {
             earlier.endpoint == record.endpoint && earlier.order.fence > record.order.fence
@@ -55,19 +55,19 @@
     })
 }
 
-fn run(checks_fencing: bool, lost: LostTouch) {
-    let fleet = deaf_fleet(checks_fencing);
+fn run(checks_fencing: bool, fault: LeaderFault) {
+    let fleet = non_executing_fleet(checks_fencing);
     let all: Vec<usize> = (0..fleet.nodes.len()).collect();
     wait_until("orders of the first leader", || orders(&fleet).len() > 20).unwrap();
     let old = fleet.leader(&all).unwrap();
     let old_fence = *fences(&orders(&fleet)).last().unwrap();
     let others: Vec<usize> = all.into_iter().filter(|node| *node != old).collect();
-    let hold = match lost {
-        LostTouch::CutOff => {
+    let hold = match fault {
+        LeaderFault::Partitioned => {
             fleet.partition(&[old]);
             None
         }
-        LostTouch::Paused => Some(fleet.nodes[old].as_ref().unwrap().freeze()),
+        LeaderFault::Paused => Some(fleet.nodes[old].as_ref().unwrap().freeze()),
     };
     wait_until("orders of the next leader", || {
         let newer = orders(&fleet);
@@ -90,10 +90,10 @@
     .unwrap();
     let orders = orders(&fleet);
     assert!(fences(&orders).len() >= 2);
-    let back = goes_back(&orders);
+    let back = stale_order(&orders);
     assert!(
         back.is_none(),
-        "{lost:?}, checked: {checks_fencing}: {back:?}"
+        "{fault:?}, checked: {checks_fencing}: {back:?}"
     );
     fleet.stop();
 }
@@ -101,10 +101,10 @@
 /// Guards against orders of a deposed leader that undo those of the next.
 #[test]
 fn a_deposed_leader_gives_no_order_that_takes_effect() {
-    let _only = only_fleet();
+    let _only = lock_fleets();
     for checks_fencing in [true, false] {
-        for lost in [LostTouch::CutOff, LostTouch::Paused] {
-            run(checks_fencing, lost);
+        for fault in [LeaderFault::Partitioned, LeaderFault::Paused] {
+            run(checks_fencing, fault);
         }
     }
 }
@@ -122,6 +122,6 @@
         accepted: true,
         received_at: std::time::Instant::now(),
     };
-    assert!(goes_back(&[record(1), record(2), record(2)]).is_none());
-    assert!(goes_back(&[record(1), record(2), record(1)]).is_some());
+    assert!(stale_order(&[record(1), record(2), record(2)]).is_none());
+    assert!(stale_order(&[record(1), record(2), record(1)]).is_some());
 }
--- a/crates/ragwortroad_demo/tests/orders/placement.rs
+++ b/crates/ragwortroad_demo/tests/orders/placement.rs
@@ -7,7 +7,7 @@
     change,
     holders,
     loads,
-    only_fleet,
+    lock_fleets,
     orders,
     quick_plan,
     start, //
@@ -16,7 +16,7 @@
 /// Guards against declared models that nobody orders, and orders for engines that need none.
 #[test]
 fn engines_become_what_is_declared() {
-    let _only = only_fleet();
+    let _only = lock_fleets();
     let fleet = start(quick_plan());
     change(&fleet, "add model tutor version v1 replicas 2..4 size 1gb");
     wait_until("the second model", || holders(&fleet, "tutor", "v1") == 2).unwrap();
@@ -64,7 +64,7 @@
 fn loads_keep_to_the_rate_of_the_weight_store() {
     const RATE: u32 = 1000;
     const SIZE: u32 = 1000;
-    let _only = only_fleet();
+    let _only = lock_fleets();
     let mut plan = quick_plan();
     plan.orders.store_mb_per_s = RATE;
     plan.orders.store_burst_mb = SIZE;
@@ -101,7 +101,7 @@
 /// Guards against late answers that start an order again or undo it.
 #[test]
 fn repeated_and_late_answers_do_no_harm() {
-    let _only = only_fleet();
+    let _only = lock_fleets();
     let mut plan = quick_plan();
     plan.orders.resend = Duration::from_millis(100);
     let fleet = start(plan);
--- a/crates/ragwortroad_gateway/tests/whole_path.rs
+++ b/crates/ragwortroad_gateway/tests/whole_path.rs
@@ -110,7 +110,7 @@
 fn nth_fault(round: usize) -> FaultPlan {
     let place = Some(round as u32 % 24);
     let mut plan = FaultPlan {
-        requests: Some(3),
+        max_requests: Some(3),
         ..FaultPlan::default()
     };
     match round % 9 {
--- a/crates/ragwortroad_load/src/call_retry.rs
+++ b/crates/ragwortroad_load/src/call_retry.rs
@@ -13,9 +13,9 @@
     CallRecord,
     ClientOutcome,
     CustomerLoad,
-    caller_request::{
-        CallerAnswer,
-        CallerRequest, //
+    client_request::{
+        ClientRequest, //
+        ClientResponse,
     },
     load_state::LoadState, //
 };
@@ -34,9 +34,9 @@
         customer: &CustomerLoad,
         due: Instant,
         (book_name, mut addresses): (&str, Vec<String>),
-        request: &CallerRequest<'_>,
-        mut call: impl FnMut(&str) -> CallerAnswer,
-    ) -> (CallRecord, CallerAnswer) {
+        request: &ClientRequest<'_>,
+        mut call: impl FnMut(&str) -> ClientResponse,
+    ) -> (CallRecord, ClientResponse) {
         let mut attempts = Vec::new();
         let answer = loop {
             if addresses.is_empty() {
@@ -101,7 +101,7 @@
     }
 }
 
-fn retry_delay(answer: &CallerAnswer) -> Duration {
+fn retry_delay(answer: &ClientResponse) -> Duration {
     let named = answer
         .refusal
         .as_ref()
--- a/crates/ragwortroad_load/src/caller_request.rs
+++ b/crates/ragwortroad_load/src/client_request.rs
@@ -9,11 +9,11 @@
 use crate::{
     AttemptRecord,
     ClientOutcome,
-    event_reader::UsageFigures, //
+    event_reader::TokenUsage, //
 };
 
 /// One request as it goes to a node.
-pub(crate) struct CallerRequest<'call> {
+pub(crate) struct ClientRequest<'call> {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) body: String,
@@ -25,7 +25,7 @@
 }
 
 /// What came back from one sending.
-pub(crate) struct CallerAnswer {
+pub(crate) struct ClientResponse {
     pub(crate) attempt: AttemptRecord,
     pub(crate) end: ClientOutcome,
     pub(crate) refusal: Option<Box<RefusalWire>>,
@@ -33,11 +33,11 @@
     /// The node to send the chat's next request to.
     pub(crate) next_node: Option<String>,
     pub(crate) first_token: Option<Instant>,
-    pub(crate) usage: UsageFigures,
+    pub(crate) usage: TokenUsage,
     pub(crate) body: Vec<u8>,
 }
 
-impl CallerAnswer {
+impl ClientResponse {
     pub(crate) fn unreachable(address: &str) -> Self {
         let attempt = AttemptRecord {
             address: address.to_owned(),
@@ -53,7 +53,7 @@
             hint: None,
             next_node: None,
             first_token: None,
-            usage: UsageFigures::default(),
+            usage: TokenUsage::default(),
             body: Vec::new(),
         }
     }
--- a/crates/ragwortroad_load/src/event_reader.rs
+++ b/crates/ragwortroad_load/src/event_reader.rs
@@ -34,7 +34,7 @@
     #[serde(default)]
     choices: Vec<StreamChoice>,
     #[serde(default)]
-    pub(crate) usage: Option<UsageFigures>,
+    pub(crate) usage: Option<TokenUsage>,
 }
 
 /// A chunk's choice.
@@ -56,22 +56,22 @@
 /// What an answer cost.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Deserialize)]
-pub(crate) struct UsageFigures {
+pub(crate) struct TokenUsage {
     #[serde(default)]
     pub(crate) prompt_tokens: u32,
     #[serde(default)]
-    prompt_tokens_details: Option<CachedFigures>,
+    prompt_tokens_details: Option<PromptTokenDetails>,
 }
 
 /// How much of a prompt was in a cache.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Deserialize)]
-struct CachedFigures {
+struct PromptTokenDetails {
     #[serde(default)]
     cached_tokens: u32,
 }
 
-impl UsageFigures {
+impl TokenUsage {
     pub(crate) fn cached_tokens(self) -> u32 {
         self.prompt_tokens_details
             .map_or(0, |details| details.cached_tokens)
--- a/crates/ragwortroad_load/src/caller_client.rs
+++ b/crates/ragwortroad_load/src/http_client.rs
@@ -18,15 +18,15 @@
     ClientOutcome,
     ResponseCheck,
     ResponseFault,
-    address_book::AddressBook,
-    caller_request::{
-        CallerAnswer,
-        CallerRequest, //
+    address_cache::AddressCache,
+    client_request::{
+        ClientRequest, //
+        ClientResponse,
     },
     event_reader::{
         EventReader,
         StreamEvent,
-        UsageFigures, //
+        TokenUsage, //
     },
     latency_set::{
         LatencySet,
@@ -36,30 +36,30 @@
 
 /// A whole chat answer.
 #[derive(Deserialize)]
-struct WholeAnswer {
+struct ChatCompletion {
     id: String,
-    choices: Vec<WholeChoice>,
+    choices: Vec<CompletionChoice>,
     #[serde(default)]
-    usage: UsageFigures,
+    usage: TokenUsage,
 }
 
 /// The choice of a whole answer.
 #[derive(Deserialize)]
-struct WholeChoice {
-    message: WholeMessage,
+struct CompletionChoice {
+    message: CompletionMessage,
 }
 
 /// The message of a whole answer.
 #[derive(Deserialize)]
-struct WholeMessage {
+struct CompletionMessage {
     content: String,
 }
 
 /// Sends one request to one node and reads the answer's head.
 fn open_response(
     address: &str,
-    request: &CallerRequest<'_>,
-) -> Result<(CallerAnswer, ResponseLazy), Box<CallerAnswer>> {
+    request: &ClientRequest<'_>,
+) -> Result<(ClientResponse, ResponseLazy), Box<ClientResponse>> {
     let url = format!("http://{address}{}", request.path);
     let seconds = request.deadline.as_secs().max(1) + 2;
     let deadline = request.deadline.as_millis().to_string();
@@ -80,7 +80,7 @@
             sent = sent.with_header(name, value);
         }
     }
-    let mut answer = CallerAnswer::unreachable(address);
+    let mut answer = ClientResponse::unreachable(address);
     match sent.send_lazy() {
         Ok(response) => {
             answer.attempt.status = Some(response.status_code);
@@ -126,7 +126,7 @@
 }
 
 /// Sends a request whose answer is whole, and reads it as far as its kind allows.
-pub(crate) fn send_buffered(address: &str, request: &CallerRequest<'_>) -> CallerAnswer {
+pub(crate) fn send_buffered(address: &str, request: &ClientRequest<'_>) -> ClientResponse {
     let (mut answer, mut response) = match open_response(address, request) {
         Ok(begun) => begun,
         Err(answer) => return *answer,
@@ -152,14 +152,14 @@
 /// Sends a chat whose answer is whole, and checks it.
 pub(crate) fn send_chat(
     address: &str,
-    request: &CallerRequest<'_>,
+    request: &ClientRequest<'_>,
     check: Option<&ResponseCheck>,
-) -> CallerAnswer {
+) -> ClientResponse {
     let mut answer = send_buffered(address, request);
     if answer.end != ClientOutcome::Answered {
         return answer;
     }
-    let Ok(whole) = serde_json::from_slice::<WholeAnswer>(&answer.body) else {
+    let Ok(whole) = serde_json::from_slice::<ChatCompletion>(&answer.body) else {
         answer.end = ClientOutcome::Wrong(ResponseFault::Unreadable);
         return answer;
     };
@@ -182,10 +182,10 @@
 /// Sends a chat whose answer is streamed, reads it token by token, and checks it.
 pub(crate) fn send_chat_stream(
     address: &str,
-    request: &CallerRequest<'_>,
+    request: &ClientRequest<'_>,
     check: Option<&ResponseCheck>,
     latencies: &mut LatencySet,
-) -> CallerAnswer {
+) -> ClientResponse {
     let (mut answer, mut response) = match open_response(address, request) {
         Ok(begun) => begun,
         Err(answer) => return *answer,
@@ -241,7 +241,7 @@
 
 /// The addresses to use for a chat, or for a customer's other calls: kept ones, else asked for.
 pub(crate) fn find_addresses(
-    book: &AddressBook,
+    book: &AddressCache,
     name: &str,
     key: &str,
     chat: Option<&str>,
@@ -254,7 +254,7 @@
         None => "/v1/addresses".to_owned(),
     };
     for seed in book.seeds() {
-        let request = CallerRequest {
+        let request = ClientRequest {
             method: Method::Get,
             path: path.clone(),
             body: String::new(),
--- a/crates/ragwortroad_load/src/lib.rs
+++ b/crates/ragwortroad_load/src/lib.rs
@@ -16,14 +16,14 @@
 //! # Ok::<(), LoadError>(())
 //! ```
 
-mod address_book;
+mod address_cache;
 mod arrival_plan;
 mod call_record;
 mod call_retry;
-mod caller_client;
-mod caller_request;
 mod chat_script;
+mod client_request;
 mod event_reader;
+mod http_client;
 mod latency_set;
 mod load_error;
 mod load_run;
--- a/crates/ragwortroad_load/src/load_run.rs
+++ b/crates/ragwortroad_load/src/load_run.rs
@@ -25,7 +25,7 @@
 const CLIENT_STACK_BYTES: usize = 256 << 10;
 
 /// One caller's results.
-struct CallerResult {
+struct ClientResult {
     notes: Vec<CallRecord>,
     latencies: LatencySet,
 }
@@ -71,8 +71,8 @@
 fn run_arrivals(
     state: &LoadState,
     queue: &Receiver<PlannedArrival>,
-) -> Result<CallerResult, LoadError> {
-    let mut result = CallerResult {
+) -> Result<ClientResult, LoadError> {
+    let mut result = ClientResult {
         notes: Vec::new(),
         latencies: LatencySet::new()?,
     };
--- a/crates/ragwortroad_load/src/load_state.rs
+++ b/crates/ragwortroad_load/src/load_state.rs
@@ -19,22 +19,22 @@
     CustomerLoad,
     LoadSettings,
     ResponseCheck,
-    address_book::AddressBook,
+    address_cache::AddressCache,
     arrival_plan::{
         PlannedAction,
         PlannedArrival, //
     },
-    caller_client::{
+    chat_script::{
+        chat_name,
+        chat_turn, //
+    },
+    client_request::ClientRequest,
+    http_client::{
         find_addresses, //
         send_buffered,
         send_chat,
         send_chat_stream,
     },
-    caller_request::CallerRequest,
-    chat_script::{
-        chat_name,
-        chat_turn, //
-    },
     latency_set::{
         LatencySet,
         record, //
@@ -44,7 +44,7 @@
 /// What all callers share.
 pub(crate) struct LoadState {
     pub(crate) settings: LoadSettings,
-    pub(crate) address_cache: AddressBook,
+    pub(crate) address_cache: AddressCache,
     /// The placement hint of each chat's last answer.
     hints: Mutex<HashMap<String, String>>,
     pub(crate) start: Instant,
@@ -53,7 +53,7 @@
 impl LoadState {
     pub(crate) fn new(settings: LoadSettings, start: Instant) -> Self {
         Self {
-            address_cache: AddressBook::new(settings.nodes.clone()),
+            address_cache: AddressCache::new(settings.nodes.clone()),
             hints: Mutex::default(),
             settings,
             start,
@@ -98,7 +98,7 @@
             .verify_responses
             .then(|| ResponseCheck::new(&body));
         let name = chat_name(customer, chat);
-        let request = CallerRequest {
+        let request = ClientRequest {
             method: Method::Post,
             path: "/v1/chat/completions".to_owned(),
             body: serde_json::to_string(&body).unwrap_or_default(),
@@ -145,7 +145,7 @@
         latencies: &mut LatencySet,
     ) -> CallRecord {
         let key = format!("{}-{}-{booking}", customer.name, self.settings.seed);
-        let request = CallerRequest {
+        let request = ClientRequest {
             method: Method::Post,
             path: format!("/v1/services/{}/bookings", self.settings.service),
             body: format!("{{\"slot\":{booking},\"studio\":\"{}\"}}", customer.name),
@@ -177,7 +177,7 @@
         place: u64,
         latencies: &mut LatencySet,
     ) -> CallRecord {
-        let request = CallerRequest {
+        let request = ClientRequest {
             method: Method::Get,
             path: format!("/v1/services/{}/bookings/{place}", self.settings.service),
             body: String::new(),
--- a/crates/ragwortroad_standin/src/announce_loop.rs
+++ b/crates/ragwortroad_standin/src/announce_loop.rs
@@ -14,10 +14,10 @@
 use ragwortroad_types::prelude::*;
 
 /// Time between announcements until a node says otherwise, and after one that failed.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Seconds that a node has for its answer.
-const ANSWER_SECONDS: u64 = 2;
+const RESPONSE_TIMEOUT_SECONDS: u64 = 2;
 
 /// The thread that announces one stand-in.
 pub(crate) struct AnnounceLoop {
@@ -30,7 +30,7 @@
     /// Invariant: never empty.
     addresses: Vec<String>,
     /// Place of the address in use.
-    current: usize,
+    current_index: usize,
     /// The address that took the last announcement.
     home: Option<String>,
     epoch: u64,
@@ -50,13 +50,13 @@
         let (stop, stopped) = flume::bounded(1);
         let target = AnnounceTarget {
             addresses,
-            current: 0,
+            current_index: 0,
             home: None,
             epoch: 0,
         };
         let thread = thread::Builder::new()
             .name("announce".to_owned())
-            .spawn(move || announce_until(&stopped, target, &secret, make))?;
+            .spawn(move || run_announcer(&stopped, target, &secret, make))?;
         Ok(Some(Self { stop, thread }))
     }
 
@@ -69,7 +69,7 @@
     }
 }
 
-fn announce_until(
+fn run_announcer(
     stopped: &Receiver<()>,
     mut target: AnnounceTarget,
     secret: &str,
@@ -77,16 +77,16 @@
 ) {
     let mut pause = Duration::ZERO;
     while stopped.recv_timeout(pause) == Err(RecvTimeoutError::Timeout) {
-        let address = target.begin();
+        let address = target.next_address();
         let announce = make(target.epoch);
         pause = match send_announce(&address, secret, &announce) {
             Some(answer) => {
-                target.accepted(address, answer.announce_to);
+                target.record_success(address, answer.announce_to);
                 Duration::from_millis(answer.every_ms.max(1))
             }
             None => {
-                target.failed();
-                FIRST_PAUSE
+                target.record_failure();
+                RETRY_DELAY
             }
         };
     }
@@ -95,8 +95,8 @@
 impl AnnounceTarget {
     /// The address to use now. Going over to another one than the last home raises the epoch, so
     /// that the fleet can tell which of two nodes has the endpoint's newer word.
-    fn begin(&mut self) -> String {
-        let address = self.addresses[self.current].clone();
+    fn next_address(&mut self) -> String {
+        let address = self.addresses[self.current_index].clone();
         if self.home.as_ref() != Some(&address) {
             self.epoch += 1;
             self.home = Some(address.clone());
@@ -104,16 +104,16 @@
         address
     }
 
-    fn accepted(&mut self, address: String, next: Vec<String>) {
+    fn record_success(&mut self, address: String, next: Vec<String>) {
         if !next.is_empty() {
             self.addresses = next;
-            self.current = 0;
+            self.current_index = 0;
         }
         self.home = Some(address);
     }
 
-    fn failed(&mut self) {
-        self.current = (self.current + 1) % self.addresses.len();
+    fn record_failure(&mut self) {
+        self.current_index = (self.current_index + 1) % self.addresses.len();
     }
 }
 
@@ -123,7 +123,7 @@
         .with_header("authorization", format!("Bearer {secret}"))
         .with_header("content-type", "application/json")
         .with_follow_redirects(false)
-        .with_timeout(ANSWER_SECONDS)
+        .with_timeout(RESPONSE_TIMEOUT_SECONDS)
         .with_body(body)
         .send()
         .ok()?;
--- a/crates/ragwortroad_standin/src/engine_pages.rs
+++ b/crates/ragwortroad_standin/src/engine_control.rs
@@ -12,9 +12,9 @@
 use crate::{
     OrderRecord,
     engine_state::{
-        AttemptName,
-        EngineParts,
+        AttemptId,
         EngineState, //
+        LockedState,
     },
     standin_reply::{
         StandinBody,
@@ -32,18 +32,18 @@
 }
 
 /// Stops work on a request.
-pub(crate) fn answer_cancel(state: &EngineState, body: &[u8]) -> Response<StandinBody> {
+pub(crate) fn handle_cancel(state: &EngineState, body: &[u8]) -> Response<StandinBody> {
     let Ok(cancel) = serde_json::from_slice::<CancelWire>(body) else {
-        return malformed();
+        return malformed_reply();
     };
-    let name = AttemptName {
+    let name = AttemptId {
         request_id: cancel.request_id.clone(),
         attempt: cancel.attempt,
     };
     let notify = {
-        let mut parts = state.parts();
-        parts.told.push(cancel.request_id.clone());
-        parts.cancels.remove(&name)
+        let mut locked = state.lock();
+        locked.cancelled_ids.push(cancel.request_id.clone());
+        locked.cancels.remove(&name)
     };
     let found = notify.is_some();
     if let Some(notify) = notify {
@@ -53,13 +53,13 @@
 }
 
 /// Takes an order, or refuses it for its old fencing number.
-pub(crate) async fn answer_order(state: &EngineState, body: &Bytes) -> StandinReply {
+pub(crate) async fn handle_order(state: &EngineState, body: &Bytes) -> StandinReply {
     let Ok(order) = serde_json::from_slice::<OrderWire>(body) else {
-        return Ok(malformed());
+        return Ok(malformed_reply());
     };
-    let faults = state.shell.next_faults();
+    let faults = state.standin.next_faults();
     let checks = state.settings.checks_fencing && !faults.ignore_fencing;
-    if let Err(highest) = take_order(state, &order, checks) {
+    if let Err(highest) = record_order(state, &order, checks) {
         let error = json!({"error": "old fencing number", "highest": highest});
         return Ok(json_reply(409, "", &error));
     }
@@ -67,42 +67,42 @@
         if matches!(order.kind, OrderKind::Load { .. }) {
             sleep(state.settings.model_load_time).await;
         }
-        carry_out(&mut state.parts(), order.kind);
+        apply_order(&mut state.lock(), order.kind);
     }
     sleep(faults.order_response_delay).await;
     Ok(json_reply(200, "", &json!({"done": true})))
 }
 
 /// Writes an order down; the highest fencing number where its own is older and that is checked.
-fn take_order(state: &EngineState, order: &OrderWire, checks: bool) -> Result<(), FenceNumber> {
-    let mut parts = state.parts();
-    let accepted = !checks || order.fence >= parts.fence;
-    parts.orders.push(OrderRecord {
+fn record_order(state: &EngineState, order: &OrderWire, checks: bool) -> Result<(), FenceNumber> {
+    let mut locked = state.lock();
+    let accepted = !checks || order.fence >= locked.highest_fence;
+    locked.orders.push(OrderRecord {
         endpoint: state.settings.name.clone(),
         order: order.clone(),
         accepted,
         received_at: Instant::now(),
     });
     if !accepted {
-        return Err(parts.fence);
+        return Err(locked.highest_fence);
     }
-    parts.fence = parts.fence.max(order.fence);
+    locked.highest_fence = locked.highest_fence.max(order.fence);
     Ok(())
 }
 
 /// Does what an order asks; an order that comes again changes nothing.
-fn carry_out(parts: &mut EngineParts, kind: OrderKind) {
+fn apply_order(locked: &mut LockedState, kind: OrderKind) {
     match kind {
-        OrderKind::Load { offer } => load(parts, offer),
-        OrderKind::Unload { offer } => unload(parts, &offer),
-        OrderKind::SetRole { role } => parts.role = role,
-        OrderKind::SetDrain { drain } => parts.drain = drain,
+        OrderKind::Load { offer } => load(locked, offer),
+        OrderKind::Unload { offer } => unload(locked, &offer),
+        OrderKind::SetRole { role } => locked.role = role,
+        OrderKind::SetDrain { drain } => locked.drain = drain,
     }
 }
 
-fn load(parts: &mut EngineParts, wanted: ModelOffer) {
-    let Some(offer) = parts.offers.iter_mut().find(|offer| same(offer, &wanted)) else {
-        return parts.offers.push(wanted);
+fn load(locked: &mut LockedState, wanted: ModelOffer) {
+    let Some(offer) = locked.offers.iter_mut().find(|offer| same(offer, &wanted)) else {
+        return locked.offers.push(wanted);
     };
     for adapter in wanted.adapters {
         if !offer.adapters.contains(&adapter) {
@@ -111,11 +111,11 @@
     }
 }
 
-fn unload(parts: &mut EngineParts, unwanted: &ModelOffer) {
+fn unload(locked: &mut LockedState, unwanted: &ModelOffer) {
     if unwanted.adapters.is_empty() {
-        return parts.offers.retain(|offer| !same(offer, unwanted));
+        return locked.offers.retain(|offer| !same(offer, unwanted));
     }
-    for offer in parts.offers.iter_mut() {
+    for offer in locked.offers.iter_mut() {
         if same(offer, unwanted) {
             let adapters = &unwanted.adapters;
             offer.adapters.retain(|name| !adapters.contains(name));
@@ -129,8 +129,8 @@
 }
 
 /// Everything in the prefix cache.
-pub(crate) fn answer_export(state: &EngineState) -> Response<StandinBody> {
-    let prefixes = state.parts().cache.export();
+pub(crate) fn export_cache(state: &EngineState) -> Response<StandinBody> {
+    let prefixes = state.lock().cache.export();
     json_reply(200, "", &json!({"prefixes": prefixes}))
 }
 
@@ -141,17 +141,17 @@
 }
 
 /// Takes over another engine's prefixes.
-pub(crate) fn answer_import(state: &EngineState, body: &[u8]) -> Response<StandinBody> {
+pub(crate) fn import_cache(state: &EngineState, body: &[u8]) -> Response<StandinBody> {
     let Ok(import) = serde_json::from_slice::<ImportWire>(body) else {
-        return malformed();
+        return malformed_reply();
     };
     // Stored last to first, so that the order of use is the exporter's.
     let newest_first: Vec<PrefixKey> = import.prefixes.iter().rev().copied().collect();
-    state.parts().cache.store(&newest_first);
+    state.lock().cache.store(&newest_first);
     json_reply(200, "", &json!({"imported": newest_first.len()}))
 }
 
-fn malformed() -> Response<StandinBody> {
+fn malformed_reply() -> Response<StandinBody> {
     json_reply(
         400,
         "",
--- a/crates/ragwortroad_standin/src/engine_handler.rs
+++ b/crates/ragwortroad_standin/src/engine_handler.rs
@@ -18,23 +18,23 @@
     FaultPlan,
     RunRecord,
     RunStatus,
-    engine_pages::{
-        answer_cancel,
-        answer_export,
-        answer_import,
-        answer_order, //
+    engine_control::{
+        export_cache,
+        handle_cancel,
+        handle_order, //
+        import_cache,
     },
     engine_state::{
-        AttemptName,
+        AttemptId,
         EngineState, //
     },
     engine_stream::{
         EngineRun,
-        stream_reply,
-        whole_reply, //
+        buffered_reply, //
+        streamed_reply,
     },
     expected_tokens::{
-        TOKEN_BYTES,
+        BYTES_PER_TOKEN,
         expected_tokens, //
     },
     standin_reply::{
@@ -54,16 +54,16 @@
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
     match (&parts.method, parts.uri.path()) {
         (&Method::POST, "/v1/chat/completions") => handle_chat(state, &parts.headers, &body).await,
-        (&Method::POST, "/v1/cancel") => Ok(answer_cancel(&state, &body)),
-        (&Method::POST, "/v1/orders") => answer_order(&state, &body).await,
-        (&Method::GET, "/v1/cache") => Ok(answer_export(&state)),
-        (&Method::POST, "/v1/cache") => Ok(answer_import(&state, &body)),
+        (&Method::POST, "/v1/cancel") => Ok(handle_cancel(&state, &body)),
+        (&Method::POST, "/v1/orders") => handle_order(&state, &body).await,
+        (&Method::GET, "/v1/cache") => Ok(export_cache(&state)),
+        (&Method::POST, "/v1/cache") => Ok(import_cache(&state, &body)),
         _ => Ok(json_reply(404, "", &json!({"error": "unknown path"}))),
     }
 }
 
 async fn handle_chat(state: Arc<EngineState>, headers: &HeaderMap, body: &[u8]) -> StandinReply {
-    let faults = state.shell.next_faults();
+    let faults = state.standin.next_faults();
     let text = |name| header_text(headers, name).unwrap_or_default().to_owned();
     let request_id = text("x-request-id");
     if let Some(status) = faults.status {
@@ -74,17 +74,17 @@
         let error = json!({"error": {"message": "not a chat"}});
         return Ok(json_reply(400, &request_id, &error));
     };
-    if !offers_model(&state, &chat, &text("x-model-version")) {
+    if !has_model(&state, &chat, &text("x-model-version")) {
         let error = json!({"error": {"message": "this model is not loaded"}});
         return Ok(json_reply(404, &request_id, &error));
     }
     let customer = text("x-customer");
-    let name = AttemptName {
+    let name = AttemptId {
         attempt: text("x-attempt").parse().unwrap_or(0),
         request_id,
     };
     let priority = text("x-priority").parse().unwrap_or(u8::MAX);
-    let begin = RunBegin {
+    let begin = RunParameters {
         name,
         customer,
         priority,
@@ -93,23 +93,23 @@
     };
     let run = begin_run(&state, &chat, begin);
     if run.faults.close_without_response {
-        state.shell.end_run(run.place, RunStatus::Cut);
+        state.standin.end_run(run.run_index, RunStatus::Cut);
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     if let Some(location) = &run.faults.redirect_to {
-        state.shell.end_run(run.place, RunStatus::Cut);
+        state.standin.end_run(run.run_index, RunStatus::Cut);
         return Ok(redirect_reply(&run.name.request_id, location));
     }
     sleep(run.faults.response_delay).await;
     match chat.stream {
-        true => Ok(stream_reply(run)),
-        false => whole_reply(run).await,
+        true => Ok(streamed_reply(run)),
+        false => buffered_reply(run).await,
     }
 }
 
-fn offers_model(state: &EngineState, chat: &ChatBody, version: &str) -> bool {
+fn has_model(state: &EngineState, chat: &ChatBody, version: &str) -> bool {
     let (model, adapter) = chat.model_parts();
-    state.parts().offers.iter().any(|offer| {
+    state.lock().offers.iter().any(|offer| {
         offer.model == model
             && (version.is_empty() || offer.version == version)
             && adapter.is_none_or(|adapter| offer.adapters.iter().any(|has| has == adapter))
@@ -117,16 +117,16 @@
 }
 
 /// What a run begins with, besides its chat.
-struct RunBegin<'body> {
-    name: AttemptName,
+struct RunParameters<'body> {
+    name: AttemptId,
     customer: String,
     priority: u8,
     body: &'body [u8],
     faults: FaultPlan,
 }
 
-fn begin_run(state: &Arc<EngineState>, chat: &ChatBody, begin: RunBegin<'_>) -> EngineRun {
-    let RunBegin {
+fn begin_run(state: &Arc<EngineState>, chat: &ChatBody, begin: RunParameters<'_>) -> EngineRun {
+    let RunParameters {
         name,
         customer,
         priority,
@@ -135,11 +135,11 @@
     } = begin;
     let prompt = chat.prompt_text();
     let chain = prefix_chain(&customer, &chat.model, &prompt);
-    let matched = state.parts().cache.matched(&chain);
-    let prompt_tokens = prompt.len().div_ceil(TOKEN_BYTES) as u32;
-    let cached_tokens = (matched * PREFIX_BLOCK_BYTES / TOKEN_BYTES) as u32;
+    let matched = state.lock().cache.matching_blocks(&chain);
+    let prompt_tokens = prompt.len().div_ceil(BYTES_PER_TOKEN) as u32;
+    let cached_tokens = (matched * PREFIX_BLOCK_BYTES / BYTES_PER_TOKEN) as u32;
     let from_token = chat.resume_from.unwrap_or(0);
-    let place = state.shell.begin_run(RunRecord {
+    let run_index = state.standin.begin_run(RunRecord {
         endpoint: state.settings.name.clone(),
         request_id: name.request_id.clone(),
         customer: customer.clone(),
@@ -147,7 +147,7 @@
         path: "/v1/chat/completions".to_owned(),
         idempotency_key: None,
         body_hash: xxhash_rust::xxh3::xxh3_64(body),
-        began_ms: state.shell.elapsed_ms(),
+        began_ms: state.standin.elapsed_ms(),
         ended_ms: None,
         end: RunStatus::Running,
         from_token,
@@ -167,6 +167,6 @@
         cached_tokens,
         from_token,
         faults,
-        place,
+        run_index,
     }
 }
--- a/crates/ragwortroad_standin/src/engine_state.rs
+++ b/crates/ragwortroad_standin/src/engine_state.rs
@@ -23,36 +23,36 @@
 use crate::{
     EngineSettings,
     OrderRecord,
-    batch_gate::BatchGate,
+    batch_semaphore::BatchSemaphore,
     prefix_cache::PrefixCache,
-    standin_shell::ShellState, //
+    standin_server::StandinState, //
 };
 
 /// What all requests of one stand-in engine share.
 pub(crate) struct EngineState {
     pub(crate) settings: EngineSettings,
-    pub(crate) shell: Arc<ShellState>,
-    pub(crate) gate: BatchGate,
+    pub(crate) standin: Arc<StandinState>,
+    pub(crate) batch: BatchSemaphore,
     pub(crate) leaving: AtomicBool,
     pub(crate) queued: AtomicU32,
     pub(crate) running: AtomicU32,
-    changing: Mutex<EngineParts>,
+    locked: Mutex<LockedState>,
 }
 
-/// The parts of an engine that change under a lock, each for a moment only.
-pub(crate) struct EngineParts {
+/// The locked of an engine that change under a lock, each for a moment only.
+pub(crate) struct LockedState {
     pub(crate) cache: PrefixCache,
     pub(crate) offers: Vec<ModelOffer>,
     /// Highest fencing number of an order taken.
-    pub(crate) fence: FenceNumber,
+    pub(crate) highest_fence: FenceNumber,
     /// Every order that came, in order.
     pub(crate) orders: Vec<OrderRecord>,
     pub(crate) role: RoleWire,
     pub(crate) drain: bool,
     /// Who to wake when a request's attempt is cancelled.
-    pub(crate) cancels: HashMap<AttemptName, Arc<Notify>>,
+    pub(crate) cancels: HashMap<AttemptId, Arc<Notify>>,
     /// Requests that were cancelled from outside.
-    pub(crate) told: Vec<String>,
+    pub(crate) cancelled_ids: Vec<String>,
     sequence: u64,
     /// Loads seen, oldest first, for reports that come late.
     loads: VecDeque<(Instant, LoadReport)>,
@@ -60,38 +60,38 @@
 
 /// A request's id and the number of its attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct AttemptName {
+pub(crate) struct AttemptId {
     pub(crate) request_id: String,
     pub(crate) attempt: u32,
 }
 
 impl EngineState {
-    pub(crate) fn new(settings: EngineSettings, shell: Arc<ShellState>) -> Self {
-        let parts = EngineParts {
+    pub(crate) fn new(settings: EngineSettings, standin: Arc<StandinState>) -> Self {
+        let locked = LockedState {
             cache: PrefixCache::new(settings.cache_blocks),
             offers: settings.offers.clone(),
-            fence: FenceNumber::default(),
+            highest_fence: FenceNumber::default(),
             orders: Vec::new(),
             role: RoleWire::default(),
             drain: false,
             cancels: HashMap::new(),
-            told: Vec::new(),
+            cancelled_ids: Vec::new(),
             sequence: 0,
             loads: VecDeque::new(),
         };
         Self {
-            gate: BatchGate::new(settings.capacity),
+            batch: BatchSemaphore::new(settings.capacity),
             settings,
-            shell,
+            standin,
             leaving: AtomicBool::new(false),
             queued: AtomicU32::new(0),
             running: AtomicU32::new(0),
-            changing: Mutex::new(parts),
+            locked: Mutex::new(locked),
         }
     }
 
-    pub(crate) fn parts(&self) -> MutexGuard<'_, EngineParts> {
-        self.changing.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn lock(&self) -> MutexGuard<'_, LockedState> {
+        self.locked.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Time to the next token with the present batch.
@@ -111,10 +111,10 @@
             queued: self.queued.load(Ordering::Relaxed),
             age_ms: 0,
         };
-        let mut parts = self.parts();
-        parts.sequence += 1;
-        parts.loads.push_back((now, load));
-        let mut events = parts.cache.take_events();
+        let mut locked = self.lock();
+        locked.sequence += 1;
+        locked.loads.push_back((now, load));
+        let mut events = locked.cache.drain_events();
         if settings.event_loss_interval > 0 {
             events.retain(|event| event.sequence % settings.event_loss_interval != 0);
         }
@@ -124,22 +124,22 @@
             kind: EndpointKind::Engine,
             zone: settings.zone.clone(),
             service: None,
-            models: parts.offers.clone(),
+            models: locked.offers.clone(),
             capacity: settings.capacity,
             checks_fencing: settings.checks_fencing,
             incarnation: settings.incarnation,
-            sequence: parts.sequence,
+            sequence: locked.sequence,
             home_epoch,
-            load: parts.late_load(now, settings.load_report_delay),
+            load: locked.delayed_load(now, settings.load_report_delay),
             cache_events: events,
             leaving: self.leaving.load(Ordering::Relaxed),
         }
     }
 }
 
-impl EngineParts {
+impl LockedState {
     /// The youngest load that is at least `lag` old, or the oldest there is.
-    fn late_load(&mut self, now: Instant, lag: Duration) -> LoadReport {
+    fn delayed_load(&mut self, now: Instant, lag: Duration) -> LoadReport {
         let aged = |at: &Instant| now.saturating_duration_since(*at);
         while let Some((next, _)) = self.loads.get(1) {
             if aged(next) < lag {
@@ -158,16 +158,16 @@
 }
 
 /// Counts a request in one of an engine's gauges until it drops.
-pub(crate) struct CountGuard<'gauge>(&'gauge AtomicU32);
+pub(crate) struct GaugeGuard<'gauge>(&'gauge AtomicU32);
 
-impl<'gauge> CountGuard<'gauge> {
+impl<'gauge> GaugeGuard<'gauge> {
     pub(crate) fn new(gauge: &'gauge AtomicU32) -> Self {
         gauge.fetch_add(1, Ordering::Relaxed);
         Self(gauge)
     }
 }
 
-impl Drop for CountGuard<'_> {
+impl Drop for GaugeGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/ragwortroad_standin/src/engine_stream.rs
+++ b/crates/ragwortroad_standin/src/engine_stream.rs
@@ -29,25 +29,25 @@
 use crate::{
     FaultPlan,
     RunStatus,
-    batch_gate::BatchPlace,
+    batch_semaphore::BatchPermit,
     engine_state::{
-        AttemptName,
-        CountGuard,
+        AttemptId,
         EngineState, //
+        GaugeGuard,
     },
     standin_reply::{
         StandinBody,
         StandinReply,
         json_reply,
-        mark_reply,
-        short_reply, //
+        set_reply_headers,
+        truncated_reply, //
     }, //
 };
 
 /// One chat being answered by a stand-in engine.
 pub(crate) struct EngineRun {
     pub(crate) state: Arc<EngineState>,
-    pub(crate) name: AttemptName,
+    pub(crate) name: AttemptId,
     pub(crate) customer: String,
     /// Smaller goes first.
     pub(crate) priority: u8,
@@ -61,51 +61,55 @@
     pub(crate) from_token: u32,
     pub(crate) faults: FaultPlan,
     /// Place of its record.
-    pub(crate) place: usize,
+    pub(crate) run_index: usize,
 }
 
 impl Drop for EngineRun {
     fn drop(&mut self) {
-        self.state.parts().cancels.remove(&self.name);
-        self.state.shell.end_run(self.place, RunStatus::Cancelled);
+        self.state.lock().cancels.remove(&self.name);
+        self.state
+            .standin
+            .end_run(self.run_index, RunStatus::Cancelled);
     }
 }
 
 impl EngineRun {
     /// Registers the run for cancellation, waits for a place in the batch, and reads the prompt.
-    async fn prefill(&self) -> (BatchPlace<'_>, CountGuard<'_>) {
-        let queued = CountGuard::new(&self.state.queued);
-        let place = self.state.gate.enter(self.priority).await;
+    async fn prefill(&self) -> (BatchPermit<'_>, GaugeGuard<'_>) {
+        let queued = GaugeGuard::new(&self.state.queued);
+        let permit = self.state.batch.acquire(self.priority).await;
         drop(queued);
-        let running = CountGuard::new(&self.state.running);
+        let running = GaugeGuard::new(&self.state.running);
         let unread = self.prompt_tokens.saturating_sub(self.cached_tokens);
         sleep(self.state.settings.prefill_time_per_token * unread).await;
-        self.state.parts().cache.store(&self.chain);
-        (place, running)
+        self.state.lock().cache.store(&self.chain);
+        (permit, running)
     }
 
     fn register(&self) -> Arc<Notify> {
         let notify = Arc::new(Notify::new());
-        let mut parts = self.state.parts();
-        parts.cancels.insert(self.name.clone(), Arc::clone(&notify));
+        let mut locked = self.state.lock();
+        locked
+            .cancels
+            .insert(self.name.clone(), Arc::clone(&notify));
         notify
     }
 
     fn complete(&self) {
         let made = self.tokens.len() as u32 - self.from_token.min(self.tokens.len() as u32);
-        let shell = &self.state.shell;
-        shell.change_run(self.place, |record| record.tokens = made);
-        shell.end_run(self.place, RunStatus::Completed);
-        self.keep_answer();
+        let standin = &self.state.standin;
+        standin.update_run(self.run_index, |record| record.tokens = made);
+        standin.end_run(self.run_index, RunStatus::Completed);
+        self.cache_response();
     }
 
     /// The chat's next turn begins with this answer, so its blocks are in the cache as well.
-    fn keep_answer(&self) {
+    fn cache_response(&self) {
         let mut chat = self.chat.clone();
         let answer = self.tokens.concat();
         chat.messages.push(ChatMessage::text("assistant", &answer));
         let chain = prefix_chain(&self.customer, &chat.model, &chat.prompt_text());
-        self.state.parts().cache.store(&chain);
+        self.state.lock().cache.store(&chain);
     }
 
     fn echoed_request_id(&self) -> &str {
@@ -124,7 +128,7 @@
     }
 
     /// Whom the answer names as its request at a token.
-    fn owner_at(&self, token: u32) -> &str {
+    fn response_request_id(&self, token: u32) -> &str {
         match self.faults.foreign_id_from_token {
             Some(from) if token >= from => "another",
             _ => self.echoed_request_id(),
@@ -132,7 +136,7 @@
     }
 
     fn chunk(&self, at: usize) -> Bytes {
-        let owner = self.owner_at(at as u32);
+        let owner = self.response_request_id(at as u32);
         let text = &self.tokens[at];
         let chunk = json!({
             "id": format!("chatcmpl-{owner}"),
@@ -145,7 +149,7 @@
     }
 
     /// The last events: the reason for the end with the usage, and the final marker.
-    fn closing(&self) -> Bytes {
+    fn final_events(&self) -> Bytes {
         let chunk = json!({
             "id": format!("chatcmpl-{}", self.echoed_request_id()),
             "object": "chat.completion.chunk",
@@ -162,7 +166,7 @@
 }
 
 /// Answers a chat as a whole.
-pub(crate) async fn whole_reply(run: EngineRun) -> StandinReply {
+pub(crate) async fn buffered_reply(run: EngineRun) -> StandinReply {
     let cancelled = run.register();
     let work = async {
         let held = run.prefill().await;
@@ -177,33 +181,33 @@
     }
     let message = json!({"role": "assistant", "content": run.tokens.concat()});
     let answer = json!({
-        "id": format!("chatcmpl-{}", run.owner_at(0)),
+        "id": format!("chatcmpl-{}", run.response_request_id(0)),
         "object": "chat.completion",
         "model": run.chat.model,
         "choices": [{"index": 0, "message": message, "finish_reason": "stop"}],
         "usage": run.usage(),
     });
     if run.faults.truncate_body {
-        run.state.shell.end_run(run.place, RunStatus::Cut);
-        return Ok(short_reply(run.echoed_request_id(), &answer));
+        run.state.standin.end_run(run.run_index, RunStatus::Cut);
+        return Ok(truncated_reply(run.echoed_request_id(), &answer));
     }
     run.complete();
     Ok(json_reply(200, run.echoed_request_id(), &answer))
 }
 
 /// Answers a chat as server-sent events, made by a task of the engine's.
-pub(crate) fn stream_reply(run: EngineRun) -> Response<StandinBody> {
+pub(crate) fn streamed_reply(run: EngineRun) -> Response<StandinBody> {
     let (sender, body) = Channel::new(1);
     let mut reply = Response::new(Either::Right(body));
-    mark_reply(&mut reply, "text/event-stream", run.echoed_request_id());
-    tokio::spawn(feed_stream(run, sender));
+    set_reply_headers(&mut reply, "text/event-stream", run.echoed_request_id());
+    tokio::spawn(write_stream(run, sender));
     reply
 }
 
-async fn feed_stream(run: EngineRun, mut sender: Sender<Bytes, io::Error>) {
+async fn write_stream(run: EngineRun, mut sender: Sender<Bytes, io::Error>) {
     let cancelled = run.register();
     let fed = tokio::select! {
-        fed = feed_tokens(&run, &mut sender) => fed,
+        fed = write_tokens(&run, &mut sender) => fed,
         () = cancelled.notified() => Err(io::ErrorKind::Interrupted.into()),
     };
     match fed {
@@ -212,32 +216,32 @@
     }
 }
 
-async fn feed_tokens(run: &EngineRun, sender: &mut Sender<Bytes, io::Error>) -> io::Result<()> {
+async fn write_tokens(run: &EngineRun, sender: &mut Sender<Bytes, io::Error>) -> io::Result<()> {
     let _held = run.prefill().await;
     let faults = &run.faults;
     let mut next = Instant::now();
     for at in run.from_token as usize..run.tokens.len() {
-        let place = Some(at as u32);
-        if faults.close_after_tokens == place {
-            run.state.shell.end_run(run.place, RunStatus::Cut);
+        let token_index = Some(at as u32);
+        if faults.close_after_tokens == token_index {
+            run.state.standin.end_run(run.run_index, RunStatus::Cut);
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        if faults.stall_after_tokens == place {
+        if faults.stall_after_tokens == token_index {
             std::future::pending::<()>().await;
         }
-        if faults.skip_token != place {
+        if faults.skip_token != token_index {
             send(sender, run.chunk(at)).await?;
         }
-        if faults.duplicate_token == place {
+        if faults.duplicate_token == token_index {
             send(sender, run.chunk(at)).await?;
         }
         run.state
-            .shell
-            .change_run(run.place, |record| record.tokens += 1);
+            .standin
+            .update_run(run.run_index, |record| record.tokens += 1);
         next += run.state.token_gap();
         sleep_until(next).await;
     }
-    send(sender, run.closing()).await
+    send(sender, run.final_events()).await
 }
 
 async fn send(sender: &mut Sender<Bytes, io::Error>, bytes: Bytes) -> io::Result<()> {
--- a/crates/ragwortroad_standin/src/expected_tokens.rs
+++ b/crates/ragwortroad_standin/src/expected_tokens.rs
@@ -1,10 +1,10 @@
 use ragwortroad_types::prelude::*;
 
 /// Tokens in an answer whose request names no limit, at least.
-const FEWEST_TOKENS: u64 = 16;
+const MIN_DEFAULT_TOKENS: u64 = 16;
 
 /// Bytes of prompt text that count as one token.
-pub(crate) const TOKEN_BYTES: usize = 4;
+pub(crate) const BYTES_PER_TOKEN: usize = 4;
 
 /// The answer that every stand-in engine gives to `chat`, token by token.
 ///
@@ -15,7 +15,7 @@
     let start = xxhash_rust::xxh3::xxh3_64_with_seed(&chat.prompt_text(), seed);
     let count = match chat.max_tokens {
         Some(limit) => u64::from(limit),
-        None => FEWEST_TOKENS + start % FEWEST_TOKENS,
+        None => MIN_DEFAULT_TOKENS + start % MIN_DEFAULT_TOKENS,
     };
     (0..count).map(|at| token_text(start, at)).collect()
 }
--- a/crates/ragwortroad_standin/src/fault_plan.rs
+++ b/crates/ragwortroad_standin/src/fault_plan.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
     /// Requests that the faults below apply to; all where nothing is named.
-    pub requests: Option<u32>,
+    pub max_requests: Option<u32>,
     /// Announces a longer body than it sends, then closes.
     pub truncate_body: bool,
     /// Ends a stream in good order but without the final marker.
--- a/crates/ragwortroad_standin/src/lib.rs
+++ b/crates/ragwortroad_standin/src/lib.rs
@@ -14,9 +14,9 @@
 //! ```
 
 mod announce_loop;
-mod batch_gate;
+mod batch_semaphore;
+mod engine_control;
 mod engine_handler;
-mod engine_pages;
 mod engine_settings;
 mod engine_state;
 mod engine_stream;
@@ -30,8 +30,8 @@
 mod standin_error;
 mod standin_host;
 mod standin_reply;
+mod standin_server;
 mod standin_service;
-mod standin_shell;
 
 /// Everything a dependent crate usually needs.
 pub mod prelude {
--- a/crates/ragwortroad_standin/src/prefix_cache.rs
+++ b/crates/ragwortroad_standin/src/prefix_cache.rs
@@ -8,29 +8,29 @@
 /// An engine's prefix cache: so many blocks, the least recently used dropped first.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
-    limit: usize,
-    /// Invariant: holds the stamp under which each prefix stands in `order`.
-    stamps: HashMap<PrefixKey, u64>,
-    /// Invariant: the inverse of `stamps`.
-    order: BTreeMap<u64, PrefixKey>,
+    max_blocks: usize,
+    /// Invariant: holds the stamp under which each prefix stands in `by_last_used`.
+    last_used: HashMap<PrefixKey, u64>,
+    /// Invariant: the inverse of `last_used`.
+    by_last_used: BTreeMap<u64, PrefixKey>,
     clock: u64,
     sequence: u64,
     events: Vec<CacheEvent>,
 }
 
 impl PrefixCache {
-    pub(crate) fn new(limit: usize) -> Self {
+    pub(crate) fn new(max_blocks: usize) -> Self {
         Self {
-            limit,
+            max_blocks,
             ..Self::default()
         }
     }
 
     /// Blocks of the chain that are here from its start on.
-    pub(crate) fn matched(&self, chain: &[PrefixKey]) -> usize {
+    pub(crate) fn matching_blocks(&self, chain: &[PrefixKey]) -> usize {
         chain
             .iter()
-            .take_while(|prefix| self.stamps.contains_key(prefix))
+            .take_while(|prefix| self.last_used.contains_key(prefix))
             .count()
     }
 
@@ -39,37 +39,37 @@
         for prefix in chain.iter().rev() {
             self.touch(*prefix);
         }
-        while self.stamps.len() > self.limit {
-            let Some((_, prefix)) = self.order.pop_first() else {
+        while self.last_used.len() > self.max_blocks {
+            let Some((_, prefix)) = self.by_last_used.pop_first() else {
                 return;
             };
-            self.stamps.remove(&prefix);
-            self.note(CacheChange::Evicted, prefix);
+            self.last_used.remove(&prefix);
+            self.record_event(CacheChange::Evicted, prefix);
         }
     }
 
     /// Everything stored, least recent first.
     pub(crate) fn export(&self) -> Vec<PrefixKey> {
-        self.order.values().copied().collect()
+        self.by_last_used.values().copied().collect()
     }
 
     /// Events since the last call.
-    pub(crate) fn take_events(&mut self) -> Vec<CacheEvent> {
+    pub(crate) fn drain_events(&mut self) -> Vec<CacheEvent> {
         std::mem::take(&mut self.events)
     }
 
     fn touch(&mut self, prefix: PrefixKey) {
         self.clock += 1;
-        match self.stamps.insert(prefix, self.clock) {
+        match self.last_used.insert(prefix, self.clock) {
             Some(stamp) => {
-                self.order.remove(&stamp);
+                self.by_last_used.remove(&stamp);
             }
-            None => self.note(CacheChange::Stored, prefix),
+            None => self.record_event(CacheChange::Stored, prefix),
         }
-        self.order.insert(self.clock, prefix);
+        self.by_last_used.insert(self.clock, prefix);
     }
 
-    fn note(&mut self, change: CacheChange, prefix: PrefixKey) {
+    fn record_event(&mut self, change: CacheChange, prefix: PrefixKey) {
         self.sequence += 1;
         self.events.push(CacheEvent {
             sequence: self.sequence,
--- a/crates/ragwortroad_standin/src/standin_engine.rs
+++ b/crates/ragwortroad_standin/src/standin_engine.rs
@@ -21,7 +21,7 @@
         HostSettings,
         StandinHost, //
     },
-    standin_shell::ShellState, //
+    standin_server::StandinState, //
 };
 
 /// A stand-in for a model engine.
@@ -36,7 +36,7 @@
 impl StandinEngine {
     /// Listens, and announces itself if it was told to whom.
     pub fn start(settings: EngineSettings) -> Result<Self, StandinError> {
-        let record = Arc::new(ShellState::new());
+        let record = Arc::new(StandinState::new());
         let state = Arc::new(EngineState::new(settings, Arc::clone(&record)));
         let host = HostSettings {
             listen: state.settings.listen,
@@ -66,12 +66,12 @@
 
     /// The moment from which the times in its records count.
     pub fn started(&self) -> Instant {
-        self.state.shell.started()
+        self.state.standin.started()
     }
 
     /// From now on misbehaves in this way.
     pub fn set_faults(&self, plan: FaultPlan) {
-        self.state.shell.set_faults(plan);
+        self.state.standin.set_faults(plan);
     }
 
     /// From now on announces that it will stop.
@@ -81,7 +81,7 @@
 
     /// Every chat it began, in order.
     pub fn records(&self) -> Vec<RunRecord> {
-        self.state.shell.records()
+        self.state.standin.records()
     }
 
     /// Requests it works on now, and requests that wait.
@@ -93,35 +93,35 @@
         }
     }
 
-    /// Requests whose cancellation it was told.
+    /// Requests whose cancellation it was cancelled_ids.
     pub fn cancelled_requests(&self) -> Vec<String> {
-        self.state.parts().told.clone()
+        self.state.lock().cancelled_ids.clone()
     }
 
     /// Models it holds now.
     pub fn offers(&self) -> Vec<ModelOffer> {
-        self.state.parts().offers.clone()
+        self.state.lock().offers.clone()
     }
 
     /// Every order that came, in order.
     pub fn orders(&self) -> Vec<OrderRecord> {
-        self.state.parts().orders.clone()
+        self.state.lock().orders.clone()
     }
 
     /// The role it was ordered to have.
     pub fn role(&self) -> RoleWire {
-        self.state.parts().role
+        self.state.lock().role
     }
 
     /// Whether it was ordered to take nothing new.
     pub fn is_drained(&self) -> bool {
-        self.state.parts().drain
+        self.state.lock().drain
     }
 
     /// Cuts every connection and joins its threads, as a VM that is lost would. Returns what it
     /// ran.
     pub fn stop(self) -> Vec<RunRecord> {
         self.host.stop();
-        self.state.shell.records()
+        self.state.standin.records()
     }
 }
--- a/crates/ragwortroad_standin/src/standin_host.rs
+++ b/crates/ragwortroad_standin/src/standin_host.rs
@@ -16,15 +16,15 @@
     announce_loop::AnnounceLoop,
     standin_error::ThreadsSnafu,
     standin_reply::StandinReply,
-    standin_shell::{
-        ShellState,
-        StandinShell, //
+    standin_server::{
+        StandinServer, //
+        StandinState,
     }, //
 };
 
 /// Everything that runs for one stand-in: its server and the thread that announces it.
 pub(crate) struct StandinHost {
-    shell: StandinShell,
+    server: StandinServer,
     announcer: Option<AnnounceLoop>,
 }
 
@@ -41,7 +41,7 @@
     /// address and home epoch.
     pub(crate) fn start<Handle, Reply>(
         settings: HostSettings,
-        state: Arc<ShellState>,
+        state: Arc<StandinState>,
         handle: Handle,
         mut announce: impl FnMut(&str, u64) -> AnnounceWire + Send + 'static,
     ) -> Result<Self, StandinError>
@@ -49,16 +49,16 @@
         Handle: Fn(Request<Incoming>) -> Reply + Clone + Send + Sync + 'static,
         Reply: Future<Output = StandinReply> + Send + 'static,
     {
-        let shell = StandinShell::start(settings.listen, settings.threads, state, handle)?;
-        let address = shell.address().to_string();
+        let server = StandinServer::start(settings.listen, settings.threads, state, handle)?;
+        let address = server.address().to_string();
         let make = move |epoch| announce(&address, epoch);
         let announcer = AnnounceLoop::start(settings.announce_to, settings.join_secret, make)
             .context(ThreadsSnafu)?;
-        Ok(Self { shell, announcer })
+        Ok(Self { server, announcer })
     }
 
     pub(crate) fn address(&self) -> SocketAddr {
-        self.shell.address()
+        self.server.address()
     }
 
     /// Cuts every connection and joins every thread.
@@ -66,6 +66,6 @@
         if let Some(announcer) = self.announcer {
             announcer.stop();
         }
-        self.shell.stop();
+        self.server.stop();
     }
 }
--- a/crates/ragwortroad_standin/src/standin_reply.rs
+++ b/crates/ragwortroad_standin/src/standin_reply.rs
@@ -25,12 +25,12 @@
     let body = Full::new(Bytes::from(value.to_string()));
     let mut reply = Response::new(Either::Left(body));
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
-    mark_reply(&mut reply, "application/json", request_id);
+    set_reply_headers(&mut reply, "application/json", request_id);
     reply
 }
 
 /// An answer that promises more bytes than it has.
-pub(crate) fn short_reply(request_id: &str, value: &Value) -> Response<StandinBody> {
+pub(crate) fn truncated_reply(request_id: &str, value: &Value) -> Response<StandinBody> {
     let text = value.to_string();
     let promised = (text.len() + 10).to_string();
     let (mut sender, body) = Channel::new(1);
@@ -41,7 +41,7 @@
         tracing::debug!("a new channel had no room");
     }
     let mut reply = Response::new(Either::Right(body));
-    mark_reply(&mut reply, "application/json", request_id);
+    set_reply_headers(&mut reply, "application/json", request_id);
     if let Ok(value) = promised.parse() {
         reply.headers_mut().insert("content-length", value);
     }
@@ -56,7 +56,11 @@
     reply
 }
 
-pub(crate) fn mark_reply(reply: &mut Response<StandinBody>, content_type: &str, request_id: &str) {
+pub(crate) fn set_reply_headers(
+    reply: &mut Response<StandinBody>,
+    content_type: &str,
+    request_id: &str,
+) {
     let headers = reply.headers_mut();
     for (name, value) in [("content-type", content_type), ("x-request-id", request_id)] {
         if let Ok(value) = value.parse()
--- a/crates/ragwortroad_standin/src/standin_shell.rs
+++ b/crates/ragwortroad_standin/src/standin_server.rs
@@ -47,19 +47,19 @@
 };
 
 /// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 
 /// How often a stand-in that refuses connections looks whether it may listen again.
-const LISTEN_POLL: Duration = Duration::from_millis(20);
+const LISTEN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What every stand-in has: faults that are set, and records of what it ran.
-pub(crate) struct ShellState {
+pub(crate) struct StandinState {
     started: Instant,
     faults: Mutex<FaultPlan>,
     records: Mutex<Vec<RunRecord>>,
 }
 
-impl ShellState {
+impl StandinState {
     pub(crate) fn new() -> Self {
         Self {
             started: Instant::now(),
@@ -83,7 +83,7 @@
     /// The faults for one more request, which counts as one of those they apply to.
     pub(crate) fn next_faults(&self) -> FaultPlan {
         let mut plan = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        match &mut plan.requests {
+        match &mut plan.max_requests {
             None => plan.clone(),
             Some(0) => FaultPlan::default(),
             Some(left) => {
@@ -103,24 +103,24 @@
         records.clone()
     }
 
-    /// Writes down that a run begins, and returns its place.
+    /// Writes down that a run begins, and returns its run_index.
     pub(crate) fn begin_run(&self, record: RunRecord) -> usize {
         let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
         records.push(record);
         records.len() - 1
     }
 
-    pub(crate) fn change_run(&self, place: usize, change: impl FnOnce(&mut RunRecord)) {
+    pub(crate) fn update_run(&self, run_index: usize, change: impl FnOnce(&mut RunRecord)) {
         let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(record) = records.get_mut(place) {
+        if let Some(record) = records.get_mut(run_index) {
             change(record);
         }
     }
 
     /// Writes down how a run ended, once.
-    pub(crate) fn end_run(&self, place: usize, end: RunStatus) {
+    pub(crate) fn end_run(&self, run_index: usize, end: RunStatus) {
         let now = self.elapsed_ms();
-        self.change_run(place, |record| {
+        self.update_run(run_index, |record| {
             if record.end == RunStatus::Running {
                 record.end = end;
                 record.ended_ms = Some(now);
@@ -134,17 +134,17 @@
 /// The stand-ins are servers on `hyper`: `tiny_http` gives no hold on its connections, so a
 /// stand-in on it could neither break off in the middle of an answer nor stop serving connections
 /// that are open, and those are the faults that matter most.
-pub(crate) struct StandinShell {
+pub(crate) struct StandinServer {
     address: SocketAddr,
     runtime: Runtime,
 }
 
-impl StandinShell {
+impl StandinServer {
     /// Listens, and serves each request by `handle`.
     pub(crate) fn start<Handle, Reply>(
         listen: SocketAddr,
         threads: usize,
-        state: Arc<ShellState>,
+        state: Arc<StandinState>,
         handle: Handle,
     ) -> Result<Self, StandinError>
     where
@@ -186,13 +186,13 @@
     }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 async fn serve<Handle, Reply>(
     listener: TcpListener,
     address: SocketAddr,
-    state: Arc<ShellState>,
+    state: Arc<StandinState>,
     handle: Handle,
 ) where
     Handle: Fn(Request<Incoming>) -> Reply + Clone + Send + Sync + 'static,
@@ -202,18 +202,18 @@
     loop {
         let bound = waiting.take().map_or_else(|| bind(address), Ok);
         let Ok(listener) = bound else {
-            sleep(LISTEN_POLL).await;
+            sleep(LISTEN_POLL_INTERVAL).await;
             continue;
         };
         accept(listener, &state, &handle).await;
         while state.refuses_connections() {
-            sleep(LISTEN_POLL).await;
+            sleep(LISTEN_POLL_INTERVAL).await;
         }
     }
 }
 
 /// Accepts connections until the faults say to refuse them; that also cuts those that are open.
-async fn accept<Handle, Reply>(listener: TcpListener, state: &Arc<ShellState>, handle: &Handle)
+async fn accept<Handle, Reply>(listener: TcpListener, state: &Arc<StandinState>, handle: &Handle)
 where
     Handle: Fn(Request<Incoming>) -> Reply + Clone + Send + Sync + 'static,
     Reply: Future<Output = StandinReply> + Send + 'static,
@@ -236,7 +236,7 @@
                 });
             }
             Some(_) = connections.join_next() => {}
-            () = sleep(LISTEN_POLL) => {}
+            () = sleep(LISTEN_POLL_INTERVAL) => {}
         }
     }
 }
--- a/crates/ragwortroad_standin/src/standin_service.rs
+++ b/crates/ragwortroad_standin/src/standin_service.rs
@@ -28,7 +28,7 @@
     RunStatus,
     ServiceSettings,
     StandinError,
-    engine_state::CountGuard,
+    engine_state::GaugeGuard,
     standin_host::{
         HostSettings,
         StandinHost, //
@@ -38,15 +38,15 @@
         header_text,
         json_reply,
         redirect_reply,
-        short_reply, //
+        truncated_reply, //
     },
-    standin_shell::ShellState, //
+    standin_server::StandinState, //
 };
 
 /// What all requests of one stand-in service share.
 struct ServiceState {
     settings: ServiceSettings,
-    shell: Arc<ShellState>,
+    standin: Arc<StandinState>,
     leaving: AtomicBool,
     running: AtomicU32,
     sequence: AtomicU64,
@@ -64,10 +64,10 @@
 impl StandinService {
     /// Listens, and announces itself if it was told to whom.
     pub fn start(settings: ServiceSettings) -> Result<Self, StandinError> {
-        let record = Arc::new(ShellState::new());
+        let record = Arc::new(StandinState::new());
         let state = Arc::new(ServiceState {
             settings,
-            shell: Arc::clone(&record),
+            standin: Arc::clone(&record),
             leaving: AtomicBool::new(false),
             running: AtomicU32::new(0),
             sequence: AtomicU64::new(0),
@@ -100,12 +100,12 @@
 
     /// The moment from which the times in its records count.
     pub fn started(&self) -> Instant {
-        self.state.shell.started()
+        self.state.standin.started()
     }
 
     /// From now on misbehaves in this way.
     pub fn set_faults(&self, plan: FaultPlan) {
-        self.state.shell.set_faults(plan);
+        self.state.standin.set_faults(plan);
     }
 
     /// From now on announces that it will stop.
@@ -115,13 +115,13 @@
 
     /// Every request it ran, in order.
     pub fn records(&self) -> Vec<RunRecord> {
-        self.state.shell.records()
+        self.state.standin.records()
     }
 
     /// Cuts every connection and joins its threads. Returns what it ran.
     pub fn stop(self) -> Vec<RunRecord> {
         self.host.stop();
-        self.state.shell.records()
+        self.state.standin.records()
     }
 }
 
@@ -152,10 +152,10 @@
 }
 
 async fn handle_service(state: Arc<ServiceState>, request: Request<Incoming>) -> StandinReply {
-    let _running = CountGuard::new(&state.running);
+    let _running = GaugeGuard::new(&state.running);
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let faults = state.shell.next_faults();
+    let faults = state.standin.next_faults();
     let text = |name| header_text(&parts.headers, name).map(str::to_owned);
     let request_id = text("x-request-id").unwrap_or_default();
     if let Some(status) = faults.status {
@@ -167,7 +167,7 @@
     }
     let body_hash = xxhash_rust::xxh3::xxh3_64(&body);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let place = state.shell.begin_run(RunRecord {
+    let run_index = state.standin.begin_run(RunRecord {
         endpoint: state.settings.name.clone(),
         request_id: request_id.clone(),
         customer: text("x-customer").unwrap_or_default(),
@@ -175,7 +175,7 @@
         path: path.to_owned(),
         idempotency_key: text("idempotency-key"),
         body_hash,
-        began_ms: state.shell.elapsed_ms(),
+        began_ms: state.standin.elapsed_ms(),
         ended_ms: None,
         end: RunStatus::Running,
         from_token: 0,
@@ -193,30 +193,30 @@
         "body_hash": format!("{body_hash:016x}"),
         "body_length": body.len(),
         "idempotency_key": text("idempotency-key"),
-        "run": place,
+        "run": run_index,
     });
-    finish_call(&state, place, &faults, echo, &answer)
+    finish_request(&state, run_index, &faults, echo, &answer)
 }
 
-fn finish_call(
+fn finish_request(
     state: &ServiceState,
-    place: usize,
+    run_index: usize,
     faults: &FaultPlan,
     echo: &str,
     answer: &serde_json::Value,
 ) -> StandinReply {
     if faults.close_without_response {
-        state.shell.end_run(place, RunStatus::Cut);
+        state.standin.end_run(run_index, RunStatus::Cut);
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     if let Some(location) = &faults.redirect_to {
-        state.shell.end_run(place, RunStatus::Completed);
+        state.standin.end_run(run_index, RunStatus::Completed);
         return Ok(redirect_reply(echo, location));
     }
     if faults.truncate_body {
-        state.shell.end_run(place, RunStatus::Cut);
-        return Ok(short_reply(echo, answer));
+        state.standin.end_run(run_index, RunStatus::Cut);
+        return Ok(truncated_reply(echo, answer));
     }
-    state.shell.end_run(place, RunStatus::Completed);
+    state.standin.end_run(run_index, RunStatus::Completed);
     Ok(json_reply(200, echo, answer))
 }
--- a/crates/ragwortroad_standin/tests/standin_duties.rs
+++ b/crates/ragwortroad_standin/tests/standin_duties.rs
@@ -32,7 +32,7 @@
 }
 
 /// Takes one announcement and answers where to announce to from now on.
-fn take_announce(node: &Server, next: &str) -> AnnounceWire {
+fn receive_announcement(node: &Server, next: &str) -> AnnounceWire {
     let mut request = node.recv_timeout(BOUND).unwrap().unwrap();
     let wire = serde_json::from_reader(request.as_reader()).unwrap();
     let answer = AnnounceAnswer {
@@ -91,13 +91,13 @@
         ..EngineSettings::default()
     })
     .unwrap();
-    assert_eq!(take_announce(&first, &first_address).home_epoch, 1);
-    assert_eq!(take_announce(&first, &second_address).home_epoch, 1);
-    let moved = take_announce(&second, &second_address);
+    assert_eq!(receive_announcement(&first, &first_address).home_epoch, 1);
+    assert_eq!(receive_announcement(&first, &second_address).home_epoch, 1);
+    let moved = receive_announcement(&second, &second_address);
     assert_eq!((moved.home_epoch, moved.sequence), (2, 3));
-    assert_eq!(take_announce(&second, &first_address).home_epoch, 2);
+    assert_eq!(receive_announcement(&second, &first_address).home_epoch, 2);
     engine.announce_leaving();
-    let back = take_announce(&first, &first_address);
+    let back = receive_announcement(&first, &first_address);
     assert_eq!((back.home_epoch, back.leaving), (3, true));
     engine.stop();
 }
@@ -151,7 +151,7 @@
     let start = Instant::now();
     while seen.len() < 12 {
         assert!(start.elapsed() < BOUND, "{seen:?}");
-        let wire = take_announce(&node, &address);
+        let wire = receive_announcement(&node, &address);
         seen.extend(wire.cache_events.iter().map(|event| event.sequence));
     }
     assert!(seen.windows(2).all(|pair| pair[0] < pair[1]), "{seen:?}");
@@ -161,7 +161,7 @@
 }
 
 /// Asks in a thread of its own, with a priority; returns when it was answered, as a place.
-fn ask_later(
+fn spawn_chat(
     engine: &Arc<StandinEngine>,
     order: &Arc<Mutex<Vec<u8>>>,
     priority: u8,
@@ -191,7 +191,7 @@
     let order = Arc::new(Mutex::new(Vec::new()));
     let mut threads = Vec::new();
     for (waiting, priority) in [9, 5, 5, 1].into_iter().enumerate() {
-        threads.push(ask_later(&engine, &order, priority));
+        threads.push(spawn_chat(&engine, &order, priority));
         let start = Instant::now();
         let queued = waiting as u32;
         while engine.load().running != 1 || engine.load().queued != queued {
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -26,7 +26,7 @@
             return ExitStatus::BadInput;
         }
     };
-    let line = match gather_timeline(&client, &filter) {
+    let line = match collect_timeline(&client, &filter) {
         Ok(line) => line,
         Err(error) => {
             eprintln!("{error}");
