--- a/crates/ragwortroad_load/src/address_cache.rs
+++ b/crates/ragwortroad_load/src/address_cache.rs
@@ -15,15 +15,15 @@
 
 use ragwortroad_types::prelude::*;
 
-/// The address answers that callers keep, each for as long as it may be cached.
+/// The node addresses that clients cache, each entry for the lifetime its response allows.
 pub(crate) struct AddressCache {
-    /// Nodes to ask when nothing is known.
+    /// Nodes to query when nothing is cached.
     seeds: Vec<String>,
     next_seed: AtomicUsize,
     cached: Mutex<HashMap<String, CachedAddresses>>,
 }
 
-/// One answer with its end.
+/// One cached address response with its expiry time.
 struct CachedAddresses {
     addresses: Vec<String>,
     expires_at: Instant,
@@ -38,16 +38,16 @@
         }
     }
 
-    /// The addresses cached under `name`, if they may still be used.
+    /// Returns the addresses cached under `name`, unless they have expired.
     pub(crate) fn get(&self, name: &str) -> Option<Vec<String>> {
         let cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
-        let answer = cached.get(name)?;
-        (Instant::now() < answer.expires_at).then(|| answer.addresses.clone())
+        let entry = cached.get(name)?;
+        (Instant::now() < entry.expires_at).then(|| entry.addresses.clone())
     }
 
-    pub(crate) fn insert(&self, name: &str, answer: &AddressAnswer) {
-        let expires_at = Instant::now() + Duration::from_millis(answer.keep_ms);
-        let addresses = answer.addresses.clone();
+    pub(crate) fn insert(&self, name: &str, response: &AddressAnswer) {
+        let expires_at = Instant::now() + Duration::from_millis(response.keep_ms);
+        let addresses = response.addresses.clone();
         let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
         cached.insert(
             name.to_owned(),
@@ -58,12 +58,12 @@
         );
     }
 
-    /// Puts the node that an answer named first in what is cached under `name`.
+    /// Moves `address` to the front of the addresses cached under `name`.
     pub(crate) fn move_to_front(&self, name: &str, address: &str) {
         let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(answer) = cached.get_mut(name) {
-            answer.addresses.retain(|known| known != address);
-            answer.addresses.insert(0, address.to_owned());
+        if let Some(entry) = cached.get_mut(name) {
+            entry.addresses.retain(|known| known != address);
+            entry.addresses.insert(0, address.to_owned());
         }
     }
 
@@ -72,7 +72,7 @@
         cached.remove(name);
     }
 
-    /// All seeds, beginning with another one at each call.
+    /// Returns all seeds, rotated by one more position at each call.
     pub(crate) fn seeds(&self) -> Vec<String> {
         let mut seeds = self.seeds.clone();
         if !seeds.is_empty() {
--- a/crates/ragwortroad_load/src/arrival_plan.rs
+++ b/crates/ragwortroad_load/src/arrival_plan.rs
@@ -11,34 +11,34 @@
     SurgePlan, //
 };
 
-/// One request that becomes due at a time fixed beforehand.
+/// One request, scheduled before the run starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PlannedArrival {
-    /// From the start of the run.
+    /// Due time, counted from the start of the run.
     pub(crate) at: Duration,
-    /// Place in [`LoadSettings::customers`].
+    /// Index into [`LoadSettings::customers`].
     pub(crate) customer: usize,
     pub(crate) action: PlannedAction,
 }
 
-/// What becomes due.
+/// The request that an arrival sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlannedAction {
-    /// A turn of a chat; turn 0 opens it.
+    /// A turn of a chat; turn 0 starts the chat.
     Turn {
         chat: u64,
         turn: u32,
         streamed: bool,
     },
-    /// A booking's first sending.
+    /// A new booking.
     Booking { booking: u64 },
-    /// The same booking again, through another node.
+    /// A repeat of a booking under the same idempotency key, through another node.
     Resend { booking: u64 },
-    /// A read at the service.
+    /// A read from the service.
     Read { record: u64 },
 }
 
-/// Draws all arrivals of a run, in the order of their times.
+/// Generates all arrivals of a run, sorted by due time.
 pub(crate) fn plan_arrivals(settings: &LoadSettings) -> Vec<PlannedArrival> {
     let mut plan = ArrivalPlan {
         rng: Pcg64Mcg::seed_from_u64(settings.seed),
@@ -54,7 +54,7 @@
     plan.arrivals
 }
 
-/// A plan being drawn.
+/// The generator state of [`plan_arrivals`].
 struct ArrivalPlan<'settings> {
     rng: Pcg64Mcg,
     settings: &'settings LoadSettings,
@@ -65,7 +65,7 @@
     fn add_chats(&mut self) {
         let mut chat = 0;
         let mut at = Duration::ZERO;
-        // Drawn at the surge's rate throughout and thinned outside it.
+        // Arrivals are drawn at the surge rate for the whole run and thinned outside the surge.
         let factor = self
             .settings
             .surge
@@ -83,13 +83,13 @@
     }
 
     fn rate_factor(&self, customer: usize, at: Duration) -> f64 {
-        let surges = |surge: &&SurgePlan| {
+        let is_surging = |surge: &&SurgePlan| {
             customer < surge.customers && (surge.from..surge.until).contains(&at)
         };
         self.settings
             .surge
             .as_ref()
-            .filter(surges)
+            .filter(is_surging)
             .map_or(1.0, |surge| surge.factor)
     }
 
@@ -103,8 +103,8 @@
                 streamed,
             };
             self.push(at, customer, action);
-            let stretch = 0.5 + self.rng.random::<f64>();
-            at += self.settings.think_time.mul_f64(stretch);
+            let pause_factor = 0.5 + self.rng.random::<f64>();
+            at += self.settings.think_time.mul_f64(pause_factor);
         }
     }
 
@@ -117,8 +117,8 @@
             let customer = self.draw_customer();
             self.push(at, customer, PlannedAction::Booking { booking });
             if self.rng.random_range(0..100) < self.settings.resend_percent {
-                let later = Duration::from_millis(self.rng.random_range(0..300));
-                self.push(at + later, customer, PlannedAction::Resend { booking });
+                let delay = Duration::from_millis(self.rng.random_range(0..300));
+                self.push(at + delay, customer, PlannedAction::Resend { booking });
             }
         }
     }
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The next arrival of a Poisson process, or nothing past the run's end.
+    /// Returns the next arrival of a Poisson process, or `None` past the end of the run.
     fn next_time(&mut self, at: Duration, rate: f64) -> Option<Duration> {
         if rate <= 0.0 {
             return None;
@@ -158,10 +158,10 @@
         let customers = &self.settings.customers;
         let total: f64 = customers.iter().map(|customer| customer.weight).sum();
         let mut draw = self.rng.random::<f64>() * total;
-        for (place, customer) in customers.iter().enumerate() {
+        for (index, customer) in customers.iter().enumerate() {
             draw -= customer.weight;
             if draw < 0.0 {
-                return place;
+                return index;
             }
         }
         customers.len() - 1
--- a/crates/ragwortroad_load/src/call_record.rs
+++ b/crates/ragwortroad_load/src/call_record.rs
@@ -6,78 +6,78 @@
 
 use crate::ResponseFault;
 
-/// What one caller saw of one request, over all its attempts.
+/// One request as its client saw it, over all its attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallRecord {
-    /// What it was.
+    /// Kind of request.
     pub kind: CallKind,
     /// The customer's name.
     pub customer: String,
-    /// The idempotency key it was sent with.
+    /// The idempotency key it was sent with; only bookings have one.
     pub key: Option<String>,
-    /// Every sending, in order.
+    /// Every attempt, in order.
     pub attempts: Vec<AttemptRecord>,
-    /// How it ended.
+    /// Outcome of the last attempt.
     pub end: ClientOutcome,
-    /// Microseconds from when it was due to its first token, for a stream.
+    /// Microseconds from the due time to the first token; `None` unless a stream delivered one.
     pub first_token_us: Option<u64>,
-    /// Microseconds from when it was due to its end.
+    /// Microseconds from the due time to the end of the request.
     pub total_us: u64,
-    /// Prompt tokens the engine found in its cache.
+    /// Prompt tokens that the engine found in its prefix cache; 0 for service requests.
     pub cached_tokens: u32,
-    /// Prompt tokens in all.
+    /// Total prompt tokens; 0 for service requests.
     pub prompt_tokens: u32,
-    /// Hash of the answer's body, for a service.
+    /// Hash of the response body, to compare the responses to one idempotency key.
     pub answer_hash: Option<u64>,
 }
 
-/// What a call was.
+/// Kind of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallKind {
-    /// A chat's first turn.
+    /// The first turn of a chat.
     FirstTurn,
     /// A later turn of a chat.
     ReturnTurn,
-    /// A booking.
+    /// The first request for a booking.
     Booking,
-    /// A booking sent again under its key.
+    /// A repeated booking under the same idempotency key.
     Resend,
-    /// A read.
+    /// A read from the plain service.
     Read,
 }
 
-/// One sending of a request to one node.
+/// One attempt to send a request to one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AttemptRecord {
-    /// `IP:port` of the node.
+    /// `IP:port` of the node; empty if no address was known.
     pub address: String,
-    /// The identity the node gave it, if it answered.
+    /// The node's `X-Request-Id`, if the node responded with one.
     pub request_id: Option<String>,
-    /// HTTP status, if it answered.
+    /// HTTP status, if the node responded.
     pub status: Option<u16>,
-    /// What a refusal said of the request.
+    /// The refusal's outcome; `None` if the request was not refused.
     pub outcome: Option<RequestOutcome>,
-    /// A refusal's code.
+    /// The refusal's code; `None` if the request was not refused.
     pub code: Option<RefusalCode>,
 }
 
-/// How a call ended for its caller.
+/// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClientOutcome {
-    /// With a whole answer of its own.
+    /// The response is complete and, where responses are checked, correct.
     Answered,
-    /// With a refusal.
+    /// The node refused the request.
     Refused(RequestOutcome, RefusalCode),
-    /// With an answer that must never be given.
+    /// The response violates the contract with clients.
     Wrong(ResponseFault),
-    /// With a broken connection.
+    /// The connection failed or the response was not valid; holds the reason.
     Broken(String),
-    /// No node could be reached.
+    /// The connection was refused.
     Unreachable,
 }
--- a/crates/ragwortroad_load/src/call_retry.rs
+++ b/crates/ragwortroad_load/src/call_retry.rs
@@ -20,25 +20,26 @@
     load_state::LoadState, //
 };
 
-/// Longest wait that a refusal can impose.
+/// Upper limit on the retry delay that a refusal requests.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1000);
 
-/// Wait before the next sending where no refusal named one.
+/// Delay before the next attempt if no refusal requested one.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(30);
 
 impl LoadState {
-    /// Sends a request until it is answered, going from address to address as refusals say.
+    /// Sends a request until its outcome is final or its attempts or its deadline are used up,
+    /// moving on to the addresses that refusals name.
     pub(crate) fn send_with_retries(
         &self,
         kind: CallKind,
         customer: &CustomerLoad,
         due: Instant,
-        (book_name, mut addresses): (&str, Vec<String>),
+        (cache_name, mut addresses): (&str, Vec<String>),
         request: &ClientRequest<'_>,
-        mut call: impl FnMut(&str) -> ClientResponse,
+        mut send: impl FnMut(&str) -> ClientResponse,
     ) -> (CallRecord, ClientResponse) {
         let mut attempts = Vec::new();
-        let answer = loop {
+        let response = loop {
             if addresses.is_empty() {
                 addresses = self.address_cache.seeds();
             }
@@ -46,15 +47,15 @@
                 true => String::new(),
                 false => addresses.remove(0),
             };
-            let answer = call(&address);
-            attempts.push(answer.attempt.clone());
-            let over = attempts.len() as u32 >= self.settings.max_attempts
+            let response = send(&address);
+            attempts.push(response.attempt.clone());
+            let is_exhausted = attempts.len() as u32 >= self.settings.max_attempts
                 || due.elapsed() >= self.settings.deadline;
-            if over || is_final(&answer.end) {
-                break answer;
+            if is_exhausted || is_final(&response.end) {
+                break response;
             }
-            self.address_cache.remove(book_name);
-            if let Some(refusal) = &answer.refusal {
+            self.address_cache.remove(cache_name);
+            if let Some(refusal) = &response.refusal {
                 let named = refusal.error.addresses.iter();
                 let others: Vec<String> =
                     named.filter(|other| **other != address).cloned().collect();
@@ -62,26 +63,26 @@
                     addresses = others;
                 }
             }
-            thread::sleep(retry_delay(&answer));
+            thread::sleep(retry_delay(&response));
         };
-        let note = CallRecord {
+        let record = CallRecord {
             kind,
             customer: customer.name.clone(),
             key: request.idempotency_key.map(str::to_owned),
             attempts,
-            end: answer.end.clone(),
-            first_token_us: answer.first_token.map(|at| micros(at - due)),
+            end: response.end.clone(),
+            first_token_us: response.first_token.map(|at| micros(at - due)),
             total_us: micros(due.elapsed()),
-            cached_tokens: answer.usage.cached_tokens(),
-            prompt_tokens: answer.usage.prompt_tokens,
+            cached_tokens: response.usage.cached_tokens(),
+            prompt_tokens: response.usage.prompt_tokens,
             answer_hash: None,
         };
-        (note, answer)
+        (record, response)
     }
 }
 
-/// Whether sending again is of no use. Every call here may be sent again: reads and chats change
-/// nothing, and bookings carry their key.
+/// Whether a retry can't change the outcome. Retries are always safe here: reads and chats have
+/// no side effects, and bookings carry an idempotency key.
 fn is_final(end: &ClientOutcome) -> bool {
     match end {
         ClientOutcome::Answered | ClientOutcome::Wrong(_) => true,
@@ -101,12 +102,12 @@
     }
 }
 
-fn retry_delay(answer: &ClientResponse) -> Duration {
-    let named = answer
+fn retry_delay(response: &ClientResponse) -> Duration {
+    let requested_ms = response
         .refusal
         .as_ref()
         .and_then(|refusal| refusal.error.retry_after_ms);
-    named
+    requested_ms
         .map_or(DEFAULT_RETRY_DELAY, Duration::from_millis)
         .min(MAX_RETRY_DELAY)
 }
--- a/crates/ragwortroad_load/src/client_request.rs
+++ b/crates/ragwortroad_load/src/client_request.rs
@@ -12,7 +12,7 @@
     event_reader::TokenUsage, //
 };
 
-/// One request as it goes to a node.
+/// One request to a node.
 pub(crate) struct ClientRequest<'call> {
     pub(crate) method: Method,
     pub(crate) path: String,
@@ -24,13 +24,13 @@
     pub(crate) deadline: Duration,
 }
 
-/// What came back from one sending.
+/// The result of one attempt.
 pub(crate) struct ClientResponse {
     pub(crate) attempt: AttemptRecord,
     pub(crate) end: ClientOutcome,
     pub(crate) refusal: Option<Box<RefusalWire>>,
     pub(crate) hint: Option<String>,
-    /// The node to send the chat's next request to.
+    /// The node that should get the chat's next request, from `X-Next-Node`.
     pub(crate) next_node: Option<String>,
     pub(crate) first_token: Option<Instant>,
     pub(crate) usage: TokenUsage,
--- a/crates/ragwortroad_load/src/event_reader.rs
+++ b/crates/ragwortroad_load/src/event_reader.rs
@@ -12,20 +12,20 @@
     lines: BufReader<Bytes>,
 }
 
-/// One event, as far as a caller reads it.
+/// One event of a chat stream, with the fields that the client uses.
 #[derive(Debug)]
 pub(crate) enum StreamEvent {
-    /// A chunk of the answer.
+    /// A chunk of the response.
     Chunk(StreamChunk),
-    /// The final marker.
+    /// The final `[DONE]` marker.
     Done,
-    /// A refusal in place of the rest.
+    /// A refusal that replaces the rest of the response.
     Refusal(RefusalWire),
-    /// Something else, or the end without a marker.
+    /// An invalid event, a read error, or the end of the stream without the final marker.
     Broken(String),
 }
 
-/// A chunk of an answer.
+/// A chunk of a streamed response.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 pub(crate) struct StreamChunk {
@@ -37,7 +37,7 @@
     pub(crate) usage: Option<TokenUsage>,
 }
 
-/// A chunk's choice.
+/// One choice of a chunk.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 struct StreamChoice {
@@ -45,7 +45,7 @@
     delta: StreamDelta,
 }
 
-/// What a chunk adds.
+/// The text that a chunk adds.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 struct StreamDelta {
@@ -53,7 +53,7 @@
     content: Option<String>,
 }
 
-/// What an answer cost.
+/// Token usage of a response.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Deserialize)]
 pub(crate) struct TokenUsage {
@@ -63,7 +63,7 @@
     prompt_tokens_details: Option<PromptTokenDetails>,
 }
 
-/// How much of a prompt was in a cache.
+/// Details of the prompt tokens in a [`TokenUsage`].
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Deserialize)]
 struct PromptTokenDetails {
@@ -91,13 +91,18 @@
         }
     }
 
-    /// The next event; a stream that ends here is broken, since the final marker was not read.
+    /// Reads the next event; returns [`StreamEvent::Broken`] if the stream ends, since the final
+    /// marker has not been read.
     pub(crate) fn next_event(&mut self) -> StreamEvent {
         let mut line = String::new();
         loop {
             line.clear();
             match self.lines.read_line(&mut line) {
-                Ok(0) => return StreamEvent::Broken("no final marker".to_owned()),
+                Ok(0) => {
+                    return StreamEvent::Broken(
+                        "stream ended without the [DONE] marker".to_owned(),
+                    );
+                }
                 Ok(_) => {}
                 Err(error) => return StreamEvent::Broken(error.to_string()),
             }
--- a/crates/ragwortroad_load/src/http_client.rs
+++ b/crates/ragwortroad_load/src/http_client.rs
@@ -30,11 +30,11 @@
     },
     latency_set::{
         LatencySet,
-        record, //
+        record_latency, //
     }, //
 };
 
-/// A whole chat answer.
+/// The body of a chat response that is not streamed.
 #[derive(Deserialize)]
 struct ChatCompletion {
     id: String,
@@ -43,19 +43,19 @@
     usage: TokenUsage,
 }
 
-/// The choice of a whole answer.
+/// One choice of a chat completion.
 #[derive(Deserialize)]
 struct CompletionChoice {
     message: CompletionMessage,
 }
 
-/// The message of a whole answer.
+/// The message of a completion's choice.
 #[derive(Deserialize)]
 struct CompletionMessage {
     content: String,
 }
 
-/// Sends one request to one node and reads the answer's head.
+/// Sends one request to one node and reads the response's status line and headers.
 fn open_response(
     address: &str,
     request: &ClientRequest<'_>,
@@ -63,7 +63,7 @@
     let url = format!("http://{address}{}", request.path);
     let seconds = request.deadline.as_secs().max(1) + 2;
     let deadline = request.deadline.as_millis().to_string();
-    let mut sent = Request::new(request.method.clone(), url)
+    let mut outgoing = Request::new(request.method.clone(), url)
         .with_header("authorization", format!("Bearer {}", request.key))
         .with_header("content-type", "application/json")
         .with_header("x-deadline-ms", deadline)
@@ -77,17 +77,17 @@
     ];
     for (name, value) in headers {
         if let Some(value) = value {
-            sent = sent.with_header(name, value);
+            outgoing = outgoing.with_header(name, value);
         }
     }
-    let mut answer = ClientResponse::unreachable(address);
-    match sent.send_lazy() {
-        Ok(response) => {
-            answer.attempt.status = Some(response.status_code);
-            answer.attempt.request_id = header(&response, "x-request-id");
-            answer.hint = header(&response, "x-placement-hint");
-            answer.next_node = header(&response, "x-next-node");
-            Ok((answer, response))
+    let mut response = ClientResponse::unreachable(address);
+    match outgoing.send_lazy() {
+        Ok(reader) => {
+            response.attempt.status = Some(reader.status_code);
+            response.attempt.request_id = header(&reader, "x-request-id");
+            response.hint = header(&reader, "x-placement-hint");
+            response.next_node = header(&reader, "x-next-node");
+            Ok((response, reader))
         }
         Err(error) => {
             let kind = match &error {
@@ -95,110 +95,118 @@
                 _ => None,
             };
             if kind != Some(std::io::ErrorKind::ConnectionRefused) {
-                answer.end = ClientOutcome::Broken(error.to_string());
+                response.end = ClientOutcome::Broken(error.to_string());
             }
-            Err(Box::new(answer))
+            Err(Box::new(response))
         }
     }
 }
 
-fn header(response: &ResponseLazy, name: &str) -> Option<String> {
-    let found = response
+fn header(reader: &ResponseLazy, name: &str) -> Option<String> {
+    let found = reader
         .headers
         .iter()
         .find(|(field, _)| field.eq_ignore_ascii_case(name));
     found.map(|(_, value)| value.clone())
 }
 
-/// Reads a body and counts its bytes: the library ends a short body without an error.
-fn read_full_body(response: &mut ResponseLazy) -> Result<Vec<u8>, String> {
-    let promised = header(response, "content-length").and_then(|text| text.parse::<usize>().ok());
+/// Reads a body and compares its length with `Content-Length`, since `minreq` reports no error
+/// for a truncated body.
+fn read_full_body(reader: &mut ResponseLazy) -> Result<Vec<u8>, String> {
+    let content_length =
+        header(reader, "content-length").and_then(|text| text.parse::<usize>().ok());
     let mut body = Vec::new();
-    response
+    reader
         .read_to_end(&mut body)
         .map_err(|error| error.to_string())?;
-    match promised {
+    match content_length {
         Some(length) if length != body.len() => {
-            Err(format!("{} of {length} bytes came", body.len()))
+            Err(format!("body ended after {} of {length} bytes", body.len()))
         }
         _ => Ok(body),
     }
 }
 
-/// Sends a request whose answer is whole, and reads it as far as its kind allows.
+/// Sends a request and reads its whole body; a non-2xx response must be a refusal.
 pub(crate) fn send_buffered(address: &str, request: &ClientRequest<'_>) -> ClientResponse {
-    let (mut answer, mut response) = match open_response(address, request) {
-        Ok(begun) => begun,
-        Err(answer) => return *answer,
+    let (mut response, mut reader) = match open_response(address, request) {
+        Ok(opened) => opened,
+        Err(response) => return *response,
     };
-    match read_full_body(&mut response) {
-        Ok(body) => answer.body = body,
+    match read_full_body(&mut reader) {
+        Ok(body) => response.body = body,
         Err(why) => {
-            answer.end = ClientOutcome::Broken(why);
-            return answer;
+            response.end = ClientOutcome::Broken(why);
+            return response;
         }
     }
-    if response.status_code < 300 {
-        answer.end = ClientOutcome::Answered;
-        return answer;
+    if reader.status_code < 300 {
+        response.end = ClientOutcome::Answered;
+        return response;
     }
-    match serde_json::from_slice(&answer.body) {
-        Ok(refusal) => answer.record_refusal(refusal),
-        Err(_) => answer.end = ClientOutcome::Broken(format!("status {}", response.status_code)),
+    match serde_json::from_slice(&response.body) {
+        Ok(refusal) => response.record_refusal(refusal),
+        Err(_) => {
+            response.end =
+                ClientOutcome::Broken(format!("unexpected status {}", reader.status_code))
+        }
     }
-    answer
+    response
 }
 
-/// Sends a chat whose answer is whole, and checks it.
+/// Sends a chat that is not streamed, and checks the response if there is a check.
 pub(crate) fn send_chat(
     address: &str,
     request: &ClientRequest<'_>,
     check: Option<&ResponseCheck>,
 ) -> ClientResponse {
-    let mut answer = send_buffered(address, request);
-    if answer.end != ClientOutcome::Answered {
-        return answer;
+    let mut response = send_buffered(address, request);
+    if response.end != ClientOutcome::Answered {
+        return response;
     }
-    let Ok(whole) = serde_json::from_slice::<ChatCompletion>(&answer.body) else {
-        answer.end = ClientOutcome::Wrong(ResponseFault::Unreadable);
-        return answer;
+    let Ok(completion) = serde_json::from_slice::<ChatCompletion>(&response.body) else {
+        response.end = ClientOutcome::Wrong(ResponseFault::Unreadable);
+        return response;
     };
-    answer.usage = whole.usage;
+    response.usage = completion.usage;
     if let Some(check) = check {
-        let text: String = whole
+        let text: String = completion
             .choices
             .iter()
             .map(|choice| choice.message.content.as_str())
             .collect();
-        let owner = answer.attempt.request_id.as_deref().unwrap_or_default();
-        let checked = ResponseCheck::check_owner(&whole.id, owner);
+        let owner = response.attempt.request_id.as_deref().unwrap_or_default();
+        let checked = ResponseCheck::check_owner(&completion.id, owner);
         if let Err(fault) = checked.and_then(|()| check.check_text(&text)) {
-            answer.end = ClientOutcome::Wrong(fault);
+            response.end = ClientOutcome::Wrong(fault);
         }
     }
-    answer
+    response
 }
 
-/// Sends a chat whose answer is streamed, reads it token by token, and checks it.
+/// Sends a streamed chat, reads it token by token, and checks the response if there is a check.
 pub(crate) fn send_chat_stream(
     address: &str,
     request: &ClientRequest<'_>,
     check: Option<&ResponseCheck>,
     latencies: &mut LatencySet,
 ) -> ClientResponse {
-    let (mut answer, mut response) = match open_response(address, request) {
-        Ok(begun) => begun,
-        Err(answer) => return *answer,
+    let (mut response, mut reader) = match open_response(address, request) {
+        Ok(opened) => opened,
+        Err(response) => return *response,
     };
-    if response.status_code != 200 {
-        match read_full_body(&mut response).map(|body| serde_json::from_slice(&body)) {
-            Ok(Ok(refusal)) => answer.record_refusal(refusal),
-            _ => answer.end = ClientOutcome::Broken(format!("status {}", response.status_code)),
+    if reader.status_code != 200 {
+        match read_full_body(&mut reader).map(|body| serde_json::from_slice(&body)) {
+            Ok(Ok(refusal)) => response.record_refusal(refusal),
+            _ => {
+                response.end =
+                    ClientOutcome::Broken(format!("unexpected status {}", reader.status_code))
+            }
         }
-        return answer;
+        return response;
     }
-    let owner = answer.attempt.request_id.clone().unwrap_or_default();
-    let mut reader = EventReader::new(response);
+    let owner = response.attempt.request_id.clone().unwrap_or_default();
+    let mut reader = EventReader::new(reader);
     let mut text = String::new();
     let mut last = None;
     loop {
@@ -207,39 +215,40 @@
                 if let Err(fault) = ResponseCheck::check_owner(&chunk.id, &owner)
                     && check.is_some()
                 {
-                    answer.end = ClientOutcome::Wrong(fault);
-                    return answer;
+                    response.end = ClientOutcome::Wrong(fault);
+                    return response;
                 }
-                answer.usage = chunk.usage.unwrap_or(answer.usage);
+                response.usage = chunk.usage.unwrap_or(response.usage);
                 let Some(content) = chunk.content() else {
                     continue;
                 };
                 let now = Instant::now();
-                answer.first_token.get_or_insert(now);
+                response.first_token.get_or_insert(now);
                 if let Some(last) = last.replace(now) {
-                    record(&mut latencies.token_gap, now - last);
+                    record_latency(&mut latencies.token_gap, now - last);
                 }
                 text.push_str(content);
             }
             StreamEvent::Done => break,
             StreamEvent::Refusal(refusal) => {
-                answer.record_refusal(refusal);
-                return answer;
+                response.record_refusal(refusal);
+                return response;
             }
             StreamEvent::Broken(why) => {
-                answer.end = ClientOutcome::Broken(why);
-                return answer;
+                response.end = ClientOutcome::Broken(why);
+                return response;
             }
         }
     }
-    answer.end = match check.map(|check| check.check_text(&text)) {
+    response.end = match check.map(|check| check.check_text(&text)) {
         Some(Err(fault)) => ClientOutcome::Wrong(fault),
         _ => ClientOutcome::Answered,
     };
-    answer
+    response
 }
 
-/// The addresses to use for a chat, or for a customer's other calls: kept ones, else asked for.
+/// Returns the addresses for a chat, or for a customer's service requests: from the cache, else
+/// from the first seed that responds, else the seeds themselves.
 pub(crate) fn find_addresses(
     book: &AddressCache,
     name: &str,
@@ -264,9 +273,9 @@
             hint: None,
             deadline: Duration::from_secs(2),
         };
-        let answer = send_buffered(&seed, &request);
-        let found = serde_json::from_slice::<AddressAnswer>(&answer.body);
-        if let (ClientOutcome::Answered, Ok(found)) = (&answer.end, found) {
+        let response = send_buffered(&seed, &request);
+        let found = serde_json::from_slice::<AddressAnswer>(&response.body);
+        if let (ClientOutcome::Answered, Ok(found)) = (&response.end, found) {
             book.insert(name, &found);
             return found.addresses;
         }
--- a/crates/ragwortroad_load/src/latency_set.rs
+++ b/crates/ragwortroad_load/src/latency_set.rs
@@ -12,7 +12,7 @@
     load_error::HistogramSnafu, //
 };
 
-/// The histograms of one caller, or of all of them together. In microseconds.
+/// The latency histograms of one client thread or of the whole run, in microseconds.
 pub(crate) struct LatencySet {
     pub(crate) first_token: Histogram<u64>,
     pub(crate) token_gap: Histogram<u64>,
@@ -20,33 +20,34 @@
     pub(crate) service: Histogram<u64>,
 }
 
-/// Longest time that a histogram tells apart, in microseconds.
+/// Highest value that a histogram can hold, in microseconds.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// One histogram in a few figures, in microseconds.
+/// Summary of one latency histogram, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LatencySummary {
-    /// Values counted.
+    /// Number of recorded values.
     pub count: u64,
-    /// Half of them are at most this.
+    /// Median.
     pub p50_us: u64,
-    /// 95 of 100 are at most this.
+    /// 95th percentile.
     pub p95_us: u64,
-    /// 99 of 100 are at most this.
+    /// 99th percentile.
     pub p99_us: u64,
-    /// The highest.
+    /// Maximum.
     pub max_us: u64,
 }
 
 impl LatencySet {
     pub(crate) fn new() -> Result<Self, LoadError> {
-        let make = || Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).context(HistogramSnafu);
+        let new_histogram =
+            || Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).context(HistogramSnafu);
         Ok(Self {
-            first_token: make()?,
-            token_gap: make()?,
-            whole_chat: make()?,
-            service: make()?,
+            first_token: new_histogram()?,
+            token_gap: new_histogram()?,
+            whole_chat: new_histogram()?,
+            service: new_histogram()?,
         })
     }
 
@@ -57,17 +58,17 @@
             (&mut self.whole_chat, &other.whole_chat),
             (&mut self.service, &other.service),
         ];
-        for (own, theirs) in pairs {
-            // All have the same bounds, so nothing can be out of them.
-            if own.add(theirs).is_err() {
-                tracing::error!("histograms of different bounds");
+        for (histogram, other) in pairs {
+            // Adding can't fail, since all histograms have the same bounds.
+            if histogram.add(other).is_err() {
+                tracing::error!("cannot merge latency histograms with different bounds");
             }
         }
     }
 }
 
-/// Counts a time, as the longest that can be told apart where it is longer.
-pub(crate) fn record(histogram: &mut Histogram<u64>, time: Duration) {
+/// Records a duration, clamped to the range of the histogram.
+pub(crate) fn record_latency(histogram: &mut Histogram<u64>, time: Duration) {
     let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
     histogram.saturating_record(micros.clamp(1, MAX_LATENCY_US));
 }
--- a/crates/ragwortroad_load/src/lib.rs
+++ b/crates/ragwortroad_load/src/lib.rs
@@ -1,8 +1,8 @@
-//! Open-loop load, reports with percentiles, and checks of what callers saw.
+//! Open-loop load generator with latency percentiles and checks of the clients' results.
 //!
-//! Arrivals are fixed from a seed before the run, and every latency counts from the moment a
-//! request was due, so that a slow answer does not hide the queue behind it. Afterwards the checks
-//! compare what callers saw with what endpoints wrote down.
+//! Arrivals are generated from a seed before the run, and every latency is measured from the
+//! request's due time, so that a slow response doesn't hide the queue behind it. After the run,
+//! checks compare the clients' records with those of the endpoints.
 //!
 //! ```
 //! use ragwortroad_load::prelude::*;
@@ -33,7 +33,7 @@
 mod run_check;
 mod run_report;
 
-/// Everything a dependent crate usually needs.
+/// Re-exports of the items that dependent crates usually need.
 pub mod prelude {
     pub use crate::{
         call_record::{
--- a/crates/ragwortroad_load/src/load_error.rs
+++ b/crates/ragwortroad_load/src/load_error.rs
@@ -2,24 +2,26 @@
 
 use snafu::Snafu;
 
-/// Why a load run could not be made.
+/// An error that prevents a load run or invalidates it.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LoadError {
-    /// Threads could not be started.
-    #[snafu(display("cannot start callers: {source}; ask for fewer of them"))]
+    /// The client threads could not be started.
+    #[snafu(display("cannot start client threads: {source}; reduce their number"))]
     Threads {
-        /// The system's reason.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A caller's thread panicked, so the figures are not whole.
-    #[snafu(display("a caller panicked; its figures are lost, so the run counts as failed"))]
+    /// A client thread panicked, so the results are incomplete.
+    #[snafu(display(
+        "a client thread panicked; its results are lost, so the run counts as failed"
+    ))]
     ClientPanicked,
-    /// A histogram could not be made.
-    #[snafu(display("cannot make a histogram: {source}; this is a fault in the program"))]
+    /// A latency histogram could not be created.
+    #[snafu(display("cannot create a latency histogram: {source}; this is a bug in the program"))]
     Histogram {
-        /// The library's reason.
+        /// The error of the histogram library.
         source: hdrhistogram::CreationError,
     },
 }
--- a/crates/ragwortroad_load/src/load_run.rs
+++ b/crates/ragwortroad_load/src/load_run.rs
@@ -21,26 +21,27 @@
     load_state::LoadState, //
 };
 
-/// Stack of a caller's thread: many of them wait at once.
+/// Stack size of a client thread, below the default since many of them run at once.
 const CLIENT_STACK_BYTES: usize = 256 << 10;
 
-/// One caller's results.
+/// Results of one client thread.
 struct ClientResult {
-    notes: Vec<CallRecord>,
+    records: Vec<CallRecord>,
     latencies: LatencySet,
 }
 
-/// Sends the load, each request when it is due, and waits for every answer.
+/// Sends each request of the load when it is due, and waits for every response.
 ///
-/// A request that is due when every caller is busy waits, and its wait counts into its latency.
+/// A request that is due while every client thread is busy is queued; its latency includes the
+/// time in the queue.
 pub fn run_load(settings: LoadSettings) -> Result<RunReport, LoadError> {
     let arrivals = plan_arrivals(&settings);
     let start = Instant::now();
-    let callers = settings.client_threads.clamp(1, arrivals.len().max(1));
+    let thread_count = settings.client_threads.clamp(1, arrivals.len().max(1));
     let state = Arc::new(LoadState::new(settings, start));
     let (sender, queue) = flume::unbounded();
-    let mut threads = Vec::with_capacity(callers);
-    for _ in 0..callers {
+    let mut threads = Vec::with_capacity(thread_count);
+    for _ in 0..thread_count {
         let state = Arc::clone(&state);
         let queue = queue.clone();
         let builder = thread::Builder::new()
@@ -58,14 +59,14 @@
     }
     drop(sender);
     let mut latencies = LatencySet::new()?;
-    let mut notes = Vec::new();
+    let mut records = Vec::new();
     for thread in threads {
         let result = thread.join().map_err(|_| LoadError::ClientPanicked)??;
         latencies.merge(&result.latencies);
-        notes.extend(result.notes);
+        records.extend(result.records);
     }
     let seed = state.settings.seed;
-    Ok(RunReport::new(seed, start.elapsed(), notes, &latencies))
+    Ok(RunReport::new(seed, start.elapsed(), records, &latencies))
 }
 
 fn run_arrivals(
@@ -73,12 +74,12 @@
     queue: &Receiver<PlannedArrival>,
 ) -> Result<ClientResult, LoadError> {
     let mut result = ClientResult {
-        notes: Vec::new(),
+        records: Vec::new(),
         latencies: LatencySet::new()?,
     };
     while let Ok(arrival) = queue.recv() {
-        let note = state.execute(arrival, &mut result.latencies);
-        result.notes.push(note);
+        let record = state.execute(arrival, &mut result.latencies);
+        result.records.push(record);
     }
     Ok(result)
 }
--- a/crates/ragwortroad_load/src/load_settings.rs
+++ b/crates/ragwortroad_load/src/load_settings.rs
@@ -1,73 +1,73 @@
 use std::time::Duration;
 
-/// What load to make.
+/// Settings of a load run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadSettings {
-    /// `IP:port` of nodes to ask for addresses first.
+    /// `IP:port` of the seed nodes, which are queried for addresses.
     pub nodes: Vec<String>,
-    /// Who calls.
+    /// Customers that send requests.
     pub customers: Vec<CustomerLoad>,
-    /// The model to chat with.
+    /// The model that chats request.
     pub model: String,
-    /// The plain service to book at and to read from.
+    /// The plain service that bookings and reads go to.
     pub service: String,
-    /// From which everything random is drawn.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Time in which requests become due.
+    /// Period in which requests become due; responses may arrive later.
     pub duration: Duration,
-    /// New chats a second.
+    /// New chats per second.
     pub chats_per_second: f64,
-    /// Turns of each chat.
+    /// Turns per chat.
     pub turns: u32,
-    /// Mean pause between a chat's turns.
+    /// Mean time between the due times of a chat's turns.
     pub think_time: Duration,
-    /// Bookings a second.
+    /// Bookings per second, without the resends.
     pub bookings_per_second: f64,
-    /// Of a hundred bookings, how many are sent again under the same key, through another node.
+    /// Percentage of bookings that are sent again under the same key, through another node.
     pub resend_percent: u32,
-    /// Reads a second.
+    /// Reads per second.
     pub reads_per_second: f64,
-    /// Of a hundred turns, how many are streamed.
+    /// Percentage of chat turns that are streamed.
     pub stream_percent: u32,
-    /// Bytes of the text that all chats of a customer begin with.
+    /// Length in bytes of the system prompt, which all chats of a customer share.
     pub system_prompt_bytes: usize,
-    /// Bytes of each user message.
+    /// Length in bytes of each user message.
     pub message_bytes: usize,
-    /// Tokens of each answer.
+    /// Tokens per chat response.
     pub answer_tokens: u32,
-    /// A few customers that send more for a while.
+    /// A period in which some customers start more chats; `None` for a constant rate.
     pub surge: Option<SurgePlan>,
-    /// The deadline sent with each request.
+    /// Deadline of each request, sent as `X-Deadline-Ms`; no retry starts after it.
     pub deadline: Duration,
-    /// Times a caller sends one request at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Callers at work at once.
+    /// Number of client threads, each with one request in flight.
     pub client_threads: usize,
-    /// Whether the answers are those of stand-ins, whose right text is known.
+    /// Whether to check chat responses; this requires stand-ins, whose responses are predictable.
     pub verify_responses: bool,
 }
 
-/// One customer's part of the load.
+/// One customer's share of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CustomerLoad {
-    /// The customer's name, as it reaches endpoints.
+    /// The customer's name, as endpoints see it.
     pub name: String,
-    /// Its key.
+    /// The customer's API key.
     pub key: String,
-    /// Its share of the arrivals, against the others' weights.
+    /// Share of the arrivals, relative to the weights of the other customers.
     pub weight: f64,
 }
 
-/// A surge of a few customers.
+/// A surge of chats from some customers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SurgePlan {
-    /// The first so many customers surge.
+    /// Number of customers that surge, counted from the first.
     pub customers: usize,
-    /// Begin, from the start of the run.
+    /// Start of the surge, counted from the start of the run.
     pub from: Duration,
-    /// End, from the start of the run.
+    /// End of the surge, counted from the start of the run.
     pub until: Duration,
-    /// By how much their chats multiply.
+    /// Factor by which their chat rate grows.
     pub factor: f64,
 }
 
--- a/crates/ragwortroad_load/src/load_state.rs
+++ b/crates/ragwortroad_load/src/load_state.rs
@@ -37,15 +37,15 @@
     },
     latency_set::{
         LatencySet,
-        record, //
+        record_latency, //
     }, //
 };
 
-/// What all callers share.
+/// State that all client threads share.
 pub(crate) struct LoadState {
     pub(crate) settings: LoadSettings,
     pub(crate) address_cache: AddressCache,
-    /// The placement hint of each chat's last answer.
+    /// The placement hint from each chat's last response, by chat name.
     hints: Mutex<HashMap<String, String>>,
     pub(crate) start: Instant,
 }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Does what is due, and returns what its caller saw.
+    /// Sends the request of an arrival and returns its record.
     pub(crate) fn execute(
         &self,
         arrival: PlannedArrival,
@@ -112,28 +112,28 @@
             0 => CallKind::FirstTurn,
             _ => CallKind::ReturnTurn,
         };
-        let call = |address: &str| match streamed {
+        let send = |address: &str| match streamed {
             true => send_chat_stream(address, &request, check.as_ref(), latencies),
             false => send_chat(address, &request, check.as_ref()),
         };
         let addresses = find_addresses(&self.address_cache, &name, &customer.key, Some(&name));
-        let (note, answer) =
-            self.send_with_retries(kind, customer, due, (&name, addresses), &request, call);
-        self.store_hint(&name, answer.hint);
-        if let Some(node) = &answer.next_node {
+        let (record, response) =
+            self.send_with_retries(kind, customer, due, (&name, addresses), &request, send);
+        self.store_hint(&name, response.hint);
+        if let Some(node) = &response.next_node {
             self.address_cache.move_to_front(&name, node);
         }
-        let total = Duration::from_micros(note.total_us);
-        match (streamed, note.first_token_us) {
+        let total = Duration::from_micros(record.total_us);
+        match (streamed, record.first_token_us) {
             (true, Some(first)) => {
-                record(&mut latencies.first_token, Duration::from_micros(first));
+                record_latency(&mut latencies.first_token, Duration::from_micros(first));
             }
-            (false, _) if note.end == ClientOutcome::Answered => {
-                record(&mut latencies.whole_chat, total);
+            (false, _) if record.end == ClientOutcome::Answered => {
+                record_latency(&mut latencies.whole_chat, total);
             }
             _ => {}
         }
-        note
+        record
     }
 
     fn send_booking(
@@ -160,26 +160,30 @@
         if kind == CallKind::Resend && !addresses.is_empty() {
             addresses.rotate_left(1);
         }
-        let call = |address: &str| send_buffered(address, &request);
-        let place = (customer.name.as_str(), addresses);
-        let (mut note, answer) = self.send_with_retries(kind, customer, due, place, &request, call);
-        note.answer_hash = Some(xxhash_rust::xxh3::xxh3_64(&answer.body));
-        if note.end == ClientOutcome::Answered {
-            record(&mut latencies.service, Duration::from_micros(note.total_us));
+        let send = |address: &str| send_buffered(address, &request);
+        let route = (customer.name.as_str(), addresses);
+        let (mut record, response) =
+            self.send_with_retries(kind, customer, due, route, &request, send);
+        record.answer_hash = Some(xxhash_rust::xxh3::xxh3_64(&response.body));
+        if record.end == ClientOutcome::Answered {
+            record_latency(
+                &mut latencies.service,
+                Duration::from_micros(record.total_us),
+            );
         }
-        note
+        record
     }
 
     fn send_read(
         &self,
         customer: &CustomerLoad,
         due: Instant,
-        place: u64,
+        booking: u64,
         latencies: &mut LatencySet,
     ) -> CallRecord {
         let request = ClientRequest {
             method: Method::Get,
-            path: format!("/v1/services/{}/bookings/{place}", self.settings.service),
+            path: format!("/v1/services/{}/bookings/{booking}", self.settings.service),
             body: String::new(),
             key: &customer.key,
             idempotency_key: None,
@@ -188,14 +192,17 @@
             deadline: self.settings.deadline,
         };
         let addresses = find_addresses(&self.address_cache, &customer.name, &customer.key, None);
-        let call = |address: &str| send_buffered(address, &request);
-        let place = (customer.name.as_str(), addresses);
-        let (note, _) =
-            self.send_with_retries(CallKind::Read, customer, due, place, &request, call);
-        if note.end == ClientOutcome::Answered {
-            record(&mut latencies.service, Duration::from_micros(note.total_us));
+        let send = |address: &str| send_buffered(address, &request);
+        let route = (customer.name.as_str(), addresses);
+        let (record, _) =
+            self.send_with_retries(CallKind::Read, customer, due, route, &request, send);
+        if record.end == ClientOutcome::Answered {
+            record_latency(
+                &mut latencies.service,
+                Duration::from_micros(record.total_us),
+            );
         }
-        note
+        record
     }
 
     fn hint(&self, chat: &str) -> Option<String> {
--- a/crates/ragwortroad_load/src/response_check.rs
+++ b/crates/ragwortroad_load/src/response_check.rs
@@ -5,33 +5,32 @@
     Serialize, //
 };
 
-/// Tells whether an answer is whole and the caller's own.
+/// Checks that a stand-in's response is complete and belongs to the request.
 pub struct ResponseCheck {
-    /// The only right answer.
+    /// The only correct response text.
     expected: String,
-    /// Where each of its tokens ends.
     token_count: usize,
 }
 
-/// What is wrong with an answer.
+/// What is wrong with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResponseFault {
-    /// It ends early, yet was given as whole.
+    /// It ends early, but was delivered as complete.
     Short,
-    /// It is longer than the answer.
+    /// It continues after the expected text.
     Long,
-    /// It has other text than the answer: another's, or with a token missing or twice.
+    /// Its text differs: it belongs to another request, or a token is missing or duplicated.
     Foreign,
-    /// It names another request than the node did.
+    /// Its id names another request than the node's `X-Request-Id`.
     WrongRequest,
-    /// It is not in the format.
+    /// It can't be parsed.
     Unreadable,
 }
 
 impl ResponseCheck {
-    /// A check for answers to `chat` by stand-ins.
+    /// Creates a check for stand-in responses to `chat`.
     pub fn new(chat: &ChatBody) -> Self {
         let tokens = expected_tokens(chat);
         Self {
@@ -40,7 +39,7 @@
         }
     }
 
-    /// Checks the text of an answer that was given as whole.
+    /// Checks the text of a response that was delivered as complete.
     pub fn check_text(&self, text: &str) -> Result<(), ResponseFault> {
         if text == self.expected {
             return Ok(());
@@ -54,7 +53,7 @@
         Err(ResponseFault::Foreign)
     }
 
-    /// Checks an answer's own identity against the request's.
+    /// Checks a response's id (`chatcmpl-` and the request id) against the request id.
     pub fn check_owner(answer_id: &str, request_id: &str) -> Result<(), ResponseFault> {
         match answer_id.strip_prefix("chatcmpl-") == Some(request_id) {
             true => Ok(()),
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Tokens in the right answer.
+    /// Number of tokens in the expected response.
     pub fn token_count(&self) -> usize {
         self.token_count
     }
--- a/crates/ragwortroad_load/src/run_check.rs
+++ b/crates/ragwortroad_load/src/run_check.rs
@@ -24,51 +24,51 @@
     ResponseFault,
 };
 
-/// Something that must never happen, and did.
+/// A violation of a guarantee that the fleet gives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunViolation {
-    /// A request under an idempotency key ran more than once.
+    /// A request with an idempotency key ran more than once.
     RanTwice {
         /// The customer.
         customer: String,
         /// The key.
         key: String,
-        /// How often it ran.
+        /// Number of runs.
         runs: usize,
     },
-    /// A request refused as not run was seen by an endpoint.
+    /// An endpoint ran a request that was refused as not run.
     RanThoughRefused {
-        /// The request.
+        /// The request's id.
         request_id: String,
         /// The endpoint.
         endpoint: String,
     },
-    /// A request was answered that no endpoint ran.
+    /// A booking was answered that no endpoint ran.
     AnsweredNotRun {
         /// The customer.
         customer: String,
         /// The key.
         key: String,
     },
-    /// Two answers under one key differ.
+    /// Two responses to the same idempotency key differ.
     AnswersDiffer {
         /// The customer.
         customer: String,
         /// The key.
         key: String,
     },
-    /// A caller got an answer that is not whole or not its own.
+    /// A client got a response that is incomplete or belongs to another request.
     WrongAnswer {
         /// The customer.
         customer: String,
-        /// What is wrong.
+        /// What is wrong with the response.
         fault: ResponseFault,
     },
-    /// A request reached an endpoint under another customer's name.
+    /// An endpoint got a request under another customer's name.
     WrongCustomer {
-        /// The request.
+        /// The request's id.
         request_id: String,
     },
 }
@@ -113,19 +113,19 @@
     }
 }
 
-/// A customer's name and its idempotency key.
+/// A customer's name and an idempotency key.
 type KeyName = (String, String);
 
-/// Compares what callers saw with what endpoints wrote down.
-pub fn verify_run(notes: &[CallRecord], records: &[RunRecord]) -> Vec<RunViolation> {
-    let mut found = Vec::new();
+/// Compares the clients' records with the endpoints' records and returns all violations.
+pub fn verify_run(calls: &[CallRecord], records: &[RunRecord]) -> Vec<RunViolation> {
+    let mut violations = Vec::new();
     let runs = count_runs(records);
-    check_once(&runs, &mut found);
-    check_refusals(notes, records, &mut found);
-    check_bookings(notes, &runs, &mut found);
-    check_responses(notes, &mut found);
-    check_customers(notes, records, &mut found);
-    found
+    check_once(&runs, &mut violations);
+    check_refusals(calls, records, &mut violations);
+    check_bookings(calls, &runs, &mut violations);
+    check_responses(calls, &mut violations);
+    check_customers(calls, records, &mut violations);
+    violations
 }
 
 fn count_runs(records: &[RunRecord]) -> BTreeMap<KeyName, usize> {
@@ -140,9 +140,9 @@
     runs
 }
 
-fn check_once(runs: &BTreeMap<KeyName, usize>, found: &mut Vec<RunViolation>) {
+fn check_once(runs: &BTreeMap<KeyName, usize>, violations: &mut Vec<RunViolation>) {
     for ((customer, key), count) in runs.iter().filter(|(_, count)| **count > 1) {
-        found.push(RunViolation::RanTwice {
+        violations.push(RunViolation::RanTwice {
             customer: customer.clone(),
             key: key.clone(),
             runs: *count,
@@ -150,16 +150,16 @@
     }
 }
 
-fn check_refusals(notes: &[CallRecord], records: &[RunRecord], found: &mut Vec<RunViolation>) {
-    let refused: HashSet<&str> = notes
+fn check_refusals(calls: &[CallRecord], records: &[RunRecord], violations: &mut Vec<RunViolation>) {
+    let refused: HashSet<&str> = calls
         .iter()
-        .flat_map(|note| &note.attempts)
+        .flat_map(|call| &call.attempts)
         .filter(|attempt| attempt.outcome == Some(RequestOutcome::NotRun))
         .filter_map(|attempt| attempt.request_id.as_deref())
         .collect();
     for record in records {
         if refused.contains(record.request_id.as_str()) {
-            found.push(RunViolation::RanThoughRefused {
+            violations.push(RunViolation::RanThoughRefused {
                 request_id: record.request_id.clone(),
                 endpoint: record.endpoint.clone(),
             });
@@ -168,51 +168,55 @@
 }
 
 fn check_bookings(
-    notes: &[CallRecord],
+    calls: &[CallRecord],
     runs: &BTreeMap<KeyName, usize>,
-    found: &mut Vec<RunViolation>,
+    violations: &mut Vec<RunViolation>,
 ) {
-    let mut answers: HashMap<KeyName, u64> = HashMap::new();
-    for note in notes {
-        let booked = matches!(note.kind, CallKind::Booking | CallKind::Resend);
-        let (true, ClientOutcome::Answered, Some(key)) = (booked, &note.end, &note.key) else {
+    let mut hashes: HashMap<KeyName, u64> = HashMap::new();
+    for call in calls {
+        let is_booking = matches!(call.kind, CallKind::Booking | CallKind::Resend);
+        let (true, ClientOutcome::Answered, Some(key)) = (is_booking, &call.end, &call.key) else {
             continue;
         };
-        let customer = note.customer.clone();
+        let customer = call.customer.clone();
         let name = (customer.clone(), key.clone());
         let key = key.clone();
         if !runs.contains_key(&name) {
-            found.push(RunViolation::AnsweredNotRun { customer, key });
+            violations.push(RunViolation::AnsweredNotRun { customer, key });
             continue;
         }
-        let Some(hash) = note.answer_hash else {
+        let Some(hash) = call.answer_hash else {
             continue;
         };
-        if *answers.entry(name).or_insert(hash) != hash {
-            found.push(RunViolation::AnswersDiffer { customer, key });
+        if *hashes.entry(name).or_insert(hash) != hash {
+            violations.push(RunViolation::AnswersDiffer { customer, key });
         }
     }
 }
 
-fn check_responses(notes: &[CallRecord], found: &mut Vec<RunViolation>) {
-    for note in notes {
-        if let ClientOutcome::Wrong(fault) = &note.end {
-            found.push(RunViolation::WrongAnswer {
-                customer: note.customer.clone(),
+fn check_responses(calls: &[CallRecord], violations: &mut Vec<RunViolation>) {
+    for call in calls {
+        if let ClientOutcome::Wrong(fault) = &call.end {
+            violations.push(RunViolation::WrongAnswer {
+                customer: call.customer.clone(),
                 fault: *fault,
             });
         }
     }
 }
 
-fn check_customers(notes: &[CallRecord], records: &[RunRecord], found: &mut Vec<RunViolation>) {
+fn check_customers(
+    calls: &[CallRecord],
+    records: &[RunRecord],
+    violations: &mut Vec<RunViolation>,
+) {
     let mut owners: HashMap<&str, &str> = HashMap::new();
-    for note in notes {
-        let ids = note
+    for call in calls {
+        let ids = call
             .attempts
             .iter()
             .filter_map(|attempt| attempt.request_id.as_deref());
-        owners.extend(ids.map(|id| (id, note.customer.as_str())));
+        owners.extend(ids.map(|id| (id, call.customer.as_str())));
     }
     for record in records
         .iter()
@@ -220,7 +224,7 @@
     {
         let owner = owners.get(record.request_id.as_str());
         if owner.is_some_and(|owner| *owner != record.customer) {
-            found.push(RunViolation::WrongCustomer {
+            violations.push(RunViolation::WrongCustomer {
                 request_id: record.request_id.clone(),
             });
         }
--- a/crates/ragwortroad_load/src/run_report.rs
+++ b/crates/ragwortroad_load/src/run_report.rs
@@ -20,57 +20,58 @@
     verify_run, //
 };
 
-/// What a load run showed.
+/// Results of a load run.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RunReport {
-    /// The seed of its arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// Seconds from the first request due to the last answer.
+    /// Seconds from the start of the run to the last response.
     pub seconds: f64,
-    /// Calls by what they were and how they ended.
+    /// Requests by kind and outcome.
     pub outcomes: Vec<OutcomeCount>,
-    /// From when a stream was due to its first token.
+    /// Time from the due time of a streamed chat to its first token.
     pub first_token: LatencySummary,
-    /// Between two tokens of a stream, as callers saw them.
+    /// Time between consecutive tokens of a stream, as seen by clients.
     pub token_gap: LatencySummary,
-    /// From when a chat that is not streamed was due to its whole answer.
+    /// Time from the due time of a chat that is not streamed to its complete response.
     pub whole_chat: LatencySummary,
-    /// From when a service call was due to its whole answer.
+    /// Time from the due time of a service request to its complete response.
     pub service: LatencySummary,
-    /// Sendings beyond each call's first.
+    /// Attempts beyond the first of each request.
     pub resends: u64,
-    /// Of the prompt tokens of returning turns, the part that engines had in their caches.
+    /// Fraction of the prompt tokens of later chat turns that engines had in their prefix caches.
     pub cache_reuse: f64,
-    /// What must never happen, and did; filled by [`RunReport::verify`].
+    /// Violated guarantees; filled by [`RunReport::verify`].
     pub violations: Vec<RunViolation>,
-    /// Every call, for checks.
+    /// Records of all requests, for the checks.
     #[serde(skip)]
     pub notes: Vec<CallRecord>,
 }
 
-/// How many calls of one kind ended in one way.
+/// Number of requests of one kind with one outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OutcomeCount {
-    /// What they were.
+    /// Kind of the requests.
     pub kind: CallKind,
-    /// How they ended: `answered`, `broken`, or a refusal's outcome and code.
+    /// Outcome: `answered`, `broken`, `unreachable`, `wrong/` and the fault, or a refusal's
+    /// outcome and code.
     pub end: String,
-    /// How many.
+    /// Number of requests.
     pub count: u64,
 }
 
 impl RunReport {
     pub(crate) fn new(
         seed: u64,
-        took: Duration,
+        elapsed: Duration,
         notes: Vec<CallRecord>,
         latencies: &LatencySet,
     ) -> Self {
         Self {
             seed,
-            seconds: took.as_secs_f64(),
+            seconds: elapsed.as_secs_f64(),
             outcomes: count_outcomes(&notes),
             first_token: (&latencies.first_token).into(),
             token_gap: (&latencies.token_gap).into(),
@@ -78,7 +79,7 @@
             service: (&latencies.service).into(),
             resends: notes
                 .iter()
-                .map(|note| note.attempts.len().saturating_sub(1) as u64)
+                .map(|call| call.attempts.len().saturating_sub(1) as u64)
                 .sum(),
             cache_reuse: cache_reuse(&notes),
             violations: Vec::new(),
@@ -86,28 +87,29 @@
         }
     }
 
-    /// Compares the calls with what endpoints wrote down; true if nothing is amiss.
+    /// Compares the requests with the endpoints' records, fills [`RunReport::violations`], and
+    /// returns whether there are none.
     pub fn verify(&mut self, records: &[RunRecord]) -> bool {
         self.violations = verify_run(&self.notes, records);
         self.violations.is_empty()
     }
 
-    /// Calls in all.
+    /// Total number of requests.
     pub fn calls(&self) -> u64 {
         self.outcomes.iter().map(|outcome| outcome.count).sum()
     }
 
-    /// Calls that got their answer.
+    /// Number of answered requests.
     pub fn answered(&self) -> u64 {
         let answered = |outcome: &&OutcomeCount| outcome.end == ANSWERED;
         let ends = self.outcomes.iter().filter(answered);
         ends.map(|outcome| outcome.count).sum()
     }
 
-    /// The report as JSON.
+    /// Returns the report as indented JSON; on an error, logs it and returns `{}`.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_else(|error| {
-            tracing::error!(%error, "a report could not be written as JSON");
+            tracing::error!(%error, "cannot serialize the run report as JSON");
             "{}".to_owned()
         })
     }
@@ -117,11 +119,11 @@
 
 fn count_outcomes(notes: &[CallRecord]) -> Vec<OutcomeCount> {
     let mut counts: BTreeMap<(CallKind, String), u64> = BTreeMap::new();
-    for note in notes {
-        *counts.entry((note.kind, end_name(&note.end))).or_insert(0) += 1;
+    for call in notes {
+        *counts.entry((call.kind, end_name(&call.end))).or_insert(0) += 1;
     }
-    let outcome = |((kind, end), count)| OutcomeCount { kind, end, count };
-    counts.into_iter().map(outcome).collect()
+    let outcome_count = |((kind, end), count)| OutcomeCount { kind, end, count };
+    counts.into_iter().map(outcome_count).collect()
 }
 
 fn end_name(end: &ClientOutcome) -> String {
@@ -137,11 +139,11 @@
 fn cache_reuse(notes: &[CallRecord]) -> f64 {
     let returning = notes
         .iter()
-        .filter(|note| note.kind == CallKind::ReturnTurn && note.end == ClientOutcome::Answered);
-    let (cached, total) = returning.fold((0_u64, 0_u64), |(cached, total), note| {
+        .filter(|call| call.kind == CallKind::ReturnTurn && call.end == ClientOutcome::Answered);
+    let (cached, total) = returning.fold((0_u64, 0_u64), |(cached, total), call| {
         (
-            cached + u64::from(note.cached_tokens),
-            total + u64::from(note.prompt_tokens),
+            cached + u64::from(call.cached_tokens),
+            total + u64::from(call.prompt_tokens),
         )
     });
     match total {
--- a/crates/ragwortroad_load/tests/checks_catch_faults.rs
+++ b/crates/ragwortroad_load/tests/checks_catch_faults.rs
@@ -1,4 +1,4 @@
-//! Each check catches a fleet that is broken in the way it is meant for.
+//! Tests of the run checks against records and fleets with known faults.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use ragwortroad_standin::prelude::*;
 use ragwortroad_types::prelude::*;
 
-fn record(request_id: &str, key: Option<&str>) -> RunRecord {
+fn run_record(request_id: &str, key: Option<&str>) -> RunRecord {
     RunRecord {
         endpoint: "desk-1".to_owned(),
         request_id: request_id.to_owned(),
@@ -26,7 +26,7 @@
     }
 }
 
-fn attempt(request_id: &str, outcome: Option<RequestOutcome>) -> AttemptRecord {
+fn attempt_record(request_id: &str, outcome: Option<RequestOutcome>) -> AttemptRecord {
     AttemptRecord {
         address: "192.0.2.1:80".to_owned(),
         request_id: Some(request_id.to_owned()),
@@ -36,12 +36,12 @@
     }
 }
 
-fn note(kind: CallKind, request_id: &str, key: Option<&str>) -> CallRecord {
+fn call_record(kind: CallKind, request_id: &str, key: Option<&str>) -> CallRecord {
     CallRecord {
         kind,
         customer: "north".to_owned(),
         key: key.map(str::to_owned),
-        attempts: vec![attempt(request_id, None)],
+        attempts: vec![attempt_record(request_id, None)],
         end: ClientOutcome::Answered,
         first_token_us: None,
         total_us: 10,
@@ -51,31 +51,33 @@
     }
 }
 
-/// A booking that was refused once, ran at the second try, and was sent again later.
-fn good_run() -> (Vec<CallRecord>, Vec<RunRecord>) {
-    let mut first = note(CallKind::Booking, "b", Some("k"));
+/// A booking that was refused once, ran at the second attempt, and was resent later.
+fn correct_run() -> (Vec<CallRecord>, Vec<RunRecord>) {
+    let mut first = call_record(CallKind::Booking, "b", Some("k"));
     first
         .attempts
-        .insert(0, attempt("a", Some(RequestOutcome::NotRun)));
-    let again = note(CallKind::Resend, "c", Some("k"));
-    (vec![first, again], vec![record("b", Some("k"))])
+        .insert(0, attempt_record("a", Some(RequestOutcome::NotRun)));
+    let again = call_record(CallKind::Resend, "c", Some("k"));
+    (vec![first, again], vec![run_record("b", Some("k"))])
 }
 
+/// Guards against violations reported for a correct run: a refusal, a retry and a resend.
 #[test]
-fn a_good_run_has_no_violation() {
-    let (notes, records) = good_run();
+fn a_correct_run_has_no_violation() {
+    let (notes, records) = correct_run();
     assert_eq!(verify_run(&notes, &records), []);
 }
 
+/// Guards against faults that the checks miss: a booking that runs twice, a refused request that
+/// ran, an answer without a run, differing or wrong answers, and a request under another
+/// customer's name.
 #[test]
-fn each_broken_run_has_its_violation() {
-    // Fleets that book twice, lie about what ran, answer without running, answer differently, or
-    // let one studio's request pass as another's.
-    type Spoil = fn(&mut Vec<CallRecord>, &mut Vec<RunRecord>);
+fn each_faulty_run_has_its_violation() {
+    type InjectFault = fn(&mut Vec<CallRecord>, &mut Vec<RunRecord>);
     let (customer, key) = ("north".to_owned(), "k".to_owned());
-    let cases: Vec<(Spoil, RunViolation)> = vec![
+    let cases: Vec<(InjectFault, RunViolation)> = vec![
         (
-            |_, records| records.push(record("c", Some("k"))),
+            |_, records| records.push(run_record("c", Some("k"))),
             RunViolation::RanTwice {
                 customer: customer.clone(),
                 key: key.clone(),
@@ -83,14 +85,14 @@
             },
         ),
         (
-            |_, records| records.push(record("a", None)),
+            |_, records| records.push(run_record("a", None)),
             RunViolation::RanThoughRefused {
                 request_id: "a".to_owned(),
                 endpoint: "desk-1".to_owned(),
             },
         ),
         (
-            |notes, _| notes.push(note(CallKind::Booking, "d", Some("k2"))),
+            |notes, _| notes.push(call_record(CallKind::Booking, "d", Some("k2"))),
             RunViolation::AnsweredNotRun {
                 customer: customer.clone(),
                 key: "k2".to_owned(),
@@ -112,25 +114,27 @@
         ),
         (
             |notes, records| {
-                let mut other = note(CallKind::Read, "e", None);
+                let mut other = call_record(CallKind::Read, "e", None);
                 other.customer = "south".to_owned();
                 notes.push(other);
-                records.push(record("e", None));
+                records.push(run_record("e", None));
             },
             RunViolation::WrongCustomer {
                 request_id: "e".to_owned(),
             },
         ),
     ];
-    for (spoil, violation) in cases {
-        let (mut notes, mut records) = good_run();
-        spoil(&mut notes, &mut records);
+    for (inject_fault, violation) in cases {
+        let (mut notes, mut records) = correct_run();
+        inject_fault(&mut notes, &mut records);
         assert_eq!(verify_run(&notes, &records), [violation]);
     }
 }
 
+/// Guards against response checks that accept text with a missing, duplicated or extra part, or
+/// the response to another request.
 #[test]
-fn an_answer_that_is_not_whole_or_not_own_is_told() {
+fn incomplete_and_foreign_responses_are_detected() {
     let chat = |text: &str| ChatBody {
         model: "caption".to_owned(),
         messages: vec![ChatMessage::text("user", text)],
@@ -142,17 +146,17 @@
     let tokens = expected_tokens(&own);
     assert_eq!(check.check_text(&tokens.concat()), Ok(()));
     assert_eq!(check.token_count(), 8);
-    for place in 0..tokens.len() {
+    for index in 0..tokens.len() {
         assert_eq!(
-            check.check_text(&tokens[..place].concat()),
+            check.check_text(&tokens[..index].concat()),
             Err(ResponseFault::Short)
         );
         let mut doubled = tokens.clone();
-        doubled.insert(place, tokens[place].clone());
+        doubled.insert(index, tokens[index].clone());
         assert!(check.check_text(&doubled.concat()).is_err());
-        let mut lacking = tokens.clone();
-        lacking.remove(place);
-        assert!(check.check_text(&lacking.concat()).is_err());
+        let mut missing = tokens.clone();
+        missing.remove(index);
+        assert!(check.check_text(&missing.concat()).is_err());
     }
     let other = expected_tokens(&chat("a wool coat")).concat();
     assert_eq!(check.check_text(&other), Err(ResponseFault::Foreign));
@@ -173,10 +177,10 @@
     vec![customer("north"), customer("south")]
 }
 
+/// Guards against a run check that misses repeated bookings. Clients send directly to a service,
+/// which doesn't deduplicate idempotency keys, so each resent booking runs again.
 #[test]
-fn a_fleet_that_repeats_bookings_is_caught_over_sockets() {
-    // The callers reach the service with nothing between that remembers keys, so each booking that
-    // is sent again runs again.
+fn a_service_that_repeats_bookings_is_detected_over_sockets() {
     let service = StandinService::start(ServiceSettings::default()).unwrap();
     let mut report = run_load(LoadSettings {
         nodes: vec![service.address().to_string()],
@@ -189,17 +193,18 @@
     })
     .unwrap();
     assert!(!report.verify(&service.stop()));
-    let twice = |violation: &&RunViolation| matches!(violation, RunViolation::RanTwice { .. });
+    let is_repeat = |violation: &&RunViolation| matches!(violation, RunViolation::RanTwice { .. });
     assert!(
-        report.violations.iter().filter(twice).count() > 3,
+        report.violations.iter().filter(is_repeat).count() > 3,
         "{report}"
     );
 }
 
+/// Guards against latencies that leave out the queue. One client thread sends 200 requests per
+/// second to a service that takes 20 ms each: a closed loop would report 20 ms for every request,
+/// but the last ones wait far longer.
 #[test]
-fn a_queue_behind_a_slow_answer_counts_into_latency() {
-    // One caller at work, and every answer takes 20 ms, while 200 a second become due. A closed
-    // loop would report 20 ms for each; the last ones in fact waited far longer.
+fn latency_includes_the_queue_behind_a_slow_response() {
     let service = StandinService::start(ServiceSettings {
         work_time: Duration::from_millis(20),
         ..ServiceSettings::default()
@@ -218,15 +223,20 @@
     .unwrap();
     let calls = report.calls();
     assert!(calls > 40, "{report}");
-    // The last of n calls of 20 ms cannot be over before n * 20 ms, and was due within 400 ms.
-    let least = calls * 20_000 - 400_000;
-    assert!(report.service.max_us * 1001 / 1000 >= least, "{report}");
+    // The last of n requests of 20 ms each ends after n * 20 ms at the earliest, and was due
+    // within 400 ms.
+    let min_latency_us = calls * 20_000 - 400_000;
+    assert!(
+        report.service.max_us * 1001 / 1000 >= min_latency_us,
+        "{report}"
+    );
     service.stop();
 }
 
+/// Guards against unintended changes of the printed report and against losing violations in JSON.
 #[test]
 fn the_report_reads_as_text() {
-    let (notes, records) = good_run();
+    let (notes, records) = correct_run();
     let mut report = RunReport {
         notes,
         outcomes: vec![OutcomeCount {
