--- a/crates/ragwortroad_load/src/event_reader.rs
+++ b/crates/ragwortroad_load/src/event_reader.rs
@@ -99,9 +99,7 @@
             line.clear();
             match self.lines.read_line(&mut line) {
                 Ok(0) => {
-                    return StreamEvent::Broken(
-                        "stream ended without the [DONE] marker".to_owned(),
-                    );
+                    return StreamEvent::Broken("stream ended without [DONE]".to_owned());
                 }
                 Ok(_) => {}
                 Err(error) => return StreamEvent::Broken(error.to_string()),
--- a/crates/ragwortroad_load/src/http_client.rs
+++ b/crates/ragwortroad_load/src/http_client.rs
@@ -146,10 +146,7 @@
     }
     match serde_json::from_slice(&response.body) {
         Ok(refusal) => response.record_refusal(refusal),
-        Err(_) => {
-            response.end =
-                ClientOutcome::Broken(format!("unexpected status {}", reader.status_code))
-        }
+        Err(_) => response.end = ClientOutcome::Broken(format!("status {}", reader.status_code)),
     }
     response
 }
@@ -198,10 +195,7 @@
     if reader.status_code != 200 {
         match read_full_body(&mut reader).map(|body| serde_json::from_slice(&body)) {
             Ok(Ok(refusal)) => response.record_refusal(refusal),
-            _ => {
-                response.end =
-                    ClientOutcome::Broken(format!("unexpected status {}", reader.status_code))
-            }
+            _ => response.end = ClientOutcome::Broken(format!("status {}", reader.status_code)),
         }
         return response;
     }
--- a/crates/ragwortroad_standin/src/announce_loop.rs
+++ b/crates/ragwortroad_standin/src/announce_loop.rs
@@ -13,41 +13,42 @@
 };
 use ragwortroad_types::prelude::*;
 
-/// Time between announcements until a node says otherwise, and after one that failed.
+/// Delay before the next announcement after one that failed.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Seconds that a node has for its answer.
+/// Timeout of one announcement.
 const RESPONSE_TIMEOUT_SECONDS: u64 = 2;
 
-/// The thread that announces one stand-in.
+/// The thread that announces one stand-in to its home node.
 pub(crate) struct AnnounceLoop {
     stop: Sender<()>,
     thread: JoinHandle<()>,
 }
 
-/// Whom a stand-in announces itself to, and how often it went over to another node.
+/// The nodes that a stand-in announces itself to, and its home epoch.
 struct AnnounceTarget {
     /// Invariant: never empty.
     addresses: Vec<String>,
-    /// Place of the address in use.
+    /// Index of the address in use.
     current_index: usize,
-    /// The address that took the last announcement.
+    /// The address that the last announcement was sent to.
     home: Option<String>,
+    /// Increases whenever `home` changes.
     epoch: u64,
 }
 
 impl AnnounceLoop {
-    /// Announces what `make` returns for a home epoch, with the secret, to the first address that
-    /// answers.
+    /// Starts a thread that sends the announcements that `make_announcement` returns for a home epoch, with the
+    /// join secret, to the first address that responds. Returns `None` without addresses.
     pub(crate) fn start(
         addresses: Vec<String>,
         secret: String,
-        make: impl FnMut(u64) -> AnnounceWire + Send + 'static,
+        make_announcement: impl FnMut(u64) -> AnnounceWire + Send + 'static,
     ) -> std::io::Result<Option<Self>> {
         if addresses.is_empty() {
             return Ok(None);
         }
-        let (stop, stopped) = flume::bounded(1);
+        let (stop, stop_signal) = flume::bounded(1);
         let target = AnnounceTarget {
             addresses,
             current_index: 0,
@@ -56,33 +57,33 @@
         };
         let thread = thread::Builder::new()
             .name("announce".to_owned())
-            .spawn(move || run_announcer(&stopped, target, &secret, make))?;
+            .spawn(move || run_announcer(&stop_signal, target, &secret, make_announcement))?;
         Ok(Some(Self { stop, thread }))
     }
 
-    /// Ends the thread and joins it.
+    /// Stops the thread and joins it.
     pub(crate) fn stop(self) {
         drop(self.stop);
         if self.thread.join().is_err() {
-            tracing::error!("an announcing thread panicked");
+            tracing::error!("the announcing thread of a stand-in panicked");
         }
     }
 }
 
 fn run_announcer(
-    stopped: &Receiver<()>,
+    stop_signal: &Receiver<()>,
     mut target: AnnounceTarget,
     secret: &str,
-    mut make: impl FnMut(u64) -> AnnounceWire,
+    mut make_announcement: impl FnMut(u64) -> AnnounceWire,
 ) {
-    let mut pause = Duration::ZERO;
-    while stopped.recv_timeout(pause) == Err(RecvTimeoutError::Timeout) {
+    let mut delay = Duration::ZERO;
+    while stop_signal.recv_timeout(delay) == Err(RecvTimeoutError::Timeout) {
         let address = target.next_address();
-        let announce = make(target.epoch);
-        pause = match send_announce(&address, secret, &announce) {
-            Some(answer) => {
-                target.record_success(address, answer.announce_to);
-                Duration::from_millis(answer.every_ms.max(1))
+        let announce = make_announcement(target.epoch);
+        delay = match send_announce(&address, secret, &announce) {
+            Some(response) => {
+                target.record_success(address, response.announce_to);
+                Duration::from_millis(response.every_ms.max(1))
             }
             None => {
                 target.record_failure();
@@ -93,8 +94,8 @@
 }
 
 impl AnnounceTarget {
-    /// The address to use now. Going over to another one than the last home raises the epoch, so
-    /// that the fleet can tell which of two nodes has the endpoint's newer word.
+    /// Returns the address for the next announcement. If it differs from the last home, the epoch
+    /// increases, so that the fleet can tell which of two nodes has the newer announcement.
     fn next_address(&mut self) -> String {
         let address = self.addresses[self.current_index].clone();
         if self.home.as_ref() != Some(&address) {
@@ -104,9 +105,9 @@
         address
     }
 
-    fn record_success(&mut self, address: String, next: Vec<String>) {
-        if !next.is_empty() {
-            self.addresses = next;
+    fn record_success(&mut self, address: String, next_addresses: Vec<String>) {
+        if !next_addresses.is_empty() {
+            self.addresses = next_addresses;
             self.current_index = 0;
         }
         self.home = Some(address);
@@ -119,7 +120,7 @@
 
 fn send_announce(address: &str, secret: &str, announce: &AnnounceWire) -> Option<AnnounceAnswer> {
     let body = serde_json::to_string(announce).ok()?;
-    let answer = minreq::post(format!("http://{address}/v1/announce"))
+    let response = minreq::post(format!("http://{address}/v1/announce"))
         .with_header("authorization", format!("Bearer {secret}"))
         .with_header("content-type", "application/json")
         .with_follow_redirects(false)
@@ -127,11 +128,11 @@
         .with_body(body)
         .send()
         .ok()?;
-    // A body that was cut short is no JSON, so it needs no count here.
-    match answer.status_code {
-        200 => serde_json::from_slice(answer.as_bytes()).ok(),
+    // A truncated body is not valid JSON, so its length needs no check.
+    match response.status_code {
+        200 => serde_json::from_slice(response.as_bytes()).ok(),
         status => {
-            tracing::warn!(status, address, "an announcement was refused");
+            tracing::warn!(status, address, "node refused the announcement");
             None
         }
     }
--- a/crates/ragwortroad_standin/src/batch_semaphore.rs
+++ b/crates/ragwortroad_standin/src/batch_semaphore.rs
@@ -13,21 +13,21 @@
     Sender, //
 };
 
-/// The places in an engine's batch, given out by priority and then by arrival.
+/// A semaphore over an engine's batch that serves waiters by priority, then by arrival.
 pub(crate) struct BatchSemaphore {
     state: Mutex<SemaphoreState>,
 }
 
-/// Who is in and who waits.
+/// Available permits and waiters.
 struct SemaphoreState {
-    /// Invariant: zero unless nobody waits.
+    /// Invariant: zero while there are waiters.
     available: u32,
-    /// By priority, smaller first, and then by arrival.
+    /// Keyed by priority, lowest number first, then by arrival.
     waiters: BTreeMap<(u8, u64), Sender<()>>,
     arrivals: u64,
 }
 
-/// One place in the batch, given back on drop.
+/// One slot in the batch; dropping it releases the slot.
 pub(crate) struct BatchPermit<'semaphore> {
     semaphore: &'semaphore BatchSemaphore,
 }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Waits for a place.
+    /// Waits for a slot in the batch.
     pub(crate) async fn acquire(&self, priority: u8) -> BatchPermit<'_> {
         if let Some(permit) = self.acquire_or_queue(priority) {
             let mut wait = PermitWait {
@@ -52,13 +52,14 @@
                 permit,
             };
             if (&mut wait.permit).await.is_err() {
-                tracing::error!("a waiting request's permit was dropped unused");
+                tracing::error!("a batch permit's channel closed before the permit was granted");
             }
         }
         BatchPermit { semaphore: self }
     }
 
-    /// Takes a available place, or queues and returns what tells when there is one.
+    /// Takes an available permit and returns `None`, or enqueues a waiter and returns the channel
+    /// that is notified when it gets a permit.
     fn acquire_or_queue(&self, priority: u8) -> Option<Receiver<()>> {
         let mut state = self.lock();
         if state.available > 0 {
@@ -72,7 +73,7 @@
         Some(receiver)
     }
 
-    /// Hands a place to the first who still waits for it.
+    /// Hands the permit to the first waiter that has not been cancelled, or makes it available.
     fn release(&self) {
         let mut state = self.lock();
         while let Some((_, sender)) = state.waiters.pop_first() {
@@ -94,7 +95,7 @@
     }
 }
 
-/// A wait that may be given up. A place that was handed to it and not taken goes to the next.
+/// A cancellable wait. On drop it passes on a permit that was granted but not taken.
 struct PermitWait<'semaphore> {
     semaphore: &'semaphore BatchSemaphore,
     permit: Receiver<()>,
--- a/crates/ragwortroad_standin/src/engine_control.rs
+++ b/crates/ragwortroad_standin/src/engine_control.rs
@@ -1,4 +1,4 @@
-//! What a stand-in engine does besides answering chats.
+//! Handlers for the requests to a stand-in engine other than chats.
 
 use std::time::Instant;
 
@@ -31,7 +31,7 @@
     attempt: u32,
 }
 
-/// Stops work on a request.
+/// Cancels an attempt of a request.
 pub(crate) fn handle_cancel(state: &EngineState, body: &[u8]) -> Response<StandinBody> {
     let Ok(cancel) = serde_json::from_slice::<CancelWire>(body) else {
         return malformed_reply();
@@ -52,14 +52,14 @@
     json_reply(200, &cancel.request_id, &json!({"cancelled": found}))
 }
 
-/// Takes an order, or refuses it for its old fencing number.
+/// Executes an order, or refuses it because its fencing token is outdated.
 pub(crate) async fn handle_order(state: &EngineState, body: &Bytes) -> StandinReply {
     let Ok(order) = serde_json::from_slice::<OrderWire>(body) else {
         return Ok(malformed_reply());
     };
     let faults = state.standin.next_faults();
-    let checks = state.settings.checks_fencing && !faults.ignore_fencing;
-    if let Err(highest) = record_order(state, &order, checks) {
+    let checks_fencing = state.settings.checks_fencing && !faults.ignore_fencing;
+    if let Err(highest) = record_order(state, &order, checks_fencing) {
         let error = json!({"error": "old fencing number", "highest": highest});
         return Ok(json_reply(409, "", &error));
     }
@@ -73,10 +73,15 @@
     Ok(json_reply(200, "", &json!({"done": true})))
 }
 
-/// Writes an order down; the highest fencing number where its own is older and that is checked.
-fn record_order(state: &EngineState, order: &OrderWire, checks: bool) -> Result<(), FenceNumber> {
+/// Records an order; fails with the highest fencing token seen if the order's token is older and
+/// the engine checks it.
+fn record_order(
+    state: &EngineState,
+    order: &OrderWire,
+    checks_fencing: bool,
+) -> Result<(), FenceNumber> {
     let mut locked = state.lock();
-    let accepted = !checks || order.fence >= locked.highest_fence;
+    let accepted = !checks_fencing || order.fence >= locked.highest_fence;
     locked.orders.push(OrderRecord {
         endpoint: state.settings.name.clone(),
         order: order.clone(),
@@ -90,45 +95,51 @@
     Ok(())
 }
 
-/// Does what an order asks; an order that comes again changes nothing.
+/// Applies an order; a repeated order has no effect.
 fn apply_order(locked: &mut LockedState, kind: OrderKind) {
     match kind {
-        OrderKind::Load { offer } => load(locked, offer),
-        OrderKind::Unload { offer } => unload(locked, &offer),
+        OrderKind::Load { offer } => load_model(locked, offer),
+        OrderKind::Unload { offer } => unload_model(locked, &offer),
         OrderKind::SetRole { role } => locked.role = role,
         OrderKind::SetDrain { drain } => locked.drain = drain,
     }
 }
 
-fn load(locked: &mut LockedState, wanted: ModelOffer) {
-    let Some(offer) = locked.offers.iter_mut().find(|offer| same(offer, &wanted)) else {
-        return locked.offers.push(wanted);
+fn load_model(locked: &mut LockedState, requested: ModelOffer) {
+    let Some(offer) = locked
+        .offers
+        .iter_mut()
+        .find(|offer| is_same_version(offer, &requested))
+    else {
+        return locked.offers.push(requested);
     };
-    for adapter in wanted.adapters {
+    for adapter in requested.adapters {
         if !offer.adapters.contains(&adapter) {
             offer.adapters.push(adapter);
         }
     }
 }
 
-fn unload(locked: &mut LockedState, unwanted: &ModelOffer) {
-    if unwanted.adapters.is_empty() {
-        return locked.offers.retain(|offer| !same(offer, unwanted));
+fn unload_model(locked: &mut LockedState, removed: &ModelOffer) {
+    if removed.adapters.is_empty() {
+        return locked
+            .offers
+            .retain(|offer| !is_same_version(offer, removed));
     }
     for offer in locked.offers.iter_mut() {
-        if same(offer, unwanted) {
-            let adapters = &unwanted.adapters;
+        if is_same_version(offer, removed) {
+            let adapters = &removed.adapters;
             offer.adapters.retain(|name| !adapters.contains(name));
         }
     }
 }
 
-/// Whether two offers are of one version of one model.
-fn same(left: &ModelOffer, right: &ModelOffer) -> bool {
+/// Whether two offers are of the same version of the same model.
+fn is_same_version(left: &ModelOffer, right: &ModelOffer) -> bool {
     left.model == right.model && left.version == right.version
 }
 
-/// Everything in the prefix cache.
+/// Responds with all prefixes in the cache.
 pub(crate) fn export_cache(state: &EngineState) -> Response<StandinBody> {
     let prefixes = state.lock().cache.export();
     json_reply(200, "", &json!({"prefixes": prefixes}))
@@ -140,12 +151,12 @@
     prefixes: Vec<PrefixKey>,
 }
 
-/// Takes over another engine's prefixes.
+/// Imports the prefixes of another engine.
 pub(crate) fn import_cache(state: &EngineState, body: &[u8]) -> Response<StandinBody> {
     let Ok(import) = serde_json::from_slice::<ImportWire>(body) else {
         return malformed_reply();
     };
-    // Stored last to first, so that the order of use is the exporter's.
+    // The cache stores a chain from its end, so reversing keeps the exporter's order of use.
     let newest_first: Vec<PrefixKey> = import.prefixes.iter().rev().copied().collect();
     state.lock().cache.store(&newest_first);
     json_reply(200, "", &json!({"imported": newest_first.len()}))
--- a/crates/ragwortroad_standin/src/engine_handler.rs
+++ b/crates/ragwortroad_standin/src/engine_handler.rs
@@ -45,7 +45,7 @@
     }, //
 };
 
-/// Answers one request to a stand-in engine.
+/// Handles one request to a stand-in engine.
 pub(crate) async fn handle_engine(
     state: Arc<EngineState>,
     request: Request<Incoming>,
@@ -84,14 +84,14 @@
         request_id,
     };
     let priority = text("x-priority").parse().unwrap_or(u8::MAX);
-    let begin = RunParameters {
+    let parameters = RunParameters {
         name,
         customer,
         priority,
         body,
         faults,
     };
-    let run = begin_run(&state, &chat, begin);
+    let run = begin_run(&state, &chat, parameters);
     if run.faults.close_without_response {
         state.standin.end_run(run.run_index, RunStatus::Cut);
         return Err(io::ErrorKind::ConnectionReset.into());
@@ -112,11 +112,11 @@
     state.lock().offers.iter().any(|offer| {
         offer.model == model
             && (version.is_empty() || offer.version == version)
-            && adapter.is_none_or(|adapter| offer.adapters.iter().any(|has| has == adapter))
+            && adapter.is_none_or(|adapter| offer.adapters.iter().any(|loaded| loaded == adapter))
     })
 }
 
-/// What a run begins with, besides its chat.
+/// Parameters of a run, besides its chat.
 struct RunParameters<'body> {
     name: AttemptId,
     customer: String,
@@ -125,19 +125,23 @@
     faults: FaultPlan,
 }
 
-fn begin_run(state: &Arc<EngineState>, chat: &ChatBody, begin: RunParameters<'_>) -> EngineRun {
+fn begin_run(
+    state: &Arc<EngineState>,
+    chat: &ChatBody,
+    parameters: RunParameters<'_>,
+) -> EngineRun {
     let RunParameters {
         name,
         customer,
         priority,
         body,
         faults,
-    } = begin;
+    } = parameters;
     let prompt = chat.prompt_text();
     let chain = prefix_chain(&customer, &chat.model, &prompt);
-    let matched = state.lock().cache.matching_blocks(&chain);
+    let cached_blocks = state.lock().cache.matching_blocks(&chain);
     let prompt_tokens = prompt.len().div_ceil(BYTES_PER_TOKEN) as u32;
-    let cached_tokens = (matched * PREFIX_BLOCK_BYTES / BYTES_PER_TOKEN) as u32;
+    let cached_tokens = (cached_blocks * PREFIX_BLOCK_BYTES / BYTES_PER_TOKEN) as u32;
     let from_token = chat.resume_from.unwrap_or(0);
     let run_index = state.standin.begin_run(RunRecord {
         endpoint: state.settings.name.clone(),
--- a/crates/ragwortroad_standin/src/engine_settings.rs
+++ b/crates/ragwortroad_standin/src/engine_settings.rs
@@ -8,42 +8,42 @@
 
 use ragwortroad_types::prelude::*;
 
-/// What a [`StandinEngine`](crate::StandinEngine) is and how fast it works.
+/// Settings of a [`StandinEngine`](crate::StandinEngine).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineSettings {
-    /// The name it announces itself by.
+    /// Endpoint name in its announcements.
     pub name: String,
-    /// Where it listens; port 0 takes a free one.
+    /// Listen address; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the engine.
     pub zone: String,
-    /// Models it holds from the start.
+    /// Models that are loaded at the start.
     pub offers: Vec<ModelOffer>,
-    /// Requests it works on at once; more wait.
+    /// Maximum batch size; further requests are queued.
     pub capacity: u32,
-    /// `IP:port` of nodes to announce to; none means that it does not announce itself.
+    /// `IP:port` of nodes to announce to; if empty, the engine doesn't announce itself.
     pub announce_to: Vec<String>,
-    /// The join secret.
+    /// The fleet's join secret, sent with announcements.
     pub join_secret: String,
-    /// Whether it says, and sees to it, that it checks fencing numbers.
+    /// Whether the engine refuses orders with outdated fencing tokens, and announces that it does.
     pub checks_fencing: bool,
-    /// Counts up with every restart.
+    /// Incarnation of the engine; must increase with every restart.
     pub incarnation: u64,
-    /// Time to read one prompt token that is not in the cache.
+    /// Time to process one prompt token that is not in the prefix cache.
     pub prefill_time_per_token: Duration,
-    /// Time between tokens when it has one request to work on.
+    /// Base time between tokens; grows with the batch by up to `batch_slowdown_percent`.
     pub token_gap: Duration,
-    /// By how many percent the gap grows from one request to a full batch.
+    /// Growth of `token_gap` in percent from an empty to a full batch.
     pub batch_slowdown_percent: u32,
-    /// Blocks its prefix cache holds.
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// Age of the load it reports.
+    /// Minimum age of the load in announcements, once there are samples that old.
     pub load_report_delay: Duration,
-    /// One of so many cache events is lost; 0 loses none.
+    /// Every n-th cache event is dropped; 0 drops none.
     pub event_loss_interval: u64,
-    /// Time to load a model.
+    /// Time to load a model or adapter.
     pub model_load_time: Duration,
-    /// Threads for requests.
+    /// Worker threads for requests.
     pub threads: usize,
 }
 
--- a/crates/ragwortroad_standin/src/engine_state.rs
+++ b/crates/ragwortroad_standin/src/engine_state.rs
@@ -28,7 +28,7 @@
     standin_server::StandinState, //
 };
 
-/// What all requests of one stand-in engine share.
+/// State that all requests of one stand-in engine share.
 pub(crate) struct EngineState {
     pub(crate) settings: EngineSettings,
     pub(crate) standin: Arc<StandinState>,
@@ -39,26 +39,26 @@
     locked: Mutex<LockedState>,
 }
 
-/// The locked of an engine that change under a lock, each for a moment only.
+/// The mutable state of an engine, behind a lock that is never held across an `await`.
 pub(crate) struct LockedState {
     pub(crate) cache: PrefixCache,
     pub(crate) offers: Vec<ModelOffer>,
-    /// Highest fencing number of an order taken.
+    /// Highest fencing token of an accepted order.
     pub(crate) highest_fence: FenceNumber,
-    /// Every order that came, in order.
+    /// Every order received, accepted or refused, in order.
     pub(crate) orders: Vec<OrderRecord>,
     pub(crate) role: RoleWire,
     pub(crate) drain: bool,
-    /// Who to wake when a request's attempt is cancelled.
+    /// Notified when the attempt is cancelled.
     pub(crate) cancels: HashMap<AttemptId, Arc<Notify>>,
-    /// Requests that were cancelled from outside.
+    /// Ids of requests for which a cancellation was received.
     pub(crate) cancelled_ids: Vec<String>,
     sequence: u64,
-    /// Loads seen, oldest first, for reports that come late.
+    /// Load samples, oldest first, for delayed reports.
     loads: VecDeque<(Instant, LoadReport)>,
 }
 
-/// A request's id and the number of its attempt.
+/// A request id and an attempt number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct AttemptId {
     pub(crate) request_id: String,
@@ -94,15 +94,16 @@
         self.locked.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Time to the next token with the present batch.
+    /// Time to the next token at the current batch size.
     pub(crate) fn token_gap(&self) -> Duration {
         let running = self.running.load(Ordering::Relaxed);
         let capacity = self.settings.capacity.max(1);
-        let growth = self.settings.batch_slowdown_percent * running.min(capacity) / capacity;
-        self.settings.token_gap * (100 + growth) / 100
+        let slowdown_percent =
+            self.settings.batch_slowdown_percent * running.min(capacity) / capacity;
+        self.settings.token_gap * (100 + slowdown_percent) / 100
     }
 
-    /// The next announcement.
+    /// Builds the next announcement.
     pub(crate) fn announce(&self, address: &str, home_epoch: u64) -> AnnounceWire {
         let settings = &self.settings;
         let now = Instant::now();
@@ -138,11 +139,11 @@
 }
 
 impl LockedState {
-    /// The youngest load that is at least `lag` old, or the oldest there is.
-    fn delayed_load(&mut self, now: Instant, lag: Duration) -> LoadReport {
-        let aged = |at: &Instant| now.saturating_duration_since(*at);
+    /// Returns the newest load sample that is at least `delay` old, or the oldest sample.
+    fn delayed_load(&mut self, now: Instant, delay: Duration) -> LoadReport {
+        let age = |at: &Instant| now.saturating_duration_since(*at);
         while let Some((next, _)) = self.loads.get(1) {
-            if aged(next) < lag {
+            if age(next) < delay {
                 break;
             }
             self.loads.pop_front();
@@ -151,13 +152,13 @@
             return LoadReport::default();
         };
         LoadReport {
-            age_ms: aged(at).as_millis() as u32,
+            age_ms: age(at).as_millis() as u32,
             ..*load
         }
     }
 }
 
-/// Counts a request in one of an engine's gauges until it drops.
+/// Counts a request in a gauge of its stand-in until the guard is dropped.
 pub(crate) struct GaugeGuard<'gauge>(&'gauge AtomicU32);
 
 impl<'gauge> GaugeGuard<'gauge> {
--- a/crates/ragwortroad_standin/src/engine_stream.rs
+++ b/crates/ragwortroad_standin/src/engine_stream.rs
@@ -44,23 +44,23 @@
     }, //
 };
 
-/// One chat being answered by a stand-in engine.
+/// One chat that a stand-in engine is processing.
 pub(crate) struct EngineRun {
     pub(crate) state: Arc<EngineState>,
     pub(crate) name: AttemptId,
     pub(crate) customer: String,
-    /// Smaller goes first.
+    /// Lower numbers go first.
     pub(crate) priority: u8,
     pub(crate) chat: ChatBody,
     pub(crate) chain: Vec<PrefixKey>,
-    /// The whole answer.
+    /// The complete response.
     pub(crate) tokens: Vec<String>,
     pub(crate) prompt_tokens: u32,
     pub(crate) cached_tokens: u32,
-    /// First token to make.
+    /// Index of the first token to generate.
     pub(crate) from_token: u32,
     pub(crate) faults: FaultPlan,
-    /// Place of its record.
+    /// Index of its [`RunRecord`](crate::RunRecord).
     pub(crate) run_index: usize,
 }
 
@@ -74,14 +74,14 @@
 }
 
 impl EngineRun {
-    /// Registers the run for cancellation, waits for a place in the batch, and reads the prompt.
+    /// Waits for a slot in the batch and processes the prompt.
     async fn prefill(&self) -> (BatchPermit<'_>, GaugeGuard<'_>) {
         let queued = GaugeGuard::new(&self.state.queued);
         let permit = self.state.batch.acquire(self.priority).await;
         drop(queued);
         let running = GaugeGuard::new(&self.state.running);
-        let unread = self.prompt_tokens.saturating_sub(self.cached_tokens);
-        sleep(self.state.settings.prefill_time_per_token * unread).await;
+        let uncached_tokens = self.prompt_tokens.saturating_sub(self.cached_tokens);
+        sleep(self.state.settings.prefill_time_per_token * uncached_tokens).await;
         self.state.lock().cache.store(&self.chain);
         (permit, running)
     }
@@ -96,18 +96,19 @@
     }
 
     fn complete(&self) {
-        let made = self.tokens.len() as u32 - self.from_token.min(self.tokens.len() as u32);
+        let generated = self.tokens.len() as u32 - self.from_token.min(self.tokens.len() as u32);
         let standin = &self.state.standin;
-        standin.update_run(self.run_index, |record| record.tokens = made);
+        standin.update_run(self.run_index, |record| record.tokens = generated);
         standin.end_run(self.run_index, RunStatus::Completed);
         self.cache_response();
     }
 
-    /// The chat's next turn begins with this answer, so its blocks are in the cache as well.
+    /// Stores the prefix that includes the response, since the chat's next turn begins with it.
     fn cache_response(&self) {
         let mut chat = self.chat.clone();
-        let answer = self.tokens.concat();
-        chat.messages.push(ChatMessage::text("assistant", &answer));
+        let response = self.tokens.concat();
+        chat.messages
+            .push(ChatMessage::text("assistant", &response));
         let chain = prefix_chain(&self.customer, &chat.model, &chat.prompt_text());
         self.state.lock().cache.store(&chain);
     }
@@ -127,19 +128,19 @@
         })
     }
 
-    /// Whom the answer names as its request at a token.
+    /// Returns the request id that the response carries at a token.
     fn response_request_id(&self, token: u32) -> &str {
         match self.faults.foreign_id_from_token {
-            Some(from) if token >= from => "another",
+            Some(first) if token >= first => "another",
             _ => self.echoed_request_id(),
         }
     }
 
     fn chunk(&self, at: usize) -> Bytes {
-        let owner = self.response_request_id(at as u32);
+        let request_id = self.response_request_id(at as u32);
         let text = &self.tokens[at];
         let chunk = json!({
-            "id": format!("chatcmpl-{owner}"),
+            "id": format!("chatcmpl-{request_id}"),
             "object": "chat.completion.chunk",
             "model": self.chat.model,
             "token_index": at,
@@ -148,7 +149,7 @@
         Bytes::from(format!("data: {chunk}\n\n"))
     }
 
-    /// The last events: the reason for the end with the usage, and the final marker.
+    /// Returns the last events: the finish reason with the usage, and the final marker.
     fn final_events(&self) -> Bytes {
         let chunk = json!({
             "id": format!("chatcmpl-{}", self.echoed_request_id()),
@@ -165,22 +166,22 @@
     }
 }
 
-/// Answers a chat as a whole.
+/// Generates the response to a chat and sends it in one body.
 pub(crate) async fn buffered_reply(run: EngineRun) -> StandinReply {
     let cancelled = run.register();
     let work = async {
-        let held = run.prefill().await;
+        let batch_slot = run.prefill().await;
         let count = run.tokens.len() as u32;
         sleep(run.state.token_gap() * count).await;
-        drop(held);
+        drop(batch_slot);
         io::Result::Ok(())
     };
     tokio::select! {
-        worked = work => worked?,
+        done = work => done?,
         () = cancelled.notified() => return Err(io::ErrorKind::ConnectionAborted.into()),
     }
     let message = json!({"role": "assistant", "content": run.tokens.concat()});
-    let answer = json!({
+    let completion = json!({
         "id": format!("chatcmpl-{}", run.response_request_id(0)),
         "object": "chat.completion",
         "model": run.chat.model,
@@ -189,13 +190,13 @@
     });
     if run.faults.truncate_body {
         run.state.standin.end_run(run.run_index, RunStatus::Cut);
-        return Ok(truncated_reply(run.echoed_request_id(), &answer));
+        return Ok(truncated_reply(run.echoed_request_id(), &completion));
     }
     run.complete();
-    Ok(json_reply(200, run.echoed_request_id(), &answer))
+    Ok(json_reply(200, run.echoed_request_id(), &completion))
 }
 
-/// Answers a chat as server-sent events, made by a task of the engine's.
+/// Streams the response to a chat as server-sent events, which a spawned task writes.
 pub(crate) fn streamed_reply(run: EngineRun) -> Response<StandinBody> {
     let (sender, body) = Channel::new(1);
     let mut reply = Response::new(Either::Right(body));
@@ -206,18 +207,18 @@
 
 async fn write_stream(run: EngineRun, mut sender: Sender<Bytes, io::Error>) {
     let cancelled = run.register();
-    let fed = tokio::select! {
-        fed = write_tokens(&run, &mut sender) => fed,
+    let written = tokio::select! {
+        written = write_tokens(&run, &mut sender) => written,
         () = cancelled.notified() => Err(io::ErrorKind::Interrupted.into()),
     };
-    match fed {
+    match written {
         Ok(()) => run.complete(),
         Err(error) => sender.abort(error),
     }
 }
 
 async fn write_tokens(run: &EngineRun, sender: &mut Sender<Bytes, io::Error>) -> io::Result<()> {
-    let _held = run.prefill().await;
+    let _batch_slot = run.prefill().await;
     let faults = &run.faults;
     let mut next = Instant::now();
     for at in run.from_token as usize..run.tokens.len() {
--- a/crates/ragwortroad_standin/src/fault_plan.rs
+++ b/crates/ragwortroad_standin/src/fault_plan.rs
@@ -1,40 +1,41 @@
 use std::time::Duration;
 
-/// How a stand-in misbehaves; by default not at all.
+/// Faults that a stand-in injects; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// Requests that the faults below apply to; all where nothing is named.
+    /// Number of requests, chats, service requests and orders alike, that the faults apply to; `None`
+    /// for all. Refused connections don't count.
     pub max_requests: Option<u32>,
-    /// Announces a longer body than it sends, then closes.
+    /// Sends fewer bytes than `Content-Length` declares, then closes the connection.
     pub truncate_body: bool,
-    /// Ends a stream in good order but without the final marker.
+    /// Ends streams without the final `[DONE]` marker.
     pub omit_done_marker: bool,
-    /// Echoes this request id in place of the right one.
+    /// Echoes this request id in place of the correct one.
     pub echoed_request_id: Option<String>,
-    /// Goes over to another answer's chunks at this token.
+    /// Sends the id of another response from this token on.
     pub foreign_id_from_token: Option<u32>,
-    /// Answers with a redirect to this place.
+    /// Responds with a redirect to this location.
     pub redirect_to: Option<String>,
-    /// Runs the request and closes without an answer.
+    /// Records the request, then closes the connection without a response.
     pub close_without_response: bool,
-    /// Closes the connection after this many tokens.
+    /// Closes the connection before the token with this index.
     pub close_after_tokens: Option<u32>,
-    /// Falls silent after this many tokens.
+    /// Stops sending before the token with this index, but keeps the connection open.
     pub stall_after_tokens: Option<u32>,
-    /// Sends the token at this place twice.
+    /// Sends the token with this index twice.
     pub duplicate_token: Option<u32>,
-    /// Leaves out the token at this place.
+    /// Omits the token with this index.
     pub skip_token: Option<u32>,
-    /// Answers with this status and an error body, without running anything.
+    /// Responds with this status and an error body, without running the request.
     pub status: Option<u16>,
-    /// Waits this long before it answers.
+    /// Delays responses by this time.
     pub response_delay: Duration,
-    /// Takes no connections.
+    /// Refuses new connections and closes open ones.
     pub refuse_connections: bool,
-    /// Takes orders whatever their fencing number.
+    /// Accepts orders regardless of their fencing tokens.
     pub ignore_fencing: bool,
-    /// Confirms orders and carries none out.
+    /// Acknowledges orders without executing them.
     pub acknowledge_only: bool,
-    /// Waits this long before it answers an order that it has carried out.
+    /// Delays the response to an accepted order by this time.
     pub order_response_delay: Duration,
 }
--- a/crates/ragwortroad_standin/src/lib.rs
+++ b/crates/ragwortroad_standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for model engines and plain services, well behaved and not.
+//! Stand-ins for model engines and plain services, with fault injection.
 //!
-//! They speak the real interfaces over real sockets, announce themselves, and write down what they
-//! ran, so that a check rests on what endpoints saw and not on what the fleet says of itself.
-//! Faults can be set at any time through a [`FaultPlan`].
+//! They serve the real interfaces over real sockets, announce themselves, and record the requests
+//! they run, so that checks rely on the endpoints' records and not on what the fleet reports
+//! about itself. Faults can be injected at any time through a [`FaultPlan`].
 //!
 //! ```
 //! use ragwortroad_standin::prelude::*;
@@ -33,7 +33,7 @@
 mod standin_server;
 mod standin_service;
 
-/// Everything a dependent crate usually needs.
+/// Re-exports of the items that dependent crates usually need.
 pub mod prelude {
     pub use crate::{
         engine_settings::EngineSettings,
--- a/crates/ragwortroad_standin/src/order_record.rs
+++ b/crates/ragwortroad_standin/src/order_record.rs
@@ -2,15 +2,15 @@
 
 use ragwortroad_types::prelude::*;
 
-/// One order as a stand-in engine got it.
+/// One order that a stand-in engine received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderRecord {
-    /// The stand-in's name.
+    /// Name of the engine.
     pub endpoint: String,
-    /// The order.
+    /// The order as received.
     pub order: OrderWire,
-    /// Whether it was accepted, and not refused for its old fencing number.
+    /// Whether the engine accepted it; `false` if it refused an outdated fencing token.
     pub accepted: bool,
-    /// When it came.
+    /// Time of receipt.
     pub received_at: Instant,
 }
--- a/crates/ragwortroad_standin/src/prefix_cache.rs
+++ b/crates/ragwortroad_standin/src/prefix_cache.rs
@@ -5,14 +5,15 @@
 
 use ragwortroad_types::prelude::*;
 
-/// An engine's prefix cache: so many blocks, the least recently used dropped first.
+/// An engine's prefix cache, which evicts the least recently used block.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
     max_blocks: usize,
-    /// Invariant: holds the stamp under which each prefix stands in `by_last_used`.
+    /// Invariant: maps each prefix to its timestamp in `by_last_used`.
     last_used: HashMap<PrefixKey, u64>,
     /// Invariant: the inverse of `last_used`.
     by_last_used: BTreeMap<u64, PrefixKey>,
+    /// Logical clock that timestamps each use.
     clock: u64,
     sequence: u64,
     events: Vec<CacheEvent>,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Blocks of the chain that are here from its start on.
+    /// Returns how many leading blocks of the chain are cached.
     pub(crate) fn matching_blocks(&self, chain: &[PrefixKey]) -> usize {
         chain
             .iter()
@@ -34,7 +35,8 @@
             .count()
     }
 
-    /// Stores a chain, its longest prefix as the least recent, since it is of use the least often.
+    /// Stores a chain, with its longest prefix as the least recently used, since longer prefixes are
+    /// reused less often.
     pub(crate) fn store(&mut self, chain: &[PrefixKey]) {
         for prefix in chain.iter().rev() {
             self.touch(*prefix);
@@ -48,12 +50,12 @@
         }
     }
 
-    /// Everything stored, least recent first.
+    /// Returns all cached prefixes, least recently used first.
     pub(crate) fn export(&self) -> Vec<PrefixKey> {
         self.by_last_used.values().copied().collect()
     }
 
-    /// Events since the last call.
+    /// Removes and returns the events since the last call.
     pub(crate) fn drain_events(&mut self) -> Vec<CacheEvent> {
         std::mem::take(&mut self.events)
     }
@@ -61,8 +63,8 @@
     fn touch(&mut self, prefix: PrefixKey) {
         self.clock += 1;
         match self.last_used.insert(prefix, self.clock) {
-            Some(stamp) => {
-                self.by_last_used.remove(&stamp);
+            Some(last_use) => {
+                self.by_last_used.remove(&last_use);
             }
             None => self.record_event(CacheChange::Stored, prefix),
         }
--- a/crates/ragwortroad_standin/src/run_record.rs
+++ b/crates/ragwortroad_standin/src/run_record.rs
@@ -3,51 +3,51 @@
     Serialize, //
 };
 
-/// One request as a stand-in saw it, from the moment its whole body was there.
+/// One request as a stand-in saw it, recorded once its whole body was received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The stand-in's name.
+    /// Name of the stand-in.
     pub endpoint: String,
-    /// The `X-Request-Id` it came with.
+    /// Its `X-Request-Id`; empty if absent.
     pub request_id: String,
-    /// The customer's name it came with.
+    /// The customer's name from the request; empty if absent.
     pub customer: String,
     /// The HTTP method.
     pub method: String,
-    /// Path and query.
+    /// Path and query; for chats the path only.
     pub path: String,
-    /// The idempotency key it came with.
+    /// Its idempotency key; always `None` for chats.
     pub idempotency_key: Option<String>,
-    /// Hash of the body.
+    /// XXH3 hash of the request body.
     pub body_hash: u64,
-    /// Milliseconds since the stand-in started.
+    /// Start of the run, in milliseconds since the stand-in started.
     pub began_ms: u64,
-    /// Milliseconds since the stand-in started, once it is over.
+    /// End of the run, in milliseconds since the stand-in started; `None` while it runs.
     pub ended_ms: Option<u64>,
-    /// How it ended.
+    /// Status of the run.
     pub end: RunStatus,
-    /// First token made, for a resumed stream.
+    /// Index of the first generated token; above 0 for a resumed stream.
     pub from_token: u32,
-    /// Tokens made.
+    /// Number of generated tokens.
     pub tokens: u32,
-    /// Prompt tokens found in the prefix cache.
+    /// Prompt tokens that were in the prefix cache.
     pub cached_tokens: u32,
-    /// Prompt tokens in all.
+    /// Total prompt tokens.
     pub prompt_tokens: u32,
 }
 
-/// How a run ended.
+/// Status of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunStatus {
-    /// Still under way.
+    /// The run has not ended.
     Running,
-    /// The whole answer was written.
+    /// The complete response was written.
     Completed,
-    /// A fault that was set cut it.
+    /// An injected fault cut it off.
     Cut,
-    /// It was cancelled, or its caller left.
+    /// It was cancelled, or its client disconnected.
     Cancelled,
 }
--- a/crates/ragwortroad_standin/src/service_settings.rs
+++ b/crates/ragwortroad_standin/src/service_settings.rs
@@ -6,28 +6,28 @@
     time::Duration, //
 };
 
-/// What a [`StandinService`](crate::StandinService) is and how fast it works.
+/// Settings of a [`StandinService`](crate::StandinService).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceSettings {
-    /// The name it announces itself by.
+    /// Endpoint name in its announcements.
     pub name: String,
     /// The service it is a replica of.
     pub service: String,
-    /// Where it listens; port 0 takes a free one.
+    /// Listen address; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the replica.
     pub zone: String,
-    /// Requests it works on at once.
+    /// Capacity that it announces, in concurrent requests; the replica doesn't enforce it.
     pub capacity: u32,
-    /// `IP:port` of nodes to announce to; none means that it does not announce itself.
+    /// `IP:port` of nodes to announce to; if empty, the replica doesn't announce itself.
     pub announce_to: Vec<String>,
-    /// The join secret.
+    /// The fleet's join secret, sent with announcements.
     pub join_secret: String,
-    /// Counts up with every restart.
+    /// Incarnation of the replica; must increase with every restart.
     pub incarnation: u64,
-    /// Time one request takes.
+    /// Processing time of a request.
     pub work_time: Duration,
-    /// Threads for requests.
+    /// Worker threads for requests.
     pub threads: usize,
 }
 
--- a/crates/ragwortroad_standin/src/standin_engine.rs
+++ b/crates/ragwortroad_standin/src/standin_engine.rs
@@ -26,65 +26,65 @@
 
 /// A stand-in for a model engine.
 ///
-/// It batches continuously, caches prompt prefixes in limited memory, streams, resumes and
-/// cancels, takes orders, and announces itself with a late load and with gaps in its cache events.
+/// It batches continuously, caches prompt prefixes in a bounded cache, streams, resumes and cancels
+/// responses, and executes orders. Its announcements have a delayed load and lack some cache events.
 pub struct StandinEngine {
     state: Arc<EngineState>,
     host: StandinHost,
 }
 
 impl StandinEngine {
-    /// Listens, and announces itself if it was told to whom.
+    /// Starts listening, and announcing itself if the settings name nodes to announce to.
     pub fn start(settings: EngineSettings) -> Result<Self, StandinError> {
-        let record = Arc::new(StandinState::new());
-        let state = Arc::new(EngineState::new(settings, Arc::clone(&record)));
+        let standin = Arc::new(StandinState::new());
+        let state = Arc::new(EngineState::new(settings, Arc::clone(&standin)));
         let host = HostSettings {
             listen: state.settings.listen,
             threads: state.settings.threads,
             announce_to: state.settings.announce_to.clone(),
             join_secret: state.settings.join_secret.clone(),
         };
-        let (handled, announced) = (Arc::clone(&state), Arc::clone(&state));
+        let (handler_state, announcer_state) = (Arc::clone(&state), Arc::clone(&state));
         let host = StandinHost::start(
             host,
-            record,
-            move |request| handle_engine(Arc::clone(&handled), request),
-            move |address, epoch| announced.announce(address, epoch),
+            standin,
+            move |request| handle_engine(Arc::clone(&handler_state), request),
+            move |address, epoch| announcer_state.announce(address, epoch),
         )?;
         Ok(Self { state, host })
     }
 
-    /// The name it announces itself by.
+    /// Endpoint name in its announcements.
     pub fn name(&self) -> &str {
         &self.state.settings.name
     }
 
-    /// Where it takes requests.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
 
-    /// The moment from which the times in its records count.
+    /// Start time, which the times in its records are relative to.
     pub fn started(&self) -> Instant {
         self.state.standin.started()
     }
 
-    /// From now on misbehaves in this way.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, plan: FaultPlan) {
         self.state.standin.set_faults(plan);
     }
 
-    /// From now on announces that it will stop.
+    /// Marks all further announcements as leaving.
     pub fn announce_leaving(&self) {
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Every chat it began, in order.
+    /// Records of all chats that it has started, in order.
     pub fn records(&self) -> Vec<RunRecord> {
         self.state.standin.records()
     }
 
-    /// Requests it works on now, and requests that wait.
+    /// Current numbers of running and queued requests.
     pub fn load(&self) -> LoadReport {
         LoadReport {
             running: self.state.running.load(Ordering::Relaxed),
@@ -93,33 +93,33 @@
         }
     }
 
-    /// Requests whose cancellation it was cancelled_ids.
+    /// Ids of requests for which it received a cancellation.
     pub fn cancelled_requests(&self) -> Vec<String> {
         self.state.lock().cancelled_ids.clone()
     }
 
-    /// Models it holds now.
+    /// Currently loaded models.
     pub fn offers(&self) -> Vec<ModelOffer> {
         self.state.lock().offers.clone()
     }
 
-    /// Every order that came, in order.
+    /// All orders received, accepted or refused, in order.
     pub fn orders(&self) -> Vec<OrderRecord> {
         self.state.lock().orders.clone()
     }
 
-    /// The role it was ordered to have.
+    /// Role set by the last role order.
     pub fn role(&self) -> RoleWire {
         self.state.lock().role
     }
 
-    /// Whether it was ordered to take nothing new.
+    /// Whether the last drain order told it to take no new requests.
     pub fn is_drained(&self) -> bool {
         self.state.lock().drain
     }
 
-    /// Cuts every connection and joins its threads, as a VM that is lost would. Returns what it
-    /// ran.
+    /// Closes all connections and stops its threads, as the loss of its VM would. Returns all
+    /// records.
     pub fn stop(self) -> Vec<RunRecord> {
         self.host.stop();
         self.state.standin.records()
--- a/crates/ragwortroad_standin/src/standin_error.rs
+++ b/crates/ragwortroad_standin/src/standin_error.rs
@@ -5,21 +5,21 @@
 
 use snafu::Snafu;
 
-/// Why a stand-in could not start.
+/// An error that prevents a stand-in from starting.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StandinError {
-    /// The address is taken or not this VM's.
-    #[snafu(display("cannot listen on {address}: {source}; name a free port"))]
+    /// The address is in use or doesn't belong to this VM.
+    #[snafu(display("cannot listen on {address}: {source}; choose a free port"))]
     Listen {
-        /// The address asked for.
+        /// The requested listen address.
         address: SocketAddr,
         /// The system's reason.
         source: io::Error,
     },
-    /// Threads could not be started.
-    #[snafu(display("cannot start threads: {source}; raise the limit of threads"))]
+    /// The threads could not be started.
+    #[snafu(display("cannot start threads: {source}; raise the thread limit"))]
     Threads {
         /// The system's reason.
         source: io::Error,
--- a/crates/ragwortroad_standin/src/standin_host.rs
+++ b/crates/ragwortroad_standin/src/standin_host.rs
@@ -22,13 +22,13 @@
     }, //
 };
 
-/// Everything that runs for one stand-in: its server and the thread that announces it.
+/// The server and the announcing thread of one stand-in.
 pub(crate) struct StandinHost {
     server: StandinServer,
     announcer: Option<AnnounceLoop>,
 }
 
-/// Where a stand-in listens and to whom it announces itself.
+/// Listen address of a stand-in and the nodes it announces itself to.
 pub(crate) struct HostSettings {
     pub(crate) listen: SocketAddr,
     pub(crate) threads: usize,
@@ -37,8 +37,8 @@
 }
 
 impl StandinHost {
-    /// Serves each request by `handle`, and announces what `announce` makes of the stand-in's
-    /// address and home epoch.
+    /// Serves each request with `handle`, and sends the announcements that `announce` builds from
+    /// the stand-in's address and home epoch.
     pub(crate) fn start<Handle, Reply>(
         settings: HostSettings,
         state: Arc<StandinState>,
@@ -51,9 +51,13 @@
     {
         let server = StandinServer::start(settings.listen, settings.threads, state, handle)?;
         let address = server.address().to_string();
-        let make = move |epoch| announce(&address, epoch);
-        let announcer = AnnounceLoop::start(settings.announce_to, settings.join_secret, make)
-            .context(ThreadsSnafu)?;
+        let make_announcement = move |epoch| announce(&address, epoch);
+        let announcer = AnnounceLoop::start(
+            settings.announce_to,
+            settings.join_secret,
+            make_announcement,
+        )
+        .context(ThreadsSnafu)?;
         Ok(Self { server, announcer })
     }
 
@@ -61,7 +65,7 @@
         self.server.address()
     }
 
-    /// Cuts every connection and joins every thread.
+    /// Closes all connections and joins all threads.
     pub(crate) fn stop(self) {
         if let Some(announcer) = self.announcer {
             announcer.stop();
--- a/crates/ragwortroad_standin/src/standin_reply.rs
+++ b/crates/ragwortroad_standin/src/standin_reply.rs
@@ -1,4 +1,4 @@
-//! Answers of stand-ins.
+//! Responses of stand-ins.
 
 use std::io;
 
@@ -15,10 +15,10 @@
 };
 use serde_json::Value;
 
-/// A body that is there as a whole, or one that is fed and may be cut.
+/// A buffered body, or a channel body that can be aborted midway.
 pub(crate) type StandinBody = Either<Full<Bytes>, Channel<Bytes, io::Error>>;
 
-/// An answer, or an error that closes the connection without one.
+/// A response, or an error that closes the connection without a response.
 pub(crate) type StandinReply = io::Result<Response<StandinBody>>;
 
 pub(crate) fn json_reply(status: u16, request_id: &str, value: &Value) -> Response<StandinBody> {
@@ -29,20 +29,20 @@
     reply
 }
 
-/// An answer that promises more bytes than it has.
+/// Returns a response whose `Content-Length` exceeds its body by 10 bytes.
 pub(crate) fn truncated_reply(request_id: &str, value: &Value) -> Response<StandinBody> {
     let text = value.to_string();
-    let promised = (text.len() + 10).to_string();
+    let content_length = (text.len() + 10).to_string();
     let (mut sender, body) = Channel::new(1);
     if sender
         .try_send(hyper::body::Frame::data(Bytes::from(text)))
         .is_err()
     {
-        tracing::debug!("a new channel had no room");
+        tracing::debug!("cannot queue the body of a truncated response");
     }
     let mut reply = Response::new(Either::Right(body));
     set_reply_headers(&mut reply, "application/json", request_id);
-    if let Ok(value) = promised.parse() {
+    if let Ok(value) = content_length.parse() {
         reply.headers_mut().insert("content-length", value);
     }
     reply
@@ -71,7 +71,7 @@
     }
 }
 
-/// A header's text, or nothing.
+/// Returns a header's value, or `None` if it is absent or not visible ASCII.
 pub(crate) fn header_text<'map>(headers: &'map HeaderMap, name: &str) -> Option<&'map str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/ragwortroad_standin/src/standin_server.rs
+++ b/crates/ragwortroad_standin/src/standin_server.rs
@@ -46,13 +46,13 @@
     standin_reply::StandinReply, //
 };
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// How often a stand-in that refuses connections looks whether it may listen again.
+/// Interval at which a stand-in checks whether to refuse connections or to listen again.
 const LISTEN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What every stand-in has: faults that are set, and records of what it ran.
+/// State of every stand-in: its injected faults and its run records.
 pub(crate) struct StandinState {
     started: Instant,
     faults: Mutex<FaultPlan>,
@@ -80,14 +80,15 @@
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = plan;
     }
 
-    /// The faults for one more request, which counts as one of those they apply to.
+    /// Returns the faults for the next request and counts the request against
+    /// [`FaultPlan::max_requests`].
     pub(crate) fn next_faults(&self) -> FaultPlan {
         let mut plan = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
         match &mut plan.max_requests {
             None => plan.clone(),
             Some(0) => FaultPlan::default(),
-            Some(left) => {
-                *left -= 1;
+            Some(remaining) => {
+                *remaining -= 1;
                 plan.clone()
             }
         }
@@ -103,7 +104,7 @@
         records.clone()
     }
 
-    /// Writes down that a run begins, and returns its run_index.
+    /// Records the start of a run and returns the index of its record.
     pub(crate) fn begin_run(&self, record: RunRecord) -> usize {
         let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
         records.push(record);
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Writes down how a run ended, once.
+    /// Records the end of a run, unless it has already ended.
     pub(crate) fn end_run(&self, run_index: usize, end: RunStatus) {
         let now = self.elapsed_ms();
         self.update_run(run_index, |record| {
@@ -131,16 +132,15 @@
 
 /// The threads and sockets of one stand-in.
 ///
-/// The stand-ins are servers on `hyper`: `tiny_http` gives no hold on its connections, so a
-/// stand-in on it could neither break off in the middle of an answer nor stop serving connections
-/// that are open, and those are the faults that matter most.
+/// Stand-ins use `hyper` since `tiny_http` gives no control over its connections: it can neither
+/// abort a response midway nor close open connections, and those are the most important faults.
 pub(crate) struct StandinServer {
     address: SocketAddr,
     runtime: Runtime,
 }
 
 impl StandinServer {
-    /// Listens, and serves each request by `handle`.
+    /// Starts listening, and serves each request with `handle`.
     pub(crate) fn start<Handle, Reply>(
         listen: SocketAddr,
         threads: usize,
@@ -158,7 +158,7 @@
             .build()
             .context(ThreadsSnafu)?;
         let listener = {
-            let _entered = runtime.enter();
+            let _guard = runtime.enter();
             bind(listen).context(ListenSnafu { address: listen })?
         };
         let address = listener
@@ -172,13 +172,14 @@
         self.address
     }
 
-    /// Cuts every connection and joins the threads.
+    /// Closes all connections and joins the threads.
     pub(crate) fn stop(self) {
         drop(self.runtime);
     }
 }
 
-/// Listens at an address, also right after another listener there closed. Needs a runtime.
+/// Binds a listener, even if a previous listener on the address has just closed. Must be called
+/// within a Tokio runtime.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
@@ -198,10 +199,10 @@
     Handle: Fn(Request<Incoming>) -> Reply + Clone + Send + Sync + 'static,
     Reply: Future<Output = StandinReply> + Send + 'static,
 {
-    let mut waiting = Some(listener);
+    let mut bound_listener = Some(listener);
     loop {
-        let bound = waiting.take().map_or_else(|| bind(address), Ok);
-        let Ok(listener) = bound else {
+        let listener = bound_listener.take().map_or_else(|| bind(address), Ok);
+        let Ok(listener) = listener else {
             sleep(LISTEN_POLL_INTERVAL).await;
             continue;
         };
@@ -212,7 +213,7 @@
     }
 }
 
-/// Accepts connections until the faults say to refuse them; that also cuts those that are open.
+/// Accepts connections until the faults say to refuse them, then closes all open connections.
 async fn accept<Handle, Reply>(listener: TcpListener, state: &Arc<StandinState>, handle: &Handle)
 where
     Handle: Fn(Request<Incoming>) -> Reply + Clone + Send + Sync + 'static,
@@ -231,7 +232,7 @@
                     .serve_connection(TokioIo::new(stream), service);
                 connections.spawn(async move {
                     if let Err(error) = connection.await {
-                        tracing::debug!(%error, "a stand-in's connection ended");
+                        tracing::debug!(%error, "stand-in connection ended with an error");
                     }
                 });
             }
--- a/crates/ragwortroad_standin/src/standin_service.rs
+++ b/crates/ragwortroad_standin/src/standin_service.rs
@@ -43,7 +43,7 @@
     standin_server::StandinState, //
 };
 
-/// What all requests of one stand-in service share.
+/// State that all requests of one stand-in service share.
 struct ServiceState {
     settings: ServiceSettings,
     standin: Arc<StandinState>,
@@ -52,22 +52,22 @@
     sequence: AtomicU64,
 }
 
-/// A stand-in for a plain service, such as bookings.
+/// A stand-in for a replica of a plain service, such as bookings.
 ///
-/// It runs whatever it gets, as often as it gets it: that nothing runs twice is for the fleet to
-/// see to, and its records show whether it did.
+/// It doesn't deduplicate requests: the fleet must ensure that nothing runs twice, and the
+/// service's records show whether it did.
 pub struct StandinService {
     state: Arc<ServiceState>,
     host: StandinHost,
 }
 
 impl StandinService {
-    /// Listens, and announces itself if it was told to whom.
+    /// Starts listening, and announcing itself if the settings name nodes to announce to.
     pub fn start(settings: ServiceSettings) -> Result<Self, StandinError> {
-        let record = Arc::new(StandinState::new());
+        let standin = Arc::new(StandinState::new());
         let state = Arc::new(ServiceState {
             settings,
-            standin: Arc::clone(&record),
+            standin: Arc::clone(&standin),
             leaving: AtomicBool::new(false),
             running: AtomicU32::new(0),
             sequence: AtomicU64::new(0),
@@ -78,47 +78,47 @@
             announce_to: state.settings.announce_to.clone(),
             join_secret: state.settings.join_secret.clone(),
         };
-        let (handled, announced) = (Arc::clone(&state), Arc::clone(&state));
+        let (handler_state, announcer_state) = (Arc::clone(&state), Arc::clone(&state));
         let host = StandinHost::start(
             host,
-            record,
-            move |request| handle_service(Arc::clone(&handled), request),
-            move |address, epoch| announced.announce(address, epoch),
+            standin,
+            move |request| handle_service(Arc::clone(&handler_state), request),
+            move |address, epoch| announcer_state.announce(address, epoch),
         )?;
         Ok(Self { state, host })
     }
 
-    /// The name it announces itself by.
+    /// Endpoint name in its announcements.
     pub fn name(&self) -> &str {
         &self.state.settings.name
     }
 
-    /// Where it takes requests.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
 
-    /// The moment from which the times in its records count.
+    /// Start time, which the times in its records are relative to.
     pub fn started(&self) -> Instant {
         self.state.standin.started()
     }
 
-    /// From now on misbehaves in this way.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, plan: FaultPlan) {
         self.state.standin.set_faults(plan);
     }
 
-    /// From now on announces that it will stop.
+    /// Marks all further announcements as leaving.
     pub fn announce_leaving(&self) {
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Every request it ran, in order.
+    /// Records of all requests that it has run, in order.
     pub fn records(&self) -> Vec<RunRecord> {
         self.state.standin.records()
     }
 
-    /// Cuts every connection and joins its threads. Returns what it ran.
+    /// Closes all connections and stops its threads. Returns all records.
     pub fn stop(self) -> Vec<RunRecord> {
         self.host.stop();
         self.state.standin.records()
@@ -184,8 +184,8 @@
         prompt_tokens: 0,
     });
     sleep(state.settings.work_time + faults.response_delay).await;
-    let echo = faults.echoed_request_id.as_deref().unwrap_or(&request_id);
-    let answer = json!({
+    let echoed_id = faults.echoed_request_id.as_deref().unwrap_or(&request_id);
+    let response = json!({
         "service": state.settings.service,
         "endpoint": state.settings.name,
         "method": parts.method.as_str(),
@@ -195,15 +195,15 @@
         "idempotency_key": text("idempotency-key"),
         "run": run_index,
     });
-    finish_request(&state, run_index, &faults, echo, &answer)
+    finish_request(&state, run_index, &faults, echoed_id, &response)
 }
 
 fn finish_request(
     state: &ServiceState,
     run_index: usize,
     faults: &FaultPlan,
-    echo: &str,
-    answer: &serde_json::Value,
+    echoed_id: &str,
+    response: &serde_json::Value,
 ) -> StandinReply {
     if faults.close_without_response {
         state.standin.end_run(run_index, RunStatus::Cut);
@@ -211,12 +211,12 @@
     }
     if let Some(location) = &faults.redirect_to {
         state.standin.end_run(run_index, RunStatus::Completed);
-        return Ok(redirect_reply(echo, location));
+        return Ok(redirect_reply(echoed_id, location));
     }
     if faults.truncate_body {
         state.standin.end_run(run_index, RunStatus::Cut);
-        return Ok(truncated_reply(echo, answer));
+        return Ok(truncated_reply(echoed_id, response));
     }
     state.standin.end_run(run_index, RunStatus::Completed);
-    Ok(json_reply(200, echo, answer))
+    Ok(json_reply(200, echoed_id, response))
 }
--- a/crates/ragwortroad_standin/tests/standin_duties.rs
+++ b/crates/ragwortroad_standin/tests/standin_duties.rs
@@ -1,4 +1,4 @@
-//! What the fleet relies on when it is tested against stand-ins.
+//! Tests of the stand-in behavior that the tests of the fleet rely on.
 #![allow(clippy::unwrap_used)]
 
 use std::{
@@ -23,7 +23,7 @@
     Server, //
 };
 
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn node() -> (Server, String) {
     let server = Server::http("127.0.0.1:0").unwrap();
@@ -31,15 +31,15 @@
     (server, address)
 }
 
-/// Takes one announcement and answers where to announce to from now on.
+/// Receives one announcement and responds with the address for the next ones.
 fn receive_announcement(node: &Server, next: &str) -> AnnounceWire {
-    let mut request = node.recv_timeout(BOUND).unwrap().unwrap();
+    let mut request = node.recv_timeout(TIMEOUT).unwrap().unwrap();
     let wire = serde_json::from_reader(request.as_reader()).unwrap();
-    let answer = AnnounceAnswer {
+    let response = AnnounceAnswer {
         announce_to: vec![next.to_owned()],
         every_ms: 5,
     };
-    let body = serde_json::to_string(&answer).unwrap();
+    let body = serde_json::to_string(&response).unwrap();
     request.respond(Response::from_string(body)).unwrap();
     wire
 }
@@ -58,17 +58,17 @@
     };
     let url = format!("http://{}/v1/orders", engine.address());
     let body = serde_json::to_string(&wire).unwrap();
-    let answer = minreq::post(url).with_body(body).send().unwrap();
-    answer.status_code
+    let response = minreq::post(url).with_body(body).send().unwrap();
+    response.status_code
 }
 
-fn ask(engine: &StandinEngine, chat: &ChatBody) -> serde_json::Value {
+fn send_chat(engine: &StandinEngine, chat: &ChatBody) -> serde_json::Value {
     let url = format!("http://{}/v1/chat/completions", engine.address());
     let body = serde_json::to_string(chat).unwrap();
-    let sent = minreq::post(url)
+    let request = minreq::post(url)
         .with_header("x-request-id", "1")
         .with_body(body);
-    serde_json::from_slice(sent.send().unwrap().as_bytes()).unwrap()
+    serde_json::from_slice(request.send().unwrap().as_bytes()).unwrap()
 }
 
 fn chat(text: &str) -> ChatBody {
@@ -80,10 +80,10 @@
     }
 }
 
+/// Guards against a home epoch that doesn't increase when a node redirects announcements to
+/// another node. Both nodes then hold an announcement, and only the epoch tells which is newer.
 #[test]
-fn announcements_follow_the_answer_and_the_epoch_rises_with_each_switch() {
-    // A node tells the endpoint to announce itself to another one. Two nodes then both hold a word
-    // of it for a while; the epoch tells which is newer.
+fn announcements_follow_redirects_and_each_switch_increases_the_epoch() {
     let (first, first_address) = node();
     let (second, second_address) = node();
     let engine = StandinEngine::start(EngineSettings {
@@ -93,19 +93,19 @@
     .unwrap();
     assert_eq!(receive_announcement(&first, &first_address).home_epoch, 1);
     assert_eq!(receive_announcement(&first, &second_address).home_epoch, 1);
-    let moved = receive_announcement(&second, &second_address);
-    assert_eq!((moved.home_epoch, moved.sequence), (2, 3));
+    let after_switch = receive_announcement(&second, &second_address);
+    assert_eq!((after_switch.home_epoch, after_switch.sequence), (2, 3));
     assert_eq!(receive_announcement(&second, &first_address).home_epoch, 2);
     engine.announce_leaving();
-    let back = receive_announcement(&first, &first_address);
-    assert_eq!((back.home_epoch, back.leaving), (3, true));
+    let after_return = receive_announcement(&first, &first_address);
+    assert_eq!((after_return.home_epoch, after_return.leaving), (3, true));
     engine.stop();
 }
 
+/// Guards against outdated orders of a deposed leader that an engine with fencing accepts. An
+/// engine without fencing accepts them, and the fleet must prevent them by waiting.
 #[test]
-fn old_orders_are_refused_by_engines_that_check() {
-    // A deposed leader goes on giving orders. An engine that checks refuses them; one that does
-    // not takes them, and the fleet has to see to it by time.
+fn engines_with_fencing_refuse_outdated_orders() {
     let settings = EngineSettings {
         model_load_time: Duration::ZERO,
         ..EngineSettings::default()
@@ -123,10 +123,10 @@
     engine.stop();
 }
 
+/// Guards against a prefix cache that never evicts, and against lost cache events that leave no
+/// gap in the sequence numbers, so that the fleet could not notice the loss.
 #[test]
 fn the_prefix_cache_is_limited_and_its_events_have_gaps() {
-    // A cache holds what fits. Its events reach the fleet with some missing, and a gap must show
-    // in their numbers.
     let (node, address) = node();
     let engine = StandinEngine::start(EngineSettings {
         announce_to: vec![address.clone()],
@@ -135,22 +135,26 @@
         ..EngineSettings::default()
     })
     .unwrap();
-    let cached = |text: &str| {
-        let answer = ask(&engine, &chat(text));
-        answer["usage"]["prompt_tokens_details"]["cached_tokens"]
+    let cached_tokens = |text: &str| {
+        let response = send_chat(&engine, &chat(text));
+        response["usage"]["prompt_tokens_details"]["cached_tokens"]
             .as_u64()
             .unwrap()
     };
-    assert_eq!(cached("ab cd ef "), 0);
-    assert!(cached("ab cd ef ") > 500, "the prefix is in the cache");
+    assert_eq!(cached_tokens("ab cd ef "), 0);
+    assert!(cached_tokens("ab cd ef ") > 500, "the prefix is not cached");
     for text in ["gh ij kl ", "mn op qr "] {
-        assert_eq!(cached(text), 0);
+        assert_eq!(cached_tokens(text), 0);
     }
-    assert_eq!(cached("ab cd ef "), 0, "the oldest prefix had to go");
+    assert_eq!(
+        cached_tokens("ab cd ef "),
+        0,
+        "the oldest prefix was not evicted"
+    );
     let mut seen: Vec<u64> = Vec::new();
     let start = Instant::now();
     while seen.len() < 12 {
-        assert!(start.elapsed() < BOUND, "{seen:?}");
+        assert!(start.elapsed() < TIMEOUT, "{seen:?}");
         let wire = receive_announcement(&node, &address);
         seen.extend(wire.cache_events.iter().map(|event| event.sequence));
     }
@@ -160,7 +164,8 @@
     assert_eq!(stopper.join().unwrap().len(), 5);
 }
 
-/// Asks in a thread of its own, with a priority; returns when it was answered, as a place.
+/// Sends a chat with a priority from a new thread, which appends the priority to `order` once the
+/// response arrives.
 fn spawn_chat(
     engine: &Arc<StandinEngine>,
     order: &Arc<Mutex<Vec<u8>>>,
@@ -170,16 +175,16 @@
     thread::spawn(move || {
         let url = format!("http://{}/v1/chat/completions", engine.address());
         let body = serde_json::to_string(&chat("x")).unwrap();
-        let asked = minreq::post(url).with_header("x-priority", priority.to_string());
-        assert_eq!(asked.with_body(body).send().unwrap().status_code, 200);
+        let request = minreq::post(url).with_header("x-priority", priority.to_string());
+        assert_eq!(request.with_body(body).send().unwrap().status_code, 200);
         order.lock().unwrap().push(priority);
     })
 }
 
+/// Guards against a full batch that serves requests by arrival alone: of the queued requests, the
+/// one with the highest priority must run first, although it arrived last.
 #[test]
-fn a_full_batch_takes_the_urgent_first() {
-    // An engine has one place, and requests wait for it. The instructor's goes before the nightly
-    // drafts that came earlier.
+fn a_full_batch_serves_requests_by_priority() {
     let engine = Arc::new(
         StandinEngine::start(EngineSettings {
             capacity: 1,
@@ -190,12 +195,12 @@
     );
     let order = Arc::new(Mutex::new(Vec::new()));
     let mut threads = Vec::new();
-    for (waiting, priority) in [9, 5, 5, 1].into_iter().enumerate() {
+    for (queued, priority) in [9, 5, 5, 1].into_iter().enumerate() {
         threads.push(spawn_chat(&engine, &order, priority));
         let start = Instant::now();
-        let queued = waiting as u32;
+        let queued = queued as u32;
         while engine.load().running != 1 || engine.load().queued != queued {
-            assert!(start.elapsed() < BOUND, "{:?}", engine.load());
+            assert!(start.elapsed() < TIMEOUT, "{:?}", engine.load());
             thread::sleep(Duration::from_millis(1));
         }
     }
@@ -207,19 +212,20 @@
     engine.stop();
 }
 
+/// Guards against exported prefixes that don't match after import: an engine leaves, and the one
+/// that takes over its chats imports its prefix cache.
 #[test]
-fn a_cache_goes_over_to_another_engine() {
-    // An engine leaves, and its prefixes are handed to the one that takes over its chats.
+fn an_exported_cache_can_be_imported_by_another_engine() {
     let engine = || StandinEngine::start(EngineSettings::default()).unwrap();
     let (old, new) = (engine(), engine());
-    ask(&old, &chat("ab cd ef "));
+    send_chat(&old, &chat("ab cd ef "));
     let url = |engine: &StandinEngine| format!("http://{}/v1/cache", engine.address());
     let exported = minreq::get(url(&old)).send().unwrap();
     let imported = minreq::post(url(&new))
         .with_body(exported.as_bytes())
         .send();
     assert_eq!(imported.unwrap().status_code, 200);
-    let usage = ask(&new, &chat("ab cd ef "))["usage"].clone();
+    let usage = send_chat(&new, &chat("ab cd ef "))["usage"].clone();
     assert!(
         usage["prompt_tokens_details"]["cached_tokens"]
             .as_u64()
