--- a/crates/ragwortroad_demo/src/demo_error.rs
+++ b/crates/ragwortroad_demo/src/demo_error.rs
@@ -6,57 +6,57 @@
 use ragwortroad_transport::prelude::*;
 use snafu::Snafu;
 
-/// Why a small fleet could not be had or did not do what it was asked.
+/// An error of a small fleet.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DemoError {
-    /// The temporary folder or a file in it could not be made.
+    /// The temporary folder or a file in it could not be created or deleted.
     #[snafu(display("cannot write below the temporary folder: {source}; free some space"))]
     Folder {
-        /// The system's reason.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The keys could not be made.
-    #[snafu(display("cannot make keys: {source}"))]
+    /// The nodes' keys could not be generated or written.
+    #[snafu(display("cannot generate keys: {source}"))]
     Keys {
-        /// The transport's reason, with its remedy.
+        /// The error of the transport, with a remedy.
         source: TransportError,
     },
-    /// A node did not start.
-    #[snafu(display("node {name} did not start: {source}"))]
+    /// A node failed to start.
+    #[snafu(display("node {name} failed to start: {source}"))]
     Node {
-        /// Its name.
+        /// Name of the node.
         name: String,
-        /// Why, with the remedy.
+        /// The error of the node, with a remedy.
         source: NodeError,
     },
-    /// A stand-in did not start.
-    #[snafu(display("a stand-in did not start: {source}"))]
+    /// A stand-in failed to start.
+    #[snafu(display("a stand-in failed to start: {source}"))]
     Standin {
-        /// Why, with the remedy.
+        /// The error of the stand-in, with a remedy.
         source: StandinError,
     },
-    /// The load could not be sent.
-    #[snafu(display("the load could not be sent: {source}"))]
+    /// The load run failed.
+    #[snafu(display("the load run failed: {source}"))]
     Load {
-        /// Why, with the remedy.
+        /// The error of the load run, with a remedy.
         source: LoadError,
     },
-    /// No node answered an operator's line.
-    #[snafu(display("no node answered '{line}': {reason}; look at the nodes' logs"))]
+    /// No node responded to an operator's line.
+    #[snafu(display("no node responded to '{line}': {reason}; check the nodes' logs"))]
     Line {
-        /// The line.
+        /// The operator's line.
         line: String,
-        /// What went wrong.
+        /// The last node's error.
         reason: String,
     },
-    /// Something did not come about in time.
-    #[snafu(display("{what} did not come about within {seconds} s; look at the nodes' logs"))]
+    /// A condition of [`wait_until`](crate::wait_until) was not met in time.
+    #[snafu(display("timed out after {seconds} s waiting for {what}; check the nodes' logs"))]
     Timeout {
-        /// What was waited for.
+        /// The condition.
         what: String,
-        /// How long.
+        /// The timeout in seconds.
         seconds: u64,
     },
 }
--- a/crates/ragwortroad_demo/src/demo_report.rs
+++ b/crates/ragwortroad_demo/src/demo_report.rs
@@ -3,26 +3,26 @@
 use ragwortroad_load::prelude::*;
 use serde::Serialize;
 
-/// What the demonstration showed.
+/// Results of the demonstration.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct DemoReport {
-    /// Nodes that ran.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Stand-in engines.
+    /// Number of stand-in engines.
     pub engines: usize,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service.
     pub services: usize,
-    /// Chats and bookings as callers saw them.
+    /// Results of the load, as clients saw them.
     pub load: RunReport,
-    /// Most chat requests that ran on one engine over the mean of all.
+    /// Chat requests on the busiest engine divided by the mean over all engines.
     pub skew: f64,
-    /// Bytes a node sent to other nodes a second, on average over the run.
+    /// Bytes that a node sent to other nodes per second, averaged over the nodes and the run.
     pub control_bytes_per_second: f64,
 }
 
 impl DemoReport {
-    /// Whether everything held that must always hold.
+    /// Whether no guarantee of the fleet was violated.
     pub fn passed(&self) -> bool {
         self.load.violations.is_empty()
     }
--- a/crates/ragwortroad_demo/src/demo_run.rs
+++ b/crates/ragwortroad_demo/src/demo_run.rs
@@ -18,18 +18,18 @@
     demo_error::LoadSnafu, //
 };
 
-/// What the demonstration sends.
+/// Settings of the demonstration.
 #[derive(Clone, Debug)]
 pub struct DemoSettings {
-    /// The fleet.
+    /// The fleet to start.
     pub plan: FleetPlan,
     /// Seed of the arrivals.
     pub seed: u64,
-    /// Chats.
+    /// Expected number of chats; the arrivals are random.
     pub chats: u32,
-    /// Bookings.
+    /// Expected number of bookings, and of reads; the arrivals are random.
     pub bookings: u32,
-    /// Time in which they become due.
+    /// Period in which requests become due.
     pub duration: Duration,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Starts a small fleet, sends chats and bookings through it, and checks what came of them.
+/// Starts a small fleet, sends chats, bookings and reads through it, and checks the results.
 pub fn run_demo(settings: DemoSettings) -> Result<DemoReport, DemoError> {
     let fleet = SmallFleet::start(settings.plan)?;
     let result = send_load(&fleet, settings.seed, settings.duration, |load, seconds| {
@@ -88,13 +88,13 @@
     })
 }
 
-/// Bytes that all nodes have sent to each other.
+/// Total bytes that all nodes have sent to each other.
 fn sent_bytes(fleet: &SmallFleet) -> u64 {
     let nodes = fleet.nodes.iter().flatten();
     nodes.map(|node| node.control_bytes().0).sum()
 }
 
-/// Chat requests on the busiest engine over the mean.
+/// Chat requests on the busiest engine divided by the mean; 1 if there were none.
 fn skew(records: &[RunRecord], fleet: &SmallFleet) -> f64 {
     let engines = fleet.engines.iter().flatten();
     let mut counts: BTreeMap<&str, u64> = engines.map(|engine| (engine.name(), 0)).collect();
--- a/crates/ragwortroad_demo/src/fleet_plan.rs
+++ b/crates/ragwortroad_demo/src/fleet_plan.rs
@@ -3,36 +3,36 @@
 use ragwortroad_settings::prelude::*;
 use ragwortroad_standin::prelude::*;
 
-/// What a small fleet consists of.
+/// Configuration of a small fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many of them hold state; odd.
+    /// Number of nodes that are members of the replicated state; must be odd.
     pub members: usize,
-    /// Zones, which nodes and endpoints are spread over.
+    /// Zones, assigned to nodes and endpoints in turn.
     pub zones: Vec<String>,
-    /// Engines.
+    /// Number of stand-in engines.
     pub engines: usize,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service.
     pub services: usize,
-    /// The engines' model.
+    /// The model that all engines serve.
     pub model: String,
-    /// The plain service.
+    /// Name of the plain service.
     pub service: String,
-    /// Customers, by name; each one's key is `key-of-NAME`.
+    /// Names of the customers; a customer's API key is `key-of-NAME`.
     pub customers: Vec<String>,
-    /// Requests a second that each customer may send.
+    /// Rate limit of each customer, in requests per second.
     pub customer_rate_limit: u32,
-    /// What the engines are like; name, zone and addresses are filled in.
+    /// Settings of the engines; the fleet sets the name, the zone, the model and the addresses.
     pub engine: EngineSettings,
-    /// What the service's replicas are like; name, zone and addresses are filled in.
+    /// Settings of the service's replicas; the fleet sets the name, the zone and the addresses.
     pub replica: ServiceSettings,
-    /// `follow_bound_ms` of the nodes.
+    /// The nodes' `follow_bound_ms` setting.
     pub follow_bound: Duration,
-    /// `lease_ms` of the nodes.
+    /// The nodes' `lease_ms` setting.
     pub lease: Duration,
-    /// `[orders]` of the nodes.
+    /// The nodes' `[orders]` settings.
     pub orders: EngineOrderSettings,
 }
 
@@ -59,14 +59,14 @@
 }
 
 impl FleetPlan {
-    /// The zone of the endpoint or node with this number.
+    /// Returns the zone of the endpoint or node with this number.
     pub(crate) fn zone(&self, number: usize) -> String {
         let count = self.zones.len().max(1);
         let zone = self.zones.get(number % count);
         zone.cloned().unwrap_or_else(|| "zone".to_owned())
     }
 
-    /// The key of a customer.
+    /// Returns the API key of a customer.
     pub fn key_of(customer: &str) -> String {
         format!("key-of-{customer}")
     }
--- a/crates/ragwortroad_demo/src/lib.rs
+++ b/crates/ragwortroad_demo/src/lib.rs
@@ -1,15 +1,16 @@
 //! A small fleet with stand-in endpoints in one process, for demonstrations and tests.
 //!
-//! Everything is real but the endpoints: nodes talk over QUIC on loopback with keys made for the
-//! occasion, members write to data folders below a temporary one, callers and operators use HTTP.
+//! Only the endpoints are simulated: nodes communicate over QUIC on loopback with freshly generated
+//! keys, members write to data folders in a temporary directory, and clients and operators use
+//! HTTP.
 //!
 //! ```no_run
 //! use ragwortroad_demo::prelude::*;
 //!
 //! let fleet = SmallFleet::start(FleetPlan::default())?;
 //! fleet.declare()?;
-//! let answer = fleet.operator().ask("show endpoints")?;
-//! println!("{}", answer.text);
+//! let response = fleet.operator().ask("show endpoints")?;
+//! println!("{}", response.text);
 //! fleet.stop();
 //! # Ok::<(), DemoError>(())
 //! ```
@@ -22,7 +23,7 @@
 mod small_fleet;
 mod timeline_collection;
 
-/// Everything a dependent crate usually needs.
+/// Re-exports of the items that dependent crates usually need.
 pub mod prelude {
     pub use crate::{
         demo_error::DemoError,
--- a/crates/ragwortroad_demo/src/operator_client.rs
+++ b/crates/ragwortroad_demo/src/operator_client.rs
@@ -4,45 +4,46 @@
 
 use crate::DemoError;
 
-/// An operator who may ask any of several nodes.
+/// A client for operators, with several nodes to send lines to.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
-    /// `IP:port` of nodes, asked in this order until one answers.
+    /// `IP:port` of nodes, tried in this order until one responds.
     pub nodes: Vec<String>,
-    /// The operator's key.
+    /// The operator's API key.
     pub key: String,
 }
 
-/// The answer to an operator's line.
+/// The response to an operator's line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LineResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The text for a person.
+    /// The human-readable text; empty if the response has none.
     pub text: String,
     /// The whole JSON object.
     pub body: Value,
 }
 
-/// How long a node may take over a line: a change waits until it is in force.
+/// Timeout of one line; a response to a change waits until the change is in force.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(25);
 
 impl OperatorClient {
-    /// Asks what is true.
+    /// Sends a read-only line. Fails if no node responds.
     pub fn ask(&self, line: &str) -> Result<LineResponse, DemoError> {
         self.send(line, None)
     }
 
-    /// Makes a change under an id of its own.
+    /// Sends a change under a change id; a resend under the same id gets the first outcome. Fails if
+    /// no node responds.
     pub fn change(&self, line: &str, id: &str) -> Result<LineResponse, DemoError> {
         self.send(line, Some(id))
     }
 
     fn send(&self, line: &str, id: Option<&str>) -> Result<LineResponse, DemoError> {
-        let mut reason = "no node is known".to_owned();
+        let mut reason = "no nodes are configured".to_owned();
         for node in &self.nodes {
             match self.send_to(node, line, id) {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(error) => reason = format!("{node}: {error}"),
             }
         }
@@ -65,7 +66,7 @@
             .send()
             .map_err(|error| error.to_string())?;
         let text = response.as_str().map_err(|error| error.to_string())?;
-        // A body that ended early is no JSON object any more.
+        // A truncated body is not valid JSON, so its length needs no check.
         let body: Value = serde_json::from_str(text).map_err(|error| error.to_string())?;
         let text = body.get("text").and_then(Value::as_str).unwrap_or_default();
         Ok(LineResponse {
--- a/crates/ragwortroad_demo/src/small_fleet.rs
+++ b/crates/ragwortroad_demo/src/small_fleet.rs
@@ -39,35 +39,35 @@
 /// The join secret of every small fleet.
 const JOIN_SECRET: &str = "small-fleet-join";
 
-/// The first operator's key of every small fleet.
+/// The key of the first operator of every small fleet.
 const OPERATOR_KEY: &str = "small-fleet-operator";
 
-/// How long something that must come about is waited for; far more than it takes.
+/// Timeout of [`wait_until`], far longer than any condition should take.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between two looks at something that is waited for.
+/// Interval at which [`wait_until`] checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Nodes and stand-in endpoints in one process, on loopback.
 pub struct SmallFleet {
-    /// What it was made from.
+    /// The configuration it was started with.
     pub plan: FleetPlan,
-    /// Settings of each node, with its addresses.
+    /// Settings of each node, including its addresses.
     pub settings: Vec<ProcessSettings>,
-    /// The nodes; nothing where one is stopped.
+    /// The nodes; `None` for a stopped one.
     pub nodes: Vec<Option<NodeProcess>>,
-    /// The engines; nothing where one is stopped.
+    /// The engines; `None` for a stopped one.
     pub engines: Vec<Option<StandinEngine>>,
-    /// The plain service's replicas; nothing where one is stopped.
+    /// The plain service's replicas; `None` for a stopped one.
     pub services: Vec<Option<StandinService>>,
-    /// What stopped endpoints had run.
+    /// Records of stopped endpoints; whoever stops one adds its records.
     pub stopped_records: Vec<RunRecord>,
-    /// Keys, secrets and data folders.
+    /// Temporary folder with keys, secrets and data folders.
     pub folder: TempDir,
 }
 
 impl SmallFleet {
-    /// Starts nodes and endpoints and waits for none of them.
+    /// Starts all nodes and endpoints without waiting until they are ready.
     pub fn start(plan: FleetPlan) -> Result<Self, DemoError> {
         let folder = TempDir::new().context(FolderSnafu)?;
         let settings = make_settings(&plan, folder.path())?;
@@ -94,7 +94,7 @@
         Ok(fleet)
     }
 
-    /// Starts the engine with this number, in a given incarnation.
+    /// Starts the engine with this number. Each restart needs a higher incarnation.
     pub fn start_engine(
         &self,
         number: usize,
@@ -117,7 +117,7 @@
         .context(StandinSnafu)
     }
 
-    /// Starts the service's replica with this number, in a given incarnation.
+    /// Starts the service's replica with this number. Each restart needs a higher incarnation.
     pub fn start_service(
         &self,
         number: usize,
@@ -135,27 +135,27 @@
         .context(StandinSnafu)
     }
 
-    /// Starts a stopped node again, on the same addresses and data folder.
+    /// Restarts a stopped node with the same addresses and data folder.
     pub fn restart_node(&mut self, number: usize) -> Result<(), DemoError> {
         self.nodes[number] = Some(start_node(&self.settings[number])?);
         Ok(())
     }
 
-    /// Stops a node gracefully.
+    /// Shuts down a node gracefully.
     pub fn stop_node(&mut self, number: usize) {
         if let Some(node) = self.nodes[number].take() {
             node.stop();
         }
     }
 
-    /// Ends a node as if its VM had lost its power.
+    /// Stops a node abruptly, as a power failure of its VM would.
     pub fn crash_node(&mut self, number: usize) {
         if let Some(node) = self.nodes[number].take() {
             node.crash();
         }
     }
 
-    /// Replaces the data folder of a stopped node by none, as on a VM with a new disk.
+    /// Deletes the data folder of a stopped node, as if its VM got a new disk.
     pub fn delete_data_folder(&self, number: usize) -> Result<(), DemoError> {
         match &self.settings[number].state.data_folder {
             Some(folder) => fs::remove_dir_all(folder).context(FolderSnafu),
@@ -163,30 +163,32 @@
         }
     }
 
-    /// Cuts the links between these nodes and all others.
+    /// Blocks the links between these nodes and all others.
     pub fn partition(&self, numbers: &[usize]) {
         let id = |number: usize| NodeId::from_name(&self.settings[number].node.name);
         for (number, node) in self.nodes.iter().enumerate() {
-            let is_inside = numbers.contains(&number);
-            let others = (0..self.nodes.len()).filter(|other| numbers.contains(other) != is_inside);
+            let is_isolated = numbers.contains(&number);
+            let others =
+                (0..self.nodes.len()).filter(|other| numbers.contains(other) != is_isolated);
             if let Some(node) = node {
                 node.gate().cut(others.map(id));
             }
         }
     }
 
-    /// Heals all links.
+    /// Unblocks all links.
     pub fn heal_partition(&self) {
         for node in self.nodes.iter().flatten() {
             node.gate().heal();
         }
     }
 
-    /// The number of the node that leads by its own word, as asked at one of the nodes `asked`.
-    pub fn leader(&self, asked: &[usize]) -> Option<usize> {
-        let operator = self.operator_at(asked);
-        let answer = operator.ask("show leader").ok()?;
-        let name = answer
+    /// Returns the number of the node that `show leader` names at the first of the nodes `numbers` that
+    /// responds; `None` if there is no leader or no response.
+    pub fn leader(&self, numbers: &[usize]) -> Option<usize> {
+        let operator = self.operator_at(numbers);
+        let response = operator.ask("show leader").ok()?;
+        let name = response
             .body
             .get("rows")?
             .get(0)?
@@ -197,13 +199,13 @@
         settings.position(|settings| settings.node.name == name)
     }
 
-    /// `IP:port` of all nodes for callers, running or not.
+    /// Returns the client addresses (`IP:port`) of all nodes, running or not.
     pub fn client_addresses(&self) -> Vec<String> {
         let listen = self.settings.iter().map(|settings| settings.node.listen);
         listen.map(|address| address.to_string()).collect()
     }
 
-    /// An operator who may ask these nodes only.
+    /// Returns an operator client that uses only these nodes.
     pub fn operator_at(&self, numbers: &[usize]) -> OperatorClient {
         let addresses = self.client_addresses();
         let nodes = numbers.iter().map(|number| addresses[*number].clone());
@@ -213,7 +215,7 @@
         }
     }
 
-    /// An operator who may ask any node.
+    /// Returns an operator client that uses all nodes.
     pub fn operator(&self) -> OperatorClient {
         OperatorClient {
             nodes: self.client_addresses(),
@@ -221,23 +223,24 @@
         }
     }
 
-    /// Declares the plan's customers, model and service, and waits until the endpoints are there.
+    /// Declares the plan's customers, model and service, and waits until all endpoints are present.
     pub fn declare(&self) -> Result<(), DemoError> {
         let line = self.declaration();
         let operator = self.operator();
         wait_until("the first change", || {
-            let answer = operator.change(&line, "declare").ok();
-            answer.is_some_and(|answer| answer.status == 200)
+            let response = operator.change(&line, "declare").ok();
+            response.is_some_and(|response| response.status == 200)
         })?;
-        let wanted = self.plan.engines + self.plan.services;
+        let expected = self.plan.engines + self.plan.services;
         wait_until("all endpoints", || {
-            let answer = operator.ask("show endpoints where state = present").ok();
-            let rows = answer.and_then(|answer| Some(answer.body.get("rows")?.as_array()?.len()));
-            rows == Some(wanted)
+            let response = operator.ask("show endpoints where state = present").ok();
+            let rows =
+                response.and_then(|response| Some(response.body.get("rows")?.as_array()?.len()));
+            rows == Some(expected)
         })
     }
 
-    /// One change that declares everything in the plan.
+    /// Returns one change that declares everything in the plan.
     fn declaration(&self) -> String {
         let FleetPlan { model, service, .. } = &self.plan;
         let version = self.plan.engine.offers.first();
@@ -260,7 +263,7 @@
         edits.join("; ")
     }
 
-    /// Load settings for this fleet's customers, model and service.
+    /// Returns load settings for this fleet's nodes, customers, model and service.
     pub fn load_settings(&self) -> LoadSettings {
         let customer = |name: &String| CustomerLoad {
             name: name.clone(),
@@ -276,7 +279,7 @@
         }
     }
 
-    /// Everything that endpoints have run so far.
+    /// Returns the records of all endpoints, including those in [`SmallFleet::stopped_records`].
     pub fn records(&self) -> Vec<RunRecord> {
         let engines = self.engines.iter().flatten();
         let services = self.services.iter().flatten();
@@ -286,19 +289,19 @@
         records
     }
 
-    /// Stops everything, endpoints last, and joins all threads.
+    /// Stops all nodes, then all endpoints, and joins all threads.
     pub fn stop(self) {
-        // Nodes stop side by side, as they would on their VMs: a member that waits for others
-        // while these stop one after the other would lengthen each drain.
-        let stops: Vec<_> = self
+        // Nodes stop concurrently, as they would on their VMs. In sequence, members waiting for
+        // other members would lengthen each drain.
+        let shutdowns: Vec<_> = self
             .nodes
             .into_iter()
             .flatten()
             .map(|node| thread::spawn(move || node.stop()))
             .collect();
-        for stop in stops {
-            if stop.join().is_err() {
-                tracing::error!("a node's stop panicked");
+        for shutdown in shutdowns {
+            if shutdown.join().is_err() {
+                tracing::error!("the shutdown of a node panicked");
             }
         }
         for engine in self.engines.into_iter().flatten() {
@@ -310,8 +313,8 @@
     }
 }
 
-/// Waits for something with a generous bound; the bound decides nothing but how long a broken run
-/// takes.
+/// Waits until `is_done` returns `true`, or fails with [`DemoError::Timeout`] naming `what`. The
+/// timeout is generous: it only limits how long a failing run takes.
 pub fn wait_until(what: &str, mut is_done: impl FnMut() -> bool) -> Result<(), DemoError> {
     let start = Instant::now();
     while !is_done() {
@@ -332,12 +335,12 @@
     })
 }
 
-/// SHA-256 of a key in hexadecimal.
+/// Returns the SHA-256 hash of a key in hexadecimal.
 fn api_key_hash(key: &str) -> String {
     data_encoding::HEXLOWER.encode(&Sha256::digest(key.as_bytes()))
 }
 
-/// Settings of all nodes, with the files they name.
+/// Creates the settings of all nodes and the files that they refer to.
 fn make_settings(plan: &FleetPlan, folder: &Path) -> Result<Vec<ProcessSettings>, DemoError> {
     let names: Vec<String> = (1..=plan.nodes)
         .map(|number| format!("node-{number}"))
@@ -350,7 +353,7 @@
     fs::write(&join_secret_file, JOIN_SECRET).context(FolderSnafu)?;
     let operator_key_file = folder.join("operator.key");
     fs::write(&operator_key_file, OPERATOR_KEY).context(FolderSnafu)?;
-    let addresses = reserve_addresses(plan.nodes).context(FolderSnafu)?;
+    let addresses = find_free_addresses(plan.nodes).context(FolderSnafu)?;
     let seeds = names
         .iter()
         .zip(&addresses)
@@ -388,17 +391,18 @@
     Ok((0..plan.nodes).map(settings).collect())
 }
 
-/// Free TCP and UDP addresses on loopback, all different.
+/// Returns unused loopback addresses, all different: one TCP and one UDP address per node.
 ///
-/// Nodes name each other's addresses in their settings, so these must be known before any starts.
-fn reserve_addresses(count: usize) -> std::io::Result<Vec<(SocketAddr, SocketAddr)>> {
-    let mut held = Vec::with_capacity(count);
+/// Nodes refer to each other's addresses in their settings, so all addresses must be known before
+/// the first node starts.
+fn find_free_addresses(count: usize) -> std::io::Result<Vec<(SocketAddr, SocketAddr)>> {
+    let mut sockets = Vec::with_capacity(count);
     for _ in 0..count {
         let tcp = TcpListener::bind(("127.0.0.1", 0))?;
         let udp = UdpSocket::bind(("127.0.0.1", 0))?;
-        held.push((tcp, udp));
+        sockets.push((tcp, udp));
     }
     let address =
         |(tcp, udp): &(TcpListener, UdpSocket)| Ok((tcp.local_addr()?, udp.local_addr()?));
-    held.iter().map(address).collect()
+    sockets.iter().map(address).collect()
 }
--- a/crates/ragwortroad_demo/src/timeline_collection.rs
+++ b/crates/ragwortroad_demo/src/timeline_collection.rs
@@ -6,33 +6,34 @@
     OperatorClient, //
 };
 
-/// Seconds that one node may take over its part.
+/// Timeout of the request to one node.
 const NODE_TIMEOUT_SECONDS: u64 = 10;
 
-/// Gathers the time line from every node that the fleet knows, and names those that do not answer.
+/// Collects the timeline from every node that the fleet knows, and lists the nodes that don't
+/// respond. Fails if no node responds to `show nodes`.
 pub fn collect_timeline(
     client: &OperatorClient,
     filter: &EventFilter,
 ) -> Result<FleetTimeline, DemoError> {
     let nodes = client.ask("show nodes")?;
     let rows = nodes.body.get("rows").and_then(Value::as_array);
-    let mut parts = Vec::new();
+    let mut timelines = Vec::new();
     let mut unreachable = Vec::new();
     for row in rows.into_iter().flatten() {
         let cell = |name: &str| row.get(name).and_then(Value::as_str).unwrap_or_default();
-        match node_part(client, cell("address"), filter) {
-            Ok(part) => parts.push(part),
+        match query_node(client, cell("address"), filter) {
+            Ok(timeline) => timelines.push(timeline),
             Err(reason) => unreachable.push(UnreachableNode {
                 node: cell("name").to_owned(),
                 reason,
             }),
         }
     }
-    Ok(FleetTimeline::merge(parts, unreachable))
+    Ok(FleetTimeline::merge(timelines, unreachable))
 }
 
-/// One node's part.
-fn node_part(
+/// Requests the timeline of one node.
+fn query_node(
     client: &OperatorClient,
     address: &str,
     filter: &EventFilter,
@@ -48,6 +49,6 @@
     if response.status_code != 200 {
         return Err(format!("status {}", response.status_code));
     }
-    // A part that ended early is no JSON object any more.
+    // A truncated body is not valid JSON, so its length needs no check.
     NodeTimeline::from_bytes(response.as_bytes()).map_err(|error| error.to_string())
 }
--- a/crates/ragwortroad_demo/tests/failures/bookings.rs
+++ b/crates/ragwortroad_demo/tests/failures/bookings.rs
@@ -1,4 +1,4 @@
-//! Bookings, which may run once at most.
+//! Tests of bookings, which may run at most once.
 
 use std::{
     sync::Barrier,
@@ -34,8 +34,8 @@
     }
 }
 
-/// Books one key through all nodes at the same moment.
-fn book_everywhere(fleet: &TestFleet, caller: &TestClient, key: &str) -> Vec<TestCall> {
+/// Sends the same booking through all nodes at the same time.
+fn book_everywhere(fleet: &TestFleet, client: &TestClient, key: &str) -> Vec<TestCall> {
     let count = fleet.nodes.len();
     let start = Barrier::new(count);
     thread::scope(|scope| {
@@ -45,7 +45,7 @@
                 let start = &start;
                 scope.spawn(move || {
                     start.wait();
-                    caller.book(&address, key)
+                    client.book(&address, key)
                 })
             })
             .collect();
@@ -54,7 +54,7 @@
     })
 }
 
-/// Nothing that must never happen did, and each key's history fits one order of events.
+/// Asserts that there are no violations and that the history of each key is linearizable.
 fn assert_consistent(calls: &[TestCall], fleet: &SmallFleet) {
     assert_eq!(violations(calls, fleet), []);
     assert_eq!(nonlinearizable_keys(calls, fleet), Vec::<String>::new());
@@ -66,36 +66,38 @@
     of_key.count()
 }
 
-/// Guards against bookings that run twice when they are sent through every node.
+/// Guards against bookings that run twice when they are sent through every node at once, or again
+/// after all nodes restarted.
 #[test]
 fn a_booking_sent_through_all_nodes_at_once_runs_once() {
     let mut fleet = TestFleet::start(booking_plan());
-    let caller = TestClient::new(&fleet.plan, 0);
+    let client = TestClient::new(&fleet.plan, 0);
     let keys: Vec<String> = (0..12).map(|number| format!("at-once-{number}")).collect();
     let mut calls = Vec::new();
     for key in &keys {
-        calls.extend(book_everywhere(&fleet, &caller, key));
+        calls.extend(book_everywhere(&fleet, &client, key));
     }
-    for (place, key) in keys.iter().enumerate() {
-        let address = fleet.address(place % 3);
-        calls.push(caller.book_until_success(&address, key));
+    for (index, key) in keys.iter().enumerate() {
+        let address = fleet.address(index % 3);
+        calls.push(client.book_until_success(&address, key));
         assert_eq!(runs_of(&fleet, key), 1, "{key}");
     }
     fleet.restart_all();
-    for (place, key) in keys.iter().enumerate() {
-        let address = fleet.address((place + 1) % 3);
-        let call = caller.book_until_success(&address, key);
+    for (index, key) in keys.iter().enumerate() {
+        let address = fleet.address((index + 1) % 3);
+        let call = client.book_until_success(&address, key);
         calls.push(call);
     }
     assert_consistent(&calls, &fleet);
 }
 
-/// Guards against bookings that run again, or are called not run, after their node was killed.
+/// Guards against bookings that run again, or are reported as not run, after their node crashed
+/// between dispatch and response.
 #[test]
 fn a_node_killed_between_dispatch_and_answer_leaves_one_run() {
     for kills_leader in [false, true] {
         let mut fleet = TestFleet::start(booking_plan());
-        let caller = TestClient::new(&fleet.plan, 1);
+        let client = TestClient::new(&fleet.plan, 1);
         let leader = fleet.wait_for_leader(&[0, 1, 2]);
         let killed = match kills_leader {
             true => leader,
@@ -109,17 +111,17 @@
         }
         let address = fleet.address(killed);
         let first = thread::spawn({
-            let caller = caller.clone();
-            move || caller.book(&address, "cut")
+            let client = client.clone();
+            move || client.book(&address, "cut")
         });
         wait_until("the booking's run", || runs_of(&fleet, "cut") == 1).unwrap();
         fleet.crash_node(killed);
         let mut calls = vec![first.join().unwrap()];
         assert!(!calls[0].is_answered());
         let others: Vec<usize> = (0..3).filter(|number| *number != killed).collect();
-        wait_until("the outcome of the cut booking", || {
-            let call = caller.book(&fleet.address(others[calls.len() % 2]), "cut");
-            let end = call.note.end.clone();
+        wait_until("the outcome of the interrupted booking", || {
+            let call = client.book(&fleet.address(others[calls.len() % 2]), "cut");
+            let end = call.record.end.clone();
             calls.push(call);
             let not_run = matches!(end, ClientOutcome::Refused(RequestOutcome::NotRun, code)
                 if !matches!(code, RefusalCode::ClaimUnavailable | RefusalCode::NotCurrent));
@@ -127,37 +129,38 @@
             matches!(end, ClientOutcome::Refused(_, code) if code != RefusalCode::KeyInProgress
                 && code != RefusalCode::ClaimUnavailable && code != RefusalCode::NotCurrent)
         })
-        .unwrap_or_else(|error| panic!("leader killed: {kills_leader}: {error}: {calls:?}"));
+        .unwrap_or_else(|error| panic!("leader crashed: {kills_leader}: {error}: {calls:?}"));
         let last = calls.last().unwrap();
         let unknown = matches!(
-            last.note.end,
+            last.record.end,
             ClientOutcome::Refused(RequestOutcome::Unknown, _)
         );
-        assert!(unknown, "{:?}", last.note.end);
+        assert!(unknown, "{:?}", last.record.end);
         fleet.restart_node(killed).unwrap();
-        calls.push(caller.book(&fleet.address(killed), "cut"));
+        calls.push(client.book(&fleet.address(killed), "cut"));
         assert!(!calls.last().unwrap().is_answered());
         assert_eq!(runs_of(&fleet, "cut"), 1);
         assert_consistent(&calls, &fleet);
     }
 }
 
-/// Guards against bookings that another node runs on a guess after their node was lost.
+/// Guards against bookings that another node runs after their node was lost, although it can't
+/// know whether they already ran.
 #[test]
 fn a_node_lost_between_claim_and_dispatch_runs_nothing() {
     let mut fleet = TestFleet::start(booking_plan());
-    let caller = TestClient::new(&fleet.plan, 2);
+    let client = TestClient::new(&fleet.plan, 2);
     let mut calls = Vec::new();
     let mut found = None;
-    // The claim has to reach the frozen leader before the cut; where it did not, once more.
+    // The claim must reach the paused leader before the partition; otherwise the test retries.
     for number in 0..10 {
         let key = format!("claimed-{number}");
         let leader = fleet.wait_for_leader(&[0, 1, 2]);
         let lost = (leader + 1) % 3;
         let freeze = fleet.nodes[leader].as_ref().unwrap().freeze();
         let first = thread::spawn({
-            let (caller, address, key) = (caller.clone(), fleet.address(lost), key.clone());
-            move || caller.book(&address, &key)
+            let (client, address, key) = (client.clone(), fleet.address(lost), key.clone());
+            move || client.book(&address, &key)
         });
         thread::sleep(Duration::from_millis(150));
         fleet.partition(&[lost]);
@@ -165,12 +168,12 @@
         fleet.crash_node(lost);
         calls.push(first.join().unwrap());
         fleet.heal_partition();
-        let call = caller.book(&fleet.address(leader), &key);
+        let call = client.book(&fleet.address(leader), &key);
         let is_held = matches!(call.code(), Some(RefusalCode::KeyInProgress));
         calls.push(call);
         fleet.restart_node(lost).unwrap();
         wait_until("the lost node's return", || {
-            caller.read(&fleet.address(lost)).is_answered()
+            client.read(&fleet.address(lost)).is_answered()
         })
         .unwrap();
         if is_held {
@@ -178,49 +181,50 @@
             break;
         }
     }
-    let (key, lost) = found.expect("a claim that outlived its node");
+    let (key, lost) = found.expect("no claim outlived its node");
     for number in [lost, (lost + 1) % 3, (lost + 2) % 3] {
-        let call = caller.book(&fleet.address(number), &key);
+        let call = client.book(&fleet.address(number), &key);
         let unknown = matches!(
-            call.note.end,
+            call.record.end,
             ClientOutcome::Refused(RequestOutcome::Unknown, _)
         );
-        assert!(unknown, "{:?}", call.note.end);
+        assert!(unknown, "{:?}", call.record.end);
         calls.push(call);
     }
     assert_eq!(runs_of(&fleet, &key), 0);
     assert_consistent(&calls, &fleet);
 }
 
-/// Guards against checks that do not notice a second run, or a stale or crossed answer.
+/// Guards against checks that miss a second run, a response before its run, or the response of
+/// another run.
 #[test]
-fn the_booking_checks_notice_broken_variants() {
+fn the_booking_checks_detect_faulty_histories() {
     let fleet = TestFleet::start(booking_plan());
-    let caller = TestClient::new(&fleet.plan, 0);
+    let client = TestClient::new(&fleet.plan, 0);
     let mut calls = Vec::new();
     for number in 0..3 {
         let key = format!("sound-{number}");
-        calls.extend(book_everywhere(&fleet, &caller, &key));
-        calls.push(caller.book_until_success(&fleet.address(number), &key));
+        calls.extend(book_everywhere(&fleet, &client, &key));
+        calls.push(client.book_until_success(&fleet.address(number), &key));
     }
     assert_consistent(&calls, &fleet);
 
-    let sound = key_events(&calls, &fleet);
+    let histories = key_events(&calls, &fleet);
     let mut crossed = calls.clone();
     let run = crossed.last().unwrap().run.clone();
     crossed[2].run = run;
     assert_eq!(nonlinearizable_keys(&crossed, &fleet), ["sound-0"]);
 
-    let mut stale: Vec<KeyEvent> = sound[0].1.clone();
+    let mut stale: Vec<KeyEvent> = histories[0].1.clone();
     let first_run = stale
         .iter()
         .find(|event| matches!(event.what, KeyOperation::Run(_)));
     let before = first_run.unwrap().from - Duration::from_millis(1);
-    let answer = stale
+    let response = stale
         .iter_mut()
         .find(|event| matches!(event.what, KeyOperation::Answer(_)));
-    let answer = answer.unwrap();
-    (answer.from, answer.until) = (before, Some(before));
+    let response = response.unwrap();
+    (response.from, response.until) = (before, Some(before));
     assert!(!is_linearizable(&stale));
 
     let line = format!(
@@ -232,10 +236,10 @@
         200
     );
     let unclaimed: Vec<TestCall> = (0..3)
-        .map(|number| caller.book(&fleet.address(number), "unclaimed"))
+        .map(|number| client.book(&fleet.address(number), "unclaimed"))
         .collect();
     let found = violations(&unclaimed, &fleet);
-    let twice = |violation: &RunViolation| matches!(violation, RunViolation::RanTwice { .. });
-    assert!(found.iter().any(twice), "{found:?}");
+    let is_repeat = |violation: &RunViolation| matches!(violation, RunViolation::RanTwice { .. });
+    assert!(found.iter().any(is_repeat), "{found:?}");
     assert_eq!(nonlinearizable_keys(&unclaimed, &fleet), ["unclaimed"]);
 }
--- a/crates/ragwortroad_demo/tests/failures/common/booking_history.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/booking_history.rs
@@ -23,25 +23,26 @@
     TestCall, //
 };
 
-/// What happened to one key at some time between two moments.
+/// One operation on an idempotency key, which took effect between two times.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyEvent {
     pub(crate) what: KeyOperation,
     pub(crate) from: Instant,
-    /// Nothing if it is not over.
+    /// `None` if the operation has not ended.
     pub(crate) until: Option<Instant>,
 }
 
-/// What can happen to a key.
+/// An operation on an idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum KeyOperation {
     /// An endpoint ran the booking.
     Run(RunId),
-    /// A caller was given the answer of this run.
+    /// A client got the response of this run.
     Answer(RunId),
 }
 
-/// A key runs once at most, and after that every answer is that run's.
+/// Sequential specification of a key: it runs at most once, and every later response is that of
+/// the run.
 struct BookingSpec;
 
 impl Specification for BookingSpec {
@@ -60,11 +61,11 @@
     }
 }
 
-/// All that happened to each key, by what endpoints and callers wrote down.
+/// Returns the operations on each key, from the records of endpoints and clients.
 pub(crate) fn key_events(calls: &[TestCall], fleet: &SmallFleet) -> Vec<(String, Vec<KeyEvent>)> {
     let keys: BTreeSet<&str> = calls
         .iter()
-        .filter_map(|call| call.note.key.as_deref())
+        .filter_map(|call| call.record.key.as_deref())
         .collect();
     keys.into_iter()
         .map(|key| (key.to_owned(), events_of(key, calls, fleet)))
@@ -75,21 +76,21 @@
     let mut events = Vec::new();
     for service in fleet.services.iter().flatten() {
         let start = service.started();
-        for (place, record) in service.records().iter().enumerate() {
+        for (index, record) in service.records().iter().enumerate() {
             if record.idempotency_key.as_deref() != Some(key) {
                 continue;
             }
-            // Times are cut to milliseconds, so the end may be a part of one later.
+            // Times are truncated to milliseconds, so the end may be up to 1 ms later.
             let end = record.ended_ms.map(|ended| ended + 1);
             events.push(KeyEvent {
-                what: KeyOperation::Run((record.endpoint.clone(), place as u64)),
+                what: KeyOperation::Run((record.endpoint.clone(), index as u64)),
                 from: start + Duration::from_millis(record.began_ms),
                 until: end.map(|ended| start + Duration::from_millis(ended)),
             });
         }
     }
     for call in calls {
-        if let (true, Some(run)) = (call.note.key.as_deref() == Some(key), &call.run) {
+        if let (true, Some(run)) = (call.record.key.as_deref() == Some(key), &call.run) {
             events.push(KeyEvent {
                 what: KeyOperation::Answer(run.clone()),
                 from: call.called,
@@ -100,25 +101,25 @@
     events
 }
 
-/// Whether one order of all events, each at one moment within its time, fits the rule.
+/// Whether the history of one key is linearizable by [`BookingSpec`].
 pub(crate) fn is_linearizable(events: &[KeyEvent]) -> bool {
     let mut actions = Vec::new();
-    for (place, event) in events.iter().enumerate() {
-        let open = (event.until.is_none(), event.until);
+    for (index, event) in events.iter().enumerate() {
+        let end = (event.until.is_none(), event.until);
         actions.push((
             (false, Some(event.from)),
-            place,
+            index,
             Action::Call(event.what.clone()),
         ));
-        actions.push((open, place, Action::Response(event.what.clone())));
+        actions.push((end, index, Action::Response(event.what.clone())));
     }
-    actions.sort_by_key(|(at, place, _)| (*at, *place));
+    actions.sort_by_key(|(at, index, _)| (*at, *index));
     let actions = actions.into_iter();
-    let history: Vec<_> = actions.map(|(_, place, action)| (place, action)).collect();
+    let history: Vec<_> = actions.map(|(_, index, action)| (index, action)).collect();
     history.is_empty() || WGLChecker::<BookingSpec>::is_linearizable(History::from_actions(history))
 }
 
-/// Keys whose history fits no order.
+/// Returns the keys whose history is not linearizable.
 pub(crate) fn nonlinearizable_keys(calls: &[TestCall], fleet: &SmallFleet) -> Vec<String> {
     let events = key_events(calls, fleet).into_iter();
     events
--- a/crates/ragwortroad_demo/tests/failures/common/client.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/client.rs
@@ -8,28 +8,28 @@
 use ragwortroad_types::prelude::*;
 use serde_json::Value;
 
-/// A customer who calls one node at a time and writes down what came of it.
+/// A customer's client, which sends single requests and records the results.
 #[derive(Clone, Debug)]
 pub(crate) struct TestClient {
     pub(crate) customer: String,
     pub(crate) service: String,
-    /// How long it waits for an answer.
+    /// Deadline of each request.
     pub(crate) patience: Duration,
 }
 
-/// One sending and what came of it.
+/// One request without retries, and its result.
 #[derive(Clone, Debug)]
 pub(crate) struct TestCall {
-    pub(crate) note: CallRecord,
+    pub(crate) record: CallRecord,
     pub(crate) called: Instant,
     pub(crate) answered: Instant,
-    /// Which run the answer stems from: its endpoint, and its place among that one's runs.
+    /// The run that produced the response; `None` without a successful service response.
     pub(crate) run: Option<RunId>,
-    /// Whether a refusal told when to ask again.
+    /// Whether a refusal says when to retry.
     pub(crate) has_retry_delay: bool,
 }
 
-/// An endpoint's name and the place of a run in its records.
+/// An endpoint's name and the index of a run in its records.
 pub(crate) type RunId = (String, u64);
 
 impl TestClient {
@@ -41,18 +41,18 @@
         }
     }
 
-    /// Books under a key, through the node at `address`.
+    /// Sends a booking under an idempotency key through the node at `address`.
     pub(crate) fn book(&self, address: &str, key: &str) -> TestCall {
         let body = format!("{{\"slot\":\"{key}\"}}");
         self.call(address, minreq::Method::Post, Some(key), body)
     }
 
-    /// Reads, which may be repeated, through the node at `address`.
+    /// Sends a read, which is safe to repeat, through the node at `address`.
     pub(crate) fn read(&self, address: &str) -> TestCall {
         self.call(address, minreq::Method::Get, None, String::new())
     }
 
-    /// Asks for a whole answer to a chat of its own, and checks it.
+    /// Sends a chat with one message, not streamed, and checks the response.
     pub(crate) fn chat(&self, address: &str, model: &str, text: &str, tokens: u32) -> TestCall {
         let body = ChatBody {
             model: model.to_owned(),
@@ -63,9 +63,9 @@
         let check = ResponseCheck::new(&body);
         let body = serde_json::to_string(&body).unwrap();
         let url = format!("http://{address}/v1/chat/completions");
-        self.send(minreq::post(url).with_body(body), None, |answer| {
-            let answer: Value = serde_json::from_slice(answer).unwrap_or_default();
-            let content = answer.pointer("/choices/0/message/content");
+        self.send(minreq::post(url).with_body(body), None, |response| {
+            let response: Value = serde_json::from_slice(response).unwrap_or_default();
+            let content = response.pointer("/choices/0/message/content");
             let content = content.and_then(Value::as_str).unwrap_or_default();
             match check.check_text(content) {
                 Ok(()) => ClientOutcome::Answered,
@@ -74,12 +74,12 @@
         })
     }
 
-    /// Books until the outcome is an answer or one that waiting does not change.
+    /// Repeats a booking until it is answered; panics with the last result on a timeout.
     pub(crate) fn book_until_success(&self, address: &str, key: &str) -> TestCall {
         let mut last = None;
-        wait_until("an answer to a booking", || {
+        wait_until("the response to a booking", || {
             let call = self.book(address, key);
-            let is_answered = call.note.end == ClientOutcome::Answered;
+            let is_answered = call.record.end == ClientOutcome::Answered;
             last = Some(call);
             is_answered
         })
@@ -96,15 +96,15 @@
     ) -> TestCall {
         let url = format!("http://{address}/v1/services/{}/bookings", self.service);
         let request = minreq::Request::new(method, url).with_body(body);
-        self.send(request, key, |answer| check_booking(answer, key))
+        self.send(request, key, |response| check_booking(response, key))
     }
 
-    /// Sends a request and writes down what came of it; `judge` says what a whole answer is worth.
+    /// Sends a request and records the result; `check` determines the outcome of a 2xx response.
     fn send(
         &self,
         request: minreq::Request,
         key: Option<&str>,
-        judge: impl Fn(&[u8]) -> ClientOutcome,
+        check_body: impl Fn(&[u8]) -> ClientOutcome,
     ) -> TestCall {
         let kind = key.map_or(CallKind::Read, |_| CallKind::Booking);
         let bearer = format!("Bearer {}", FleetPlan::key_of(&self.customer));
@@ -118,7 +118,7 @@
             request = request.with_header("idempotency-key", key);
         }
         let called = Instant::now();
-        let answer = request.send();
+        let response = request.send();
         let answered = Instant::now();
         let mut attempt = AttemptRecord {
             address: String::new(),
@@ -130,25 +130,25 @@
         let mut run = None;
         let mut has_retry_delay = false;
         let mut answer_hash = None;
-        let end = match answer {
+        let end = match response {
             Err(error) => ClientOutcome::Broken(error.to_string()),
-            // The library makes a status up where the connection closed without a byte.
-            Ok(answer) if answer.headers.is_empty() => {
-                ClientOutcome::Broken("no answer".to_owned())
+            // `minreq` invents a status if the connection closes without a byte.
+            Ok(response) if response.headers.is_empty() => {
+                ClientOutcome::Broken("no response".to_owned())
             }
-            Ok(answer) => {
-                let mut headers = answer.headers.iter();
+            Ok(response) => {
+                let mut headers = response.headers.iter();
                 let id = headers.find(|(name, _)| name.eq_ignore_ascii_case("x-request-id"));
                 attempt.request_id = id.map(|(_, id)| id.clone());
-                attempt.status = Some(answer.status_code);
-                answer_hash = Some(xxhash_rust::xxh3::xxh3_64(answer.as_bytes()));
-                match answer.status_code {
+                attempt.status = Some(response.status_code);
+                answer_hash = Some(xxhash_rust::xxh3::xxh3_64(response.as_bytes()));
+                match response.status_code {
                     200..=299 => {
-                        run = run_id(answer.as_bytes());
-                        judge(answer.as_bytes())
+                        run = run_id(response.as_bytes());
+                        check_body(response.as_bytes())
                     }
-                    // Whatever is not the answer must be a refusal that a program can read.
-                    _ => match serde_json::from_slice::<RefusalWire>(answer.as_bytes()) {
+                    // Any response other than 2xx must be a machine-readable refusal.
+                    _ => match serde_json::from_slice::<RefusalWire>(response.as_bytes()) {
                         Ok(refusal) => {
                             has_retry_delay = refusal.error.retry_after_ms.is_some();
                             attempt.outcome = Some(refusal.error.outcome);
@@ -160,7 +160,7 @@
                 }
             }
         };
-        let note = CallRecord {
+        let record = CallRecord {
             kind,
             customer: self.customer.clone(),
             key: key.map(str::to_owned),
@@ -173,7 +173,7 @@
             answer_hash,
         };
         TestCall {
-            note,
+            record,
             called,
             answered,
             run,
@@ -184,11 +184,11 @@
 
 impl TestCall {
     pub(crate) fn is_answered(&self) -> bool {
-        self.note.end == ClientOutcome::Answered
+        self.record.end == ClientOutcome::Answered
     }
 
     pub(crate) fn code(&self) -> Option<RefusalCode> {
-        self.note.attempts[0].code
+        self.record.attempts[0].code
     }
 }
 
@@ -198,18 +198,18 @@
     Some((endpoint, body.get("run")?.as_u64()?))
 }
 
-/// Whether an answer is to the booking under `key`.
+/// Checks that a response belongs to the booking under `key`, or to a read without a key.
 fn check_booking(body: &[u8], key: Option<&str>) -> ClientOutcome {
     let body: Option<Value> = serde_json::from_slice(body).ok();
-    let named = body.as_ref().and_then(|body| body.get("idempotency_key"));
-    match body.is_some() && named.and_then(Value::as_str) == key {
+    let echoed_key = body.as_ref().and_then(|body| body.get("idempotency_key"));
+    match body.is_some() && echoed_key.and_then(Value::as_str) == key {
         true => ClientOutcome::Answered,
         false => ClientOutcome::Wrong(ResponseFault::Foreign),
     }
 }
 
-/// What must always hold, over these calls and everything that endpoints ran.
+/// Returns the violations found in these requests and the records of all endpoints.
 pub(crate) fn violations(calls: &[TestCall], fleet: &SmallFleet) -> Vec<RunViolation> {
-    let notes: Vec<CallRecord> = calls.iter().map(|call| call.note.clone()).collect();
+    let notes: Vec<CallRecord> = calls.iter().map(|call| call.record.clone()).collect();
     verify_run(&notes, &fleet.records())
 }
--- a/crates/ragwortroad_demo/tests/failures/common/fleet.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/fleet.rs
@@ -12,19 +12,19 @@
 use ragwortroad_demo::prelude::*;
 use tracing_subscriber::EnvFilter;
 
-/// Fleets that run at once; more would take each other's processor time.
+/// Maximum number of fleets that run at once; more would slow each other down.
 const MAX_FLEETS: usize = 5;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
 
-/// A fleet of one test, which counts among those that run at once.
+/// The fleet of one test; counts toward [`MAX_FLEETS`] until it is dropped.
 pub(crate) struct TestFleet(Option<SmallFleet>);
 
 impl TestFleet {
-    /// Starts a fleet and declares what is in its plan.
+    /// Waits for its turn, starts a fleet and declares its configuration.
     pub(crate) fn start(plan: FleetPlan) -> Self {
-        // Logs of a run are had by RUST_LOG; a second test finds them set up.
+        // RUST_LOG enables logs; only the first test in the process can install the subscriber.
         tracing_subscriber::fmt()
             .with_env_filter(EnvFilter::from_default_env())
             .try_init()
@@ -40,23 +40,23 @@
         test
     }
 
-    /// `IP:port` for callers of the node with this number.
+    /// Returns the client address (`IP:port`) of the node with this number.
     pub(crate) fn address(&self, number: usize) -> String {
         self.settings[number].node.listen.to_string()
     }
 
-    /// Waits until a node leads by the word of one of `asked`, and returns its number.
-    pub(crate) fn wait_for_leader(&self, asked: &[usize]) -> usize {
+    /// Waits until one of `nodes` reports one of them as the leader, and returns its number.
+    pub(crate) fn wait_for_leader(&self, nodes: &[usize]) -> usize {
         let mut found = None;
         wait_until("a leader", || {
-            found = self.leader(asked).filter(|leader| asked.contains(leader));
+            found = self.leader(nodes).filter(|leader| nodes.contains(leader));
             found.is_some()
         })
         .unwrap();
         found.unwrap()
     }
 
-    /// Kills all nodes at once and starts them again on their folders.
+    /// Crashes all nodes, then restarts them with their data folders.
     pub(crate) fn restart_all(&mut self) {
         for number in 0..self.nodes.len() {
             self.crash_node(number);
--- a/crates/ragwortroad_demo/tests/failures/common/operator_history.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/operator_history.rs
@@ -16,16 +16,16 @@
     specifications::Specification, //
 };
 
-/// One change as its operator saw it.
+/// One change and its response, as the operator saw them.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeRecord {
-    pub(crate) op: ChangeOperation,
+    pub(crate) operation: ChangeOperation,
     pub(crate) called: Instant,
     pub(crate) answered: Instant,
-    pub(crate) answer: LineResponse,
+    pub(crate) response: LineResponse,
 }
 
-/// A change and what was decided on it.
+/// A change and its outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ChangeOperation {
     pub(crate) id: String,
@@ -35,15 +35,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ObservedOutcome {
-    /// Accepted as this revision.
+    /// The change was accepted as this revision.
     Accepted(u64),
-    /// Refused, since this revision was there already.
+    /// The change was refused, since the configuration was already at this revision.
     Conflict(u64),
-    /// Nobody can tell yet.
+    /// The outcome is not known yet.
     Unknown,
 }
 
-/// A register that moves from one revision to the next; a change's first outcome stays.
+/// Sequential specification of the configuration: each accepted change increments the revision,
+/// and a resent change gets its first outcome.
 struct RevisionSpec;
 
 impl Specification for RevisionSpec {
@@ -56,45 +57,45 @@
 
     fn apply(operation: &ChangeOperation, state: &Self::State) -> (bool, Self::State) {
         let (revision, mut outcomes) = state.clone();
-        let told = match operation.end {
-            ObservedOutcome::Accepted(told) => (told, true),
-            ObservedOutcome::Conflict(told) => (told, false),
+        let reported = match operation.end {
+            ObservedOutcome::Accepted(reported) => (reported, true),
+            ObservedOutcome::Conflict(reported) => (reported, false),
             ObservedOutcome::Unknown => return (false, state.clone()),
         };
         if let Some(first) = outcomes.get(&operation.id) {
-            return (*first == told, state.clone());
+            return (*first == reported, state.clone());
         }
-        let right = match operation.base == revision {
+        let expected = match operation.base == revision {
             true => (revision + 1, true),
             false => (revision, false),
         };
-        outcomes.insert(operation.id.clone(), right);
-        (told == right, (right.0, outcomes))
+        outcomes.insert(operation.id.clone(), expected);
+        (reported == expected, (expected.0, outcomes))
     }
 }
 
-/// Issues a change on a revision and writes down what came of it.
+/// Sends a change based on a revision and records the result.
 pub(crate) fn issue(operator: &OperatorClient, edit: &str, base: u64, id: &str) -> ChangeRecord {
     let line = format!("{edit} on revision {base}");
     let called = Instant::now();
-    let answer = operator.change(&line, id).unwrap();
+    let response = operator.change(&line, id).unwrap();
     let answered = Instant::now();
-    let op = ChangeOperation {
+    let operation = ChangeOperation {
         id: id.to_owned(),
         base,
-        end: change_end(&answer),
+        end: change_end(&response),
     };
     ChangeRecord {
-        op,
+        operation,
         called,
         answered,
-        answer,
+        response,
     }
 }
 
-fn change_end(answer: &LineResponse) -> ObservedOutcome {
-    let refused = answer.body.pointer("/refused/conflict/revision");
-    let accepted = answer.body.get("revision").and_then(Value::as_u64);
+fn change_end(response: &LineResponse) -> ObservedOutcome {
+    let refused = response.body.pointer("/refused/conflict/revision");
+    let accepted = response.body.get("revision").and_then(Value::as_u64);
     match (accepted, refused.and_then(Value::as_u64)) {
         (Some(revision), _) => ObservedOutcome::Accepted(revision),
         (None, Some(revision)) => ObservedOutcome::Conflict(revision),
@@ -102,24 +103,25 @@
     }
 }
 
-/// Whether one order of all decided changes fits the rule, from `base` on.
-pub(crate) fn is_linearizable(notes: &[ChangeRecord], base: u64) -> bool {
+/// Whether the history of all changes with a known outcome is linearizable by [`RevisionSpec`],
+/// starting at revision `base`.
+pub(crate) fn is_linearizable(records: &[ChangeRecord], base: u64) -> bool {
     let mut actions = Vec::new();
-    for (place, note) in notes.iter().enumerate() {
-        let mut op = note.op.clone();
-        // Histories start at 0.
-        op.base -= base;
-        op.end = match op.end {
+    for (index, record) in records.iter().enumerate() {
+        let mut operation = record.operation.clone();
+        // The specification starts at revision 0.
+        operation.base -= base;
+        operation.end = match operation.end {
             ObservedOutcome::Accepted(revision) => ObservedOutcome::Accepted(revision - base),
             ObservedOutcome::Conflict(revision) => ObservedOutcome::Conflict(revision - base),
             ObservedOutcome::Unknown => continue,
         };
-        actions.push((note.called, place, Action::Call(op.clone())));
-        actions.push((note.answered, place, Action::Response(op)));
+        actions.push((record.called, index, Action::Call(operation.clone())));
+        actions.push((record.answered, index, Action::Response(operation)));
     }
-    actions.sort_by_key(|(at, place, _)| (*at, *place));
+    actions.sort_by_key(|(at, index, _)| (*at, *index));
     let actions = actions.into_iter();
-    let history: Vec<_> = actions.map(|(_, place, action)| (place, action)).collect();
+    let history: Vec<_> = actions.map(|(_, index, action)| (index, action)).collect();
     history.is_empty()
         || WGLChecker::<RevisionSpec>::is_linearizable(History::from_actions(history))
 }
--- a/crates/ragwortroad_demo/tests/failures/common/run_spans.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/run_spans.rs
@@ -5,21 +5,21 @@
 
 use ragwortroad_standin::prelude::*;
 
-/// The multiple of the fleet's mean that a fleet has until an operator sets another.
+/// Default load bound of an engine, as a multiple of the fleet's mean load.
 const LOAD_FACTOR: f64 = 1.25;
 
-/// Up to this load an engine is never above its bound.
+/// Minimum load bound: an engine with at most this load is within its bound.
 const LOAD_FLOOR: usize = 4;
 
-/// The mean falls while requests that were admitted under a higher one still run; so the bound is
-/// that of the highest mean within this time, about the life of a request.
+/// The bound uses the highest mean within this window, about the lifetime of a request, since
+/// requests admitted under a higher mean still run after the mean has fallen.
 const MEAN_WINDOW: Duration = Duration::from_secs(1);
 
-/// When each run of one engine began and ended, by its own record.
+/// Start and end times of the runs of one engine, from its records.
 pub(crate) struct RunSpans {
     name: String,
     spans: Vec<(Instant, Option<Instant>)>,
-    /// From then on the engine is not there any more.
+    /// When the engine's VM was lost; `None` if it was not.
     lost_at: Option<Instant>,
 }
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The same of an engine whose VM was lost at `moment`.
+    /// Marks the engine's VM as lost at `moment`.
     pub(crate) fn lost_at(self, moment: Instant) -> Self {
         Self {
             lost_at: Some(moment),
@@ -43,37 +43,37 @@
         }
     }
 
-    /// Whether the engine is part of the fleet whose mean counts.
-    fn is_there(&self, moment: Instant) -> bool {
+    /// Whether the engine counts in the fleet's mean at `moment`.
+    fn is_present(&self, moment: Instant) -> bool {
         self.lost_at.is_none_or(|lost| moment < lost)
     }
 
-    /// Runs under way at `moment`.
+    /// Number of running requests at `moment`.
     fn load_at(&self, moment: Instant) -> usize {
         let runs = self.spans.iter();
-        let under_way = |(from, until): &&(Instant, Option<Instant>)| {
+        let is_running = |(from, until): &&(Instant, Option<Instant>)| {
             *from <= moment && until.is_none_or(|until| until > moment)
         };
-        runs.filter(under_way).count()
+        runs.filter(is_running).count()
     }
 }
 
-/// The loads beyond the bound, at every moment at which an engine began a run.
+/// Returns all loads above the bound, checked at every start of a run.
 pub(crate) fn bound_violations(engines: &[RunSpans]) -> Vec<String> {
-    let begins = |engine: &RunSpans| engine.spans.iter().map(|(from, _)| *from).collect();
+    let starts = |engine: &RunSpans| engine.spans.iter().map(|(from, _)| *from).collect();
     let mut moments: Vec<Instant> = engines
         .iter()
-        .flat_map(|engine| -> Vec<Instant> { begins(engine) })
+        .flat_map(|engine| -> Vec<Instant> { starts(engine) })
         .collect();
     moments.sort();
     let mean_at = |moment| {
         let total: usize = engines.iter().map(|engine| engine.load_at(moment)).sum();
-        // The bound is defined by the mean over the engines that are there.
-        let there = engines.iter().filter(|engine| engine.is_there(moment));
-        total as f64 / there.count().max(1) as f64
+        // The bound is defined by the mean over the present engines.
+        let present = engines.iter().filter(|engine| engine.is_present(moment));
+        total as f64 / present.count().max(1) as f64
     };
     let means: Vec<(Instant, f64)> = moments.iter().map(|at| (*at, mean_at(*at))).collect();
-    let mut beyond = Vec::new();
+    let mut violations = Vec::new();
     for (moment, _) in &means {
         let recent = means
             .iter()
@@ -83,20 +83,20 @@
         for engine in engines {
             let load = engine.load_at(*moment);
             if load > bound {
-                let older = |span: Duration| {
+                let max_mean_within = |span: Duration| {
                     let earlier = means
                         .iter()
                         .filter(|(at, _)| at <= moment && *moment - *at <= span);
                     earlier.map(|(_, mean)| *mean).fold(0.0, f64::max)
                 };
                 let name = &engine.name;
-                let two = older(MEAN_WINDOW * 2);
-                let three = older(MEAN_WINDOW * 3);
-                beyond.push(format!(
-                    "{name}: {load} at a mean of {mean:.2} ({two:.2} in 2 s, {three:.2} in 3 s)"
+                let mean_2s = max_mean_within(MEAN_WINDOW * 2);
+                let mean_3s = max_mean_within(MEAN_WINDOW * 3);
+                violations.push(format!(
+                    "{name}: {load} at a mean of {mean:.2} ({mean_2s:.2} in 2 s, {mean_3s:.2} in 3 s)"
                 ));
             }
         }
     }
-    beyond
+    violations
 }
--- a/crates/ragwortroad_demo/tests/failures/endpoints.rs
+++ b/crates/ragwortroad_demo/tests/failures/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints and nodes that come, go and misbehave under load.
+//! Tests of endpoints and nodes that join, leave and fail under load.
 
 use std::{
     thread::{
@@ -33,7 +33,7 @@
     }
 }
 
-/// Chats and bookings for a while, on threads of their own.
+/// Sends chats, bookings and reads for some seconds from background threads.
 fn start_load(fleet: &SmallFleet, seconds: u64) -> JoinHandle<RunReport> {
     let settings = LoadSettings {
         duration: Duration::from_secs(seconds),
@@ -46,15 +46,16 @@
     thread::spawn(move || run_load(settings).unwrap())
 }
 
-/// Sendings whose answer began and neither became whole nor ended with a clear refusal.
+/// Returns requests with an attempt whose response started, but neither became complete nor ended
+/// with a refusal.
 fn truncated_calls(report: &RunReport) -> Vec<&CallRecord> {
-    let is_cut = |note: &&CallRecord| {
-        let whole = usize::from(note.end == ClientOutcome::Answered);
-        let begun = note.attempts.iter().filter(|attempt| {
+    let is_cut = |call: &&CallRecord| {
+        let complete = usize::from(call.end == ClientOutcome::Answered);
+        let started = call.attempts.iter().filter(|attempt| {
             let ok = attempt.status.is_some_and(|status| status < 300);
             ok && attempt.outcome.is_none()
         });
-        begun.count() > whole
+        started.count() > complete
     };
     report.notes.iter().filter(is_cut).collect()
 }
@@ -62,27 +63,28 @@
 fn answered(report: &RunReport) -> usize {
     let notes = report.notes.iter();
     notes
-        .filter(|note| note.end == ClientOutcome::Answered)
+        .filter(|call| call.end == ClientOutcome::Answered)
         .count()
 }
 
-/// Everything that must always hold does, and most callers were served.
+/// Asserts that there are no violations and no truncated responses, and that at least 90 % of the
+/// requests were answered.
 fn assert_consistent(mut report: RunReport, fleet: &SmallFleet) -> RunReport {
     report.verify(&fleet.records());
     assert_eq!(report.violations, []);
     assert_eq!(truncated_calls(&report), Vec::<&CallRecord>::new());
-    let (whole, all) = (answered(&report), report.notes.len());
+    let (answered, all) = (answered(&report), report.notes.len());
     assert!(
-        whole * 10 >= all * 9,
-        "{whole} of {all}: {:?}",
+        answered * 10 >= all * 9,
+        "{answered} of {all}: {:?}",
         report.outcomes
     );
     report
 }
 
-/// Guards against shutdowns that cut answers or cancel requests at engines.
+/// Guards against graceful shutdowns that truncate responses or cancel requests at engines.
 #[test]
-fn nodes_stopped_under_load_cut_no_answer() {
+fn nodes_stopped_under_load_truncate_no_response() {
     let mut fleet = TestFleet::start(stream_plan());
     let load = start_load(&fleet, 9);
     for number in 0..3 {
@@ -96,15 +98,15 @@
     }
     let report = assert_consistent(load.join().unwrap(), &fleet);
     let records = fleet.records();
-    let all_whole = records
+    let all_completed = records
         .iter()
         .all(|record| record.end == RunStatus::Completed);
-    assert!(all_whole, "{:?}", report.outcomes);
+    assert!(all_completed, "{:?}", report.outcomes);
 }
 
-/// Guards against new work for endpoints that leave or are drained.
+/// Guards against new requests to endpoints that are leaving or drained.
 #[test]
-fn a_leaving_endpoint_gets_no_new_work() {
+fn a_leaving_endpoint_gets_no_new_requests() {
     const STOP_DELAY: Duration = Duration::from_secs(3);
     let fleet = TestFleet::start(stream_plan());
     let load = start_load(&fleet, 9);
@@ -112,11 +114,11 @@
     let engines: Vec<&StandinEngine> = fleet.engines.iter().flatten().collect();
     engines[0].announce_leaving();
     let left = Instant::now();
-    let answer = fleet
+    let response = fleet
         .operator()
         .change("drain endpoint engine-1", "drain")
         .unwrap();
-    assert_eq!(answer.status, 200, "{answer:?}");
+    assert_eq!(response.status, 200, "{response:?}");
     let drained = Instant::now();
     let report = assert_consistent(load.join().unwrap(), &fleet);
     assert!(report.seconds > 8.0);
@@ -127,7 +129,7 @@
         late.count()
     };
     assert_eq!(began_after(engines[0], left + STOP_DELAY), 0);
-    // A change in force binds every node, so requests on their way are all that may still come.
+    // Every node applies a change that is in force, so only requests in flight may still arrive.
     assert_eq!(began_after(engines[1], drained + Duration::from_secs(1)), 0);
     for engine in &engines[..2] {
         assert!(!engine.records().is_empty());
@@ -141,39 +143,40 @@
     assert!(began_after(engines[2], left + STOP_DELAY) > 10);
 }
 
-/// Guards against new work for the endpoints of a drained failure domain, and against drains without end.
+/// Guards against new requests to the endpoints of a drained failure domain, and against endpoints
+/// that get none after the drain ends.
 #[test]
-fn a_drained_domain_gets_no_new_work() {
+fn a_drained_domain_gets_no_new_requests() {
     let fleet = TestFleet::start(stream_plan());
     let load = start_load(&fleet, 12);
     let change = |line: &str| {
-        let answer = fleet.operator().change(line, line).unwrap();
-        assert_eq!(answer.status, 200, "{answer:?}");
+        let response = fleet.operator().change(line, line).unwrap();
+        assert_eq!(response.status, 200, "{response:?}");
     };
     let engines: Vec<&StandinEngine> = fleet.engines.iter().flatten().collect();
     let drained: Vec<&StandinEngine> = engines.iter().copied().skip(1).step_by(3).collect();
-    let begun = || -> Vec<usize> {
+    let run_counts = || -> Vec<usize> {
         drained
             .iter()
             .map(|engine| engine.records().len())
             .collect()
     };
-    wait_until("work at the domain", || {
-        begun().iter().all(|count| *count > 0)
+    wait_until("requests in the domain", || {
+        run_counts().iter().all(|count| *count > 0)
     })
     .unwrap();
     change("drain domain zone-b");
-    // A change in force binds every node, so requests on their way are all that may still come.
+    // Every node applies a change that is in force, so only requests in flight may still arrive.
     thread::sleep(Duration::from_secs(1));
-    let before = begun();
+    let before = run_counts();
     let others = engines[0].records().len();
-    wait_until("work elsewhere", || {
+    wait_until("requests outside the domain", || {
         engines[0].records().len() > others + 20
     })
     .unwrap();
-    assert_eq!(begun(), before);
+    assert_eq!(run_counts(), before);
     change("undrain domain zone-b");
-    wait_until("work at the domain again", || begun() > before).unwrap();
+    wait_until("new requests in the domain", || run_counts() > before).unwrap();
     assert_consistent(load.join().unwrap(), &fleet);
     let records: Vec<RunRecord> = drained.iter().flat_map(|engine| engine.records()).collect();
     assert!(
@@ -183,9 +186,10 @@
     );
 }
 
-/// Guards against answers of others, or parts of answers, from engines with faults.
+/// Guards against incomplete or foreign responses reaching clients, while engines disappear, flap,
+/// and send truncated, duplicated, skipped or foreign tokens.
 #[test]
-fn engines_that_vanish_flap_and_cross_answers_spoil_none() {
+fn faulty_engines_corrupt_no_response() {
     let mut fleet = TestFleet::start(FleetPlan {
         engines: 6,
         ..stream_plan()
@@ -231,10 +235,10 @@
             max_requests: Some(4),
             ..plan
         });
-        // Later on it is held back, as it flaps.
+        // In later rounds flap suppression keeps requests away from this engine.
         if round == 0 {
             let flapping = fleet.engines[1].as_ref().unwrap();
-            wait_until("work at the engine that flaps", || {
+            wait_until("requests at the flapping engine", || {
                 flapping.load().running > 1
             })
             .unwrap();
@@ -251,16 +255,16 @@
         thread::sleep(Duration::from_millis(400));
     }
     let report = assert_consistent(load.join().unwrap(), &fleet);
-    let cut = fleet
+    let has_cut_run = fleet
         .stopped_records
         .iter()
         .any(|record| record.tokens > 0 && record.end != RunStatus::Completed);
-    assert!(cut, "no stream was cut: {:?}", report.outcomes);
+    assert!(has_cut_run, "no stream was cut: {:?}", report.outcomes);
 }
 
-/// The checks themselves: answers that were cut or crossed on their way to the caller are noticed.
+/// Guards against checks that miss responses that are truncated or foreign.
 #[test]
-fn the_answer_checks_notice_broken_variants() {
+fn the_response_checks_detect_faulty_responses() {
     let fleet = TestFleet::start(stream_plan());
     let mut report = assert_consistent(start_load(&fleet, 2).join().unwrap(), &fleet);
     let body = ChatBody {
@@ -285,26 +289,27 @@
         Err(ResponseFault::Short)
     );
 
-    let note = report
+    let call = report
         .notes
         .iter_mut()
-        .find(|note| note.end == ClientOutcome::Answered);
-    note.unwrap().end = ClientOutcome::Broken("cut".to_owned());
+        .find(|call| call.end == ClientOutcome::Answered);
+    call.unwrap().end = ClientOutcome::Broken("cut".to_owned());
     assert_eq!(truncated_calls(&report).len(), 1);
 }
 
-/// Guards against an idle service that counts as full for nodes that only add requests up.
+/// Guards against an idle service that a node considers full because it counts sent requests, but
+/// not their completion.
 #[test]
-fn a_quiet_service_is_never_taken_for_full() {
+fn an_idle_service_is_never_considered_full() {
     let fleet = TestFleet::start(FleetPlan {
         engines: 0,
         services: 1,
         ..FleetPlan::default()
     });
-    let caller = TestClient::new(&fleet.plan, 0);
+    let client = TestClient::new(&fleet.plan, 0);
     for number in 0..3 {
         for _ in 0..30 {
-            let call = caller.read(&fleet.address(number));
+            let call = client.read(&fleet.address(number));
             assert!(call.is_answered(), "{call:?}");
         }
     }
--- a/crates/ragwortroad_demo/tests/failures/main.rs
+++ b/crates/ragwortroad_demo/tests/failures/main.rs
@@ -1,7 +1,7 @@
-//! Failures brought about on real nodes: QUIC, HTTP and data folders on loopback, in one process.
+//! Tests of failures on real nodes in one process, with QUIC and HTTP on loopback and data folders.
 //!
-//! What is judged is what callers, operators and endpoints wrote down. Nothing is decided by how
-//! long something took; what must come about is waited for with a generous bound.
+//! Assertions use the records of clients, operators and endpoints, never durations. Tests wait for
+//! conditions with a generous timeout.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod bookings;
--- a/crates/ragwortroad_demo/tests/failures/operators.rs
+++ b/crates/ragwortroad_demo/tests/failures/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: one winner, first outcomes, in force everywhere.
+//! Tests of operators' changes: conflicts, resends, and when a change is in force.
 
 use std::{
     io::Write,
@@ -44,86 +44,93 @@
     }
 }
 
-/// The revision now, by the leader's word.
+/// Returns the current revision, as the leader reports it.
 fn revision(fleet: &SmallFleet) -> u64 {
-    let answer = fleet.operator().ask("show changes").unwrap();
-    let newest = answer.body.pointer("/rows/0/revision");
+    let response = fleet.operator().ask("show changes").unwrap();
+    let newest = response.body.pointer("/rows/0/revision");
     newest.and_then(serde_json::Value::as_u64).unwrap()
 }
 
-/// Guards against changes that undo what another operator was told is in force.
+/// Guards against changes that overwrite a change that another operator made on the same revision,
+/// and against resends that get another outcome, also after all nodes restarted.
 #[test]
-fn two_operators_on_one_revision_have_one_winner() {
+fn of_two_changes_on_one_revision_one_is_accepted() {
     let mut fleet = TestFleet::start(small_plan());
     let base = revision(&fleet);
-    let mut notes = Vec::new();
+    let mut changes = Vec::new();
     for round in 0..8 {
-        notes.extend(race(&fleet, base + round, round));
+        changes.extend(race(&fleet, base + round, round));
     }
     assert_eq!(revision(&fleet), base + 8);
-    for pair in notes.chunks(2) {
+    for pair in changes.chunks(2) {
         let accepted = pair
             .iter()
-            .filter(|note| matches!(note.op.end, ObservedOutcome::Accepted(_)));
+            .filter(|change| matches!(change.operation.end, ObservedOutcome::Accepted(_)));
         assert_eq!(accepted.count(), 1, "{pair:?}");
         let refused = pair
             .iter()
-            .find(|note| matches!(note.op.end, ObservedOutcome::Conflict(_)));
-        let text = &refused.expect("a refusal").answer.text;
+            .find(|change| matches!(change.operation.end, ObservedOutcome::Conflict(_)));
+        let text = &refused.expect("a refusal").response.text;
         assert!(text.contains("won with 'set multiple"), "{text}");
     }
-    let resend = |fleet: &TestFleet, note: &ChangeRecord, number: usize| {
-        let mut again = None;
+    let resend = |fleet: &TestFleet, change: &ChangeRecord, number: usize| {
+        let mut repeated = None;
         wait_until("an outcome", || {
             let operator = fleet.operator_at(&[number]);
-            let edit = edit_of(&note.op.id);
-            let sent = issue(&operator, &edit, note.op.base, &note.op.id);
-            again = Some(sent).filter(|sent| sent.op.end != ObservedOutcome::Unknown);
-            again.is_some()
+            let edit = edit_for(&change.operation.id);
+            let resent = issue(
+                &operator,
+                &edit,
+                change.operation.base,
+                &change.operation.id,
+            );
+            repeated =
+                Some(resent).filter(|resent| resent.operation.end != ObservedOutcome::Unknown);
+            repeated.is_some()
         })
         .unwrap();
-        again.unwrap()
+        repeated.unwrap()
     };
-    let first = notes.clone();
-    for (place, note) in first.iter().enumerate() {
-        notes.push(resend(&fleet, note, place % 3));
+    let first = changes.clone();
+    for (index, change) in first.iter().enumerate() {
+        changes.push(resend(&fleet, change, index % 3));
     }
     fleet.restart_all();
-    for (place, note) in first.iter().enumerate() {
-        notes.push(resend(&fleet, note, (place + 1) % 3));
+    for (index, change) in first.iter().enumerate() {
+        changes.push(resend(&fleet, change, (index + 1) % 3));
     }
     assert_eq!(revision(&fleet), base + 8);
-    for note in &notes[first.len()..] {
+    for change in &changes[first.len()..] {
         let before = first
             .iter()
-            .find(|first| first.op.id == note.op.id)
+            .find(|first| first.operation.id == change.operation.id)
             .unwrap();
-        assert_eq!(note.op, before.op);
+        assert_eq!(change.operation, before.operation);
     }
-    assert!(is_linearizable(&notes, base));
+    assert!(is_linearizable(&changes, base));
 
-    // A history in which both won, or a resend changed its outcome, is noticed.
-    let mut broken = notes.clone();
+    // The check detects a history in which a refused change was accepted.
+    let mut broken = changes.clone();
     let refused = broken
         .iter_mut()
-        .find(|note| matches!(note.op.end, ObservedOutcome::Conflict(_)));
+        .find(|change| matches!(change.operation.end, ObservedOutcome::Conflict(_)));
     let refused = refused.unwrap();
-    refused.op.end = ObservedOutcome::Accepted(refused.op.base + 1);
+    refused.operation.end = ObservedOutcome::Accepted(refused.operation.base + 1);
     assert!(!is_linearizable(&broken, base));
 }
 
-/// Two operators' changes at one moment, at two nodes.
+/// Sends two operators' changes at the same time, through two nodes.
 fn race(fleet: &TestFleet, base: u64, round: u64) -> Vec<ChangeRecord> {
     let start = Barrier::new(2);
     thread::scope(|scope| {
         let threads: Vec<_> = (0..2)
-            .map(|side| {
-                let operator = fleet.operator_at(&[(round as usize + side) % 3]);
+            .map(|index| {
+                let operator = fleet.operator_at(&[(round as usize + index) % 3]);
                 let start = &start;
-                let id = format!("race-{round}-{side}");
+                let id = format!("race-{round}-{index}");
                 scope.spawn(move || {
                     start.wait();
-                    issue(&operator, &edit_of(&id), base, &id)
+                    issue(&operator, &edit_for(&id), base, &id)
                 })
             })
             .collect();
@@ -132,13 +139,14 @@
     })
 }
 
-/// An edit that depends on the change's id only, as a resend repeats it.
-fn edit_of(id: &str) -> String {
+/// Returns an edit that depends only on the change id, so that a resend repeats it.
+fn edit_for(id: &str) -> String {
     let digits: String = id.chars().filter(char::is_ascii_digit).collect();
     format!("set multiple 1.{}", digits.parse::<u32>().unwrap() + 100)
 }
 
-/// Guards against a resend that is taken for another change.
+/// Guards against a resend that is treated as a new change, after the response to the first one
+/// was lost or other changes followed.
 #[test]
 fn a_resend_without_a_revision_gets_the_first_outcome() {
     let fleet = TestFleet::start(small_plan());
@@ -165,75 +173,76 @@
     }
     for number in 0..3 {
         let operator = fleet.operator_at(&[number]);
-        let again = operator.change("set multiple 1.7", "lost").unwrap();
-        assert_eq!(again.body["revision"], base + 1, "{again:?}");
-        let again = operator.change(invalid, "refused").unwrap();
-        assert_eq!(again.body, refused.body);
+        let repeated = operator.change("set multiple 1.7", "lost").unwrap();
+        assert_eq!(repeated.body["revision"], base + 1, "{repeated:?}");
+        let repeated = operator.change(invalid, "refused").unwrap();
+        assert_eq!(repeated.body, refused.body);
     }
     assert_eq!(revision(&fleet), base + 3);
 }
 
-/// Guards against a node that admits by an old configuration while it is cut off.
+/// Guards against a partitioned node that admits requests by an outdated configuration after the
+/// operator was told that the change is in force.
 #[test]
-fn a_change_in_force_binds_a_node_that_is_cut_off() {
+fn a_change_in_force_binds_a_partitioned_node() {
     let plan = FleetPlan {
         nodes: 4,
         ..small_plan()
     };
     let fleet = TestFleet::start(plan);
     let leader = fleet.wait_for_leader(&[0, 1, 2]);
-    for cut in [3, (leader + 1) % 3, leader] {
-        let customer = cut;
-        let caller = TestClient::new(&fleet.plan, customer);
-        let others: Vec<usize> = (0..4).filter(|number| *number != cut).collect();
-        wait_until("service before the cut", || {
-            caller.read(&fleet.address(cut)).is_answered()
+    for isolated in [3, (leader + 1) % 3, leader] {
+        let customer = isolated;
+        let client = TestClient::new(&fleet.plan, customer);
+        let others: Vec<usize> = (0..4).filter(|number| *number != isolated).collect();
+        wait_until("a response before the partition", || {
+            client.read(&fleet.address(isolated)).is_answered()
         })
         .unwrap();
-        let stops = AtomicBool::new(false);
+        let stopped = AtomicBool::new(false);
         let (calls, reported) = thread::scope(|scope| {
             let load = scope.spawn(|| {
                 let mut calls = Vec::new();
-                while !stops.load(Ordering::Relaxed) {
-                    calls.push(caller.read(&fleet.address(cut)));
+                while !stopped.load(Ordering::Relaxed) {
+                    calls.push(client.read(&fleet.address(isolated)));
                     thread::sleep(Duration::from_millis(5));
                 }
                 calls
             });
             thread::sleep(Duration::from_millis(300));
-            fleet.partition(&[cut]);
-            let reported = deny(&fleet, &caller, &others);
+            fleet.partition(&[isolated]);
+            let reported = deny_service(&fleet, &client, &others);
             thread::sleep(Duration::from_secs(1));
-            stops.store(true, Ordering::Relaxed);
+            stopped.store(true, Ordering::Relaxed);
             (load.join().unwrap(), reported)
         });
-        check_cut_off(&calls, reported, &fleet);
+        check_isolated(&calls, reported, &fleet);
         fleet.heal_partition();
-        wait_until("the change at the node that was cut off", || {
-            caller.read(&fleet.address(cut)).code() == Some(RefusalCode::UnknownService)
+        wait_until("the change at the partitioned node", || {
+            client.read(&fleet.address(isolated)).code() == Some(RefusalCode::UnknownService)
         })
         .unwrap();
     }
 }
 
-/// Takes a service from a customer; returns when the change was reported in force.
-fn deny(fleet: &TestFleet, caller: &TestClient, asked: &[usize]) -> Instant {
+/// Denies a customer a service; returns the time at which the change was reported as in force.
+fn deny_service(fleet: &TestFleet, client: &TestClient, nodes: &[usize]) -> Instant {
     let line = format!(
         "deny customer {} service {}",
-        caller.customer, caller.service
+        client.customer, client.service
     );
-    let id = format!("deny-{}", caller.customer);
-    let operator = fleet.operator_at(asked);
+    let id = format!("deny-{}", client.customer);
+    let operator = fleet.operator_at(nodes);
     wait_until("the change in force", || {
         operator
             .change(&line, &id)
-            .is_ok_and(|answer| answer.status == 200)
+            .is_ok_and(|response| response.status == 200)
     })
     .unwrap();
     Instant::now()
 }
 
-fn check_cut_off(calls: &[TestCall], reported: Instant, fleet: &SmallFleet) {
+fn check_isolated(calls: &[TestCall], reported: Instant, fleet: &SmallFleet) {
     let (before, after): (Vec<&TestCall>, Vec<_>) =
         calls.iter().partition(|call| call.called < reported);
     assert!(before.iter().any(|call| call.is_answered()));
@@ -241,7 +250,7 @@
     for call in after {
         assert!(
             !call.is_answered(),
-            "admitted after it was in force: {call:?}"
+            "admitted after the change was in force: {call:?}"
         );
         assert_eq!(call.code(), Some(RefusalCode::NotCurrent));
         assert!(call.has_retry_delay);
@@ -249,16 +258,17 @@
     assert_eq!(violations(calls, fleet), []);
 }
 
-/// Guards against a leader that accepts changes and admits callers after its lease.
+/// Guards against a partitioned leader that accepts changes or admits requests after its lease has
+/// expired.
 #[test]
-fn a_leader_cut_off_for_long_decides_nothing() {
+fn a_partitioned_leader_decides_nothing_after_its_lease() {
     let fleet = TestFleet::start(small_plan());
     let old = fleet.wait_for_leader(&[0, 1, 2]);
     let others: Vec<usize> = (0..3).filter(|number| *number != old).collect();
-    let caller = TestClient::new(&fleet.plan, 0);
+    let client = TestClient::new(&fleet.plan, 0);
     let base = revision(&fleet);
     fleet.partition(&[old]);
-    // The old leader may still have its lease when this one arrives.
+    // The old leader may still hold its lease when this change arrives.
     let early = fleet
         .operator_at(&[old])
         .change("set multiple 1.9", "early")
@@ -270,17 +280,17 @@
         let change = format!("set multiple 1.{}", 3 + round);
         wait_until("a change at the new leader", || {
             let id = format!("new-{round}");
-            let answer = fleet.operator_at(&[new]).change(&change, &id);
-            answer.is_ok_and(|answer| answer.status == 200)
+            let response = fleet.operator_at(&[new]).change(&change, &id);
+            response.is_ok_and(|response| response.status == 200)
         })
         .unwrap();
-        let answer = fleet
+        let response = fleet
             .operator_at(&[old])
             .change("set multiple 1.9", &format!("old-{round}"));
-        let answer = answer.unwrap();
-        assert!(!matches!(answer.status, 200 | 202), "{answer:?}");
-        let mut calls = vec![caller.read(&fleet.address(old))];
-        calls.push(caller.book(&fleet.address(old), &format!("parted-{round}")));
+        let response = response.unwrap();
+        assert!(!matches!(response.status, 200 | 202), "{response:?}");
+        let mut calls = vec![client.read(&fleet.address(old))];
+        calls.push(client.book(&fleet.address(old), &format!("parted-{round}")));
         for call in &calls {
             assert_eq!(call.code(), Some(RefusalCode::NotCurrent), "{call:?}");
         }
@@ -288,12 +298,12 @@
     }
     fleet.heal_partition();
     wait_until("the old leader's return", || {
-        caller.read(&fleet.address(old)).is_answered()
+        client.read(&fleet.address(old)).is_answered()
     })
     .unwrap();
     for number in 0..3 {
-        let answer = fleet.operator_at(&[number]).ask("show changes").unwrap();
-        let rows = answer.body["rows"].as_array().unwrap();
+        let response = fleet.operator_at(&[number]).ask("show changes").unwrap();
+        let rows = response.body["rows"].as_array().unwrap();
         let ids: Vec<&str> = rows.iter().map(|row| row["id"].as_str().unwrap()).collect();
         assert_eq!(&ids[..4], ["new-3", "new-2", "new-1", "new-0"]);
         assert!(
--- a/crates/ragwortroad_demo/tests/failures/overload.rs
+++ b/crates/ragwortroad_demo/tests/failures/overload.rs
@@ -1,4 +1,4 @@
-//! More work than the engines can do, and callers that do not read.
+//! Tests of overload: more requests than the engines can serve, and clients that don't read.
 
 use std::{
     io::{
@@ -41,47 +41,50 @@
     }
 }
 
-/// Guards against work for callers who have given up, and small customers behind a large one's queue.
+/// Guards against engines that work for clients that have given up, and against small customers
+/// that wait behind the queue of a large one.
 #[test]
-fn a_surge_is_refused_in_time_and_small_customers_are_served() {
+fn a_surge_is_refused_and_small_customers_are_served() {
     let fleet = TestFleet::start(small_engines_plan());
-    let stops = AtomicBool::new(false);
+    let stopped = AtomicBool::new(false);
     let (large, small) = thread::scope(|scope| {
-        let surge: Vec<_> = (0..40)
+        let surge_clients: Vec<_> = (0..40)
             .map(|number| {
-                let (fleet, stops) = (&fleet, &stops);
-                scope.spawn(move || run_surge_client(fleet, number, stops))
+                let (fleet, stopped) = (&fleet, &stopped);
+                scope.spawn(move || run_surge_client(fleet, number, stopped))
             })
             .collect();
-        let caller = TestClient::new(&fleet.plan, 1);
+        let client = TestClient::new(&fleet.plan, 1);
         let mut small = Vec::new();
         for number in 0..15 {
             let text = format!("small {number}");
-            wait_until("the small studio's answer", || {
+            wait_until("a response to the small customer", || {
                 let address = fleet.address(number % 3);
-                let call = caller.chat(&address, &fleet.plan.model, &text, 20);
+                let call = client.chat(&address, &fleet.plan.model, &text, 20);
                 let is_answered = call.is_answered();
                 small.push(call);
                 is_answered
             })
             .unwrap();
         }
-        stops.store(true, Ordering::Relaxed);
-        let surge = surge.into_iter();
-        let large: Vec<TestCall> = surge.flat_map(|thread| thread.join().unwrap()).collect();
+        stopped.store(true, Ordering::Relaxed);
+        let surge_clients = surge_clients.into_iter();
+        let large: Vec<TestCall> = surge_clients
+            .flat_map(|thread| thread.join().unwrap())
+            .collect();
         (large, small)
     });
     let refused = large.iter().filter(|call| !call.is_answered());
     assert!(refused.clone().count() > 50);
     for call in refused {
         let not_run = matches!(
-            call.note.end,
+            call.record.end,
             ClientOutcome::Refused(RequestOutcome::NotRun, _)
         );
         assert!(not_run && call.has_retry_delay, "{call:?}");
     }
-    // Fifteen answers in at most three sendings each, against forty callers.
-    assert!(small.len() <= 45, "{} sendings", small.len());
+    // 15 responses within at most 3 attempts each, against 40 competing clients.
+    assert!(small.len() <= 45, "{} attempts", small.len());
     let calls = [large, small].concat();
     assert_eq!(violations(&calls, &fleet), []);
     let answered = calls.iter().filter(|call| call.is_answered()).count();
@@ -91,17 +94,21 @@
             .iter()
             .all(|record| record.end == RunStatus::Completed)
     );
-    assert_eq!(records.len(), answered, "an engine worked for nobody");
+    assert_eq!(
+        records.len(),
+        answered,
+        "an engine ran a request that was not answered"
+    );
 }
 
-/// One of the large studio's callers, who comes back when told to.
-fn run_surge_client(fleet: &SmallFleet, number: usize, stops: &AtomicBool) -> Vec<TestCall> {
-    let caller = TestClient::new(&fleet.plan, 0);
+/// Runs one client of the large customer, which retries 100 ms after each refusal.
+fn run_surge_client(fleet: &SmallFleet, number: usize, stopped: &AtomicBool) -> Vec<TestCall> {
+    let client = TestClient::new(&fleet.plan, 0);
     let address = fleet.settings[number % 3].node.listen.to_string();
     let mut calls = Vec::new();
-    while !stops.load(Ordering::Relaxed) {
+    while !stopped.load(Ordering::Relaxed) {
         let text = format!("large {number} {}", calls.len());
-        let call = caller.chat(&address, &fleet.plan.model, &text, 20);
+        let call = client.chat(&address, &fleet.plan.model, &text, 20);
         let is_answered = call.is_answered();
         calls.push(call);
         if !is_answered {
@@ -111,9 +118,9 @@
     calls
 }
 
-/// Guards against callers who stop reading and hold the places of all others.
+/// Guards against clients that stop reading their streams and thereby occupy the engines' capacity.
 #[test]
-fn callers_that_do_not_read_starve_nobody() {
+fn clients_that_do_not_read_starve_no_others() {
     let fleet = TestFleet::start(FleetPlan {
         engine: EngineSettings {
             capacity: 16,
@@ -140,29 +147,29 @@
         );
         socket.write_all(head.as_bytes()).unwrap();
         socket.write_all(body.as_bytes()).unwrap();
-        // The first bytes of the answer; what follows is never read.
+        // Only the first bytes of the response are ever read.
         let mut first = [0; 12];
         socket.read_exact(&mut first).unwrap();
         socket
     };
     let sockets: Vec<TcpStream> = (0..4).map(open).collect();
-    let caller = TestClient::new(&fleet.plan, 1);
+    let client = TestClient::new(&fleet.plan, 1);
     let mut calls = Vec::new();
     for number in 0..30 {
         let address = fleet.address(number % 3);
-        wait_until("an answer beside the callers that do not read", || {
+        wait_until("a response despite the clients that don't read", || {
             let text = format!("beside {number}");
-            let call = caller.chat(&address, &fleet.plan.model, &text, 20);
+            let call = client.chat(&address, &fleet.plan.model, &text, 20);
             let is_answered = call.is_answered();
             calls.push(call);
             is_answered
         })
         .unwrap();
     }
-    assert!(calls.len() <= 60, "{} sendings", calls.len());
+    assert!(calls.len() <= 60, "{} attempts", calls.len());
     assert_eq!(violations(&calls, &fleet), []);
     drop(sockets);
-    wait_until("the end of work for nobody", || {
+    wait_until("the cancellation of abandoned requests", || {
         let engines = fleet.engines.iter().flatten();
         engines.map(|engine| engine.load().running).sum::<u32>() == 0
     })
--- a/crates/ragwortroad_demo/tests/failures/pairs.rs
+++ b/crates/ragwortroad_demo/tests/failures/pairs.rs
@@ -1,4 +1,4 @@
-//! Two failures at once.
+//! Tests of simultaneous failures.
 
 use std::{
     sync::atomic::{
@@ -31,26 +31,27 @@
     }, //
 };
 
-/// Books new keys until it is told to stop, each through several nodes until its outcome is final.
+/// Sends bookings under new keys until `stops` is set, each through several nodes until its outcome
+/// is final.
 fn book_until_stopped(
     addresses: &[String],
-    caller: &TestClient,
+    client: &TestClient,
     name: &str,
-    stops: &AtomicBool,
+    stopped: &AtomicBool,
 ) -> Vec<TestCall> {
     let mut calls = Vec::new();
     for number in 0.. {
-        if stops.load(Ordering::Relaxed) {
+        if stopped.load(Ordering::Relaxed) {
             break;
         }
         let key = format!("{name}-{number}");
-        for sending in 0..6 {
-            let call = caller.book(&addresses[(number + sending) % addresses.len()], &key);
-            let is_final = matches!(call.note.end, ClientOutcome::Answered)
+        for attempt in 0..6 {
+            let call = client.book(&addresses[(number + attempt) % addresses.len()], &key);
+            let is_final = matches!(call.record.end, ClientOutcome::Answered)
                 || call.code() == Some(RefusalCode::BrokenAnswer);
             calls.push(call);
-            // One more through the next node, which must say the same.
-            if is_final && sending > 0 {
+            // One more attempt through the next node must get the same outcome.
+            if is_final && attempt > 0 {
                 break;
             }
             thread::sleep(Duration::from_millis(20));
@@ -59,9 +60,10 @@
     calls
 }
 
-/// Guards against second runs, and "not run" for bookings that ran, while several failures meet.
+/// Guards against bookings that run twice, or are reported as not run although they ran, while a
+/// leader crashes, a replica refuses connections and another node is partitioned.
 #[test]
-fn a_killed_leader_a_flapping_service_and_a_cut_leave_single_runs() {
+fn bookings_run_once_during_simultaneous_failures() {
     let mut fleet = TestFleet::start(FleetPlan {
         nodes: 4,
         engines: 0,
@@ -74,23 +76,23 @@
         ..FleetPlan::default()
     });
     let addresses = fleet.client_addresses();
-    let stops = AtomicBool::new(false);
+    let stopped = AtomicBool::new(false);
     let mut calls = thread::scope(|scope| {
         let threads: Vec<_> = (0..4)
             .map(|number| {
-                let caller = TestClient {
+                let client = TestClient {
                     patience: Duration::from_secs(6),
                     ..TestClient::new(&fleet.plan, number)
                 };
-                let (addresses, stops) = (&addresses, &stops);
+                let (addresses, stopped) = (&addresses, &stopped);
                 let name = format!("pair-{number}");
-                scope.spawn(move || book_until_stopped(addresses, &caller, &name, stops))
+                scope.spawn(move || book_until_stopped(addresses, &client, &name, stopped))
             })
             .collect();
         for round in 0..3 {
             let leader = fleet.wait_for_leader(&[0, 1, 2]);
             let ran = fleet.records().len();
-            wait_until("bookings under way", || fleet.records().len() > ran + 5).unwrap();
+            wait_until("running bookings", || fleet.records().len() > ran + 5).unwrap();
             fleet.services[round % 2]
                 .as_ref()
                 .unwrap()
@@ -110,23 +112,24 @@
             fleet.heal_partition();
         }
         fleet.wait_for_leader(&[0, 1, 2]);
-        stops.store(true, Ordering::Relaxed);
+        stopped.store(true, Ordering::Relaxed);
         let threads = threads.into_iter();
         let calls: Vec<TestCall> = threads.flat_map(|thread| thread.join().unwrap()).collect();
         calls
     });
-    let caller = TestClient::new(&fleet.plan, 0);
+    let client = TestClient::new(&fleet.plan, 0);
     for number in 0..4 {
-        calls.push(caller.book_until_success(&fleet.address(number), &format!("after-{number}")));
+        calls.push(client.book_until_success(&fleet.address(number), &format!("after-{number}")));
     }
     assert_eq!(violations(&calls, &fleet), []);
     assert_eq!(nonlinearizable_keys(&calls, &fleet), Vec::<String>::new());
-    let was_hit = calls.iter().any(|call| !call.is_answered());
-    assert!(was_hit, "no call met a failure");
+    let has_failure = calls.iter().any(|call| !call.is_answered());
+    assert!(has_failure, "no request hit a failure");
     assert!(calls.iter().filter(|call| call.is_answered()).count() > 50);
 }
 
-/// Guards against two homes that each fill an engine up to its bound.
+/// Guards against two homes that each fill an engine up to its load bound, after a partition and
+/// node crashes move engines between homes under load.
 #[test]
 fn homes_that_change_under_load_keep_each_engine_within_its_bound() {
     let plan = FleetPlan {
@@ -172,7 +175,7 @@
     let answered = report
         .notes
         .iter()
-        .filter(|note| note.end == ClientOutcome::Answered);
+        .filter(|call| call.end == ClientOutcome::Answered);
     assert!(
         answered.count() * 10 > report.notes.len() * 7,
         "{:?}",
@@ -184,7 +187,7 @@
     }
     assert_eq!(bound_violations(&spans), Vec::<String>::new());
 
-    // Two homes that each fill an engine up to the bound are noticed.
+    // The check detects two homes that each fill an engine up to the bound.
     let busiest = fleet
         .engines
         .iter()
--- a/crates/ragwortroad_demo/tests/orders/common/mod.rs
+++ b/crates/ragwortroad_demo/tests/orders/common/mod.rs
@@ -13,25 +13,25 @@
 use ragwortroad_standin::prelude::*;
 use ragwortroad_types::prelude::*;
 
-/// Fleets run one at a time; more would take each other's processor time.
+/// Held while a fleet runs: concurrent fleets would slow each other down.
 static FLEET_LOCK: Mutex<()> = Mutex::new(());
 
-/// Changes made so far, which gives each one an id of its own.
+/// Number of changes so far, which makes change ids unique.
 static CHANGES: AtomicU32 = AtomicU32::new(0);
 
-/// Holds other tests' fleets back.
+/// Waits until no other test runs a fleet, and keeps others waiting until the guard is dropped.
 pub(crate) fn lock_fleets() -> MutexGuard<'static, ()> {
     FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A fleet whose engines hold its model, which is declared.
+/// Starts a fleet, declares its configuration and waits for its endpoints.
 pub(crate) fn start(plan: FleetPlan) -> SmallFleet {
     let fleet = SmallFleet::start(plan).unwrap();
     fleet.declare().unwrap();
     fleet
 }
 
-/// Three nodes and six engines that load quickly, without a plain service.
+/// Three nodes and six engines with short load times, without a plain service.
 pub(crate) fn quick_plan() -> FleetPlan {
     FleetPlan {
         services: 0,
@@ -43,24 +43,24 @@
     }
 }
 
-/// A change that is accepted and in force.
+/// Makes a change and asserts that it is in force.
 pub(crate) fn change(fleet: &SmallFleet, line: &str) {
     let id = format!("change-{}", CHANGES.fetch_add(1, Ordering::Relaxed));
-    let answer = fleet.operator().change(line, &id).unwrap();
-    assert_eq!(answer.status, 200, "{line}: {}", answer.text);
+    let response = fleet.operator().change(line, &id).unwrap();
+    assert_eq!(response.status, 200, "{line}: {}", response.text);
 }
 
-/// Engines that hold `model` in `version`.
+/// Returns the number of engines that serve `model` in `version`.
 pub(crate) fn holders(fleet: &SmallFleet, model: &str, version: &str) -> usize {
-    let holds = |engine: &&StandinEngine| {
+    let serves = |engine: &&StandinEngine| {
         let offers = engine.offers();
         let mut offers = offers.iter();
         offers.any(|offer| offer.model == model && offer.version == version)
     };
-    fleet.engines.iter().flatten().filter(holds).count()
+    fleet.engines.iter().flatten().filter(serves).count()
 }
 
-/// All orders that engines got, by the time at which they came.
+/// Returns all orders that engines received, by time of receipt.
 pub(crate) fn orders(fleet: &SmallFleet) -> Vec<OrderRecord> {
     let engines = fleet.engines.iter().flatten();
     let mut orders: Vec<OrderRecord> = engines.flat_map(StandinEngine::orders).collect();
@@ -68,7 +68,7 @@
     orders
 }
 
-/// Loads of `model` among `orders`, each order once however often it was sent.
+/// Returns the load orders for `model` among `orders`, without repeats of an order.
 pub(crate) fn loads<'a>(orders: &'a [OrderRecord], model: &str) -> Vec<&'a OrderRecord> {
     let mut seen = Vec::new();
     let is_load = |record: &&OrderRecord| match &record.order.kind {
@@ -78,9 +78,9 @@
     let loads = orders.iter().filter(is_load);
     loads
         .filter(|record| {
-            let name = (record.order.fence, record.order.number);
-            let is_new = !seen.contains(&name);
-            seen.push(name);
+            let order_id = (record.order.fence, record.order.number);
+            let is_new = !seen.contains(&order_id);
+            seen.push(order_id);
             is_new
         })
         .collect()
--- a/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
+++ b/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
@@ -15,16 +15,17 @@
     start, //
 };
 
-/// How the leader loses touch.
+/// How the leader loses contact with the other nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LeaderFault {
-    /// Its links to the other nodes are cut; engines still hear it.
+    /// Its links to the other nodes are blocked, but it still reaches the engines.
     Partitioned,
-    /// It gets no processor, and goes on as if nothing had been.
+    /// Its process is paused and later resumes without noticing.
     Paused,
 }
 
-/// Engines that confirm every order and obey none, so that a leader never stops giving them.
+/// Starts a fleet whose engines acknowledge every order without executing it, so that leaders keep
+/// sending orders.
 fn non_executing_fleet(checks_fencing: bool) -> SmallFleet {
     let mut plan = quick_plan();
     plan.orders.resend = Duration::from_millis(50);
@@ -44,14 +45,15 @@
     orders.iter().map(|record| record.order.fence).collect()
 }
 
-/// Each engine's orders that took effect, in the order in which they came, never go back.
+/// Returns the first accepted order with a lower fencing token than an earlier order to the same
+/// engine.
 fn stale_order(orders: &[OrderRecord]) -> Option<&OrderRecord> {
-    orders.iter().enumerate().find_map(|(place, record)| {
-        let later_fence = |earlier: &OrderRecord| {
+    orders.iter().enumerate().find_map(|(index, record)| {
+        let has_newer_fence = |earlier: &OrderRecord| {
             earlier.endpoint == record.endpoint && earlier.order.fence > record.order.fence
         };
-        let went_back = record.accepted && orders[..place].iter().any(later_fence);
-        went_back.then_some(record)
+        let is_stale = record.accepted && orders[..index].iter().any(has_newer_fence);
+        is_stale.then_some(record)
     })
 }
 
@@ -59,48 +61,57 @@
     let fleet = non_executing_fleet(checks_fencing);
     let all: Vec<usize> = (0..fleet.nodes.len()).collect();
     wait_until("orders of the first leader", || orders(&fleet).len() > 20).unwrap();
-    let old = fleet.leader(&all).unwrap();
+    let old_leader = fleet.leader(&all).unwrap();
     let old_fence = *fences(&orders(&fleet)).last().unwrap();
-    let others: Vec<usize> = all.into_iter().filter(|node| *node != old).collect();
-    let hold = match fault {
+    let others: Vec<usize> = all.into_iter().filter(|node| *node != old_leader).collect();
+    let freeze = match fault {
         LeaderFault::Partitioned => {
-            fleet.partition(&[old]);
+            fleet.partition(&[old_leader]);
             None
         }
-        LeaderFault::Paused => Some(fleet.nodes[old].as_ref().unwrap().freeze()),
+        LeaderFault::Paused => Some(fleet.nodes[old_leader].as_ref().unwrap().freeze()),
     };
     wait_until("orders of the next leader", || {
         let newer = orders(&fleet);
-        newer.iter().filter(|r| r.order.fence > old_fence).count() > 20
+        newer
+            .iter()
+            .filter(|record| record.order.fence > old_fence)
+            .count()
+            > 20
     })
     .unwrap();
-    assert!(fleet.leader(&others).is_some_and(|leader| leader != old));
-    // The old one comes back to itself and to the others, while orders are given all the time.
-    drop(hold);
+    assert!(
+        fleet
+            .leader(&others)
+            .is_some_and(|leader| leader != old_leader)
+    );
+    // The old leader resumes and its links are unblocked, while orders are sent all the time.
+    drop(freeze);
     let before = orders(&fleet).len();
-    wait_until("orders after the pause", || {
+    wait_until("orders after the leader resumed", || {
         orders(&fleet).len() > before + 50
     })
     .unwrap();
     fleet.heal_partition();
     let before = orders(&fleet).len();
-    wait_until("orders after the cut", || {
+    wait_until("orders after the partition healed", || {
         orders(&fleet).len() > before + 50
     })
     .unwrap();
     let orders = orders(&fleet);
     assert!(fences(&orders).len() >= 2);
-    let back = stale_order(&orders);
+    let stale = stale_order(&orders);
     assert!(
-        back.is_none(),
-        "{fault:?}, checked: {checks_fencing}: {back:?}"
+        stale.is_none(),
+        "{fault:?}, fencing checked: {checks_fencing}: {stale:?}"
     );
     fleet.stop();
 }
 
-/// Guards against orders of a deposed leader that undo those of the next.
+/// Guards against orders of a deposed leader that undo those of the next leader: the old leader
+/// is partitioned or paused, and resumes while the new one sends orders.
 #[test]
-fn a_deposed_leader_gives_no_order_that_takes_effect() {
+fn no_order_of_a_deposed_leader_takes_effect() {
     let _only = lock_fleets();
     for checks_fencing in [true, false] {
         for fault in [LeaderFault::Partitioned, LeaderFault::Paused] {
@@ -109,9 +120,9 @@
     }
 }
 
-/// The check itself: a record in which an old order comes after a new one must be noticed.
+/// Guards against a check that misses an order with an outdated fencing token.
 #[test]
-fn an_old_order_after_a_new_one_is_noticed() {
+fn the_order_check_detects_an_outdated_order() {
     let record = |fence: u64| OrderRecord {
         endpoint: "engine-0".to_owned(),
         order: OrderWire {
--- a/crates/ragwortroad_demo/tests/orders/main.rs
+++ b/crates/ragwortroad_demo/tests/orders/main.rs
@@ -1,7 +1,7 @@
-//! Orders to engines, over real nodes and stand-in engines in one process.
+//! Tests of orders to engines, with real nodes and stand-in engines in one process.
 //!
-//! Verdicts come from what the engines wrote down: the orders that came, in their order, and the
-//! models they hold. Waits are for an event, with a generous bound.
+//! Assertions use the engines' records: the received orders in sequence, and the loaded models.
+//! Tests wait for conditions, with a generous timeout.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/ragwortroad_demo/tests/orders/placement.rs
+++ b/crates/ragwortroad_demo/tests/orders/placement.rs
@@ -13,9 +13,10 @@
     start, //
 };
 
-/// Guards against declared models that nobody orders, and orders for engines that need none.
+/// Guards against declared models, adapters, rollouts and drains for which no orders are sent, and
+/// against needless load orders.
 #[test]
-fn engines_become_what_is_declared() {
+fn engines_converge_to_the_declared_configuration() {
     let _only = lock_fleets();
     let fleet = start(quick_plan());
     change(&fleet, "add model tutor version v1 replicas 2..4 size 1gb");
@@ -35,16 +36,19 @@
     wait_until("the adapter", || with_adapter() == 2).unwrap();
 
     change(&fleet, "roll model caption-llm to v2 34%");
-    wait_until("the first step", || holders(&fleet, caption, "v2") == 3).unwrap();
+    wait_until("the first rollout step", || {
+        holders(&fleet, caption, "v2") == 3
+    })
+    .unwrap();
     assert_eq!(holders(&fleet, caption, "v1"), 6);
     change(&fleet, "rollback model caption-llm");
-    wait_until("the way back", || {
+    wait_until("the rollback", || {
         holders(&fleet, caption, "v2") == 0 && holders(&fleet, caption, "v1") == 6
     })
     .unwrap();
 
     change(&fleet, "roll model caption-llm to v2 100%");
-    wait_until("the whole rollout", || {
+    wait_until("the complete rollout", || {
         holders(&fleet, caption, "v2") == 6 && holders(&fleet, caption, "v1") == 0
     })
     .unwrap();
@@ -59,9 +63,9 @@
     fleet.stop();
 }
 
-/// Guards against loads that choke the weight store.
+/// Guards against model loads that exceed the bandwidth of the weight store.
 #[test]
-fn loads_keep_to_the_rate_of_the_weight_store() {
+fn loads_stay_within_the_rate_of_the_weight_store() {
     const RATE: u32 = 1000;
     const SIZE: u32 = 1000;
     let _only = lock_fleets();
@@ -79,28 +83,32 @@
     })
     .unwrap();
     let orders = orders(&fleet);
-    let mut came: Vec<_> = ["tutor", "note"]
+    let mut received: Vec<_> = ["tutor", "note"]
         .iter()
         .flat_map(|model| loads(&orders, model))
         .map(|record| record.received_at)
         .collect();
-    came.sort();
-    assert_eq!(came.len(), 6);
-    // Orders are a little late at an engine, each by another span; so one load of slack.
-    for (from, first) in came.iter().enumerate() {
-        for (to, last) in came.iter().enumerate().skip(from + 1) {
-            let asked = (to - from + 1) as u32 * SIZE;
-            let may =
+    received.sort();
+    assert_eq!(received.len(), 6);
+    // Orders reach engines with varying delays, so the limit has a slack of one load.
+    for (from, first) in received.iter().enumerate() {
+        for (to, last) in received.iter().enumerate().skip(from + 1) {
+            let requested = (to - from + 1) as u32 * SIZE;
+            let limit =
                 SIZE * 2 + (f64::from(RATE) * last.duration_since(*first).as_secs_f64()) as u32;
-            assert!(asked <= may, "{asked} MB where {may} MB may be asked for");
+            assert!(
+                requested <= limit,
+                "{requested} MB requested, at most {limit} MB allowed"
+            );
         }
     }
     fleet.stop();
 }
 
-/// Guards against late answers that start an order again or undo it.
+/// Guards against orders that run twice or are undone because engines respond after the resend
+/// interval.
 #[test]
-fn repeated_and_late_answers_do_no_harm() {
+fn repeated_and_late_responses_change_nothing() {
     let _only = lock_fleets();
     let mut plan = quick_plan();
     plan.orders.resend = Duration::from_millis(100);
@@ -114,8 +122,11 @@
     change(&fleet, "add model tutor version v1 replicas 2..2 size 1gb");
     wait_until("the model", || holders(&fleet, "tutor", "v1") == 2).unwrap();
     change(&fleet, "remove model tutor");
-    wait_until("its end", || holders(&fleet, "tutor", "v1") == 0).unwrap();
-    // An order given once more shows that everything before it was answered.
+    wait_until("the removal of the model", || {
+        holders(&fleet, "tutor", "v1") == 0
+    })
+    .unwrap();
+    // Once a further order is executed, all earlier orders have been answered.
     change(&fleet, "drain endpoint engine-0");
     let drained = || fleet.engines[0].as_ref().unwrap().is_drained();
     wait_until("the drain", drained).unwrap();
--- a/crates/ragwortroad_standin/src/run_record.rs
+++ b/crates/ragwortroad_standin/src/run_record.rs
@@ -46,7 +46,7 @@
     Running,
     /// The complete response was written.
     Completed,
-    /// An injected fault cut it off.
+    /// An injected fault interrupted it.
     Cut,
     /// It was cancelled, or its client disconnected.
     Cancelled,
--- a/crates/ragwortroad_standin/src/standin_engine.rs
+++ b/crates/ragwortroad_standin/src/standin_engine.rs
@@ -113,7 +113,7 @@
         self.state.lock().role
     }
 
-    /// Whether the last drain order told it to take no new requests.
+    /// Whether the last drain order directed it to accept no new requests.
     pub fn is_drained(&self) -> bool {
         self.state.lock().drain
     }
