--- a/crates/ragwortroad_demo/examples/claim_rate.rs
+++ b/crates/ragwortroad_demo/examples/claim_rate.rs
@@ -2,9 +2,9 @@
 //!
 //! `cargo run --release -p ragwortroad_demo --example claim_rate`
 //!
-//! The fleet has three nodes, with data folders in the temporary directory. 1, 16 and 256 concurrent
-//! clients send bookings with unique idempotency keys for 6 seconds each. The service responds
-//! without delay.
+//! The fleet has three nodes, with data folders in the temporary directory. 1, 16 and 256
+//! concurrent clients send bookings with unique idempotency keys for 6 seconds each. The service
+//! responds without delay.
 
 use std::{
     thread,
--- a/crates/ragwortroad_demo/src/fleet_plan.rs
+++ b/crates/ragwortroad_demo/src/fleet_plan.rs
@@ -24,9 +24,11 @@
     pub customers: Vec<String>,
     /// Rate limit of each customer, in requests per second.
     pub customer_rate_limit: u32,
-    /// Settings of the engines; the fleet sets the name, the zone, the model and the addresses.
+    /// Settings of the engines; the fleet overrides name, zone, model, node addresses, join secret
+    /// and incarnation.
     pub engine: EngineSettings,
-    /// Settings of the service's replicas; the fleet sets the name, the zone and the addresses.
+    /// Settings of the service's replicas; the fleet overrides name, service, zone, node addresses,
+    /// join secret and incarnation.
     pub replica: ServiceSettings,
     /// The nodes' `follow_bound_ms` setting.
     pub follow_bound: Duration,
--- a/crates/ragwortroad_demo/src/operator_client.rs
+++ b/crates/ragwortroad_demo/src/operator_client.rs
@@ -20,7 +20,7 @@
     pub status: u16,
     /// The human-readable text; empty if the response has none.
     pub text: String,
-    /// The whole JSON object.
+    /// The complete JSON object.
     pub body: Value,
 }
 
@@ -33,8 +33,8 @@
         self.send(line, None)
     }
 
-    /// Sends a change under a change id; a resend under the same id gets the first outcome. Fails if
-    /// no node responds.
+    /// Sends a change under a change id; a resend under the same id gets the first outcome. Fails
+    /// if no node responds.
     pub fn change(&self, line: &str, id: &str) -> Result<LineResponse, DemoError> {
         self.send(line, Some(id))
     }
--- a/crates/ragwortroad_demo/src/small_fleet.rs
+++ b/crates/ragwortroad_demo/src/small_fleet.rs
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Returns the number of the node that `show leader` names at the first of the nodes `numbers` that
-    /// responds; `None` if there is no leader or no response.
+    /// Returns the number of the leader, as `show leader` reports it at the first node in `numbers`
+    /// that responds; `None` if there is no leader or no response.
     pub fn leader(&self, numbers: &[usize]) -> Option<usize> {
         let operator = self.operator_at(numbers);
         let response = operator.ask("show leader").ok()?;
--- a/crates/ragwortroad_demo/tests/failures/common/client.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/client.rs
@@ -99,7 +99,8 @@
         self.send(request, key, |response| check_booking(response, key))
     }
 
-    /// Sends a request and records the result; `check` determines the outcome of a 2xx response.
+    /// Sends a request and records the result; `check_body` determines the outcome of a 2xx
+    /// response.
     fn send(
         &self,
         request: minreq::Request,
--- a/crates/ragwortroad_demo/tests/failures/common/run_spans.rs
+++ b/crates/ragwortroad_demo/tests/failures/common/run_spans.rs
@@ -90,10 +90,10 @@
                     earlier.map(|(_, mean)| *mean).fold(0.0, f64::max)
                 };
                 let name = &engine.name;
-                let mean_2s = max_mean_within(MEAN_WINDOW * 2);
-                let mean_3s = max_mean_within(MEAN_WINDOW * 3);
+                let mean2 = max_mean_within(MEAN_WINDOW * 2);
+                let mean3 = max_mean_within(MEAN_WINDOW * 3);
                 violations.push(format!(
-                    "{name}: {load} at a mean of {mean:.2} ({mean_2s:.2} in 2 s, {mean_3s:.2} in 3 s)"
+                    "{name}: {load} at a mean of {mean:.2} ({mean2:.2} in 2 s, {mean3:.2} in 3 s)"
                 ));
             }
         }
--- a/crates/ragwortroad_demo/tests/failures/members.rs
+++ b/crates/ragwortroad_demo/tests/failures/members.rs
@@ -128,7 +128,8 @@
         .map(|number| {
             let operator = operator.clone();
             let base = first + number as u64;
-            // Each operator waits until its change is in force; the next change doesn't wait for that.
+            // Each operator waits until its change is in force; the next change doesn't wait for
+            // that.
             wait_for_revision(&operator, base);
             thread::spawn(move || {
                 let line = format!("set multiple 1.{} on revision {base}", 100 + number);
--- a/crates/ragwortroad_demo/tests/failures/operators.rs
+++ b/crates/ragwortroad_demo/tests/failures/operators.rs
@@ -70,7 +70,7 @@
         let refused = pair
             .iter()
             .find(|change| matches!(change.operation.end, ObservedOutcome::Conflict(_)));
-        let text = &refused.expect("a refusal").response.text;
+        let text = &refused.expect("one change must be refused").response.text;
         assert!(text.contains("won with 'set multiple"), "{text}");
     }
     let resend = |fleet: &TestFleet, change: &ChangeRecord, number: usize| {
@@ -145,8 +145,8 @@
     format!("set multiple 1.{}", digits.parse::<u32>().unwrap() + 100)
 }
 
-/// Guards against a resend that is treated as a new change, after the response to the first one
-/// was lost or other changes followed.
+/// Guards against a resend without a revision that is treated as a new change, after its first
+/// response was lost and other changes were made.
 #[test]
 fn a_resend_without_a_revision_gets_the_first_outcome() {
     let fleet = TestFleet::start(small_plan());
--- a/crates/ragwortroad_demo/tests/failures/pairs.rs
+++ b/crates/ragwortroad_demo/tests/failures/pairs.rs
@@ -31,8 +31,8 @@
     }, //
 };
 
-/// Sends bookings under new keys until `stops` is set, each through several nodes until its outcome
-/// is final.
+/// Sends bookings under new keys until `stopped` is set, each through several nodes until its
+/// outcome is final.
 fn book_until_stopped(
     addresses: &[String],
     client: &TestClient,
--- a/crates/ragwortroad_demo/tests/idle_service.rs
+++ b/crates/ragwortroad_demo/tests/idle_service.rs
@@ -8,8 +8,8 @@
 /// More requests than the total capacity of all replicas.
 const REQUESTS: usize = 200;
 
-/// Guards against nodes other than its home that refuse requests to an idle service as if it were
-/// at capacity.
+/// Guards against nodes that refuse requests to an idle service as if it were at capacity, because
+/// they are not its home.
 #[test]
 fn an_idle_service_stays_open_to_nodes_that_are_not_its_home() {
     let plan = FleetPlan {
--- a/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
+++ b/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
@@ -20,7 +20,7 @@
 enum LeaderFault {
     /// Its links to the other nodes are blocked, but it still reaches the engines.
     Partitioned,
-    /// Its process is paused and later resumes without noticing.
+    /// It is paused and later resumes without noticing.
     Paused,
 }
 
--- a/crates/ragwortroad_standin/src/announce_loop.rs
+++ b/crates/ragwortroad_standin/src/announce_loop.rs
@@ -38,8 +38,9 @@
 }
 
 impl AnnounceLoop {
-    /// Starts a thread that sends the announcements that `make_announcement` returns for a home epoch, with the
-    /// join secret, to the first address that responds. Returns `None` without addresses.
+    /// Starts a thread that sends the announcements that `make_announcement` returns for a home
+    /// epoch, with the join secret, to the first address that responds. Returns `None` if there are
+    /// no addresses.
     pub(crate) fn start(
         addresses: Vec<String>,
         secret: String,
--- a/crates/ragwortroad_standin/src/fault_plan.rs
+++ b/crates/ragwortroad_standin/src/fault_plan.rs
@@ -3,8 +3,8 @@
 /// Faults that a stand-in injects; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// Number of requests, chats, service requests and orders alike, that the faults apply to; `None`
-    /// for all. Refused connections don't count.
+    /// Number of requests that the faults apply to, counting chats, service requests and orders;
+    /// `None` for all. Refused connections don't count.
     pub max_requests: Option<u32>,
     /// Sends fewer bytes than `Content-Length` declares, then closes the connection.
     pub truncate_body: bool,
--- a/crates/ragwortroad_standin/src/prefix_cache.rs
+++ b/crates/ragwortroad_standin/src/prefix_cache.rs
@@ -35,8 +35,8 @@
             .count()
     }
 
-    /// Stores a chain, with its longest prefix as the least recently used, since longer prefixes are
-    /// reused less often.
+    /// Stores a chain, with its longest prefix as the least recently used, since longer prefixes
+    /// are reused less often.
     pub(crate) fn store(&mut self, chain: &[PrefixKey]) {
         for prefix in chain.iter().rev() {
             self.touch(*prefix);
--- a/crates/ragwortroad_standin/src/standin_engine.rs
+++ b/crates/ragwortroad_standin/src/standin_engine.rs
@@ -26,8 +26,9 @@
 
 /// A stand-in for a model engine.
 ///
-/// It batches continuously, caches prompt prefixes in a bounded cache, streams, resumes and cancels
-/// responses, and executes orders. Its announcements have a delayed load and lack some cache events.
+/// It batches continuously, keeps prompt prefixes in a bounded cache, streams, resumes and cancels
+/// responses, and executes orders. Its announcements carry a delayed load and lack some cache
+/// events.
 pub struct StandinEngine {
     state: Arc<EngineState>,
     host: StandinHost,
--- a/crates/ragwortroad_standin/src/standin_error.rs
+++ b/crates/ragwortroad_standin/src/standin_error.rs
@@ -15,13 +15,13 @@
     Listen {
         /// The requested listen address.
         address: SocketAddr,
-        /// The system's reason.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The threads could not be started.
     #[snafu(display("cannot start threads: {source}; raise the thread limit"))]
     Threads {
-        /// The system's reason.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
