--- a/crates/ragwortroad_load/src/event_reader.rs
+++ b/crates/ragwortroad_load/src/event_reader.rs
@@ -98,9 +98,7 @@
         loop {
             line.clear();
             match self.lines.read_line(&mut line) {
-                Ok(0) => {
-                    return StreamEvent::Broken("stream ended without [DONE]".to_owned());
-                }
+                Ok(0) => return StreamEvent::Broken("missing [DONE]".to_owned()),
                 Ok(_) => {}
                 Err(error) => return StreamEvent::Broken(error.to_string()),
             }
