--- a/crates/ragwortroad_demo/tests/failures/bookings.rs
+++ b/crates/ragwortroad_demo/tests/failures/bookings.rs
@@ -16,8 +16,8 @@
         KeyEvent,
         KeyOperation,
         is_linearizable,
-        key_events, //
-        nonlinearizable_keys,
+        key_events,
+        nonlinearizable_keys, //
     },
     client::{
         TestCall,
--- a/crates/ragwortroad_demo/tests/failures/endpoints.rs
+++ b/crates/ragwortroad_demo/tests/failures/endpoints.rs
@@ -49,7 +49,7 @@
 /// Returns requests with an attempt whose response started, but neither became complete nor ended
 /// with a refusal.
 fn truncated_calls(report: &RunReport) -> Vec<&CallRecord> {
-    let is_cut = |call: &&CallRecord| {
+    let is_truncated = |call: &&CallRecord| {
         let complete = usize::from(call.end == ClientOutcome::Answered);
         let started = call.attempts.iter().filter(|attempt| {
             let ok = attempt.status.is_some_and(|status| status < 300);
@@ -57,7 +57,7 @@
         });
         started.count() > complete
     };
-    report.notes.iter().filter(is_cut).collect()
+    report.notes.iter().filter(is_truncated).collect()
 }
 
 fn answered(report: &RunReport) -> usize {
--- a/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
+++ b/crates/ragwortroad_demo/tests/orders/deposed_leader.rs
@@ -112,7 +112,7 @@
 /// is partitioned or paused, and resumes while the new one sends orders.
 #[test]
 fn no_order_of_a_deposed_leader_takes_effect() {
-    let _only = lock_fleets();
+    let _lock = lock_fleets();
     for checks_fencing in [true, false] {
         for fault in [LeaderFault::Partitioned, LeaderFault::Paused] {
             run(checks_fencing, fault);
--- a/crates/ragwortroad_demo/tests/orders/placement.rs
+++ b/crates/ragwortroad_demo/tests/orders/placement.rs
@@ -17,7 +17,7 @@
 /// against needless load orders.
 #[test]
 fn engines_converge_to_the_declared_configuration() {
-    let _only = lock_fleets();
+    let _lock = lock_fleets();
     let fleet = start(quick_plan());
     change(&fleet, "add model tutor version v1 replicas 2..4 size 1gb");
     wait_until("the second model", || holders(&fleet, "tutor", "v1") == 2).unwrap();
@@ -68,7 +68,7 @@
 fn loads_stay_within_the_rate_of_the_weight_store() {
     const RATE: u32 = 1000;
     const SIZE: u32 = 1000;
-    let _only = lock_fleets();
+    let _lock = lock_fleets();
     let mut plan = quick_plan();
     plan.orders.store_mb_per_s = RATE;
     plan.orders.store_burst_mb = SIZE;
@@ -109,7 +109,7 @@
 /// interval.
 #[test]
 fn repeated_and_late_responses_change_nothing() {
-    let _only = lock_fleets();
+    let _lock = lock_fleets();
     let mut plan = quick_plan();
     plan.orders.resend = Duration::from_millis(100);
     let fleet = start(plan);
--- a/crates/ragwortroad_load/src/call_retry.rs
+++ b/crates/ragwortroad_load/src/call_retry.rs
@@ -14,8 +14,8 @@
     ClientOutcome,
     CustomerLoad,
     client_request::{
-        ClientRequest, //
-        ClientResponse,
+        ClientRequest,
+        ClientResponse, //
     },
     load_state::LoadState, //
 };
--- a/crates/ragwortroad_load/src/http_client.rs
+++ b/crates/ragwortroad_load/src/http_client.rs
@@ -20,8 +20,8 @@
     ResponseFault,
     address_cache::AddressCache,
     client_request::{
-        ClientRequest, //
-        ClientResponse,
+        ClientRequest,
+        ClientResponse, //
     },
     event_reader::{
         EventReader,
@@ -244,19 +244,19 @@
 /// Returns the addresses for a chat, or for a customer's service requests: from the cache, else
 /// from the first seed that responds, else the seeds themselves.
 pub(crate) fn find_addresses(
-    book: &AddressCache,
+    cache: &AddressCache,
     name: &str,
     key: &str,
     chat: Option<&str>,
 ) -> Vec<String> {
-    if let Some(kept) = book.get(name) {
-        return kept;
+    if let Some(addresses) = cache.get(name) {
+        return addresses;
     }
     let path = match chat {
         Some(chat) => format!("/v1/addresses?chat={chat}"),
         None => "/v1/addresses".to_owned(),
     };
-    for seed in book.seeds() {
+    for seed in cache.seeds() {
         let request = ClientRequest {
             method: Method::Get,
             path: path.clone(),
@@ -270,9 +270,9 @@
         let response = send_buffered(&seed, &request);
         let found = serde_json::from_slice::<AddressAnswer>(&response.body);
         if let (ClientOutcome::Answered, Ok(found)) = (&response.end, found) {
-            book.insert(name, &found);
+            cache.insert(name, &found);
             return found.addresses;
         }
     }
-    book.seeds()
+    cache.seeds()
 }
--- a/crates/ragwortroad_load/src/lib.rs
+++ b/crates/ragwortroad_load/src/lib.rs
@@ -39,8 +39,8 @@
         call_record::{
             AttemptRecord,
             CallKind,
-            CallRecord, //
-            ClientOutcome,
+            CallRecord,
+            ClientOutcome, //
         },
         latency_set::LatencySummary,
         load_error::LoadError,
@@ -59,8 +59,8 @@
             verify_run, //
         },
         run_report::{
-            OutcomeCount, //
-            RunReport,
+            OutcomeCount,
+            RunReport, //
         },
     };
 }
--- a/crates/ragwortroad_load/src/load_state.rs
+++ b/crates/ragwortroad_load/src/load_state.rs
@@ -30,10 +30,10 @@
     },
     client_request::ClientRequest,
     http_client::{
-        find_addresses, //
+        find_addresses,
         send_buffered,
         send_chat,
-        send_chat_stream,
+        send_chat_stream, //
     },
     latency_set::{
         LatencySet,
--- a/crates/ragwortroad_load/src/run_check.rs
+++ b/crates/ragwortroad_load/src/run_check.rs
@@ -8,8 +8,8 @@
 };
 
 use ragwortroad_standin::{
-    RunRecord, //
-    RunStatus,
+    RunRecord,
+    RunStatus, //
 };
 use ragwortroad_types::prelude::*;
 use serde::{
@@ -19,9 +19,9 @@
 
 use crate::{
     CallKind,
-    CallRecord, //
+    CallRecord,
     ClientOutcome,
-    ResponseFault,
+    ResponseFault, //
 };
 
 /// A violation of a guarantee that the fleet gives.
--- a/crates/ragwortroad_standin/src/engine_control.rs
+++ b/crates/ragwortroad_standin/src/engine_control.rs
@@ -13,8 +13,8 @@
     OrderRecord,
     engine_state::{
         AttemptId,
-        EngineState, //
-        LockedState,
+        EngineState,
+        LockedState, //
     },
     standin_reply::{
         StandinBody,
--- a/crates/ragwortroad_standin/src/engine_handler.rs
+++ b/crates/ragwortroad_standin/src/engine_handler.rs
@@ -21,8 +21,8 @@
     engine_control::{
         export_cache,
         handle_cancel,
-        handle_order, //
-        import_cache,
+        handle_order,
+        import_cache, //
     },
     engine_state::{
         AttemptId,
@@ -30,8 +30,8 @@
     },
     engine_stream::{
         EngineRun,
-        buffered_reply, //
-        streamed_reply,
+        buffered_reply,
+        streamed_reply, //
     },
     expected_tokens::{
         BYTES_PER_TOKEN,
--- a/crates/ragwortroad_standin/src/engine_stream.rs
+++ b/crates/ragwortroad_standin/src/engine_stream.rs
@@ -32,8 +32,8 @@
     batch_semaphore::BatchPermit,
     engine_state::{
         AttemptId,
-        EngineState, //
-        GaugeGuard,
+        EngineState,
+        GaugeGuard, //
     },
     standin_reply::{
         StandinBody,
--- a/crates/ragwortroad_standin/src/lib.rs
+++ b/crates/ragwortroad_standin/src/lib.rs
@@ -41,8 +41,8 @@
         fault_plan::FaultPlan,
         order_record::OrderRecord,
         run_record::{
-            RunRecord, //
-            RunStatus,
+            RunRecord,
+            RunStatus, //
         },
         service_settings::ServiceSettings,
         standin_engine::StandinEngine,
--- a/crates/ragwortroad_standin/src/standin_host.rs
+++ b/crates/ragwortroad_standin/src/standin_host.rs
@@ -17,8 +17,8 @@
     standin_error::ThreadsSnafu,
     standin_reply::StandinReply,
     standin_server::{
-        StandinServer, //
-        StandinState,
+        StandinServer,
+        StandinState, //
     }, //
 };
 
