--- a/crates/ragwortroad_gateway/tests/broken_responses.rs
+++ b/crates/ragwortroad_gateway/tests/broken_responses.rs
@@ -40,7 +40,7 @@
     let (_, body) = response.split_once("\r\n\r\n").unwrap();
     let value: serde_json::Value = serde_json::from_str(body).unwrap();
     let text = value["choices"][0]["message"]["content"].as_str().unwrap();
-    AnswerCheck::new(chat).check_text(text).is_ok()
+    ResponseCheck::new(chat).check_text(text).is_ok()
 }
 
 /// Guards against half a caption, or another studio's, reaching a client: an engine's response is
@@ -48,11 +48,11 @@
 #[test]
 fn a_faulty_complete_response_is_retried_elsewhere() {
     let faults = [
-        fault(|plan| plan.short_body = true),
-        fault(|plan| plan.echo_id = Some("00000000000000aa".to_owned())),
-        fault(|plan| plan.cross_at = Some(0)),
+        fault(|plan| plan.truncate_body = true),
+        fault(|plan| plan.echoed_request_id = Some("00000000000000aa".to_owned())),
+        fault(|plan| plan.foreign_id_from_token = Some(0)),
         fault(|plan| plan.redirect_to = Some("http://192.0.2.9/".to_owned())),
-        fault(|plan| plan.close_unanswered = true),
+        fault(|plan| plan.close_without_response = true),
         fault(|plan| plan.status = Some(503)),
     ];
     for plan in faults {
@@ -82,10 +82,10 @@
         for kind in 0..5 {
             let at = |wanted: u32| (kind == wanted).then_some(token);
             let fault = FaultPlan {
-                die_after_tokens: at(0),
+                close_after_tokens: at(0),
                 stall_after_tokens: at(1).filter(|token| token % 4 == 0),
-                cross_at: at(2),
-                double_token: at(3),
+                foreign_id_from_token: at(2),
+                duplicate_token: at(3),
                 skip_token: at(4),
                 ..FaultPlan::default()
             };
@@ -111,7 +111,7 @@
 /// the body cleanly but without the final marker.
 #[test]
 fn a_stream_without_its_final_marker_is_incomplete() {
-    let fleet = fleet_with(fault(|plan| plan.drop_marker = true));
+    let fleet = fleet_with(fault(|plan| plan.omit_done_marker = true));
     let chat = chat_body(true);
     let response = fleet.chat(&chat, "");
     assert!(is_own_response(&response, &chat), "{response}");
@@ -128,7 +128,7 @@
 /// only engine dies in the middle of the stream.
 #[test]
 fn a_stream_that_cannot_resume_ends_in_a_typed_error() {
-    let fleet = fleet_with(fault(|plan| plan.die_after_tokens = Some(5)));
+    let fleet = fleet_with(fault(|plan| plan.close_after_tokens = Some(5)));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
     let response = fleet.chat(&chat_body(true), "");
     let (_, ended) = stream_text(&response.replace("data: {\"error\"", "error: {\"error\""));
@@ -143,7 +143,7 @@
 /// the control thread refuses the retry as not run, which holds for the retry alone.
 #[test]
 fn a_request_that_was_sent_is_never_refused_as_not_run() {
-    let fleet = fleet_with(fault(|plan| plan.close_unanswered = true));
+    let fleet = fleet_with(fault(|plan| plan.close_without_response = true));
     fleet.control.routes.lock().unwrap().refuse_retries = true;
     let refusal = refusal_of(&fleet.chat(&chat_body(false), ""));
     assert_eq!(refusal.outcome, RequestOutcome::Unknown);
@@ -155,9 +155,9 @@
 #[test]
 fn a_booking_with_a_broken_response_is_not_retried() {
     let faults = [
-        fault(|plan| plan.close_unanswered = true),
-        fault(|plan| plan.short_body = true),
-        fault(|plan| plan.echo_id = Some("00000000000000aa".to_owned())),
+        fault(|plan| plan.close_without_response = true),
+        fault(|plan| plan.truncate_body = true),
+        fault(|plan| plan.echoed_request_id = Some("00000000000000aa".to_owned())),
     ];
     for fault in faults {
         let fleet = fleet_with(fault);
@@ -210,7 +210,7 @@
 /// after the client gave up, and whether the booking ran is unknown.
 #[test]
 fn a_response_after_the_deadline_is_not_forwarded() {
-    let fleet = fleet_with(fault(|plan| plan.answer_delay = Duration::from_secs(60)));
+    let fleet = fleet_with(fault(|plan| plan.response_delay = Duration::from_secs(60)));
     let response = fleet.book("x-deadline-ms: 500\r\n");
     let refusal = refusal_of(&response);
     assert_eq!(refusal.code, RefusalCode::DeadlinePassed);
@@ -218,7 +218,7 @@
     let response = fleet.chat(&chat_body(false), "x-deadline-ms: 500\r\n");
     assert_eq!(refusal_of(&response).code, RefusalCode::DeadlinePassed);
     fleet.wait_for("the engine's work is cancelled", |fleet| {
-        fleet.engines[0].records()[0].end == RunEnd::Cancelled
+        fleet.engines[0].records()[0].end == RunStatus::Cancelled
     });
     let outcomes = fleet.stop().outcomes();
     assert_eq!(
--- a/crates/ragwortroad_gateway/tests/client_faults.rs
+++ b/crates/ragwortroad_gateway/tests/client_faults.rs
@@ -265,12 +265,14 @@
         }
         client.shutdown(Shutdown::Both).unwrap();
         fleet.wait_for("the engine cancels the request", |fleet| {
-            runs(fleet).iter().all(|run| run.end == RunEnd::Cancelled)
+            runs(fleet)
+                .iter()
+                .all(|run| run.end == RunStatus::Cancelled)
         });
         // The closed connection alone may end the work; an engine that does not watch it gets a
         // cancellation.
         fleet.wait_for("the engine gets a cancellation", |fleet| {
-            let cancelled_ids = fleet.engines[0].cancels();
+            let cancelled_ids = fleet.engines[0].cancelled_requests();
             runs(fleet)
                 .iter()
                 .all(|run| cancelled_ids.contains(&run.request_id))
@@ -308,7 +310,7 @@
     let good = chat_body(true);
     assert!(is_own_response(&fleet.chat(&good, ""), &good));
     fleet.wait_for("the engine cancels the request", |fleet| {
-        fleet.engines[0].records()[0].end == RunEnd::Cancelled
+        fleet.engines[0].records()[0].end == RunStatus::Cancelled
     });
     fleet.stop();
 }
--- a/crates/ragwortroad_gateway/tests/common/test_fleet.rs
+++ b/crates/ragwortroad_gateway/tests/common/test_fleet.rs
@@ -161,7 +161,7 @@
 /// Whether a streamed response is complete and has the expected text for the chat.
 pub fn is_own_response(response: &str, chat: &ChatBody) -> bool {
     let (text, ended) = stream_text(response);
-    ended && AnswerCheck::new(chat).check_text(&text).is_ok()
+    ended && ResponseCheck::new(chat).check_text(&text).is_ok()
 }
 
 /// The refusal in a response in raw bytes.
--- a/crates/ragwortroad_load/src/caller_request.rs
+++ b/crates/ragwortroad_load/src/client_request.rs
@@ -7,13 +7,13 @@
 use ragwortroad_types::prelude::*;
 
 use crate::{
-    AttemptNote,
-    CallEnd,
-    event_reader::UsageFigures, //
+    AttemptRecord,
+    ClientOutcome,
+    event_reader::TokenUsage, //
 };
 
-/// One request as it goes to a node.
-pub(crate) struct CallerRequest<'call> {
+/// One request to a node.
+pub(crate) struct ClientRequest<'call> {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) body: String,
@@ -24,22 +24,22 @@
     pub(crate) deadline: Duration,
 }
 
-/// What came back from one sending.
-pub(crate) struct CallerAnswer {
-    pub(crate) note: AttemptNote,
-    pub(crate) end: CallEnd,
+/// The result of one attempt.
+pub(crate) struct ClientResponse {
+    pub(crate) attempt: AttemptRecord,
+    pub(crate) end: ClientOutcome,
     pub(crate) refusal: Option<Box<RefusalWire>>,
     pub(crate) hint: Option<String>,
-    /// The node to send the chat's next request to.
+    /// The node that should get the chat's next request, from `X-Next-Node`.
     pub(crate) next_node: Option<String>,
     pub(crate) first_token: Option<Instant>,
-    pub(crate) usage: UsageFigures,
+    pub(crate) usage: TokenUsage,
     pub(crate) body: Vec<u8>,
 }
 
-impl CallerAnswer {
+impl ClientResponse {
     pub(crate) fn unreachable(address: &str) -> Self {
-        let note = AttemptNote {
+        let attempt = AttemptRecord {
             address: address.to_owned(),
             request_id: None,
             status: None,
@@ -47,22 +47,22 @@
             code: None,
         };
         Self {
-            note,
-            end: CallEnd::Unreachable,
+            attempt,
+            end: ClientOutcome::Unreachable,
             refusal: None,
             hint: None,
             next_node: None,
             first_token: None,
-            usage: UsageFigures::default(),
+            usage: TokenUsage::default(),
             body: Vec::new(),
         }
     }
 
-    pub(crate) fn take_refusal(&mut self, refusal: RefusalWire) {
+    pub(crate) fn record_refusal(&mut self, refusal: RefusalWire) {
         let detail = &refusal.error;
-        self.note.outcome = Some(detail.outcome);
-        self.note.code = Some(detail.code);
-        self.end = CallEnd::Refused(detail.outcome, detail.code);
+        self.attempt.outcome = Some(detail.outcome);
+        self.attempt.code = Some(detail.code);
+        self.end = ClientOutcome::Refused(detail.outcome, detail.code);
         self.refusal = Some(Box::new(refusal));
     }
 }
--- a/crates/ragwortroad_load/src/lib.rs
+++ b/crates/ragwortroad_load/src/lib.rs
@@ -1,8 +1,8 @@
-//! Open-loop load, reports with percentiles, and checks of what callers saw.
+//! Open-loop load generator with latency percentiles and checks of the clients' results.
 //!
-//! Arrivals are fixed from a seed before the run, and every latency counts from the moment a
-//! request was due, so that a slow answer does not hide the queue behind it. Afterwards the checks
-//! compare what callers saw with what endpoints wrote down.
+//! Arrivals are generated from a seed before the run, and every latency is measured from the
+//! request's due time, so that a slow response doesn't hide the queue behind it. After the run,
+//! checks compare the clients' records with those of the endpoints.
 //!
 //! ```
 //! use ragwortroad_load::prelude::*;
@@ -16,35 +16,31 @@
 //! # Ok::<(), LoadError>(())
 //! ```
 
-mod address_book;
-mod answer_check;
+mod address_cache;
 mod arrival_plan;
-mod call_note;
+mod call_record;
 mod call_retry;
-mod caller_client;
-mod caller_request;
 mod chat_script;
+mod client_request;
 mod event_reader;
+mod http_client;
 mod latency_set;
 mod load_error;
 mod load_run;
 mod load_settings;
 mod load_state;
+mod response_check;
 mod run_check;
 mod run_report;
 
-/// Everything a dependent crate usually needs.
+/// Re-exports of the items that dependent crates usually need.
 pub mod prelude {
     pub use crate::{
-        answer_check::{
-            AnswerCheck,
-            AnswerFault, //
-        },
-        call_note::{
-            AttemptNote,
-            CallEnd,
+        call_record::{
+            AttemptRecord,
             CallKind,
-            CallNote, //
+            CallRecord,
+            ClientOutcome, //
         },
         latency_set::LatencySummary,
         load_error::LoadError,
@@ -54,13 +50,17 @@
             LoadSettings,
             SurgePlan, //
         },
+        response_check::{
+            ResponseCheck,
+            ResponseFault, //
+        },
         run_check::{
             RunViolation,
             verify_run, //
         },
         run_report::{
-            OutcomeCount, //
-            RunReport,
+            OutcomeCount,
+            RunReport, //
         },
     };
 }
--- a/crates/ragwortroad_standin/src/lib.rs
+++ b/crates/ragwortroad_standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for model engines and plain services, well behaved and not.
+//! Stand-ins for model engines and plain services, with fault injection.
 //!
-//! They speak the real interfaces over real sockets, announce themselves, and write down what they
-//! ran, so that a check rests on what endpoints saw and not on what the fleet says of itself.
-//! Faults can be set at any time through a [`FaultPlan`].
+//! They serve the real interfaces over real sockets, announce themselves, and record the requests
+//! they run, so that checks rely on the endpoints' records and not on what the fleet reports
+//! about itself. Faults can be injected at any time through a [`FaultPlan`].
 //!
 //! ```
 //! use ragwortroad_standin::prelude::*;
@@ -14,13 +14,13 @@
 //! ```
 
 mod announce_loop;
-mod answer_tokens;
-mod batch_gate;
+mod batch_semaphore;
+mod engine_control;
 mod engine_handler;
-mod engine_pages;
 mod engine_settings;
 mod engine_state;
 mod engine_stream;
+mod expected_tokens;
 mod fault_plan;
 mod order_record;
 mod prefix_cache;
@@ -30,19 +30,19 @@
 mod standin_error;
 mod standin_host;
 mod standin_reply;
+mod standin_server;
 mod standin_service;
-mod standin_shell;
 
-/// Everything a dependent crate usually needs.
+/// Re-exports of the items that dependent crates usually need.
 pub mod prelude {
     pub use crate::{
-        answer_tokens::answer_tokens,
         engine_settings::EngineSettings,
+        expected_tokens::expected_tokens,
         fault_plan::FaultPlan,
         order_record::OrderRecord,
         run_record::{
-            RunEnd,
-            RunRecord, //
+            RunRecord,
+            RunStatus, //
         },
         service_settings::ServiceSettings,
         standin_engine::StandinEngine,
--- a/crates/ragwortroad_standin/src/standin_shell.rs
+++ b/crates/ragwortroad_standin/src/standin_server.rs
@@ -36,8 +36,8 @@
 
 use crate::{
     FaultPlan,
-    RunEnd,
     RunRecord,
+    RunStatus,
     StandinError,
     standin_error::{
         ListenSnafu,
@@ -46,20 +46,20 @@
     standin_reply::StandinReply, //
 };
 
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1024;
 
-/// How often a stand-in that refuses connections looks whether it may listen again.
-const LISTEN_POLL: Duration = Duration::from_millis(20);
+/// Interval at which a stand-in checks whether to refuse connections or to listen again.
+const LISTEN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What every stand-in has: faults that are set, and records of what it ran.
-pub(crate) struct ShellState {
+/// State of every stand-in: its injected faults and its run records.
+pub(crate) struct StandinState {
     started: Instant,
     faults: Mutex<FaultPlan>,
     records: Mutex<Vec<RunRecord>>,
 }
 
-impl ShellState {
+impl StandinState {
     pub(crate) fn new() -> Self {
         Self {
             started: Instant::now(),
@@ -80,14 +80,15 @@
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = plan;
     }
 
-    /// The faults for one more request, which counts as one of those they apply to.
+    /// Returns the faults for the next request and counts the request against
+    /// [`FaultPlan::max_requests`].
     pub(crate) fn next_faults(&self) -> FaultPlan {
         let mut plan = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
-        match &mut plan.requests {
+        match &mut plan.max_requests {
             None => plan.clone(),
             Some(0) => FaultPlan::default(),
-            Some(left) => {
-                *left -= 1;
+            Some(remaining) => {
+                *remaining -= 1;
                 plan.clone()
             }
         }
@@ -103,25 +104,25 @@
         records.clone()
     }
 
-    /// Writes down that a run begins, and returns its place.
+    /// Records the start of a run and returns the index of its record.
     pub(crate) fn begin_run(&self, record: RunRecord) -> usize {
         let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
         records.push(record);
         records.len() - 1
     }
 
-    pub(crate) fn change_run(&self, place: usize, change: impl FnOnce(&mut RunRecord)) {
+    pub(crate) fn update_run(&self, run_index: usize, change: impl FnOnce(&mut RunRecord)) {
         let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(record) = records.get_mut(place) {
+        if let Some(record) = records.get_mut(run_index) {
             change(record);
         }
     }
 
-    /// Writes down how a run ended, once.
-    pub(crate) fn end_run(&self, place: usize, end: RunEnd) {
+    /// Records the end of a run, unless it has already ended.
+    pub(crate) fn end_run(&self, run_index: usize, end: RunStatus) {
         let now = self.elapsed_ms();
-        self.change_run(place, |record| {
-            if record.end == RunEnd::Running {
+        self.update_run(run_index, |record| {
+            if record.end == RunStatus::Running {
                 record.end = end;
                 record.ended_ms = Some(now);
             }
@@ -131,20 +132,19 @@
 
 /// The threads and sockets of one stand-in.
 ///
-/// The stand-ins are servers on `hyper`: `tiny_http` gives no hold on its connections, so a
-/// stand-in on it could neither break off in the middle of an answer nor stop serving connections
-/// that are open, and those are the faults that matter most.
-pub(crate) struct StandinShell {
+/// Stand-ins use `hyper` since `tiny_http` gives no control over its connections: it can neither
+/// abort a response midway nor close open connections, and those are the most important faults.
+pub(crate) struct StandinServer {
     address: SocketAddr,
     runtime: Runtime,
 }
 
-impl StandinShell {
-    /// Listens, and serves each request by `handle`.
+impl StandinServer {
+    /// Starts listening, and serves each request with `handle`.
     pub(crate) fn start<Handle, Reply>(
         listen: SocketAddr,
         threads: usize,
-        state: Arc<ShellState>,
+        state: Arc<StandinState>,
         handle: Handle,
     ) -> Result<Self, StandinError>
     where
@@ -158,7 +158,7 @@
             .build()
             .context(ThreadsSnafu)?;
         let listener = {
-            let _entered = runtime.enter();
+            let _guard = runtime.enter();
             bind(listen).context(ListenSnafu { address: listen })?
         };
         let address = listener
@@ -172,13 +172,14 @@
         self.address
     }
 
-    /// Cuts every connection and joins the threads.
+    /// Closes all connections and joins the threads.
     pub(crate) fn stop(self) {
         drop(self.runtime);
     }
 }
 
-/// Listens at an address, also right after another listener there closed. Needs a runtime.
+/// Binds a listener, even if a previous listener on the address has just closed. Must be called
+/// within a Tokio runtime.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
@@ -186,34 +187,34 @@
     }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 async fn serve<Handle, Reply>(
     listener: TcpListener,
     address: SocketAddr,
-    state: Arc<ShellState>,
+    state: Arc<StandinState>,
     handle: Handle,
 ) where
     Handle: Fn(Request<Incoming>) -> Reply + Clone + Send + Sync + 'static,
     Reply: Future<Output = StandinReply> + Send + 'static,
 {
-    let mut waiting = Some(listener);
+    let mut bound_listener = Some(listener);
     loop {
-        let bound = waiting.take().map_or_else(|| bind(address), Ok);
-        let Ok(listener) = bound else {
-            sleep(LISTEN_POLL).await;
+        let listener = bound_listener.take().map_or_else(|| bind(address), Ok);
+        let Ok(listener) = listener else {
+            sleep(LISTEN_POLL_INTERVAL).await;
             continue;
         };
         accept(listener, &state, &handle).await;
         while state.refuses_connections() {
-            sleep(LISTEN_POLL).await;
+            sleep(LISTEN_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Accepts connections until the faults say to refuse them; that also cuts those that are open.
-async fn accept<Handle, Reply>(listener: TcpListener, state: &Arc<ShellState>, handle: &Handle)
+/// Accepts connections until the faults say to refuse them, then closes all open connections.
+async fn accept<Handle, Reply>(listener: TcpListener, state: &Arc<StandinState>, handle: &Handle)
 where
     Handle: Fn(Request<Incoming>) -> Reply + Clone + Send + Sync + 'static,
     Reply: Future<Output = StandinReply> + Send + 'static,
@@ -231,12 +232,12 @@
                     .serve_connection(TokioIo::new(stream), service);
                 connections.spawn(async move {
                     if let Err(error) = connection.await {
-                        tracing::debug!(%error, "a stand-in's connection ended");
+                        tracing::debug!(%error, "stand-in connection ended with an error");
                     }
                 });
             }
             Some(_) = connections.join_next() => {}
-            () = sleep(LISTEN_POLL) => {}
+            () = sleep(LISTEN_POLL_INTERVAL) => {}
         }
     }
 }
--- a/crates/ragwortroad_standin/src/standin_service.rs
+++ b/crates/ragwortroad_standin/src/standin_service.rs
@@ -24,11 +24,11 @@
 
 use crate::{
     FaultPlan,
-    RunEnd,
     RunRecord,
+    RunStatus,
     ServiceSettings,
     StandinError,
-    engine_state::CountGuard,
+    engine_state::GaugeGuard,
     standin_host::{
         HostSettings,
         StandinHost, //
@@ -38,36 +38,36 @@
         header_text,
         json_reply,
         redirect_reply,
-        short_reply, //
+        truncated_reply, //
     },
-    standin_shell::ShellState, //
+    standin_server::StandinState, //
 };
 
-/// What all requests of one stand-in service share.
+/// State that all requests of one stand-in service share.
 struct ServiceState {
     settings: ServiceSettings,
-    shell: Arc<ShellState>,
+    standin: Arc<StandinState>,
     leaving: AtomicBool,
     running: AtomicU32,
     sequence: AtomicU64,
 }
 
-/// A stand-in for a plain service, such as bookings.
+/// A stand-in for a replica of a plain service, such as bookings.
 ///
-/// It runs whatever it gets, as often as it gets it: that nothing runs twice is for the fleet to
-/// see to, and its records show whether it did.
+/// It doesn't deduplicate requests: the fleet must ensure that nothing runs twice, and the
+/// service's records show whether it did.
 pub struct StandinService {
     state: Arc<ServiceState>,
     host: StandinHost,
 }
 
 impl StandinService {
-    /// Listens, and announces itself if it was told to whom.
+    /// Starts listening, and announcing itself if the settings name nodes to announce to.
     pub fn start(settings: ServiceSettings) -> Result<Self, StandinError> {
-        let record = Arc::new(ShellState::new());
+        let standin = Arc::new(StandinState::new());
         let state = Arc::new(ServiceState {
             settings,
-            shell: Arc::clone(&record),
+            standin: Arc::clone(&standin),
             leaving: AtomicBool::new(false),
             running: AtomicU32::new(0),
             sequence: AtomicU64::new(0),
@@ -78,50 +78,50 @@
             announce_to: state.settings.announce_to.clone(),
             join_secret: state.settings.join_secret.clone(),
         };
-        let (handled, announced) = (Arc::clone(&state), Arc::clone(&state));
+        let (handler_state, announcer_state) = (Arc::clone(&state), Arc::clone(&state));
         let host = StandinHost::start(
             host,
-            record,
-            move |request| handle_service(Arc::clone(&handled), request),
-            move |address, epoch| announced.announce(address, epoch),
+            standin,
+            move |request| handle_service(Arc::clone(&handler_state), request),
+            move |address, epoch| announcer_state.announce(address, epoch),
         )?;
         Ok(Self { state, host })
     }
 
-    /// The name it announces itself by.
+    /// Endpoint name in its announcements.
     pub fn name(&self) -> &str {
         &self.state.settings.name
     }
 
-    /// Where it takes requests.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
 
-    /// The moment from which the times in its records count.
+    /// Start time, which the times in its records are relative to.
     pub fn started(&self) -> Instant {
-        self.state.shell.started()
+        self.state.standin.started()
     }
 
-    /// From now on misbehaves in this way.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, plan: FaultPlan) {
-        self.state.shell.set_faults(plan);
+        self.state.standin.set_faults(plan);
     }
 
-    /// From now on announces that it will stop.
-    pub fn leave(&self) {
+    /// Marks all further announcements as leaving.
+    pub fn announce_leaving(&self) {
         self.state.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Every request it ran, in order.
+    /// Records of all requests that it has run, in order.
     pub fn records(&self) -> Vec<RunRecord> {
-        self.state.shell.records()
+        self.state.standin.records()
     }
 
-    /// Cuts every connection and joins its threads. Returns what it ran.
+    /// Closes all connections and stops its threads. Returns all records.
     pub fn stop(self) -> Vec<RunRecord> {
         self.host.stop();
-        self.state.shell.records()
+        self.state.standin.records()
     }
 }
 
@@ -152,10 +152,10 @@
 }
 
 async fn handle_service(state: Arc<ServiceState>, request: Request<Incoming>) -> StandinReply {
-    let _running = CountGuard::new(&state.running);
+    let _running = GaugeGuard::new(&state.running);
     let (parts, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let faults = state.shell.next_faults();
+    let faults = state.standin.next_faults();
     let text = |name| header_text(&parts.headers, name).map(str::to_owned);
     let request_id = text("x-request-id").unwrap_or_default();
     if let Some(status) = faults.status {
@@ -167,7 +167,7 @@
     }
     let body_hash = xxhash_rust::xxh3::xxh3_64(&body);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let place = state.shell.begin_run(RunRecord {
+    let run_index = state.standin.begin_run(RunRecord {
         endpoint: state.settings.name.clone(),
         request_id: request_id.clone(),
         customer: text("x-customer").unwrap_or_default(),
@@ -175,17 +175,17 @@
         path: path.to_owned(),
         idempotency_key: text("idempotency-key"),
         body_hash,
-        began_ms: state.shell.elapsed_ms(),
+        began_ms: state.standin.elapsed_ms(),
         ended_ms: None,
-        end: RunEnd::Running,
+        end: RunStatus::Running,
         from_token: 0,
         tokens: 0,
         cached_tokens: 0,
         prompt_tokens: 0,
     });
-    sleep(state.settings.work_time + faults.answer_delay).await;
-    let echo = faults.echo_id.as_deref().unwrap_or(&request_id);
-    let answer = json!({
+    sleep(state.settings.work_time + faults.response_delay).await;
+    let echoed_id = faults.echoed_request_id.as_deref().unwrap_or(&request_id);
+    let response = json!({
         "service": state.settings.service,
         "endpoint": state.settings.name,
         "method": parts.method.as_str(),
@@ -193,30 +193,30 @@
         "body_hash": format!("{body_hash:016x}"),
         "body_length": body.len(),
         "idempotency_key": text("idempotency-key"),
-        "run": place,
+        "run": run_index,
     });
-    finish_call(&state, place, &faults, echo, &answer)
+    finish_request(&state, run_index, &faults, echoed_id, &response)
 }
 
-fn finish_call(
+fn finish_request(
     state: &ServiceState,
-    place: usize,
+    run_index: usize,
     faults: &FaultPlan,
-    echo: &str,
-    answer: &serde_json::Value,
+    echoed_id: &str,
+    response: &serde_json::Value,
 ) -> StandinReply {
-    if faults.close_unanswered {
-        state.shell.end_run(place, RunEnd::Cut);
+    if faults.close_without_response {
+        state.standin.end_run(run_index, RunStatus::Cut);
         return Err(io::ErrorKind::ConnectionReset.into());
     }
     if let Some(location) = &faults.redirect_to {
-        state.shell.end_run(place, RunEnd::Completed);
-        return Ok(redirect_reply(echo, location));
+        state.standin.end_run(run_index, RunStatus::Completed);
+        return Ok(redirect_reply(echoed_id, location));
     }
-    if faults.short_body {
-        state.shell.end_run(place, RunEnd::Cut);
-        return Ok(short_reply(echo, answer));
+    if faults.truncate_body {
+        state.standin.end_run(run_index, RunStatus::Cut);
+        return Ok(truncated_reply(echoed_id, response));
     }
-    state.shell.end_run(place, RunEnd::Completed);
-    Ok(json_reply(200, echo, answer))
+    state.standin.end_run(run_index, RunStatus::Completed);
+    Ok(json_reply(200, echoed_id, response))
 }
--- a/src/commands/operator.rs
+++ b/src/commands/operator.rs
@@ -59,7 +59,7 @@
 }
 
 /// Prints the human-readable text of an answer, or its whole JSON object.
-fn print_answer(answer: Result<LineAnswer, DemoError>, as_json: bool) -> ExitStatus {
+fn print_answer(answer: Result<LineResponse, DemoError>, as_json: bool) -> ExitStatus {
     let answer = match answer {
         Ok(answer) => answer,
         Err(error) => {
--- a/src/commands/timeline.rs
+++ b/src/commands/timeline.rs
@@ -26,7 +26,7 @@
             return ExitStatus::BadInput;
         }
     };
-    let timeline = match gather_timeline(&client, &filter) {
+    let timeline = match collect_timeline(&client, &filter) {
         Ok(timeline) => timeline,
         Err(error) => {
             eprintln!("{error}");
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -109,7 +109,7 @@
     .unwrap();
     fleet.declare().unwrap();
     let key = fleet.folder.path().join("key");
-    let node = fleet.caller_addresses().remove(0);
+    let node = fleet.client_addresses().remove(0);
     let change = |secret: &str, line: &str| {
         fs::write(&key, secret).unwrap();
         run(&[
--- a/tests/interface_samples.rs
+++ b/tests/interface_samples.rs
@@ -39,7 +39,7 @@
         rows == Some(3)
     })
     .unwrap();
-    let addresses = fleet.caller_addresses();
+    let addresses = fleet.client_addresses();
     let mut actual = String::new();
     let mut samples = 0;
     for (number, part) in page.split("```").enumerate() {
