--- a/crates/ragwortroad_demo/src/small_fleet.rs
+++ b/crates/ragwortroad_demo/src/small_fleet.rs
@@ -170,7 +170,7 @@
             let is_inside = numbers.contains(&number);
             let others = (0..self.nodes.len()).filter(|other| numbers.contains(other) != is_inside);
             if let Some(node) = node {
-                node.gate().block(others.map(id));
+                node.partition_filter().block(others.map(id));
             }
         }
     }
@@ -178,7 +178,7 @@
     /// Heals all links.
     pub fn heal(&self) {
         for node in self.nodes.iter().flatten() {
-            node.gate().unblock_all();
+            node.partition_filter().unblock_all();
         }
     }
 
--- a/crates/ragwortroad_language/src/help_text.rs
+++ b/crates/ragwortroad_language/src/help_text.rs
@@ -1,4 +1,4 @@
-/// The answer to `help`: an overview of queries and changes.
+/// The text shown for `help`: an overview of queries and changes.
 pub const HELP_TEXT: &str = "\
 Questions:
   show TOPIC [where FIELD = VALUE [and FIELD != < > VALUE]...]
--- a/crates/ragwortroad_language/src/lib.rs
+++ b/crates/ragwortroad_language/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' query and command language.
 //!
 //! [`parse_line`] parses a line into a [`Statement`], [`edit_text`] formats an edit as a line, and
-//! [`ResultTable`] is the answer to a query, as text or JSON.
+//! [`ResultTable`] is the result of a query, as text or JSON.
 //!
 //! ```
 //! use ragwortroad_language::prelude::*;
--- a/crates/ragwortroad_language/src/table/mod.rs
+++ b/crates/ragwortroad_language/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! Answers in the form of tables.
+//! Query results as tables.
 
 mod cell_value;
 mod result_table;
--- a/crates/ragwortroad_language/src/table/result_table.rs
+++ b/crates/ragwortroad_language/src/table/result_table.rs
@@ -10,7 +10,7 @@
     ShowTopic, //
 };
 
-/// The table that answers a query.
+/// The table that holds the result of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResultTable {
     topic: ShowTopic,
--- a/crates/ragwortroad_membership/src/endpoint_record.rs
+++ b/crates/ragwortroad_membership/src/endpoint_record.rs
@@ -40,7 +40,7 @@
     pub models: Vec<ModelOffer>,
     /// Number of requests processed concurrently; more are queued.
     pub capacity: u32,
-    /// Whether the endpoint rejects orders with an outdated fencing number.
+    /// Whether the endpoint rejects orders with an outdated fencing token.
     pub checks_fencing: bool,
     /// Incremented whenever the endpoint restarts.
     pub incarnation: u64,
--- a/crates/ragwortroad_membership/src/home_claim.rs
+++ b/crates/ragwortroad_membership/src/home_claim.rs
@@ -13,7 +13,7 @@
 /// The endpoint chooses its home. It may switch to another node at any time, under a higher epoch.
 /// The transit time of an announcement is unknown, so an announcement alone does not prove that the
 /// endpoint still uses this home. But within one epoch an endpoint sends the next announcement only
-/// after it received the answer to the last one. A second announcement thus proves that the
+/// after it received the response to the last one. A second announcement thus proves that the
 /// endpoint still used this home when the first one was answered. The lease therefore starts at the
 /// previous answer. A new home that waits longer than one lease after the first announcement it
 /// receives cannot overlap with the previous home, no matter which messages were delayed or which
--- a/crates/ragwortroad_membership/src/table/home_placement.rs
+++ b/crates/ragwortroad_membership/src/table/home_placement.rs
@@ -14,7 +14,7 @@
     }, //
 };
 
-/// Maximum number of addresses in the answer to an announcement.
+/// Maximum number of addresses in the response to an announcement.
 const MAX_ANNOUNCE_ADDRESSES: usize = 4;
 /// Announcement interval for an endpoint whose home is not confirmed yet, or which should switch to
 /// another home.
@@ -30,9 +30,9 @@
             .unwrap_or(self.own)
     }
 
-    /// Builds the answer to an announcement of `endpoint`. Call it after [`handle`](Self::handle)
+    /// Builds the response to an announcement of `endpoint`. Call it after [`handle`](Self::handle)
     /// has processed the announcement.
-    pub fn announce_answer(&self, endpoint: EndpointId, now: ClockTime) -> AnnounceResponse {
+    pub fn announce_response(&self, endpoint: EndpointId, now: ClockTime) -> AnnounceResponse {
         let zone = self
             .endpoints
             .record(endpoint)
--- a/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
@@ -369,7 +369,7 @@
             return;
         };
         let start = Instant::now();
-        let answer = table.announce_answer(id, clock);
+        let answer = table.announce_response(id, clock);
         self.table_time += start.elapsed();
         if let Some(delay) = self.network.announce_delay(&self.nodes[node]) {
             let (to, every) = (answer.announce_to, answer.every_ms);
--- a/crates/ragwortroad_membership/tests/handover.rs
+++ b/crates/ragwortroad_membership/tests/handover.rs
@@ -175,7 +175,7 @@
     fleet.input(0, GossipInput::LeaveStarted);
     assert!(!fleet.admits(0));
     let engine = EndpointId::from_name("engine");
-    let answer = fleet.tables[0].announce_answer(engine, fleet.now);
+    let answer = fleet.tables[0].announce_response(engine, fleet.now);
     let own = fleet.tables[0]
         .node(fleet.id(0))
         .unwrap()
--- a/crates/ragwortroad_node/src/control/address_flow.rs
+++ b/crates/ragwortroad_node/src/control/address_flow.rs
@@ -1,4 +1,4 @@
-//! Selects the node addresses that a caller should connect to.
+//! Selects the node addresses that a client should connect to.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 
 const MAX_ADDRESSES: usize = 3;
 
-/// How long a caller may cache the addresses.
+/// How long a client may cache the addresses.
 ///
-/// A longer time saves lookups; a shorter one moves callers sooner when a chat gets another home. A
+/// A longer time saves lookups; a shorter one moves clients sooner when a chat gets another home. A
 /// stale address costs one extra message between nodes for each request, but never correctness.
 const ADDRESS_TTL: Duration = Duration::from_secs(30);
 
 impl ControlState {
-    /// Returns the addresses for a caller, the preferred one first.
+    /// Returns the addresses for a client, the preferred one first.
     pub(crate) fn addresses(
         &mut self,
         call: &AddressCall,
--- a/crates/ragwortroad_node/src/control/admit_flow.rs
+++ b/crates/ragwortroad_node/src/control/admit_flow.rs
@@ -1,4 +1,4 @@
-//! Admission: authenticates the caller, resolves the target, and checks limits and retries.
+//! Admission: authenticates the client, resolves the target, and checks limits and retries.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 /// Approximate bytes of prompt text in one token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Retry delay sent to a caller when this node can't confirm that its configuration is current.
+/// Retry delay sent to a client when this node can't confirm that its configuration is current.
 const NOT_CURRENT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A refusal that doesn't carry its request's id yet.
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Sets the delay after which the caller may retry.
+    /// Sets the delay after which the client may retry.
     pub(crate) fn with_retry_after(self, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
@@ -297,7 +297,7 @@
         })
     }
 
-    /// Converts a refusal to the form sent to the caller. Adds the addresses of other nodes if the
+    /// Converts a refusal to the form sent to the client. Adds the addresses of other nodes if the
     /// refusal concerns only this node.
     pub(crate) fn refusal_wire(&self, request: RequestId, refusal: AdmitRefusal) -> RefusalWire {
         let AdmitRefusal {
--- a/crates/ragwortroad_node/src/control/claim_flow.rs
+++ b/crates/ragwortroad_node/src/control/claim_flow.rs
@@ -31,7 +31,7 @@
 /// How long an attempt waits for its claim before it is refused as not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Retry delay sent to a caller whose idempotency key may still be granted or completed.
+/// Retry delay sent to a client whose idempotency key may still be granted or completed.
 const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl ControlState {
@@ -170,20 +170,20 @@
                 self.limiter.finish(attempt.customer_key, attempt.tokens, 0);
                 let detail = "recorded answer returned".to_owned();
                 self.record_attempt_event(EventKind::ClaimFinished, &attempt, detail);
-                let answer = RecordedResponse {
+                let response = RecordedResponse {
                     status: answer.status,
                     content_type: answer.content_type,
                     body: answer.body,
                 };
-                send_reply(&attempt.reply, AdmitReply::Recorded(answer));
+                send_reply(&attempt.reply, AdmitReply::Recorded(response));
             }
             other => {
                 let (outcome, code) = other
                     .refusal()
                     .unwrap_or((RequestOutcome::Unknown, RefusalCode::InternalFault));
                 self.limiter.finish(attempt.customer_key, attempt.tokens, 0);
-                // A retry helps only while the key's outcome can still change; with a retry delay
-                // for a spent key the caller would retry forever.
+                // A retry helps only while the key's outcome can still change; if a refusal for a
+                // key with a final outcome had a retry delay, the client would retry forever.
                 let may_change = matches!(
                     code,
                     RefusalCode::KeyInProgress | RefusalCode::ClaimUnavailable
--- a/crates/ragwortroad_node/src/control/control_state.rs
+++ b/crates/ragwortroad_node/src/control/control_state.rs
@@ -109,7 +109,7 @@
 /// How the control thread ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ThreadEnd {
-    /// Orderly: the peers are told.
+    /// Orderly: the other nodes are notified.
     Stop,
     /// As if the process were killed.
     Crash,
@@ -206,12 +206,12 @@
             ControlCall::Admit(call, reply) => self.admit(call, reply, now),
             ControlCall::Finish(finish) => self.finish(finish, now),
             ControlCall::Addresses(call, reply) => {
-                let answer = self.addresses(&call, now);
-                send_reply(&reply, answer);
+                let response = self.addresses(&call, now);
+                send_reply(&reply, response);
             }
             ControlCall::Announce(call, reply) => {
-                let answer = self.announce(call, now);
-                send_reply(&reply, answer);
+                let response = self.announce(call, now);
+                send_reply(&reply, response);
             }
             ControlCall::Operator(call, reply) => self.handle_operator(call, reply, now),
         }
@@ -304,9 +304,9 @@
     }
 }
 
-/// Replies to a traffic thread; a caller that has disconnected needs no reply.
-pub(crate) fn send_reply<T>(reply: &flume::Sender<T>, answer: T) {
-    if reply.try_send(answer).is_err() {
-        tracing::debug!("caller disconnected before the reply");
+/// Replies to a traffic thread; a client that has disconnected needs no reply.
+pub(crate) fn send_reply<T>(reply: &flume::Sender<T>, value: T) {
+    if reply.try_send(value).is_err() {
+        tracing::debug!("client disconnected before the reply");
     }
 }
--- a/crates/ragwortroad_node/src/control/endpoint_flow.rs
+++ b/crates/ragwortroad_node/src/control/endpoint_flow.rs
@@ -50,7 +50,7 @@
             self.route.observe_report(endpoint, load, now);
             self.route.observe_cache(endpoint, &events, now);
         }
-        Ok(self.membership.announce_answer(endpoint, now))
+        Ok(self.membership.announce_response(endpoint, now))
     }
 
     /// Replaces the load in an announcement by this node's own count if this node is the endpoint's
@@ -159,7 +159,7 @@
             .is_some_and(|replica| replica.leads(now))
         {
             // Otherwise the node's claims would stay "in progress" until their maximum run time has
-            // passed; with this step a caller that retries elsewhere learns at once that the
+            // passed; with this step a client that retries elsewhere learns at once that the
             // outcome is unknown.
             self.claims.push_step(ClaimStep::NodeLost { node });
         }
@@ -167,7 +167,7 @@
         self.refresh_endpoints(now);
     }
 
-    /// Updates the nodes that take callers in the route table and the limiter.
+    /// Updates the nodes that accept clients in the route table and the limiter.
     pub(crate) fn refresh_nodes(&mut self, now: ClockTime) {
         let nodes = self.available_nodes();
         self.route.set_nodes(&nodes);
--- a/crates/ragwortroad_node/src/control/fleet_view.rs
+++ b/crates/ragwortroad_node/src/control/fleet_view.rs
@@ -15,13 +15,13 @@
         Some(record.address)
     }
 
-    /// Returns the caller address of an endpoint's home node.
+    /// Returns the address at which an endpoint's home node accepts clients.
     pub(crate) fn home_address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         let record = self.membership.endpoint(endpoint)?;
         self.caller_address(record.home)
     }
 
-    /// Returns the address at which a node takes callers.
+    /// Returns the address at which a node accepts clients.
     pub(crate) fn caller_address(&self, node: NodeId) -> Option<SocketAddr> {
         let record = self.membership.node(node)?;
         Some(record.caller_address)
@@ -33,7 +33,7 @@
         record.map_or_else(|| node.to_string(), |record| record.name.clone())
     }
 
-    /// Returns the nodes that callers may be sent to, sorted by id.
+    /// Returns the nodes that clients may be sent to, sorted by id.
     pub(crate) fn available_nodes(&self) -> Vec<NodeId> {
         let config = &self.follower.config;
         let is_undrained = |record: &NodeRecord| !config.drains_node(&record.name);
--- a/crates/ragwortroad_node/src/control/follow_flow.rs
+++ b/crates/ragwortroad_node/src/control/follow_flow.rs
@@ -119,7 +119,7 @@
                 token,
                 status,
                 body,
-            } => self.handle_line_answer(from, token, status, body),
+            } => self.handle_line_done(from, token, status, body),
             FollowMessage::Enlist { member } => self.enlist(from, member, now),
         }
     }
--- a/crates/ragwortroad_node/src/control/grant_flow.rs
+++ b/crates/ragwortroad_node/src/control/grant_flow.rs
@@ -29,7 +29,7 @@
 /// How long to wait for a home's answer.
 const SLOT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Retry delay sent to a caller when every suitable endpoint is full.
+/// Retry delay sent to a client when every suitable endpoint is full.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Maximum number of route choices for one placement; bounds the work of the control thread.
@@ -152,14 +152,14 @@
             record_response: attempt.claim.is_some(),
         };
         if attempt.reply.try_send(AdmitReply::Granted(grant)).is_err() {
-            // The caller disconnected while the attempt was being placed; nothing was sent.
+            // The client disconnected while the attempt was being placed; nothing was sent.
             let outcome = AttemptOutcome::NotSent;
-            let took = Duration::ZERO;
+            let duration = Duration::ZERO;
             self.finish(
                 FinishCall {
                     ticket,
                     outcome,
-                    duration: took,
+                    duration,
                 },
                 now,
             );
@@ -289,12 +289,12 @@
     match outcome {
         AttemptOutcome::NotSent => None,
         AttemptOutcome::Completed {
-            response: Some(answer),
+            response: Some(response),
             ..
         } => Some(ClaimResult::Answered(ClaimAnswer {
-            status: answer.status,
-            content_type: answer.content_type,
-            body: answer.body,
+            status: response.status,
+            content_type: response.content_type,
+            body: response.body,
         })),
         AttemptOutcome::Completed { status, .. } => Some(ClaimResult::Ran { status }),
         AttemptOutcome::Broken | AttemptOutcome::Cancelled | AttemptOutcome::TimedOut => {
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -65,7 +65,7 @@
     /// Settles the claims of nodes that are down when leadership begins.
     ///
     /// A node that failed while there was no leader was not reported to the log. Its keys would
-    /// stay "in progress" for ten minutes, and callers would wait for an attempt that is over.
+    /// stay "in progress" for ten minutes, and clients would wait for an attempt that is over.
     fn report_absent_nodes(&mut self) {
         let nodes = self.membership.nodes();
         let down = nodes.filter(|(_, record)| !record.state.is_present());
@@ -104,7 +104,7 @@
         for origin in watches.chain(held_changes) {
             let text = "not known: the lead changed; send the change again with the same id";
             let facts = serde_json::json!({ "outcome": "unknown" });
-            self.answer_line(origin, 503, text, facts);
+            self.respond_to_line(origin, 503, text, facts);
         }
     }
 
@@ -122,7 +122,7 @@
             self.propose(StateAction::Tick, ProposalKind::Tick, now);
         }
         self.propose_held_changes(now);
-        self.answer_watches(now);
+        self.respond_to_watches(now);
         self.promote_learners(now);
     }
 
@@ -180,7 +180,7 @@
                 let revision = self.follower.config.revision;
                 let detail = outcome_text(&refused);
                 self.record_revision_event(EventKind::ChangeRefused, revision, detail);
-                self.answer_refused(origin, &refused);
+                self.respond_refused(origin, &refused);
             }
         }
     }
@@ -198,11 +198,11 @@
                 until: now.after(IN_FORCE_TIMEOUT),
             });
         }
-        self.answer_watches(now);
+        self.respond_to_watches(now);
     }
 
     /// Answers operators whose changes are in force, or who have waited for the maximum time.
-    fn answer_watches(&mut self, now: ClockTime) {
+    fn respond_to_watches(&mut self, now: ClockTime) {
         let Some(context) = self
             .replica
             .as_mut()
@@ -218,11 +218,11 @@
             }
         }
         for (watch, result) in done {
-            self.answer_watch(watch, result);
+            self.respond_to_watch(watch, result);
         }
     }
 
-    fn answer_watch(&mut self, watch: ChangeWatch, result: Result<(), InForceWait>) {
+    fn respond_to_watch(&mut self, watch: ChangeWatch, result: Result<(), InForceWait>) {
         let revision = watch.revision;
         match result {
             Ok(()) => {
@@ -230,7 +230,7 @@
                     "accepted as revision {revision}; in force on every node that may admit work"
                 );
                 let facts = serde_json::json!({ "revision": revision, "in_force": true });
-                self.answer_line(watch.origin, 200, &text, facts);
+                self.respond_to_line(watch.origin, 200, &text, facts);
             }
             Err(wait) => {
                 let names = wait.nodes.iter().map(|node| self.node_name(*node));
@@ -244,7 +244,7 @@
                     "in_force": false,
                     "waits_for": names,
                 });
-                self.answer_line(watch.origin, 202, &text, facts);
+                self.respond_to_line(watch.origin, 202, &text, facts);
             }
         }
     }
--- a/crates/ragwortroad_node/src/control/line_flow.rs
+++ b/crates/ragwortroad_node/src/control/line_flow.rs
@@ -1,4 +1,4 @@
-//! Operators' lines: forwarded to the leader, parsed, executed, answered.
+//! Operators' lines: forwarded to the leader, parsed, executed, and responded to.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     }, //
 };
 
-/// How long to wait for the leader's answer to a forwarded line; longer than the leader itself
+/// How long to wait for the leader's response to a forwarded line; longer than the leader itself
 /// waits for a change to be in force.
 const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -64,7 +64,7 @@
             return self.execute_line(line, LineOrigin::Local(reply), now);
         }
         let Some(leader) = self.leader().filter(|leader| *leader != self.node) else {
-            return self.answer_without_leader(line, reply);
+            return self.respond_without_leader(line, reply);
         };
         let pending = PendingLine {
             reply,
@@ -95,17 +95,11 @@
             return self.execute_line(line, origin, now);
         }
         let text = "not made: the lead is changing; send the line again";
-        self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
+        self.respond_to_line(origin, 503, text, json!({ "outcome": "not_run" }));
     }
 
-    /// Passes the leader's answer on to the operator.
-    pub(crate) fn handle_line_answer(
-        &mut self,
-        from: NodeId,
-        token: u64,
-        status: u16,
-        body: String,
-    ) {
+    /// Passes the leader's response on to the operator.
+    pub(crate) fn handle_line_done(&mut self, from: NodeId, token: u64, status: u16, body: String) {
         if let Some(pending) = self.lines.take(token, from) {
             send_reply(&pending.reply, OperatorResponse { status, body });
         }
@@ -126,20 +120,26 @@
                 false => "the leader did not answer; ask again",
             };
             let facts = json!({ "outcome": "unknown" });
-            send_reply(&pending.reply, line_answer(504, text, facts));
+            send_reply(&pending.reply, operator_response(504, text, facts));
         }
     }
 
     /// Answers an operator, directly or through the node that forwarded the line.
-    pub(crate) fn answer_line(&self, origin: LineOrigin, status: u16, text: &str, facts: Value) {
-        let answer = line_answer(status, text, facts);
+    pub(crate) fn respond_to_line(
+        &self,
+        origin: LineOrigin,
+        status: u16,
+        text: &str,
+        facts: Value,
+    ) {
+        let response = operator_response(status, text, facts);
         match origin {
-            LineOrigin::Local(reply) => send_reply(&reply, answer),
+            LineOrigin::Local(reply) => send_reply(&reply, response),
             LineOrigin::Node { node, token } => {
                 let message = FollowMessage::LineDone {
                     token,
-                    status: answer.status,
-                    body: answer.body,
+                    status: response.status,
+                    body: response.body,
                 };
                 self.send(node, PeerChannel::Follow, encode(&message));
             }
@@ -147,15 +147,15 @@
     }
 
     /// Tells an operator why a change was refused.
-    pub(crate) fn answer_refused(&self, origin: LineOrigin, outcome: &ChangeOutcome) {
+    pub(crate) fn respond_refused(&self, origin: LineOrigin, outcome: &ChangeOutcome) {
         let text = outcome_text(outcome);
         let facts = serde_json::to_value(outcome).unwrap_or(Value::Null);
-        self.answer_line(origin, 409, &text, json!({ "refused": facts }));
+        self.respond_to_line(origin, 409, &text, json!({ "refused": facts }));
     }
 
-    /// Serves a line while no leader is known: no change is possible, and answers hold only what
+    /// Serves a line while no leader is known: no change is possible, and responses hold only what
     /// this node knows.
-    fn answer_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorResponse>) {
+    fn respond_without_leader(&mut self, line: OperatorLine, reply: Sender<OperatorResponse>) {
         let origin = LineOrigin::Local(reply);
         if self
             .operator_name(&line.key_hash, &self.follower.config)
@@ -163,19 +163,19 @@
         {
             if self.follower.last_confirmed == ClockTime::ZERO {
                 let text = "this node has no configuration yet; ask another node";
-                return self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
+                return self.respond_to_line(origin, 503, text, json!({ "outcome": "not_run" }));
             }
             return self.refuse_unknown_key(origin);
         }
         match parse_line(&line.line) {
             Ok(Statement::Show(query)) => {
                 let state = FleetState::default();
-                self.answer_show(origin, &query, &state, "no leader is known; ");
+                self.respond_to_show(origin, &query, &state, "no leader is known; ");
             }
-            Ok(Statement::Help) => self.answer_line(origin, 200, HELP_TEXT, json!({})),
+            Ok(Statement::Help) => self.respond_to_line(origin, 200, HELP_TEXT, json!({})),
             Ok(Statement::Change(_)) => {
                 let text = "not made: no leader is known; look at 'show members', then try again";
-                self.answer_line(origin, 503, text, json!({ "outcome": "not_run" }));
+                self.respond_to_line(origin, 503, text, json!({ "outcome": "not_run" }));
             }
             Err(error) => self.refuse_invalid_line(origin, &error),
         }
@@ -190,8 +190,8 @@
             return self.refuse_unknown_key(origin);
         };
         match parse_line(&line.line) {
-            Ok(Statement::Show(query)) => self.answer_show(origin, &query, &replica.state, ""),
-            Ok(Statement::Help) => self.answer_line(origin, 200, HELP_TEXT, json!({})),
+            Ok(Statement::Show(query)) => self.respond_to_show(origin, &query, &replica.state, ""),
+            Ok(Statement::Help) => self.respond_to_line(origin, 200, HELP_TEXT, json!({})),
             Ok(Statement::Change(change)) => {
                 self.execute_change(change, &line, &operator, origin, now);
             }
@@ -209,7 +209,7 @@
     ) {
         let Some(change_id) = line.change_id.as_deref().filter(|_| line.may_change) else {
             let text = "refused: this is a change; send it with 'ragwortroad change'";
-            return self.answer_line(origin, 400, text, json!({ "outcome": "not_run" }));
+            return self.respond_to_line(origin, 400, text, json!({ "outcome": "not_run" }));
         };
         let base = self.base_revision(change_id);
         let command = change.into_command(change_id, operator, base);
@@ -240,17 +240,17 @@
 
     fn refuse_unknown_key(&self, origin: LineOrigin) {
         let text = "refused: no operator has this key";
-        self.answer_line(origin, 401, text, json!({ "outcome": "not_run" }));
+        self.respond_to_line(origin, 401, text, json!({ "outcome": "not_run" }));
     }
 
     fn refuse_invalid_line(&self, origin: LineOrigin, error: &LanguageError) {
         let facts = json!({ "outcome": "not_run", "column": error.column });
-        self.answer_line(origin, 400, &error.to_string(), facts);
+        self.respond_to_line(origin, 400, &error.to_string(), facts);
     }
 }
 
-/// Builds an answer with a text for people and fields for programs.
-fn line_answer(status: u16, text: &str, facts: Value) -> OperatorResponse {
+/// Builds a response with a text for people and fields for programs.
+fn operator_response(status: u16, text: &str, facts: Value) -> OperatorResponse {
     let mut body = json!({ "text": text });
     if let (Some(body), Value::Object(facts)) = (body.as_object_mut(), facts) {
         body.extend(facts);
--- a/crates/ragwortroad_node/src/control/line_table.rs
+++ b/crates/ragwortroad_node/src/control/line_table.rs
@@ -47,8 +47,8 @@
 
     /// Returns the lines last sent before `limit`, to be sent to `leader` now.
     ///
-    /// A line or its answer may be lost with a connection. Resending is safe: a query changes
-    /// nothing, and a change is deduplicated by its id.
+    /// A line or the response to it may be lost with a connection. Resending is safe: a query
+    /// changes nothing, and a change is deduplicated by its id.
     pub(crate) fn take_resends(
         &mut self,
         limit: ClockTime,
--- a/crates/ragwortroad_node/src/control/member_flow.rs
+++ b/crates/ragwortroad_node/src/control/member_flow.rs
@@ -38,7 +38,7 @@
             return;
         };
         if replica.core.is_none() {
-            return self.tick_founding(now);
+            return self.tick_bootstrap(now);
         }
         let actions = replica.handle(CoreInput::Tick, now);
         self.run_core_actions(actions, now);
@@ -48,7 +48,7 @@
 
     /// Sends hellos to the other initial members, and bootstraps the group once all of them have
     /// sent theirs.
-    fn tick_founding(&mut self, now: ClockTime) {
+    fn tick_bootstrap(&mut self, now: ClockTime) {
         let seed = self.next_random();
         let Some(replica) = &mut self.replica else {
             return;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Handles another initial member's hello, and answers it.
+    /// Handles another initial member's hello, and replies to it.
     pub(crate) fn handle_hello(&mut self, from: NodeId, hello: BootstrapHello, now: ClockTime) {
         let node = self.node;
         let Some(replica) = &mut self.replica else {
@@ -78,7 +78,7 @@
             tracing::warn!(%from, "ignored a hello: it names another node than its sender's certificate");
             return;
         }
-        replica.founding.record_hello(hello);
+        replica.bootstrap.record_hello(hello);
         // A member that already has a consensus core says so to one that still waits for hellos.
         if replica.core.is_some() {
             let own = replica.hello(node);
@@ -288,7 +288,7 @@
             }
             _ => "not known: the lead changed; send the change again with the same id",
         };
-        self.answer_line(
+        self.respond_to_line(
             origin,
             503,
             body,
--- a/crates/ragwortroad_node/src/control/show_flow.rs
+++ b/crates/ragwortroad_node/src/control/show_flow.rs
@@ -12,7 +12,7 @@
 
 impl ControlState {
     /// Answers a query from `state` and from this node's own view.
-    pub(crate) fn answer_show(
+    pub(crate) fn respond_to_show(
         &self,
         origin: LineOrigin,
         query: &ShowQuery,
@@ -22,7 +22,7 @@
         let table = state_table(query.topic, state).unwrap_or_else(|| self.view_table(query.topic));
         let table = table.filtered(&query.conditions);
         let text = format!("{remark}{}", table.to_text());
-        self.answer_line(origin, 200, &text, table.to_json());
+        self.respond_to_line(origin, 200, &text, table.to_json());
     }
 
     /// Builds the table of a topic that is not part of the replicated state.
--- a/crates/ragwortroad_node/src/member/leader_context.rs
+++ b/crates/ragwortroad_node/src/member/leader_context.rs
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct ChangeWatch {
     pub(crate) revision: u64,
-    /// Whom to answer.
+    /// The receiver of the response.
     pub(crate) origin: LineOrigin,
     /// When the operator is told which nodes the change still waits for.
     pub(crate) until: ClockTime,
--- a/crates/ragwortroad_node/src/member/proposal_kind.rs
+++ b/crates/ragwortroad_node/src/member/proposal_kind.rs
@@ -13,7 +13,7 @@
     Plan,
     /// Claim steps; the batches are in the order of their steps in the command.
     Claims(Vec<ClaimBatch>),
-    /// An operator's change, with the operator to answer.
+    /// An operator's change, with the operator who waits for its result.
     Change(LineOrigin),
     /// A membership change that follows from an accepted change or from a node that asks to join.
     Members,
@@ -30,7 +30,7 @@
     pub(crate) steps: usize,
 }
 
-/// The receiver of the answer to an operator's line.
+/// The receiver of the response to an operator's line.
 #[derive(Clone, Debug)]
 pub(crate) enum LineOrigin {
     /// An operator connected to this node.
--- a/crates/ragwortroad_node/src/member/state_replica.rs
+++ b/crates/ragwortroad_node/src/member/state_replica.rs
@@ -32,7 +32,7 @@
     /// What the folder held at start; taken when the core is created.
     stored: Option<StoredState>,
     /// Decides how this member joins or bootstraps a group; used until there is a core.
-    pub(crate) founding: BootstrapTable,
+    pub(crate) bootstrap: BootstrapTable,
     /// The consensus core; `None` while the group is being bootstrapped and after the replica has
     /// halted.
     pub(crate) core: Option<ConsensusCore>,
@@ -100,7 +100,7 @@
         Ok(Some(Self {
             identity,
             stored: Some(stored),
-            founding: BootstrapTable::new(hello, named),
+            bootstrap: BootstrapTable::new(hello, named),
             core: None,
             state,
             disk: DiskWorker::start(folder, start.reports)?,
@@ -135,7 +135,7 @@
     /// Creates the core once it is known whether to bootstrap a group here, follow an existing one
     /// or join it.
     pub(crate) fn try_bootstrap(&mut self, now: ClockTime, seed: u64) -> Vec<CoreAction> {
-        let founders = match self.founding.decide() {
+        let initial_members = match self.bootstrap.decide() {
             BootstrapDecision::Wait { .. } => return Vec::new(),
             BootstrapDecision::Bootstrap(members) => Some(members),
             BootstrapDecision::Follow | BootstrapDecision::Join => None,
@@ -146,7 +146,7 @@
         let start = CoreStart {
             stored,
             start: self.start,
-            initial_members: founders,
+            initial_members,
         };
         match ConsensusCore::new(self.settings.clone(), start, now, seed) {
             Ok((core, actions)) => {
--- a/crates/ragwortroad_node/src/node_process.rs
+++ b/crates/ragwortroad_node/src/node_process.rs
@@ -68,7 +68,7 @@
     commands: Sender<SupervisorCommand>,
     peer_address: SocketAddr,
     bytes: Arc<ByteCounts>,
-    gate: Arc<PartitionFilter>,
+    partition_filter: Arc<PartitionFilter>,
 }
 
 /// Retries earned with each first attempt.
@@ -76,8 +76,9 @@
 /// Maximum number of retries saved up for later; all of them are available from the start.
 const RETRY_RESERVE: u32 = 32;
 
-/// Minimum interval between two gossiped loads of one endpoint. With older loads, nodes crowd the
-/// engine that was idle a moment ago; the gossip budget bounds the cost of newer ones.
+/// Minimum interval between two gossiped loads of one endpoint. With older loads, all nodes would
+/// send their requests to the engine that was idle a moment ago; the gossip budget bounds the cost
+/// of newer ones.
 const MIN_LOAD_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a timeline request waits for the control thread.
@@ -101,7 +102,7 @@
         })
         .context(PeersSnafu)?;
         let peer_address = transport.local_address();
-        let gate = transport.partition_filter();
+        let partition_filter = transport.partition_filter();
         let (calls, call_queue) = flume::unbounded();
         let (commands, command_queue) = flume::unbounded();
         let (reports, disk) = flume::unbounded();
@@ -132,11 +133,11 @@
             commands,
             peer_address,
             bytes,
-            gate,
+            partition_filter,
         })
     }
 
-    /// Returns the address to which callers, endpoints and operators connect.
+    /// Returns the address to which clients, endpoints and operators connect.
     pub fn caller_address(&self) -> SocketAddr {
         self.gateway.local_address()
     }
@@ -158,10 +159,10 @@
         self.bytes.read()
     }
 
-    /// Returns the gate that lets a test cut the links to other nodes.
+    /// Returns the filter that lets a test cut the links to other nodes.
     #[doc(hidden)]
-    pub fn gate(&self) -> &PartitionFilter {
-        &self.gate
+    pub fn partition_filter(&self) -> &PartitionFilter {
+        &self.partition_filter
     }
 
     /// Blocks the control thread until the returned sender is dropped.
@@ -258,7 +259,7 @@
             let outcome = RequestOutcome::NotRun;
             RefusalWire::new(outcome, code, message, RequestId::default())
         };
-        let (reply, answer) = flume::bounded(1);
+        let (reply, receiver) = flume::bounded(1);
         let filter = read_filter(query).ok_or_else(|| {
             let message = "the filter cannot be read";
             refuse(RefusalCode::MalformedRequest, message)
@@ -272,7 +273,7 @@
         commands
             .send(SupervisorCommand::Timeline(call))
             .map_err(|_| gone())?;
-        let page = answer.recv_timeout(PAGE_TIMEOUT).map_err(|_| gone())?;
+        let page = receiver.recv_timeout(PAGE_TIMEOUT).map_err(|_| gone())?;
         page.ok_or_else(|| refuse(RefusalCode::WrongKey, "no operator has this key"))
     }
 }
@@ -295,7 +296,7 @@
     secrets: NodeSecrets,
     transport: PeerTransport,
     reports: Sender<crate::disk_worker::DiskReport>,
-    /// The address for callers and the address for peers.
+    /// The address for clients and the address for peers.
     addresses: (SocketAddr, SocketAddr),
 }
 
--- a/crates/ragwortroad_node/src/node_secrets.rs
+++ b/crates/ragwortroad_node/src/node_secrets.rs
@@ -31,7 +31,7 @@
     pub(crate) fn read(settings: &FleetSettings) -> Result<Self, NodeError> {
         let join = read_hash(&settings.join_secret_file)?;
         let operator = read_hash(&settings.operator_key_file)?;
-        // All nodes share the join secret, and callers don't know it.
+        // All nodes share the join secret, and clients don't know it.
         let derived: [u8; 32] = Sha256::digest([&join[..], b"placement hints"].concat()).into();
         let mut start = [0; 8];
         start.copy_from_slice(&derived[..8]);
--- a/crates/ragwortroad_node/src/order/order_report.rs
+++ b/crates/ragwortroad_node/src/order/order_report.rs
@@ -9,7 +9,7 @@
     pub(crate) order: EngineOrder,
     /// Where the engine receives orders.
     pub(crate) address: SocketAddr,
-    /// Whether the engine itself rejects outdated fencing numbers.
+    /// Whether the engine itself rejects outdated fencing tokens.
     pub(crate) checks_fencing: bool,
     /// Checked once more directly before the write.
     pub(crate) gate: OrderGate,
@@ -33,11 +33,11 @@
 pub(crate) enum OrderEnd {
     /// The engine confirmed it.
     Confirmed,
-    /// The engine answered with another status.
+    /// The engine responded with another status.
     Refused(u16),
     /// The lease had expired before the write; no byte was sent.
     Withheld(GateRefusal),
-    /// No complete answer arrived.
+    /// No complete response arrived.
     Failed(String),
 }
 
--- a/crates/ragwortroad_node/src/order/order_worker.rs
+++ b/crates/ragwortroad_node/src/order/order_worker.rs
@@ -55,7 +55,7 @@
 
 /// The thread that sends orders to engines.
 ///
-/// An engine that doesn't answer must delay neither the control thread nor the orders to other
+/// An engine that doesn't respond must delay neither the control thread nor the orders to other
 /// engines, so all orders in flight run concurrently on this thread.
 #[derive(Debug)]
 pub(crate) struct OrderWorker {
@@ -65,7 +65,7 @@
 }
 
 /// Timeout for opening a connection. Nothing is sent before it is open, so this time is not part of
-/// an order's flight.
+/// an order's time in flight.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time in which the engine's kernel must acknowledge what was written; otherwise the local kernel
@@ -75,17 +75,17 @@
 /// Maximum time an engine may keep an order queued after its arrival.
 const MAX_ENGINE_QUEUE_TIME: Duration = Duration::from_secs(2);
 
-/// Timeout for an answer, which the engine sends when a load has completed.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(120);
+/// Timeout for a response, which the engine sends when a load has completed.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Maximum size of an answer that is read.
-const MAX_ANSWER_BYTES: usize = 64 * 1024;
+/// Maximum size of a response that is read.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// Maximum number of orders in flight.
 const MAX_TASKS: usize = 256;
 
-/// The parts of an order's flight must leave time for the instructions between the check and the
-/// write.
+/// These timeouts must add up to less than the maximum time in flight, to leave time for the
+/// instructions between the check and the write.
 const _: () = assert!(
     DELIVERY_TIMEOUT.as_millis() + MAX_ENGINE_QUEUE_TIME.as_millis() < MAX_ORDER_FLIGHT.as_millis(),
     "an order could take effect after the next leader's wait"
@@ -159,7 +159,7 @@
     }
 }
 
-/// Sends one order and waits for its answer.
+/// Sends one order and waits for the response.
 async fn send_order(task: OrderTask, clock: RealClock) -> OrderReport {
     let end = match connect(task.address).await {
         Ok(stream) => send_and_await(stream, &task, clock).await,
@@ -175,14 +175,14 @@
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
     // Without these options the kernel would retransmit a lost order for a quarter of an hour. It
-    // would arrive after the next leader's orders, and an engine that ignores fencing numbers would
+    // would arrive after the next leader's orders, and an engine that ignores fencing tokens would
     // execute it.
     socket.set_tcp_user_timeout(Some(DELIVERY_TIMEOUT))?;
     socket.set_linger(Some(Duration::ZERO))?;
     Ok(stream)
 }
 
-/// Writes the order if the gate still permits it, and waits for the answer.
+/// Writes the order if the gate still permits it, and waits for the response.
 async fn send_and_await(stream: TcpStream, task: &OrderTask, clock: RealClock) -> OrderEnd {
     let request = match order_request(task) {
         Ok(request) => request,
@@ -192,7 +192,7 @@
         Ok(parts) => parts,
         Err(error) => return OrderEnd::Failed(error.to_string()),
     };
-    let answer = async {
+    let exchange = async {
         // The connection is open; nothing blocks between this check and the write.
         let gate = &task.gate;
         gate.may_order(clock.now(), task.lead_until, task.checks_fencing)
@@ -201,13 +201,13 @@
         let response = sender.send_request(request).await;
         let response = response.map_err(|error| failed(&error))?;
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
-        // A truncated answer confirms nothing.
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect();
+        // A truncated response confirms nothing.
         body.await.map_err(|error| failed(&error))?;
         Ok(status)
     };
     let ended = tokio::select! {
-        ended = timeout(ANSWER_TIMEOUT, answer) => ended,
+        ended = timeout(RESPONSE_TIMEOUT, exchange) => ended,
         end = drive_connection(connection) => return end,
     };
     match ended {
@@ -218,12 +218,12 @@
     }
 }
 
-/// Drives a connection; returns only if it fails before the answer.
+/// Drives a connection; returns only if it fails before the response.
 async fn drive_connection(connection: impl Future<Output = hyper::Result<()>>) -> OrderEnd {
     if let Err(error) = connection.await {
         return OrderEnd::Failed(error.to_string());
     }
-    // The connection was closed in an orderly way: the answer is on its way to its reader.
+    // The connection was closed in an orderly way: the response is on its way to its reader.
     std::future::pending().await
 }
 
--- a/crates/ragwortroad_node/src/order/refused_demand.rs
+++ b/crates/ragwortroad_node/src/order/refused_demand.rs
@@ -18,7 +18,7 @@
 /// Requests that this node refused for lack of capacity, by the offer they asked for.
 ///
 /// Engines report only the work that reached them. Without these counts a model whose engines are
-/// full would seem loaded just to its bound, however many callers are refused.
+/// full would seem loaded just to its bound, however many requests are refused.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RefusedDemand {
     /// Refusals in the current second.
--- a/crates/ragwortroad_node/src/request/claim_queue.rs
+++ b/crates/ragwortroad_node/src/request/claim_queue.rs
@@ -11,7 +11,7 @@
 /// Claim steps that the leader hasn't answered yet.
 ///
 /// Each step is resent until it is answered: a claim until its request times out, all others
-/// forever. A lost `Finish` would leave the key in progress, and a caller that repeats its booking
+/// forever. A lost `Finish` would leave the key in progress, and a client that repeats its booking
 /// would be told to wait for an attempt that has ended.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimQueue {
@@ -69,7 +69,7 @@
 
     /// Whether an attempt waits for a claim that hasn't been sent yet.
     ///
-    /// No caller waits for the other steps; sent with the next claim or tick, they cost a fraction
+    /// No client waits for the other steps; sent with the next claim or tick, they cost a fraction
     /// of the messages and log entries.
     pub(crate) fn is_urgent(&self) -> bool {
         let mut steps = self.steps.values();
--- a/crates/ragwortroad_node/src/request/ended_attempts.rs
+++ b/crates/ragwortroad_node/src/request/ended_attempts.rs
@@ -12,7 +12,7 @@
 /// Attempts that ended recently, kept for the decision on a retry.
 ///
 /// A traffic thread only names the attempt that failed. Its outcome is looked up here, so that a
-/// retry never depends on what the traffic thread claims.
+/// retry never depends on what the traffic thread reports.
 #[derive(Debug, Default)]
 pub(crate) struct EndedAttempts {
     attempts: BTreeMap<TicketId, EndedAttempt>,
--- a/crates/ragwortroad_node/src/request/pending_attempt.rs
+++ b/crates/ragwortroad_node/src/request/pending_attempt.rs
@@ -21,7 +21,7 @@
     pub(crate) chat: Option<ChatKey>,
     /// Prefix keys of the prompt, shortest first.
     pub(crate) prefixes: Vec<PrefixKey>,
-    /// The endpoint named by the caller's placement hint.
+    /// The endpoint named by the client's placement hint.
     pub(crate) hint: Option<EndpointId>,
     /// Tokens charged to the customer's limit.
     pub(crate) tokens: u32,
--- a/crates/ragwortroad_node/src/wire/follow_message.rs
+++ b/crates/ragwortroad_node/src/wire/follow_message.rs
@@ -67,7 +67,7 @@
         token: u64,
         line: OperatorLine,
     },
-    /// The leader's answer to a line.
+    /// The leader's response to a line.
     LineDone {
         /// Number of the line.
         token: u64,
--- a/crates/ragwortroad_node/src/wire/slot_message.rs
+++ b/crates/ragwortroad_node/src/wire/slot_message.rs
@@ -48,7 +48,7 @@
         /// Question number of the `Ask`.
         question: u64,
     },
-    /// Recent demand of one node's callers, for the coordinator of their customers' limits:
+    /// Recent demand of one node's clients, for the coordinator of their customers' limits:
     /// customer, requests in ten seconds, concurrent requests.
     Demand(Vec<(u64, u16, u16)>),
     /// Limit shares granted by the coordinator: customer, share of the rates in 65,535ths,
@@ -136,9 +136,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) enum ReleaseOutcome {
-    /// The answer was complete.
+    /// The response was complete.
     Succeeded,
-    /// A server error, a broken answer, or a failed connection.
+    /// A server error, a broken response, or a failed connection.
     Failed,
     /// The outcome says nothing about the endpoint.
     Neutral,
--- a/crates/ragwortroad_routing/src/limit/customer_entry.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_entry.rs
@@ -54,8 +54,8 @@
 
     /// Sets the rates and the concurrency that this node may use in a fleet of `nodes`.
     ///
-    /// The even part of a limit belongs to every node without asking. The coordinator divides the
-    /// rest by demand.
+    /// A fraction of each limit, the even part, is divided evenly among the nodes and needs no
+    /// share from the coordinator, which divides the rest by demand.
     pub(crate) fn update_allowance(
         &mut self,
         settings: &LimiterSettings,
--- a/crates/ragwortroad_routing/src/limit/customer_limiter.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_limiter.rs
@@ -26,7 +26,7 @@
 ///
 /// Every customer has a *coordinator*: the node that a hash of the customer selects. About once a
 /// second a node reports the demand of its customers to their coordinators ([`Self::demands`]). A
-/// coordinator divides the limit in proportion to the demands and answers with shares
+/// coordinator divides the limit in proportion to the demands and replies with shares
 /// ([`Self::shares`]). No request waits for a message. A small even part of each limit needs no
 /// share, so that every node can serve a customer, also while the coordinator is unavailable.
 #[derive(Clone, Debug)]
@@ -37,10 +37,10 @@
     coordinator: DemandCoordinator,
 }
 
-/// The longest wait given to a caller at a node that has no share of the customer's limit yet.
+/// The longest wait given to a client at a node that has no share of the customer's limit yet.
 const MAX_WAIT_WITHOUT_SHARE: Duration = Duration::from_secs(2);
 
-/// How long a caller waits when the customer has reached its concurrency limit at this node.
+/// How long a client waits when the customer has reached its concurrency limit at this node.
 const CONCURRENCY_WAIT: Duration = Duration::from_millis(500);
 
 impl CustomerLimiter {
--- a/crates/ragwortroad_routing/src/limit/limit_answer.rs
+++ b/crates/ragwortroad_routing/src/limit/limit_answer.rs
@@ -11,7 +11,7 @@
     },
     /// The request was refused and did not run.
     Refused {
-        /// How long the caller should wait before it retries.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
 }
--- a/crates/ragwortroad_routing/src/place/version_plan.rs
+++ b/crates/ragwortroad_routing/src/place/version_plan.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Returns the version for a chat that was last answered by `current`, or for a request without
-    /// a chat, which is distributed by `salt`. `None` where no version has a weight.
+    /// Returns the version for a chat that was last served by `current`, or for a request without a
+    /// chat, which is distributed by `salt`. `None` where no version has a weight.
     pub fn version_for(
         &self,
         chat: Option<ChatKey>,
--- a/crates/ragwortroad_routing/src/retry/retry_policy.rs
+++ b/crates/ragwortroad_routing/src/retry/retry_policy.rs
@@ -31,7 +31,7 @@
     pub idempotent: bool,
     /// Attempts made so far, this one included.
     pub attempts: u32,
-    /// Time left until the caller's deadline.
+    /// Time left until the client's deadline.
     pub time_left: Duration,
 }
 
--- a/crates/ragwortroad_routing/src/table/hint_codec.rs
+++ b/crates/ragwortroad_routing/src/table/hint_codec.rs
@@ -4,7 +4,7 @@
 
 use crate::CustomerKey;
 
-/// Encodes an endpoint as an opaque hint that the caller sends back, and decodes it.
+/// Encodes an endpoint as an opaque hint that the client sends back, and decodes it.
 ///
 /// A hint is bound to its customer and to the fleet's secret. A hint that was forged, altered or
 /// taken from another customer decodes to none, and the request is routed by hash. A hint grants
--- a/crates/ragwortroad_routing/src/table/route_choice.rs
+++ b/crates/ragwortroad_routing/src/table/route_choice.rs
@@ -123,7 +123,7 @@
     /// `None` if the wait is not worth it.
     ///
     /// Otherwise a chat whose engine is at its bound for a moment would be recomputed elsewhere.
-    /// That costs both engines more than the wait costs the caller, and leaves the context of the
+    /// That costs both engines more than the wait costs the client, and leaves the context of the
     /// next turn split over two engines.
     fn context_wait(
         &self,
@@ -147,7 +147,7 @@
         Some(until_retry.max(settings.hold_interval))
     }
 
-    /// Returns the nodes that a caller should use, best first.
+    /// Returns the nodes that a client should use, best first.
     ///
     /// The first is the home of the chat's last engine, so that most requests arrive where they can
     /// be admitted without a message. The others follow a hash of the chat over the nodes, which is
@@ -248,8 +248,8 @@
             return state.ledger.load() < limit && state.is_exclusive(now);
         }
         // A chat with context at the endpoint asks again at the time that the home gave. To other
-        // requests it stays full until the next digest, because otherwise a busy fleet would spend
-        // its effort on asking.
+        // requests it stays full until the next digest, because otherwise the nodes of a busy fleet
+        // would mostly ask each other for slots in vain.
         let refused = state.view.full_until > now
             || (state.view.was_full && class == AdmissionClass::Arriving);
         state.view.estimated_load() < limit && !refused && !state.ejected_by_home
--- a/crates/ragwortroad_routing/src/table/route_decision.rs
+++ b/crates/ragwortroad_routing/src/table/route_decision.rs
@@ -41,11 +41,11 @@
         /// How long to wait.
         retry_after: Duration,
     },
-    /// Nothing was sent; answer the caller at once.
+    /// Nothing was sent; refuse the request at once.
     Refuse {
-        /// Stable reason code for the caller.
+        /// Stable reason code for the client.
         code: RefusalCode,
-        /// How long the caller should wait before it retries.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
 }
@@ -53,7 +53,7 @@
 /// How an endpoint was found, for the timeline and for measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RouteReason {
-    /// The caller's hint names it.
+    /// The client's hint names it.
     Hint,
     /// This node sent the chat to it before.
     Memory,
--- a/crates/ragwortroad_routing/src/table/route_query.rs
+++ b/crates/ragwortroad_routing/src/table/route_query.rs
@@ -22,7 +22,7 @@
     pub chat: Option<ChatKey>,
     /// Prefix keys of the prompt, the shortest first.
     pub prefixes: &'query [PrefixKey],
-    /// The engine in the caller's hint. A wrong one only costs cache reuse.
+    /// The engine in the client's hint. A wrong one only costs cache reuse.
     pub hint: Option<EndpointId>,
     /// Endpoints that already failed this request.
     pub excluded: &'query [EndpointId],
--- a/crates/ragwortroad_routing/src/table/route_table.rs
+++ b/crates/ragwortroad_routing/src/table/route_table.rs
@@ -48,7 +48,7 @@
     pub(crate) fleets: BTreeMap<FleetKey, FleetLoad>,
     /// Nodes that have not answered this node and were not heard from since.
     pub(crate) unresponsive: BTreeSet<NodeId>,
-    /// Nodes to which callers may be sent.
+    /// Nodes to which clients may be sent.
     pub(crate) nodes: Vec<NodeId>,
     pub(crate) chat_map: AffinityMap,
     pub(crate) prefix_index: PrefixIndex,
--- a/crates/ragwortroad_routing/src/table/slot_grants.rs
+++ b/crates/ragwortroad_routing/src/table/slot_grants.rs
@@ -192,7 +192,7 @@
             true => f64::from(limit),
             false => f64::from(self.capacity_limit(state)),
         };
-        // Includes the slot asked for: at small bounds the reserve would round to nothing.
+        // Includes the slot asked for: at small bounds the reserve would otherwise round to zero.
         if f64::from(load + 1) <= capacity * (1.0 - self.settings.fair_reserve) {
             return true;
         }
--- a/crates/ragwortroad_routing/src/table/table_inputs.rs
+++ b/crates/ragwortroad_routing/src/table/table_inputs.rs
@@ -151,7 +151,7 @@
         self.settings.bound.multiple = multiple;
     }
 
-    /// Sets the nodes to which callers may be sent.
+    /// Sets the nodes to which clients may be sent.
     pub fn set_nodes(&mut self, nodes: &[NodeId]) {
         self.nodes = nodes.to_vec();
         self.nodes.sort_unstable();
--- a/crates/ragwortroad_routing/tests/after_failure.rs
+++ b/crates/ragwortroad_routing/tests/after_failure.rs
@@ -28,8 +28,8 @@
     assert!(attempts <= 11_020, "{attempts} attempts of 10000 requests");
 }
 
-/// Guards against bookings made twice: the answer to a booking is lost, and a retry would book the
-/// studio again.
+/// Guards against bookings made twice: the response to a booking is lost, and a retry would book
+/// the studio again.
 #[test]
 fn requests_that_may_have_run_are_retried_only_if_idempotent() {
     let mut budget = RetryBudget::new(0.1, 20);
--- a/crates/ragwortroad_routing/tests/choice.rs
+++ b/crates/ragwortroad_routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choice of an endpoint for a request, and of nodes for its caller.
+//! Choice of an endpoint for a request, and of nodes for its client.
 
 use std::time::Duration;
 
--- a/crates/ragwortroad_timeline/src/event_ring.rs
+++ b/crates/ragwortroad_timeline/src/event_ring.rs
@@ -96,7 +96,7 @@
         self.len() == 0
     }
 
-    /// Returns the newest `limit` events that match `filter`, as this node's part of a time line.
+    /// Returns the newest `limit` events that match `filter`, as this node's part of a timeline.
     pub fn query(
         &self,
         node: &str,
--- a/crates/ragwortroad_timeline/src/lib.rs
+++ b/crates/ragwortroad_timeline/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed events, a hybrid logical clock, and the merged time line of all processes.
+//! Typed events, a hybrid logical clock, and the merged timeline of all processes.
 //!
 //! Each node stamps its events with a [`HybridClock`] and stores them in a bounded [`EventRing`].
 //! A [`FleetTimeline`] merges the events of several nodes in causal order, even if their clocks are
--- a/crates/ragwortroad_timeline/src/node_timeline.rs
+++ b/crates/ragwortroad_timeline/src/node_timeline.rs
@@ -10,7 +10,7 @@
     timeline_error::MalformedTimelineSnafu, //
 };
 
-/// One node's part of a time line, as nodes send it to each other.
+/// One node's part of a timeline, as nodes send it to each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NodeTimeline {
--- a/crates/ragwortroad_timeline/src/page/mod.rs
+++ b/crates/ragwortroad_timeline/src/page/mod.rs
@@ -16,7 +16,7 @@
 /// Filters rows and points by the text in the search field.
 const SCRIPT: &str = include_str!("page.js");
 
-/// Formats the time line as an HTML page.
+/// Formats the timeline as an HTML page.
 pub(crate) fn html(timeline: &FleetTimeline) -> String {
     let start = utc_text(timeline.start().wall_ms());
     let (events, nodes) = (timeline.events.len(), timeline.lanes.len());
--- a/crates/ragwortroad_timeline/src/page/picture_scale.rs
+++ b/crates/ragwortroad_timeline/src/page/picture_scale.rs
@@ -13,7 +13,7 @@
 /// The axis is not linear: a failover takes milliseconds between seconds without events, so that
 /// on a linear axis the one or the other would be invisible.
 pub(crate) struct PictureScale {
-    /// Position of each event in pixels, by its index in the time line.
+    /// Position of each event in pixels, by its index in the timeline.
     ///
     /// Invariant: never decreases from one event to the next.
     pub(crate) positions: Vec<f64>,
--- a/crates/ragwortroad_timeline/src/text_form.rs
+++ b/crates/ragwortroad_timeline/src/text_form.rs
@@ -8,7 +8,7 @@
     }, //
 };
 
-/// Formats the time line for a terminal.
+/// Formats the timeline for a terminal.
 pub(crate) fn text(timeline: &FleetTimeline) -> String {
     let mut lines = Vec::with_capacity(timeline.events.len() + 4);
     let start = timeline.start().wall_ms();
--- a/crates/ragwortroad_timeline/src/timeline_error.rs
+++ b/crates/ragwortroad_timeline/src/timeline_error.rs
@@ -1,6 +1,6 @@
 use snafu::Snafu;
 
-/// An error while parsing input for the time line.
+/// An error while parsing input for the timeline.
 #[derive(Debug)]
 #[derive(Snafu)]
 #[snafu(visibility(pub(crate)))]
@@ -13,7 +13,7 @@
         /// All valid names, separated by commas.
         known: String,
     },
-    /// A node's time line could not be decoded, for example because the node runs another version.
+    /// A node's timeline could not be decoded, for example because the node runs another version.
     #[snafu(display("a node's events cannot be read: {source}; run the same version everywhere"))]
     MalformedTimeline {
         /// The JSON decoder's error.
--- a/crates/ragwortroad_timeline/src/timeline_forms.rs
+++ b/crates/ragwortroad_timeline/src/timeline_forms.rs
@@ -1,4 +1,4 @@
-//! The output forms of a time line.
+//! The output forms of a timeline.
 
 use crate::{
     FleetTimeline,
@@ -8,22 +8,22 @@
 };
 
 impl FleetTimeline {
-    /// Formats the time line as text for a terminal, one line per event.
+    /// Formats the timeline as text for a terminal, one line per event.
     pub fn to_text(&self) -> String {
         text_form::text(self)
     }
 
-    /// Formats the time line as one JSON object.
+    /// Formats the timeline as one JSON object.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 
-    /// Formats the time line in the trace-event format of common trace viewers.
+    /// Formats the timeline in the trace-event format of common trace viewers.
     pub fn to_trace(&self) -> String {
         trace_form::trace(self)
     }
 
-    /// Formats the time line as a self-contained HTML page that loads no other resource.
+    /// Formats the timeline as a self-contained HTML page that loads no other resource.
     pub fn to_html(&self) -> String {
         page::html(self)
     }
--- a/crates/ragwortroad_timeline/src/trace_form.rs
+++ b/crates/ragwortroad_timeline/src/trace_form.rs
@@ -21,7 +21,7 @@
 /// Thread id under which events of requests appear.
 const TRAFFIC_THREAD: u32 = 2;
 
-/// Formats the time line as a trace: one process per node with a thread each for control events and
+/// Formats the timeline as a trace: one process per node with a thread each for control events and
 /// requests, a span for each request on each node, and flow arrows between the nodes of a request.
 pub(crate) fn trace(timeline: &FleetTimeline) -> String {
     let mut entries = Vec::new();
--- a/crates/ragwortroad_types/src/cache_event.rs
+++ b/crates/ragwortroad_types/src/cache_event.rs
@@ -24,6 +24,6 @@
     pub sequence: u64,
     /// Whether the prefix was stored or evicted.
     pub change: CacheChange,
-    /// The prefix that is concerned.
+    /// The prefix that was stored or evicted.
     pub prefix: PrefixKey,
 }
