--- a/crates/ragwortroad_consensus/src/bootstrap_table.rs
+++ b/crates/ragwortroad_consensus/src/bootstrap_table.rs
@@ -28,7 +28,7 @@
 pub enum BootstrapDecision {
     /// At least one named node has not sent its [`BootstrapHello`] yet.
     Wait {
-        /// The nodes that have not answered.
+        /// The nodes whose message is missing.
         missing: Vec<NodeId>,
     },
     /// All folders are empty and this node bootstraps the group: start the core with these initial
--- a/crates/ragwortroad_consensus/src/core_queries.rs
+++ b/crates/ragwortroad_consensus/src/core_queries.rs
@@ -149,7 +149,7 @@
         self.check.is_done && self.log.last() >= self.check.log_floor
     }
 
-    /// The members whose answers the restart check still needs; empty once the member takes part.
+    /// The members whose replies the restart check still needs; empty once the member takes part.
     pub fn restart_check_pending(&self) -> Vec<MemberId> {
         if self.check.is_done {
             return Vec::new();
--- a/crates/ragwortroad_consensus/src/core_settings.rs
+++ b/crates/ragwortroad_consensus/src/core_settings.rs
@@ -41,7 +41,7 @@
     ///
     /// The check detects a disk that went back to an older state as a whole, as when a VM is
     /// restored from a backup: such a member would vote again in a term in which it has already
-    /// voted. With the check, a member of a group of three needs answers from both others after its
+    /// voted. With the check, a member of a group of three needs replies from both others after its
     /// machine restarts; if one of them is lost permanently, an operator has to declare that the
     /// disk can be trusted.
     pub trust_disk: bool,
--- a/crates/ragwortroad_consensus/src/election.rs
+++ b/crates/ragwortroad_consensus/src/election.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Grants or refuses a vote; does not answer while a leader may rely on this member for its
+    /// Grants or refuses a vote; does not reply while a leader may rely on this member for its
     /// lease.
     ///
     /// A leader that transfers leadership stops acting before it requests the election, so there is
--- a/crates/ragwortroad_consensus/src/leading.rs
+++ b/crates/ragwortroad_consensus/src/leading.rs
@@ -54,7 +54,7 @@
         self.complete_reads(now);
     }
 
-    /// Whether no quorum has answered for an election timeout. Others may have elected a leader by
+    /// Whether no quorum has replied for an election timeout. Others may have elected a leader by
     /// then, and clients should look for it.
     fn has_lost_quorum(&self, now: ClockTime) -> bool {
         self.leader_state().is_some_and(|state| {
@@ -187,9 +187,9 @@
     /// Sends the commit index to a member that has just acknowledged entries.
     ///
     /// The last acknowledgement of a quorum commits the entries, and later acknowledgements trigger
-    /// no other message. If these members learn of the commit only with the next heartbeat, two of
-    /// five registries serve an old configuration for 0.15 s longer, and after a common restart
-    /// none at all.
+    /// no other message. If these members learned of the commit only with the next heartbeat, two
+    /// of five registries would serve an old configuration for 0.15 s longer, or no configuration
+    /// at all after a common restart.
     pub(crate) fn notify_late_commit(&mut self, member: MemberId, now: ClockTime) {
         let commit = self.commit;
         let progress = self
--- a/crates/ragwortroad_consensus/src/membership.rs
+++ b/crates/ragwortroad_consensus/src/membership.rs
@@ -33,8 +33,8 @@
     /// Returns the member set after `change`, if the change is allowed now.
     ///
     /// Only one change may be in progress, and only after the leader has committed an entry of its
-    /// own term. Otherwise two leaders that each changed the same set could each find a quorum in
-    /// their own.
+    /// own term. Otherwise two leaders that each changed the same set could each form a quorum
+    /// within their own new set.
     fn check_change(
         &self,
         change: &MemberChange,
--- a/crates/ragwortroad_consensus/src/peer_message.rs
+++ b/crates/ragwortroad_consensus/src/peer_message.rs
@@ -57,7 +57,7 @@
         /// The latest start numbers that the sender knows.
         starts: Vec<MemberStart>,
     },
-    /// Asks whether the receiver would vote for the sender in `term`; the answer is not binding.
+    /// Asks whether the receiver would vote for the sender in `term`; the reply is not binding.
     PreVote {
         /// The term that the sender would start.
         term: u64,
--- a/crates/ragwortroad_consensus/src/replicating.rs
+++ b/crates/ragwortroad_consensus/src/replicating.rs
@@ -69,7 +69,7 @@
             term: self.log.term_at(prev_index)?,
             index: prev_index,
         };
-        // A member that does not answer gets empty probes instead of the same entries again and
+        // A member that does not reply gets empty probes instead of the same entries again and
         // again.
         let is_silent = progress.is_silent(self.settings.election_timeout, now);
         let slice = self.log.slice(progress.next_index, max_bytes);
--- a/crates/ragwortroad_consensus/src/restart_check.rs
+++ b/crates/ragwortroad_consensus/src/restart_check.rs
@@ -13,18 +13,18 @@
 /// Its disk may have gone back to an older state as a whole. It has then forgotten a vote, and
 /// could vote twice in one term, or entries that it acknowledged, and could help to elect a leader
 /// that lacks them. Nothing on its own disk shows this. It therefore queries the others until every
-/// quorum that it may have been part of has a member among those that answered, and derives from
-/// the answers the lowest term and log position that it must respect.
+/// quorum that it may have been part of has a member among those that replied, and derives from the
+/// replies the lowest term and log position that it must respect.
 #[derive(Debug)]
 pub(crate) struct RestartCheck {
     pub(crate) is_done: bool,
-    /// Highest term among the answers.
+    /// Highest term among the replies.
     pub(crate) vote_floor: u64,
-    /// Latest log position among the answers; a candidate with an older log gets no vote.
+    /// Latest log position among the replies; a candidate with an older log gets no vote.
     pub(crate) log_floor: LogPosition,
-    /// Last log position of each member that answered.
-    answered: BTreeMap<MemberId, LogPosition>,
-    /// Last position and member set of the most up-to-date log among the answers and this member's
+    /// Last log position of each member that replied.
+    replied: BTreeMap<MemberId, LogPosition>,
+    /// Last position and member set of the most up-to-date log among the replies and this member's
     /// own.
     ///
     /// A set with a higher index in an older log may never have been committed; members that only
@@ -47,7 +47,7 @@
             is_done: false,
             vote_floor: 0,
             log_floor: LogPosition::default(),
-            answered: BTreeMap::new(),
+            replied: BTreeMap::new(),
             members: (last, members),
             asked_at: None,
         }
@@ -58,25 +58,25 @@
         &self.members.1
     }
 
-    /// Records the answer of one member.
-    pub(crate) fn record_answer(
+    /// Records the reply of one member.
+    pub(crate) fn record_reply(
         &mut self,
         from: MemberId,
         term: u64,
         last: LogPosition,
         members: MemberSet,
     ) {
-        self.answered.insert(from, last);
+        self.replied.insert(from, last);
         self.vote_floor = self.vote_floor.max(term);
         if last > self.members.0 {
             self.members = (last, members);
         }
     }
 
-    /// Returns the voters other than `own` that have not answered.
+    /// Returns the voters other than `own` that have not replied.
     pub(crate) fn unanswered(&self, own: MemberId) -> Vec<MemberId> {
         let voters = self.members().voters();
-        let unanswered = voters.filter(|voter| *voter != own && !self.answered.contains_key(voter));
+        let unanswered = voters.filter(|voter| *voter != own && !self.replied.contains_key(voter));
         unanswered.collect()
     }
 
@@ -87,30 +87,30 @@
     pub(crate) fn finish(&mut self) {
         self.is_done = true;
         let voters = self.members.1.voters();
-        let lasts = voters.filter_map(|voter| self.answered.get(&voter));
+        let lasts = voters.filter_map(|voter| self.replied.get(&voter));
         self.log_floor = lasts.max().copied().unwrap_or_default();
     }
 
-    /// Whether enough voters other than `own` have answered.
-    pub(crate) fn has_enough_answers(&self, own: MemberId) -> bool {
+    /// Whether enough voters other than `own` have replied.
+    pub(crate) fn has_enough_replies(&self, own: MemberId) -> bool {
         let members = self.members();
         if members.is_empty() {
             return false;
         }
-        let answers = members
+        let replies = members
             .voters()
-            .filter(|voter| *voter != own && self.answered.contains_key(voter));
-        answers.count() >= required_answers(members, own)
+            .filter(|voter| *voter != own && self.replied.contains_key(voter));
+        replies.count() >= required_replies(members, own)
     }
 }
 
-/// Number of voters other than `own` that must answer.
+/// Number of voters other than `own` that must reply.
 ///
 /// The group may have grown by one voter since the member set known here, so `own` may have been
 /// part of a quorum of a group of `n + 1`, of which one member may be unknown here. The other known
 /// members of such a quorum number at least its size minus two. Once fewer voters than that are
-/// silent, one of them has answered. A group of one has nobody to query.
-fn required_answers(members: &MemberSet, own: MemberId) -> usize {
+/// silent, one of them has replied. A group of one has nobody to query.
+fn required_replies(members: &MemberSet, own: MemberId) -> usize {
     let voters = members.voters().count();
     let others = members.voters().filter(|voter| *voter != own).count();
     let next_quorum = voters.div_ceil(2) + 1;
--- a/crates/ragwortroad_consensus/src/restart_queries.rs
+++ b/crates/ragwortroad_consensus/src/restart_queries.rs
@@ -1,4 +1,5 @@
-//! The queries of a restarted member and their answers: see [`RestartCheck`](crate::RestartCheck).
+//! The queries of a restarted member and the replies to them: see
+//! [`RestartCheck`](crate::RestartCheck).
 
 use ragwortroad_log::VoteRecord;
 use ragwortroad_types::ClockTime;
@@ -10,7 +11,7 @@
 };
 
 impl ConsensusCore {
-    /// Queries the other members at the heartbeat interval until enough have answered.
+    /// Queries the other members at the heartbeat interval until enough have replied.
     pub(crate) fn send_hellos(&mut self, now: ClockTime) {
         let interval = self.settings.heartbeat_interval;
         let is_due = self
@@ -21,7 +22,7 @@
             return;
         }
         self.check.asked_at = Some(now);
-        if self.check.has_enough_answers(self.id) {
+        if self.check.has_enough_replies(self.id) {
             return self.finish_check(now);
         }
         let records = self.check.members().records();
@@ -41,8 +42,9 @@
         }
     }
 
-    /// Answers a restarted member once the reported state is durable: a reported position that a
-    /// crash undoes would be a floor that no candidate can reach.
+    /// Replies to a restarted member once the reported state is durable. If a crash undid a
+    /// position that was already reported, the restarted member might find no candidate whose log
+    /// reaches it.
     ///
     /// The member's start number becomes durable with it. Otherwise, after a restart here, an
     /// acknowledgement without that number would let a leader count one from before the member's
@@ -83,11 +85,11 @@
             return;
         }
         let previous = self.check.members().clone();
-        self.check.record_answer(from, term, last, members);
+        self.check.record_reply(from, term, last, members);
         for known in &starts {
             self.observe_start(known.member, known.start, now);
         }
-        if self.check.has_enough_answers(self.id) {
+        if self.check.has_enough_replies(self.id) {
             self.finish_check(now);
         } else if *self.check.members() != previous {
             self.check.asked_at = None;
@@ -95,10 +97,11 @@
         }
     }
 
-    /// Applies the constraints derived from the answers.
+    /// Applies the constraints derived from the replies.
     ///
-    /// This member may have voted in any term up to the floor, so its vote there counts as used: it
-    /// is recorded as a vote for itself, which it never asks anyone to count.
+    /// This member may have voted in any term up to the highest one among the replies. Its vote in
+    /// that term therefore counts as used: it is recorded as a vote for itself, which it never asks
+    /// anyone to count.
     fn finish_check(&mut self, now: ClockTime) {
         self.check.finish();
         let floor = self.check.vote_floor;
--- a/crates/ragwortroad_consensus/src/start_table.rs
+++ b/crates/ragwortroad_consensus/src/start_table.rs
@@ -11,8 +11,8 @@
 /// A member that restarts with a rolled-back disk may have lost what it acknowledged before, so it
 /// queries enough others before it takes part again. One hazard remains: a leader could count an
 /// acknowledgement from before that restart together with one that another member gives after it
-/// answered the query without the entry. So every vote and acknowledgement carries this table, and
-/// the member that counts them drops those from older starts.
+/// replied to the query without having the entry. So every vote and acknowledgement carries this
+/// table, and the member that counts them drops those from older starts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StartTable {
     starts: BTreeMap<MemberId, u64>,
--- a/crates/ragwortroad_consensus/tests/by_hand/main.rs
+++ b/crates/ragwortroad_consensus/tests/by_hand/main.rs
@@ -33,8 +33,8 @@
     assert!(group.core(4).is_leader());
     group.run_election(0, &[0, 1, 2, 3]);
     assert!(group.core(0).is_leader());
-    // The old entry reaches two more members. The leader's own entry first arrives before the old
-    // one, where it does not fit, and is dropped once it would fit.
+    // The old entry reaches two more members. The leader's own entry is delivered only before the
+    // old one, when these members must reject it, and dropped once they could append it.
     let own = group.core(0).last_position();
     let has_old = [Cell::new(false), Cell::new(false), Cell::new(false)];
     for _ in 0..4 {
--- a/crates/ragwortroad_membership/src/home_claim.rs
+++ b/crates/ragwortroad_membership/src/home_claim.rs
@@ -14,10 +14,10 @@
 /// The transit time of an announcement is unknown, so an announcement alone does not prove that the
 /// endpoint still uses this home. But within one epoch an endpoint sends the next announcement only
 /// after it received the response to the last one. A second announcement thus proves that the
-/// endpoint still used this home when the first one was answered. The lease therefore starts at the
-/// previous answer. A new home that waits longer than one lease after the first announcement it
-/// receives cannot overlap with the previous home, no matter which messages were delayed or which
-/// processes were paused.
+/// endpoint still used this home when the home responded to the first one. The lease therefore
+/// starts at the previous response. A new home that waits longer than one lease after the first
+/// announcement it receives cannot overlap with the previous home, no matter which messages were
+/// delayed or which processes were paused.
 #[derive(Clone, Debug)]
 pub(crate) struct HomeClaim {
     /// The endpoint's incarnation.
@@ -26,15 +26,15 @@
     pub(crate) epoch: u64,
     /// Sequence number of the last announcement.
     pub(crate) sequence: u64,
-    /// When this node answered the last announcement.
-    pub(crate) answered_at: ClockTime,
+    /// When this node responded to the last announcement.
+    pub(crate) responded_at: ClockTime,
     /// When the endpoint switched to this node. It decides how long the endpoint is kept at least.
     pub(crate) held_since: ClockTime,
     /// Time at which the leases of all earlier homes have ended.
     pub(crate) exclusive_from: ClockTime,
     /// Exclusive end of this node's lease; absent until a second announcement confirms the claim.
     pub(crate) lease_end: Option<ClockTime>,
-    /// The previous home, while its answer could still shorten the wait.
+    /// The previous home, while its reply could still shorten the wait.
     pub(crate) previous_home: Option<NodeId>,
     /// When the previous home was last asked to hand over.
     pub(crate) last_handover_request: Option<ClockTime>,
@@ -53,16 +53,16 @@
 impl HomeClaim {
     /// Processes a later announcement of the same epoch.
     pub(crate) fn renew(&mut self, sequence: u64, now: ClockTime, lease: Duration) {
-        // After a gap in the sequence, nothing proves that the last answer arrived.
+        // After a gap in the sequence, nothing proves that the last response arrived.
         if sequence == self.sequence + 1 {
-            let lease_end = self.answered_at.after(lease);
+            let lease_end = self.responded_at.after(lease);
             self.lease_end = Some(
                 self.lease_end
                     .map_or(lease_end, |current| current.max(lease_end)),
             );
         }
         self.sequence = sequence;
-        self.answered_at = now;
+        self.responded_at = now;
     }
 
     /// Returns the state of the claim at `now`, or `None` once it has ended or its lease has
--- a/crates/ragwortroad_membership/src/membership_settings.rs
+++ b/crates/ragwortroad_membership/src/membership_settings.rs
@@ -67,8 +67,8 @@
     pub announce_interval: Duration,
     /// Time without an announcement after which the home considers an endpoint gone.
     pub endpoint_timeout: Duration,
-    /// Length of a home lease. It starts when the home answers an announcement, and takes effect
-    /// once the next announcement confirms that answer.
+    /// Length of a home lease. It starts when the home responds to an announcement, and takes
+    /// effect once the next announcement confirms that the response arrived.
     pub home_lease: Duration,
     /// Maximum deviation of any clock in the fleet from true time, as a fraction.
     pub clock_drift: f64,
--- a/crates/ragwortroad_membership/src/table/announcements.rs
+++ b/crates/ragwortroad_membership/src/table/announcements.rs
@@ -93,7 +93,7 @@
             incarnation: announce.incarnation,
             epoch: announce.home_epoch,
             sequence: announce.sequence,
-            answered_at: now,
+            responded_at: now,
             held_since: now,
             exclusive_from,
             lease_end: None,
--- a/crates/ragwortroad_membership/src/table/homes.rs
+++ b/crates/ragwortroad_membership/src/table/homes.rs
@@ -40,7 +40,7 @@
         self.claims.get(&endpoint).map(|claim| claim.load)
     }
 
-    /// Returns when the leases of all earlier homes have ended, and the previous home whose answer
+    /// Returns when the leases of all earlier homes have ended, and the previous home whose reply
     /// can shorten that wait.
     pub(super) fn takeover(
         &self,
@@ -117,13 +117,13 @@
             self.actions.push(GossipAction::HomeChanged(id));
         }
         let wait = claim.exclusive_from.since(now);
-        let answer = WireItem::Handover(HandoverItem {
+        let reply = WireItem::Handover(HandoverItem {
             endpoint: id.0,
             incarnation: claim.incarnation,
             epoch: claim.epoch,
             wait_ms: wait.as_millis() as u64,
         });
-        self.open_link(from, now).push_direct(answer);
+        self.open_link(from, now).push_direct(reply);
     }
 
     /// Processes the previous home's reply to a handover request.
@@ -220,7 +220,7 @@
         let Some(claim) = self.claims.get(&id) else {
             return;
         };
-        if claim.ended || now.since(claim.answered_at) < self.settings.endpoint_timeout {
+        if claim.ended || now.since(claim.responded_at) < self.settings.endpoint_timeout {
             return;
         }
         let record = self.endpoints.record(id);
--- a/crates/ragwortroad_membership/src/table/links.rs
+++ b/crates/ragwortroad_membership/src/table/links.rs
@@ -92,8 +92,8 @@
             return false;
         };
         let urgent = link.pending.count(UpdatePriority::Urgent) > 0;
-        let answer = link.ack_due.is_some_and(|due| due <= now);
-        if urgent || answer || link.probe_due || !link.direct_items.is_empty() {
+        let ack_is_due = link.ack_due.is_some_and(|due| due <= now);
+        if urgent || ack_is_due || link.probe_due || !link.direct_items.is_empty() {
             return true;
         }
         let since_last_sent = link
--- a/crates/ragwortroad_membership/src/table/mod.rs
+++ b/crates/ragwortroad_membership/src/table/mod.rs
@@ -47,8 +47,8 @@
 
 /// One node's view of all nodes and endpoints.
 ///
-/// The caller passes in every event with the time at which it happens, and carries out the returned
-/// actions. The same seed and the same inputs produce the same actions.
+/// The code that owns the table passes in every event with the time at which it happens, and
+/// carries out the returned actions. The same seed and the same inputs produce the same actions.
 pub struct MembershipTable {
     settings: MembershipSettings,
     /// Identity of this node.
--- a/crates/ragwortroad_membership/src/table/node_updates.rs
+++ b/crates/ragwortroad_membership/src/table/node_updates.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Reports a node's change of state to the caller.
+    /// Reports a node's change of state by an action.
     fn report_node_state(
         &mut self,
         id: NodeId,
--- a/crates/ragwortroad_membership/src/table/sync.rs
+++ b/crates/ragwortroad_membership/src/table/sync.rs
@@ -29,7 +29,7 @@
 /// Time for which views may differ before a node that has just started compares them.
 ///
 /// A node that accepts clients but knows no endpoints rejects all their requests. Until it has
-/// caught up, clients see a fleet that only answers on some of its addresses.
+/// caught up, clients see a fleet that only serves requests on some of its addresses.
 const STARTUP_SYNC_DELAY: Duration = Duration::from_millis(400);
 
 impl MembershipTable {
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_endpoint.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_endpoint.rs
@@ -21,7 +21,7 @@
     pub(crate) load_change: f64,
     load: u32,
     targets: Vec<String>,
-    awaiting_answer: bool,
+    awaiting_response: bool,
     sent: BTreeMap<(u64, u64), AnnounceWire>,
 }
 
@@ -39,7 +39,7 @@
             load_change: 0.0,
             load: 0,
             targets,
-            awaiting_answer: false,
+            awaiting_response: false,
             sent: BTreeMap::new(),
         }
     }
@@ -55,7 +55,7 @@
         self.generation += 1;
         self.sequence = 1;
         self.epoch = 0;
-        self.awaiting_answer = false;
+        self.awaiting_response = false;
         self.targets = targets;
     }
 
@@ -80,7 +80,7 @@
         }
         let wire = self.wire();
         self.sent.insert((generation, sequence), wire);
-        self.awaiting_answer = true;
+        self.awaiting_response = true;
         self.targets.first().cloned()
     }
 
@@ -117,8 +117,9 @@
         self.sent.remove(&(generation, sequence))
     }
 
-    /// Processes an answer. Returns the next sequence number, or nothing if the answer is outdated.
-    pub(crate) fn handle_answer(
+    /// Processes a response. Returns the next sequence number, or nothing if the response is
+    /// outdated.
+    pub(crate) fn handle_response(
         &mut self,
         generation: u64,
         sequence: u64,
@@ -127,11 +128,11 @@
         if !self.up
             || generation != self.generation
             || sequence != self.sequence
-            || !self.awaiting_answer
+            || !self.awaiting_response
         {
             return None;
         }
-        self.awaiting_answer = false;
+        self.awaiting_response = false;
         if !to.is_empty() {
             if to.first() != self.targets.first() {
                 self.switches += 1;
@@ -156,11 +157,11 @@
         if !self.up
             || generation != self.generation
             || sequence != self.sequence
-            || !self.awaiting_answer
+            || !self.awaiting_response
         {
             return None;
         }
-        self.awaiting_answer = false;
+        self.awaiting_response = false;
         self.targets.rotate_left(1);
         self.epoch += 1;
         self.switches += 1;
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_network.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_network.rs
@@ -11,7 +11,7 @@
 /// A network that loses, delays and duplicates packets and can be partitioned.
 pub(crate) struct FakeNetwork {
     /// Probability that a packet is lost; a quarter of it applies to announcements and their
-    /// answers.
+    /// responses.
     pub(crate) loss: f64,
     /// Probability that a packet arrives twice.
     pub(crate) duplication: f64,
@@ -72,7 +72,7 @@
         delays
     }
 
-    /// Returns the delay in milliseconds of an announcement or its answer, or nothing if it is
+    /// Returns the delay in milliseconds of an announcement or its response, or nothing if it is
     /// lost.
     pub(crate) fn announce_delay(&mut self, node: &FakeNode) -> Option<u64> {
         if node.table.is_none() || self.rng.random_bool(self.loss / 4.0) {
--- a/crates/ragwortroad_membership/tests/fake_fleet/fake_node.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/fake_node.rs
@@ -70,7 +70,7 @@
         address.port().checked_sub(FIRST_PORT).map(usize::from)
     }
 
-    pub(crate) fn index_at_caller(address: &str) -> Option<usize> {
+    pub(crate) fn index_by_caller_address(address: &str) -> Option<usize> {
         let address: SocketAddr = address.parse().ok()?;
         address.port().checked_sub(2 * FIRST_PORT).map(usize::from)
     }
--- a/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
+++ b/crates/ragwortroad_membership/tests/fake_fleet/mod.rs
@@ -34,7 +34,7 @@
 
 /// Interval between ticks of a node.
 const TICK_MS: u64 = 100;
-/// Time after which an endpoint stops waiting for the answer to an announcement.
+/// Time after which an endpoint stops waiting for the response to an announcement.
 const ANNOUNCE_TIMEOUT_MS: u64 = 1000;
 
 /// Time without packets after which a connection between two nodes is closed.
@@ -64,8 +64,8 @@
         generation: u64,
         sequence: u64,
     },
-    /// The answer to an announcement arrives.
-    Answer {
+    /// The response to an announcement arrives.
+    Response {
         endpoint: usize,
         generation: u64,
         sequence: u64,
@@ -262,14 +262,15 @@
                 generation,
                 sequence,
             } => self.arrive(node, endpoint, generation, sequence),
-            FakeEvent::Answer {
+            FakeEvent::Response {
                 endpoint,
                 generation,
                 sequence,
                 to,
                 every,
             } => {
-                if let Some(next) = self.endpoints[endpoint].handle_answer(generation, sequence, to)
+                if let Some(next) =
+                    self.endpoints[endpoint].handle_response(generation, sequence, to)
                 {
                     self.push(
                         self.now + every,
@@ -326,7 +327,7 @@
                 sequence,
             },
         );
-        let Some(node) = FakeNode::index_at_caller(&address) else {
+        let Some(node) = FakeNode::index_by_caller_address(&address) else {
             return;
         };
         if let Some(delay) = self.network.announce_delay(&self.nodes[node]) {
@@ -369,13 +370,13 @@
             return;
         };
         let start = Instant::now();
-        let answer = table.announce_response(id, clock);
+        let response = table.announce_response(id, clock);
         self.table_time += start.elapsed();
         if let Some(delay) = self.network.announce_delay(&self.nodes[node]) {
-            let (to, every) = (answer.announce_to, answer.every_ms);
+            let (to, every) = (response.announce_to, response.every_ms);
             self.push(
                 self.now + delay,
-                FakeEvent::Answer {
+                FakeEvent::Response {
                     endpoint,
                     generation,
                     sequence,
--- a/crates/ragwortroad_membership/tests/handover.rs
+++ b/crates/ragwortroad_membership/tests/handover.rs
@@ -175,13 +175,13 @@
     fleet.input(0, GossipInput::LeaveStarted);
     assert!(!fleet.admits(0));
     let engine = EndpointId::from_name("engine");
-    let answer = fleet.tables[0].announce_response(engine, fleet.now);
+    let response = fleet.tables[0].announce_response(engine, fleet.now);
     let own = fleet.tables[0]
         .node(fleet.id(0))
         .unwrap()
         .caller_address
         .to_string();
-    assert!(!answer.announce_to.is_empty() && !answer.announce_to.contains(&own));
+    assert!(!response.announce_to.is_empty() && !response.announce_to.contains(&own));
     fleet.announce(1, 1, 3);
     fleet.announce(1, 1, 4);
     assert!(fleet.admits(1));
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Answers a change: a refusal at once, an accepted change once it is in force.
+    /// Responds to a change: to a refused one at once, to an accepted one once it is in force.
     pub(crate) fn handle_change_outcome(
         &mut self,
         origin: LineOrigin,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Answers an operator when an accepted change is in force everywhere.
+    /// Responds to an operator when an accepted change is in force everywhere.
     pub(crate) fn watch_change(&mut self, revision: u64, origin: LineOrigin, now: ClockTime) {
         let context = self
             .replica
@@ -201,7 +201,7 @@
         self.respond_to_watches(now);
     }
 
-    /// Answers operators whose changes are in force, or who have waited for the maximum time.
+    /// Responds to operators whose changes are in force, or who have waited for the maximum time.
     fn respond_to_watches(&mut self, now: ClockTime) {
         let Some(context) = self
             .replica
--- a/crates/ragwortroad_node/src/control/line_flow.rs
+++ b/crates/ragwortroad_node/src/control/line_flow.rs
@@ -36,7 +36,7 @@
 /// waits for a change to be in force.
 const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time after which an unanswered line is resent.
+/// Time after which a line without a response is resent.
 const LINE_RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Name of the operator whose key is in the settings, used until operators are declared.
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Resends unanswered lines, and answers those that have timed out.
+    /// Resends lines without a response, and responds to those that have timed out.
     pub(crate) fn tick_lines(&mut self, now: ClockTime) {
         if let Some(leader) = self.leader().filter(|leader| *leader != self.node) {
             let limit = now.before(LINE_RESEND_INTERVAL);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Answers an operator, directly or through the node that forwarded the line.
+    /// Responds to an operator, directly or through the node that forwarded the line.
     pub(crate) fn respond_to_line(
         &self,
         origin: LineOrigin,
--- a/crates/ragwortroad_node/src/control/line_table.rs
+++ b/crates/ragwortroad_node/src/control/line_table.rs
@@ -13,7 +13,7 @@
     lines: BTreeMap<u64, PendingLine>,
 }
 
-/// A forwarded line that the leader hasn't answered.
+/// A forwarded line to which the leader hasn't responded.
 #[derive(Debug)]
 pub(crate) struct PendingLine {
     /// The operator's connection.
--- a/crates/ragwortroad_node/src/control/show_flow.rs
+++ b/crates/ragwortroad_node/src/control/show_flow.rs
@@ -1,4 +1,4 @@
-//! Answers operators' queries with tables of the current state.
+//! Responds to operators' queries with tables of the current state.
 
 use ragwortroad_language::prelude::*;
 use ragwortroad_membership::prelude::*;
@@ -11,7 +11,7 @@
 };
 
 impl ControlState {
-    /// Answers a query from `state` and from this node's own view.
+    /// Responds to a query from `state` and from this node's own view.
     pub(crate) fn respond_to_show(
         &self,
         origin: LineOrigin,
--- a/crates/ragwortroad_node/src/lib.rs
+++ b/crates/ragwortroad_node/src/lib.rs
@@ -7,8 +7,9 @@
 //! use ragwortroad_node::prelude::*;
 //! use ragwortroad_settings::prelude::*;
 //!
-//! let settings = ProcessSettings::from_file("node-1.ini".as_ref())?; let node =
-//! NodeProcess::start(settings)?; println!("clients connect to {}", node.caller_address());
+//! let settings = ProcessSettings::from_file("node-1.ini".as_ref())?;
+//! let node = NodeProcess::start(settings)?;
+//! println!("clients connect to {}", node.caller_address());
 //! node.stop();
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
--- a/crates/ragwortroad_routing/src/limit/customer_limit.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_limit.rs
@@ -3,7 +3,7 @@
 pub struct CustomerLimit {
     /// Requests per second.
     pub requests_per_s: f64,
-    /// Tokens per second, prompt and response together.
+    /// Tokens per second, prompt and output together.
     pub tokens_per_s: f64,
     /// Requests in flight at once.
     pub concurrent: u32,
--- a/crates/ragwortroad_state/src/change/change_log.rs
+++ b/crates/ragwortroad_state/src/change/change_log.rs
@@ -30,8 +30,8 @@
 /// The current configuration with the history of its changes.
 ///
 /// An accepted change that is sent again after its outcome was dropped is refused as a conflict,
-/// because its base is an old revision by then. The answer says less, but the change never takes
-/// effect twice.
+/// because its base is an old revision by then. This outcome tells the operator less than the first
+/// one, but the change never takes effect twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeLog {
     config: FleetConfig,
--- a/crates/ragwortroad_state/src/claim/claim_outcome.rs
+++ b/crates/ragwortroad_state/src/claim/claim_outcome.rs
@@ -42,7 +42,7 @@
 }
 
 impl ClaimOutcome {
-    /// Returns what the caller of a refused claim is told; `None` for a grant, a recorded response
+    /// Returns what the client of a refused claim is told; `None` for a grant, a recorded response
     /// and the outcomes of finishes and releases.
     pub fn refusal(&self) -> Option<(RequestOutcome, RefusalCode)> {
         let refusal = match self {
--- a/crates/ragwortroad_state/src/config/config_edit.rs
+++ b/crates/ragwortroad_state/src/config/config_edit.rs
@@ -222,7 +222,7 @@
 pub struct LimitsEdit {
     /// Requests per second.
     pub requests_per_s: Option<u32>,
-    /// Generated tokens per second.
+    /// Tokens per second, prompt and output together.
     pub tokens_per_s: Option<u32>,
     /// Concurrent requests.
     pub concurrent: Option<u32>,
--- a/crates/ragwortroad_state/src/config/customer_entry.rs
+++ b/crates/ragwortroad_state/src/config/customer_entry.rs
@@ -43,7 +43,7 @@
 pub struct CustomerLimits {
     /// Requests per second.
     pub requests_per_s: u32,
-    /// Generated tokens per second.
+    /// Tokens per second, prompt and output together.
     pub tokens_per_s: u32,
     /// Concurrent requests.
     pub concurrent: u32,
--- a/crates/ragwortroad_state/src/config/key_hash.rs
+++ b/crates/ragwortroad_state/src/config/key_hash.rs
@@ -17,7 +17,7 @@
 pub struct KeyHash(pub [u8; 32]);
 
 impl KeyHash {
-    /// Hashes `key` as a caller sends it.
+    /// Hashes `key` as a client sends it.
     pub fn of_key(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
--- a/crates/ragwortroad_state/src/fleet_state.rs
+++ b/crates/ragwortroad_state/src/fleet_state.rs
@@ -58,7 +58,7 @@
     OrdersTaken {
         /// The new lease holder.
         holder: NodeId,
-        /// The fencing number of the new lease.
+        /// The fencing token of the new lease.
         fence: FencingToken,
     },
     /// An update of the order plan was applied or refused.
--- a/crates/ragwortroad_state/src/order/engine_order.rs
+++ b/crates/ragwortroad_state/src/order/engine_order.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct OrderId {
-    /// The fencing number of the lease holder.
+    /// The fencing token of the lease holder.
     pub fence: FencingToken,
-    /// Increases by one with each order under the same fencing number.
+    /// Increases by one with each order under the same fencing token.
     pub number: u64,
 }
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The order's identifier, which includes the fencing number.
+    /// The order's identifier, which includes the fencing token.
     pub id: OrderId,
     /// The name of the engine.
     pub engine: String,
--- a/crates/ragwortroad_state/src/order/lease_table.rs
+++ b/crates/ragwortroad_state/src/order/lease_table.rs
@@ -9,7 +9,7 @@
 /// The lease that allows its holder to send orders to engines.
 ///
 /// The consensus leader requests the lease with the first command of its term. If two nodes request
-/// it, the order of the log decides; the later one gets the higher fencing number.
+/// it, the order of the log decides; the later one gets the higher fencing token.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseTable {
@@ -20,7 +20,7 @@
 }
 
 impl LeaseTable {
-    /// The fencing number of the last grant.
+    /// The fencing token of the last grant.
     pub fn fence(&self) -> FencingToken {
         self.fence
     }
--- a/crates/ragwortroad_state/src/order/order_gate.rs
+++ b/crates/ragwortroad_state/src/order/order_gate.rs
@@ -41,7 +41,7 @@
 }
 
 impl OrderGate {
-    /// Creates the gate of the holder with fencing number `fence`, whose grant was applied at
+    /// Creates the gate of the holder with fencing token `fence`, whose grant was applied at
     /// `applied_at`.
     pub fn new(timing: OrderTiming, fence: FencingToken, applied_at: ClockTime) -> Self {
         Self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The fencing number of the holder.
+    /// The fencing token of the holder.
     pub fn fence(&self) -> FencingToken {
         self.fence
     }
@@ -61,10 +61,10 @@
         self.applied_at
     }
 
-    /// Returns the fencing number to send if an order may be written at `now`.
+    /// Returns the fencing token to send if an order may be written at `now`.
     ///
     /// `lead_until` is the time until which this node is proven to be the leader; `checks_fencing`
-    /// tells whether the endpoint rejects old fencing numbers.
+    /// tells whether the endpoint rejects old fencing tokens.
     pub fn may_order(
         &self,
         now: ClockTime,
--- a/crates/ragwortroad_state/src/order/order_plan.rs
+++ b/crates/ragwortroad_state/src/order/order_plan.rs
@@ -29,7 +29,7 @@
     Taken,
     /// The update came from a former lease holder.
     OldFence {
-        /// The current fencing number.
+        /// The current fencing token.
         fence: FencingToken,
     },
 }
--- a/crates/ragwortroad_state/src/order/order_table.rs
+++ b/crates/ragwortroad_state/src/order/order_table.rs
@@ -41,7 +41,7 @@
 }
 
 impl OrderTable {
-    /// Creates an empty table for the holder with fencing number `fence`.
+    /// Creates an empty table for the holder with fencing token `fence`.
     pub fn new(settings: OrderSettings, fence: FencingToken, now: ClockTime) -> Self {
         Self {
             settings,
--- a/crates/ragwortroad_state/src/order/order_timing.rs
+++ b/crates/ragwortroad_state/src/order/order_timing.rs
@@ -36,7 +36,7 @@
 
 impl OrderTiming {
     /// Returns how long a new holder waits, on its own clock, before it sends orders to endpoints
-    /// that ignore fencing numbers; rounded up to a millisecond.
+    /// that ignore fencing tokens; rounded up to a millisecond.
     pub fn new_holder_wait(&self) -> Duration {
         let drift = u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
         let lease = self.lease.as_micros() * MILLION;
--- a/crates/ragwortroad_state/src/state_command.rs
+++ b/crates/ragwortroad_state/src/state_command.rs
@@ -47,7 +47,7 @@
     },
     /// Updates the engine targets on behalf of the lease holder.
     Plan {
-        /// The fencing number of the holder's lease.
+        /// The fencing token of the holder's lease.
         fence: FencingToken,
         /// Targets by engine name; `None` removes the engine from the plan.
         targets: Vec<(String, Option<EngineTarget>)>,
--- a/crates/ragwortroad_state/tests/engine_orders.rs
+++ b/crates/ragwortroad_state/tests/engine_orders.rs
@@ -1,5 +1,5 @@
-//! Orders to engines: a paused leader, engines that ignore fencing numbers, repeated and delayed
-//! answers, and the rate limit of the weight store.
+//! Orders to engines: a paused leader, engines that ignore fencing tokens, repeated and delayed
+//! responses, and the rate limit of the weight store.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Simulates orders to two engines, one that checks fencing numbers and one that does not. Returns
+/// Simulates orders to two engines, one that checks fencing tokens and one that does not. Returns
 /// how many took effect and whether an old order followed a newer holder's.
 fn run_simulation(seed: u64, fault: GateFault) -> (u64, bool) {
     let mut rng = SeededRng::new(seed);
@@ -114,7 +114,7 @@
             }
             let seen = &mut highest[usize::from(*checks)];
             let old = *fence < *seen;
-            // An engine that checks fencing numbers refuses the old one itself.
+            // An engine that checks fencing tokens refuses the old one itself.
             is_violated |= old && !*checks;
             effects += u64::from(!(old && *checks));
             *seen = (*seen).max(*fence);
@@ -124,7 +124,7 @@
     (effects, is_violated)
 }
 
-/// Returns a number up to `most`, often one of the ends, where errors show.
+/// Returns a number up to `most`, often one of the bounds, where errors are most likely.
 fn boundary_value(rng: &mut SeededRng, most: u64) -> u64 {
     match rng.below(3) {
         0 => 0,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Grants fencing numbers through the replicated state.
+/// Grants fencing tokens through the replicated state.
 #[derive(Default)]
 struct LeaseHarness(FleetState);
 
@@ -153,7 +153,7 @@
 }
 
 /// An order of a deposed leader could take effect after those of the new one, at an engine that
-/// ignores fencing numbers, when a leader is paused between check and send or clocks drift.
+/// ignores fencing tokens, when a leader is paused between check and send or clocks drift.
 #[test]
 fn old_orders_never_follow_new_ones_at_an_unfenced_engine() {
     let mut effects = 0;
@@ -229,7 +229,7 @@
     }
 }
 
-/// Orders could stay pending forever, or engines miss their targets, when orders and answers are
+/// Orders could stay pending forever, or engines miss their targets, when orders and responses are
 /// lost or repeated and engines restart.
 #[test]
 fn orders_converge_despite_lost_and_repeated_messages() {
--- a/crates/ragwortroad_state/tests/operator_changes.rs
+++ b/crates/ragwortroad_state/tests/operator_changes.rs
@@ -56,7 +56,8 @@
     assert_eq!(winner.change_id, "first");
     assert_eq!(winner.edits, first.edits);
     assert!(!state.config().customers.contains_key("south"));
-    // Both operators lost their answers, the leader restarted, and both send their changes again.
+    // Neither operator received a response, the leader restarted, and both send their changes
+    // again.
     let mut state = FleetState::from_snapshot(&state.to_snapshot()).unwrap();
     assert_eq!(apply(&mut state, &second), refused);
     assert_eq!(
@@ -322,7 +323,7 @@
         {
             apply(&mut state, &again);
         }
-        // The request is lost, or it arrives and the answer is lost.
+        // The request is lost, or it arrives and the response is lost.
         if rng.chance(20) {
             continue;
         }
@@ -362,14 +363,14 @@
     answer_open_operations(history, open, &mut state)
 }
 
-/// Answers the operations that are still open, without further losses.
+/// Completes the operations that are still open, without further losses.
 fn answer_open_operations(
     mut history: Vec<(usize, Action<OperatorOp>)>,
     open: Vec<Option<OperatorOp>>,
     state: &mut FleetState,
 ) -> Vec<(usize, Action<OperatorOp>)> {
-    // The checker needs a response for every operation, so each open one gets the answer that a
-    // last repetition would bring.
+    // The checker needs a response for every operation, so each open one gets the response that
+    // sending it once more would bring.
     for (operator_index, operation) in open.into_iter().enumerate() {
         let Some(operation) = operation else { continue };
         let done = match operation {
@@ -391,7 +392,7 @@
     history
 }
 
-/// Operators could get answers that contradict each other when messages are lost, repeated and
+/// Operators could get responses that contradict each other when messages are lost, repeated and
 /// reordered while leaders change.
 #[test]
 fn operator_histories_are_linearizable() {
--- a/crates/ragwortroad_timeline/src/event_kind.rs
+++ b/crates/ragwortroad_timeline/src/event_kind.rs
@@ -64,7 +64,7 @@
     HomeChanged,
     /// An order was sent to an endpoint.
     OrderSent,
-    /// An endpoint answered an order.
+    /// An endpoint responded to an order.
     OrderAnswered,
     /// An operator started to drain an endpoint or node, which receives no new requests.
     DrainStarted,
