--- a/crates/ragwortroad_consensus/src/bootstrap_table.rs
+++ b/crates/ragwortroad_consensus/src/bootstrap_table.rs
@@ -81,8 +81,8 @@
         if !missing.is_empty() {
             return BootstrapDecision::Wait { missing };
         }
-        let founder = received.iter().map(|hello| hello.node).min();
-        if founder != Some(self.own.node) {
+        let lowest = received.iter().map(|hello| hello.node).min();
+        if lowest != Some(self.own.node) {
             return BootstrapDecision::Follow;
         }
         let voters = received.iter().map(|hello| (hello.member, hello.node));
--- a/crates/ragwortroad_consensus/src/consensus_core.rs
+++ b/crates/ragwortroad_consensus/src/consensus_core.rs
@@ -206,8 +206,8 @@
 
     /// Restarts the timer after a pre-vote.
     ///
-    /// A pre-vote binds nobody and is repeated soon, so that a voter that heard the leader slightly
-    /// later delays the election only slightly when it refuses.
+    /// A pre-vote is not binding and is repeated soon, so that a voter that heard the leader
+    /// slightly later delays the election only slightly when it refuses.
     pub(crate) fn reset_pre_vote_timer(&mut self, now: ClockTime) {
         let min_delay = self.settings.election_timeout / 8;
         self.set_election_deadline(now, min_delay, min_delay * 2);
--- a/crates/ragwortroad_consensus/src/core_startup.rs
+++ b/crates/ragwortroad_consensus/src/core_startup.rs
@@ -100,7 +100,7 @@
         };
         match core.settings.uses_leader_lease {
             true => core.reset_election_timer(now),
-            // A pre-vote binds nobody, and a member that hears a leader refuses it.
+            // A pre-vote is not binding, and a member that hears a leader refuses it.
             false => core.reset_pre_vote_timer(now),
         }
         if let Some(initial_members) = start.initial_members {
--- a/crates/ragwortroad_node/src/control/grant_flow.rs
+++ b/crates/ragwortroad_node/src/control/grant_flow.rs
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Ends an attempt: releases its slot, settles its limit charge and its claim.
+    /// Ends an attempt: releases its slot, corrects its limit charge, and finishes or releases its
+    /// claim.
     pub(crate) fn finish(&mut self, call: FinishCall, now: ClockTime) {
         let Some(record) = self.tickets.close(call.ticket) else {
             tracing::warn!(ticket = call.ticket.0, "attempt ended more than once");
--- a/crates/ragwortroad_node/src/control/leader_flow.rs
+++ b/crates/ragwortroad_node/src/control/leader_flow.rs
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Settles the claims of nodes that are down when leadership begins.
+    /// Declares the nodes lost that are down when leadership begins; the outcomes of their claims
+    /// are unknown from then on.
     ///
     /// A node that failed while there was no leader was not reported to the log. Its keys would
     /// stay "in progress" for ten minutes, and clients would wait for an attempt that is over.
--- a/crates/ragwortroad_node/src/control/order_flow.rs
+++ b/crates/ragwortroad_node/src/control/order_flow.rs
@@ -130,11 +130,11 @@
             };
             let urgency = urgencies.get(name).copied().unwrap_or(0);
             table.set_target(name, target.clone(), urgency);
-            let observed = EngineObservation {
+            let observation = EngineObservation {
                 incarnation: record.incarnation,
                 models: record.models.iter().cloned().collect(),
             };
-            table.observe(name, observed);
+            table.observe(name, observation);
             if !ordered_engines.contains(name) && history.was_undrained(name, &record.zone) {
                 table.mark_drain_unknown(name);
             }
--- a/crates/ragwortroad_routing/src/limit/customer_entry.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_entry.rs
@@ -92,7 +92,7 @@
     }
 
     /// Concurrency that every node has without asking. It is at least one, because otherwise a
-    /// customer could wait forever at a node that its coordinator never hears of.
+    /// customer could wait forever at a node whose demand never reaches its coordinator.
     fn even_concurrency(&self, settings: &LimiterSettings, nodes: f64) -> u32 {
         let even = settings.even_share * f64::from(self.limit.concurrent) / nodes;
         (even.floor() as u32).max(1)
--- a/crates/ragwortroad_routing/src/limit/customer_limiter.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_limiter.rs
@@ -93,7 +93,8 @@
             wait = wait.max(CONCURRENCY_WAIT);
         }
         if entry.share.is_none() {
-            // The coordinator hears of this request within a second or two.
+            // The coordinator learns of this request within a second or two, and may then send a
+            // share.
             wait = wait.min(MAX_WAIT_WITHOUT_SHARE);
         }
         if !wait.is_zero() {
--- a/crates/ragwortroad_routing/src/table/endpoint_ranking.rs
+++ b/crates/ragwortroad_routing/src/table/endpoint_ranking.rs
@@ -15,7 +15,7 @@
 /// prefix selects the first few endpoints, so that its chats share an engine's cached copy, and the
 /// chat selects among these. For every few of them that are full, one more endpoint beyond the full
 /// ones becomes a candidate. With only the next one, all nodes would send all chats of a popular
-/// prefix to the same engine, which is full before they hear of it.
+/// prefix to the same engine, which would be full before its load reaches them.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointRanking {
     /// Hash key that ranks the endpoints.
--- a/crates/ragwortroad_routing/src/table/table_inputs.rs
+++ b/crates/ragwortroad_routing/src/table/table_inputs.rs
@@ -220,7 +220,7 @@
             if facts.home != before.home {
                 state.exclusive_from = exclusive_from;
                 state.handover_reported = exclusive_from == ClockTime::ZERO;
-                // The earlier home's requests are the load that was last heard, until a report
+                // The earlier home's requests are the load that was last reported, until a report
                 // shows fewer.
                 let last_load = if before.home == node {
                     0
--- a/crates/ragwortroad_routing/tests/after_failure.rs
+++ b/crates/ragwortroad_routing/tests/after_failure.rs
@@ -10,7 +10,7 @@
 #[test]
 fn an_outage_is_not_multiplied() {
     let mut budget = RetryBudget::new(0.1, 20);
-    let rule = RetryPolicy::default();
+    let policy = RetryPolicy::default();
     let mut attempts = 0;
     for _ in 0..10_000 {
         budget.record_first_attempt();
@@ -20,7 +20,7 @@
             attempts: 1,
             time_left: Duration::from_secs(10),
         };
-        while rule.may_retry(failed, &mut budget) {
+        while policy.may_retry(failed, &mut budget) {
             failed.attempts += 1;
         }
         attempts += failed.attempts;
@@ -33,24 +33,24 @@
 #[test]
 fn requests_that_may_have_run_are_retried_only_if_idempotent() {
     let mut budget = RetryBudget::new(0.1, 20);
-    let rule = RetryPolicy::default();
+    let policy = RetryPolicy::default();
     let unknown_outcome = FailedAttempt {
         outcome: RequestOutcome::Unknown,
         idempotent: false,
         attempts: 1,
         time_left: Duration::from_secs(10),
     };
-    assert!(!rule.may_retry(unknown_outcome, &mut budget));
+    assert!(!policy.may_retry(unknown_outcome, &mut budget));
     let unsent = FailedAttempt {
         outcome: RequestOutcome::NotRun,
         ..unknown_outcome
     };
-    assert!(rule.may_retry(unsent, &mut budget));
+    assert!(policy.may_retry(unsent, &mut budget));
     let near_deadline = FailedAttempt {
         time_left: Duration::from_millis(10),
         ..unsent
     };
-    assert!(!rule.may_retry(near_deadline, &mut budget));
+    assert!(!policy.may_retry(near_deadline, &mut budget));
 }
 
 /// Guards against a shared fault that ejects all engines and leaves none to serve, and against
--- a/crates/ragwortroad_routing/tests/bound.rs
+++ b/crates/ragwortroad_routing/tests/bound.rs
@@ -260,8 +260,8 @@
 fn a_new_home_waits_until_it_is_exclusive_and_counts_inherited_load() {
     let mut table = new_table(0);
     let ask = |table: &mut RouteTable, now| {
-        let claim = AdmissionClass::Returning;
-        table.grant_slot(engine_id(0), node_id(1), CustomerKey(1), claim, now)
+        let class = AdmissionClass::Returning;
+        table.grant_slot(engine_id(0), node_id(1), CustomerKey(1), class, now)
     };
     let report = LoadReport {
         running: 4,
@@ -402,10 +402,10 @@
         taken, 63,
         "80 % of a capacity of 80, minus the slot of the small customer"
     );
-    let claim = AdmissionClass::Arriving;
-    let answer = table.grant_slot(engine_id(0), node_id(0), large, claim, now);
+    let class = AdmissionClass::Arriving;
+    let answer = table.grant_slot(engine_id(0), node_id(0), large, class, now);
     assert!(matches!(answer, SlotAnswer::Full { .. }), "{answer:?}");
-    let answer = table.grant_slot(engine_id(0), node_id(0), small, claim, now);
+    let answer = table.grant_slot(engine_id(0), node_id(0), small, class, now);
     assert!(matches!(answer, SlotAnswer::Granted { .. }), "{answer:?}");
     for _ in 0..15 {
         let answer = table.grant_slot(
@@ -459,12 +459,12 @@
         table.observe_digest(engine_id(engine), digest);
     }
     let ask = |table: &mut RouteTable, engine, requester| {
-        let claim = AdmissionClass::Returning;
+        let class = AdmissionClass::Returning;
         let answer = table.grant_slot(
             engine_id(engine),
             node_id(requester),
             CustomerKey(1),
-            claim,
+            class,
             ClockTime(1_000),
         );
         matches!(answer, SlotAnswer::Granted { .. })
--- a/crates/ragwortroad_state/src/order/order_table.rs
+++ b/crates/ragwortroad_state/src/order/order_table.rs
@@ -66,7 +66,7 @@
         managed.observe(observation);
     }
 
-    /// Marks that a former holder may have drained the engine, which no announcement tells. The
+    /// Marks that a former holder may have drained the engine, which announcements don't show. The
     /// drain state is then ordered once more. Otherwise an engine whose drain was ended during a
     /// leader change would never accept work again.
     pub fn mark_drain_unknown(&mut self, engine: &str) {
--- a/crates/ragwortroad_state/tests/engine_orders.rs
+++ b/crates/ragwortroad_state/tests/engine_orders.rs
@@ -332,7 +332,7 @@
 }
 
 /// An engine that a former holder drained could stay drained if the drain was ended during the
-/// leader change, since no announcement tells the new holder.
+/// leader change, since announcements don't show a drain to the new holder.
 #[test]
 fn new_holder_ends_a_former_holders_drain() {
     let now = ClockTime::ZERO;
