--- a/crates/ragwortroad_consensus/src/bootstrap_table.rs
+++ b/crates/ragwortroad_consensus/src/bootstrap_table.rs
@@ -28,7 +28,7 @@
 pub enum BootstrapDecision {
     /// At least one named node has not sent its [`BootstrapHello`] yet.
     Wait {
-        /// The nodes that have not answered.
+        /// The nodes whose message is missing.
         missing: Vec<NodeId>,
     },
     /// All folders are empty and this node bootstraps the group: start the core with these initial
@@ -81,8 +81,8 @@
         if !missing.is_empty() {
             return BootstrapDecision::Wait { missing };
         }
-        let founder = received.iter().map(|hello| hello.node).min();
-        if founder != Some(self.own.node) {
+        let lowest = received.iter().map(|hello| hello.node).min();
+        if lowest != Some(self.own.node) {
             return BootstrapDecision::Follow;
         }
         let voters = received.iter().map(|hello| (hello.member, hello.node));
--- a/crates/ragwortroad_demo/src/small_fleet.rs
+++ b/crates/ragwortroad_demo/src/small_fleet.rs
@@ -171,7 +171,7 @@
             let others =
                 (0..self.nodes.len()).filter(|other| numbers.contains(other) != is_isolated);
             if let Some(node) = node {
-                node.gate().block(others.map(id));
+                node.partition_filter().block(others.map(id));
             }
         }
     }
@@ -179,7 +179,7 @@
     /// Unblocks all links.
     pub fn heal_partition(&self) {
         for node in self.nodes.iter().flatten() {
-            node.gate().unblock_all();
+            node.partition_filter().unblock_all();
         }
     }
 
--- a/crates/ragwortroad_node/src/control/line_table.rs
+++ b/crates/ragwortroad_node/src/control/line_table.rs
@@ -13,7 +13,7 @@
     lines: BTreeMap<u64, PendingLine>,
 }
 
-/// A forwarded line that the leader hasn't answered.
+/// A forwarded line to which the leader hasn't responded.
 #[derive(Debug)]
 pub(crate) struct PendingLine {
     /// The operator's connection.
@@ -47,8 +47,8 @@
 
     /// Returns the lines last sent before `limit`, to be sent to `leader` now.
     ///
-    /// A line or its answer may be lost with a connection. Resending is safe: a query changes
-    /// nothing, and a change is deduplicated by its id.
+    /// A line or the response to it may be lost with a connection. Resending is safe: a query
+    /// changes nothing, and a change is deduplicated by its id.
     pub(crate) fn take_resends(
         &mut self,
         limit: ClockTime,
