--- a/crates/ragwortroad_dispatch/src/admission_gate.rs
+++ b/crates/ragwortroad_dispatch/src/admission_gate.rs
@@ -19,7 +19,7 @@
 pub struct AdmissionRequest {
     /// Priority; the lowest value is served first.
     pub rank: RequestRank,
-    /// Whether the caller has already spent its latency target waiting elsewhere.
+    /// Whether the client has already spent its latency target waiting elsewhere.
     pub is_late: bool,
     /// Longest time in the queue after which the request can still meet its latency target.
     pub queue_timeout: Duration,
@@ -31,7 +31,7 @@
     /// The request proceeds to an endpoint. It is counted until [`AdmissionGate::release`].
     Admitted,
     /// The request is queued until [`AdmissionGate::admit_next`] or [`AdmissionGate::shed_next`]
-    /// returns its ticket, or the caller cancels it.
+    /// returns its ticket, or the client cancels it.
     Queued(QueueTicket),
 }
 
@@ -87,7 +87,7 @@
 /// Position in the order of service; the lowest value is first.
 ///
 /// Among requests of equal priority, those that can still meet their latency target precede those
-/// that cannot: in a long overload every caller is rejected once, and serving all in the order of
+/// that cannot: in a long overload every client is rejected once, and serving all in the order of
 /// their first attempt would make all of them late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueRank {
@@ -192,7 +192,7 @@
         Some(shed)
     }
 
-    /// Removes a queued request whose caller has left.
+    /// Removes a queued request whose client has left.
     pub fn cancel(&mut self, ticket: QueueTicket) {
         self.remove(ticket);
     }
--- a/crates/ragwortroad_dispatch/src/config_fetch.rs
+++ b/crates/ragwortroad_dispatch/src/config_fetch.rs
@@ -52,7 +52,7 @@
 /// Registries announce versions, and the edge asks one of them for the changes that it lacks. Edges
 /// prefer different registries, so that the copies are spread over all of them. A registry that
 /// does not answer is not asked twice in a row: it may be connected and overloaded, and the edge
-/// would reject callers by an old configuration for as long as the connection lasts. If no other
+/// would reject clients by an old configuration for as long as the connection lasts. If no other
 /// registry has the version, the same one is asked for a direct copy, since the edge that it
 /// referred to may be gone.
 #[derive(Debug, Default)]
--- a/crates/ragwortroad_dispatch/src/deadline_estimate.rs
+++ b/crates/ragwortroad_dispatch/src/deadline_estimate.rs
@@ -3,18 +3,18 @@
 /// Quantile of the time left that counts as the initial deadline.
 ///
 /// In a long overload most requests are retries, so the median would reflect their remaining time;
-/// up to a tenth of the callers may set longer deadlines without making all others appear to be
+/// up to a tenth of the clients may set longer deadlines without making all others appear to be
 /// late.
 const DEADLINE_QUANTILE: f64 = 0.9;
 
 /// Relative step of the estimate per request.
 const STEP_RATIO: f64 = 0.01;
 
-/// Estimate of the initial deadline of a route's callers, derived from the time left on their
+/// Estimate of the initial deadline of a route's clients, derived from the time left on their
 /// requests.
 ///
-/// A rejected caller that retries sends its remaining time, which is the only sign that tells it
-/// from a new caller. When there is not enough capacity for all, priority depends on who can still
+/// A rejected client that retries sends its remaining time, which is the only sign that tells it
+/// from a new client. When there is not enough capacity for all, priority depends on who can still
 /// be served within the latency target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DeadlineEstimate {
@@ -23,7 +23,7 @@
 }
 
 impl DeadlineEstimate {
-    /// Records a request with `time_left`; returns how long its caller has already waited
+    /// Records a request with `time_left`; returns how long its client has already waited
     /// elsewhere.
     pub fn note(&mut self, time_left: Duration) -> Duration {
         let left = time_left.as_secs_f64();
--- a/crates/ragwortroad_dispatch/src/domain_reach.rs
+++ b/crates/ragwortroad_dispatch/src/domain_reach.rs
@@ -5,30 +5,30 @@
 
 use crate::EndpointKey;
 
-/// Number of distinct endpoints without an answer after which their whole domain counts as
+/// Number of distinct endpoints without a response after which their whole domain counts as
 /// unreachable.
 ///
-/// Single endpoints fail too; while others of their domain are healthy, an answer from one of these
-/// resets the count.
+/// Single endpoints fail too; while others of their domain are healthy, a response from one of
+/// these resets the count.
 const UNREACHABLE_THRESHOLD: usize = 3;
 
 /// Tracks which failure domains an edge can reach.
 ///
-/// When a domain loses power or its network connection, all of its endpoints stop answering at
+/// When a domain loses power or its network connection, all of its endpoints stop responding at
 /// once. If an edge detected that for one endpoint at a time, requests to each of them would wait
 /// for a connection timeout; the registries detect it only after several missed announcements. The
-/// edge therefore marks the whole domain unreachable after a few consecutive endpoints without an
-/// answer. Any answer from the domain marks it reachable.
+/// edge therefore marks the whole domain unreachable after a few consecutive endpoints without a
+/// response. Any response from the domain marks it reachable.
 #[derive(Debug, Default)]
 pub struct DomainReach {
-    /// Endpoints that have not answered since their domain's last answer.
+    /// Endpoints that have not responded since their domain's last response.
     ///
     /// Invariant: no set is empty.
     silent: BTreeMap<String, BTreeSet<EndpointKey>>,
 }
 
 impl DomainReach {
-    /// Records that an endpoint did not answer at all; returns whether this made its domain
+    /// Records that an endpoint did not respond at all; returns whether this made its domain
     /// unreachable.
     pub fn note_silent(&mut self, domain: &str, endpoint: EndpointKey) -> bool {
         let was_reachable = self.is_reachable(domain);
@@ -37,8 +37,8 @@
         was_reachable && !self.is_reachable(domain)
     }
 
-    /// Records an answer from a domain; returns whether this made the domain reachable again.
-    pub fn note_answer(&mut self, domain: &str) -> bool {
+    /// Records a response from a domain; returns whether this made the domain reachable again.
+    pub fn note_response(&mut self, domain: &str) -> bool {
         let was_reachable = self.is_reachable(domain);
         self.silent.remove(domain);
         !was_reachable
--- a/crates/ragwortroad_dispatch/src/edge_directory.rs
+++ b/crates/ragwortroad_dispatch/src/edge_directory.rs
@@ -20,7 +20,7 @@
     edge_view::EdgeView, //
 };
 
-/// Directory of the edges that callers can use, merged from the views of all registries.
+/// Directory of the edges that clients can use, merged from the views of all registries.
 ///
 /// An edge that any connected registry reports as ready is returned: a registry that is partitioned
 /// from edges has lost them although they are running. The directory tolerates the loss of the
@@ -79,14 +79,14 @@
         }
     }
 
-    /// Returns at most `most` edges for the caller at the address `asker`.
+    /// Returns at most `most` edges for the client at the address `client`.
     ///
     /// # Errors
     ///
     /// Fails during discovery after a start, and if no edge is ready.
     pub fn find(
         &self,
-        asker: IpAddr,
+        client: IpAddr,
         most: usize,
         now: ClockTime,
     ) -> Result<Vec<SocketAddr>, DirectoryError> {
@@ -100,7 +100,7 @@
             .check_ready(ready.len(), self.edges() as usize, now)
         {
             Some(error) => Err(error),
-            None => Ok(choose_addresses(asker, ready.into_iter().collect(), most)),
+            None => Ok(choose_addresses(client, ready.into_iter().collect(), most)),
         }
     }
 
--- a/crates/ragwortroad_dispatch/src/edge_discovery.rs
+++ b/crates/ragwortroad_dispatch/src/edge_discovery.rs
@@ -4,8 +4,8 @@
 
 /// Longest duration of discovery after a start.
 ///
-/// Callers close connections to addresses that an answer omits, so an answer before the edges are
-/// known would send all callers to the first edge.
+/// Clients close connections to addresses that a response omits, so a response before the edges are
+/// known would send all clients to the first edge.
 const MAX_DISCOVERY_TIME: Duration = Duration::from_millis(1200);
 
 /// Time without a new edge after which discovery counts as complete.
@@ -44,7 +44,7 @@
         self.joined_at = now;
     }
 
-    /// Returns why callers cannot be referred to the `ready` edges out of `edges` now, or `None` if
+    /// Returns why clients cannot be referred to the `ready` edges out of `edges` now, or `None` if
     /// they can.
     pub fn check_ready(
         &self,
--- a/crates/ragwortroad_dispatch/src/endpoint_load.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_load.rs
@@ -22,7 +22,7 @@
 /// requests again, and the other endpoints would carry its share.
 const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// Load that an endpoint reports along with an answer.
+/// Load that an endpoint reports along with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReading {
     /// Requests being processed.
@@ -62,7 +62,7 @@
         self.own
     }
 
-    /// Records a load reading received with an answer.
+    /// Records a load reading received with a response.
     pub fn note_reading(&mut self, reading: LoadReading, now: ClockTime) {
         self.reading = Some((reading, now, self.own));
     }
@@ -86,7 +86,7 @@
         adjusted.max(counted)
     }
 
-    /// Records an answer that shows the endpoint healthy.
+    /// Records a response that shows the endpoint healthy.
     pub fn note_success(&mut self, now: ClockTime) {
         self.failures = 0;
         self.failure_rate = (self.failure_rate(now) * (1.0 - FAILURE_WEIGHT), now);
@@ -105,9 +105,9 @@
         self.paused_until = now.after(pause);
     }
 
-    /// Records an answer that the endpoint failed to deliver properly, without pausing the
+    /// Records a response that the endpoint failed to deliver properly, without pausing the
     /// endpoint.
-    pub fn note_bad_answer(&mut self, now: ClockTime) {
+    pub fn note_bad_response(&mut self, now: ClockTime) {
         self.raise_failure_rate(now);
     }
 
--- a/crates/ragwortroad_dispatch/src/endpoint_selection.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_selection.rs
@@ -167,10 +167,10 @@
 /// Selects the replica of a plain service with the fewest requests of this edge, at random among
 /// equals.
 ///
-/// Answers take some ten milliseconds there, so counts that other edges sent a quarter of a second
-/// ago are of no use: all edges would select the replica that was least loaded then. Replicas in
-/// the edge's own domain are not preferred, because a domain with a single replica would overload
-/// it while others are idle.
+/// Responses take some ten milliseconds there, so counts that other edges sent a quarter of a
+/// second ago are of no use: all edges would select the replica that was least loaded then.
+/// Replicas in the edge's own domain are not preferred, because a domain with a single replica
+/// would overload it while others are idle.
 ///
 /// Returns `None` if there are no candidates.
 pub fn choose_replica(
--- a/crates/ragwortroad_dispatch/src/endpoint_table.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_table.rs
@@ -173,7 +173,7 @@
     ///
     /// A crashed endpoint comes back at its address within a second or two under a new name. Its
     /// former name is known until announcements are missed; each request sent to it in the meantime
-    /// is rejected and costs its caller one of few attempts.
+    /// is rejected and costs its client one of few attempts.
     fn retire_predecessors(&mut self, record: &EndpointRecord, now: ClockTime) {
         for entry in self.entries.values_mut() {
             let predecessor = &entry.record;
@@ -293,7 +293,7 @@
     ///
     /// A registry sends nothing more while the endpoint's announcements stay the same. If it were
     /// left out of the holders, it would not count when the registry with the newer record loses
-    /// the endpoint: one edge would drop all endpoints for good and reject its callers while the
+    /// the endpoint: one edge would drop all endpoints for good and reject its clients while the
     /// other edges serve theirs.
     fn add_holder(&mut self, source: SourceKey) {
         if self.record.stage == EndpointStage::Gone {
--- a/crates/ragwortroad_dispatch/src/first_byte_timeout.rs
+++ b/crates/ragwortroad_dispatch/src/first_byte_timeout.rs
@@ -11,10 +11,10 @@
 
 /// Returns how long to wait for an endpoint's first byte before the request is sent to another one.
 ///
-/// An endpoint can accept requests and stop answering while its connections stay up and its health
-/// checks pass. Without this timeout, requests sent there wait until their callers leave: when four
-/// engines withheld half of their answers for five seconds, 83 callers got no answer although other
-/// engines could have served them.
+/// An endpoint can accept requests and stop responding while its connections stay up and its health
+/// checks pass. Without this timeout, requests sent there wait until their clients leave: when four
+/// engines withheld half of their responses for five seconds, 83 clients got no response although
+/// other engines could have served them.
 pub fn first_byte_timeout(target: Duration, time_left: Duration) -> Duration {
     (target * TARGET_MULTIPLE).min(time_left / DEADLINE_DIVISOR)
 }
--- a/crates/ragwortroad_dispatch/src/fleet_load.rs
+++ b/crates/ragwortroad_dispatch/src/fleet_load.rs
@@ -53,7 +53,7 @@
 /// load.
 ///
 /// Without it, an edge with little load when the fleet fills up would keep a low limit for good,
-/// and reject its callers while those of other edges are served.
+/// and reject its clients while those of other edges are served.
 const EQUAL_SHARE_RATIO: f64 = 0.2;
 
 impl FleetLoad {
@@ -84,7 +84,7 @@
     /// the desired utilization after the next exchange of counts, whatever each edge's share. A
     /// limit on concurrency stays valid while the total is late, unlike a limit on the rate. It
     /// protects against loads above the engines' capacity: without a limit, requests queue at the
-    /// engines until their callers have left, and the work is wasted.
+    /// engines until their clients have left, and the work is wasted.
     pub fn own_limit(&self) -> f64 {
         let edges = f64::from(self.edges.max(1));
         let capacity = self.capacity * TARGET_UTILIZATION;
@@ -94,7 +94,7 @@
             equal_load * EQUAL_SHARE_RATIO + f64::from(self.own) * (1.0 - EQUAL_SHARE_RATIO);
         let factor = if total > 0.0 { capacity / total } else { 1.0 };
         // An idle edge may take its share of the free capacity. That grants the free capacity
-        // twice, which only a surge at all edges between two exchanges can exhaust, and no caller
+        // twice, which only a surge at all edges between two exchanges can exhaust, and no client
         // is rejected while there is capacity.
         let free = (capacity - total).max(0.0) / edges;
         (weighted_load * factor + free).max(1.0)
--- a/crates/ragwortroad_dispatch/src/latency_limit.rs
+++ b/crates/ragwortroad_dispatch/src/latency_limit.rs
@@ -1,23 +1,23 @@
 use std::time::Duration;
 
-/// Answers per measurement round.
+/// Responses per measurement round.
 ///
 /// Low enough that one of eighty edges detects a surge within half a second.
 const SAMPLES_PER_ROUND: usize = 8;
 
-/// Share of the latency target above which a median answer shows that requests queue at the
+/// Share of the latency target above which a median response shows that requests queue at the
 /// endpoints.
 ///
-/// The rest of the target is for queueing at the edge and for answers slower than the median.
+/// The rest of the target is for queueing at the edge and for responses slower than the median.
 const QUEUED_TARGET_RATIO: f64 = 0.6;
 
-/// Multiple of the baseline latency above which a median answer shows that requests queue at the
+/// Multiple of the baseline latency above which a median response shows that requests queue at the
 /// endpoints.
 ///
 /// Without it, a service that is slow by itself would have requests rejected for nothing.
 const QUEUED_BASELINE_MULTIPLE: f64 = 2.0;
 
-/// Weight of a round's fastest answer in the baseline if it is slower than the baseline.
+/// Weight of a round's fastest response in the baseline if it is slower than the baseline.
 const BASELINE_WEIGHT: f64 = 0.02;
 
 /// Factor of the limit after a round with queueing.
@@ -27,19 +27,19 @@
 const INCREASE_FACTOR: f64 = 1.1;
 
 /// Adaptive limit on one edge's concurrent requests to a plain service, derived from the latency of
-/// its answers.
+/// its responses.
 ///
 /// Replicas of plain services report no load, and the counts that edges exchange are older than
-/// their answers take. When most answers of a round have queued, the limit decreases; a single slow
-/// replica does not affect the median of a round, and is avoided by endpoint selection. The limit
-/// protects against loads above the replicas' capacity: without one, all answers are late, and the
-/// replicas reject requests that then have to be sent twice.
+/// their responses take. When most responses of a round have queued, the limit decreases; a single
+/// slow replica does not affect the median of a round, and is avoided by endpoint selection. The
+/// limit protects against loads above the replicas' capacity: without one, all responses are late,
+/// and the replicas reject requests that then have to be sent twice.
 #[derive(Clone, Debug)]
 pub struct LatencyLimit {
     limit: f64,
     /// Latencies of the current round, relative to the latency target.
     latencies: Vec<f64>,
-    /// Baseline latency of the fastest answers, relative to the latency target; `None` before the
+    /// Baseline latency of the fastest responses, relative to the latency target; `None` before the
     /// first round.
     baseline: Option<f64>,
 }
@@ -60,7 +60,7 @@
         self.limit
     }
 
-    /// Records an answer that took `took`, with a latency target of `target` and `in_flight`
+    /// Records a response that took `took`, with a latency target of `target` and `in_flight`
     /// requests; returns whether the limit has changed.
     pub fn note(&mut self, took: Duration, target: Duration, in_flight: u32) -> bool {
         if target.is_zero() {
--- a/crates/ragwortroad_dispatch/src/lib.rs
+++ b/crates/ragwortroad_dispatch/src/lib.rs
@@ -1,7 +1,7 @@
 //! Load balancing, admission and membership decisions of a fleet that routes requests by host and
 //! path.
 //!
-//! An *edge* is a proxy that accepts requests from callers and forwards them to endpoints. A
+//! An *edge* is a proxy that accepts requests from clients and forwards them to endpoints. A
 //! *registry* stores the site's configuration and receives the endpoints' announcements. This crate
 //! holds the decision logic of both: it matches routes, identifies customers by key, tracks
 //! endpoints, selects an endpoint for each request, limits retries, and plans which registries
@@ -51,8 +51,8 @@
 pub mod prelude {
     pub use crate::{
         address_choice::{
-            answer_ttl,
             choose_addresses, //
+            response_ttl,
         },
         admission_gate::{
             AdmissionDecision,
@@ -161,7 +161,7 @@
             SendPace, //
         },
         site_config::{
-            CallerLimits,
+            ClientLimits,
             CustomerRule,
             EngineRule,
             RequestKind,
--- a/crates/ragwortroad_dispatch/src/load_totals.rs
+++ b/crates/ragwortroad_dispatch/src/load_totals.rs
@@ -94,7 +94,7 @@
 ///
 /// A reconnecting process may be back seconds before its old connection is found dead. If sources
 /// were identified by connection, it would count twice until then: engines would appear to be more
-/// loaded, and callers would be rejected while there is capacity.
+/// loaded, and clients would be rejected while there is capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LoadSource {
     /// An edge whose home is this registry.
@@ -107,7 +107,7 @@
 ///
 /// Sixty edges that each send an occasional request to the engine that holds a busy prefix do not
 /// see each other, which results in engines far above the mean load. Load readings arrive with the
-/// first bytes of an answer, too late and too rarely at one edge; the sums make every edge's count
+/// first bytes of a response, too late and too rarely at one edge; the sums make every edge's count
 /// known a moment later. Each registry sums up its own edges, sends the sums to the other
 /// registries and the totals to its edges, so its traffic grows with its share of the fleet.
 #[derive(Debug, Default)]
--- a/crates/ragwortroad_dispatch/src/registry_table.rs
+++ b/crates/ragwortroad_dispatch/src/registry_table.rs
@@ -17,10 +17,10 @@
 /// Announcements that an endpoint may miss before it counts as lost.
 ///
 /// Endpoints announce themselves about once per interval, and try the next registry if one does not
-/// answer within a second. Three consecutive misses plus that second are no coincidence of timing.
+/// respond within a second. Three consecutive misses plus that second are no coincidence of timing.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 3;
 
-/// Time that an endpoint needs to find another registry when one does not answer.
+/// Time that an endpoint needs to find another registry when one does not respond.
 const FAILOVER_TIME: Duration = Duration::from_millis(1500);
 
 /// How long a departed incarnation is remembered.
--- a/crates/ragwortroad_dispatch/src/retry_budget.rs
+++ b/crates/ragwortroad_dispatch/src/retry_budget.rs
@@ -34,7 +34,7 @@
 /// One edge's part of the retry budget of one service.
 ///
 /// When a service fails, each retry adds load to what is left of it, and retries of retries keep it
-/// down, which shows as far more requests than callers have sent. Each request deposits a fraction
+/// down, which shows as far more requests than clients have sent. Each request deposits a fraction
 /// of a retry, and the balance never exceeds what a window earns, so retries stay within that
 /// ratio.
 #[derive(Clone, Debug)]
--- a/crates/ragwortroad_dispatch/src/site_config.rs
+++ b/crates/ragwortroad_dispatch/src/site_config.rs
@@ -14,8 +14,8 @@
     pub routes: Vec<RouteRule>,
     /// Services that the routes refer to.
     pub services: Vec<ServiceRule>,
-    /// Limits on callers' requests.
-    pub limits: CallerLimits,
+    /// Limits on clients' requests.
+    pub limits: ClientLimits,
     /// Customers that may send requests; `None` if no key is required.
     pub customers: Option<Vec<CustomerRule>>,
 }
@@ -25,15 +25,15 @@
 pub struct RouteRule {
     /// Name for logs.
     pub name: String,
-    /// Host header that callers send, in lower case and without a port.
+    /// Host header that clients send, in lower case and without a port.
     pub host: String,
     /// Prefix of the path.
     pub path_prefix: String,
     /// Whether requests may be retried.
     pub kind: RequestKind,
-    /// Longest time that a request waits for an answer.
+    /// Longest time that a request waits for a response.
     pub timeout: Duration,
-    /// Latency target: time within which an answer is on time.
+    /// Latency target: time within which a response is on time.
     pub target: Duration,
     /// Longest gap between two events of a stream that is on time; `None` if there is no target.
     pub target_pause: Option<Duration>,
@@ -99,9 +99,9 @@
     pub link_mbps: f64,
 }
 
-/// Size limits and timeouts for callers' requests.
+/// Size limits and timeouts for clients' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallerLimits {
+pub struct ClientLimits {
     /// Largest size of a request's head in bytes.
     pub max_head_bytes: usize,
     /// Largest size of a request's body in bytes.
@@ -112,7 +112,7 @@
     pub idle_timeout: Duration,
 }
 
-impl Default for CallerLimits {
+impl Default for ClientLimits {
     /// Limits for documents without any: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
--- a/crates/ragwortroad_dispatch/src/start_wait.rs
+++ b/crates/ragwortroad_dispatch/src/start_wait.rs
@@ -2,7 +2,7 @@
 
 /// Time after an edge's start in which it may still lack its configuration or registries.
 ///
-/// After that something is wrong, and callers are rejected at once.
+/// After that something is wrong, and clients are rejected at once.
 const MAX_START_TIME: Duration = Duration::from_secs(3);
 
 /// Shortest time until an edge serves when the whole fleet starts at once.
@@ -22,14 +22,14 @@
 
 /// Divisor of the time left until the deadline that gives the longest wait.
 ///
-/// Callers count a third of their deadline without an answer as a failure; after a quarter, a
-/// rejected caller still has time to retry.
+/// Clients count a third of their deadline without a response as a failure; after a quarter, a
+/// rejected client still has time to retry.
 const WAIT_DIVISOR: u32 = 4;
 
 /// Returns how long a request waits at an edge that is not ready and was started `running` ago.
 ///
 /// After a restart of the whole fleet, edges are up a second or two before they have a
-/// configuration. Callers that are rejected then may retry only once, and would be rejected again
+/// configuration. Clients that are rejected then may retry only once, and would be rejected again
 /// for good; a waiting request is served as soon as the edge is ready. This applies to restarts
 /// only: in an outage no request waits, nor does any wait longer than a start may take.
 pub fn start_wait(running: Duration, time_left: Duration) -> Duration {
@@ -37,11 +37,11 @@
     MAX_START_WAIT.min(time_left / WAIT_DIVISOR).min(start_left)
 }
 
-/// Returns the earliest time until a starting edge is expected to be ready, for callers that it has
+/// Returns the earliest time until a starting edge is expected to be ready, for clients that it has
 /// to reject; zero if the start has failed.
 ///
 /// A start that takes longer than usual is expected to continue for a fraction of its duration so
-/// far: a caller that is told to retry at once, and may do so only once, would be rejected for good
+/// far: a client that is told to retry at once, and may do so only once, would be rejected for good
 /// by an edge that is ready a moment later.
 pub fn time_to_ready(running: Duration) -> Duration {
     if running >= MAX_START_TIME {
--- a/crates/ragwortroad_dispatch/src/update_queue.rs
+++ b/crates/ragwortroad_dispatch/src/update_queue.rs
@@ -9,7 +9,7 @@
 ///
 /// After a restart of the whole fleet, thousands of endpoints announce themselves to a registry
 /// within seconds, and each has to be published to every edge. Sent at once, these updates occupy
-/// the registry's link for half a minute: consensus heartbeats and answers to endpoints queue
+/// the registry's link for half a minute: consensus heartbeats and responses to endpoints queue
 /// behind them, endpoints switch to other registries and are published again, and nothing is
 /// served. Deferrable updates are therefore paced, and reduced to the latest for each endpoint.
 /// Updates about leaving endpoints are urgent, since requests would continue to be sent to these.
--- a/crates/ragwortroad_dispatch/tests/admission.rs
+++ b/crates/ragwortroad_dispatch/tests/admission.rs
@@ -117,7 +117,7 @@
     assert!(admitted[2] * 12 > all, "{admitted:?}");
 }
 
-/// Guards against callers that are kept waiting although no slot can become free in time.
+/// Guards against clients that are kept waiting although no slot can become free in time.
 #[test]
 fn requests_that_cannot_be_served_in_time_are_shed_at_once() {
     let mut gate = full_gate(4);
@@ -151,7 +151,7 @@
 
 /// Guards against a cancelled ticket that takes the slot of another request.
 ///
-/// The caller leaves while its request is queued.
+/// The client leaves while its request is queued.
 #[test]
 fn a_cancelled_ticket_is_not_admitted() {
     let mut gate = full_gate(2);
@@ -276,9 +276,9 @@
     assert!(slow.limit().is_infinite(), "a slow service is not limited");
 }
 
-/// Guards against rejected callers that retry together, too early or too late.
+/// Guards against rejected clients that retry together, too early or too late.
 #[test]
-fn rejected_callers_retry_spread_out_and_before_their_deadline() {
+fn rejected_clients_retry_spread_out_and_before_their_deadline() {
     let ms = Duration::from_millis;
     for (shedding, left) in [
         (0, 3000),
@@ -308,7 +308,7 @@
     let mut estimate = DeadlineEstimate::default();
     let ms = Duration::from_millis;
     for step in 0..500 {
-        // Most requests of a long overload come from callers that were told to retry two seconds
+        // Most requests of a long overload come from clients that were told to retry two seconds
         // later.
         let (left, waited) = match step % 3 {
             0 => (15_000, 0),
--- a/crates/ragwortroad_dispatch/tests/directories.rs
+++ b/crates/ragwortroad_dispatch/tests/directories.rs
@@ -1,4 +1,4 @@
-//! Which edges a directory returns to callers, given the views of several registries.
+//! Which edges a directory returns to clients, given the views of several registries.
 
 mod common;
 
@@ -14,7 +14,7 @@
 };
 use ragwortroad_dispatch::prelude::*;
 
-const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1));
+const CLIENT: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1));
 
 fn edge(number: u8) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 1, 0, number)), 8227)
@@ -36,12 +36,12 @@
 }
 
 fn found(directory: &EdgeDirectory, now: u64) -> Vec<SocketAddr> {
-    let mut found = directory.find(CALLER, 64, at(now)).expect("edges");
+    let mut found = directory.find(CLIENT, 64, at(now)).expect("edges");
     found.sort();
     found
 }
 
-/// Guards against answers without edges that a single registry has lost.
+/// Guards against responses without edges that a single registry has lost.
 #[test]
 fn an_edge_that_any_registry_reports_ready_is_returned() {
     let mut directory = settled_directory();
@@ -51,7 +51,7 @@
     assert_eq!(found(&directory, 5100), [edge(1), edge(3)]);
 }
 
-/// Guards against callers that get no edge while all registries are lost.
+/// Guards against clients that get no edge while all registries are lost.
 #[test]
 fn the_last_views_are_used_until_a_registry_sends_a_new_one() {
     let mut directory = settled_directory();
@@ -67,18 +67,18 @@
     );
 }
 
-/// Guards against callers that all connect to the first edge after a restart of the whole fleet.
+/// Guards against clients that all connect to the first edge after a restart of the whole fleet.
 #[test]
 fn a_starting_directory_waits_for_the_edges() {
     let mut directory = EdgeDirectory::new(at(0));
     directory.note_view(registry(0), view(&[1], 1), at(200));
     assert_eq!(
-        directory.find(CALLER, 64, at(210)),
+        directory.find(CLIENT, 64, at(210)),
         Err(DirectoryError::Discovering)
     );
     directory.note_view(registry(0), view(&[1], 3), at(300));
     assert_eq!(
-        directory.find(CALLER, 64, at(700)),
+        directory.find(CLIENT, 64, at(700)),
         Err(DirectoryError::Discovering)
     );
     directory.note_view(registry(0), view(&[1, 2], 3), at(710));
@@ -86,18 +86,18 @@
     let mut empty = EdgeDirectory::new(at(0));
     empty.note_view(registry(0), view(&[], 2), at(200));
     assert_eq!(
-        empty.find(CALLER, 64, at(2000)),
+        empty.find(CLIENT, 64, at(2000)),
         Err(DirectoryError::NoEdge)
     );
 }
 
-/// Guards against more addresses than callers accept, and answers that change over time.
+/// Guards against more addresses than clients accept, and responses that change over time.
 #[test]
-fn a_caller_always_gets_the_same_few_edges() {
+fn a_client_always_gets_the_same_few_edges() {
     let mut directory = EdgeDirectory::new(at(0));
     let all: Vec<u8> = (1..=200).collect();
     directory.note_view(registry(0), view(&all, 200), at(100));
-    let found_edges = directory.find(CALLER, 64, at(2000)).expect("edges");
+    let found_edges = directory.find(CLIENT, 64, at(2000)).expect("edges");
     assert_eq!(found_edges.len(), 64);
-    assert_eq!(directory.find(CALLER, 64, at(9000)), Ok(found_edges));
+    assert_eq!(directory.find(CLIENT, 64, at(9000)), Ok(found_edges));
 }
--- a/crates/ragwortroad_dispatch/tests/endpoints.rs
+++ b/crates/ragwortroad_dispatch/tests/endpoints.rs
@@ -243,7 +243,7 @@
     assert_eq!(change, RegistryChange::Goodbye("stranger".to_owned()));
 }
 
-/// Guards against callers that each wait for a connection to the same dead endpoint.
+/// Guards against clients that each wait for a connection to the same dead endpoint.
 #[test]
 fn failures_pause_an_endpoint_for_longer_each_time() {
     let mut load = EndpointLoad::default();
@@ -269,7 +269,7 @@
 fn a_failed_endpoint_is_probed_again() {
     let mut load = EndpointLoad::default();
     for step in 0..40 {
-        load.note_bad_answer(at(step * 10));
+        load.note_bad_response(at(step * 10));
     }
     let failing = load.failure_rate(at(400));
     assert!(failing > 0.9, "{failing}");
@@ -278,7 +278,7 @@
         "it is not probed at once"
     );
     assert!(load.failure_rate(at(9000)) < 0.3, "it is probed again");
-    load.note_bad_answer(at(9000));
+    load.note_bad_response(at(9000));
     assert!(
         load.failure_rate(at(9000)) > failing * 0.9,
         "a failed probe restores the failure rate"
--- a/crates/ragwortroad_dispatch/tests/homes.rs
+++ b/crates/ragwortroad_dispatch/tests/homes.rs
@@ -1,5 +1,5 @@
 //! Choice of home registries, exchange of loads between registries, and selection of edges for
-//! callers.
+//! clients.
 
 mod common;
 
@@ -43,24 +43,24 @@
     }
 }
 
-/// Guards against callers that all get the same edges, or different ones every second.
+/// Guards against clients that all get the same edges, or different ones every second.
 #[test]
-fn callers_are_spread_over_all_edges_and_keep_theirs() {
+fn clients_are_spread_over_all_edges_and_keep_theirs() {
     let ready: Vec<SocketAddr> = (0..191).map(registry).collect();
     let mut counts: BTreeMap<SocketAddr, u32> = BTreeMap::new();
-    for caller in 0..400_u32 {
-        let caller = IpAddr::V4(Ipv4Addr::from(0x0a64_0000 + caller));
-        let found = choose_addresses(caller, ready.clone(), 64);
+    for client in 0..400_u32 {
+        let client = IpAddr::V4(Ipv4Addr::from(0x0a64_0000 + client));
+        let found = choose_addresses(client, ready.clone(), 64);
         assert_eq!(found.len(), 64);
         let mut backward = ready.clone();
         backward.reverse();
         assert_eq!(
             found,
-            choose_addresses(caller, backward, 64),
+            choose_addresses(client, backward, 64),
             "the order of the edges is irrelevant"
         );
         let fewer = ready.iter().copied().filter(|edge| *edge != found[0]);
-        let found_fewer = choose_addresses(caller, fewer.collect(), 64);
+        let found_fewer = choose_addresses(client, fewer.collect(), 64);
         let kept = found_fewer.iter().filter(|edge| found.contains(edge));
         assert_eq!(
             kept.count(),
@@ -109,12 +109,12 @@
     assert_eq!(here.own_changes(), [count(0)]);
 }
 
-/// Guards against callers that connect to an edge after its grace time.
+/// Guards against clients that connect to an edge after its grace time.
 #[test]
-fn answer_ttls_fit_into_the_grace_time() {
+fn response_ttls_fit_into_the_grace_time() {
     let seconds = Duration::from_secs;
     for grace in [4, 8, 10, 30] {
-        let ttl = answer_ttl(seconds(grace), seconds(5));
+        let ttl = response_ttl(seconds(grace), seconds(5));
         assert!(
             ttl * 3 < seconds(grace),
             "{ttl:?} with a grace time of {grace} s"
@@ -125,7 +125,7 @@
         );
     }
     assert_eq!(
-        answer_ttl(seconds(2), seconds(5)),
+        response_ttl(seconds(2), seconds(5)),
         seconds(1),
         "the minimum TTL"
     );
--- a/crates/ragwortroad_dispatch/tests/overload/main.rs
+++ b/crates/ragwortroad_dispatch/tests/overload/main.rs
@@ -1,4 +1,4 @@
-//! Outcomes of callers when requests exceed the capacity of the engines.
+//! Outcomes of clients when requests exceed the capacity of the engines.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -87,7 +87,7 @@
     }
 }
 
-/// Value per second for the callers that arrive in the surge after its first seconds.
+/// Value per second for the clients that arrive in the surge after its first seconds.
 fn surge_value(scenario: Scenario, policy: Policy) -> f64 {
     let (from, to) = scenario.surge_ms;
     let model = FleetModel::new(scenario, policy).run();
@@ -96,7 +96,7 @@
 
 const LOADS: [f64; 7] = [1.0, 2.0, 3.0, 4.0, 5.0, 7.0, 10.0];
 
-/// Guards against engines that work for callers who have left.
+/// Guards against engines that work for clients who have left.
 #[test]
 fn value_is_kept_beyond_saturation() {
     for make in [large_engines, many_small_engines] {
@@ -166,9 +166,9 @@
     }
 }
 
-/// Guards against callers that are rejected after a surge has ended.
+/// Guards against clients that are rejected after a surge has ended.
 #[test]
-fn callers_are_served_normally_after_a_surge() {
+fn clients_are_served_normally_after_a_surge() {
     for make in [large_engines, many_small_engines] {
         let scenario = make(7.0);
         let (_, end) = scenario.surge_ms;
--- a/crates/ragwortroad_dispatch/tests/overload/model.rs
+++ b/crates/ragwortroad_dispatch/tests/overload/model.rs
@@ -1,5 +1,5 @@
 //! Simulation of an overloaded fleet: edges with the real decision logic, engines that slow down as
-//! they fill, and callers that leave at their deadline.
+//! they fill, and clients that leave at their deadline.
 
 use std::collections::{
     BTreeMap,
@@ -69,7 +69,7 @@
     pub(crate) seed: u64,
 }
 
-/// Outcomes of the callers of one class that arrived within a period.
+/// Outcomes of the clients of one class that arrived within a period.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) requests: u32,
@@ -78,11 +78,11 @@
     pub(crate) rejected: u32,
     pub(crate) abandoned: u32,
     pub(crate) value: f64,
-    /// Events of complete answers.
+    /// Events of complete responses.
     pub(crate) events: u32,
 }
 
-struct Caller {
+struct Client {
     class: usize,
     arrived_at: u64,
     edge: usize,
@@ -115,7 +115,7 @@
     policy: Policy,
     rng: Pcg64Mcg,
     names: Vec<String>,
-    callers: Vec<Caller>,
+    clients: Vec<Client>,
     engines: Vec<Engine>,
     edges: Vec<Edge>,
     retries_due: BTreeMap<u64, Vec<usize>>,
@@ -142,7 +142,7 @@
             names: (0..scenario.engines)
                 .map(|index| format!("e{index}"))
                 .collect(),
-            callers: Vec::new(),
+            clients: Vec::new(),
             engines: (0..scenario.engines).map(|_| Engine::default()).collect(),
             edges: edges.collect(),
             retries_due: BTreeMap::new(),
@@ -167,7 +167,7 @@
         self
     }
 
-    /// Sums up the outcomes of a class for callers that arrived in a period.
+    /// Sums up the outcomes of a class for clients that arrived in a period.
     pub(crate) fn outcome(&self, class: usize, from_ms: u64, to_ms: u64) -> Outcome {
         let span = (class, from_ms / 1000)..(class, to_ms / 1000);
         let mut sum = Outcome::default();
@@ -183,7 +183,7 @@
         sum
     }
 
-    /// Returns the value per second for all callers that arrived in a period.
+    /// Returns the value per second for all clients that arrived in a period.
     pub(crate) fn value(&self, from_ms: u64, to_ms: u64) -> f64 {
         let classes = 0..self.scenario.classes.len();
         let value: f64 = classes
@@ -192,7 +192,8 @@
         value * 1000.0 / (to_ms - from_ms) as f64
     }
 
-    /// Returns the events of complete answers per second for all callers that arrived in a period.
+    /// Returns the events of complete responses per second for all clients that arrived in a
+    /// period.
     pub(crate) fn goodput(&self, from_ms: u64, to_ms: u64) -> f64 {
         let classes = 0..self.scenario.classes.len();
         let events: u32 = classes
@@ -201,10 +202,10 @@
         f64::from(events) * 1000.0 / (to_ms - from_ms) as f64
     }
 
-    fn outcome_mut(&mut self, caller: usize) -> &mut Outcome {
-        let Caller {
+    fn outcome_mut(&mut self, client: usize) -> &mut Outcome {
+        let Client {
             class, arrived_at, ..
-        } = self.callers[caller];
+        } = self.clients[client];
         self.outcomes.entry((class, arrived_at / 1000)).or_default()
     }
 
@@ -247,20 +248,20 @@
             let mut due = self.scenario.classes[class].per_second * load * STEP_MS as f64 / 1000.0;
             while due > 0.0 {
                 if self.rng.random_bool(due.min(1.0)) {
-                    self.start_caller(class, now);
+                    self.start_client(class, now);
                 }
                 due -= 1.0;
             }
         }
-        for caller in self.retries_due.remove(&now).unwrap_or_default() {
-            self.submit(caller, now);
+        for client in self.retries_due.remove(&now).unwrap_or_default() {
+            self.submit(client, now);
         }
     }
 
-    fn start_caller(&mut self, class: usize, now: u64) {
+    fn start_client(&mut self, class: usize, now: u64) {
         let prefixes = self.scenario.classes[class].prefixes;
         let prefix = self.rng.random_range(0..prefixes) + class as u64 * 1_000_000;
-        self.callers.push(Caller {
+        self.clients.push(Client {
             class,
             arrived_at: now,
             edge: 0,
@@ -269,17 +270,17 @@
             first_event: None,
             is_over: false,
         });
-        let caller = self.callers.len() - 1;
-        self.outcome_mut(caller).requests += 1;
-        self.submit(caller, now);
+        let client = self.clients.len() - 1;
+        self.outcome_mut(client).requests += 1;
+        self.submit(client, now);
     }
 
-    fn submit(&mut self, caller: usize, now: u64) {
+    fn submit(&mut self, client: usize, now: u64) {
         let edge = self.rng.random_range(0..self.edges.len());
-        self.callers[caller].edge = edge;
-        let Caller {
+        self.clients[client].edge = edge;
+        let Client {
             class, arrived_at, ..
-        } = self.callers[caller];
+        } = self.clients[client];
         let rule = &self.scenario.classes[class];
         let left = Duration::from_millis((arrived_at + rule.deadline_ms).saturating_sub(now));
         let target = Duration::from_millis(rule.target_ms);
@@ -293,9 +294,9 @@
             queue_timeout: max_queue_time(target, left),
         };
         match self.edges[edge].gate.offer(offer, at(now)) {
-            AdmissionDecision::Admitted => self.dispatch(caller, now),
+            AdmissionDecision::Admitted => self.dispatch(client, now),
             AdmissionDecision::Queued(ticket) => {
-                self.edges[edge].waiting.insert(ticket, caller);
+                self.edges[edge].waiting.insert(ticket, client);
                 self.process_queue(edge, now);
             }
         }
@@ -303,42 +304,42 @@
 
     fn process_queue(&mut self, edge: usize, now: u64) {
         while let Some(ticket) = self.edges[edge].gate.admit_next(at(now)) {
-            let caller = self.edges[edge].waiting.remove(&ticket);
-            self.dispatch(caller.expect("a queued caller"), now);
+            let client = self.edges[edge].waiting.remove(&ticket);
+            self.dispatch(client.expect("a queued client"), now);
         }
         while let Some(ticket) = self.edges[edge].gate.shed_next(at(now)) {
-            let caller = self.edges[edge].waiting.remove(&ticket);
-            self.reject(caller.expect("a queued caller"), now);
+            let client = self.edges[edge].waiting.remove(&ticket);
+            self.reject(client.expect("a queued client"), now);
         }
         let waiting = self.edges[edge].gate.waiting();
         self.most_waiting = self.most_waiting.max(waiting);
     }
 
-    fn reject(&mut self, caller: usize, now: u64) {
-        let Caller {
+    fn reject(&mut self, client: usize, now: u64) {
+        let Client {
             class,
             arrived_at,
             edge,
             retries,
             ..
-        } = self.callers[caller];
+        } = self.clients[client];
         let deadline = arrived_at + self.scenario.classes[class].deadline_ms;
         if retries == 0 || now >= deadline {
-            self.outcome_mut(caller).rejected += 1;
+            self.outcome_mut(client).rejected += 1;
             return;
         }
-        self.callers[caller].retries -= 1;
+        self.clients[client].retries -= 1;
         let shedding = self.edges[edge].gate.shedding_duration(at(now));
         let left = Duration::from_millis(deadline - now);
         let wait = retry_after_delay(shedding, left, self.rng.random());
         let retry_at = now + wait.as_millis() as u64 + STEP_MS;
         let retry_at = retry_at - retry_at % STEP_MS;
-        self.retries_due.entry(retry_at).or_default().push(caller);
+        self.retries_due.entry(retry_at).or_default().push(client);
     }
 
     /// Sends a request to the engine that the edge selects.
-    fn dispatch(&mut self, caller: usize, now: u64) {
-        let Caller { edge, prefix, .. } = self.callers[caller];
+    fn dispatch(&mut self, client: usize, now: u64) {
+        let Client { edge, prefix, .. } = self.clients[client];
         let edge_state = &self.edges[edge];
         let candidates: Vec<_> = (0..self.scenario.engines)
             .map(|engine| SelectionCandidate {
@@ -357,7 +358,7 @@
         let chosen = choose_engine(&candidates, request, &SelectionSettings::within(2.0));
         let engine = chosen.expect("an engine").0 as usize;
         self.edges[edge].own[engine] += 1;
-        self.engines[engine].waiting.push_back(caller);
+        self.engines[engine].waiting.push_back(client);
         self.start_queued(engine);
         let queue = self.engines[engine].waiting.len();
         if now > 2000 {
@@ -367,15 +368,15 @@
 
     fn start_queued(&mut self, engine: usize) {
         while self.engines[engine].running.len() < self.scenario.slots as usize {
-            let Some(caller) = self.engines[engine].waiting.pop_front() else {
+            let Some(client) = self.engines[engine].waiting.pop_front() else {
                 return;
             };
-            let Caller { class, prefix, .. } = self.callers[caller];
+            let Client { class, prefix, .. } = self.clients[client];
             let rule = &self.scenario.classes[class];
             let is_new = self.engines[engine].prefixes.insert(prefix);
             let shared = if is_new { rule.prefix_tokens } else { 0.0 };
             self.engines[engine].prefill_ms += (rule.prompt + shared) / PREFILL_TOKENS_PER_MS;
-            self.engines[engine].running.push((caller, 0.0));
+            self.engines[engine].running.push((client, 0.0));
         }
     }
 
@@ -391,49 +392,49 @@
         let generated = (step - prefilled) / event_interval;
         let mut finished = Vec::new();
         for index in 0..count {
-            let (caller, before) = self.engines[engine].running[index];
+            let (client, before) = self.engines[engine].running[index];
             let after = before + generated;
             self.engines[engine].running[index].1 = after;
-            let Caller {
+            let Client {
                 class, arrived_at, ..
-            } = self.callers[caller];
+            } = self.clients[client];
             let rule = &self.scenario.classes[class];
             if before < 1.0 && after >= 1.0 {
-                self.callers[caller].first_event = Some(now);
+                self.clients[client].first_event = Some(now);
             }
             if after >= f64::from(rule.events) || now >= arrived_at + rule.deadline_ms {
                 finished.push((index, after >= f64::from(rule.events)));
             }
         }
         for &(index, is_complete) in finished.iter().rev() {
-            let (caller, _) = self.engines[engine].running.swap_remove(index);
-            self.finish(caller, engine, is_complete, now);
+            let (client, _) = self.engines[engine].running.swap_remove(index);
+            self.finish(client, engine, is_complete, now);
         }
-        // Requests of callers that have left are removed from the engine's queue.
+        // Requests of clients that have left are removed from the engine's queue.
         let queue = std::mem::take(&mut self.engines[engine].waiting);
-        for caller in queue {
-            let Caller {
+        for client in queue {
+            let Client {
                 class, arrived_at, ..
-            } = self.callers[caller];
+            } = self.clients[client];
             match now >= arrived_at + self.scenario.classes[class].deadline_ms {
-                true => self.finish(caller, engine, false, now),
-                false => self.engines[engine].waiting.push_back(caller),
+                true => self.finish(client, engine, false, now),
+                false => self.engines[engine].waiting.push_back(client),
             }
         }
         self.start_queued(engine);
     }
 
-    fn finish(&mut self, caller: usize, engine: usize, is_complete: bool, now: u64) {
-        let Caller {
+    fn finish(&mut self, client: usize, engine: usize, is_complete: bool, now: u64) {
+        let Client {
             class,
             arrived_at,
             edge,
             first_event,
             is_over,
             ..
-        } = self.callers[caller];
+        } = self.clients[client];
         assert!(!is_over, "a request ends once");
-        self.callers[caller].is_over = true;
+        self.clients[client].is_over = true;
         let target = self.scenario.classes[class].target_ms;
         let is_on_time = first_event.is_some_and(|first| first <= arrived_at + target);
         let TrafficClass {
@@ -442,7 +443,7 @@
             events,
             ..
         } = self.scenario.classes[class];
-        let outcome = self.outcome_mut(caller);
+        let outcome = self.outcome_mut(client);
         if is_complete {
             outcome.events += events;
         }
--- a/crates/ragwortroad_dispatch/tests/reach.rs
+++ b/crates/ragwortroad_dispatch/tests/reach.rs
@@ -6,7 +6,7 @@
     reach.unreachable().collect()
 }
 
-/// Guards against callers that wait for one endpoint after another of a domain without power.
+/// Guards against clients that wait for one endpoint after another of a domain without power.
 #[test]
 fn a_few_silent_endpoints_make_their_domain_unreachable() {
     let mut reach = DomainReach::default();
@@ -34,17 +34,17 @@
 
 /// Guards against a domain that is given up for single failures, or never used again.
 #[test]
-fn any_answer_makes_a_domain_reachable() {
+fn any_response_makes_a_domain_reachable() {
     let mut reach = DomainReach::default();
     for endpoint in 0..9 {
         assert!(!reach.note_silent("a", EndpointKey(endpoint)));
-        assert!(!reach.note_answer("a"));
+        assert!(!reach.note_response("a"));
     }
     for endpoint in 0..3 {
         reach.note_silent("a", EndpointKey(endpoint));
     }
     assert!(!reach.is_reachable("a"));
-    assert!(reach.note_answer("a"));
+    assert!(reach.note_response("a"));
     assert!(reach.is_reachable("a"));
     assert_eq!(unreachable(&reach), Vec::<&str>::new());
 }
--- a/crates/ragwortroad_dispatch/tests/retries.rs
+++ b/crates/ragwortroad_dispatch/tests/retries.rs
@@ -38,7 +38,7 @@
             if !rng.random_bool(f64::from(per_second) / 1000.0) {
                 continue;
             }
-            // Half of the callers use one edge.
+            // Half of the clients use one edge.
             let edge = match rng.random_bool(0.5) {
                 true => 0,
                 false => rng.random_range(0..edges) as usize,
--- a/crates/ragwortroad_dispatch/tests/starts.rs
+++ b/crates/ragwortroad_dispatch/tests/starts.rs
@@ -8,7 +8,7 @@
     Duration::from_millis(count)
 }
 
-/// Guards against callers that are rejected while an edge fetches its first configuration.
+/// Guards against clients that are rejected while an edge fetches its first configuration.
 #[test]
 fn a_request_waits_for_a_starting_edge() {
     assert_eq!(start_wait(ms(100), ms(12_000)), ms(2000));
@@ -17,7 +17,7 @@
     assert!(time_to_ready(ms(100)) > time_to_ready(ms(700)));
 }
 
-/// Returns how many callers are served, and their total, if they wait during a restart, retry once
+/// Returns how many clients are served, and their total, if they wait during a restart, retry once
 /// as told, and wait again.
 fn served_through_a_restart(ready_ms: u64, deadline_ms: u64) -> (u32, u32) {
     let (mut served, mut all) = (0, 0);
@@ -30,7 +30,7 @@
         }
         let rejected_ms = arrived_ms + wait;
         let left_ms = deadline_ms - wait;
-        // Callers honor a retry delay up to a third of their remaining time.
+        // Clients honor a retry delay up to a third of their remaining time.
         let delay = time_to_ready(ms(rejected_ms)).min(ms(left_ms / 3));
         let retry_ms = rejected_ms + delay.as_millis() as u64;
         let second = start_wait(ms(retry_ms), ms(left_ms - delay.as_millis() as u64));
@@ -39,9 +39,9 @@
     (served, all)
 }
 
-/// Guards against callers with deadlines of seconds that are rejected while a large fleet restarts.
+/// Guards against clients with deadlines of seconds that are rejected while a large fleet restarts.
 #[test]
-fn callers_with_long_deadlines_are_served_through_a_long_restart() {
+fn clients_with_long_deadlines_are_served_through_a_long_restart() {
     for ready_ms in [900, 1300, 2400] {
         for deadline_ms in [8_000, 10_000, 15_000] {
             let (served, all) = served_through_a_restart(ready_ms, deadline_ms);
--- a/crates/ragwortroad_dispatch/tests/warmups.rs
+++ b/crates/ragwortroad_dispatch/tests/warmups.rs
@@ -138,7 +138,7 @@
     assert!(shared as f64 <= MAX_RATE * DESIGN_SHARE, "{shared}");
 }
 
-/// Guards against warming engines that are idle although callers wait for a slot.
+/// Guards against warming engines that are idle although clients wait for a slot.
 #[test]
 fn warming_engines_get_most_of_the_tolerated_rate() {
     let arrivals = simulate(WarmupRule::Shared, 20);
--- a/crates/ragwortroad_edge/src/domain_probe.rs
+++ b/crates/ragwortroad_edge/src/domain_probe.rs
@@ -43,7 +43,7 @@
 
     /// Records that an endpoint of the domain responded.
     pub(crate) fn note_reached(&self, domain: &str) {
-        if self.state.borrow_mut().reach.note_answer(domain) {
+        if self.state.borrow_mut().reach.note_response(domain) {
             tracing::info!(domain, "failure domain reachable again");
         }
     }
--- a/crates/ragwortroad_edge/src/endpoint_call.rs
+++ b/crates/ragwortroad_edge/src/endpoint_call.rs
@@ -275,10 +275,10 @@
     match outcome {
         CallOutcome::NotSent { .. } | CallOutcome::Misdirected => load.note_failure(now),
         CallOutcome::Lost { .. } | CallOutcome::TimedOut | CallOutcome::NoResponse => {
-            load.note_bad_answer(now)
+            load.note_bad_response(now)
         }
         CallOutcome::Full(response) if response.status.is_server_error() => {
-            load.note_bad_answer(now)
+            load.note_bad_response(now)
         }
         CallOutcome::Full(_) | CallOutcome::Events(_) => load.note_success(now),
         CallOutcome::NotRun => {}
--- a/crates/ragwortroad_edge/src/http_server.rs
+++ b/crates/ragwortroad_edge/src/http_server.rs
@@ -61,7 +61,7 @@
         return;
     }
     let map = shared.state.borrow().map.clone();
-    let limits = map.map_or_else(CallerLimits::default, |map| map.config().limits);
+    let limits = map.map_or_else(ClientLimits::default, |map| map.config().limits);
     let service = service_fn(|request| handle_request(Rc::clone(&shared), request));
     // Hyper includes the idle time between two requests in the head timeout.
     let head_timeout = limits.idle_timeout + limits.head_timeout;
@@ -89,7 +89,7 @@
         };
         let shared = Rc::clone(&shared);
         spawn_local(async move {
-            let service = service_fn(|request| answer_readiness(Rc::clone(&shared), request));
+            let service = service_fn(|request| handle_readiness(Rc::clone(&shared), request));
             let served = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -100,7 +100,7 @@
     }
 }
 
-async fn answer_readiness(
+async fn handle_readiness(
     shared: Rc<EdgeShared>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
--- a/crates/ragwortroad_edge/src/request_reading.rs
+++ b/crates/ragwortroad_edge/src/request_reading.rs
@@ -119,7 +119,7 @@
 ) -> Result<(Rc<RouteMap>, RequestBody), RefusalReason> {
     let time_left = metadata.time_left.unwrap_or(DEFAULT_TIMEOUT);
     let wait_until = received_at + shared.start_wait(time_left);
-    let limit = CallerLimits::default().max_body_bytes;
+    let limit = ClientLimits::default().max_body_bytes;
     let body = read_body(body, limit, received_at + time_left).await?;
     loop {
         let current_map = shared.state.borrow().map.clone();
--- a/crates/ragwortroad_edge/src/stream_body.rs
+++ b/crates/ragwortroad_edge/src/stream_body.rs
@@ -236,7 +236,7 @@
         let now = self.shared.now();
         if let Some(upstream) = self.upstream.take() {
             let mut state = self.shared.state.borrow_mut();
-            state.load_mut(upstream.guard.key()).note_bad_answer(now);
+            state.load_mut(upstream.guard.key()).note_bad_response(now);
         }
         self.framer.discard_partial();
         let rule = self.plan.rule();
--- a/crates/ragwortroad_registry/src/call_flow.rs
+++ b/crates/ragwortroad_registry/src/call_flow.rs
@@ -1,4 +1,4 @@
-//! Handles requests to the control interface from operators, endpoints and callers.
+//! Handles requests to the control interface from operators, endpoints and clients.
 
 use std::{
     net::IpAddr,
@@ -16,10 +16,10 @@
     registry_state::RegistryState, //
 };
 
-/// Time after which a queued call is answered as unavailable.
+/// Time after which a queued call is refused as unavailable.
 ///
-/// Operators switch to another registry after one second without an answer. Answering earlier gives
-/// them the reason as well.
+/// Operators switch to another registry after one second without a response. Responding earlier
+/// gives them the reason as well.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Maximum number of queued calls of each kind. Further calls are refused to bound memory.
@@ -29,11 +29,11 @@
     pub(crate) fn handle_call(
         &mut self,
         call: ControlCall,
-        caller_ip: IpAddr,
+        client_ip: IpAddr,
         reply: oneshot::Sender<ControlReply>,
         now: ClockTime,
     ) {
-        let answer = match call {
+        let control_reply = match call {
             ControlCall::PutConfig { version, document } => {
                 self.handle_put_config(version, &document, reply, now);
                 return;
@@ -58,10 +58,10 @@
                 ControlReply::Invalid { reason }
             }
             ControlCall::Goodbye { name } => self.handle_goodbye(&name, now),
-            ControlCall::FindEdges => self.resolve_edges(caller_ip, now),
+            ControlCall::FindEdges => self.resolve_edges(client_ip, now),
             ControlCall::Unknown => ControlReply::NotFound,
         };
-        answer_call(reply, answer);
+        send_reply(reply, control_reply);
     }
 
     /// Retries queued calls and ends those that have exceeded their deadline.
@@ -69,14 +69,15 @@
         self.retry_puts(now);
         self.retry_drains(now);
         self.retry_reads(now);
-        self.answer_applied_reads(now);
+        self.reply_to_applied_reads(now);
     }
 }
 
-/// Sends the reply to a call, unless the caller has disconnected.
-pub(crate) fn answer_call(reply: oneshot::Sender<ControlReply>, answer: ControlReply) {
-    metrics::counter!(metric_names::CONTROL_CALLS, "outcome" => answer.outcome()).increment(1);
-    if reply.send(answer).is_err() {
-        tracing::debug!("caller of the control interface disconnected before its answer");
+/// Sends the reply to a call, unless the client has disconnected.
+pub(crate) fn send_reply(reply: oneshot::Sender<ControlReply>, control_reply: ControlReply) {
+    metrics::counter!(metric_names::CONTROL_CALLS, "outcome" => control_reply.outcome())
+        .increment(1);
+    if reply.send(control_reply).is_err() {
+        tracing::debug!("client of the control interface disconnected before it got the response");
     }
 }
--- a/crates/ragwortroad_registry/src/call_server.rs
+++ b/crates/ragwortroad_registry/src/call_server.rs
@@ -53,7 +53,7 @@
 /// Delay after a failed accept, which keeps the loop from spinning when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves the HTTP control interface for operators, endpoints and callers that resolve edges.
+/// Serves the HTTP control interface for operators, endpoints and clients that resolve edges.
 pub(crate) async fn serve_calls(
     listener: TcpListener,
     port: RegistryPort,
@@ -71,7 +71,7 @@
         let events = events.clone();
         spawn_local(async move {
             let service =
-                service_fn(|request| answer_request(port, events.clone(), peer.ip(), request));
+                service_fn(|request| handle_request(port, events.clone(), peer.ip(), request));
             let served = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(IDLE_TIMEOUT)
@@ -84,10 +84,10 @@
     }
 }
 
-async fn answer_request(
+async fn handle_request(
     port: RegistryPort,
     events: Sender<RegistryEvent>,
-    caller_ip: IpAddr,
+    client_ip: IpAddr,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (parts, body) = request.into_parts();
@@ -101,20 +101,20 @@
         Err(_) => ControlCall::Unknown,
     };
     let read_at = Instant::now();
-    let (reply, answer) = oneshot::channel();
+    let (reply, reply_receiver) = oneshot::channel();
     let unavailable = ControlReply::Unavailable {
         reason: "this registry is stopping",
     };
-    let answer = match events.send(RegistryEvent::Call {
+    let control_reply = match events.send(RegistryEvent::Call {
         call,
-        caller_ip,
+        client_ip,
         reply,
     }) {
-        Ok(()) => answer.await.unwrap_or(unavailable),
+        Ok(()) => reply_receiver.await.unwrap_or(unavailable),
         Err(_) => unavailable,
     };
     let took = read_at.elapsed().as_secs_f64();
-    metrics::histogram!(metric_names::CONTROL_CALL_SECONDS, "outcome" => answer.outcome())
+    metrics::histogram!(metric_names::CONTROL_CALL_SECONDS, "outcome" => control_reply.outcome())
         .record(took);
-    Ok((port.encode_reply)(&answer))
+    Ok((port.encode_reply)(&control_reply))
 }
--- a/crates/ragwortroad_registry/src/consensus_driver.rs
+++ b/crates/ragwortroad_registry/src/consensus_driver.rs
@@ -58,10 +58,10 @@
     identity: Option<MemberId>,
     /// Contents of the data folder, held until the core is created.
     stored: Option<StoredState>,
-    /// Decides whether this registry founds the group; absent on a registry that only joins.
-    founding: Option<BootstrapTable>,
-    /// Nodes that found the group; empty on a registry that only joins.
-    founders: Vec<NodeId>,
+    /// Decides whether this registry bootstraps the group; absent on a registry that only joins.
+    bootstrap: Option<BootstrapTable>,
+    /// Nodes that bootstrap the group; empty on a registry that only joins.
+    initial_members: Vec<NodeId>,
     core: Option<ConsensusCore>,
     register: ConfigRegister,
     drains: DomainDrains,
@@ -74,8 +74,8 @@
 pub(crate) struct DriverOptions {
     /// Node identity of this VM.
     pub(crate) node: NodeId,
-    /// Nodes that found the group together; empty unless this is the fleet's first start.
-    pub(crate) founders: Vec<NodeId>,
+    /// Nodes that bootstrap the group together; empty unless this is the fleet's first start.
+    pub(crate) initial_members: Vec<NodeId>,
     /// Timeouts and limits of the consensus core.
     pub(crate) settings: CoreSettings,
     /// Worker thread that owns the data folder.
@@ -95,8 +95,8 @@
             generation: 0,
             identity: None,
             stored: None,
-            founding: None,
-            founders: options.founders,
+            bootstrap: None,
+            initial_members: options.initial_members,
             core: None,
             register: ConfigRegister::default(),
             drains: DomainDrains::default(),
@@ -126,8 +126,8 @@
         &self.history
     }
 
-    /// The consensus core; absent until the data folder is open and it is decided whether to found
-    /// a group, and again after a disk failure until the folder is reopened.
+    /// The consensus core; absent until the data folder is open and it is decided whether to
+    /// bootstrap a group, and again after a disk failure until the folder is reopened.
     pub(crate) fn core(&self) -> Option<&ConsensusCore> {
         self.core.as_ref()
     }
@@ -163,8 +163,8 @@
         let Some(member) = hello.member else {
             return Vec::new();
         };
-        if let Some(founding) = &mut self.founding {
-            founding.record_hello(BootstrapHello {
+        if let Some(bootstrap) = &mut self.bootstrap {
+            bootstrap.record_hello(BootstrapHello {
                 node: NodeId::from_name(&hello.address.to_string()),
                 member: MemberId(member),
                 is_empty: hello.is_empty,
@@ -206,25 +206,26 @@
     fn load_stored(&mut self, stored: StoredState, now: ClockTime) -> Vec<DriverEffect> {
         let identity = MemberId(stored.identity);
         self.identity = Some(identity);
-        let is_founder = self.founders.contains(&self.node);
+        let is_initial_member = self.initial_members.contains(&self.node);
         let own = BootstrapHello {
             node: self.node,
             member: identity,
             is_empty: is_unused(&stored),
         };
-        let founds = is_founder && is_unused(&stored);
-        self.founding = founds.then(|| BootstrapTable::new(own, self.founders.iter().copied()));
+        let may_bootstrap = is_initial_member && is_unused(&stored);
+        self.bootstrap =
+            may_bootstrap.then(|| BootstrapTable::new(own, self.initial_members.iter().copied()));
         self.stored = Some(stored);
         self.try_start(now)
     }
 
-    /// Creates the core once it is decided whether this registry founds a group.
+    /// Creates the core once it is decided whether this registry bootstraps a group.
     fn try_start(&mut self, now: ClockTime) -> Vec<DriverEffect> {
         if self.core.is_some() || self.stored.is_none() {
             return Vec::new();
         }
-        let step = self.founding.as_ref().map(BootstrapTable::decide);
-        let founders = match step {
+        let step = self.bootstrap.as_ref().map(BootstrapTable::decide);
+        let members = match step {
             Some(BootstrapDecision::Wait { .. }) => return Vec::new(),
             Some(BootstrapDecision::Bootstrap(members)) => Some(members),
             Some(BootstrapDecision::Follow | BootstrapDecision::Join) | None => None,
@@ -232,14 +233,14 @@
         let Some(stored) = self.stored.take() else {
             return Vec::new();
         };
-        self.founding = None;
+        self.bootstrap = None;
         self.seed = self.seed.wrapping_add(1);
         // Acknowledgements from before the folder failed must not count for the reopened folder.
         self.start += 1;
         let start = CoreStart {
             stored,
             start: self.start,
-            initial_members: founders,
+            initial_members: members,
         };
         match ConsensusCore::new(self.settings.clone(), start, now, self.seed) {
             Ok((core, actions)) => {
--- a/crates/ragwortroad_registry/src/control_call.rs
+++ b/crates/ragwortroad_registry/src/control_call.rs
@@ -36,7 +36,7 @@
         /// Name of the endpoint.
         name: String,
     },
-    /// A caller asks for addresses of edges.
+    /// A client asks for addresses of edges.
     FindEdges,
     /// Any other method or path.
     Unknown,
@@ -49,11 +49,11 @@
     Done,
     /// The document of the configuration in force.
     Config(Bytes),
-    /// Edges that accept callers.
+    /// Edges that accept clients.
     Edges {
-        /// Addresses at which callers reach the edges.
+        /// Addresses at which clients reach the edges.
         addresses: Vec<SocketAddr>,
-        /// Seconds for which the caller may cache the reply.
+        /// Seconds for which the client may cache the reply.
         ttl_s: u64,
     },
     /// The request is invalid and fails however often it is repeated.
--- a/crates/ragwortroad_registry/src/directory_flow.rs
+++ b/crates/ragwortroad_registry/src/directory_flow.rs
@@ -1,4 +1,4 @@
-//! Answers callers that resolve edges, and keeps directories informed of the edges.
+//! Replies to clients that resolve edges, and keeps directories informed of the edges.
 
 use std::{
     net::{
@@ -19,19 +19,19 @@
     registry_state::RegistryState, //
 };
 
-/// Maximum number of addresses in one reply. Callers accept no more.
+/// Maximum number of addresses in one reply. Clients accept no more.
 pub(crate) const MAX_ADDRESSES: usize = 64;
 
 impl RegistryState {
-    /// Selects ready edges for a caller with the given address.
-    pub(crate) fn resolve_edges(&self, caller_ip: IpAddr, now: ClockTime) -> ControlReply {
+    /// Selects ready edges for a client with the given address.
+    pub(crate) fn resolve_edges(&self, client_ip: IpAddr, now: ClockTime) -> ControlReply {
         let ready = self.ready_edges();
         let error = self
             .discovery
             .check_ready(ready.len(), self.edges.len(), now);
         let found = match error {
             Some(error) => Err(error),
-            None => Ok(choose_addresses(caller_ip, ready, MAX_ADDRESSES)),
+            None => Ok(choose_addresses(client_ip, ready, MAX_ADDRESSES)),
         };
         directory_reply(found, &self.settings)
     }
@@ -73,12 +73,12 @@
     }
 }
 
-/// Builds the reply to a caller that resolves edges.
+/// Builds the reply to a client that resolves edges.
 pub(crate) fn directory_reply(
     found: Result<Vec<SocketAddr>, DirectoryError>,
     settings: &ForwardSettings,
 ) -> ControlReply {
-    let ttl: Duration = answer_ttl(settings.grace, settings.directory_life);
+    let ttl: Duration = response_ttl(settings.grace, settings.directory_life);
     match found {
         Ok(addresses) => ControlReply::Edges {
             addresses,
--- a/crates/ragwortroad_registry/src/directory_process.rs
+++ b/crates/ragwortroad_registry/src/directory_process.rs
@@ -1,7 +1,7 @@
-//! A process that only resolves edge addresses for callers.
+//! A process that only resolves edge addresses for clients.
 //!
 //! It stores nothing and connects to every registry, so it can run on any VM. Operators place
-//! directories so that no single failure domain holds all directories that a caller queries.
+//! directories so that no single failure domain holds all directories that a client queries.
 
 use std::{
     collections::{
@@ -34,7 +34,7 @@
     RegistryError,
     RegistryPort,
     RegistrySignal,
-    call_flow::answer_call,
+    call_flow::send_reply,
     call_server::serve_calls,
     directory_flow::{
         MAX_ADDRESSES,
@@ -51,9 +51,9 @@
     }, //
 };
 
-/// Time for which a stopping directory continues to answer.
+/// Time for which a stopping directory continues to respond.
 ///
-/// A caller whose connection breaks before the answer must wait for the next directory.
+/// A client whose connection breaks before the response must wait for the next directory.
 const STOP_GRACE: Duration = Duration::from_millis(100);
 
 /// State of a directory process.
@@ -136,17 +136,17 @@
         match event {
             RegistryEvent::Call {
                 call,
-                caller_ip,
+                client_ip,
                 reply,
             } => {
-                let answer = match call {
+                let control_reply = match call {
                     ControlCall::FindEdges => {
-                        let found = self.edges.find(caller_ip, MAX_ADDRESSES, now);
+                        let found = self.edges.find(client_ip, MAX_ADDRESSES, now);
                         directory_reply(found, &self.settings)
                     }
                     _ => ControlReply::NotFound,
                 };
-                answer_call(reply, answer);
+                send_reply(reply, control_reply);
             }
             RegistryEvent::PeerConnected { peer, queue } => {
                 let node = self.settings.name.clone();
--- a/crates/ragwortroad_registry/src/drain_flow.rs
+++ b/crates/ragwortroad_registry/src/drain_flow.rs
@@ -1,7 +1,7 @@
 //! Handles orders to drain or undrain a failure domain.
 //!
 //! An order is a command of the replicated log. The registry that receives it proposes it or
-//! forwards it to the leader, and answers once the command is applied locally. It is then durable
+//! forwards it to the leader, and replies once the command is applied locally. It is then durable
 //! on a quorum.
 
 use std::{
@@ -21,7 +21,7 @@
     call_flow::{
         CALL_TIMEOUT,
         MAX_QUEUED_CALLS,
-        answer_call, //
+        send_reply, //
     },
     queued_drain::QueuedDrain,
     registry_state::RegistryState, //
@@ -45,12 +45,12 @@
         if !domains.is_empty() && !domains.contains(&domain) {
             let known = domains.join(", ");
             let reason = format!("there is no failure domain {domain}; name one of {known}");
-            answer_call(reply, ControlReply::Invalid { reason });
+            send_reply(reply, ControlReply::Invalid { reason });
             return;
         }
         if self.queued_drains.len() >= MAX_QUEUED_CALLS {
             let reason = "too many orders wait here; try another registry";
-            answer_call(reply, ControlReply::Unavailable { reason });
+            send_reply(reply, ControlReply::Unavailable { reason });
             return;
         }
         tracing::info!(domain, is_drained, "received a drain order");
@@ -125,7 +125,7 @@
         };
         match outcome {
             DrainOutcome::Changed | DrainOutcome::Unchanged => {
-                answer_call(drain.reply, ControlReply::Done);
+                send_reply(drain.reply, ControlReply::Done);
             }
             // The operator is still waiting, so this order is more recent than the conflicting one.
             DrainOutcome::Superseded => {
@@ -163,7 +163,7 @@
                 self.attempt_drain(drain, now);
             } else {
                 let reason = "no quorum has taken the order in time; send it again";
-                answer_call(drain.reply, ControlReply::Unavailable { reason });
+                send_reply(drain.reply, ControlReply::Unavailable { reason });
             }
         }
     }
--- a/crates/ragwortroad_registry/src/edge_entry.rs
+++ b/crates/ragwortroad_registry/src/edge_entry.rs
@@ -6,7 +6,7 @@
 #[derive(Debug)]
 pub(crate) struct EdgeEntry {
     pub(crate) node: String,
-    /// Address at which callers reach the edge.
+    /// Address at which clients reach the edge.
     pub(crate) address: SocketAddr,
     /// Address at which other edges request the configuration.
     pub(crate) inner: SocketAddr,
--- a/crates/ragwortroad_registry/src/edge_flow.rs
+++ b/crates/ragwortroad_registry/src/edge_flow.rs
@@ -119,7 +119,7 @@
     ///
     /// An edge is ready once it has heard from more than half of the voters. After a fleet-wide
     /// restart it knows only the registries of its settings. Until it learns of the others, all
-    /// edges use these few, whose links carry the configuration for all of them, and callers are
+    /// edges use these few, whose links carry the configuration for all of them, and clients are
     /// served a second late. A registry that is partitioned from the others must stop being a home
     /// registry.
     fn is_fleet_urgent(&self, message: &LinkMessage) -> bool {
@@ -201,7 +201,7 @@
 
     /// Whether this registry started recently and does not know a leader yet.
     ///
-    /// Edges serve no caller before there is a configuration, and there is none before there is a
+    /// Edges serve no client before there is a configuration, and there is none before there is a
     /// leader. When hundreds of edges and thousands of endpoints start at once, sending endpoint
     /// updates first would take the whole CPU of a small VM and delay the election.
     fn is_forming(&self, now: ClockTime) -> bool {
--- a/crates/ragwortroad_registry/src/folder_worker.rs
+++ b/crates/ragwortroad_registry/src/folder_worker.rs
@@ -43,8 +43,8 @@
 /// The thread that owns the data folder and reopens it after a failure.
 ///
 /// Opening, writing and syncing block on the disk, which may hang for seconds. On the control
-/// thread that would stop answers and elections. Requests that arrive during a sync share the next
-/// one.
+/// thread that would stop responses and elections. Requests that arrive during a sync share the
+/// next one.
 #[derive(Debug)]
 pub(crate) struct FolderWorker {
     requests: Sender<PersistRequest>,
--- a/crates/ragwortroad_registry/src/lib.rs
+++ b/crates/ragwortroad_registry/src/lib.rs
@@ -1,7 +1,7 @@
 //! The registry process, which stores a site's configuration and tracks its endpoints.
 //!
 //! A few VMs with disks run one registry each. The registries agree on the configuration through a
-//! replicated log, answer operators, receive announcements of endpoints, and tell callers which
+//! replicated log, reply to operators, receive announcements of endpoints, and tell clients which
 //! edges to use. Edges connect to every registry, and each registry passes on what it learns at
 //! once.
 //!
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -154,7 +154,7 @@
             LinkMessage::ReadDone { token, index } => self.index_read(token, index, now),
             other => tracing::warn!(?other, "ignored an unexpected message from a registry"),
         }
-        self.answer_applied_reads(now);
+        self.reply_to_applied_reads(now);
     }
 
     fn handle_member_hello(&mut self, hello: MemberHello, now: ClockTime) {
--- a/crates/ragwortroad_registry/src/put_flow.rs
+++ b/crates/ragwortroad_registry/src/put_flow.rs
@@ -14,7 +14,7 @@
     call_flow::{
         CALL_TIMEOUT,
         MAX_QUEUED_CALLS,
-        answer_call, //
+        send_reply, //
     },
     put_origin::PutOrigin,
     queued_put::QueuedPut,
@@ -40,7 +40,7 @@
                 version,
                 "ignored a configuration that is already superseded"
             );
-            answer_call(reply, ControlReply::Done);
+            send_reply(reply, ControlReply::Done);
             return;
         }
         match pack_document(document, None) {
@@ -63,7 +63,7 @@
             Err(error) => {
                 tracing::error!(%error, "failed to compress a configuration");
                 let reason = "the configuration could not be packed";
-                answer_call(reply, ControlReply::Unavailable { reason });
+                send_reply(reply, ControlReply::Unavailable { reason });
             }
         }
     }
@@ -201,7 +201,7 @@
         self.reply_put(put, outcome);
     }
 
-    /// Answers queued configurations that the configuration in force supersedes.
+    /// Replies to queued configurations that the configuration in force supersedes.
     fn finish_superseded(&mut self, now: ClockTime) {
         let register = self.driver.register();
         let queued_puts = self.queued_puts.iter();
@@ -216,8 +216,8 @@
         let version = put.delta.version;
         match put.origin {
             PutOrigin::Operator(reply) => {
-                tracing::info!(version, ?outcome, "answered a configuration");
-                answer_call(
+                tracing::info!(version, ?outcome, "replied to a configuration");
+                send_reply(
                     reply,
                     match outcome {
                         PutOutcome::Committed => ControlReply::Done,
--- a/crates/ragwortroad_registry/src/queued_drain.rs
+++ b/crates/ragwortroad_registry/src/queued_drain.rs
@@ -4,7 +4,7 @@
 
 use crate::ControlReply;
 
-/// A drain order whose operator waits for an answer.
+/// A drain order whose operator waits for a response.
 #[derive(Debug)]
 pub(crate) struct QueuedDrain {
     pub(crate) order: DrainOrder,
--- a/crates/ragwortroad_registry/src/read_flow.rs
+++ b/crates/ragwortroad_registry/src/read_flow.rs
@@ -11,7 +11,7 @@
     call_flow::{
         CALL_TIMEOUT,
         MAX_QUEUED_CALLS,
-        answer_call, //
+        send_reply, //
     },
     indexed_read::IndexedRead,
     queued_read::QueuedRead,
@@ -88,8 +88,8 @@
         tracing::debug!(token, ?index, at = now.0, "read index request finished");
     }
 
-    /// Answers the reads whose read index has been applied.
-    pub(crate) fn answer_applied_reads(&mut self, now: ClockTime) {
+    /// Replies to the reads whose read index has been applied.
+    pub(crate) fn reply_to_applied_reads(&mut self, now: ClockTime) {
         if self.indexed_reads.is_empty() {
             return;
         }
@@ -101,14 +101,14 @@
                     version,
                     index = read.index,
                     applied,
-                    "answered a configuration read"
+                    "replied to a configuration read"
                 );
-                answer_call(read.reply, self.config_reply());
+                send_reply(read.reply, self.config_reply());
             } else if now.since(read.received_at) < CALL_TIMEOUT {
                 self.indexed_reads.push(read);
             } else {
                 let reason = "this registry is behind; ask another";
-                answer_call(read.reply, ControlReply::Unavailable { reason });
+                send_reply(read.reply, ControlReply::Unavailable { reason });
             }
         }
     }
@@ -126,7 +126,7 @@
         match read.origin {
             ReadOrigin::Operator(reply) => {
                 let reason = "it is not certain here which configuration is the newest";
-                answer_call(reply, ControlReply::Unavailable { reason });
+                send_reply(reply, ControlReply::Unavailable { reason });
             }
             ReadOrigin::Asked { link, token } => {
                 if let Some(queue) = self.links.get(&link) {
--- a/crates/ragwortroad_registry/src/registry_event.rs
+++ b/crates/ragwortroad_registry/src/registry_event.rs
@@ -24,7 +24,7 @@
     Call {
         call: ControlCall,
         /// Address of the sender.
-        caller_ip: IpAddr,
+        client_ip: IpAddr,
         /// Receives the reply.
         reply: oneshot::Sender<ControlReply>,
     },
--- a/crates/ragwortroad_registry/src/registry_process.rs
+++ b/crates/ragwortroad_registry/src/registry_process.rs
@@ -57,7 +57,7 @@
     registry_state::RegistryState, //
 };
 
-/// Time for a stopping leader to hand over leadership, and for pending answers to be sent.
+/// Time for a stopping leader to hand over leadership, and for pending responses to be sent.
 const STOP_GRACE: Duration = Duration::from_millis(600);
 
 /// Maximum number of events handled before the clock is read and due work is done.
@@ -175,7 +175,7 @@
     let disk = FolderWorker::start(folder, events.clone()).context(StartSnafu)?;
     let driver = ConsensusDriver::new(DriverOptions {
         node: node_id_of(settings.inner),
-        founders: founding_nodes(&settings),
+        initial_members: initial_members_of(&settings),
         settings: core_settings(&settings),
         disk,
         start: clock.wall_ms(),
@@ -290,9 +290,9 @@
     NodeId::from_name(&inner.to_string())
 }
 
-/// The nodes that found the group: the seeds from the settings at the fleet's first start,
+/// The nodes that bootstrap the group: the seeds from the settings at the fleet's first start,
 /// otherwise none.
-fn founding_nodes(settings: &ForwardSettings) -> Vec<NodeId> {
+fn initial_members_of(settings: &ForwardSettings) -> Vec<NodeId> {
     if !settings.first_start {
         return Vec::new();
     }
--- a/crates/ragwortroad_registry/src/registry_state.rs
+++ b/crates/ragwortroad_registry/src/registry_state.rs
@@ -33,7 +33,7 @@
 
 /// Time between two rounds of periodic maintenance.
 ///
-/// Queued calls are retried at this interval. Operators wait one second for an answer.
+/// Queued calls are retried at this interval. Operators wait one second for a response.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// State of a registry, owned by its control thread.
@@ -150,9 +150,9 @@
         match event {
             RegistryEvent::Call {
                 call,
-                caller_ip,
+                client_ip,
                 reply,
-            } => self.handle_call(call, caller_ip, reply, now),
+            } => self.handle_call(call, client_ip, reply, now),
             RegistryEvent::LinkAccepted { link, queue } => {
                 self.links.insert(link, queue);
             }
@@ -250,7 +250,7 @@
         if has_changed {
             self.broadcast_config_version();
         }
-        self.answer_applied_reads(now);
+        self.reply_to_applied_reads(now);
     }
 
     pub(crate) fn new_token(&mut self) -> u64 {
