--- a/crates/ragwortroad_dispatch/src/admission_gate.rs
+++ b/crates/ragwortroad_dispatch/src/admission_gate.rs
@@ -136,12 +136,12 @@
 
     /// Admits or queues a request. The caller then has to reject those that
     /// [`AdmissionGate::shed_next`] returns.
-    pub fn offer(&mut self, offer: AdmissionRequest, now: ClockTime) -> AdmissionDecision {
+    pub fn offer(&mut self, request: AdmissionRequest, now: ClockTime) -> AdmissionDecision {
         let AdmissionRequest {
             rank,
             is_late,
             queue_timeout,
-        } = offer;
+        } = request;
         let rank = QueueRank { rank, is_late };
         let ratio = self.admission_ratios.entry(rank);
         ratio.or_insert_with(|| AdmissionRatio::new(now)).offer(now);
--- a/crates/ragwortroad_dispatch/src/endpoint_table.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_table.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Marks an endpoint as gone because another one has answered at its address.
+    /// Marks an endpoint as gone because another one has responded at its address.
     pub fn mark_replaced(&mut self, key: EndpointKey, now: ClockTime) {
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.record.stage = EndpointStage::Gone;
@@ -289,7 +289,8 @@
 }
 
 impl EndpointEntry {
-    /// Records that a registry hears from this incarnation, although its record is not news.
+    /// Records that a registry hears from this incarnation, although its record is not newer than
+    /// the known one.
     ///
     /// A registry sends nothing more while the endpoint's announcements stay the same. If it were
     /// left out of the holders, it would not count when the registry with the newer record loses
--- a/crates/ragwortroad_dispatch/src/first_byte_timeout.rs
+++ b/crates/ragwortroad_dispatch/src/first_byte_timeout.rs
@@ -2,8 +2,8 @@
 
 /// Multiple of a route's latency target after which an endpoint that has sent nothing is given up.
 ///
-/// The request is late by then in any case. Full engines start within half of the target, because
-/// the requests that they cannot start are queued at the edges.
+/// The request is late by then in any case. Engines with all slots busy start most requests within
+/// half of the target, because the requests that they cannot start are queued at the edges.
 const TARGET_MULTIPLE: u32 = 2;
 
 /// Divisor of the time left until the deadline; the remainder is for the next endpoint.
--- a/crates/ragwortroad_dispatch/src/fleet_load.rs
+++ b/crates/ragwortroad_dispatch/src/fleet_load.rs
@@ -57,8 +57,8 @@
 const EQUAL_SHARE_RATIO: f64 = 0.2;
 
 impl FleetLoad {
-    /// Returns the load of a service on these endpoints, for one of `edges`, or `None` if they have
-    /// no slots.
+    /// Returns the load of a service on these endpoints, as seen by one of `edges` edges, or `None`
+    /// if they have no slots.
     ///
     /// Counts only endpoints that can be selected. If the slots of failing engines were filled too,
     /// the requests for them would queue at the others.
--- a/crates/ragwortroad_dispatch/src/home_choice.rs
+++ b/crates/ragwortroad_dispatch/src/home_choice.rs
@@ -26,7 +26,7 @@
 /// the rest. If all edges chose the same one, its link would carry the reports of the whole fleet.
 /// A registry that is partitioned from the others knows only the loads of its own edges, which
 /// would underestimate the engines' load and overload them together with all other edges.
-/// Registries with contact to a majority are therefore preferred; all edges meet there during a
+/// Registries with contact to a majority are therefore preferred; all edges report there during a
 /// partition.
 pub fn choose_home(edge: &str, candidates: &[HomeCandidate]) -> Option<SocketAddr> {
     let with_majority = candidates.iter().filter(|one| one.hears_majority());
--- a/crates/ragwortroad_dispatch/src/latency_limit.rs
+++ b/crates/ragwortroad_dispatch/src/latency_limit.rs
@@ -60,14 +60,14 @@
         self.limit
     }
 
-    /// Records a response that took `took`, with a latency target of `target` and `in_flight`
+    /// Records the `latency` of a response, with a latency target of `target` and `in_flight`
     /// requests; returns whether the limit has changed.
-    pub fn note(&mut self, took: Duration, target: Duration, in_flight: u32) -> bool {
+    pub fn note(&mut self, latency: Duration, target: Duration, in_flight: u32) -> bool {
         if target.is_zero() {
             return false;
         }
         self.latencies
-            .push(took.as_secs_f64() / target.as_secs_f64());
+            .push(latency.as_secs_f64() / target.as_secs_f64());
         if self.latencies.len() < SAMPLES_PER_ROUND {
             return false;
         }
--- a/crates/ragwortroad_dispatch/src/load_totals.rs
+++ b/crates/ragwortroad_dispatch/src/load_totals.rs
@@ -67,8 +67,8 @@
     /// Returns the changes to report so that the registry knows `current`.
     ///
     /// A registry that is no longer the edge's home gets zero counts: otherwise it would keep
-    /// publishing outdated counts, and all engines, and the load bound with them, would appear
-    /// higher than they are.
+    /// publishing outdated counts, and the load of all engines, and the load bound with it, would
+    /// appear higher than they are.
     pub fn changes(&mut self, current: &BTreeMap<EndpointTag, u32>) -> Vec<LoadCount> {
         let known = self.published.keys().chain(current.keys());
         let endpoints: BTreeSet<EndpointTag> = known.copied().collect();
@@ -106,10 +106,11 @@
 /// Request counts of all edges, summed up by the registries together.
 ///
 /// Sixty edges that each send an occasional request to the engine that holds a busy prefix do not
-/// see each other, which results in engines far above the mean load. Load readings arrive with the
-/// first bytes of a response, too late and too rarely at one edge; the sums make every edge's count
-/// known a moment later. Each registry sums up its own edges, sends the sums to the other
-/// registries and the totals to its edges, so its traffic grows with its share of the fleet.
+/// know of each other's requests, which results in engines far above the mean load. Load readings
+/// arrive with the first bytes of a response, too late and too rarely at one edge; the sums make
+/// every edge's count known a moment later. Each registry sums up its own edges, sends the sums to
+/// the other registries and the totals to its edges, so its traffic grows with its share of the
+/// fleet.
 #[derive(Debug, Default)]
 pub struct LoadTotals {
     sources: BTreeMap<LoadSource, BTreeMap<EndpointTag, u32>>,
--- a/crates/ragwortroad_dispatch/src/retry_budget.rs
+++ b/crates/ragwortroad_dispatch/src/retry_budget.rs
@@ -54,7 +54,7 @@
 const MIN_BALANCE_CAP: f64 = 2.0;
 
 impl RetryBudget {
-    /// Creates the budget of one of `edges` at the time `now`.
+    /// Creates the budget of one of `edges` edges at the time `now`.
     pub fn new(settings: BudgetSettings, edges: u32, now: ClockTime) -> Self {
         let budget = Self {
             settings,
--- a/crates/ragwortroad_dispatch/src/route_map.rs
+++ b/crates/ragwortroad_dispatch/src/route_map.rs
@@ -16,7 +16,8 @@
 /// Priority of a request; the lowest value is served first.
 ///
 /// Operators give most customers the same rank, which hides the ranks of the routes. Without the
-/// second field, a tag request of half a second could take the slot of a draft, and vice versa.
+/// second field, all routes would compete as equals: a request to generate a tag, which takes half
+/// a second, could take the slot of a request for a long draft, and vice versa.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestRank {
     /// The customer's rank, or the route's if the customer has none.
--- a/crates/ragwortroad_dispatch/tests/admission.rs
+++ b/crates/ragwortroad_dispatch/tests/admission.rs
@@ -9,7 +9,7 @@
 
 const QUEUE_TIMEOUT: Duration = Duration::from_millis(200);
 
-fn offer(route: u8, is_late: bool) -> AdmissionRequest {
+fn request(route: u8, is_late: bool) -> AdmissionRequest {
     AdmissionRequest {
         rank: RequestRank { declared: 1, route },
         is_late,
@@ -23,22 +23,22 @@
     gate.set_limit(f64::from(limit), at(0));
     for _ in 0..limit {
         assert_eq!(
-            gate.offer(offer(0, false), at(0)),
+            gate.offer(request(0, false), at(0)),
             AdmissionDecision::Admitted
         );
     }
     for step in 1..=250 {
         gate.release(at(step * 20));
         assert_eq!(
-            gate.offer(offer(0, false), at(step * 20)),
+            gate.offer(request(0, false), at(step * 20)),
             AdmissionDecision::Admitted
         );
     }
     gate
 }
 
-fn wait(gate: &mut AdmissionGate, offer: AdmissionRequest, now: u64) -> QueueTicket {
-    match gate.offer(offer, at(now)) {
+fn wait(gate: &mut AdmissionGate, request: AdmissionRequest, now: u64) -> QueueTicket {
+    match gate.offer(request, at(now)) {
         AdmissionDecision::Queued(ticket) => ticket,
         AdmissionDecision::Admitted => panic!("a request was admitted above the limit"),
     }
@@ -49,13 +49,13 @@
     let mut gate = AdmissionGate::new(at(0));
     for _ in 0..1000 {
         assert_eq!(
-            gate.offer(offer(2, true), at(0)),
+            gate.offer(request(2, true), at(0)),
             AdmissionDecision::Admitted
         );
     }
     assert_eq!(gate.in_flight(), 1000);
     gate.set_limit(10.0, at(1));
-    let ticket = wait(&mut gate, offer(0, false), 1);
+    let ticket = wait(&mut gate, request(0, false), 1);
     for step in 0..990 {
         gate.release(at(2 + step));
         assert_eq!(gate.admit_next(at(2 + step)), None, "above the limit");
@@ -70,10 +70,10 @@
 #[test]
 fn urgent_requests_precede_others_and_late_ones_follow() {
     let mut gate = full_gate(4);
-    let notes = wait(&mut gate, offer(1, false), 5001);
-    let late = wait(&mut gate, offer(0, true), 5002);
-    let draft = wait(&mut gate, offer(0, false), 5003);
-    let second = wait(&mut gate, offer(0, false), 5004);
+    let notes = wait(&mut gate, request(1, false), 5001);
+    let late = wait(&mut gate, request(0, true), 5002);
+    let draft = wait(&mut gate, request(0, false), 5003);
+    let second = wait(&mut gate, request(0, false), 5004);
     let mut admitted = Vec::new();
     for step in 0..4 {
         gate.release(at(5010 + step));
@@ -94,7 +94,7 @@
     for step in 0..4000_u64 {
         now += 5;
         let rank = (step % 3) as u8;
-        let ticket = wait(&mut gate, offer(rank, false), now);
+        let ticket = wait(&mut gate, request(rank, false), now);
         waiting.insert(ticket, rank);
         if step % 8 == 0 {
             gate.release(at(now));
@@ -123,9 +123,9 @@
     let mut gate = full_gate(4);
     // 50 requests complete per second, so ten slots become free within the queue timeout.
     for _ in 0..20 {
-        wait(&mut gate, offer(1, false), 5005);
+        wait(&mut gate, request(1, false), 5005);
     }
-    let urgent = wait(&mut gate, offer(0, false), 5005);
+    let urgent = wait(&mut gate, request(0, false), 5005);
     let mut displaced = Vec::new();
     while let Some(ticket) = gate.shed_next(at(5005)) {
         displaced.push(ticket);
@@ -155,8 +155,8 @@
 #[test]
 fn a_cancelled_ticket_is_not_admitted() {
     let mut gate = full_gate(2);
-    let first = wait(&mut gate, offer(0, false), 5001);
-    let second = wait(&mut gate, offer(0, false), 5002);
+    let first = wait(&mut gate, request(0, false), 5001);
+    let second = wait(&mut gate, request(0, false), 5002);
     gate.cancel(first);
     gate.release(at(5010));
     assert_eq!(gate.admit_next(at(5010)), Some(second));
@@ -202,13 +202,13 @@
 /// Guards against requests for failing engines that queue at the others.
 #[test]
 fn slots_of_failing_engines_do_not_count() {
-    let share = |failure_rate| EndpointUsage {
+    let usage = |failure_rate| EndpointUsage {
         slots: 10,
         total: 4,
         own: 1,
         failure_rate,
     };
-    let all = vec![share(0.0); 12];
+    let all = vec![usage(0.0); 12];
     let mut some = all.clone();
     for endpoint in &mut some[..4] {
         endpoint.failure_rate = 0.5;
@@ -218,7 +218,7 @@
     assert_eq!(capacity(&all), Some(120.0));
     assert_eq!(capacity(&some), Some(80.0));
     assert_eq!(
-        capacity(&vec![share(0.5); 12]),
+        capacity(&vec![usage(0.5); 12]),
         Some(120.0),
         "all of them are failing"
     );
--- a/crates/ragwortroad_dispatch/tests/config_fetches.rs
+++ b/crates/ragwortroad_dispatch/tests/config_fetches.rs
@@ -80,7 +80,7 @@
     for edge in 0..191 {
         let edge = format!("edge-{edge}");
         let early = fetch.next(&edge, Some(8), &sources(8), at(10));
-        let early = early.map_or(registry(0), |demand| demand.registry);
+        let early = early.map_or(registry(0), |request| request.registry);
         *counts.entry(early).or_default() += 1;
     }
     assert!(
--- a/crates/ragwortroad_dispatch/tests/drains.rs
+++ b/crates/ragwortroad_dispatch/tests/drains.rs
@@ -34,7 +34,7 @@
 }
 
 /// Guards against an order that is rejected or counts twice when it is sent again after a lost
-/// answer.
+/// response.
 #[test]
 fn a_repeated_order_changes_nothing() {
     let mut drains = DomainDrains::default();
--- a/crates/ragwortroad_dispatch/tests/overload/main.rs
+++ b/crates/ragwortroad_dispatch/tests/overload/main.rs
@@ -16,7 +16,8 @@
 };
 use rand_pcg::Pcg64Mcg;
 
-/// Long drafts, notes and short tags: eight edges and twelve engines of 128 slots each.
+/// Requests for long drafts, notes and short tags, at eight edges and twelve engines of 128 slots
+/// each.
 fn large_engines(load: f64) -> Scenario {
     let draft = TrafficClass {
         rank: 0,
--- a/crates/ragwortroad_dispatch/tests/overload/model.rs
+++ b/crates/ragwortroad_dispatch/tests/overload/model.rs
@@ -285,7 +285,7 @@
         let left = Duration::from_millis((arrived_at + rule.deadline_ms).saturating_sub(now));
         let target = Duration::from_millis(rule.target_ms);
         let waited = self.edges[edge].deadlines[class].note(left);
-        let offer = AdmissionRequest {
+        let request = AdmissionRequest {
             rank: RequestRank {
                 declared: 1,
                 route: rule.rank,
@@ -293,7 +293,7 @@
             is_late: waited >= target,
             queue_timeout: max_queue_time(target, left),
         };
-        match self.edges[edge].gate.offer(offer, at(now)) {
+        match self.edges[edge].gate.offer(request, at(now)) {
             AdmissionDecision::Admitted => self.dispatch(client, now),
             AdmissionDecision::Queued(ticket) => {
                 self.edges[edge].waiting.insert(ticket, client);
--- a/crates/ragwortroad_dispatch/tests/starts.rs
+++ b/crates/ragwortroad_dispatch/tests/starts.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_request_waits_for_a_starting_edge() {
     assert_eq!(start_wait(ms(100), ms(12_000)), ms(2000));
-    // A booking has a short deadline and still has to be able to go elsewhere.
+    // A request with a short deadline must have enough time left for a retry at another edge.
     assert_eq!(start_wait(ms(100), ms(600)), ms(150));
     assert!(time_to_ready(ms(100)) > time_to_ready(ms(700)));
 }
@@ -74,15 +74,15 @@
     pending.add(here, 2);
     pending.add(there, 2);
     assert!(pending.contains(1) && pending.contains(2) && !pending.contains(3));
-    let mut texts = pending.take(here);
-    texts.sort_unstable();
-    assert_eq!(texts, [1, 2]);
+    let mut prefixes = pending.take(here);
+    prefixes.sort_unstable();
+    assert_eq!(prefixes, [1, 2]);
     assert!(!pending.contains(1), "its engine is known now");
     assert!(pending.contains(2), "another engine has it too");
     assert!(pending.take(here).is_empty());
     assert_eq!(pending.take(there), [2]);
-    for text in 0..100_000 {
-        pending.add(there, text);
+    for prefix in 0..100_000 {
+        pending.add(there, prefix);
     }
     assert_eq!(pending.take(there).len(), 4000, "memory is bounded");
 }
--- a/crates/ragwortroad_dispatch/tests/voters.rs
+++ b/crates/ragwortroad_dispatch/tests/voters.rs
@@ -14,8 +14,8 @@
 }
 
 impl Site {
-    /// Returns a group founded by the first three of `count` registries.
-    fn founded(count: u64) -> Self {
+    /// Returns a group bootstrapped by the first three of `count` registries.
+    fn bootstrapped(count: u64) -> Self {
         let voters = (1..=3).map(|id| (MemberId(id), NodeId(id)));
         Self {
             members: MemberSet::from_voters(voters),
@@ -89,7 +89,7 @@
 /// Guards against too few or an even number of voters.
 #[test]
 fn all_registries_of_an_odd_site_vote() {
-    let mut site = Site::founded(5);
+    let mut site = Site::bootstrapped(5);
     site.settle();
     assert_eq!(site.voters(), [1, 2, 3, 4, 5]);
     site.holders.push(holder(6, 6));
@@ -101,7 +101,7 @@
 /// Guards against the former vote of a registry that counts again after its disk was lost.
 #[test]
 fn a_registry_that_lost_its_disk_votes_again_under_a_new_identity() {
-    let mut site = Site::founded(5);
+    let mut site = Site::bootstrapped(5);
     site.settle();
     site.holders.retain(|holder| holder.member != MemberId(4));
     site.holders.push(MemberStatus {
@@ -125,7 +125,7 @@
 /// Guards against voters that are removed without a successor.
 #[test]
 fn an_absent_voter_is_removed_only_for_a_successor() {
-    let mut site = Site::founded(5);
+    let mut site = Site::bootstrapped(5);
     site.settle();
     site.holder_mut(3).silent_for = Duration::from_secs(60);
     assert!(site.settle().is_empty());
@@ -137,7 +137,7 @@
 /// Guards against voters that are replaced at each short absence.
 #[test]
 fn a_briefly_absent_voter_is_kept() {
-    let mut site = Site::founded(5);
+    let mut site = Site::bootstrapped(5);
     site.settle();
     site.holders.push(holder(6, 6));
     site.settle();
@@ -148,7 +148,7 @@
 /// Guards against groups that shrink while registries are replaced.
 #[test]
 fn a_series_of_replacements_keeps_the_number_of_voters() {
-    let mut site = Site::founded(5);
+    let mut site = Site::bootstrapped(5);
     site.settle();
     for (old, new) in [(2, 12), (3, 13), (4, 14), (5, 15)] {
         site.holder_mut(old).silent_for = Duration::from_secs(60);
--- a/crates/ragwortroad_edge/src/edge_gates.rs
+++ b/crates/ragwortroad_edge/src/edge_gates.rs
@@ -11,8 +11,8 @@
     service_gate::ServiceGate, //
 };
 
-/// Maximum number of routes whose usual timeout is remembered; each takes about a hundred bytes.
-const MAX_USUAL_TIMEOUTS: usize = 5000;
+/// Maximum number of routes whose deadline estimate is kept; each takes about a hundred bytes.
+const MAX_DEADLINE_ESTIMATES: usize = 5000;
 
 impl EdgeState {
     /// Estimates how long the client has already waited elsewhere, from its remaining time.
@@ -21,11 +21,11 @@
             return Duration::ZERO;
         };
         // Routes come and go with configurations, and the estimates are learned again quickly.
-        if self.usual_timeouts.len() > MAX_USUAL_TIMEOUTS {
-            self.usual_timeouts.clear();
+        if self.deadline_estimates.len() > MAX_DEADLINE_ESTIMATES {
+            self.deadline_estimates.clear();
         }
-        let usual_timeout = self.usual_timeouts.entry(plan.rule().name.clone());
-        usual_timeout.or_default().note(time_left)
+        let estimate = self.deadline_estimates.entry(plan.rule().name.clone());
+        estimate.or_default().note(time_left)
     }
 
     /// Returns the gate of a service. A new gate starts with the limit derived from the current
@@ -70,7 +70,7 @@
             let is_open = load.is_none_or(|load| load.is_available(now));
             is_open && self.reach.is_reachable(&record.zone)
         });
-        let shares = open.map(|(key, record)| {
+        let usages = open.map(|(key, record)| {
             let own = self.reported_load(&record.name);
             let load = self.loads.get(&key);
             let is_warming =
@@ -82,7 +82,7 @@
                 failure_rate: load.map_or(0.0, |load| load.failure_rate(now)),
             }
         });
-        let shares: Vec<EndpointUsage> = shares.collect();
-        FleetLoad::of(&shares, self.edges)
+        let usages: Vec<EndpointUsage> = usages.collect();
+        FleetLoad::of(&usages, self.edges)
     }
 }
--- a/crates/ragwortroad_edge/src/edge_process.rs
+++ b/crates/ragwortroad_edge/src/edge_process.rs
@@ -73,7 +73,7 @@
 /// Safety margin before the end of the grace period at which a draining edge stops in any case.
 const GRACE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Time before shutdown at which pending requests are answered with an error.
+/// Time before shutdown at which pending requests get an error response.
 ///
 /// An unresponsive endpoint holds a request until its deadline. If the process just ended, the
 /// client would see its connection break without being told what is known about the request.
--- a/crates/ragwortroad_edge/src/edge_state.rs
+++ b/crates/ragwortroad_edge/src/edge_state.rs
@@ -75,8 +75,8 @@
     budgets: BTreeMap<String, RetryBudget>,
     /// Admission gates by service.
     pub(crate) gates: BTreeMap<String, ServiceGate>,
-    /// Usual timeout of clients, by route.
-    pub(crate) usual_timeouts: BTreeMap<String, DeadlineEstimate>,
+    /// Estimated initial deadlines of clients, by route.
+    pub(crate) deadline_estimates: BTreeMap<String, DeadlineEstimate>,
     pub(crate) links: BTreeMap<SourceKey, RegistryLink>,
     pub(crate) registries: BTreeSet<SocketAddr>,
     pub(crate) next_source: u32,
--- a/crates/ragwortroad_edge/src/endpoint_call.rs
+++ b/crates/ragwortroad_edge/src/endpoint_call.rs
@@ -309,11 +309,16 @@
 /// Reports the response time to the service's gate.
 ///
 /// A rejection indicates as much overload as a response that is too late.
-fn record_latency(shared: &EdgeShared, plan: &RequestPlan, outcome: &CallOutcome, took: Duration) {
+fn record_latency(
+    shared: &EdgeShared,
+    plan: &RequestPlan,
+    outcome: &CallOutcome,
+    latency: Duration,
+) {
     let target = plan.rule().target;
-    let took = match outcome {
-        CallOutcome::Full(response) if !response.status.is_server_error() => took,
-        CallOutcome::NotRun | CallOutcome::TimedOut => took.max(target),
+    let latency = match outcome {
+        CallOutcome::Full(response) if !response.status.is_server_error() => latency,
+        CallOutcome::NotRun | CallOutcome::TimedOut => latency.max(target),
         _ => return,
     };
     if !shared.settings.mechanisms.plain_limit {
@@ -322,6 +327,6 @@
     let now = shared.now();
     let mut state = shared.state.borrow_mut();
     if let Some(gate) = state.gates.get_mut(&plan.service) {
-        gate.record_response(took, target, now);
+        gate.record_response(latency, target, now);
     }
 }
--- a/crates/ragwortroad_edge/src/gate_permit.rs
+++ b/crates/ragwortroad_edge/src/gate_permit.rs
@@ -89,15 +89,15 @@
     }
     let now = shared.now();
     let time_left = plan.deadline.saturating_duration_since(plan.received_at);
-    let patience = max_queue_time(plan.rule().target, time_left);
+    let max_wait = max_queue_time(plan.rule().target, time_left);
     let decision = {
         let mut state = shared.state.borrow_mut();
-        let offer = AdmissionRequest {
+        let request = AdmissionRequest {
             rank: plan.map.request_rank(plan.route, plan.customer),
             is_late: mechanisms.late_last && state.time_spent(plan) >= plan.rule().target,
-            queue_timeout: patience,
+            queue_timeout: max_wait,
         };
-        state.gate_mut(&plan.service, now).offer(offer, now)
+        state.gate_mut(&plan.service, now).offer(request, now)
     };
     let (ticket, admission) = match decision {
         GateDecision::Admitted => return Some(permit()),
@@ -110,7 +110,7 @@
         admission,
         is_finished: false,
     };
-    let is_admitted = match timeout(patience, &mut wait.admission).await {
+    let is_admitted = match timeout(max_wait, &mut wait.admission).await {
         Ok(admission) => {
             wait.is_finished = true;
             admission.is_ok()
--- a/crates/ragwortroad_edge/src/refusal_response.rs
+++ b/crates/ragwortroad_edge/src/refusal_response.rs
@@ -14,7 +14,7 @@
     refusal_reason::RefusalReason, //
 };
 
-/// Builds the response to a request that was not forwarded, or that no endpoint answered.
+/// Builds the response to a request that was not forwarded, or to which no endpoint responded.
 pub(crate) fn refusal_response(
     reason: RefusalReason,
     retry_after: Option<Duration>,
--- a/crates/ragwortroad_edge/src/request_completion.rs
+++ b/crates/ragwortroad_edge/src/request_completion.rs
@@ -58,7 +58,7 @@
     response
 }
 
-/// Responds to a request that no endpoint has answered.
+/// Responds to a request to which no endpoint has responded.
 pub(crate) fn refuse(
     shared: &EdgeShared,
     plan: &RequestPlan,
@@ -113,11 +113,11 @@
     metrics::counter!(metric_names::REQUESTS, &labels).increment(1);
 }
 
-/// Records the response time, and the state assumed for the endpoint that responded.
+/// Records the response time, and the load and cache state that were assumed for the endpoint.
 pub(crate) fn record_response(plan: &RequestPlan, chosen: &ChosenEndpoint) {
     let kind = kind_label(plan);
-    let took = plan.received_at.elapsed();
-    metrics::histogram!(metric_names::ANSWER_SECONDS, "kind" => kind).record(took);
+    let latency = plan.received_at.elapsed();
+    metrics::histogram!(metric_names::ANSWER_SECONDS, "kind" => kind).record(latency);
     metrics::histogram!(metric_names::BELIEVED_LOAD).record(chosen.load);
     if !plan.metadata.prompt_parts.is_empty() {
         let held = if chosen.holds_prefix { "yes" } else { "no" };
--- a/crates/ragwortroad_edge/src/service_gate.rs
+++ b/crates/ragwortroad_edge/src/service_gate.rs
@@ -54,16 +54,16 @@
     }
 
     /// Records the response time of a service without engines, and its target.
-    pub(crate) fn record_response(&mut self, took: Duration, target: Duration, now: ClockTime) {
-        let under_way = self.gate.in_flight();
-        if !self.has_fleet_limit && self.latency_limit.note(took, target, under_way) {
+    pub(crate) fn record_response(&mut self, latency: Duration, target: Duration, now: ClockTime) {
+        let in_flight = self.gate.in_flight();
+        if !self.has_fleet_limit && self.latency_limit.note(latency, target, in_flight) {
             self.gate.set_limit(self.latency_limit.limit(), now);
             self.wake_waiters(now);
         }
     }
 
-    pub(crate) fn offer(&mut self, offer: AdmissionRequest, now: ClockTime) -> GateDecision {
-        match self.gate.offer(offer, now) {
+    pub(crate) fn offer(&mut self, request: AdmissionRequest, now: ClockTime) -> GateDecision {
+        match self.gate.offer(request, now) {
             AdmissionDecision::Admitted => GateDecision::Admitted,
             AdmissionDecision::Queued(ticket) => {
                 let (sender, receiver) = oneshot::channel();
--- a/crates/ragwortroad_edge/src/tests.rs
+++ b/crates/ragwortroad_edge/src/tests.rs
@@ -10,7 +10,7 @@
     ServiceGate, //
 };
 
-fn offer() -> AdmissionRequest {
+fn request() -> AdmissionRequest {
     AdmissionRequest {
         rank: RequestRank::default(),
         is_late: false,
@@ -29,8 +29,8 @@
         ..FleetLoad::default()
     };
     gate.update_limit(Some(load), now);
-    assert!(matches!(gate.offer(offer(), now), GateDecision::Admitted));
-    match gate.offer(offer(), now) {
+    assert!(matches!(gate.offer(request(), now), GateDecision::Admitted));
+    match gate.offer(request(), now) {
         GateDecision::Queued(ticket, admission) => (gate, ticket, admission),
         GateDecision::Admitted => panic!("the only slot is taken"),
     }
@@ -51,7 +51,7 @@
     assert!(gate.finish_wait(ticket, &mut admission, now));
     gate.release(now);
     assert_eq!(gate.gate().in_flight(), 0);
-    assert!(matches!(gate.offer(offer(), now), GateDecision::Admitted));
+    assert!(matches!(gate.offer(request(), now), GateDecision::Admitted));
 }
 
 #[test]
--- a/crates/ragwortroad_registry/src/call_server.rs
+++ b/crates/ragwortroad_registry/src/call_server.rs
@@ -113,8 +113,8 @@
         Ok(()) => reply_receiver.await.unwrap_or(unavailable),
         Err(_) => unavailable,
     };
-    let took = read_at.elapsed().as_secs_f64();
+    let duration = read_at.elapsed().as_secs_f64();
     metrics::histogram!(metric_names::CONTROL_CALL_SECONDS, "outcome" => control_reply.outcome())
-        .record(took);
+        .record(duration);
     Ok((port.encode_reply)(&control_reply))
 }
--- a/crates/ragwortroad_registry/src/consensus_driver.rs
+++ b/crates/ragwortroad_registry/src/consensus_driver.rs
@@ -143,7 +143,7 @@
             (Some(core), _) => core.last_position().index == 0,
             (None, Some(stored)) => is_unused(stored),
             // An unreadable folder may belong to a member of a group. Reporting it as empty could
-            // found a second group.
+            // bootstrap a second group.
             (None, None) => false,
         };
         MemberHello {
--- a/crates/ragwortroad_registry/src/edge_flow.rs
+++ b/crates/ragwortroad_registry/src/edge_flow.rs
@@ -195,8 +195,8 @@
         let count = pace.max_batch_items(self.edges.len(), ENCODED_RECORD_BYTES);
         let updates = self.updates.take_deferrable(count);
         let bytes = self.broadcast_to_edges(&LinkMessage::EndpointUpdates(updates));
-        let span = pace.delay_after(bytes);
-        self.next_deferrable_updates_at = now.after(UPDATE_INTERVAL.max(span));
+        let delay = pace.delay_after(bytes);
+        self.next_deferrable_updates_at = now.after(UPDATE_INTERVAL.max(delay));
     }
 
     /// Whether this registry started recently and does not know a leader yet.
--- a/crates/ragwortroad_registry/src/peer_dialer.rs
+++ b/crates/ragwortroad_registry/src/peer_dialer.rs
@@ -15,9 +15,9 @@
     let settings = LinkSettings::default();
     let mut backoff = DialBackoff::default();
     // Seeds are dialled from the start, other registries once they are discovered.
-    let begun = Instant::now();
+    let started_at = Instant::now();
     loop {
-        let limit = backoff.attempt_timeout(begun.elapsed(), settings.dial_timeout);
+        let limit = backoff.attempt_timeout(started_at.elapsed(), settings.dial_timeout);
         match dial_link(peer, limit).await {
             Ok(stream) => {
                 backoff.reset();
@@ -52,6 +52,6 @@
             }
             Err(error) => tracing::debug!(%peer, %error, "failed to connect to registry"),
         }
-        sleep(backoff.next_delay(begun.elapsed())).await;
+        sleep(backoff.next_delay(started_at.elapsed())).await;
     }
 }
--- a/crates/ragwortroad_registry/src/put_flow.rs
+++ b/crates/ragwortroad_registry/src/put_flow.rs
@@ -23,7 +23,7 @@
 
 /// Size in bytes of a compressed configuration that extends its deadline by one millisecond.
 ///
-/// It is the throughput of a small link that carries a few copies. Operators put longer for large
+/// It is the throughput of a small link that carries a few copies. Operators wait longer for large
 /// bodies.
 const UPLOAD_BYTES_PER_MILLISECOND: u64 = 100;
 
--- a/crates/ragwortroad_registry/src/spread_flow.rs
+++ b/crates/ragwortroad_registry/src/spread_flow.rs
@@ -149,10 +149,10 @@
     pub(crate) fn handle_edge_locations(
         &mut self,
         link: LinkKey,
-        placed: &[PrefixLocation],
+        locations: &[PrefixLocation],
         now: ClockTime,
     ) {
-        self.locations.add(placed, LocationOrigin::Edge, now);
+        self.locations.add(locations, LocationOrigin::Edge, now);
         let queue = self.links.get(&link);
         if let Some(queue) = queue.filter(|_| self.locations.should_request_all(now)) {
             queue.send(&LinkMessage::WantPlaces);
