--- a/crates/ragwortroad_dispatch/src/admission_gate.rs
+++ b/crates/ragwortroad_dispatch/src/admission_gate.rs
@@ -49,7 +49,7 @@
 
 /// Smallest admission ratio of a rank, relative to that of the next more urgent rank.
 ///
-/// Prevents starvation: to users, a kind of request that is never answered looks broken, however
+/// Prevents starvation: to users, a kind of request that is never served looks broken, however
 /// unimportant it is. At 0.4 the third rank stays above a seventh of the first.
 const RANK_FLOOR_RATIO: f64 = 0.4;
 
--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -75,8 +75,8 @@
 
 fn open_link(shared: &EdgeShared, source: SourceKey, queue: &LinkQueue) {
     let mut state = shared.state.borrow_mut();
-    let callers = shared.settings.callers;
-    if let Some(address) = callers {
+    let client_address = shared.settings.callers;
+    if let Some(address) = client_address {
         queue.send(&LinkMessage::EdgeHello {
             node: shared.settings.name.clone(),
             address,
--- a/crates/ragwortroad_edge/src/edge_process.rs
+++ b/crates/ragwortroad_edge/src/edge_process.rs
@@ -113,10 +113,10 @@
     page: Option<MetricsPage>,
 ) -> Result<(), EdgeError> {
     let key = "callers";
-    let callers = settings.callers.context(MissingSettingSnafu { key })?;
+    let clients = settings.callers.context(MissingSettingSnafu { key })?;
     let key = "readiness";
     let readiness = settings.readiness.context(MissingSettingSnafu { key })?;
-    let callers = listen(callers).await?;
+    let clients = listen(clients).await?;
     let readiness = listen(readiness).await?;
     let inner = listen(settings.inner_bind.unwrap_or(settings.inner)).await?;
     if let Some(page) = page {
@@ -136,7 +136,7 @@
         shutdown_imminent: watch::Sender::new(false),
     });
     dial_seeds(&shared, &seeds);
-    spawn_local(serve_clients(Rc::clone(&shared), callers));
+    spawn_local(serve_clients(Rc::clone(&shared), clients));
     spawn_local(serve_readiness(Rc::clone(&shared), readiness));
     spawn_local(serve_configs(Rc::clone(&shared), inner));
     spawn_local(run_ticks(Rc::clone(&shared)));
--- a/crates/ragwortroad_registry/src/peer_flow.rs
+++ b/crates/ragwortroad_registry/src/peer_flow.rs
@@ -138,12 +138,9 @@
             LinkMessage::Unsubscribe => self.unsubscribe(link),
             LinkMessage::Loads(counts) => self.handle_edge_loads(link, &counts),
             LinkMessage::PartialLoads(counts) => self.handle_peer_loads(link, &counts),
-            LinkMessage::TextsPlaced(locations) => {
-                self.handle_edge_locations(link, &locations, now)
-            }
-            LinkMessage::PartialPlaces(locations) => {
-                self.locations
-                    .add(&locations, LocationOrigin::Registry, now);
+            LinkMessage::TextsPlaced(placed) => self.handle_edge_locations(link, &placed, now),
+            LinkMessage::PartialPlaces(placed) => {
+                self.locations.add(&placed, LocationOrigin::Registry, now);
             }
             LinkMessage::PlacesKnown(locations) => self.locations.add_snapshot(locations, now),
             other => tracing::warn!(?other, "ignored an unexpected message"),
