--- a/crates/ragwortroad_dispatch/src/domain_drains.rs
+++ b/crates/ragwortroad_dispatch/src/domain_drains.rs
@@ -30,7 +30,7 @@
     Unchanged,
     /// The order was rejected, because the domain has changed since the revision that its sender
     /// knew.
-    Superseded,
+    Overtaken,
 }
 
 /// Failure domains drained by operators.
@@ -61,7 +61,7 @@
             return DrainOutcome::Unchanged;
         }
         if known.is_some_and(|state| state.revision > order.seen) {
-            return DrainOutcome::Superseded;
+            return DrainOutcome::Overtaken;
         }
         let state = DrainState {
             is_drained: order.is_drained,
--- a/crates/ragwortroad_dispatch/src/endpoint_table.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_table.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointChange {
     /// Nothing relevant to requests has changed.
-    Unchanged,
+    Same,
     /// The endpoint is new or has restarted.
     Started(EndpointKey),
     /// The endpoint no longer accepts new work.
@@ -95,7 +95,7 @@
             return self.insert(source, record, now);
         };
         let Some(entry) = self.entries.get_mut(&key) else {
-            return EndpointChange::Unchanged;
+            return EndpointChange::Same;
         };
         // A registry may have seen the goodbye and fewer announcements than others; the goodbye is
         // final despite its lower sequence number.
@@ -105,7 +105,7 @@
             if same_start {
                 entry.add_holder(source);
             }
-            return EndpointChange::Unchanged;
+            return EndpointChange::Same;
         }
         let restarted = record.started_ms > entry.record.started_ms;
         let before = entry.record.stage;
@@ -120,7 +120,7 @@
             (false, true) => EndpointChange::Started(key),
             (true, true) if restarted => EndpointChange::Started(key),
             (true, true) => EndpointChange::Changed(key),
-            (false, false) => EndpointChange::Unchanged,
+            (false, false) => EndpointChange::Same,
         }
     }
 
@@ -147,7 +147,7 @@
         self.entries.insert(key, entry);
         match ready {
             true => EndpointChange::Started(key),
-            false => EndpointChange::Unchanged,
+            false => EndpointChange::Same,
         }
     }
 
@@ -206,17 +206,17 @@
     /// Applies an endpoint's goodbye, received by any registry.
     pub fn apply_goodbye(&mut self, name: &str, now: ClockTime) -> EndpointChange {
         let Some(&key) = self.names.get(name) else {
-            return EndpointChange::Unchanged;
+            return EndpointChange::Same;
         };
         let Some(entry) = self.entries.get_mut(&key) else {
-            return EndpointChange::Unchanged;
+            return EndpointChange::Same;
         };
         let was_ready = entry.record.stage == EndpointStage::Ready;
         entry.record.stage = EndpointStage::Gone;
         entry.unheld_since = Some(now);
         match was_ready {
             true => EndpointChange::Stopped(key),
-            false => EndpointChange::Unchanged,
+            false => EndpointChange::Same,
         }
     }
 
--- a/crates/ragwortroad_dispatch/tests/drains.rs
+++ b/crates/ragwortroad_dispatch/tests/drains.rs
@@ -52,8 +52,8 @@
     let mut drains = DomainDrains::default();
     drains.apply(&order("a", true, 0));
     drains.apply(&order("a", false, 1));
-    assert_eq!(drains.apply(&order("a", true, 0)), DrainOutcome::Superseded);
-    assert_eq!(drains.apply(&order("a", true, 1)), DrainOutcome::Superseded);
+    assert_eq!(drains.apply(&order("a", true, 0)), DrainOutcome::Overtaken);
+    assert_eq!(drains.apply(&order("a", true, 1)), DrainOutcome::Overtaken);
     assert!(!drains.is_drained("a"));
     assert_eq!(drains.apply(&order("a", true, 2)), DrainOutcome::Changed);
 }
--- a/crates/ragwortroad_dispatch/tests/endpoints.rs
+++ b/crates/ragwortroad_dispatch/tests/endpoints.rs
@@ -42,7 +42,7 @@
     };
     assert_eq!(
         table.apply_record(THERE, late, at(20)),
-        EndpointChange::Unchanged
+        EndpointChange::Same
     );
     assert!(ready(&table).is_empty());
 }
@@ -62,7 +62,7 @@
     };
     assert_eq!(
         table.apply_record(THERE, late, at(20)),
-        EndpointChange::Unchanged
+        EndpointChange::Same
     );
     assert!(ready(&table).is_empty());
     let restarted = EndpointRecord {
@@ -97,7 +97,7 @@
     };
     assert_eq!(
         table.apply_record(THERE, late, at(200)),
-        EndpointChange::Unchanged
+        EndpointChange::Same
     );
     assert_eq!(ready(&table), ["after"]);
 }
@@ -322,7 +322,7 @@
     table.apply_record(second, announced(6), at(120));
     assert_eq!(
         table.apply_record(first, announced(5), at(300)),
-        EndpointChange::Unchanged
+        EndpointChange::Same
     );
     table.mark_lost(second, "i-1", at(4000));
     assert!(table.expire(at(60_000)).is_empty());
--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -189,7 +189,7 @@
     let name = record.name.clone();
     let stage = record.stage;
     let change = state.endpoints.apply_record(source, record, now);
-    if change != EndpointChange::Unchanged {
+    if change != EndpointChange::Same {
         tracing::info!(endpoint = name, ?stage, ?change, "endpoint update");
     }
     state.apply_change(change, now);
--- a/crates/ragwortroad_edge/src/edge_state.rs
+++ b/crates/ragwortroad_edge/src/edge_state.rs
@@ -184,8 +184,7 @@
                     self.prefixes.note(prefix, key, now);
                 }
             }
-            EndpointChange::Stopped(_) | EndpointChange::Changed(_) | EndpointChange::Unchanged => {
-            }
+            EndpointChange::Stopped(_) | EndpointChange::Changed(_) | EndpointChange::Same => {}
         }
     }
 
--- a/crates/ragwortroad_registry/src/config_register.rs
+++ b/crates/ragwortroad_registry/src/config_register.rs
@@ -30,9 +30,9 @@
     /// The delta's configuration is now in force.
     Changed,
     /// The delta's version is not above the version in force.
-    Superseded,
+    Covered,
     /// The delta's base is not the version in force, so the delta must be recomputed.
-    BaseMismatch,
+    OtherBase,
     /// The delta does not decode to a document. Every member skips it alike.
     Unreadable {
         /// Error reported by the codec.
@@ -45,10 +45,10 @@
     /// without a base replaces the whole document.
     pub fn apply(&mut self, delta: &ConfigDelta) -> RegisterChange {
         if self.supersedes(delta.version) {
-            return RegisterChange::Superseded;
+            return RegisterChange::Covered;
         }
         if delta.base.is_some() && delta.base != self.version() {
-            return RegisterChange::BaseMismatch;
+            return RegisterChange::OtherBase;
         }
         let base = delta.base.and_then(|_| self.document());
         match delta.unpack(base.as_deref().map(Vec::as_slice)) {
--- a/crates/ragwortroad_registry/src/consensus_driver.rs
+++ b/crates/ragwortroad_registry/src/consensus_driver.rs
@@ -325,7 +325,7 @@
                 self.history.push(delta);
                 Some(DriverEffect::ConfigChanged)
             }
-            RegisterChange::Superseded | RegisterChange::BaseMismatch => None,
+            RegisterChange::Covered | RegisterChange::OtherBase => None,
             RegisterChange::Unreadable { reason } => {
                 tracing::error!(reason, "skipped a configuration that cannot be decoded");
                 None
@@ -364,7 +364,7 @@
                 self.history.clear();
                 Some(DriverEffect::ConfigChanged)
             }
-            RegisterChange::Superseded => None,
+            RegisterChange::Covered => None,
             other => {
                 tracing::error!(?other, "cannot apply the configuration of the snapshot");
                 None
--- a/crates/ragwortroad_registry/src/drain_flow.rs
+++ b/crates/ragwortroad_registry/src/drain_flow.rs
@@ -128,7 +128,7 @@
                 send_reply(drain.reply, ControlReply::Done);
             }
             // The operator is still waiting, so this order is more recent than the conflicting one.
-            DrainOutcome::Superseded => {
+            DrainOutcome::Overtaken => {
                 let order = DrainOrder {
                     id: rand::random(),
                     ..drain.order
