--- a/crates/ragwortroad_demo/src/fleet_plan.rs
+++ b/crates/ragwortroad_demo/src/fleet_plan.rs
@@ -3,36 +3,38 @@
 use ragwortroad_settings::prelude::*;
 use ragwortroad_standin::prelude::*;
 
-/// What a small fleet consists of.
+/// Configuration of a small fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many of them hold state; odd.
+    /// Number of nodes that are members of the replicated state; must be odd.
     pub members: usize,
-    /// Zones, which nodes and endpoints are spread over.
+    /// Zones, assigned to nodes and endpoints in turn.
     pub zones: Vec<String>,
-    /// Engines.
+    /// Number of stand-in engines.
     pub engines: usize,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service.
     pub services: usize,
-    /// The engines' model.
+    /// The model that all engines serve.
     pub model: String,
-    /// The plain service.
+    /// Name of the plain service.
     pub service: String,
-    /// Customers, by name; each one's key is `key-of-NAME`.
+    /// Names of the customers; a customer's API key is `key-of-NAME`.
     pub customers: Vec<String>,
-    /// Requests a second that each customer may send.
-    pub rate: u32,
-    /// What the engines are like; name, zone and addresses are filled in.
+    /// Rate limit of each customer, in requests per second.
+    pub customer_rate_limit: u32,
+    /// Settings of the engines; the fleet overrides name, zone, model, node addresses, join secret
+    /// and incarnation.
     pub engine: EngineSettings,
-    /// What the service's replicas are like; name, zone and addresses are filled in.
-    pub desk: ServiceSettings,
-    /// `follow_bound_ms` of the nodes.
+    /// Settings of the service's replicas; the fleet overrides name, service, zone, node addresses,
+    /// join secret and incarnation.
+    pub replica: ServiceSettings,
+    /// The nodes' `follow_bound_ms` setting.
     pub follow_bound: Duration,
-    /// `lease_ms` of the nodes.
+    /// The nodes' `lease_ms` setting.
     pub lease: Duration,
-    /// `[orders]` of the nodes.
+    /// The nodes' `[orders]` settings.
     pub orders: EngineOrderSettings,
 }
 
@@ -48,9 +50,9 @@
             model: "caption-llm".to_owned(),
             service: "studio-desk".to_owned(),
             customers: (1..=6).map(|number| format!("studio-{number}")).collect(),
-            rate: 1000,
+            customer_rate_limit: 1000,
             engine: EngineSettings::default(),
-            desk: ServiceSettings::default(),
+            replica: ServiceSettings::default(),
             follow_bound: Duration::from_secs(3),
             lease: Duration::from_millis(1200),
             orders: EngineOrderSettings::default(),
@@ -59,14 +61,14 @@
 }
 
 impl FleetPlan {
-    /// The zone of the endpoint or node with this number.
+    /// Returns the zone of the endpoint or node with this number.
     pub(crate) fn zone(&self, number: usize) -> String {
         let count = self.zones.len().max(1);
         let zone = self.zones.get(number % count);
         zone.cloned().unwrap_or_else(|| "zone".to_owned())
     }
 
-    /// The key of a customer.
+    /// Returns the API key of a customer.
     pub fn key_of(customer: &str) -> String {
         format!("key-of-{customer}")
     }
--- a/crates/ragwortroad_demo/src/lib.rs
+++ b/crates/ragwortroad_demo/src/lib.rs
@@ -1,15 +1,16 @@
 //! A small fleet with stand-in endpoints in one process, for demonstrations and tests.
 //!
-//! Everything is real but the endpoints: nodes talk over QUIC on loopback with keys made for the
-//! occasion, members write to data folders below a temporary one, callers and operators use HTTP.
+//! Only the endpoints are simulated: nodes communicate over QUIC on loopback with freshly generated
+//! keys, members write to data folders in a temporary directory, and clients and operators use
+//! HTTP.
 //!
 //! ```no_run
 //! use ragwortroad_demo::prelude::*;
 //!
 //! let fleet = SmallFleet::start(FleetPlan::default())?;
 //! fleet.declare()?;
-//! let answer = fleet.operator().ask("show endpoints")?;
-//! println!("{}", answer.text);
+//! let response = fleet.operator().ask("show endpoints")?;
+//! println!("{}", response.text);
 //! fleet.stop();
 //! # Ok::<(), DemoError>(())
 //! ```
@@ -20,9 +21,9 @@
 mod fleet_plan;
 mod operator_client;
 mod small_fleet;
-mod timeline_gather;
+mod timeline_collection;
 
-/// Everything a dependent crate usually needs.
+/// Re-exports of the items that dependent crates usually need.
 pub mod prelude {
     pub use crate::{
         demo_error::DemoError,
@@ -33,14 +34,14 @@
         },
         fleet_plan::FleetPlan,
         operator_client::{
-            LineAnswer,
+            LineResponse,
             OperatorClient, //
         },
         small_fleet::{
             SmallFleet,
             wait_until, //
         },
-        timeline_gather::gather_timeline,
+        timeline_collection::collect_timeline,
     };
 }
 
--- a/crates/ragwortroad_demo/tests/failures/pairs.rs
+++ b/crates/ragwortroad_demo/tests/failures/pairs.rs
@@ -1,4 +1,4 @@
-//! Two failures at once.
+//! Tests of simultaneous failures.
 
 use std::{
     sync::atomic::{
@@ -18,39 +18,40 @@
 use ragwortroad_types::prelude::*;
 
 use crate::common::{
-    booking_history::broken_keys,
-    caller::{
+    booking_history::nonlinearizable_keys,
+    client::{
         TestCall,
-        TestCaller,
+        TestClient,
         violations, //
     },
     fleet::TestFleet,
-    load_spans::{
-        LoadSpans,
-        beyond_bound, //
+    run_spans::{
+        RunSpans,
+        bound_violations, //
     }, //
 };
 
-/// Books new keys until it is told to stop, each through several nodes until its outcome is final.
-fn book_on(
+/// Sends bookings under new keys until `stopped` is set, each through several nodes until its
+/// outcome is final.
+fn book_until_stopped(
     addresses: &[String],
-    caller: &TestCaller,
+    client: &TestClient,
     name: &str,
-    stops: &AtomicBool,
+    stopped: &AtomicBool,
 ) -> Vec<TestCall> {
     let mut calls = Vec::new();
     for number in 0.. {
-        if stops.load(Ordering::Relaxed) {
+        if stopped.load(Ordering::Relaxed) {
             break;
         }
         let key = format!("{name}-{number}");
-        for sending in 0..6 {
-            let call = caller.book(&addresses[(number + sending) % addresses.len()], &key);
-            let is_final = matches!(call.note.end, CallEnd::Answered)
+        for attempt in 0..6 {
+            let call = client.book(&addresses[(number + attempt) % addresses.len()], &key);
+            let is_final = matches!(call.record.end, ClientOutcome::Answered)
                 || call.code() == Some(RefusalCode::BrokenAnswer);
             calls.push(call);
-            // One more through the next node, which must say the same.
-            if is_final && sending > 0 {
+            // One more attempt through the next node must get the same outcome.
+            if is_final && attempt > 0 {
                 break;
             }
             thread::sleep(Duration::from_millis(20));
@@ -59,38 +60,39 @@
     calls
 }
 
-/// Guards against second runs, and "not run" for bookings that ran, while several failures meet.
+/// Guards against bookings that run twice, or are reported as not run although they ran, while a
+/// leader crashes, a replica refuses connections and another node is partitioned.
 #[test]
-fn a_killed_leader_a_flapping_service_and_a_cut_leave_single_runs() {
+fn bookings_run_once_during_simultaneous_failures() {
     let mut fleet = TestFleet::start(FleetPlan {
         nodes: 4,
         engines: 0,
         services: 2,
-        desk: ServiceSettings {
+        replica: ServiceSettings {
             work_time: Duration::from_millis(15),
             ..ServiceSettings::default()
         },
         follow_bound: Duration::from_secs(1),
         ..FleetPlan::default()
     });
-    let addresses = fleet.caller_addresses();
-    let stops = AtomicBool::new(false);
+    let addresses = fleet.client_addresses();
+    let stopped = AtomicBool::new(false);
     let mut calls = thread::scope(|scope| {
         let threads: Vec<_> = (0..4)
             .map(|number| {
-                let caller = TestCaller {
+                let client = TestClient {
                     patience: Duration::from_secs(6),
-                    ..TestCaller::new(&fleet.plan, number)
+                    ..TestClient::new(&fleet.plan, number)
                 };
-                let (addresses, stops) = (&addresses, &stops);
+                let (addresses, stopped) = (&addresses, &stopped);
                 let name = format!("pair-{number}");
-                scope.spawn(move || book_on(addresses, &caller, &name, stops))
+                scope.spawn(move || book_until_stopped(addresses, &client, &name, stopped))
             })
             .collect();
         for round in 0..3 {
             let leader = fleet.wait_for_leader(&[0, 1, 2]);
             let ran = fleet.records().len();
-            wait_until("bookings under way", || fleet.records().len() > ran + 5).unwrap();
+            wait_until("running bookings", || fleet.records().len() > ran + 5).unwrap();
             fleet.services[round % 2]
                 .as_ref()
                 .unwrap()
@@ -104,29 +106,30 @@
                 .as_ref()
                 .unwrap()
                 .set_faults(FaultPlan::default());
-            fleet.cut_off(&[(leader + 1) % 3]);
+            fleet.partition(&[(leader + 1) % 3]);
             thread::sleep(Duration::from_millis(1200));
             fleet.restart_node(leader).unwrap();
-            fleet.heal();
+            fleet.heal_partition();
         }
         fleet.wait_for_leader(&[0, 1, 2]);
-        stops.store(true, Ordering::Relaxed);
+        stopped.store(true, Ordering::Relaxed);
         let threads = threads.into_iter();
         let calls: Vec<TestCall> = threads.flat_map(|thread| thread.join().unwrap()).collect();
         calls
     });
-    let caller = TestCaller::new(&fleet.plan, 0);
+    let client = TestClient::new(&fleet.plan, 0);
     for number in 0..4 {
-        calls.push(caller.book_until_answered(&fleet.address(number), &format!("after-{number}")));
+        calls.push(client.book_until_success(&fleet.address(number), &format!("after-{number}")));
     }
     assert_eq!(violations(&calls, &fleet), []);
-    assert_eq!(broken_keys(&calls, &fleet), Vec::<String>::new());
-    let was_hit = calls.iter().any(|call| !call.is_answered());
-    assert!(was_hit, "no call met a failure");
+    assert_eq!(nonlinearizable_keys(&calls, &fleet), Vec::<String>::new());
+    let has_failure = calls.iter().any(|call| !call.is_answered());
+    assert!(has_failure, "no request hit a failure");
     assert!(calls.iter().filter(|call| call.is_answered()).count() > 50);
 }
 
-/// Guards against two homes that each fill an engine up to its bound.
+/// Guards against two homes that each fill an engine up to its load bound, after a partition and
+/// node crashes move engines between homes under load.
 #[test]
 fn homes_that_change_under_load_keep_each_engine_within_its_bound() {
     let plan = FleetPlan {
@@ -145,14 +148,14 @@
         chats_per_second: 25.0,
         turns: 2,
         answer_tokens: 50,
-        attempts: 8,
+        max_attempts: 8,
         bookings_per_second: 0.0,
         reads_per_second: 0.0,
         ..fleet.load_settings()
     };
     let load = thread::spawn(move || run_load(settings).unwrap());
     thread::sleep(Duration::from_millis(1500));
-    fleet.cut_off(&[3]);
+    fleet.partition(&[3]);
     let lost = fleet.engines[0].take().unwrap();
     let lost_at = Instant::now();
     let (lost_start, lost_records) = (lost.started(), lost.stop());
@@ -160,7 +163,7 @@
     let leader = fleet.wait_for_leader(&[0, 1, 2]);
     fleet.crash_node(leader);
     thread::sleep(Duration::from_millis(2500));
-    fleet.heal();
+    fleet.heal_partition();
     fleet.restart_node(leader).unwrap();
     thread::sleep(Duration::from_millis(2500));
     fleet.crash_node(3);
@@ -172,19 +175,19 @@
     let answered = report
         .notes
         .iter()
-        .filter(|note| note.end == CallEnd::Answered);
+        .filter(|call| call.end == ClientOutcome::Answered);
     assert!(
         answered.count() * 10 > report.notes.len() * 7,
         "{:?}",
         report.outcomes
     );
-    let mut spans = vec![LoadSpans::new(lost_start, &lost_records).lost_at(lost_at)];
+    let mut spans = vec![RunSpans::new(lost_start, &lost_records).lost_at(lost_at)];
     for engine in fleet.engines.iter().flatten() {
-        spans.push(LoadSpans::new(engine.started(), &engine.records()));
+        spans.push(RunSpans::new(engine.started(), &engine.records()));
     }
-    assert_eq!(beyond_bound(&spans), Vec::<String>::new());
+    assert_eq!(bound_violations(&spans), Vec::<String>::new());
 
-    // Two homes that each fill an engine up to the bound are noticed.
+    // The check detects two homes that each fill an engine up to the bound.
     let busiest = fleet
         .engines
         .iter()
@@ -193,6 +196,6 @@
     let busiest = busiest.unwrap();
     let mut doubled = busiest.records();
     doubled.extend(busiest.records());
-    spans.push(LoadSpans::new(busiest.started(), &doubled));
-    assert!(!beyond_bound(&spans).is_empty());
+    spans.push(RunSpans::new(busiest.started(), &doubled));
+    assert!(!bound_violations(&spans).is_empty());
 }
--- a/crates/ragwortroad_dispatch/src/endpoint_table.rs
+++ b/crates/ragwortroad_dispatch/src/endpoint_table.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointChange {
     /// Nothing relevant to requests has changed.
-    Unchanged,
+    Same,
     /// The endpoint is new or has restarted.
     Started(EndpointKey),
     /// The endpoint no longer accepts new work.
@@ -95,7 +95,7 @@
             return self.insert(source, record, now);
         };
         let Some(entry) = self.entries.get_mut(&key) else {
-            return EndpointChange::Unchanged;
+            return EndpointChange::Same;
         };
         // A registry may have seen the goodbye and fewer announcements than others; the goodbye is
         // final despite its lower sequence number.
@@ -105,7 +105,7 @@
             if same_start {
                 entry.add_holder(source);
             }
-            return EndpointChange::Unchanged;
+            return EndpointChange::Same;
         }
         let restarted = record.started_ms > entry.record.started_ms;
         let before = entry.record.stage;
@@ -120,7 +120,7 @@
             (false, true) => EndpointChange::Started(key),
             (true, true) if restarted => EndpointChange::Started(key),
             (true, true) => EndpointChange::Changed(key),
-            (false, false) => EndpointChange::Unchanged,
+            (false, false) => EndpointChange::Same,
         }
     }
 
@@ -147,7 +147,7 @@
         self.entries.insert(key, entry);
         match ready {
             true => EndpointChange::Started(key),
-            false => EndpointChange::Unchanged,
+            false => EndpointChange::Same,
         }
     }
 
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Marks an endpoint as gone because another one has answered at its address.
+    /// Marks an endpoint as gone because another one has responded at its address.
     pub fn mark_replaced(&mut self, key: EndpointKey, now: ClockTime) {
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.record.stage = EndpointStage::Gone;
@@ -173,7 +173,7 @@
     ///
     /// A crashed endpoint comes back at its address within a second or two under a new name. Its
     /// former name is known until announcements are missed; each request sent to it in the meantime
-    /// is rejected and costs its caller one of few attempts.
+    /// is rejected and costs its client one of few attempts.
     fn retire_predecessors(&mut self, record: &EndpointRecord, now: ClockTime) {
         for entry in self.entries.values_mut() {
             let predecessor = &entry.record;
@@ -206,17 +206,17 @@
     /// Applies an endpoint's goodbye, received by any registry.
     pub fn apply_goodbye(&mut self, name: &str, now: ClockTime) -> EndpointChange {
         let Some(&key) = self.names.get(name) else {
-            return EndpointChange::Unchanged;
+            return EndpointChange::Same;
         };
         let Some(entry) = self.entries.get_mut(&key) else {
-            return EndpointChange::Unchanged;
+            return EndpointChange::Same;
         };
         let was_ready = entry.record.stage == EndpointStage::Ready;
         entry.record.stage = EndpointStage::Gone;
         entry.unheld_since = Some(now);
         match was_ready {
             true => EndpointChange::Stopped(key),
-            false => EndpointChange::Unchanged,
+            false => EndpointChange::Same,
         }
     }
 
@@ -289,11 +289,12 @@
 }
 
 impl EndpointEntry {
-    /// Records that a registry hears from this incarnation, although its record is not news.
+    /// Records that a registry hears from this incarnation, although its record is not newer than
+    /// the known one.
     ///
     /// A registry sends nothing more while the endpoint's announcements stay the same. If it were
     /// left out of the holders, it would not count when the registry with the newer record loses
-    /// the endpoint: one edge would drop all endpoints for good and reject its callers while the
+    /// the endpoint: one edge would drop all endpoints for good and reject its clients while the
     /// other edges serve theirs.
     fn add_holder(&mut self, source: SourceKey) {
         if self.record.stage == EndpointStage::Gone {
--- a/crates/ragwortroad_dispatch/tests/endpoints.rs
+++ b/crates/ragwortroad_dispatch/tests/endpoints.rs
@@ -42,7 +42,7 @@
     };
     assert_eq!(
         table.apply_record(THERE, late, at(20)),
-        EndpointChange::Unchanged
+        EndpointChange::Same
     );
     assert!(ready(&table).is_empty());
 }
@@ -62,7 +62,7 @@
     };
     assert_eq!(
         table.apply_record(THERE, late, at(20)),
-        EndpointChange::Unchanged
+        EndpointChange::Same
     );
     assert!(ready(&table).is_empty());
     let restarted = EndpointRecord {
@@ -97,7 +97,7 @@
     };
     assert_eq!(
         table.apply_record(THERE, late, at(200)),
-        EndpointChange::Unchanged
+        EndpointChange::Same
     );
     assert_eq!(ready(&table), ["after"]);
 }
@@ -243,7 +243,7 @@
     assert_eq!(change, RegistryChange::Goodbye("stranger".to_owned()));
 }
 
-/// Guards against callers that each wait for a connection to the same dead endpoint.
+/// Guards against clients that each wait for a connection to the same dead endpoint.
 #[test]
 fn failures_pause_an_endpoint_for_longer_each_time() {
     let mut load = EndpointLoad::default();
@@ -269,7 +269,7 @@
 fn a_failed_endpoint_is_probed_again() {
     let mut load = EndpointLoad::default();
     for step in 0..40 {
-        load.note_bad_answer(at(step * 10));
+        load.note_bad_response(at(step * 10));
     }
     let failing = load.failure_rate(at(400));
     assert!(failing > 0.9, "{failing}");
@@ -278,7 +278,7 @@
         "it is not probed at once"
     );
     assert!(load.failure_rate(at(9000)) < 0.3, "it is probed again");
-    load.note_bad_answer(at(9000));
+    load.note_bad_response(at(9000));
     assert!(
         load.failure_rate(at(9000)) > failing * 0.9,
         "a failed probe restores the failure rate"
@@ -322,7 +322,7 @@
     table.apply_record(second, announced(6), at(120));
     assert_eq!(
         table.apply_record(first, announced(5), at(300)),
-        EndpointChange::Unchanged
+        EndpointChange::Same
     );
     table.mark_lost(second, "i-1", at(4000));
     assert!(table.expire(at(60_000)).is_empty());
--- a/crates/ragwortroad_dispatch/tests/starts.rs
+++ b/crates/ragwortroad_dispatch/tests/starts.rs
@@ -8,16 +8,16 @@
     Duration::from_millis(count)
 }
 
-/// Guards against callers that are rejected while an edge fetches its first configuration.
+/// Guards against clients that are rejected while an edge fetches its first configuration.
 #[test]
 fn a_request_waits_for_a_starting_edge() {
     assert_eq!(start_wait(ms(100), ms(12_000)), ms(2000));
-    // A booking has a short deadline and still has to be able to go elsewhere.
+    // A request with a short deadline must have enough time left for a retry at another edge.
     assert_eq!(start_wait(ms(100), ms(600)), ms(150));
     assert!(time_to_ready(ms(100)) > time_to_ready(ms(700)));
 }
 
-/// Returns how many callers are served, and their total, if they wait during a restart, retry once
+/// Returns how many clients are served, and their total, if they wait during a restart, retry once
 /// as told, and wait again.
 fn served_through_a_restart(ready_ms: u64, deadline_ms: u64) -> (u32, u32) {
     let (mut served, mut all) = (0, 0);
@@ -30,7 +30,7 @@
         }
         let rejected_ms = arrived_ms + wait;
         let left_ms = deadline_ms - wait;
-        // Callers honor a retry delay up to a third of their remaining time.
+        // Clients honor a retry delay up to a third of their remaining time.
         let delay = time_to_ready(ms(rejected_ms)).min(ms(left_ms / 3));
         let retry_ms = rejected_ms + delay.as_millis() as u64;
         let second = start_wait(ms(retry_ms), ms(left_ms - delay.as_millis() as u64));
@@ -39,9 +39,9 @@
     (served, all)
 }
 
-/// Guards against callers with deadlines of seconds that are rejected while a large fleet restarts.
+/// Guards against clients with deadlines of seconds that are rejected while a large fleet restarts.
 #[test]
-fn callers_with_long_deadlines_are_served_through_a_long_restart() {
+fn clients_with_long_deadlines_are_served_through_a_long_restart() {
     for ready_ms in [900, 1300, 2400] {
         for deadline_ms in [8_000, 10_000, 15_000] {
             let (served, all) = served_through_a_restart(ready_ms, deadline_ms);
@@ -74,15 +74,15 @@
     pending.add(here, 2);
     pending.add(there, 2);
     assert!(pending.contains(1) && pending.contains(2) && !pending.contains(3));
-    let mut texts = pending.take(here);
-    texts.sort_unstable();
-    assert_eq!(texts, [1, 2]);
+    let mut prefixes = pending.take(here);
+    prefixes.sort_unstable();
+    assert_eq!(prefixes, [1, 2]);
     assert!(!pending.contains(1), "its engine is known now");
     assert!(pending.contains(2), "another engine has it too");
     assert!(pending.take(here).is_empty());
     assert_eq!(pending.take(there), [2]);
-    for text in 0..100_000 {
-        pending.add(there, text);
+    for prefix in 0..100_000 {
+        pending.add(there, prefix);
     }
     assert_eq!(pending.take(there).len(), 4000, "memory is bounded");
 }
--- a/crates/ragwortroad_edge/src/edge_links.rs
+++ b/crates/ragwortroad_edge/src/edge_links.rs
@@ -75,8 +75,8 @@
 
 fn open_link(shared: &EdgeShared, source: SourceKey, queue: &LinkQueue) {
     let mut state = shared.state.borrow_mut();
-    let callers = shared.settings.callers;
-    if let Some(address) = callers {
+    let client_address = shared.settings.callers;
+    if let Some(address) = client_address {
         queue.send(&LinkMessage::EdgeHello {
             node: shared.settings.name.clone(),
             address,
@@ -189,7 +189,7 @@
     let name = record.name.clone();
     let stage = record.stage;
     let change = state.endpoints.apply_record(source, record, now);
-    if change != EndpointChange::Unchanged {
+    if change != EndpointChange::Same {
         tracing::info!(endpoint = name, ?stage, ?change, "endpoint update");
     }
     state.apply_change(change, now);
--- a/crates/ragwortroad_node/src/lib.rs
+++ b/crates/ragwortroad_node/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! let settings = ProcessSettings::from_file("node-1.ini".as_ref())?;
 //! let node = NodeProcess::start(settings)?;
-//! println!("callers connect to {}", node.caller_address());
+//! println!("clients connect to {}", node.caller_address());
 //! node.stop();
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
--- a/crates/ragwortroad_routing/src/limit/customer_entry.rs
+++ b/crates/ragwortroad_routing/src/limit/customer_entry.rs
@@ -54,8 +54,8 @@
 
     /// Sets the rates and the concurrency that this node may use in a fleet of `nodes`.
     ///
-    /// The even part of a limit belongs to every node without asking. The coordinator divides the
-    /// rest by demand.
+    /// A fraction of each limit, the even part, is divided evenly among the nodes and needs no
+    /// share from the coordinator, which divides the rest by demand.
     pub(crate) fn update_allowance(
         &mut self,
         settings: &LimiterSettings,
@@ -92,7 +92,7 @@
     }
 
     /// Concurrency that every node has without asking. It is at least one, because otherwise a
-    /// customer could wait forever at a node that its coordinator never hears of.
+    /// customer could wait forever at a node whose demand never reaches its coordinator.
     fn even_concurrency(&self, settings: &LimiterSettings, nodes: f64) -> u32 {
         let even = settings.even_share * f64::from(self.limit.concurrent) / nodes;
         (even.floor() as u32).max(1)
--- a/crates/ragwortroad_standin/src/standin_host.rs
+++ b/crates/ragwortroad_standin/src/standin_host.rs
@@ -16,19 +16,19 @@
     announce_loop::AnnounceLoop,
     standin_error::ThreadsSnafu,
     standin_reply::StandinReply,
-    standin_shell::{
-        ShellState,
-        StandinShell, //
+    standin_server::{
+        StandinServer,
+        StandinState, //
     }, //
 };
 
-/// Everything that runs for one stand-in: its server and the thread that announces it.
+/// The server and the announcing thread of one stand-in.
 pub(crate) struct StandinHost {
-    shell: StandinShell,
+    server: StandinServer,
     announcer: Option<AnnounceLoop>,
 }
 
-/// Where a stand-in listens and to whom it announces itself.
+/// Listen address of a stand-in and the nodes it announces itself to.
 pub(crate) struct HostSettings {
     pub(crate) listen: SocketAddr,
     pub(crate) threads: usize,
@@ -37,11 +37,11 @@
 }
 
 impl StandinHost {
-    /// Serves each request by `handle`, and announces what `announce` makes of the stand-in's
-    /// address and home epoch.
+    /// Serves each request with `handle`, and sends the announcements that `announce` builds from
+    /// the stand-in's address and home epoch.
     pub(crate) fn start<Handle, Reply>(
         settings: HostSettings,
-        state: Arc<ShellState>,
+        state: Arc<StandinState>,
         handle: Handle,
         mut announce: impl FnMut(&str, u64) -> AnnounceWire + Send + 'static,
     ) -> Result<Self, StandinError>
@@ -49,23 +49,27 @@
         Handle: Fn(Request<Incoming>) -> Reply + Clone + Send + Sync + 'static,
         Reply: Future<Output = StandinReply> + Send + 'static,
     {
-        let shell = StandinShell::start(settings.listen, settings.threads, state, handle)?;
-        let address = shell.address().to_string();
-        let make = move |epoch| announce(&address, epoch);
-        let announcer = AnnounceLoop::start(settings.announce_to, settings.join_secret, make)
-            .context(ThreadsSnafu)?;
-        Ok(Self { shell, announcer })
+        let server = StandinServer::start(settings.listen, settings.threads, state, handle)?;
+        let address = server.address().to_string();
+        let make_announcement = move |epoch| announce(&address, epoch);
+        let announcer = AnnounceLoop::start(
+            settings.announce_to,
+            settings.join_secret,
+            make_announcement,
+        )
+        .context(ThreadsSnafu)?;
+        Ok(Self { server, announcer })
     }
 
     pub(crate) fn address(&self) -> SocketAddr {
-        self.shell.address()
+        self.server.address()
     }
 
-    /// Cuts every connection and joins every thread.
+    /// Closes all connections and joins all threads.
     pub(crate) fn stop(self) {
         if let Some(announcer) = self.announcer {
             announcer.stop();
         }
-        self.shell.stop();
+        self.server.stop();
     }
 }
